--- a/benchmarks/budgets_cold.py
+++ b/benchmarks/budgets_cold.py
@@ -26,7 +26,6 @@
 import orjson
 from msgspec.structs import replace
 
-from flintridge import decide
 from flintridge.lab.experiment.stats import mean
 from flintridge.lab.judge.facts import Day, Sent
 from flintridge.lab.judge.rules.fleet import _windows, capacity
@@ -34,6 +33,7 @@
 from flintridge.lab.run import play
 from flintridge.lab.scenario.load import load
 from flintridge.lab.scenario.model import Replace, Scenario, Tenant
+from flintridge.policy import balancer as decide
 
 MODES = {"off": [], "cold": ["peers={}", "budgets={cold=true}"]}
 AT_S, LENGTH_S, WARMUP_S, WORK_MS = 2.0, 13.0, 9.0, 60.0
--- a/benchmarks/budgets_cost.py
+++ b/benchmarks/budgets_cost.py
@@ -12,13 +12,13 @@
 from typing import Any
 
 from flintridge import api
-from flintridge.budgets.holding import Terms
-from flintridge.budgets.ledger import PART
-from flintridge.budgets.pace import Pace
-from flintridge.decide import Balancer
 from flintridge.lab.partial.lending import Lenders
 from flintridge.lab.partial.machines import Machines
-from flintridge.net.budgets import Budgets
+from flintridge.leases.allocation import Terms
+from flintridge.leases.demand import Pace
+from flintridge.leases.driver import Budgets
+from flintridge.leases.lease_manager import PART
+from flintridge.policy.balancer import Balancer
 
 MS = 1_000_000
 ROUNDS, REQUESTS, SERVERS, TENANTS = 21, 2_000, 20, 3
@@ -47,8 +47,8 @@
         self._module = Balancer(settings(), 1)
         self._step, self._told = 1000 * MS // per_s, told
         self._now, self._number, self._next = 1000 * MS, 0, 0
-        members = tuple(api.Member(f"s{i}") for i in range(SERVERS))
-        self._module.handle(self._now, api.MemberList(api.ListKind.FULL, 1, members))
+        members = tuple(api.Endpoint(f"s{i}") for i in range(SERVERS))
+        self._module.handle(self._now, api.EndpointUpdate(api.UpdateKind.FULL, 1, members))
 
     def round(self) -> float:
         """Microseconds a request, the events with holdings among them."""
@@ -56,15 +56,17 @@
         for i in range(self._number, self._number + REQUESTS):
             uid = f"r{i}"
             now += self._step
-            request = api.Request(
+            request = api.RequestReceived(
                 uid, now + 1000 * MS, key=f"k{i % 997}", tenant=i % TENANTS, work_ns=20 * MS
             )
             events: list[api.Event] = [request]
             if self._told and now >= self._next:
                 self._next = now + EVERY
-                after = api.Holdings(dict.fromkeys(range(TENANTS), 1.0))
+                after = api.AllocationUpdate(dict.fromkeys(range(TENANTS), 1.0))
                 parts = {tenant: 1.5 + i % 2 / 10 for tenant in range(TENANTS)}
-                events.insert(0, api.Holdings(parts, 1.5, until=now + 2000 * MS, after=after))
+                events.insert(
+                    0, api.AllocationUpdate(parts, 1.5, valid_until=now + 2000 * MS, fallback=after)
+                )
             began = time.thread_time()
             for event in events:
                 actions = handle(now, event)
--- a/benchmarks/budgets_leaving.py
+++ b/benchmarks/budgets_leaving.py
@@ -22,8 +22,6 @@
 import orjson
 from msgspec.structs import replace
 
-from flintridge.budgets.holding import Terms
-from flintridge.budgets.ledger import PART
 from flintridge.lab.experiment.stats import bootstrap, mean
 from flintridge.lab.judge.facts import Day
 from flintridge.lab.judge.figures import wishes_of
@@ -33,6 +31,8 @@
 from flintridge.lab.run import play
 from flintridge.lab.scenario.load import load
 from flintridge.lab.scenario.model import NodeKill, NodeRestart, Scenario
+from flintridge.leases.allocation import Terms
+from flintridge.leases.lease_manager import PART
 
 GONE = (0, 1, 2, 3, 4)  # of zones in turn
 AT_S, LENGTH_S, WARMUP_S = 4.0, 16.0, 9.0
--- a/benchmarks/peers_cost.py
+++ b/benchmarks/peers_cost.py
@@ -14,8 +14,8 @@
 from pathlib import Path
 from random import Random
 
-from flintridge.peers.presence import Presence
-from flintridge.peers.wire import Entry, Packet, Wire
+from flintridge.membership.failure_detector import Presence
+from flintridge.membership.messages import Entry, Packet, Wire
 
 ROOT = Path(__file__).resolve().parent.parent
 COUNT, NAMES, KEY = 20_000, tuple(f"n{i}" for i in range(1, 1001)), b"k" * 32
--- a/benchmarks/peers_scale.py
+++ b/benchmarks/peers_scale.py
@@ -21,7 +21,7 @@
 from concurrent.futures import ProcessPoolExecutor
 
 from flintridge.lab.partial.machines import Link, Machines
-from flintridge.peers.wire import State
+from flintridge.membership.messages import State
 
 SETTLE_S, PATIENCE_MS = 25, 60_000.0
 HEADS = (
--- a/benchmarks/place_cost.py
+++ b/benchmarks/place_cost.py
@@ -10,12 +10,12 @@
 import time
 
 from flintridge import api
-from flintridge.net.clock import SystemClock
-from flintridge.net.core import Core
-from flintridge.net.counters import Counters
-from flintridge.net.log import Log
+from flintridge.core.lifecycle import RequestLifecycle
+from flintridge.discovery.endpoint_list import EndpointList
 from flintridge.net.sender import SenderSide
-from flintridge.net.transport_map import TransportMap
+from flintridge.runtime.clock import SystemClock
+from flintridge.telemetry.counters import Counters
+from flintridge.telemetry.log import Log
 
 SIZES = (100, 1000, 8000)
 NEWCOMERS = 4000
@@ -45,8 +45,8 @@
 async def cost(size: int) -> float:
     clock, log, counters = SystemClock(asyncio.get_running_loop()), Log("bench", io.BytesIO()), Counters()
     settings = api.Settings()
-    core = Core(Silent(), settings, clock, 1 << 20, log, counters)
-    transports = TransportMap((), (), settings, clock)
+    core = RequestLifecycle(Silent(), settings, clock, 1 << 20, log, counters)
+    transports = EndpointList((), (), settings, clock)
     side = SenderSide(core, settings, transports, clock, size, log, counters)
     for _ in range(size):
         come(side, Crowd())
--- a/benchmarks/replica_converge.py
+++ b/benchmarks/replica_converge.py
@@ -18,9 +18,9 @@
 from concurrent.futures import ProcessPoolExecutor
 
 from flintridge.lab.partial.copying import Keepers
-from flintridge.replica.copy import Copy, Limits, Standing
-from flintridge.replica.types import checked
-from flintridge.replica.words import pieces
+from flintridge.replication.messages import pieces
+from flintridge.replication.replica import Copy, Limits, Standing
+from flintridge.replication.value_types import checked
 
 WARM, CUT, MOST = 15_000.0, 30_000.0, 600_000.0
 WRITES, BOTH = 20, 5
--- a/benchmarks/ring_cost.py
+++ b/benchmarks/ring_cost.py
@@ -21,7 +21,7 @@
 from types import FunctionType, MethodType
 from typing import Any, Protocol
 
-from flintridge.ring import Ring, place_of, points
+from flintridge.policy.hash_ring import Ring, place_of, points
 
 SIZES = (8, 50, 200, 1_000, 5_000, 10_000)
 ZONES = (1, 2, 5)
--- a/examples/toy_server.py
+++ b/examples/toy_server.py
@@ -9,7 +9,7 @@
 import orjson
 
 from flintridge.api import RequestClass, Settings, Tenant
-from flintridge.net.envelope import Envelope
+from flintridge.core.request import Request
 from flintridge.net.memcache import CommandParser, Hello
 
 HOST = "127.0.0.1"
@@ -39,13 +39,13 @@
         parser = CommandParser(SETTINGS)
         while data := await reader.read(65536):
             for command in parser.feed(data):
-                if isinstance(command, Envelope):
+                if isinstance(command, Request):
                     writer.write(self.look_up(port, command))
                 else:
                     writer.write(b"MN\r\n" if isinstance(command, Hello) else b"CLIENT_ERROR bad\r\n")
         writer.close()
 
-    def look_up(self, port: int, command: Envelope) -> bytes:
+    def look_up(self, port: int, command: Request) -> bytes:
         value = self.copies[port].get(command.key.decode())
         print(f"box {port}: {command.key.decode()} {'hit' if value is not None else 'miss'}", flush=True)
         if value is not None and not command.write:
--- a/flintridge/__init__.py
+++ b/flintridge/__init__.py
@@ -1,5 +1,5 @@
 """flintridge: the decisions of a proxy that spreads object keys over cache servers."""
 
-from flintridge.decide import Balancer
+from flintridge.policy.balancer import Balancer
 
 __all__ = ["Balancer"]
--- a/flintridge/__main__.py
+++ b/flintridge/__main__.py
@@ -16,11 +16,11 @@
 import contextlib
 import os
 
-from flintridge.net.clock import SystemClock, TurnSelector
-from flintridge.net.listen import NotListening
-from flintridge.net.log import Log
 from flintridge.node import Node
+from flintridge.runtime.clock import SystemClock, TurnSelector
+from flintridge.runtime.listener import ListenError
 from flintridge.settings import ConfigError, NodeConfig, load_config
+from flintridge.telemetry.log import Log
 
 
 async def run(config: NodeConfig, log: Log, turns: TurnSelector | None = None) -> None:
@@ -99,7 +99,7 @@
             runner.run(_whole_life(config, log, turns))
     except ConfigError as error:
         return _refused(error)
-    except NotListening as error:
+    except ListenError as error:
         print(f"flintridge: {error}", file=sys.stderr)
         return 1
     finally:
--- a/flintridge/cli/ring.py
+++ b/flintridge/cli/ring.py
@@ -215,7 +215,7 @@
     out = _Output(json_file, force)
     from flintridge.cli.ring_lists import read
     from flintridge.cli.ring_shares import steps
-    from flintridge.ring import place_of
+    from flintridge.policy.hash_ring import place_of
 
     fleet = read(file, origin_kind)
     if zone is not None:
--- a/flintridge/cli/ring_shares.py
+++ b/flintridge/cli/ring_shares.py
@@ -10,7 +10,7 @@
 from typing import NamedTuple
 
 from flintridge.cli.ring_lists import Cache, Fleet
-from flintridge.ring import POINTS, Ring, place_of, points
+from flintridge.policy.hash_ring import POINTS, Ring, place_of, points
 
 WHOLE = 1 << 32  # places
 NUMBER_BITS = (1 << 24) - 1
--- a/flintridge/config/build.py
+++ b/flintridge/config/build.py
@@ -21,9 +21,31 @@
     optional_address,
 )
 
-SHORTEST_KEY, LONGEST_KEY = 16, 64  # bytes, as in flintridge/peers/wire.py, which a node without peers lacks
+SHORTEST_KEY, LONGEST_KEY = (
+    16,
+    64,
+)  # bytes, as in flintridge/membership/messages.py, which a node without peers lacks
 MS, S = 1_000_000, 1_000_000_000  # nanoseconds
 
+# Names in the node's own format, with times in nanoseconds -> names in `flintridge.api`; all others are the
+# same.
+CLASS_NAMES = {
+    "aim_ns": "latency_objective_ns",
+    "worth": "priority_weight",
+    "late_share": "late_weight_fraction",
+    "group": "deduplication_scope",
+    "window_ns": "deduplication_window_ns",
+    "aim_stretch": "objective_work_factor",
+}
+RULE_NAMES = {
+    "ask_within_ns": "poll_interval_ns",
+    "cold_share": "slow_start_fraction",
+    "cold_ns": "slow_start_ns",
+    "fall_multiple": "overload_multiple",
+    "fall_ns": "overload_window_ns",
+}
+LIMIT_NAMES = {"second_copies": "hedged_requests", "probes": "health_checks", "peers": "peer_messages"}
+
 
 def read_own(file: str, text: bytes, env: Mapping[str, str]) -> NodeConfig:
     """A node's configuration in its own format. Raises ConfigError; its text has a line for every fault."""
@@ -106,28 +128,33 @@
     return api.Settings(
         classes=tuple(map(_request_class, held.classes)),
         tenants=tuple(api.Tenant(one.name, one.quota_per_s, one.share) for one in held.tenants),
-        rules=api.Rules(**_in_ns(held.rules)),
-        limits=api.Limits(**_in_ns(held.limits)),
+        rules=api.Rules(**_renamed(_in_ns(held.rules), RULE_NAMES)),
+        limits=api.Limits(**_renamed(_in_ns(held.limits), LIMIT_NAMES)),
         prices=api.Prices(**msgspec.structs.asdict(held.prices)),
         goal=api.Goal(**msgspec.structs.asdict(held.goal)),
         fleet_size=held.fleet_size,
         self_index=held.self_index,
         zone=0 if held.zone is None else held.zones.index(held.zone),
-        discovery=api.Discovery(held.watch),
+        discovery=api.DiscoveryMode(held.watch),
         mode=api.CacheMode(held.mode),
         origin_kind=-1 if held.origin_kind is None else held.kinds.index(held.origin_kind),
-        report=api.ReportHow(held.load_reports),
-        worth_by_work=held.worth_by == "work",
-        over_share_worth=held.over_share_worth,
+        load_reporting=api.LoadReporting(held.load_reports),
+        weight_by_work=held.worth_by == "work",
+        over_quota_weight=held.over_share_worth,
     )
 
 
 def _request_class(held: RequestClass) -> api.RequestClass:
-    values = _in_ns(held)
-    values["effect"], values["group"] = api.Effect(held.effect), api.Group(held.group)
+    values = _renamed(_in_ns(held), CLASS_NAMES)
+    values["effect"] = api.Effect(held.effect)
+    values["deduplication_scope"] = api.DeduplicationScope(held.group)
     return api.RequestClass(**values)
 
 
+def _renamed(values: dict[str, Any], names: dict[str, str]) -> dict[str, Any]:
+    return {names.get(name, name): value for name, value in values.items()}
+
+
 def _in_ns(part: msgspec.Struct) -> dict[str, Any]:
     """The part's values under the module's names, whose times are whole nanoseconds."""
     values = {}
--- /dev/null
+++ b/flintridge/core/memory_budget.py
@@ -0,0 +1,114 @@
+"""A budget of memory: bytes are reserved before they are used, released once, and granted in the order of
+asking."""
+
+import asyncio
+from collections import deque
+from collections.abc import Callable
+
+from flintridge.runtime.clock import Clock, Timer
+
+
+class MemoryBudget:
+    """A number of bytes that reservations share. Times are float milliseconds of `clock`."""
+
+    def __init__(self, total: int, clock: Clock) -> None:
+        self.total = total
+        self.reserved = 0
+        self._clock = clock
+        self._waiting: deque[_Reservation] = deque()
+
+    def try_reserve(self, count: int) -> bool:
+        """Reserve `count` bytes at once; False where too few are free, or others wait for some."""
+        if count and (self._waiting or self.reserved + count > self.total):
+            return False
+        self.reserved += count
+        return True
+
+    def release(self, count: int) -> None:
+        """Release bytes that were reserved; whoever waits may have them."""
+        if not count:
+            return
+        self.reserved -= count
+        assert self.reserved >= 0, "more bytes were released than reserved"
+        self._grant_waiting()
+
+    def resize(self, total: int) -> None:
+        """Change the total; what is reserved stays so."""
+        self.total = total
+        self._grant_waiting()
+
+    def wait(self, count: int, time_limit: float, decided: Callable[[bool], None]) -> Callable[[], None]:
+        """Reserve `count` bytes once they are free, for at most `time_limit` milliseconds.
+
+        All of them are reserved at once and before any is used, so two that have half of theirs never wait
+        for one another; and in the order of asking, so one that wants many is not starved.
+
+        Args:
+            count: Bytes.
+            time_limit: Milliseconds.
+            decided: Called once: True with the bytes reserved, False without.
+
+        Returns:
+            A call that ends the waiting.
+        """
+        reservation = _Reservation(count, decided)
+        if count > self.total:
+            reservation.decide(False)
+            return lambda: None
+        if self.try_reserve(count):
+            reservation.decide(True)
+        else:
+            due = self._clock.now() + time_limit
+            reservation.timer = self._clock.call_at(due, self._abandon, reservation)
+            self._waiting.append(reservation)
+        return lambda: self._cancel(reservation)
+
+    async def reserve(self, count: int, time_limit: float) -> bool:
+        """As `wait`; True with the bytes reserved. Whoever is cancelled meanwhile has none reserved."""
+        decided: asyncio.Future[bool] = asyncio.get_running_loop().create_future()
+
+        def on_decision(granted: bool) -> None:
+            if not decided.done():
+                decided.set_result(granted)
+
+        cancel = self.wait(count, time_limit, on_decision)
+        try:
+            return await decided
+        except asyncio.CancelledError:
+            if decided.done() and not decided.cancelled() and decided.result():
+                self.release(count)
+            cancel()
+            raise
+
+    def _grant_waiting(self) -> None:
+        while self._waiting and self.reserved + self._waiting[0].count <= self.total:
+            reservation = self._waiting.popleft()
+            self.reserved += reservation.count
+            reservation.decide(True)
+
+    def _cancel(self, reservation: "_Reservation") -> None:
+        if reservation.granted is None:
+            self._abandon(reservation)
+
+    def _abandon(self, reservation: "_Reservation") -> None:
+        self._waiting.remove(reservation)
+        reservation.decide(False)
+        self._grant_waiting()
+
+
+class _Reservation:
+    """One that waits, or has been decided on."""
+
+    __slots__ = ("count", "decided", "granted", "timer")
+
+    def __init__(self, count: int, decided: Callable[[bool], None]) -> None:
+        self.count = count
+        self.decided = decided
+        self.granted: bool | None = None
+        self.timer: Timer | None = None
+
+    def decide(self, granted: bool) -> None:
+        self.granted = granted
+        if self.timer is not None:
+            self.timer.cancel()
+        self.decided(granted)
--- /dev/null
+++ b/flintridge/discovery/endpoint_list.py
@@ -0,0 +1,174 @@
+"""The endpoint list: discovery's list of servers, how it is read, and where each server is found."""
+
+from dataclasses import dataclass
+from typing import Any
+
+import orjson
+
+from flintridge.api import Endpoint, EndpointState, EndpointUpdate, Settings, UpdateKind
+from flintridge.errors import FlintridgeError
+from flintridge.runtime.clock import Clock, to_ns
+from flintridge.settings import Address, ConfigError, NodeConfig
+
+PHASES = {
+    "in_service": EndpointState.READY,
+    "terminating": EndpointState.DRAINING,
+    "terminated": EndpointState.GONE,
+}
+UNKNOWN_KIND = -2  # of a machine that the settings do not name; -1 stands for no kind at all
+UNKNOWN_ZONE = -1
+
+
+class EndpointNotListedError(FlintridgeError, OSError):
+    """No address is known for this server: it is not on the list any more."""
+
+
+class MalformedListError(FlintridgeError, ValueError):
+    """Discovery's list, or a change of it, cannot be read."""
+
+
+@dataclass(slots=True, frozen=True)
+class EndpointAddress:
+    """Where a server is found, and whether it is the origin."""
+
+    address: Address
+    origin: bool
+
+
+@dataclass(slots=True, frozen=True)
+class _ListEntry:
+    endpoint: Endpoint
+    address: EndpointAddress | None
+
+
+class EndpointList:
+    """Servers by id; an address is only where one is found at present.
+
+    Attributes:
+        revision: Discovery's, of what was last applied.
+    """
+
+    def __init__(
+        self, zones: tuple[str, ...], kinds: tuple[str, ...], settings: Settings, clock: Clock
+    ) -> None:
+        self.revision = 0
+        self._zones = {name: i for i, name in enumerate(zones)}
+        self._kinds = {name: i for i, name in enumerate(kinds)}
+        self._origin_kind = settings.origin_kind
+        self._clock = clock
+        self._addresses: dict[str, EndpointAddress] = {}
+        self._ready: set[str] = set()
+
+    def __getitem__(self, server: str) -> EndpointAddress:
+        """Where a server is found.
+
+        Raises:
+            EndpointNotListedError: It is not on the list.
+        """
+        address = self._addresses.get(server)
+        if address is None:
+            raise EndpointNotListedError(server)
+        return address
+
+    def __len__(self) -> int:
+        return len(self._addresses)
+
+    @property
+    def any_ready(self) -> bool:
+        """Whether any server is in service."""
+        return bool(self._ready)
+
+    def parse(self, text: bytes) -> EndpointUpdate:
+        """Apply discovery's JSON.
+
+        Raises:
+            MalformedListError: It cannot be read; nothing is changed.
+        """
+        try:
+            listed = orjson.loads(text)
+        except orjson.JSONDecodeError as error:
+            raise MalformedListError(f"the list is not JSON: {error}") from error
+        return self.apply(listed)
+
+    def apply(self, listed: Any, kind: UpdateKind | None = None) -> EndpointUpdate:
+        """Apply a list or a change of it, in discovery's form.
+
+        Args:
+            listed: Discovery's JSON, decoded.
+            kind: What to say of it; None: as it says itself.
+
+        Raises:
+            MalformedListError: Some of it cannot be read; nothing is changed.
+        """
+        try:
+            revision = listed["revision"]
+            complete = listed["complete"]
+            if not isinstance(revision, int) or not isinstance(complete, bool):
+                raise ValueError("revision or complete is of the wrong kind")
+            entries = [self._parse_entry(entry) for entry in listed["members"]]
+        except (KeyError, TypeError, AttributeError, ValueError, OverflowError) as error:
+            raise MalformedListError(f"malformed list: {error!r}") from error
+        if complete:
+            self._ready.clear()
+            # Guards a long day, with new ids all the time, against a growing map. An attempt that is in
+            # flight has its connection already; to a server that is not listed the policy sends no more.
+            self._addresses.clear()
+        for entry in entries:
+            self._apply_entry(entry)
+        self.revision = revision
+        kind = kind or (UpdateKind.FULL if complete else UpdateKind.DELTA)
+        return EndpointUpdate(kind, revision, tuple(entry.endpoint for entry in entries))
+
+    def _apply_entry(self, entry: _ListEntry) -> None:
+        server = entry.endpoint.server
+        self._ready.discard(server)
+        if entry.endpoint.state is EndpointState.READY:
+            self._ready.add(server)
+        if entry.endpoint.state is EndpointState.GONE:
+            self._addresses.pop(server, None)
+        elif entry.address is not None:
+            self._addresses[server] = entry.address
+
+    def _parse_entry(self, entry: dict[str, Any]) -> _ListEntry:
+        server = entry["id"]
+        state = PHASES[entry["phase"]]
+        if not isinstance(server, str) or not server:
+            raise ValueError("bad id")
+        kind = self._kinds.get(entry.get("flavor", ""), UNKNOWN_KIND)
+        address = None
+        if state is not EndpointState.GONE or entry.get("host_port"):
+            address = EndpointAddress(Address.parse(entry["host_port"]), kind == self._origin_kind)
+        size = entry.get("size")
+        endpoint = Endpoint(
+            server=server,
+            state=state,
+            weight=1.0 if size is None else float(size),
+            cell=int(entry.get("cell") or 0),
+            kind=kind,
+            started_at=self._started_at(entry.get("up_since_ms")),
+            zone=self._zones.get(entry.get("locality", ""), UNKNOWN_ZONE),
+        )
+        return _ListEntry(endpoint, address)
+
+    def _started_at(self, up_since_ms: Any) -> int:
+        """On the policy's clock.
+
+        0 is long ago, to discovery and to the policy; no start is at that instant.
+        """
+        if not up_since_ms:
+            return 0
+        return to_ns(self._clock.from_unix(float(up_since_ms))) or 1
+
+
+def configured_endpoints(config: NodeConfig, endpoints: EndpointList) -> EndpointUpdate:
+    """The list in the configuration, which may be old.
+
+    Raises:
+        ConfigError: It cannot be read.
+    """
+    if config.known is None:
+        return EndpointUpdate(UpdateKind.CACHED)
+    try:
+        return endpoints.apply(config.known, UpdateKind.CACHED)
+    except MalformedListError as error:
+        raise ConfigError(f"known: {error}") from error
--- a/flintridge/lab/backend/virtual.py
+++ b/flintridge/lab/backend/virtual.py
@@ -17,11 +17,11 @@
 from flintridge.lab.records import Connections, Line, Log, NodeSaid
 from flintridge.lab.scenario.model import Budgets, Peers
 from flintridge.lab.virtual import VirtualLoop
-from flintridge.net.clock import SystemClock
-from flintridge.net.counters import Counters
+from flintridge.membership.messages import Wire
 from flintridge.node import Node
-from flintridge.peers.wire import Wire
+from flintridge.runtime.clock import SystemClock
 from flintridge.settings import Address, BudgetsConfig, ConfigError, PeersConfig, node_config
+from flintridge.telemetry.counters import Counters
 
 UNIX_MS = 1_700_000_000_000.0  # the Unix time at which each virtual day begins
 LISTENING_PORT = 11211
--- a/flintridge/lab/defects/copies.py
+++ b/flintridge/lab/defects/copies.py
@@ -1,7 +1,7 @@
 """Mistakes that a copy could have; the explorer must find each."""
 
-from flintridge.replica.copy import Copy, Slice, Standing
-from flintridge.replica.entry import Entry, Key, Writer, merge
+from flintridge.replication.entry import Entry, Key, Writer, merge
+from flintridge.replication.replica import Copy, Slice, Standing
 
 
 class ArrivalDecides(Copy):
--- a/flintridge/lab/defects/hearing.py
+++ b/flintridge/lab/defects/hearing.py
@@ -3,10 +3,10 @@
 import itertools
 
 from flintridge.lab.defects.wrapping import put
+from flintridge.membership.failure_detector import Presence
+from flintridge.membership.member_table import Table
+from flintridge.membership.messages import Entry, Kind
 from flintridge.node import Node
-from flintridge.peers.presence import Presence
-from flintridge.peers.table import Table
-from flintridge.peers.wire import Entry, Kind
 
 
 def _presence(node: Node) -> Presence:
--- a/flintridge/lab/defects/lending.py
+++ b/flintridge/lab/defects/lending.py
@@ -2,7 +2,7 @@
 
 from dataclasses import dataclass, replace
 
-from flintridge.budgets.holding import Ask, Give, Grant, Holding, Loan, Peer, Word
+from flintridge.leases.allocation import Ask, Give, Grant, Holding, Loan, Peer, Word
 
 
 @dataclass(slots=True)
--- a/flintridge/lab/defects/planted.py
+++ b/flintridge/lab/defects/planted.py
@@ -9,14 +9,15 @@
 from typing import Any
 
 from flintridge import api
-from flintridge.decide import Balancer, Gate, Held, Server
+from flintridge.core.request import Request, UpstreamAttempt
+from flintridge.core.response import Responder, Response
 from flintridge.lab.defects.wrapping import Alter, every, put, wrap_replies
 from flintridge.net import memcache
-from flintridge.net.clock import sleep, to_ns
 from flintridge.net.delivery import Link
-from flintridge.net.envelope import DeliveryAttempt, Envelope, Reply, Served
 from flintridge.net.sender import Slot
 from flintridge.node import Node
+from flintridge.policy.balancer import Balancer, Gate, Held, Server
+from flintridge.runtime.clock import sleep, to_ns
 
 OFTEN = 10  # each tenth request is hit
 CLIENT_WAIT_MS = 1000.0  # of a client that names no time
@@ -24,14 +25,14 @@
 
 def balancer_of(node: Node) -> Balancer:
     """The node's decision module. Raises TypeError where a trial put another one in."""
-    module = node.core._module
+    module = node.core._policy
     if not isinstance(module, Balancer):
         raise TypeError(f"{type(module).__name__} is not the module that these defects are made for")
     return module
 
 
-def _wait(envelope: Envelope) -> float:
-    return CLIENT_WAIT_MS if envelope.wait_ms is None else envelope.wait_ms
+def _wait(request: Request) -> float:
+    return CLIENT_WAIT_MS if request.timeout_ms is None else request.timeout_ms
 
 
 # Answers to clients
@@ -41,8 +42,8 @@
     """Each tenth final answer is written 300 ms after its client's time is over."""
     hit = every(OFTEN)
 
-    def alter(envelope: Envelope, reply: Reply) -> Reply:
-        due = node.clock.now() + _wait(envelope) + 300
+    def alter(request: Request, reply: Responder) -> Responder:
+        due = node.clock.now() + _wait(request) + 300
         return _Delayed(node, reply, lambda: due) if hit() else reply
 
     wrap_replies(node, alter)
@@ -51,8 +52,8 @@
 def refusal_held_back(node: Node) -> None:
     """Refusals and failures are kept until 15 ms before the client's time is over."""
 
-    def alter(envelope: Envelope, reply: Reply) -> Reply:
-        due = node.clock.now() + _wait(envelope) - 15
+    def alter(request: Request, reply: Responder) -> Responder:
+        due = node.clock.now() + _wait(request) - 15
         return _Delayed(node, reply, lambda: due, served=False)
 
     wrap_replies(node, alter)
@@ -61,7 +62,7 @@
 class _Delayed(Alter):
     """Answers not before an instant."""
 
-    def __init__(self, node: Node, reply: Reply, due: Callable[[], float], served: bool = True) -> None:
+    def __init__(self, node: Node, reply: Responder, due: Callable[[], float], served: bool = True) -> None:
         super().__init__(reply)
         self._node = node
         self._due = due
@@ -73,17 +74,17 @@
         else:
             self._node.clock.call_at(self._due(), call, *args)
 
-    def served(self, served: Served) -> None:
+    def respond(self, response: Response) -> None:
         if self._delays_served:
-            self._at(self.reply.served, served)
+            self._at(self.reply.respond, response)
         else:
-            self.reply.served(served)
+            self.reply.respond(response)
 
-    def defer(self, retry_after_ms: float) -> None:
-        self._at(self.reply.defer, retry_after_ms)
+    def reject(self, retry_after_ms: float) -> None:
+        self._at(self.reply.reject, retry_after_ms)
 
-    def failed(self) -> None:
-        self._at(self.reply.failed)
+    def fail(self) -> None:
+        self._at(self.reply.fail)
 
 
 def client_never_answered(node: Node) -> None:
@@ -91,11 +92,11 @@
     hit = every(OFTEN)
 
     class Silent(Alter):
-        def served(self, served: Served) -> None: ...
+        def respond(self, response: Response) -> None: ...
 
-        def defer(self, retry_after_ms: float) -> None: ...
+        def reject(self, retry_after_ms: float) -> None: ...
 
-        def failed(self) -> None: ...
+        def fail(self) -> None: ...
 
     wrap_replies(node, lambda _, reply: Silent(reply) if hit() else reply)
 
@@ -105,11 +106,11 @@
     hit = every(OFTEN)
 
     class Twice(Alter):
-        def served(self, served: Served) -> None:
-            self.reply.served(served)
+        def respond(self, response: Response) -> None:
+            self.reply.respond(response)
             slot = self.reply
             if isinstance(slot, Slot) and not slot.connection._writer.is_closing():
-                slot.connection._writer.writelines(memcache.served_parts(slot.id, served))
+                slot.connection._writer.writelines(memcache.served_parts(slot.id, response))
 
     wrap_replies(node, lambda _, reply: Twice(reply) if hit() else reply)
 
@@ -119,9 +120,9 @@
     hit = every(OFTEN)
 
     class Changed(Alter):
-        def served(self, served: Served) -> None:
-            last = b"#" if not served.body.endswith(b"#") else b"%"
-            self.reply.served(Served(served.body[:-1] + last, served.receipt))
+        def respond(self, response: Response) -> None:
+            last = b"#" if not response.body.endswith(b"#") else b"%"
+            self.reply.respond(Response(response.body[:-1] + last, response.receipt))
 
     wrap_replies(node, lambda _, reply: Changed(reply) if hit() else reply)
 
@@ -129,14 +130,14 @@
 def value_mixed_up(node: Node) -> None:
     """Each tenth read is given the value of the read that was served before it."""
     hit = every(OFTEN)
-    before: list[Served] = []
+    before: list[Response] = []
 
     class Mixed(Alter):
-        def served(self, served: Served) -> None:
-            other = before[0] if before and not served.receipt and hit() else served
-            if not served.receipt:
-                before[:] = [served]
-            self.reply.served(other)
+        def respond(self, response: Response) -> None:
+            other = before[0] if before and not response.receipt and hit() else response
+            if not response.receipt:
+                before[:] = [response]
+            self.reply.respond(other)
 
     wrap_replies(node, lambda _, reply: Mixed(reply))
 
@@ -189,7 +190,7 @@
 
 def keyed_write_twice_past_window(node: Node) -> None:
     """A keyed write without an answer is sent again, but only once its window is over."""
-    _sent_again(node, api.Effect.KEYED, lambda request: request.cls.window_ns + to_ns(100.0))
+    _sent_again(node, api.Effect.KEYED, lambda request: request.cls.deduplication_window_ns + to_ns(100.0))
 
 
 def retry_of_what_may_have_run(node: Node) -> None:
@@ -227,7 +228,7 @@
     carry_out = core._carry_out
 
     def mild(action: api.Action) -> None:
-        carry_out(api.Refuse(action.id, to_ns(50.0)) if isinstance(action, api.Fail) else action)
+        carry_out(api.Reject(action.id, to_ns(50.0)) if isinstance(action, api.Fail) else action)
 
     put(core, "_carry_out", mild)
 
@@ -246,30 +247,38 @@
     hit = every(OFTEN)
     start = node.delivery.start
 
-    def once_more(attempt: DeliveryAttempt) -> None:
+    def once_more(attempt: UpstreamAttempt) -> None:
         now = node.clock.now()
         start(
-            replace(attempt, number=1000, sent_at=now, until=now + 500, ended=False, give_up=None, over=False)
+            replace(
+                attempt,
+                number=1000,
+                sent_at=now,
+                deadline=now + 500,
+                ended=False,
+                abort=None,
+                request_ended=False,
+            )
         )
 
     class Later(Alter):
         uid = ""
 
-        def served(self, served: Served) -> None:
-            self.reply.served(served)
+        def respond(self, response: Response) -> None:
+            self.reply.respond(response)
             if (attempt := started.pop(self.uid, None)) is not None:
                 node.clock.call_at(node.clock.now() + 400, once_more, attempt)
 
-    def alter(envelope: Envelope, reply: Reply) -> Reply:
-        if envelope.write or not hit():
+    def alter(request: Request, reply: Responder) -> Responder:
+        if request.write or not hit():
             return reply
         later = Later(reply)
-        later.uid = envelope.id.decode("ascii")
+        later.uid = request.id.decode("ascii")
         return later
 
-    started: dict[str, DeliveryAttempt] = {}
+    started: dict[str, UpstreamAttempt] = {}
 
-    def noted(attempt: DeliveryAttempt) -> None:
+    def noted(attempt: UpstreamAttempt) -> None:
         started[attempt.id] = attempt
         start(attempt)
 
@@ -279,21 +288,21 @@
 
 def key_altered(node: Node) -> None:
     """Each tenth attempt asks for another key than the client did."""
-    _alter_envelopes(node, lambda envelope: replace(envelope, key=envelope.key + b"x"))
+    _alter_requests(node, lambda request: replace(request, key=request.key + b"x"))
 
 
 def time_left_not_told(node: Node) -> None:
     """Servers are told the client's whole time, however much of it is over."""
-    _alter_envelopes(node, lambda envelope: replace(envelope, wait_span=None), often=1)
+    _alter_requests(node, lambda request: replace(request, timeout_span=None), often=1)
 
 
-def _alter_envelopes(node: Node, change: Callable[[Envelope], Envelope], often: int = OFTEN) -> None:
+def _alter_requests(node: Node, change: Callable[[Request], Request], often: int = OFTEN) -> None:
     hit = every(often)
     start = node.delivery.start
 
-    def altered(attempt: DeliveryAttempt) -> None:
+    def altered(attempt: UpstreamAttempt) -> None:
         if hit():
-            attempt.envelope = change(attempt.envelope)
+            attempt.request = change(attempt.request)
         start(attempt)
 
     put(node.delivery, "start", altered)
@@ -304,16 +313,16 @@
 
 def fresh_work_3s_after_drain(node: Node) -> None:
     """What the list says of servers that leave is taken in 4 s late."""
-    tell = node.watch._tell
+    tell = node.watch._notify
 
-    def late(members: api.MemberList) -> None:
-        leaving = any(m.state is not api.MemberState.READY for m in members.members)
+    def late(members: api.EndpointUpdate) -> None:
+        leaving = any(m.state is not api.EndpointState.READY for m in members.endpoints)
         if leaving:
             node.clock.call_at(node.clock.now() + 4000, tell, members)
         else:
             tell(members)
 
-    put(node.watch, "_tell", late)
+    put(node.watch, "_notify", late)
 
 
 def cold_budget_ignored(node: Node) -> None:
@@ -328,7 +337,7 @@
         return 1.0
 
     def eager(request: Held) -> str | None:
-        cold_ns = balancer.settings.rules.cold_ns
+        cold_ns = balancer.settings.rules.slow_start_ns
         for name in balancer.ready:
             started = balancer.servers[name].member.started_at
             if started and balancer.now - started < cold_ns and name not in request.failed:
--- a/flintridge/lab/defects/sharing.py
+++ b/flintridge/lab/defects/sharing.py
@@ -1,9 +1,9 @@
 """Mistakes in how a node uses budgets that nodes lend one another."""
 
-from flintridge.decide import Balancer
 from flintridge.lab.defects.lending import CreditBeforeDebit
 from flintridge.lab.defects.wrapping import put
 from flintridge.node import Node
+from flintridge.policy.balancer import Balancer
 
 
 def loans_not_taken_off(node: Node) -> None:
@@ -15,6 +15,6 @@
 
 def quota_not_taken(node: Node) -> None:
     """The node looks whether a quota has room, and takes nothing from it."""
-    module = node.core._module
+    module = node.core._policy
     assert isinstance(module, Balancer)
     put(module, "beyond_quota", lambda tenant: module.fill(tenant) < 1)
--- a/flintridge/lab/defects/wrapping.py
+++ b/flintridge/lab/defects/wrapping.py
@@ -2,7 +2,8 @@
 
 from collections.abc import Callable
 
-from flintridge.net.envelope import Envelope, Passage, Reply, Served
+from flintridge.core.request import Request
+from flintridge.core.response import Responder, Response, StreamedResponse
 from flintridge.node import Node
 
 
@@ -28,32 +29,32 @@
 
 
 class Alter:
-    """A Reply that passes everything on; its heirs do not."""
+    """A Responder that passes everything on; its heirs do not."""
 
-    def __init__(self, reply: Reply) -> None:
+    def __init__(self, reply: Responder) -> None:
         self.reply = reply
 
-    def look(self) -> None:
-        self.reply.look()
+    def check_client(self) -> None:
+        self.reply.check_client()
 
-    def begin(self, length: int) -> Passage:
-        return self.reply.begin(length)
+    def start_stream(self, length: int) -> StreamedResponse:
+        return self.reply.start_stream(length)
 
-    def served(self, served: Served) -> None:
-        self.reply.served(served)
+    def respond(self, response: Response) -> None:
+        self.reply.respond(response)
 
-    def defer(self, retry_after_ms: float) -> None:
-        self.reply.defer(retry_after_ms)
+    def reject(self, retry_after_ms: float) -> None:
+        self.reply.reject(retry_after_ms)
 
-    def failed(self) -> None:
-        self.reply.failed()
+    def fail(self) -> None:
+        self.reply.fail()
 
 
-def wrap_replies(node: Node, alter: Callable[[Envelope, Reply], Reply]) -> None:
+def wrap_replies(node: Node, alter: Callable[[Request, Responder], Responder]) -> None:
     """Have each request's reply replaced by what `alter` makes of it."""
     submit = node.core.submit
 
-    def wrapped(envelope: Envelope, reply: Reply, kept: int = 0) -> str:
-        return submit(envelope, alter(envelope, reply), kept)
+    def wrapped(request: Request, reply: Responder, kept: int = 0) -> str:
+        return submit(request, alter(request, reply), kept)
 
     put(node.core, "submit", wrapped)
--- a/flintridge/lab/explore/copies.py
+++ b/flintridge/lab/explore/copies.py
@@ -10,8 +10,8 @@
 from dataclasses import dataclass, replace
 from typing import NamedTuple, Self
 
-from flintridge.replica.copy import Copy, Limits, Slice, Standing
-from flintridge.replica.entry import Dot, Entry, Key, Writer, counts
+from flintridge.replication.entry import Dot, Entry, Key, Writer, counts
+from flintridge.replication.replica import Copy, Limits, Slice, Standing
 
 KEY: Key = ("hold", "g")  # in the second bucket, so that a pass has two slices
 LIMITS = Limits(remember=1.5, wait=float("inf"), buckets=2)
--- a/flintridge/lab/explore/leases.py
+++ b/flintridge/lab/explore/leases.py
@@ -9,7 +9,7 @@
 from dataclasses import dataclass, replace
 from typing import Self
 
-from flintridge.budgets.holding import Ask, Give, Grant, Holding, Loan, Peer, Terms, Word
+from flintridge.leases.allocation import Ask, Give, Grant, Holding, Loan, Peer, Terms, Word
 
 STEP = 5.0
 TERMS = Terms(part=2, floor=1, lease=10.0, drift=0.2)
--- a/flintridge/lab/faults/timeline.py
+++ b/flintridge/lab/faults/timeline.py
@@ -26,7 +26,7 @@
 from flintridge.lab.seeds import Seeds
 from flintridge.lab.world.fleet import World
 from flintridge.lab.world.fleet_plan import Spec
-from flintridge.peers.wire import Kind
+from flintridge.membership.messages import Kind
 
 RESTART_MS = 1000.0  # from a drained server's end to its start, where it comes back
 SPARE_MS = 500.0  # that a churned server drains beyond the notice and the nodes' grace
--- a/flintridge/lab/partial/copying.py
+++ b/flintridge/lab/partial/copying.py
@@ -11,13 +11,13 @@
 from typing import Any
 
 from flintridge.lab.partial.machines import Link, Machines, Process
-from flintridge.peers.presence import Presence
-from flintridge.peers.table import Life
-from flintridge.replica.copy import SLICE, Copy, Limits, Standing
-from flintridge.replica.entry import Dot, Key, Writer
-from flintridge.replica.spread import Spread
-from flintridge.replica.types import checked
-from flintridge.replica.words import asked, asked_of, pieces, slice_of
+from flintridge.membership.failure_detector import Presence
+from flintridge.membership.member_table import Life
+from flintridge.replication.entry import Dot, Key, Writer
+from flintridge.replication.gossip import Spread
+from flintridge.replication.messages import asked, asked_of, pieces, slice_of
+from flintridge.replication.replica import SLICE, Copy, Limits, Standing
+from flintridge.replication.value_types import checked
 
 UNIX = 1.7e12  # the time of day at the start
 BROKEN = 10_000.0  # ms until an exchange that gets no answer is given up
--- a/flintridge/lab/partial/lending.py
+++ b/flintridge/lab/partial/lending.py
@@ -10,10 +10,10 @@
 from random import Random
 from typing import Any
 
-from flintridge.budgets.holding import Holding, Terms
-from flintridge.budgets.ledger import FLOORS, PART, Budget, Ledger
 from flintridge.lab.partial.machines import Link, Machines
-from flintridge.peers.presence import Presence
+from flintridge.leases.allocation import Holding, Terms
+from flintridge.leases.lease_manager import FLOORS, PART, Budget, Ledger
+from flintridge.membership.failure_detector import Presence
 
 LOOK = 20.0  # ms between two looks at the sum
 QUOTA = "quota a"
--- a/flintridge/lab/partial/machines.py
+++ b/flintridge/lab/partial/machines.py
@@ -10,9 +10,9 @@
 from dataclasses import dataclass, field
 from random import Random
 
-from flintridge.peers.bucket import Bucket
-from flintridge.peers.presence import Presence
-from flintridge.peers.wire import Entry, Wire, size
+from flintridge.membership.byte_budget import Bucket
+from flintridge.membership.failure_detector import Presence
+from flintridge.membership.messages import Entry, Wire, size
 
 TICK = 100.0
 # Exchanges of whole tables, as the driver makes them: frames are counted, each with its length and seal.
--- a/flintridge/lab/partial/oracle.py
+++ b/flintridge/lab/partial/oracle.py
@@ -80,9 +80,9 @@
     def plant(self, node: Node) -> None:
         """A process begins: it holds what its name does."""
         self._living[node.config.name] = node
-        node.core.told(self.holdings()[node.config.name])
+        node.core.notify(self.holdings()[node.config.name])
 
-    def holdings(self) -> dict[str, api.Holdings]:
+    def holdings(self) -> dict[str, api.AllocationUpdate]:
         """What each node may use from now on."""
         self._demand.fade(self._clock.now() - SPAN_MS)
         tenants: dict[str, dict[int, float]] = {node: {} for node in self._nodes}
@@ -92,10 +92,10 @@
                 tenants[node][index] = of_tenant[node]
         even = dict.fromkeys(self._nodes, 1.0)
         floors = parts(self._demand.whole, self._nodes) if self._dealing.floors else even
-        return {node: api.Holdings(tenants[node], floors[node]) for node in self._nodes}
+        return {node: api.AllocationUpdate(tenants[node], floors[node]) for node in self._nodes}
 
     def _deal(self) -> None:
         self._clock.call_later(DEAL_MS, self._deal)
         told = self.holdings()
         for name, node in self._living.items():
-            node.core.told(told[name])
+            node.core.notify(told[name])
--- a/flintridge/lab/partial/own.py
+++ b/flintridge/lab/partial/own.py
@@ -22,9 +22,9 @@
         "kinds": kinds,
         "mode": settings.mode.value,
         "watch": settings.discovery.value,
-        "load_reports": settings.report.value,
-        "worth_by": "work" if settings.worth_by_work else "request",
-        "over_share_worth": settings.over_share_worth,
+        "load_reports": settings.load_reporting.value,
+        "worth_by": "work" if settings.weight_by_work else "request",
+        "over_share_worth": settings.over_quota_weight,
         "fleet_size": settings.fleet_size,
         "self_index": settings.self_index,
         "machine": {"sockets": config.sockets, "memory_mb": config.memory_mb},
@@ -53,25 +53,29 @@
     keyed = cls.effect is api.Effect.KEYED
     return {
         "name": cls.name,
-        "aim_ms": cls.aim_ns / MS,
+        "aim_ms": cls.latency_objective_ns / MS,
         "deadline_ms": cls.deadline_ns / MS,
-        "worth": cls.worth,
-        "late_share": cls.late_share,
+        "worth": cls.priority_weight,
+        "late_share": cls.late_weight_fraction,
         "effect": cls.effect.value,
         "stream": cls.stream,
-        "aim_stretch": cls.aim_stretch,
+        "aim_stretch": cls.objective_work_factor,
         # Of keyed classes alone; the platform's settings name them for all.
-        **({"group": cls.group.value, "window_ms": cls.window_ns / MS} if keyed else {}),
+        **(
+            {"group": cls.deduplication_scope.value, "window_ms": cls.deduplication_window_ns / MS}
+            if keyed
+            else {}
+        ),
     }
 
 
 def _limits(limits: api.Limits) -> dict[str, Any]:
     return {
         "max_attempts": limits.max_attempts,
-        "second_copies": limits.second_copies,
+        "second_copies": limits.hedged_requests,
         "cancel": limits.cancel,
-        "probes": limits.probes,
-        "peers": limits.peers,
+        "probes": limits.health_checks,
+        "peers": limits.peer_messages,
         "retry_after": limits.retry_after,
         "max_retry_after_ms": limits.max_retry_after_ns / MS if limits.retry_after else 0,
         "max_open": limits.max_open,
@@ -83,12 +87,12 @@
 def _rules(rules: api.Rules) -> dict[str, Any]:
     return {
         "answer_slack_ms": rules.answer_slack_ns / MS,
-        "ask_within_s": rules.ask_within_ns / S,
+        "ask_within_s": rules.poll_interval_ns / S,
         "drain_grace_ms": rules.drain_grace_ns / MS,
-        "cold_share": rules.cold_share,
-        "cold_s": rules.cold_ns / S,
-        "fall_multiple": rules.fall_multiple,
-        "fall_ms": rules.fall_ns / MS,
+        "cold_share": rules.slow_start_fraction,
+        "cold_s": rules.slow_start_ns / S,
+        "fall_multiple": rules.overload_multiple,
+        "fall_ms": rules.overload_window_ns / MS,
     }
 
 
--- a/flintridge/lab/partial/peernet.py
+++ b/flintridge/lab/partial/peernet.py
@@ -12,7 +12,7 @@
 from flintridge.lab.records import Log
 from flintridge.lab.scenario.model import Peers
 from flintridge.lab.world.links import LinkTable
-from flintridge.peers.wire import Wire
+from flintridge.membership.messages import Wire
 from flintridge.settings import Address, node_config
 
 CALL_S = 1.0  # for a console's answer; one that is late is no view
--- a/flintridge/lab/partial/views.py
+++ b/flintridge/lab/partial/views.py
@@ -2,10 +2,10 @@
 
 from typing import Any
 
-from flintridge.budgets.ledger import Ledger
-from flintridge.budgets.words import decode, word_of
 from flintridge.lab.records import Datagram, Held, View
-from flintridge.peers.wire import Dropped, Wire
+from flintridge.leases.lease_manager import Ledger
+from flintridge.leases.messages import decode, word_of
+from flintridge.membership.messages import Dropped, Wire
 
 FLEET = "lab"
 KEY = b"the lab's own key, of 32 bytes.."
--- a/flintridge/net/budgets.py
+++ b/flintridge/leases/driver.py
@@ -12,18 +12,18 @@
 from typing import Any
 
 from flintridge import api
-from flintridge.budgets.holding import Terms
-from flintridge.budgets.ledger import COLD, FLOORS, PART, REPEATS, Account, Budget, Ledger
-from flintridge.budgets.pace import Level, Pace
-from flintridge.net.clock import NS, Clock, Timer, to_ms
-from flintridge.net.core import Core
-from flintridge.net.counters import Counters
-from flintridge.net.envelope import DeliveryAttempt
-from flintridge.net.log import EventLog
-from flintridge.net.peers import Peers
-from flintridge.net.siblings import LOOK
-from flintridge.net.transport_map import TransportMap, Unlisted
+from flintridge.core.lifecycle import RequestLifecycle
+from flintridge.core.request import UpstreamAttempt
+from flintridge.discovery.endpoint_list import EndpointList, EndpointNotListedError
+from flintridge.leases.allocation import Terms
+from flintridge.leases.demand import Level, Pace
+from flintridge.leases.lease_manager import COLD, FLOORS, PART, REPEATS, Account, Budget, Ledger
+from flintridge.membership.driver import Peers
+from flintridge.runtime.clock import NS, Clock, Timer, to_ms
+from flintridge.runtime.worker_processes import LOOK
 from flintridge.settings import BudgetsConfig
+from flintridge.telemetry.counters import Counters
+from flintridge.telemetry.log import EventLog
 
 TICK = 50.0
 NOTICE = 4 * LOOK  # in which an older process of this node has noticed that another lives
@@ -40,8 +40,8 @@
         settings: api.Settings,
         even: dict[int, float],
         peers: Peers,
-        transports: TransportMap,
-        core: Core,
+        transports: EndpointList,
+        core: RequestLifecycle,
         clock: Clock,
         log: EventLog,
         counters: Counters,
@@ -87,10 +87,10 @@
         for origin, budget in self._places.items():
             self.ledger.uses(budget.name, partial(self._taken, origin))
         peers.presence.register(self.ledger)
-        core.seen = self._seen
+        core.on_new_request = self._seen
         if self._places:
-            core.moved = self._moved
-        self._held: api.Holdings | None = None
+            core.on_attempts_changed = self._moved
+        self._held: api.AllocationUpdate | None = None
         self._processes = 1
         self._started = False
         self._timer: Timer | None = None
@@ -127,14 +127,14 @@
         if (pace := self._paces.get(tenant)) is not None:
             pace.add()
 
-    def _moved(self, attempt: DeliveryAttempt, by: int) -> None:
+    def _moved(self, attempt: UpstreamAttempt, by: int) -> None:
         key = attempt.id, attempt.number
         if by < 0:
             for out in self._out.values():
                 out.discard(key)
             return
         with contextlib.suppress(
-            Unlisted, KeyError
+            EndpointNotListedError, KeyError
         ):  # it cannot be sent, or there is no bound on such places
             self._out[self._transports[attempt.server].origin].add(key)
 
@@ -180,12 +180,12 @@
         held = self._holdings(lambda name: ledger.usable(name, now))
         if until != float("inf"):
             after = self._holdings(lambda name: ledger.after(name, now))
-            held = replace(held, until=int(until * NS), after=after)
+            held = replace(held, valid_until=int(until * NS), fallback=after)
         if held != self._held:
             self._held = held
-            self._core.told(held)
+            self._core.notify(held)
 
-    def _holdings(self, amount: Callable[[str], float]) -> api.Holdings:
+    def _holdings(self, amount: Callable[[str], float]) -> api.AllocationUpdate:
         parts = {name: amount(name) for name in self.ledger.accounts}
         tenants = {i: parts[name] for i, name in self._tenants.items()}
         caches, origin = (
@@ -195,7 +195,7 @@
         even, share = self.config.repeats_per_s / self._nodes, self.config.repeat_share
         if even:
             tenants[AT_REPEATS] = parts[REPEATS]
-        return api.Holdings(
+        return api.AllocationUpdate(
             tenants,
             parts.get(FLOORS, 1.0),
             parts.get(COLD, 1.0),
--- a/flintridge/budgets/ledger.py
+++ b/flintridge/leases/lease_manager.py
@@ -11,9 +11,9 @@
 from dataclasses import dataclass, field
 from random import Random
 
-from flintridge.budgets.holding import Ask, Give, Grant, Holding, Peer, Terms, Word
-from flintridge.budgets.words import MOST_OFFERS, MOST_WORDS, Said, decode, encode, flat, mark_of, word_of
-from flintridge.peers.table import Life
+from flintridge.leases.allocation import Ask, Give, Grant, Holding, Peer, Terms, Word
+from flintridge.leases.messages import MOST_OFFERS, MOST_WORDS, Said, decode, encode, flat, mark_of, word_of
+from flintridge.membership.member_table import Life
 
 PART = 1_000  # units of an even part
 FLOORS, COLD, REPEATS = "floors", "cold servers", "repeats"
--- a/flintridge/budgets/words.py
+++ b/flintridge/leases/messages.py
@@ -11,7 +11,7 @@
 import msgspec
 from msgspec import Meta
 
-from flintridge.budgets.holding import Ask, Give, Grant, Terms, Word
+from flintridge.leases.allocation import Ask, Give, Grant, Terms, Word
 
 MOST_OFFERS = 64  # of one fact
 MOST_WORDS = 32
--- a/flintridge/net/peers.py
+++ b/flintridge/membership/driver.py
@@ -10,16 +10,16 @@
 
 import msgspec
 
-from flintridge.net.clock import Clock, OutOfTime, Timer, sleep, within
-from flintridge.net.counters import Counters
-from flintridge.net.listen import NotListening
-from flintridge.net.log import EventLog
-from flintridge.peers.bucket import Bucket
-from flintridge.peers.presence import Presence
-from flintridge.peers.stream import NONCE, Ask, Exchange, Hello, Piece, Refusal
-from flintridge.peers.table import Heard, Life
-from flintridge.peers.wire import MAGIC, VERSION, Dropped, Entry, Wire
+from flintridge.membership.byte_budget import Bucket
+from flintridge.membership.failure_detector import Presence
+from flintridge.membership.member_table import Heard, Life
+from flintridge.membership.messages import MAGIC, VERSION, Dropped, Entry, Wire
+from flintridge.membership.state_exchange import NONCE, Ask, Exchange, Hello, Piece, Refusal
+from flintridge.runtime.clock import Clock, DeadlineExceededError, Timer, sleep, within
+from flintridge.runtime.listener import ListenError
 from flintridge.settings import Address, PeersConfig
+from flintridge.telemetry.counters import Counters
+from flintridge.telemetry.log import EventLog
 
 TICK = 50.0
 REGISTER = 250.0  # between two words of a second process to the one that holds the address
@@ -111,21 +111,21 @@
         self._asked[topic] = asked
 
     async def start(self) -> None:
-        """Raises NotListening where the address can't be had, unless another process of this node has it."""
+        """Raises ListenError where the address can't be had, unless another process of this node has it."""
         listen = self.config.listen
         if not await self._claim():
             # Another process of this node has it, in an upgrade: it passes on what comes.
             try:
                 await self._bind(Address(listen.host, 0))
             except OSError as error:
-                raise NotListening(f"peers: cannot listen on {listen.host}: {error.strerror}") from error
+                raise ListenError(f"peers: cannot listen on {listen.host}: {error.strerror}") from error
         self._log.event(
             "peers", address=str(listen), holds=self._holds, life=f"{self.life:x}", known=len(self._addresses)
         )
         self._tick()
 
     async def _claim(self) -> bool:
-        """Take the configured address. False while another process has it. Raises NotListening."""
+        """Take the configured address. False while another process has it. Raises ListenError."""
         listen = self.config.listen
         old = self._transport
         try:
@@ -133,7 +133,7 @@
         except OSError as error:
             if error.errno == errno.EADDRINUSE:
                 return False
-            raise NotListening(f"peers: cannot listen on {listen}: {error.strerror}") from error
+            raise ListenError(f"peers: cannot listen on {listen}: {error.strerror}") from error
         if old is not None:
             old.close()
         try:
@@ -227,7 +227,7 @@
         try:
             if await self._claim():
                 self._log.event("peers_address_taken_over", address=str(self.config.listen))
-        except NotListening as error:
+        except ListenError as error:
             self._log.event("peers_address_lost", error=str(error))
         finally:
             self._claiming = False
@@ -259,8 +259,9 @@
     # Exchanges
 
     async def exchange(self, peer: str, topic: str, about: bytes) -> list[bytes]:
-        """Ask a peer and take its whole answer. Raises OSError (nobody there, or it broke off), OutOfTime,
-        Dropped (what came is no answer) or Refused. KeyError for a name that is not configured."""
+        """Ask a peer and take its whole answer. Raises OSError (nobody there, or it broke off),
+        DeadlineExceededError, Dropped (what came is no answer) or Refused. KeyError for a name that is not
+        configured."""
         address = self._addresses[peer]
         return await within(self._clock, CALL_TIME, self._ask(address, topic, about))
 
@@ -306,7 +307,7 @@
             self._counters.add("peers_exchanges_served")
         except Dropped as dropped:
             self._counters.add(f"peers_exchanges_{dropped.reason}")
-        except (OSError, OutOfTime):
+        except (OSError, DeadlineExceededError):
             self._counters.add("peers_exchanges_broken")
         except asyncio.CancelledError:
             if not self._closed:
@@ -376,7 +377,7 @@
                 if piece
                 for entry in msgspec.msgpack.decode(piece, type=list[Entry])
             ]
-        except (OSError, OutOfTime, Dropped, Refused, msgspec.MsgspecError) as error:
+        except (OSError, DeadlineExceededError, Dropped, Refused, msgspec.MsgspecError) as error:
             self._counters.add("peers_tables_failed")
             self._log.event("peers_table_failed", peer=peer, error=repr(error))
             return
--- a/flintridge/peers/presence.py
+++ b/flintridge/membership/failure_detector.py
@@ -16,9 +16,9 @@
 
 from msgspec.structs import replace
 
-from flintridge.peers.bucket import Bucket
-from flintridge.peers.table import DRIFT, MOST_LIVES, Heard, Life, Table
-from flintridge.peers.wire import LONGEST, Dropped, Entry, Kind, Packet, State, Wire, size
+from flintridge.membership.byte_budget import Bucket
+from flintridge.membership.member_table import DRIFT, MOST_LIVES, Heard, Life, Table
+from flintridge.membership.messages import LONGEST, Dropped, Entry, Kind, Packet, State, Wire, size
 
 PERIOD = 300.0  # between two probes
 EAGER_PERIOD = 100.0  # just after the start, and after a gap
--- a/flintridge/peers/table.py
+++ b/flintridge/membership/member_table.py
@@ -10,7 +10,7 @@
 from random import Random
 from zlib import crc32
 
-from flintridge.peers.wire import MOST_ENTRIES, Entry, State, size
+from flintridge.membership.messages import MOST_ENTRIES, Entry, State, size
 
 MOST_LIVES = 4  # of a name: old and new of an upgrade, and two that ended lately
 REMEMBER = 60_000.0  # a life that ended is known for so long, so that late words of it wake nothing
--- a/flintridge/peers/stream.py
+++ b/flintridge/membership/state_exchange.py
@@ -17,7 +17,7 @@
 import msgspec
 from msgspec import Meta
 
-from flintridge.peers.wire import SEAL, VERSION, Dropped, Name, Number, Wire
+from flintridge.membership.messages import SEAL, VERSION, Dropped, Name, Number, Wire
 
 MAGIC = b"FS"
 NONCE = 16
--- a/flintridge/net/console.py
+++ b/flintridge/net/console.py
@@ -3,12 +3,12 @@
 import asyncio
 
 from flintridge.fronts.console import ConsoleExchange, Routes
-from flintridge.net.clock import Clock, OutOfTime, within
-from flintridge.net.counters import Counters
-from flintridge.net.listen import Listening, open_listener
-from flintridge.net.log import EventLog
 from flintridge.net.parting import part
+from flintridge.runtime.clock import Clock, DeadlineExceededError, within
+from flintridge.runtime.listener import Listener, open_listener
 from flintridge.settings import CONSOLE_PLACES, Address
+from flintridge.telemetry.counters import Counters
+from flintridge.telemetry.log import EventLog
 
 CALL_TIME = 3_000.0  # until which a call must be whole
 
@@ -27,7 +27,7 @@
         self._log = log
         self._counters = counters
         self._places = places
-        self._listening: Listening | None = None
+        self._listening: Listener | None = None
         self._callers: dict[asyncio.StreamWriter, asyncio.Task[None] | None] = {}  # the oldest first
 
     async def listen(self, address: Address) -> int:
@@ -48,7 +48,7 @@
         try:
             try:
                 parts = await within(self._clock, CALL_TIME, self._answer(exchange, reader))
-            except OutOfTime:
+            except DeadlineExceededError:
                 self._counters.add("console_late")
                 parts = exchange.late()
             if parts is not None:
--- a/flintridge/net/delivery.py
+++ b/flintridge/net/delivery.py
@@ -11,15 +11,17 @@
 from dataclasses import dataclass
 
 from flintridge.api import Outcome, Settings
-from flintridge.net.clock import Clock, OutOfTime, to_ms, within
-from flintridge.net.counters import Counters
-from flintridge.net.envelope import Answer, DeliveryAttempt, Exchange, Gone, Long, Passage
-from flintridge.net.log import EventLog
+from flintridge.core.exchange import Exchange
+from flintridge.core.request import UpstreamAttempt
+from flintridge.core.response import AttemptResult, DownstreamClosedError, StreamedResponse, StreamedValue
+from flintridge.discovery.endpoint_list import EndpointAddress, EndpointList
 from flintridge.net.memcache import CacheExchange, CacheProbe
 from flintridge.net.origin import OriginExchange, OriginProbe
-from flintridge.net.streams import READ, CountingReader, holds_bytes, open_stream, spent
-from flintridge.net.transport_map import Transport, TransportMap
+from flintridge.runtime.clock import Clock, DeadlineExceededError, to_ms, within
+from flintridge.runtime.streams import READ, CountingReader, holds_bytes, open_stream, spent
 from flintridge.settings import Address
+from flintridge.telemetry.counters import Counters
+from flintridge.telemetry.log import EventLog
 
 IDLE_PART = 0.8  # of the time after which a server closes an idle connection; we close it by then
 SWEEP = 250.0
@@ -34,7 +36,7 @@
 SERVER_SILENT = 10_000.0  # so long a server may pause within a long value; then it has failed
 
 
-class NoRoom(OSError):
+class NoDescriptorError(OSError):
     """Every descriptor that may be used for servers is in use."""
 
 
@@ -88,9 +90,11 @@
         """Whether it has ended, or holds bytes that belong to no question."""
         return spent(self.reader, self.writer)
 
-    async def ask(self, exchange: Exchange, clock: Clock, written_by: float = math.inf) -> Answer | None:
+    async def ask(
+        self, exchange: Exchange, clock: Clock, written_by: float = math.inf
+    ) -> AttemptResult | None:
         """None where a long value has begun, which the exchange then holds. Raises OSError where the
-        connection breaks, OutOfTime where the question is not written whole by then."""
+        connection breaks, DeadlineExceededError where the question is not written whole by then."""
         self.asked = False
         if written_by < math.inf:
             await within(clock, written_by - clock.now(), self._write(exchange))
@@ -99,12 +103,12 @@
         self.asked = True
         while True:
             answer = await self.more(exchange)
-            if answer is not None or exchange.long is not None:
+            if answer is not None or exchange.streamed_value is not None:
                 return answer
 
     async def _write(self, exchange: Exchange) -> None:
         short: list[bytes | bytearray] = []
-        for part in exchange.question():
+        for part in exchange.encode_request():
             if len(part) <= PIECE:
                 short.append(part)
                 continue
@@ -124,7 +128,7 @@
             self.asked = not transport.is_closing() and not transport.get_write_buffer_size()
             raise
 
-    async def more(self, exchange: Exchange) -> Answer | None:
+    async def more(self, exchange: Exchange) -> AttemptResult | None:
         """Read on. Raises OSError where the connection ends too early."""
         data = await self.reader.read(READ)
         answer = exchange.feed(data) if data else exchange.end()
@@ -141,14 +145,14 @@
 class Delivery:
     def __init__(
         self,
-        transports: TransportMap,
+        transports: EndpointList,
         settings: Settings,
         clock: Clock,
         room: int,
-        report: Callable[[DeliveryAttempt, Answer], None],
+        report: Callable[[UpstreamAttempt, AttemptResult], None],
         log: EventLog,
         counters: Counters,
-        begins: Callable[[DeliveryAttempt, Long], Passage | None] = lambda *_: None,
+        begins: Callable[[UpstreamAttempt, StreamedValue], StreamedResponse | None] = lambda *_: None,
     ) -> None:
         self._begins = begins
         self._transports = transports
@@ -166,13 +170,13 @@
         self._tasks: dict[asyncio.Task[None], None] = {}  # in their order, which a set would not keep
         self._sweep_timer = clock.call_at(clock.now() + SWEEP, self._sweep)
 
-    def start(self, attempt: DeliveryAttempt) -> None:
+    def start(self, attempt: UpstreamAttempt) -> None:
         self._track(asyncio.ensure_future(self._carry(attempt)), attempt)
 
-    def probe(self, server: str, done: Callable[[Answer], None]) -> None:
+    def check_health(self, server: str, done: Callable[[AttemptResult], None]) -> None:
         self._track(asyncio.ensure_future(self._probe(server, done)))
 
-    def close_idle(self, server: str) -> None:
+    def close_idle_connections(self, server: str) -> None:
         for link in self._idle.pop(server, ()):
             self._close(link)
 
@@ -183,78 +187,85 @@
             task.cancel()
         await asyncio.gather(*tasks, return_exceptions=True)
         for server in list(self._idle):
-            self.close_idle(server)
+            self.close_idle_connections(server)
 
-    def _track(self, task: asyncio.Task[None], attempt: DeliveryAttempt | None = None) -> None:
+    def _track(self, task: asyncio.Task[None], attempt: UpstreamAttempt | None = None) -> None:
         self._tasks[task] = None
         task.add_done_callback(self._ended)
         if attempt is not None:
-            attempt.give_up = task.cancel
+            attempt.abort = task.cancel
 
     def _ended(self, task: asyncio.Task[None]) -> None:
         del self._tasks[task]
 
     # One attempt
 
-    async def _carry(self, attempt: DeliveryAttempt) -> None:
+    async def _carry(self, attempt: UpstreamAttempt) -> None:
         link: Link | None = None
-        answer = Answer(Outcome.CONNECT_FAILED)  # what holds until its last byte is written
+        answer = AttemptResult(Outcome.CONNECT_FAILED)  # what holds until its last byte is written
         try:
             transport = self._transports[attempt.server]
             link = self._take(attempt.server, transport)
             if link is None:
-                limit = min(self._connect_time, attempt.until - self._clock.now())
+                limit = min(self._connect_time, attempt.deadline - self._clock.now())
                 link = await self._connect(transport.address, limit)
             # The connection may have been long in coming up: what the send rested on has to hold still. And
             # the client may have left while the loop was held up, by a crowd of others: it has yet to see it.
             now = self._clock.now()
-            attempt.look()
-            if attempt.over or now > min(attempt.begin_by, attempt.written_by):
+            attempt.check_client()
+            if attempt.request_ended or now > min(attempt.begin_by, attempt.written_by):
                 raise Withheld
             exchange = self._exchange(attempt, transport)
             ask = link.ask(exchange, self._clock, attempt.written_by)
-            got = await within(self._clock, attempt.until - now, ask)
+            got = await within(self._clock, attempt.deadline - now, ask)
             self._note_age(link.aged, False)
-            if exchange.long is None or (got is not None and got.served is None and got.spoilt):
+            if exchange.streamed_value is None or (
+                got is not None and got.response is None and got.malformed
+            ):
                 assert got is not None
                 answer = got
             else:
-                answer = exchange.long.answer
-                await self._pass_on(attempt, exchange, exchange.long, link, got)
+                answer = exchange.streamed_value.result
+                await self._pass_on(attempt, exchange, exchange.streamed_value, link, got)
             if exchange.reusable:
-                self._keep(attempt.server, link, exchange.named)
+                self._keep(attempt.server, link, exchange.names_request)
                 link = None
-        except OutOfTime:
+        except DeadlineExceededError:
             if link is not None and link.asked:
-                answer = Answer(Outcome.TIMEOUT)
+                answer = AttemptResult(Outcome.TIMEOUT)
         except Withheld:
-            self._counters.add("attempts_withheld")
-            answer = Answer(Outcome.MOOT)
+            self._counters.add("attempts_expired_unsent")
+            answer = AttemptResult(Outcome.WITHDRAWN)
             assert link is not None
             self._keep(attempt.server, link)
             link = None
-        except NoRoom:
-            self._counters.add("attempts_no_room")
-            answer = Answer(Outcome.MOOT)  # never sent, and no sign of its server
+        except NoDescriptorError:
+            self._counters.add("attempts_no_descriptor")
+            answer = AttemptResult(Outcome.WITHDRAWN)  # never sent, and no sign of its server
         except OSError as error:
             error.with_traceback(None)  # the link's reader keeps it, and with its frames link and value
             if link is not None and link.asked:
                 # One kept for a while that ends without a byte had ended before, which nobody said.
                 stale = link.unanswered and link.aged >= AGED
-                answer = Answer(Outcome.RESET, spoilt=stale)
+                answer = AttemptResult(Outcome.RESET, malformed=stale)
                 self._note_age(link.aged, stale)
         except asyncio.CancelledError:
-            answer = Answer(Outcome.CANCELLED)
+            answer = AttemptResult(Outcome.CANCELLED)
         except Exception as error:
             self._log.error("attempt_broke", error, server=attempt.server)
-            answer = Answer(Outcome.ERROR)
+            answer = AttemptResult(Outcome.ERROR)
         finally:
             if link is not None:
                 self._close(link)
         self._report(attempt, answer)
 
     async def _pass_on(
-        self, attempt: DeliveryAttempt, exchange: Exchange, long: Long, link: Link, answer: Answer | None
+        self,
+        attempt: UpstreamAttempt,
+        exchange: Exchange,
+        long: StreamedValue,
+        link: Link,
+        answer: AttemptResult | None,
     ) -> None:
         """A long value to its client, as fast as the client reads it. The attempt has ended by then."""
         passage = self._begins(attempt, long)
@@ -263,33 +274,33 @@
         whole = False
         try:
             while True:
-                await passage.room()
-                passage.write(long.taken())
+                await passage.wait_writable()
+                passage.write(long.take_chunks())
                 if answer is not None:
                     whole = answer.outcome is Outcome.OK
                     break
                 answer = await within(self._clock, SERVER_SILENT, link.more(exchange))
-        except Gone:
+        except DownstreamClosedError:
             self._counters.add("passages_left")
-        except (OSError, OutOfTime) as error:
+        except (OSError, DeadlineExceededError) as error:
             self._counters.add("passages_broken")
             self._log.event("passage_broken", server=attempt.server, id=attempt.id, error=repr(error))
         finally:
             if whole:
                 passage.end()
             else:
-                passage.cut()
+                passage.abort()
 
-    def _exchange(self, attempt: DeliveryAttempt, transport: Transport) -> Exchange:
-        left = attempt.until - self._clock.now()
+    def _exchange(self, attempt: UpstreamAttempt, transport: EndpointAddress) -> Exchange:
+        left = attempt.deadline - self._clock.now()
         if transport.origin:
             host = f"{transport.address.host}:{transport.address.port}"
-            return OriginExchange(attempt.envelope, host, left)
-        return CacheExchange(attempt.envelope, left)
+            return OriginExchange(attempt.request, host, left)
+        return CacheExchange(attempt.request, left)
 
-    async def _probe(self, server: str, done: Callable[[Answer], None]) -> None:
+    async def _probe(self, server: str, done: Callable[[AttemptResult], None]) -> None:
         link: Link | None = None
-        answer = Answer(Outcome.CONNECT_FAILED)
+        answer = AttemptResult(Outcome.CONNECT_FAILED)
         try:
             transport = self._transports[server]
             link = self._take(server, transport) or await self._connect(transport.address, self._connect_time)
@@ -299,13 +310,13 @@
             assert got is not None  # a report is no long value
             answer = got
             if probe.reusable:
-                self._keep(server, link, probe.named)
+                self._keep(server, link, probe.names_request)
                 link = None
-        except OutOfTime:
-            answer = Answer(Outcome.TIMEOUT)
+        except DeadlineExceededError:
+            answer = AttemptResult(Outcome.TIMEOUT)
         except OSError:
             if link is not None and link.asked:
-                answer = Answer(Outcome.RESET)
+                answer = AttemptResult(Outcome.RESET)
         except Exception as error:
             self._log.error("probe_broke", error, server=server)
         finally:
@@ -315,7 +326,7 @@
 
     # Connections
 
-    def _take(self, server: str, transport: Transport) -> Link | None:
+    def _take(self, server: str, transport: EndpointAddress) -> Link | None:
         links, found, now = self._idle.get(server, deque()), None, self._clock.now()
         resting: list[Link] = []
         while links and found is None:
@@ -381,7 +392,7 @@
 
     async def _connect(self, address: Address, limit: float) -> Link:
         if self._open >= self.room and not self._free_one():
-            raise NoRoom
+            raise NoDescriptorError
         self._open += 1
         try:
             reader, writer = await within(self._clock, limit, _open(address))
--- a/flintridge/net/memcache.py
+++ b/flintridge/net/memcache.py
@@ -5,7 +5,8 @@
 from dataclasses import dataclass
 
 from flintridge.api import Outcome, Settings
-from flintridge.net.envelope import Answer, Envelope, Served
+from flintridge.core.request import Request
+from flintridge.core.response import AttemptResult, Response
 
 MAX_LINE = 2048
 MAX_KEY = 250
@@ -42,7 +43,7 @@
     """A long value for which there was no room has been read past: to be answered as a refusal."""
 
 
-Command = Envelope | Hello | BadCommand | Announced | PassedOver
+Command = Request | Hello | BadCommand | Announced | PassedOver
 
 
 class Malformed(ValueError):
@@ -191,13 +192,13 @@
         self._asked = True
         return Announced(length)
 
-    def _envelope(self, tokens: list[bytes], value: bytes | bytearray | None) -> Envelope | BadCommand:
+    def _envelope(self, tokens: list[bytes], value: bytes | bytearray | None) -> Request | BadCommand:
         try:
             return self._checked(tokens, value)
         except Malformed as error:
             return BadCommand(str(error))
 
-    def _checked(self, tokens: list[bytes], value: bytes | bytearray | None) -> Envelope:
+    def _checked(self, tokens: list[bytes], value: bytes | bytearray | None) -> Request:
         if len(tokens) < 2 or not 0 < len(tokens[1]) <= MAX_KEY or not _is_text(tokens[1]):
             raise Malformed("bad key")
         flags: dict[bytes, bytes] = {}
@@ -212,7 +213,7 @@
             raise Malformed("bad flag")
         return self._filled(tokens[1], flags[b"O"], flags.get(b"P", b""), value)
 
-    def _filled(self, key: bytes, id_: bytes, extras: bytes, value: bytes | bytearray | None) -> Envelope:
+    def _filled(self, key: bytes, id_: bytes, extras: bytes, value: bytes | bytearray | None) -> Request:
         said: dict[bytes, bytes] = {}
         span, at = None, 0
         for pair in extras.split(b",") if extras else ():
@@ -230,14 +231,14 @@
             raise Malformed("unknown class")
         if tenant is None:
             raise Malformed("unknown tenant")
-        return Envelope(
+        return Request(
             id_,
             key,
             extras,
             span,
             value,
-            wait_ms=numbers.get(b"d"),
-            cls=cls,
+            timeout_ms=numbers.get(b"d"),
+            class_index=cls,
             tenant=tenant,
             retry=said.get(b"r") == b"1",
             work_us=numbers.get(b"h"),
@@ -248,7 +249,7 @@
 # Answers to clients: lists of parts for a gathered write
 
 
-def served_parts(id_: bytes, served: Served) -> list[bytes]:
+def served_parts(id_: bytes, served: Response) -> list[bytes]:
     if served.receipt:
         return [b"HD O", id_, b" c", served.body, EOL]
     return [b"VA %d O" % len(served.body), id_, EOL, served.body, EOL]
@@ -338,9 +339,9 @@
     Guards the client against taking a value for whole whose end was spoilt: the end was not written then.
     """
 
-    def __init__(self, length: int, answer: Answer) -> None:
+    def __init__(self, length: int, result: AttemptResult) -> None:
         self.length = length
-        self.answer = answer  # what its head told; the value is not part of it
+        self.result = result  # what its head told; the value is not part of it
         self._left = length
         self._end = b""  # what came of the bytes that must follow it
         self._pieces: list[bytes] = []
@@ -367,7 +368,7 @@
         self._last = b""
         return data[lacks:]
 
-    def taken(self) -> list[bytes]:
+    def take_chunks(self) -> list[bytes]:
         """The pieces that may go out now; they are the caller's."""
         pieces, self._pieces = self._pieces, []
         return pieces
@@ -376,28 +377,28 @@
 class CacheExchange:
     """One command passed on to a cache server. A malformed answer ends as an error: it may have run."""
 
-    def __init__(self, envelope: Envelope, wait_ms: float) -> None:
-        self._envelope = envelope
+    def __init__(self, request: Request, wait_ms: float) -> None:
+        self._envelope = request
         self._wait_ms = wait_ms
         self._reader = AnswerReader()
-        self._value: tuple[int, Answer] | None = None  # the length of a value that is still to come
+        self._value: tuple[int, AttemptResult] | None = None  # the length of a value that is still to come
         self._long: LongValue | None = None
         self.reusable = False
-        self.named = True
+        self.names_request = True
 
     @property
-    def long(self) -> "LongValue | None":
+    def streamed_value(self) -> "LongValue | None":
         """The long value that has begun to come, from which its pieces are to be taken."""
         return self._long
 
-    def question(self) -> list[bytes | bytearray]:
+    def encode_request(self) -> list[bytes | bytearray]:
         e = self._envelope
-        listed = [b" P", *e.extras_told(self._wait_ms)] if e.extras else []
+        listed = [b" P", *e.options_with_timeout(self._wait_ms)] if e.options else []
         if e.value is None:
             return [b"mg ", e.key, b" v O", e.id, *listed, EOL]
         return [b"ms ", e.key, b" %d O" % len(e.value), e.id, *listed, EOL, e.value, EOL]
 
-    def feed(self, data: bytes) -> Answer | None:
+    def feed(self, data: bytes) -> AttemptResult | None:
         try:
             if self._long is None:
                 self._reader.feed(data)
@@ -406,9 +407,9 @@
                 data = self._reader.rest()
             return self._go_on(self._long, data)
         except Malformed:
-            return Answer(Outcome.ERROR, spoilt=True)
+            return AttemptResult(Outcome.ERROR, malformed=True)
 
-    def _go_on(self, long: "LongValue", data: bytes) -> Answer | None:
+    def _go_on(self, long: "LongValue", data: bytes) -> AttemptResult | None:
         left = long.feed(data, EOL)
         if left is None:
             return None
@@ -416,10 +417,10 @@
         assert self._value is not None
         return self._value[1]
 
-    def end(self) -> Answer | None:
+    def end(self) -> AttemptResult | None:
         return None
 
-    def _step(self) -> Answer | None:
+    def _step(self) -> AttemptResult | None:
         if self._value is None:
             line = self._reader.line((b"VA ", b"HD ", b"EN ", b"SERVER_ERROR", b"CLIENT_ERROR ", b"ERROR"))
             if line is None:
@@ -437,18 +438,18 @@
         if body is None:
             return None
         self.reusable = self._reader.empty
-        return Answer(Outcome.OK, Served(body, receipt=False), answer.note, answer.load)
+        return AttemptResult(Outcome.OK, Response(body, receipt=False), answer.cache_status, answer.load)
 
-    def _line(self, line: bytes) -> Answer | None:
+    def _line(self, line: bytes) -> AttemptResult | None:
         """The answer, or None when a value is to follow."""
         tokens = line.split(b" ")
         kind, flags = tokens[0], tokens[1:]
-        self.named = kind in (b"VA", b"HD", b"EN")  # the other lines hold no id
+        self.names_request = kind in (b"VA", b"HD", b"EN")  # the other lines hold no id
         if kind == b"SERVER_ERROR":
             busy = flags[:1] == [b"busy"]
-            return Answer(Outcome.FULL if busy else Outcome.ERROR, load=self._load(flags[1:]))
+            return AttemptResult(Outcome.FULL if busy else Outcome.ERROR, load=self._load(flags[1:]))
         if kind in (b"CLIENT_ERROR", b"ERROR"):
-            return Answer(Outcome.ERROR)
+            return AttemptResult(Outcome.ERROR)
         length = 0
         if kind == b"VA":
             if not flags or not flags[0].isdigit() or len(flags[0]) > 7 or int(flags[0]) > MAX_VALUE:
@@ -461,16 +462,16 @@
             note = 3
         load = self._load(flags)
         if kind == b"EN":
-            return Answer(Outcome.MISS, None, note, load)
+            return AttemptResult(Outcome.MISS, None, note, load)
         if (kind == b"HD") != self._envelope.write:
             raise Malformed("an answer of another kind")
         if kind == b"VA":
-            self._value = length, Answer(Outcome.OK, None, note, load)
+            self._value = length, AttemptResult(Outcome.OK, None, note, load)
             return None
         receipt = next((f[1:] for f in flags if f[:1] == b"c"), None)
         if receipt is None:
             raise Malformed("no receipt")
-        return Answer(Outcome.OK, Served(receipt, receipt=True), note, load)
+        return AttemptResult(Outcome.OK, Response(receipt, receipt=True), note, load)
 
     @staticmethod
     def _load(flags: list[bytes]) -> dict[str, float]:
@@ -481,16 +482,16 @@
     """`stats load`: the load report of a cache server."""
 
     def __init__(self) -> None:
-        self.long = None
+        self.streamed_value = None
         self._reader = AnswerReader()
         self._load: dict[str, float] = {}
         self.reusable = False
-        self.named = False
+        self.names_request = False
 
-    def question(self) -> list[bytes | bytearray]:
+    def encode_request(self) -> list[bytes | bytearray]:
         return [b"stats load\r\n"]
 
-    def feed(self, data: bytes) -> Answer | None:
+    def feed(self, data: bytes) -> AttemptResult | None:
         self._reader.feed(data)
         try:
             while (line := self._reader.line((b"STAT ", b"END", b"SERVER_ERROR", b"ERROR"))) is not None:
@@ -499,14 +500,14 @@
                         self._load |= load_report(name + b"=" + value)
                     case [b"END"]:
                         self.reusable = self._reader.empty
-                        return Answer(Outcome.OK, load=self._load)
+                        return AttemptResult(Outcome.OK, load=self._load)
                     case [b"SERVER_ERROR", b"busy", *_]:
-                        return Answer(Outcome.FULL)
+                        return AttemptResult(Outcome.FULL)
                     case _:
-                        return Answer(Outcome.ERROR)
+                        return AttemptResult(Outcome.ERROR)
         except Malformed:
-            return Answer(Outcome.ERROR)
+            return AttemptResult(Outcome.ERROR)
         return None
 
-    def end(self) -> Answer | None:
+    def end(self) -> AttemptResult | None:
         return None
--- a/flintridge/net/origin.py
+++ b/flintridge/net/origin.py
@@ -6,7 +6,8 @@
 import h11
 
 from flintridge.api import Outcome
-from flintridge.net.envelope import Answer, Envelope, Served
+from flintridge.core.request import Request
+from flintridge.core.response import AttemptResult, Response
 from flintridge.net.memcache import LONG, MAX_VALUE, LongValue, Malformed, load_report
 
 START = b"HTTP/1."
@@ -34,10 +35,10 @@
         self._size = 0
         self._first = b""  # bytes of the answer
         self._passes = passes
-        self.long: LongValue | None = None  # that has begun to come
+        self.streamed_value: LongValue | None = None  # that has begun to come
         self.reusable = False
 
-    def question(self) -> list[bytes | bytearray]:
+    def encode_request(self) -> list[bytes | bytearray]:
         parts: list[bytes | bytearray] = list(self._connection.send_with_data_passthrough(self._head) or ())
         if self._body:
             body = h11.Data(data=self._body)  # type: ignore[arg-type]  # passed through as it is
@@ -58,10 +59,10 @@
                 return None
             if isinstance(event, h11.Response):
                 self._response = event
-                self.long = self._passes(event) if self._passes else None
-            elif isinstance(event, h11.Data) and self.long is not None:
+                self.streamed_value = self._passes(event) if self._passes else None
+            elif isinstance(event, h11.Data) and self.streamed_value is not None:
                 try:
-                    self.long.feed(bytes(event.data), b"")
+                    self.streamed_value.feed(bytes(event.data), b"")
                 except Malformed as error:
                     raise h11.RemoteProtocolError(str(error)) from error
             elif isinstance(event, h11.Data):
@@ -86,27 +87,27 @@
 
     def __init__(self, http: HttpExchange) -> None:
         self._http = http
-        self.named = False  # HTTP itself has nothing that ties a response to its request
+        self.names_request = False  # HTTP itself has nothing that ties a response to its request
 
     @property
     def reusable(self) -> bool:
         return self._http.reusable
 
     @property
-    def long(self) -> LongValue | None:
-        return self._http.long
+    def streamed_value(self) -> LongValue | None:
+        return self._http.streamed_value
 
-    def question(self) -> list[bytes | bytearray]:
-        return self._http.question()
+    def encode_request(self) -> list[bytes | bytearray]:
+        return self._http.encode_request()
 
-    def feed(self, data: bytes) -> Answer | None:
+    def feed(self, data: bytes) -> AttemptResult | None:
         try:
             found = self._http.feed(data)
         except h11.RemoteProtocolError:
-            return Answer(Outcome.ERROR, spoilt=True)
+            return AttemptResult(Outcome.ERROR, malformed=True)
         return self._answer(*found) if found else None
 
-    def end(self) -> Answer | None:
+    def end(self) -> AttemptResult | None:
         """A body without a length ends with the connection; anything else is cut short."""
         try:
             found = self._http.feed(b"")
@@ -114,24 +115,24 @@
             return None
         return self._answer(*found) if found else None
 
-    def _answer(self, response: h11.Response, body: bytes) -> Answer:
+    def _answer(self, response: h11.Response, body: bytes) -> AttemptResult:
         raise NotImplementedError
 
 
 class OriginExchange(_OverHttp):
     """A read or a write at the origin, which is told that `wait_ms` are left for it."""
 
-    def __init__(self, envelope: Envelope, host: str, wait_ms: float) -> None:
-        extras = b"".join(envelope.extras_told(wait_ms))
-        headers = [(b"Host", host.encode()), (b"Req-Id", envelope.id), (b"Req-Extra", extras)]
-        if envelope.value is not None:
-            headers.append((b"Content-Length", b"%d" % len(envelope.value)))
-        target = b"/" + quote(envelope.key, safe="!$&'()*+,;=:@/-._~").encode()
-        self._id = envelope.id
-        self._write = envelope.write
+    def __init__(self, request: Request, host: str, wait_ms: float) -> None:
+        extras = b"".join(request.options_with_timeout(wait_ms))
+        headers = [(b"Host", host.encode()), (b"Req-Id", request.id), (b"Req-Extra", extras)]
+        if request.value is not None:
+            headers.append((b"Content-Length", b"%d" % len(request.value)))
+        target = b"/" + quote(request.key, safe="!$&'()*+,;=:@/-._~").encode()
+        self._id = request.id
+        self._write = request.write
         method = b"PUT" if self._write else b"GET"
         passes = None if self._write else self._long
-        super().__init__(HttpExchange(method, target, headers, envelope.value or b"", passes=passes))
+        super().__init__(HttpExchange(method, target, headers, request.value or b"", passes=passes))
 
     def _long(self, response: h11.Response) -> LongValue | None:
         """A value that goes through in pieces: its length is told, and all else is as it must be."""
@@ -140,22 +141,26 @@
         if not good or not told.isdigit() or not LONG < int(told) <= MAX_VALUE:
             return None
         load = load_report(header(response, b"srv-load") or b"")
-        return LongValue(int(told), Answer(Outcome.OK, load=load))
+        return LongValue(int(told), AttemptResult(Outcome.OK, load=load))
 
-    def _answer(self, response: h11.Response, body: bytes) -> Answer:
-        if self.long is not None:
-            return self.long.answer
+    def _answer(self, response: h11.Response, body: bytes) -> AttemptResult:
+        if self.streamed_value is not None:
+            return self.streamed_value.result
         load = load_report(header(response, b"srv-load") or b"")
-        self.named = header(response, b"req-id") == self._id
+        self.names_request = header(response, b"req-id") == self._id
         if header(response, b"req-id") not in (None, self._id):
-            return Answer(Outcome.ERROR, spoilt=True)  # where an answer names its request, it must be this
+            return AttemptResult(
+                Outcome.ERROR, malformed=True
+            )  # where an answer names its request, it must be this
         if response.status_code == 200:
             if self._write and not (body.isascii() and body and all(33 <= byte < 127 for byte in body)):
-                return Answer(Outcome.ERROR, spoilt=True)  # no receipt that could be passed on in a line
-            return Answer(Outcome.OK, Served(body, receipt=self._write), load=load)
+                return AttemptResult(
+                    Outcome.ERROR, malformed=True
+                )  # no receipt that could be passed on in a line
+            return AttemptResult(Outcome.OK, Response(body, receipt=self._write), load=load)
         # Only the origin's own word proves that it never ran: a bare 503 may come from anything between.
         declined = response.status_code in (503, 504) and header(response, b"srv-declined") == b"1"
-        return Answer(Outcome.FULL if declined else Outcome.ERROR, load=load)
+        return AttemptResult(Outcome.FULL if declined else Outcome.ERROR, load=load)
 
 
 class OriginProbe(_OverHttp):
@@ -164,6 +169,6 @@
     def __init__(self, host: str) -> None:
         super().__init__(HttpExchange(b"GET", b"/-/load", [(b"Host", host.encode())]))
 
-    def _answer(self, response: h11.Response, body: bytes) -> Answer:
+    def _answer(self, response: h11.Response, body: bytes) -> AttemptResult:
         report = load_report(header(response, b"srv-load") or body)
-        return Answer(Outcome.OK if response.status_code == 200 else Outcome.ERROR, load=report)
+        return AttemptResult(Outcome.OK if response.status_code == 200 else Outcome.ERROR, load=report)
--- a/flintridge/net/parting.py
+++ b/flintridge/net/parting.py
@@ -2,8 +2,8 @@
 
 import asyncio
 
-from flintridge.net.clock import Clock, OutOfTime, within
-from flintridge.net.streams import read_past
+from flintridge.runtime.clock import Clock, DeadlineExceededError, within
+from flintridge.runtime.streams import read_past
 
 # So long, and so much, is read past on a connection that is closed. Guards its last answers: closed with
 # input unread it would be reset, and what the other side has not read yet lost.
@@ -13,8 +13,9 @@
 
 
 async def all_read(clock: Clock, writer: asyncio.StreamWriter) -> None:
-    """Until so much of what was written has gone out as the transport's limits say. Raises OutOfTime where
-    the other side reads nothing at all, OSError where the connection has ended."""
+    """Until so much of what was written has gone out as the transport's limits say. Raises
+    DeadlineExceededError where the other side reads nothing at all, OSError where the connection has
+    ended."""
     transport = writer.transport
     while True:
         if transport.is_closing():
@@ -23,7 +24,7 @@
         try:
             await within(clock, SLOW_READER, writer.drain())
             return
-        except OutOfTime:
+        except DeadlineExceededError:
             if transport.get_write_buffer_size() >= unread:
                 raise
 
@@ -37,7 +38,7 @@
         if writer.can_write_eof():
             writer.write_eof()
         await within(clock, PARTING, _read_past(reader))
-    except OutOfTime:
+    except DeadlineExceededError:
         pass  # it goes on sending, or reads nothing
     except OSError as error:
         error.with_traceback(None)  # the reader keeps it, and with its frames this connection
--- a/flintridge/net/sender.py
+++ b/flintridge/net/sender.py
@@ -5,19 +5,20 @@
 from collections.abc import Callable, Coroutine
 
 from flintridge.api import Settings
-from flintridge.drain import Drain
+from flintridge.core.lifecycle import IdInUseError, RequestLifecycle, bytes_to_reserve
+from flintridge.core.request import Request
+from flintridge.core.response import DownstreamClosedError, Response
+from flintridge.discovery.endpoint_list import EndpointList
 from flintridge.net import memcache
-from flintridge.net.clock import Clock, OutOfTime, Timer, sleep, to_ms
-from flintridge.net.core import Core, IdInUse, needed
-from flintridge.net.counters import Counters
-from flintridge.net.envelope import Envelope, Gone, Served
-from flintridge.net.listen import Listening, open_listener
-from flintridge.net.log import EventLog
 from flintridge.net.parting import PARTING, PARTING_BYTES, all_read, let_go, part
 from flintridge.net.places import Places
-from flintridge.net.streams import CountingReader, bound_reads, other_side_ended
-from flintridge.net.transport_map import TransportMap
+from flintridge.runtime.clock import Clock, DeadlineExceededError, Timer, sleep, to_ms
+from flintridge.runtime.listener import Listener, open_listener
+from flintridge.runtime.streams import CountingReader, bound_reads, other_side_ended
 from flintridge.settings import Address
+from flintridge.shutdown import Drain
+from flintridge.telemetry.counters import Counters
+from flintridge.telemetry.log import EventLog
 
 PIPELINED = 16  # commands of a connection that may await their answers; it is read no further meanwhile
 UNREAD = 128 * 1024  # bytes of answers that a client has yet to read; nor is it read beyond this
@@ -50,22 +51,22 @@
         self.parts: list[bytes] | None = None
         self.passage: ClientPassage | None = None  # while a long value goes through
 
-    def look(self) -> None:
+    def check_client(self) -> None:
         self.connection.look()
 
-    def begin(self, length: int) -> "ClientPassage":
+    def start_stream(self, length: int) -> "ClientPassage":
         self.uid = None  # the core holds it no longer
         self.passage = ClientPassage(self, length)
         self.connection.flush()
         return self.passage
 
-    def served(self, served: Served) -> None:
-        self.fill(memcache.served_parts(self.id, served))
+    def respond(self, response: Response) -> None:
+        self.fill(memcache.served_parts(self.id, response))
 
-    def defer(self, retry_after_ms: float) -> None:
+    def reject(self, retry_after_ms: float) -> None:
         self.fill(memcache.defer_parts(retry_after_ms))
 
-    def failed(self) -> None:
+    def fail(self) -> None:
         self.fill([memcache.FAILED])
 
     def fill(self, parts: list[bytes]) -> None:
@@ -85,12 +86,12 @@
         """All answers before it are written, or the connection has ended."""
         self._turn.set()
 
-    async def room(self) -> None:
+    async def wait_writable(self) -> None:
         await self._turn.wait()
         try:
             await self._slot.connection.read_enough()
-        except (OSError, OutOfTime) as error:
-            raise Gone(repr(error)) from error
+        except (OSError, DeadlineExceededError) as error:
+            raise DownstreamClosedError(repr(error)) from error
 
     def write(self, pieces: list[bytes]) -> None:
         head, self._head = self._head, b""
@@ -101,7 +102,7 @@
         self._slot.passage = None
         self._slot.fill([memcache.EOL])
 
-    def cut(self) -> None:
+    def abort(self) -> None:
         """The end of the value is never written: what came is fewer bytes than its head said."""
         self._slot.passage = None
         self._slot.connection.cut()
@@ -222,7 +223,7 @@
                 elif self._side.ceasing:
                     self.cease()
                 self._side.between_requests(self)
-        except OutOfTime:
+        except DeadlineExceededError:
             self._side.counters.add("slow_readers")
             self._transport.abort()
         except OSError as error:  # the client's end of the connection: gone like any other
@@ -243,8 +244,8 @@
             await self.read_enough()
 
     async def read_enough(self) -> None:
-        """Until the client has read most of what was written. Raises OutOfTime where it reads nothing at all,
-        OSError where the connection has ended."""
+        """Until the client has read most of what was written. Raises DeadlineExceededError where it reads
+        nothing at all, OSError where the connection has ended."""
         await all_read(self._side.clock, self._writer)
 
     async def _take_all(self, commands: deque[memcache.Command]) -> bool:
@@ -253,8 +254,8 @@
             command = commands.popleft()
             if isinstance(command, memcache.Announced):
                 # Nothing is read while it waits: the client's own buffers hold it up.
-                count = needed(command.length)
-                kept = await self._side.core.room.kept(count, ROOM_TIME)
+                count = bytes_to_reserve(command.length)
+                kept = await self._side.core.memory_budget.reserve(count, ROOM_TIME)
                 self._kept = count if kept else 0
                 self._used()
                 commands.extend(self._parser.admit(kept))
@@ -263,30 +264,30 @@
             await self._room()
         return True
 
-    def _take(self, command: Envelope | memcache.Hello | memcache.BadCommand | memcache.PassedOver) -> bool:
+    def _take(self, command: Request | memcache.Hello | memcache.BadCommand | memcache.PassedOver) -> bool:
         """Whether the connection goes on."""
         # Room was kept for one long value at a time, and this command is what became of it.
         kept, self._kept = self._kept, 0
         try:
             return self._carry_out(command, kept)
-        except IdInUse:
-            self._side.core.room.give(kept)
+        except IdInUseError:
+            self._side.core.memory_budget.release(kept)
             self._slots[-1].uid = None
             self._bad += 1
             self._slots[-1].fill(memcache.bad_command_parts("id in use"))
         return self._bad < BAD_COMMANDS
 
     def _carry_out(
-        self, command: Envelope | memcache.Hello | memcache.BadCommand | memcache.PassedOver, kept: int
+        self, command: Request | memcache.Hello | memcache.BadCommand | memcache.PassedOver, kept: int
     ) -> bool:
-        slot = Slot(self, command.id if isinstance(command, Envelope) else b"")
+        slot = Slot(self, command.id if isinstance(command, Request) else b"")
         self._slots.append(slot)
-        if isinstance(command, Envelope):
+        if isinstance(command, Request):
             slot.uid = command.id.decode("ascii")
             self._side.core.submit(command, slot, kept)
             self.asked = True
             return True
-        self._side.core.room.give(kept)
+        self._side.core.memory_budget.release(kept)
         if isinstance(command, memcache.Hello):
             slot.fill([self._side.hello])
         elif isinstance(command, memcache.PassedOver):
@@ -357,7 +358,7 @@
         self._transport.set_write_buffer_limits(high=0)  # `drain` waits until all is written
         try:
             await self.read_enough()
-        except OutOfTime:
+        except DeadlineExceededError:
             self._side.counters.add("slow_readers")
             self._transport.abort()
         except OSError:
@@ -409,22 +410,22 @@
         slots, self._slots = self._slots, deque()
         for slot in slots:
             if slot.uid is not None and slot.parts is None:
-                self._side.core.gone(slot.uid)
+                self._side.core.client_disconnected(slot.uid)
             if slot.passage is not None:
                 slot.passage.turn()
         self._give_room()
 
     def _give_room(self) -> None:
         kept, self._kept = self._kept, 0
-        self._side.core.room.give(kept)
+        self._side.core.memory_budget.release(kept)
 
 
 class SenderSide:
     def __init__(
         self,
-        core: Core,
+        core: RequestLifecycle,
         settings: Settings,
-        transports: TransportMap,
+        transports: EndpointList,
         clock: Clock,
         room: int,
         log: EventLog,
@@ -439,7 +440,7 @@
         self._transports = transports
         self.room = room
         self._log = log
-        self._listening: Listening | None = None
+        self._listening: Listener | None = None
         # A dict, not a set: it is walked in the order of arrival, and two nodes given the same do the same.
         self._connections: dict[SenderConnection, None] = {}
         self.places: Places[SenderConnection] = Places()
@@ -454,7 +455,7 @@
     def serving(self) -> bool:
         """Whether this process can serve: it listens, knows servers in service, and is `ready`."""
         listening = self._listening is not None and self._listening.open
-        return listening and self._transports.serving and self.ready()
+        return listening and self._transports.any_ready and self.ready()
 
     @property
     def hello(self) -> bytes:
@@ -472,7 +473,7 @@
         return not self.drain.welcoming and self.drain.ceasing(self.clock.now())
 
     async def listen(self, address: Address) -> int:
-        """Open the listener; the port. Raises NotListening."""
+        """Open the listener; the port. Raises ListenError."""
         self._listening = await open_listener(self._accepted, address, shared=True)
         return self._listening.port
 
--- a/flintridge/node.py
+++ b/flintridge/node.py
@@ -11,25 +11,28 @@
 from dataclasses import dataclass, fields, replace
 from typing import TYPE_CHECKING
 
-from flintridge.api import Discovery, MemberList
-from flintridge.decide import QUOTA_SLACK, Balancer
-from flintridge.drain import Drain, State
-from flintridge.net.clock import Clock
-from flintridge.net.core import Core, Module
-from flintridge.net.counters import Counters
+from flintridge.api import DiscoveryMode, EndpointUpdate
+from flintridge.core.drivers import Policy
+from flintridge.core.lifecycle import RequestLifecycle
+from flintridge.discovery.endpoint_list import EndpointList, configured_endpoints
+from flintridge.discovery.overrides import EndpointOverrides
+from flintridge.discovery.watcher import DiscoveryWatcher, watch_wait_ms
 from flintridge.net.delivery import Delivery
-from flintridge.net.log import EventLog
 from flintridge.net.sender import SenderSide
-from flintridge.net.siblings import Siblings
-from flintridge.net.transport_map import Holds, TransportMap, TransportWatch, known_list, watch_wait
+from flintridge.policy.balancer import QUOTA_SLACK, Balancer
+from flintridge.runtime.clock import Clock
+from flintridge.runtime.worker_processes import WorkerProcesses
 from flintridge.settings import LONGEST_MB, NodeConfig
+from flintridge.shutdown import Drain, State
+from flintridge.telemetry.counters import Counters
+from flintridge.telemetry.log import EventLog
 
 if TYPE_CHECKING:
     from flintridge.fronts.console import Routes, Said
-    from flintridge.net.budgets import Budgets
+    from flintridge.leases.driver import Budgets
+    from flintridge.membership.driver import Peers
     from flintridge.net.console import Console
-    from flintridge.net.peers import Peers
-    from flintridge.net.replica import Replica
+    from flintridge.replication.driver import Replica
 
 CHANGEABLE = ("discovery", "sockets", "memory_mb")  # without a restart
 
@@ -45,8 +48,8 @@
 class Node:
     """A node in the running event loop.
 
-    `clock` gives its time (float milliseconds), `log` takes its events, `module` stands in for the decision
-    module where a trial needs another one. Raises ConfigError where the configuration's list is malformed.
+    `clock` gives its time (float milliseconds), `log` takes its events, `policy` stands in for the decision
+    policy where a trial needs another one. Raises ConfigError where the configuration's list is malformed.
     """
 
     def __init__(
@@ -55,7 +58,7 @@
         clock: Clock,
         log: EventLog,
         counters: Counters | None = None,
-        module: Module | None = None,
+        policy: Policy | None = None,
         shared: str | None = None,
         entropy: Callable[[int], bytes] = os.urandom,
     ) -> None:
@@ -68,10 +71,10 @@
         self.log = log
         self.counters = counters or Counters()
         settings = config.settings
-        self.transports = TransportMap(config.zones, config.kinds, settings, clock)
-        self._known = known_list(config, self.transports)
-        self.core = Core(
-            module or Balancer(settings, config.seed), settings, clock, config.held_bytes, log, self.counters
+        self.transports = EndpointList(config.zones, config.kinds, settings, clock)
+        self._known = configured_endpoints(config, self.transports)
+        self.core = RequestLifecycle(
+            policy or Balancer(settings, config.seed), settings, clock, config.held_bytes, log, self.counters
         )
         self.delivery = Delivery(
             self.transports,
@@ -81,20 +84,20 @@
             self.core.attempt_ended,
             log,
             self.counters,
-            self.core.begins,
+            self.core.start_stream,
         )
-        self._list_told: Callable[[MemberList], None] = self.core.told
+        self._list_told: Callable[[EndpointUpdate], None] = self.core.notify
         if config.state is not None:
-            self._holds = Holds(self.core.told)
-            self._list_told = self._holds.told
-        self.watch = TransportWatch(
+            self._holds = EndpointOverrides(self.core.notify)
+            self._list_told = self._holds.apply
+        self.watch = DiscoveryWatcher(
             config.discovery,
             self.transports,
             clock,
             self._list_told,
             log,
             self.counters,
-            watch_wait(settings),
+            watch_wait_ms(settings),
         )
         self.core.attach(self.delivery, self.watch)
         self.drain = Drain()
@@ -104,12 +107,12 @@
         self.console: Console | None = None
         self.peers: Peers | None = None
         if config.peers is not None:
-            from flintridge.net.peers import Peers  # not held by a node that hears nobody
+            from flintridge.membership.driver import Peers  # not held by a node that hears nobody
 
             self.peers = Peers(config.name, config.peers, clock, log, self.counters, entropy)
         self.budgets: Budgets | None = None
         if config.budgets is not None and self.peers is not None:
-            from flintridge.net.budgets import Budgets  # not held by a node that lends nothing
+            from flintridge.leases.driver import Budgets  # not held by a node that lends nothing
 
             even = {
                 i: QUOTA_SLACK / settings.fleet_size * tenant.quota_per_s
@@ -129,23 +132,23 @@
             )
         self.replica: Replica | None = None
         if config.state is not None and self.peers is not None:
-            from flintridge.net.replica import Replica  # not held by a node that holds no state
+            from flintridge.replication.driver import Replica  # not held by a node that holds no state
 
             self.replica = Replica(
-                config.state, self.peers, clock, log, self.counters, entropy, self._holds.hold
+                config.state, self.peers, clock, log, self.counters, entropy, self._holds.take_out
             )
         self.side.ready = self._ready
         self._closed = False
         listen = config.listen
-        self._siblings: Siblings | None = None
+        self._siblings: WorkerProcesses | None = None
         if shared is not None and listen.port:
             folder = os.path.join(shared, f"flintridge-{listen.host.replace(':', '_')}-{listen.port}")
-            self._siblings = Siblings(folder, clock, log, lambda _: self._deal_out())
+            self._siblings = WorkerProcesses(folder, clock, log, lambda _: self._deal_out())
 
     async def start(self) -> int:
         """Take the known list in and open the console and the listener; the listener's port.
 
-        Raises NotListening, an OSError, where one of the two can't be opened.
+        Raises ListenError, an OSError, where one of the two can't be opened.
         """
         # Before anything else: what cannot have its console must not have taken a single connection.
         if self.config.console is not None:
@@ -162,18 +165,18 @@
             self.budgets.start()  # before the first request: a process that just began holds its floor alone
         if self.replica is not None:
             self.replica.start()
-        if self.config.settings.discovery is Discovery.PUSHED:
+        if self.config.settings.discovery is DiscoveryMode.PUSHED:
             self.watch.begin(self._known)  # a watch is how lists are pushed: it is open from the first moment
         else:
             self._list_told(self._known)
         listen = self.config.listen
         port = await self.side.listen(listen)
-        self.log.event("serving", host=listen.host, port=port, members=len(self._known.members))
+        self.log.event("serving", host=listen.host, port=port, members=len(self._known.endpoints))
         return port
 
     def _ready(self) -> bool:
         """What else has to be before `mn` is answered: a list, and the state of others where it is held."""
-        return self.watch.listed and (self.replica is None or self.replica.caught_up())
+        return self.watch.has_list and (self.replica is None or self.replica.caught_up())
 
     def reload(self, new: NodeConfig) -> Reloaded:
         """Take over from `new` what can change in service; no request and no connection is touched."""
@@ -198,7 +201,7 @@
         """
         count = 1 if self._siblings is None else self._siblings.count
         config = self.config
-        self.core.room.resize(max(int(LONGEST_MB * 1024 * 1024), config.held_bytes // count))
+        self.core.memory_budget.resize(max(int(LONGEST_MB * 1024 * 1024), config.held_bytes // count))
         self.delivery.room = config.server_sockets // count
         self.side.room = config.client_sockets // count
         if self.budgets is not None:
--- /dev/null
+++ b/flintridge/policy/__init__.py
@@ -0,0 +1,1 @@
+"""The decision policy: which server, whether again, what to reject."""
--- a/flintridge/decide.py
+++ b/flintridge/policy/balancer.py
@@ -14,7 +14,7 @@
 from functools import partial
 
 from flintridge import api
-from flintridge.api import NEVER_RAN, Effect, ListKind, MemberState, Outcome
+from flintridge.api import NEVER_EXECUTED, Effect, EndpointState, Outcome, UpdateKind
 
 MS = 1_000_000
 POINTS = 200  # of each server on the ring
@@ -62,7 +62,7 @@
 class Server:
     """What this router knows of one server."""
 
-    member: api.Member
+    member: api.Endpoint
     number: int  # on the ring
     inflight: int = 0  # this router's own
     cost: float = 0.0  # mean time for each unit of expected work, lately; failures count as slow
@@ -158,7 +158,7 @@
 class Held:
     """A request that this router still has to answer, or whose attempts are still out."""
 
-    event: api.Request
+    event: api.RequestReceived
     cls: api.RequestClass
     arrived: int  # of the client's first try, as far as known
     came: int  # of this try
@@ -170,7 +170,7 @@
     failed: list[str] = field(default_factory=list)  # servers that failed it
     spoilt: list[str] = field(default_factory=list)  # servers whose answer could not be read, once
     ran_at: int | None = None  # send of the first attempt that may have run, once its outcome is in
-    ran_on: api.Member | None = None
+    ran_on: api.Endpoint | None = None
     done: bool = False
 
 
@@ -213,56 +213,56 @@
         even = QUOTA_SLACK / settings.fleet_size
         self.quotas = {i: even * tenant.quota_per_s for i, tenant in enumerate(settings.tenants)}
         self.spare = 1.0  # part of what is beyond quotas that is let in
-        self.holdings = api.Holdings()
-        self.asks, self.watch_failures = settings.discovery is api.Discovery.ON_REQUEST, 0
+        self.holdings = api.AllocationUpdate()
+        self.asks, self.watch_failures = settings.discovery is api.DiscoveryMode.POLLED, 0
         self.handlers = {
-            api.MemberList: self.on_list,
-            api.Request: self.on_request,
+            api.EndpointUpdate: self.on_list,
+            api.RequestReceived: self.on_request,
             api.AttemptEnded: self.on_attempt_ended,
             api.StreamStarted: self.on_finished,
-            api.ClientGone: self.on_finished,
+            api.ClientDisconnected: self.on_finished,
             api.TimerFired: self.on_timer,
-            api.Holdings: self.on_holdings,
+            api.AllocationUpdate: self.on_holdings,
         }
 
     def handle(self, now: int, event: api.Event) -> list[api.Action]:
         self.now, self.out = now, []
-        if now >= self.holdings.until and self.holdings.after:
-            self.on_holdings(self.holdings.after)
+        if now >= self.holdings.valid_until and self.holdings.fallback:
+            self.on_holdings(self.holdings.fallback)
         if handler := self.handlers.get(type(event)):  # none for probes and peers, which are not used
             handler(event)  # type: ignore[operator]  # each takes the one kind that it stands for
         return self.out
 
     # The list of servers
 
-    def on_list(self, event: api.MemberList) -> None:
-        if event.kind is ListKind.FAILED:
+    def on_list(self, event: api.EndpointUpdate) -> None:
+        if event.kind is UpdateKind.FAILED:
             self.watch_failures += 1
             # Told 6 s after it is back: a call it never saw (3 s) and a pause fit. Pushed: told at once.
             pause = self.random.uniform(250, 500) * 2 ** min(self.watch_failures - 1, 2 * self.asks)
             self.timer(self.now + int(pause * MS), lambda: self.out.append(api.Watch()))
             return
         self.watch_failures = 0
-        listed = {m.server: m for m in event.members}
-        if event.kind is not ListKind.DELTA:
-            listed |= {s: api.Member(s, MemberState.GONE) for s in self.servers if s not in listed}
+        listed = {m.server: m for m in event.endpoints}
+        if event.kind is not UpdateKind.DELTA:
+            listed |= {s: api.Endpoint(s, EndpointState.GONE) for s in self.servers if s not in listed}
         for server, member in listed.items():
             known = self.servers.get(server)
             if known is None:
-                if member.state is MemberState.GONE:
+                if member.state is EndpointState.GONE:
                     continue
                 number = self.free_numbers.pop() if self.free_numbers else len(self.known)
                 self.servers[server] = Server(member, number)
                 self.known[number : number + 1] = [server]
-            elif member.state is MemberState.GONE:
-                known.member = replace(known.member, state=MemberState.GONE, started_at=0)
+            elif member.state is EndpointState.GONE:
+                known.member = replace(known.member, state=EndpointState.GONE, started_at=0)
             else:
                 known.barred_until *= member.started_at == known.member.started_at
                 known.member = member
         self.build_ring()
-        for server in [s for s, known in self.servers.items() if known.member.state is MemberState.GONE]:
+        for server in [s for s, known in self.servers.items() if known.member.state is EndpointState.GONE]:
             self.drop(server)
-        if event.kind is ListKind.CACHED and self.asks:
+        if event.kind is UpdateKind.CACHED and self.asks:
             self.out.append(api.Watch())
 
     def drop(self, server: str) -> None:
@@ -271,14 +271,14 @@
         if self.servers[server].inflight == 0:
             self.free_numbers.append(self.servers.pop(server).number)
 
-    def is_origin(self, member: api.Member) -> bool:
+    def is_origin(self, member: api.Endpoint) -> bool:
         return self.settings.mode is api.CacheMode.ASIDE and member.kind == self.settings.origin_kind
 
     def gate_of(self, server: Server) -> Gate:
         return self.origin if self.is_origin(server.member) else self.caches
 
     def build_ring(self) -> None:
-        ready = [s for s in self.servers.values() if s.member.state is MemberState.READY]
+        ready = [s for s in self.servers.values() if s.member.state is EndpointState.READY]
         self.origins = sorted(s.member.server for s in ready if self.is_origin(s.member))
         caches = [s for s in ready if not self.is_origin(s.member)]
         self.ready = [s.member.server for s in caches]
@@ -302,16 +302,18 @@
         """All routers' floors together let one attempt a server in, and a good round adds as many."""
         even = len(self.ready) / self.settings.fleet_size
         self.caches.floor, self.origin.floor = (
-            max(LEAST_LIMIT, part * self.holdings.floors) for part in (even, min(2.0, even))
+            max(LEAST_LIMIT, part * self.holdings.concurrency_floors) for part in (even, min(2.0, even))
         )
         self.caches.step, self.origin.step = (min(1.0, gate.floor) for gate in (self.caches, self.origin))
 
     # The ordinary path
 
-    def on_request(self, event: api.Request) -> None:
+    def on_request(self, event: api.RequestReceived) -> None:
         if event.id in self.held:
             return
-        request = self.held[event.id] = Held(event, self.settings.classes[event.cls], self.now, self.now)
+        request = self.held[event.id] = Held(
+            event, self.settings.classes[event.class_index], self.now, self.now
+        )
         work = self.work(request)
         self.mean_work = self.mean_work + 0.05 * (work - self.mean_work) if self.mean_work else work
         repeat = event.retry or event.work_ns is not None
@@ -319,8 +321,10 @@
         if known is None or self.now >= known[0] + request.cls.deadline_ns:
             known = self.now, None
         request.arrived, over = known
-        request.over_quota = self.beyond_quota(event.tenant) if over is None or self.holdings.strict else over
-        if request.over_quota and (self.holdings.strict or self.random.random() >= self.spare):
+        request.over_quota = (
+            self.beyond_quota(event.tenant) if over is None or self.holdings.strict_quotas else over
+        )
+        if request.over_quota and (self.holdings.strict_quotas or self.random.random() >= self.spare):
             self.give_up(request)
         else:
             self.route(request)
@@ -354,8 +358,14 @@
     def last_start(self, request: Held, gate: Gate) -> int:
         cls, event = request.cls, request.event
         # A slow spell must not teach that a class is hopeless.
-        usual = min(self.latency.get((event.cls, gate is self.origin), 0.0), LATE_PART * cls.aim_ns)
-        until = min(request.arrived + (cls.deadline_ns if cls.late_share else cls.aim_ns), event.deadline)
+        usual = min(
+            self.latency.get((event.class_index, gate is self.origin), 0.0),
+            LATE_PART * cls.latency_objective_ns,
+        )
+        until = min(
+            request.arrived + (cls.deadline_ns if cls.late_weight_fraction else cls.latency_objective_ns),
+            event.deadline,
+        )
         if all(attempt.moot for attempt in request.attempts):
             # A client told early may still come again in time. Where there is a place it goes at once,
             # however slow its class was: else that would never be known again.
@@ -365,13 +375,13 @@
 
     def value(self, request: Held) -> float:
         """Worth for each unit of work, and less for what is beyond the tenant's quota."""
-        worth = request.cls.worth * (self.settings.over_share_worth if request.over_quota else 1)
-        usual = max(self.latency.get((request.event.cls, False), 0.0), MS)
-        return worth if self.settings.worth_by_work else worth / usual
+        worth = request.cls.priority_weight * (self.settings.over_quota_weight if request.over_quota else 1)
+        usual = max(self.latency.get((request.event.class_index, False), 0.0), MS)
+        return worth if self.settings.weight_by_work else worth / usual
 
     @staticmethod
-    def likeness(event: api.Request) -> tuple[int, int, str | None, int | None]:
-        return event.cls, event.tenant, event.key, event.work_ns
+    def likeness(event: api.RequestReceived) -> tuple[int, int, str | None, int | None]:
+        return event.class_index, event.tenant, event.key, event.work_ns
 
     def beyond_quota(self, tenant: int) -> bool:
         """Whether the tenant has spent this router's part of its quota: it then waits last and yields first.
@@ -393,11 +403,11 @@
         tokens, at = self.tokens.get(tenant, (depth, self.now))
         return min(depth, tokens + rate * (self.now - at) / (1000 * MS))
 
-    def on_holdings(self, event: api.Holdings) -> None:
+    def on_holdings(self, event: api.AllocationUpdate) -> None:
         # By the rates of before: a loan must not count for a time in which its lender had the use of it.
         self.tokens = {tenant: (self.fill(tenant), self.now) for tenant in self.tokens}
-        self.holdings, self.quotas[REPEATS] = event, event.repeats_per_s
-        self.caches.most, self.origin.most = event.cache_places, event.origin_places
+        self.holdings, self.quotas[REPEATS] = event, event.retries_per_s
+        self.caches.most, self.origin.most = event.cache_permits, event.origin_permits
         self.set_floors()
 
     def admit_all(self) -> None:
@@ -484,7 +494,7 @@
             server.unreached += 1
             bar = min(BAR * 2 ** (server.unreached - 1), LONGEST_BAR)
             server.barred_until = self.now + int(bar * self.random.uniform(0.5, 1))
-        elif event.outcome not in (Outcome.CANCELLED, Outcome.MOOT, Outcome.TIMEOUT):
+        elif event.outcome not in (Outcome.CANCELLED, Outcome.WITHDRAWN, Outcome.TIMEOUT):
             server.unreached = server.barred_until = 0
 
     # Slow and failing servers: the time that a server takes for each unit of expected work, against the
@@ -531,7 +541,7 @@
     def note_cost(
         self, server: Server, request: Held, event: api.AttemptEnded, failed: bool, spoilt: bool
     ) -> None:
-        expected = request.event.work_ns or self.latency.get((request.event.cls, False))
+        expected = request.event.work_ns or self.latency.get((request.event.class_index, False))
         if not expected:
             return
         cost = event.latency_ns / expected
@@ -566,23 +576,26 @@
 
     def warmth(self, server: Server) -> float:
         rules, started = self.settings.rules, server.member.started_at
-        if started == 0 or self.now - started >= rules.cold_ns:
+        if started == 0 or self.now - started >= rules.slow_start_ns:
             return 1.0
-        return rules.cold_share + (1 - rules.cold_share) * max(self.now - started, 0) / rules.cold_ns
+        return (
+            rules.slow_start_fraction
+            + (1 - rules.slow_start_fraction) * max(self.now - started, 0) / rules.slow_start_ns
+        )
 
     def cold_room(self, server: Server, request: Held) -> bool:
         rules, share = self.settings.rules, self.warmth(server)
-        if share == 1 or not rules.fall_multiple or not rules.fall_ns:
+        if share == 1 or not rules.overload_multiple or not rules.overload_window_ns:
             return True
-        while server.recent and server.recent[0][0] <= self.now - rules.fall_ns:
+        while server.recent and server.recent[0][0] <= self.now - rules.overload_window_ns:
             server.recent_work -= server.recent.popleft()[1]
         weight = (server.member.weight or self.mean_weight) / self.mean_weight
-        budget = COLD_PART * rules.fall_multiple * share * self.own_part() * weight
+        budget = COLD_PART * rules.overload_multiple * share * self.own_part() * weight
         if server.recent:
             return server.recent_work + self.work(request) <= budget
         server.recent_work = 0.0
         if self.now >= server.drawn_until:
-            server.luck, server.drawn_until = self.random.random(), self.now + rules.fall_ns
+            server.luck, server.drawn_until = self.random.random(), self.now + rules.overload_window_ns
         # A key may be heavy: by the mean alone all routers together sent its server as many times too much.
         return server.luck * max(self.mean_work, self.work(request)) <= budget
 
@@ -592,16 +605,16 @@
         At least an even part of what the quotas let in, as a quiet hour shows little. Without quotas a server
         is taken to do one request within the shortest aim, as less would be of no use.
         """
-        settings, window = self.settings, self.settings.rules.fall_ns
+        settings, window = self.settings, self.settings.rules.overload_window_ns
         let_in = sum(t.quota_per_s for t in settings.tenants) * window / (1000 * MS) / max(1, len(self.ready))
-        each = let_in or window / max(1, min(cls.aim_ns for cls in settings.classes))
-        return max(self.warm_load, each * self.mean_work / settings.fleet_size * self.holdings.cold)
+        each = let_in or window / max(1, min(cls.latency_objective_ns for cls in settings.classes))
+        return max(self.warm_load, each * self.mean_work / settings.fleet_size * self.holdings.slow_start)
 
     def work(self, request: Held) -> float:
         return 1.0 if request.event.work_ns is None else request.event.work_ns / MS
 
     def note_served(self, server: Server, request: Held) -> None:
-        window = self.settings.rules.fall_ns
+        window = self.settings.rules.overload_window_ns
         if not window or self.warmth(server) < 1:
             return
         if self.now >= self.load_from + window:
@@ -619,10 +632,10 @@
         known = self.servers[server]
         idle = 0 if known.inflight else self.now - known.used_at if known.used_at else None
         if idle is not None and idle > min(self.stale_after, self.settings.limits.conn_idle_ns):
-            self.out.append(api.CloseIdle(server))
+            self.out.append(api.CloseIdleConnections(server))
             idle = None
-        if not request.attempts and self.holdings.repeat_share:
-            self.tokens[REPEATS] = self.fill(REPEATS) + self.holdings.repeat_share, self.now
+        if not request.attempts and self.holdings.retries_per_attempt:
+            self.tokens[REPEATS] = self.fill(REPEATS) + self.holdings.retries_per_attempt, self.now
         request.attempts.append(Attempt(server, self.now, idle))
         known.inflight += 1
         gate = self.gate_of(known)
@@ -643,7 +656,7 @@
         lost = outcome in SILENT
         if outcome is Outcome.CONNECT_FAILED or outcome is Outcome.RESET:
             server.used_at = 0
-        elif outcome not in (Outcome.TIMEOUT, Outcome.CANCELLED, Outcome.MOOT):
+        elif outcome not in (Outcome.TIMEOUT, Outcome.CANCELLED, Outcome.WITHDRAWN):
             server.used_at = self.now
         if not (lost or outcome in (Outcome.OK, Outcome.MISS)):
             return
@@ -671,21 +684,27 @@
         calm = gate.calm(self.now) or self.stale_after < math.inf
         if self.is_last(request) or not calm or not self.may_repeat(request):
             return 0
-        usual = self.latency.get((request.event.cls, gate is self.origin), 0.0)
-        wait = max((request.event.work_ns or 0) + int(LATE_PART * cls.aim_ns), int(PATIENT * usual))
+        usual = self.latency.get((request.event.class_index, gate is self.origin), 0.0)
+        wait = max(
+            (request.event.work_ns or 0) + int(LATE_PART * cls.latency_objective_ns), int(PATIENT * usual)
+        )
         in_time = wait <= self.last_start(request, gate) - self.now
-        return wait if in_time and (cls.effect is Effect.SAFE or wait < cls.window_ns) else 0
+        return wait if in_time and (cls.effect is Effect.SAFE or wait < cls.deduplication_window_ns) else 0
 
     def may_repeat(self, request: Held) -> bool:
         """Whether a repeat is harmless by now, wherever it runs."""
-        effect, group = request.cls.effect, request.cls.group
-        dropped = effect is Effect.KEYED and group is api.Group.ALL and self.now <= self.repeat_by(request)
+        effect, group = request.cls.effect, request.cls.deduplication_scope
+        dropped = (
+            effect is Effect.KEYED
+            and group is api.DeduplicationScope.ALL
+            and self.now <= self.repeat_by(request)
+        )
         return effect is Effect.SAFE or dropped
 
     @staticmethod
     def repeat_by(request: Held) -> float:
         """Until when it may be sent once more; always, while none of its attempts may have run."""
-        window = {Effect.SAFE: math.inf, Effect.KEYED: request.cls.window_ns, Effect.UNSAFE: -1}
+        window = {Effect.SAFE: math.inf, Effect.KEYED: request.cls.deduplication_window_ns, Effect.UNSAFE: -1}
         return math.inf if request.ran_at is None else request.ran_at + window[request.cls.effect]
 
     # One fetch for each key: while one is out at the origin, other reads of the key that missed wait for it
@@ -712,25 +731,25 @@
         attempt = request.attempts[event.attempt]
         if not attempt.open:
             return
-        attempt.open, attempt.moot = False, event.outcome is Outcome.MOOT
+        attempt.open, attempt.moot = False, event.outcome is Outcome.WITHDRAWN
         known = self.servers[attempt.server]
         known.inflight -= 1
-        if known.member.state is MemberState.GONE:
+        if known.member.state is EndpointState.GONE:
             self.drop(attempt.server)
         gate = self.gate_of(known)
         gate.ended(self.now, event.latency_ns)
         good = event.outcome in (Outcome.OK, Outcome.MISS)
         # Nor does a connection that breaks tell of load, or of its server: one that died is refused next.
-        spoilt = event.spoilt or event.outcome is Outcome.RESET
+        spoilt = event.malformed or event.outcome is Outcome.RESET
         failed = not good and not spoilt
         unreached = event.outcome is Outcome.CONNECT_FAILED
         dropped = event.outcome in SILENT and (attempt.idle or 0) > self.stale_after
-        if event.outcome not in (Outcome.CANCELLED, Outcome.MOOT):
+        if event.outcome not in (Outcome.CANCELLED, Outcome.WITHDRAWN):
             # What counts is the time beyond its own work: a heavy request is no sign of load.
             waited = event.latency_ns - (request.event.work_ns or 0)
             if attempt.idle is None and gate is self.caches:
                 waited -= self.settings.limits.connect_timeout_ns
-            late = waited > LATE_PART * request.cls.aim_ns
+            late = waited > LATE_PART * request.cls.latency_objective_ns
             # What a server known as sick fails to do is its own trouble: a lost zone must not starve others.
             # Nor do connections tell of it, nor the quick refusals of a sick server.
             counts = good or not (unreached or dropped or self.health(known) < SICK)
@@ -740,9 +759,9 @@
             self.note_idle(known, attempt, event.outcome)
             self.note_reached(known, event)
             if not dropped and event.outcome in (Outcome.OK, Outcome.ERROR, Outcome.FULL, *SILENT):
-                self.note_cost(known, request, event, failed, event.spoilt)
+                self.note_cost(known, request, event, failed, event.malformed)
         if event.outcome is Outcome.OK:
-            usual = (request.event.cls, gate is self.origin)
+            usual = (request.event.class_index, gate is self.origin)
             known_latency = self.latency.get(usual, float(event.latency_ns))
             self.latency[usual] = known_latency + 0.05 * (event.latency_ns - known_latency)
             if gate is self.caches:
@@ -751,7 +770,7 @@
             request.missed_at = attempt.server
         if gate is self.origin:
             self.end_fetch(request, event.outcome)
-        if event.outcome not in NEVER_RAN and request.ran_at is None:
+        if event.outcome not in NEVER_EXECUTED and request.ran_at is None:
             request.ran_at, request.ran_on = attempt.sent_at, known.member
         if event.final or request.done:
             self.forget(request)
@@ -784,7 +803,11 @@
         first, then = request.ran_on, self.servers[server].member
         if first is None or self.may_repeat(request):
             return True
-        return first.zone == then.zone if request.cls.group is api.Group.ZONE else first.cell == then.cell
+        return (
+            first.zone == then.zone
+            if request.cls.deduplication_scope is api.DeduplicationScope.ZONE
+            else first.cell == then.cell
+        )
 
     def give_up(self, request: Held) -> None:
         """The final answer when nothing more can be done: a refusal where trying again is harmless."""
@@ -797,7 +820,7 @@
         if len(self.refused) > self.settings.limits.max_open:
             self.refused.pop(next(iter(self.refused)))
         uid, back = request.event.id, self.come_back(request)
-        self.out.append(api.Refuse(uid, back) if harmless else api.Fail(uid))
+        self.out.append(api.Reject(uid, back) if harmless else api.Fail(uid))
         self.forget(request)
 
     def come_back(self, request: Held) -> int:
@@ -815,7 +838,9 @@
         else:
             asks_origin = request.event.write or request.missed_at is not None
             gate = self.origin if asks_origin and self.settings.mode is api.CacheMode.ASIDE else self.caches
-            usual = self.latency.get((event.cls, gate is self.origin), LATE_PART * request.cls.aim_ns)
+            usual = self.latency.get(
+                (event.class_index, gate is self.origin), LATE_PART * request.cls.latency_objective_ns
+            )
             line = max(0, len(gate.waiting) - gate.left) + gate.inflight
             wait = max(usual * line / max(gate.limit, gate.floor), gate.next_at - self.now)
         return int(min(max(wait, 1 * MS), limits.max_retry_after_ns))
@@ -828,7 +853,7 @@
         if not any(a.open for a in request.attempts):
             self.held.pop(request.event.id, None)
 
-    def on_finished(self, event: api.StreamStarted | api.ClientGone) -> None:
+    def on_finished(self, event: api.StreamStarted | api.ClientDisconnected) -> None:
         """The client has its answer, or a stream that is its own from now on, or is gone."""
         if (request := self.held.get(event.id)) is not None:
             self.forget(request)
--- a/flintridge/net/replica.py
+++ b/flintridge/replication/driver.py
@@ -15,18 +15,18 @@
 import msgspec
 
 from flintridge.fronts.console import Routes, Taking
-from flintridge.net.clock import Clock, OutOfTime, Timer, sleep
-from flintridge.net.counters import Counters
-from flintridge.net.log import EventLog
-from flintridge.net.peers import Peers
-from flintridge.net.peers import Refused as PeerRefused
-from flintridge.peers.wire import Dropped
-from flintridge.replica.copy import SLICE, Copy, Limits, Standing
-from flintridge.replica.entry import Dot, Entry, Key, Version, Writer, counts, ordered
-from flintridge.replica.spread import Spread
-from flintridge.replica.types import TABLE, Body, Refused, checked, decode
-from flintridge.replica.words import asked, asked_of, pieces, slice_of
+from flintridge.membership.driver import Peers
+from flintridge.membership.driver import Refused as PeerRefused
+from flintridge.membership.messages import Dropped
+from flintridge.replication.entry import Dot, Entry, Key, Version, Writer, counts, ordered
+from flintridge.replication.gossip import Spread
+from flintridge.replication.messages import asked, asked_of, pieces, slice_of
+from flintridge.replication.replica import SLICE, Copy, Limits, Standing
+from flintridge.replication.value_types import TABLE, Body, Refused, checked, decode
+from flintridge.runtime.clock import Clock, DeadlineExceededError, Timer, sleep
 from flintridge.settings import StateConfig
+from flintridge.telemetry.counters import Counters
+from flintridge.telemetry.log import EventLog
 
 TICK = 50.0
 LOOKS = 8  # buckets a tick; all of them within two seconds
@@ -204,7 +204,7 @@
                     break
                 await sleep(clock, TICK)
             self._counters.add("state_comparisons")
-        except (OSError, OutOfTime, Dropped, PeerRefused) as error:
+        except (OSError, DeadlineExceededError, Dropped, PeerRefused) as error:
             self._counters.add("state_comparisons_broken")
             self._log.event("state_broke_off", source=source[0], error=repr(error))
         finally:
--- a/flintridge/replica/entry.py
+++ b/flintridge/replication/entry.py
@@ -7,7 +7,7 @@
 import math
 from typing import NamedTuple
 
-from flintridge.replica.types import rank
+from flintridge.replication.value_types import rank
 
 Writer = tuple[str, int]  # a process: its node's name, and its life, so that no dot is ever used twice
 Dot = tuple[Writer, int]
--- a/flintridge/replica/spread.py
+++ b/flintridge/replication/gossip.py
@@ -10,10 +10,10 @@
 from dataclasses import dataclass, field
 from random import Random
 
-from flintridge.peers.table import Life
-from flintridge.replica.copy import Copy, Standing
-from flintridge.replica.entry import Dot, Entry, Key, Writer
-from flintridge.replica.words import Held, Said, entry_of, flat, said, said_of
+from flintridge.membership.member_table import Life
+from flintridge.replication.entry import Dot, Entry, Key, Writer
+from flintridge.replication.messages import Held, Said, entry_of, flat, said, said_of
+from flintridge.replication.replica import Copy, Standing
 
 FAN = 6  # lives that each process tells of what is new to it; the comparison brings it to those that are left
 AT_ONCE = 3  # of them without waiting for the next datagram
--- a/flintridge/replica/words.py
+++ b/flintridge/replication/messages.py
@@ -10,8 +10,8 @@
 import msgspec
 from msgspec import Meta
 
-from flintridge.replica.copy import Ask, Slice
-from flintridge.replica.entry import Entry, Key, Seen, Version, Writer
+from flintridge.replication.entry import Entry, Key, Seen, Version, Writer
+from flintridge.replication.replica import Ask, Slice
 
 PIECE = 24 * 1024  # bytes of entries in a piece of an exchange, about
 MOST_VERSIONS = 1024
--- a/flintridge/replica/copy.py
+++ b/flintridge/replication/replica.py
@@ -15,8 +15,8 @@
 from enum import IntEnum
 from typing import NamedTuple, Self
 
-from flintridge.replica.entry import Dot, Entry, Key, Seen, Version, Writer, merge, winner, written
-from flintridge.replica.types import Refused
+from flintridge.replication.entry import Dot, Entry, Key, Seen, Version, Writer, merge, winner, written
+from flintridge.replication.value_types import Refused
 
 SHIFT = 16  # bits of a stamp below its milliseconds
 SLICE = 16 * 1024  # bytes of entries in a slice, about; a bucket is never cut
--- a/flintridge/net/clock.py
+++ b/flintridge/runtime/clock.py
@@ -31,7 +31,7 @@
 
     def call_at(self, at: float, call: Callable[..., None], *args: object) -> Timer: ...
 
-    def came_since(self) -> float:
+    def arrived_since(self) -> float:
         """No byte that is read in this turn of the event loop had come before this instant."""
 
 
@@ -81,16 +81,16 @@
     def call_at(self, at: float, call: Callable[..., None], *args: object) -> Timer:
         return self._loop.call_at(at / 1000, call, *args)
 
-    def came_since(self) -> float:
+    def arrived_since(self) -> float:
         return self.now() if self._turns is None else self._turns.since * 1000
 
 
-class OutOfTime(Exception):
+class DeadlineExceededError(Exception):
     """What was waited for did not come within its limit."""
 
 
 async def within(clock: Clock, limit: float, awaited: Awaitable[T]) -> T:
-    """The result of `awaited`, or OutOfTime after `limit` milliseconds of this clock."""
+    """The result of `awaited`, or DeadlineExceededError after `limit` milliseconds of this clock."""
     task = asyncio.current_task()
     assert task is not None
     late = False
@@ -105,7 +105,7 @@
         return await awaited
     except asyncio.CancelledError:
         if late and not task.uncancel():  # else whoever started this task gave it up as well
-            raise OutOfTime from None
+            raise DeadlineExceededError from None
         raise
     finally:
         timer.cancel()
--- a/flintridge/net/listen.py
+++ b/flintridge/runtime/listener.py
@@ -8,7 +8,7 @@
 from array import array
 from collections.abc import Awaitable, Callable
 
-from flintridge.net.streams import CountingReader
+from flintridge.runtime.streams import CountingReader
 from flintridge.settings import Address
 
 # In one go asyncio accepts as many as it is told to let wait, before any of them can be turned away. Guards
@@ -23,11 +23,11 @@
 Accepted = Callable[[asyncio.StreamReader, asyncio.StreamWriter], Awaitable[None]]
 
 
-class NotListening(OSError):
+class ListenError(OSError):
     """A listener that could not be opened; its text is one line for the operator."""
 
 
-class Listening:
+class Listener:
     """An open listener."""
 
     def __init__(self, server: asyncio.Server, accepted: Accepted) -> None:
@@ -111,8 +111,8 @@
     return asyncio.StreamReaderProtocol(CountingReader(loop), accepted, loop=loop)
 
 
-async def open_listener(accepted: Accepted, address: Address, shared: bool) -> Listening:
-    """`shared`: another process of the same user may listen there as well. Raises NotListening."""
+async def open_listener(accepted: Accepted, address: Address, shared: bool) -> Listener:
+    """`shared`: another process of the same user may listen there as well. Raises ListenError."""
     try:
         loop = asyncio.get_running_loop()
         server = await loop.create_server(
@@ -124,7 +124,7 @@
         )
     except OSError as error:
         reason = os.strerror(error.errno) if error.errno else str(error)
-        raise NotListening(f"{address.host}:{address.port}: {reason}") from error
+        raise ListenError(f"{address.host}:{address.port}: {reason}") from error
     for listener in server.sockets:
         if (number := listener.fileno()) >= 0:
             with socket.socket(fileno=os.dup(number)) as same:
@@ -133,4 +133,4 @@
                     # What a process that has left by now chose for the others holds no longer.
                     with contextlib.suppress(OSError):
                         same.setsockopt(socket.SOL_SOCKET, DETACH_CHOICE, 0)
-    return Listening(server, accepted)
+    return Listener(server, accepted)
--- a/flintridge/net/siblings.py
+++ b/flintridge/runtime/worker_processes.py
@@ -9,13 +9,13 @@
 import os
 from collections.abc import Callable
 
-from flintridge.net.clock import Clock, Timer
-from flintridge.net.log import EventLog
+from flintridge.runtime.clock import Clock, Timer
+from flintridge.telemetry.log import EventLog
 
 LOOK = 250.0  # between two looks at who lives
 
 
-class Siblings:
+class WorkerProcesses:
     """How many processes of this node live, this one included. Times are float milliseconds of `clock`."""
 
     def __init__(self, folder: str, clock: Clock, log: EventLog, changed: Callable[[int], None]) -> None:
--- a/flintridge/settings.py
+++ b/flintridge/settings.py
@@ -12,35 +12,35 @@
 
 EFFECTS = {"retryable": api.Effect.SAFE, "dedup": api.Effect.KEYED, "fragile": api.Effect.UNSAFE}
 
-# Names in the settings -> names in api.py; whatever is not named here is skipped.
+# Names in the settings -> names in `flintridge.api`; whatever is not named here is skipped.
 CLASS_KEYS = {
     "name": "name",
-    "sloNs": "aim_ns",
+    "sloNs": "latency_objective_ns",
     "hardLimitNs": "deadline_ns",
-    "points": "worth",
-    "lateShare": "late_share",
+    "points": "priority_weight",
+    "lateShare": "late_weight_fraction",
     "effect": "effect",
-    "group": "group",
-    "windowNs": "window_ns",
+    "group": "deduplication_scope",
+    "windowNs": "deduplication_window_ns",
     "stream": "stream",
-    "aimStretch": "aim_stretch",
+    "aimStretch": "objective_work_factor",
 }
 TENANT_KEYS = {"name": "name", "quotaPerS": "quota_per_s", "share": "share"}
 RULE_KEYS = {
     "answerSlackNs": "answer_slack_ns",
-    "askWithinNs": "ask_within_ns",
+    "askWithinNs": "poll_interval_ns",
     "drainGraceNs": "drain_grace_ns",
-    "coldShare": "cold_share",
-    "coldNs": "cold_ns",
-    "fallMultiple": "fall_multiple",
-    "fallNs": "fall_ns",
+    "coldShare": "slow_start_fraction",
+    "coldNs": "slow_start_ns",
+    "fallMultiple": "overload_multiple",
+    "fallNs": "overload_window_ns",
 }
 LIMIT_KEYS = {
     "attemptsCap": "max_attempts",
-    "parallelTries": "second_copies",
+    "parallelTries": "hedged_requests",
     "cancel": "cancel",
-    "probes": "probes",
-    "mayTell": "peers",
+    "probes": "health_checks",
+    "mayTell": "peer_messages",
     "retryAfter": "retry_after",
     "maxRetryAfterNs": "max_retry_after_ns",
     "maxOpen": "max_open",
@@ -73,7 +73,7 @@
     "fleetSize": "fleet_size",
     "selfIndex": "self_index",
     "zone": "zone",
-    "overShareWorth": "over_share_worth",
+    "overShareWorth": "over_quota_weight",
 }
 
 
@@ -85,13 +85,13 @@
     values = _known(config, CLASS_KEYS)
     if "effect" in values:
         values["effect"] = EFFECTS[values["effect"]]
-    if "group" in values:
-        values["group"] = api.Group(values["group"])
+    if "deduplication_scope" in values:
+        values["deduplication_scope"] = api.DeduplicationScope(values["deduplication_scope"])
     return api.RequestClass(**values)
 
 
 def settings_from(config: dict[str, Any]) -> api.Settings:
-    """The settings an instance is given; absent keys take the defaults of api.py."""
+    """The settings an instance is given; absent keys take the defaults of `flintridge.api`."""
     family = config.get("familyInfo", {})
     values = _known(config, TOP_KEYS)
     if config.get("services"):
@@ -103,11 +103,11 @@
         limits=api.Limits(**_known(config.get("permissions", {}), LIMIT_KEYS)),
         prices=api.Prices(**_known(config.get("prices", {}), PRICE_KEYS)),
         goal=api.Goal(**_known(config.get("goal", {}), GOAL_KEYS)),
-        discovery=api.Discovery(config.get("discovery", "pushed")),
+        discovery=api.DiscoveryMode(config.get("discovery", "pushed")),
         mode=api.CacheMode(family.get("mode", "through")),
         origin_kind=family.get("originKind", -1),
-        report=api.ReportHow(config.get("report", {}).get("how", "none")),
-        worth_by_work=config.get("worthBy") == "work",
+        load_reporting=api.LoadReporting(config.get("report", {}).get("how", "none")),
+        weight_by_work=config.get("worthBy") == "work",
     )
 
 
--- a/flintridge/benchlink.py
+++ b/flintridge/simulator_adapter.py
@@ -7,7 +7,7 @@
 from typing import TextIO
 
 from flintridge import api
-from flintridge.decide import Balancer
+from flintridge.policy.balancer import Balancer
 from flintridge.settings import settings_from
 
 OUTCOMES = {
@@ -18,15 +18,15 @@
     "C": api.Outcome.CONNECT_FAILED,
     "R": api.Outcome.RESET,
     "X": api.Outcome.CANCELLED,
-    "N": api.Outcome.MOOT,
+    "N": api.Outcome.WITHDRAWN,
     "M": api.Outcome.MISS,
 }
-STATES = {"IN": api.MemberState.READY, "LAME": api.MemberState.DRAINING, "OUT": api.MemberState.GONE}
+STATES = {"IN": api.EndpointState.READY, "LAME": api.EndpointState.DRAINING, "OUT": api.EndpointState.GONE}
 LISTS = {
-    "patch": api.ListKind.DELTA,
-    "whole": api.ListKind.FULL,
-    "stale_copy": api.ListKind.CACHED,
-    "broken": api.ListKind.FAILED,
+    "patch": api.UpdateKind.DELTA,
+    "whole": api.UpdateKind.FULL,
+    "stale_copy": api.UpdateKind.CACHED,
+    "broken": api.UpdateKind.FAILED,
 }
 
 
@@ -40,12 +40,14 @@
     return {name: float(value) for name, value in (pair.split(":") for pair in text.split(","))}
 
 
-def decode_member(line: str) -> api.Member:
+def decode_member(line: str) -> api.Endpoint:
     mark, state, server, weight, cell, kind, started, zone = line.split(" ")
     if mark != "M":
         raise ValueError("a list entry was expected")
     weight_value = 1.0 if weight == "-" else float(weight)
-    return api.Member(server, STATES[state], weight_value, _int(cell), _int(kind), _int(started), _int(zone))
+    return api.Endpoint(
+        server, STATES[state], weight_value, _int(cell), _int(kind), _int(started), _int(zone)
+    )
 
 
 def decode_event(line: str, more: Iterator[str]) -> api.Event:
@@ -54,10 +56,10 @@
     part = rest.split(" ")[1:]
     if name == "QUERY":
         uid, retry, deadline, write, key, tenant, cls, hint, size = part
-        return api.Request(
+        return api.RequestReceived(
             id=uid,
             deadline=int(deadline),
-            cls=_int(cls),
+            class_index=_int(cls),
             key=None if key == "-" else key,
             write=write == "1",
             tenant=_int(tenant),
@@ -74,7 +76,7 @@
             outcome=OUTCOMES[ending],
             latency_ns=_int(wait),
             final=last == "1",
-            note=None if note == "-" else int(note),
+            cache_status=None if note == "-" else int(note),
             load=_gauge(gauge),
         )
     if name == "BELL":
@@ -84,15 +86,15 @@
         members = tuple(map(decode_member, itertools.islice(more, _int(count))))
         if len(members) < _int(count):
             raise ValueError("the list ends early")
-        return api.MemberList(LISTS[kind], _int(version), members)
+        return api.EndpointUpdate(LISTS[kind], _int(version), members)
     if name == "FIRST":
         uid, trial, wait, server = part
         return api.StreamStarted(uid, int(trial), server, _int(wait))
     if name == "CANCELLED_BY_CLIENT":
-        return api.ClientGone(part[0])
+        return api.ClientDisconnected(part[0])
     if name == "CHECK_RESULT":
         server, ending, wait, gauge = part
-        return api.Probed(server, OUTCOMES[ending], _int(wait), _gauge(gauge))
+        return api.HealthCheckEnded(server, OUTCOMES[ending], _int(wait), _gauge(gauge))
     if name == "INBOX":
         return api.PeerMessage(int(part[0]), bytes.fromhex("" if part[1] == "-" else part[1]))
     raise ValueError(f"unknown event {name!r}")
@@ -106,19 +108,19 @@
             return f"TIMER {inst} {at} {token}"
         case api.Cancel(uid, attempt):
             return f"RETRACT {inst} {uid} {attempt}"
-        case api.Refuse(uid, retry_after):
+        case api.Reject(uid, retry_after):
             return f"REFUSE {inst} {uid} {retry_after}"
         case api.Fail(uid):
             return f"END_FAILED {inst} {uid}"
         case api.Watch(on):
             return f"WATCH {inst} {int(on)}"
-        case api.FetchList():
+        case api.FetchEndpoints():
             return f"LOOKUP {inst}"
-        case api.Probe(server):
+        case api.CheckHealth(server):
             return f"INSPECT {inst} {server}"
-        case api.CloseIdle(server):
+        case api.CloseIdleConnections(server):
             return f"LET_GO {inst} {server}"
-        case api.TellPeer(to, data):
+        case api.SendToPeer(to, data):
             return f"WRITE_PEER {inst} {'*' if to is None else to} {data.hex() or '-'}"
         case api.Log(text):
             return f"SAY_LOG {inst} {' '.join(text.split())}"
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -12,31 +12,37 @@
 def settings(**changes) -> api.Settings:
     values = {
         "classes": (
-            api.RequestClass(name="read", aim_ns=500 * MS, deadline_ns=2 * S),
+            api.RequestClass(name="read", latency_objective_ns=500 * MS, deadline_ns=2 * S),
             api.RequestClass(
-                name="keyed", aim_ns=S, deadline_ns=3 * S, effect=api.Effect.KEYED, window_ns=400 * MS
+                name="keyed",
+                latency_objective_ns=S,
+                deadline_ns=3 * S,
+                effect=api.Effect.KEYED,
+                deduplication_window_ns=400 * MS,
+            ),
+            api.RequestClass(
+                name="unsafe", latency_objective_ns=S, deadline_ns=3 * S, effect=api.Effect.UNSAFE
             ),
-            api.RequestClass(name="unsafe", aim_ns=S, deadline_ns=3 * S, effect=api.Effect.UNSAFE),
         ),
         "rules": api.Rules(
             answer_slack_ns=20 * MS,
             drain_grace_ns=500 * MS,
-            cold_share=0.3,
-            cold_ns=10 * S,
-            fall_multiple=3.0,
-            fall_ns=S,
+            slow_start_fraction=0.3,
+            slow_start_ns=10 * S,
+            overload_multiple=3.0,
+            overload_window_ns=S,
         ),
         "limits": api.Limits(max_attempts=4, cancel=True),
-        "discovery": api.Discovery.ON_REQUEST,
+        "discovery": api.DiscoveryMode.POLLED,
         "mode": api.CacheMode.ASIDE,
         "origin_kind": ORIGIN_KIND,
     }
     return api.Settings(**(values | changes))
 
 
-def members(count: int, **changes) -> tuple[api.Member, ...]:
-    caches = tuple(api.Member(f"10.0.0.{i}:80", **changes) for i in range(count))
-    return (*caches, api.Member("10.9.9.9:80", kind=ORIGIN_KIND))
+def members(count: int, **changes) -> tuple[api.Endpoint, ...]:
+    caches = tuple(api.Endpoint(f"10.0.0.{i}:80", **changes) for i in range(count))
+    return (*caches, api.Endpoint("10.9.9.9:80", kind=ORIGIN_KIND))
 
 
 class Router:
@@ -51,7 +57,7 @@
         self.answers: dict[str, api.Action] = {}
         self.timers: list[tuple[int, int]] = []
         self.sends: list[api.Send] = []
-        self.first = self.tell(api.MemberList(api.ListKind.CACHED, 1, members(count)))
+        self.first = self.tell(api.EndpointUpdate(api.UpdateKind.CACHED, 1, members(count)))
 
     def tell(self, event: api.Event) -> list[api.Action]:
         actions = self.balancer.handle(self.now, event)
@@ -62,7 +68,7 @@
                 self.tries[action.id] = attempt + 1
                 self.out[action.id, attempt] = (action.server, self.now)
                 self.sends.append(action)
-            elif isinstance(action, (api.Refuse, api.Fail)):
+            elif isinstance(action, (api.Reject, api.Fail)):
                 assert action.id not in self.answers, "two final answers"
                 self.answers[action.id] = action
             elif isinstance(action, api.SetTimer):
@@ -74,7 +80,7 @@
         uid = f"r{self.next_id}"
         deadline = changes.pop("deadline", self.now + self.settings.classes[cls].deadline_ns)
         self.deadlines[uid] = deadline
-        self.tell(api.Request(uid, deadline, cls, key, **changes))
+        self.tell(api.RequestReceived(uid, deadline, cls, key, **changes))
         return uid
 
     def server_of(self, uid: str) -> str:
--- a/tests/net_helpers.py
+++ b/tests/net_helpers.py
@@ -8,22 +8,25 @@
 from hypothesis import settings as hypothesis_settings
 
 from flintridge import api
-from flintridge.net.clock import NS
-from flintridge.net.counters import Counters
-from flintridge.net.envelope import Envelope, Served
-from flintridge.net.log import Log
+from flintridge.core.request import Request
+from flintridge.core.response import Response
+from flintridge.runtime.clock import NS
+from flintridge.telemetry.counters import Counters
+from flintridge.telemetry.log import Log
 
 FIXED = hypothesis_settings(derandomize=True, deadline=None, database=None, max_examples=150)
 SETTINGS = api.Settings(
     classes=(
         api.RequestClass(name="read", deadline_ns=2000 * NS),
-        api.RequestClass(name="put", deadline_ns=3000 * NS, effect=api.Effect.KEYED, window_ns=2500 * NS),
+        api.RequestClass(
+            name="put", deadline_ns=3000 * NS, effect=api.Effect.KEYED, deduplication_window_ns=2500 * NS
+        ),
     ),
     tenants=(api.Tenant(name="acme"),),
     limits=api.Limits(max_attempts=3, cancel=True, retry_after=True, max_retry_after_ns=2000 * NS),
     mode=api.CacheMode.ASIDE,
     origin_kind=1,
-    discovery=api.Discovery.ON_REQUEST,
+    discovery=api.DiscoveryMode.POLLED,
 )
 
 
@@ -39,7 +42,7 @@
     def now(self) -> float:
         return self.at
 
-    def came_since(self) -> float:
+    def arrived_since(self) -> float:
         return self.at - self.behind
 
     def from_unix(self, unix_ms: float) -> float:
@@ -66,7 +69,7 @@
 
 
 class Passing:
-    """A Passage that remembers; `open` lets pieces through."""
+    """A streamed response that remembers; `open` lets pieces through."""
 
     def __init__(self, length: int) -> None:
         self.length = length
@@ -75,7 +78,7 @@
         self.open.set()
         self.ended: str | None = None
 
-    async def room(self) -> None:
+    async def wait_writable(self) -> None:
         await self.open.wait()
 
     def write(self, pieces: list[bytes]) -> None:
@@ -85,37 +88,39 @@
         assert self.ended is None
         self.ended = "whole"
 
-    def cut(self) -> None:
+    def abort(self) -> None:
         assert self.ended is None
         self.ended = "cut"
 
 
 class Replies:
-    """A Reply that remembers."""
+    """A responder that remembers."""
 
     def __init__(self) -> None:
         self.said: list = []
 
-    def look(self) -> None:
+    def check_client(self) -> None:
         """Its client stays."""
 
-    def served(self, served: Served) -> None:
-        self.said.append(served.body)
+    def respond(self, response: Response) -> None:
+        self.said.append(response.body)
 
-    def begin(self, length: int) -> "Passing":
+    def start_stream(self, length: int) -> "Passing":
         self.said.append(passing := Passing(length))
         return passing
 
-    def defer(self, retry_after_ms: float) -> None:
+    def reject(self, retry_after_ms: float) -> None:
         self.said.append(("busy", retry_after_ms))
 
-    def failed(self) -> None:
+    def fail(self) -> None:
         self.said.append("failed")
 
 
-def envelope(uid: str = "a1", value: bytes | None = None, wait: float | None = 480.0, **changes) -> Envelope:
-    extras = b"c=read,t=acme,d=480,k=5c0f"
-    return Envelope(uid.encode(), b"key7", extras, (16, 19), value, wait_ms=wait, **changes)
+def make_request(
+    uid: str = "a1", value: bytes | None = None, wait: float | None = 480.0, **changes
+) -> Request:
+    options = b"c=read,t=acme,d=480,k=5c0f"
+    return Request(uid.encode(), b"key7", options, (16, 19), value, timeout_ms=wait, **changes)
 
 
 def quiet() -> tuple[Log, Counters]:
--- a/tests/test_benchlink.py
+++ b/tests/test_benchlink.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from flintridge import api, benchlink
+from flintridge import api, simulator_adapter
 
 ROOT = Path(__file__).resolve().parent.parent
 CONFIG = {
@@ -25,7 +25,7 @@
 
 def run(text: str, hash_seed: str = "0") -> subprocess.CompletedProcess:
     return subprocess.run(
-        [sys.executable, "-m", "flintridge.benchlink"],
+        [sys.executable, "-m", "flintridge.simulator_adapter"],
         input=text,
         capture_output=True,
         text=True,
@@ -96,7 +96,7 @@
 
 
 def test_a_broken_module_is_reported_as_a_panic(monkeypatch):
-    host = benchlink.Host()
+    host = simulator_adapter.Host()
     host.batch(1, iter([f"PROVISION 0 1 {json.dumps(CONFIG)}"]))
     monkeypatch.setattr(host.instances[0], "handle", lambda now, event: 1 // 0)
     assert host.batch(2, iter(["BELL 0 1"])) == [
@@ -106,20 +106,20 @@
 
 def test_events_become_api_events():
     none = iter(())
-    decode = benchlink.decode_event
-    assert decode("QUERY 0 u 1 9 1 - 2 0 - -", none) == api.Request("u", 9, 0, None, True, 2, True)
+    decode = simulator_adapter.decode_event
+    assert decode("QUERY 0 u 1 9 1 - 2 0 - -", none) == api.RequestReceived("u", 9, 0, None, True, 2, True)
     assert decode("VERDICT 0 u 1 0 s:1 5 2 M util:0.5,new_field:2", none) == api.AttemptEnded(
         "u", 2, "s:1", api.Outcome.MISS, 5, False, 1, {"util": 0.5, "new_field": 2.0}
     )
     assert decode("FIRST 0 u 1 5 s:1", none) == api.StreamStarted("u", 1, "s:1", 5)
-    assert decode("CANCELLED_BY_CLIENT 0 u", none) == api.ClientGone("u")
-    assert decode("CHECK_RESULT 0 s:1 S 7 queue:3", none) == api.Probed(
+    assert decode("CANCELLED_BY_CLIENT 0 u", none) == api.ClientDisconnected("u")
+    assert decode("CHECK_RESULT 0 s:1 S 7 queue:3", none) == api.HealthCheckEnded(
         "s:1", api.Outcome.OK, 7, {"queue": 3.0}
     )
     assert decode("INBOX 0 1 6869", none) == api.PeerMessage(1, b"hi")
     assert decode("BELL 0 77", none) == api.TimerFired(77)
-    assert decode("FLEET 0 patch 3 1", iter(["M LAME s:1 1.5 4 1 - 2"])) == api.MemberList(
-        api.ListKind.DELTA, 3, (api.Member("s:1", api.MemberState.DRAINING, 1.5, 4, 1, 0, 2),)
+    assert decode("FLEET 0 patch 3 1", iter(["M LAME s:1 1.5 4 1 - 2"])) == api.EndpointUpdate(
+        api.UpdateKind.DELTA, 3, (api.Endpoint("s:1", api.EndpointState.DRAINING, 1.5, 4, 1, 0, 2),)
     )
 
 
@@ -127,34 +127,34 @@
     lines = {
         api.Send("u", "s:1", 5): "TRANSMIT 3 u s:1 5",
         api.Cancel("u", 1): "RETRACT 3 u 1",
-        api.Refuse("u", 9): "REFUSE 3 u 9",
+        api.Reject("u", 9): "REFUSE 3 u 9",
         api.Fail("u"): "END_FAILED 3 u",
         api.SetTimer(7, 2): "TIMER 3 7 2",
         api.Watch(False): "WATCH 3 0",
-        api.FetchList(): "LOOKUP 3",
-        api.Probe("s:1"): "INSPECT 3 s:1",
-        api.CloseIdle("s:1"): "LET_GO 3 s:1",
-        api.TellPeer(None, b"hi"): "WRITE_PEER 3 * 6869",
+        api.FetchEndpoints(): "LOOKUP 3",
+        api.CheckHealth("s:1"): "INSPECT 3 s:1",
+        api.CloseIdleConnections("s:1"): "LET_GO 3 s:1",
+        api.SendToPeer(None, b"hi"): "WRITE_PEER 3 * 6869",
         api.Log("two\nlines"): "SAY_LOG 3 two lines",
     }
-    assert {a: benchlink.encode_action(3, a) for a in lines} == lines
+    assert {a: simulator_adapter.encode_action(3, a) for a in lines} == lines
 
 
 def test_absent_settings_take_the_documented_defaults():
-    assert benchlink.settings_from({}) == api.Settings()
-    known = benchlink.settings_from(CONFIG)
+    assert simulator_adapter.settings_from({}) == api.Settings()
+    known = simulator_adapter.settings_from(CONFIG)
     assert known.limits.max_attempts == 4 and known.origin_kind == 2
 
 
 @pytest.mark.parametrize(
     ("make", "name"),
     [
-        (lambda: api.RequestClass(aim_ns=-1), "aim_ns"),
+        (lambda: api.RequestClass(latency_objective_ns=-1), "latency_objective_ns"),
         (lambda: api.RequestClass(effect="retryable"), "effect"),
-        (lambda: api.Rules(cold_ns=-5), "cold_ns"),
+        (lambda: api.Rules(slow_start_ns=-5), "slow_start_ns"),
         (lambda: api.Settings(fleet_size=-1), "fleet_size"),
         (lambda: api.Limits(max_attempts="many"), "max_attempts"),
-        (lambda: api.Rules(cold_share=float("nan")), "cold_share"),
+        (lambda: api.Rules(slow_start_fraction=float("nan")), "slow_start_fraction"),
     ],
 )
 def test_invalid_settings_name_the_field(make, name):
@@ -164,13 +164,13 @@
 
 def test_the_goal_of_later_sites_is_taken_and_a_bad_value_is_named():
     goal = {"whole": 0.35, "tail": 0.2, "tailSlack": 0.02, "availability": 0.3, "fullAtNines": 3}
-    taken = benchlink.settings_from(CONFIG | {"goal": goal}).goal
+    taken = simulator_adapter.settings_from(CONFIG | {"goal": goal}).goal
     assert (taken.whole, taken.tail, taken.tail_slack) == (0.35, 0.2, 0.02)
     assert (taken.availability, taken.full_at_nines) == (0.3, 3)
-    assert benchlink.settings_from(CONFIG).goal == api.Goal()
+    assert simulator_adapter.settings_from(CONFIG).goal == api.Goal()
     for key, field in (("tailSlack", "tail_slack"), ("fullAtNines", "full_at_nines")):
         with pytest.raises(ValueError, match=field):
-            benchlink.settings_from(CONFIG | {"goal": {key: -1}})
+            simulator_adapter.settings_from(CONFIG | {"goal": {key: -1}})
     config = json.dumps(CONFIG | {"goal": {"tailSlack": "few"}})
     done = run(f"CLOCK 5\nPROVISION 0 7 {config}\nYOUR_TURN\n")
     assert done.returncode == 1 and "tail_slack" in done.stderr
--- a/tests/test_budgets.py
+++ b/tests/test_budgets.py
@@ -4,10 +4,10 @@
 
 import pytest
 
-from flintridge.budgets.holding import Ask, Give, Grant, Holding, Terms
 from flintridge.lab.defects.lending import LENDING
 from flintridge.lab.explore import explore
 from flintridge.lab.explore.leases import SPEEDS, Leases, Left
+from flintridge.leases.allocation import Ask, Give, Grant, Holding, Terms
 
 TERMS = Terms(part=100, floor=40, lease=1000.0, drift=0.02)
 A, B = ("a", 1), ("b", 2)
--- a/tests/test_budgets_ledger.py
+++ b/tests/test_budgets_ledger.py
@@ -7,13 +7,13 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from flintridge.budgets.holding import Ask, Give, Grant, Terms
-from flintridge.budgets.ledger import AGAIN, CHUNK, FLOORS, MOST_WORDS, PART, TRIES, Budget, Ledger
-from flintridge.budgets.pace import Level, Pace
-from flintridge.budgets.words import Said, decode, encode, flat, mark_of, word_of
 from flintridge.lab.defects.lending import CreditBeforeDebit, LeaseFromArrival, LoansForgotten
 from flintridge.lab.partial.lending import QUOTA, Lenders, random_day
 from flintridge.lab.partial.machines import Link
+from flintridge.leases.allocation import Ask, Give, Grant, Terms
+from flintridge.leases.demand import Level, Pace
+from flintridge.leases.lease_manager import AGAIN, CHUNK, FLOORS, MOST_WORDS, PART, TRIES, Budget, Ledger
+from flintridge.leases.messages import Said, decode, encode, flat, mark_of, word_of
 
 TERMS = Terms(PART, floor=250, lease=4_000.0)
 OLD = -1e9  # begun long ago
--- a/tests/test_cli_ring.py
+++ b/tests/test_cli_ring.py
@@ -12,7 +12,7 @@
 from flintridge.cli.main import main
 from flintridge.cli.ring_lists import read
 from flintridge.cli.ring_shares import WHOLE, arcs, counted, entries, lengths, numbered, steps, top_weight
-from flintridge.ring import POINTS
+from flintridge.policy.hash_ring import POINTS
 
 ROOT = Path(__file__).resolve().parent.parent
 SERVERS = str(ROOT / "examples" / "servers.json")
@@ -54,11 +54,11 @@
     file = listed(tmp_path / "l.json", *[member(f"s{i}", w) for i, w in enumerate(weights)])
     fleet = read(file)
     node = Balancer(api.Settings(), seed=1)
-    caches = tuple(api.Member(cache.id, weight=cache.weight) for cache in fleet.caches)
-    node.handle(0, api.MemberList(api.ListKind.FULL, 1, caches))
+    caches = tuple(api.Endpoint(cache.id, weight=cache.weight) for cache in fleet.caches)
+    node.handle(0, api.EndpointUpdate(api.UpdateKind.FULL, 1, caches))
     sent = dict.fromkeys((cache.id for cache in fleet.caches), 0)
     for i in range(300):
-        actions = node.handle(10**7 * i, api.Request(str(i), 10**7 * i + 10**9, key=f"key:{i}"))
+        actions = node.handle(10**7 * i, api.RequestReceived(str(i), 10**7 * i + 10**9, key=f"key:{i}"))
         (send,) = [action for action in actions if isinstance(action, api.Send)]
         assert send.server == next(steps(fleet, f"key:{i}")).cache.id
         sent[send.server] += 1
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -21,9 +21,9 @@
 from flintridge.config.contradictions import contradictions
 from flintridge.config.faults import ConfigFaults, decode, decode_raw
 from flintridge.config.model import NodeFile
+from flintridge.discovery.endpoint_list import EndpointList, configured_endpoints
 from flintridge.lab.scenario.load import dump, load, names
 from flintridge.lab.scenario.model import Scenario
-from flintridge.net.transport_map import TransportMap, known_list
 from flintridge.settings import ConfigError, load_config
 
 ROOT = Path(__file__).resolve().parent.parent
@@ -252,7 +252,7 @@
     class Still:
         from_unix = staticmethod(float)
 
-    known_list(config, TransportMap(config.zones, config.kinds, config.settings, Still()))
+    configured_endpoints(config, EndpointList(config.zones, config.kinds, config.settings, Still()))
 
 
 @play
--- a/tests/test_console.py
+++ b/tests/test_console.py
@@ -18,8 +18,8 @@
 from flintridge.fronts.console import MAX_BODY, MAX_HEAD, ConsoleExchange
 from flintridge.lab import virtual
 from flintridge.net.console import CALL_TIME, Console
-from flintridge.net.listen import NotListening, open_listener
 from flintridge.net.parting import PARTING
+from flintridge.runtime.listener import ListenError, open_listener
 from flintridge.settings import Address, ConfigError, node_config
 
 HEALTH = b"GET /admin/health HTTP/1.1\r\nHost: n1\r\n\r\n"
@@ -144,7 +144,7 @@
             taken.bind(("127.0.0.1", 0))
             taken.listen()
             port = taken.getsockname()[1]
-            with pytest.raises(NotListening, match=rf"127.0.0.1:{port}: Address already in use"):
+            with pytest.raises(ListenError, match=rf"127.0.0.1:{port}: Address already in use"):
                 await Console(routes(), HandClock(), log, counters).listen(Address("127.0.0.1", port))
 
     asyncio.run(test())
--- a/tests/test_departures.py
+++ b/tests/test_departures.py
@@ -5,8 +5,8 @@
 from helpers import MS, Router, S, members
 
 from flintridge import api
-from flintridge.api import ListKind, MemberState, Outcome
-from flintridge.decide import HEALTHY, LEAST_SHARE, SICK, Gate
+from flintridge.api import EndpointState, Outcome, UpdateKind
+from flintridge.policy.balancer import HEALTHY, LEAST_SHARE, SICK, Gate
 
 
 def rounds(gate: Gate, now: int, slow: bool, count: int = 40) -> int:
@@ -42,7 +42,7 @@
     waiting = [u for u in uids if u not in router.tries]
     assert waiting
     router.pass_time(500 * MS)
-    assert all(isinstance(router.answers[u], api.Refuse) for u in waiting)
+    assert all(isinstance(router.answers[u], api.Reject) for u in waiting)
 
 
 def test_a_slow_spell_does_not_teach_that_a_class_is_hopeless():
@@ -56,8 +56,11 @@
 
 
 def test_worthier_requests_get_the_next_place():
-    classes = (api.RequestClass(worth=1.0, aim_ns=S), api.RequestClass(worth=8.0, aim_ns=S))
-    router = Router(count=2, classes=classes, worth_by_work=True)
+    classes = (
+        api.RequestClass(priority_weight=1.0, latency_objective_ns=S),
+        api.RequestClass(priority_weight=8.0, latency_objective_ns=S),
+    )
+    router = Router(count=2, classes=classes, weight_by_work=True)
     first = [router.ask(f"k{i}", deadline=router.now + S) for i in range(4)]
     plain = router.ask("plain", 0)
     worthy = router.ask("worthy", 1)
@@ -69,7 +72,7 @@
 
 def test_a_tenant_beyond_its_quota_waits_behind():
     tenants = (api.Tenant("flood", 2.0), api.Tenant("calm", 2.0))
-    router = Router(count=2, tenants=tenants, over_share_worth=0.05, fleet_size=50)
+    router = Router(count=2, tenants=tenants, over_quota_weight=0.05, fleet_size=50)
     first = [router.ask(f"k{i}", tenant=0) for i in range(20)]
     calm = router.ask("calm", tenant=1)
     flood = router.ask("flood", tenant=0)  # newer, so first among equals
@@ -85,9 +88,9 @@
         first = router.ask("k", work_ns=changes.get("work_ns"))
         assert first not in router.tries and blockers
         router.pass_time(500 * MS)
-        assert isinstance(router.answers[first], api.Refuse)
+        assert isinstance(router.answers[first], api.Reject)
         again = router.ask("k", **changes)
-        assert isinstance(router.answers.get(again), api.Refuse)
+        assert isinstance(router.answers.get(again), api.Reject)
         other = router.ask("other", **changes)
         assert other not in router.answers
 
@@ -162,12 +165,12 @@
 def test_a_key_has_one_place_in_all_zones_in_calm_and_in_trouble():
     """Copies in each zone cost the origin as many times the fetches; a fleet that took them in calm and
     changed to one ring in trouble missed nearly all of its keys just when the origin had no room."""
-    listed = tuple(api.Member(f"10.0.{z}.{i}:80", zone=z) for z in range(3) for i in range(4))
+    listed = tuple(api.Endpoint(f"10.0.{z}.{i}:80", zone=z) for z in range(3) for i in range(4))
     places: list[list[str]] = []
     for zone in range(3):
         for trouble in (False, True):
             router = Router(count=1, prices=api.Prices(cross_zone=0.06), zone=zone)
-            router.tell(api.MemberList(ListKind.FULL, 2, listed))
+            router.tell(api.EndpointUpdate(UpdateKind.FULL, 2, listed))
             if trouble:
                 router.balancer.origin.narrowed_at = router.balancer.caches.narrowed_at = router.now
             asked = []
@@ -277,10 +280,10 @@
 def test_what_is_beyond_quotas_yields_first():
     """With one request out at each of many routers, waiting order alone cannot protect the others' share."""
     tenants = (api.Tenant("flood", 2.0), api.Tenant("calm", 2.0))
-    router = Router(count=2, tenants=tenants, over_share_worth=0.05, fleet_size=50)
+    router = Router(count=2, tenants=tenants, over_quota_weight=0.05, fleet_size=50)
     router.balancer.spare = 0.0
     flood = [router.ask(f"k{i}", tenant=0) for i in range(20)]
-    refused = [uid for uid in flood if isinstance(router.answers.get(uid), api.Refuse)]
+    refused = [uid for uid in flood if isinstance(router.answers.get(uid), api.Reject)]
     assert 0 < len(refused) < 20 and refused == flood[-len(refused) :]
     assert router.ask("calm", tenant=1) not in router.answers
 
@@ -345,7 +348,7 @@
     router.pass_time(440 * MS)
     assert waiting not in router.answers
     router.pass_time(20 * MS)
-    assert isinstance(router.answers[waiting], api.Refuse)
+    assert isinstance(router.answers[waiting], api.Reject)
 
 
 def test_a_refusal_says_when_to_come_again_by_the_line_and_within_the_settings():
@@ -369,7 +372,7 @@
     router.ask("k0")
     waiting = router.ask("k1", deadline=router.now + 1000 * MS)
     router.pass_time(460 * MS)
-    assert router.answers[waiting] == api.Refuse(waiting, 0)
+    assert router.answers[waiting] == api.Reject(waiting, 0)
 
 
 def test_the_walk_ends_once_no_server_is_left_also_after_a_failure():
@@ -404,13 +407,15 @@
     kept = members(3)
     sizes = []
     for i in range(60):
-        new = api.Member(f"new-{i}:80")
-        router.tell(api.MemberList(ListKind.DELTA, 2 + i, (new,)))
+        new = api.Endpoint(f"new-{i}:80")
+        router.tell(api.EndpointUpdate(UpdateKind.DELTA, 2 + i, (new,)))
         for j in range(12):
             router.ask(f"k{i}-{j}")
-        gone = [api.Member(new.server, MemberState.GONE)]
+        gone = [api.Endpoint(new.server, EndpointState.GONE)]
         router.tell(
-            api.MemberList(*((ListKind.FULL, 2 + i, kept) if i % 2 else (ListKind.DELTA, 2 + i, gone)))
+            api.EndpointUpdate(
+                *((UpdateKind.FULL, 2 + i, kept) if i % 2 else (UpdateKind.DELTA, 2 + i, gone))
+            )
         )
         router.pass_time(30 * MS)
         for uid, _ in list(router.out):
@@ -427,12 +432,12 @@
     router = Router(count=3)
     out = router.ask("k")
     server = router.server_of(out)
-    router.tell(api.MemberList(ListKind.DELTA, 2, (api.Member(server, MemberState.GONE),)))
+    router.tell(api.EndpointUpdate(UpdateKind.DELTA, 2, (api.Endpoint(server, EndpointState.GONE),)))
     assert server in router.balancer.servers  # an attempt is out there
-    router.tell(api.MemberList(ListKind.DELTA, 3, (api.Member("new:80"),)))
+    router.tell(api.EndpointUpdate(UpdateKind.DELTA, 3, (api.Endpoint("new:80"),)))
     router.end(out, Outcome.RESET, final=True)
     assert server not in router.balancer.servers
-    router.tell(api.MemberList(ListKind.DELTA, 4, (api.Member("newer:80"),)))
+    router.tell(api.EndpointUpdate(UpdateKind.DELTA, 4, (api.Endpoint("newer:80"),)))
     names = {s: router.balancer.known[known.number] for s, known in router.balancer.servers.items()}
     assert all(s == name for s, name in names.items()) and len(names) == 5
 
@@ -541,9 +546,9 @@
     uid = router.ask(deadline=router.now + 1000 * MS)
     router.balancer.caches.limit, router.balancer.caches.starting = 0.5, False
     router.balancer.caches.next_at = router.now + 5 * S  # no place before its time is over
-    router.end(uid, Outcome.MOOT)
+    router.end(uid, Outcome.WITHDRAWN)
     router.pass_time(460 * MS)
-    assert isinstance(router.answers.get(uid), api.Refuse)
+    assert isinstance(router.answers.get(uid), api.Reject)
 
 
 def test_a_class_that_was_slow_is_tried_again_where_there_is_a_place():
@@ -553,4 +558,4 @@
     uid = router.ask(deadline=router.now + 500 * MS)  # 0.45 of it is less than half the aim
     assert router.server_of(uid) and uid not in router.answers
     late = router.ask(deadline=router.now + 100 * MS)  # but not with less time left than half its aim
-    assert isinstance(router.answers.get(late), api.Refuse)
+    assert isinstance(router.answers.get(late), api.Reject)
--- a/tests/test_drain.py
+++ b/tests/test_drain.py
@@ -8,13 +8,13 @@
 from net_helpers import FIXED, SETTINGS, HandClock, quiet, until
 from test_net_drivers import READ, Held
 
-from flintridge.drain import CEASE, LINGER, Drain, State
+from flintridge.core.lifecycle import RequestLifecycle
+from flintridge.discovery.endpoint_list import EndpointList
 from flintridge.lab import virtual
-from flintridge.net.core import Core
 from flintridge.net.parting import PARTING
 from flintridge.net.sender import FIRST_WORD, SenderSide
-from flintridge.net.transport_map import TransportMap
 from flintridge.settings import Address
+from flintridge.shutdown import CEASE, LINGER, Drain, State
 
 BUSY = b"SERVER_ERROR busy\r\n"
 CALLS = {
@@ -89,10 +89,10 @@
     def __init__(self, room: int = 64) -> None:
         self.clock = HandClock()
         log, self.counters = quiet()
-        self.core = Core(Held(), SETTINGS, self.clock, 1 << 20, log, self.counters)
-        transports = TransportMap((), (), SETTINGS, self.clock)
+        self.core = RequestLifecycle(Held(), SETTINGS, self.clock, 1 << 20, log, self.counters)
+        transports = EndpointList((), (), SETTINGS, self.clock)
         entry = {"id": "s1", "host_port": "127.0.0.1:1", "phase": "in_service"}
-        transports.take({"revision": 1, "complete": True, "members": [entry]})
+        transports.apply({"revision": 1, "complete": True, "members": [entry]})
         self.drain = Drain()
         self.side = SenderSide(
             self.core, SETTINGS, transports, self.clock, room, log, self.counters, self.drain
@@ -113,7 +113,7 @@
         self.side.ending()
 
     def answer(self, uid: str) -> None:
-        self.core._overdue(uid)
+        self.core._fail_overdue(uid)
 
 
 async def settle() -> None:
