--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -19,24 +19,26 @@
 import orjson
 import pytest
 from helpers import MS, Router
-from net_helpers import SETTINGS, HandClock, Peer, Replies, envelope, quiet, until
+from net_helpers import SETTINGS, HandClock, Peer, Replies, make_request, quiet, until
 from test_net_program import Program, cache
 
 from flintridge import api
-from flintridge.api import MemberState, Outcome
-from flintridge.drain import CEASE, LINGER
+from flintridge.api import EndpointState, Outcome
+from flintridge.core.lifecycle import RequestLifecycle
+from flintridge.core.request import UpstreamAttempt
+from flintridge.core.response import AttemptResult, Response
+from flintridge.discovery.endpoint_list import EndpointList
+from flintridge.discovery.watcher import LIST_TIME_MS
 from flintridge.lab import virtual
 from flintridge.net import delivery
-from flintridge.net.clock import NS, TurnSelector
 from flintridge.net.console import CALL_TIME, Console
-from flintridge.net.core import Core
 from flintridge.net.delivery import REST, Delivery
-from flintridge.net.envelope import Answer, DeliveryAttempt, Served
 from flintridge.net.parting import PARTING
 from flintridge.net.sender import PARTINGS, PIPELINED, SERVING, SWEEP, UNUSED, SenderSide
-from flintridge.net.transport_map import LIST_TIME, TransportMap
 from flintridge.node import Node
+from flintridge.runtime.clock import NS, TurnSelector
 from flintridge.settings import Address, NodeConfig
+from flintridge.shutdown import CEASE, LINGER
 
 SILENCE = 6_000.0  # what a silent watch misses counts as told so long after it fell silent
 
@@ -83,8 +85,8 @@
         config = NodeConfig("n1", listen, asked, seed, settings, kinds=kinds, known=known)
         self.node = Node(config, self.clock, *quiet())
 
-    def state(self, server: str) -> MemberState | None:
-        known = self.node.core._module.servers.get(server)
+    def state(self, server: str) -> EndpointState | None:
+        known = self.node.core._policy.servers.get(server)
         return known and known.member.state
 
     async def pass_until(self, true, limit: float) -> None:
@@ -107,7 +109,7 @@
 
     async def test():
         rules = api.Rules(drain_grace_ns=grace * NS)
-        settings = api.Settings(rules=rules, discovery=api.Discovery.ON_REQUEST)
+        settings = api.Settings(rules=rules, discovery=api.DiscoveryMode.POLLED)
         async with Peer(lambda _: b"") as discovery:
             alone = Alone(discovery, whole(1, s1="in_service"), settings)
             clock = alone.clock
@@ -118,9 +120,9 @@
             discovery.writers[0].write(http({"revision": 1, "complete": False, "members": []}))
             await alone.pass_until(lambda: len(discovery.got) == 2, 200)  # the call that nobody answers
             await alone.pass_until(lambda: len(discovery.got) == 3, 9_000)
-            clock.go(LIST_TIME - 100)  # discovery has many to answer
+            clock.go(LIST_TIME_MS - 100)  # discovery has many to answer
             discovery.writers[-1].write(http(whole(2, s1="terminating")))
-            await until(lambda: alone.state("s1") is MemberState.DRAINING)
+            await until(lambda: alone.state("s1") is EndpointState.DRAINING)
             assert clock.now() <= silent_at + SILENCE + grace
             await alone.node.close()
 
@@ -131,7 +133,7 @@
     """Found by another customer's settings: where lists are pushed no node asked for any."""
 
     async def test():
-        settings = api.Settings(discovery=api.Discovery.PUSHED)
+        settings = api.Settings(discovery=api.DiscoveryMode.PUSHED)
         async with Peer(lambda _: b"") as discovery:
             alone = Alone(discovery, whole(1, s1="in_service", s2="in_service"), settings)
             await alone.node.start()
@@ -139,8 +141,8 @@
             assert discovery.got[0].startswith(b"GET /api/targets HTTP/1.1\r\n")
             assert alone.state("s1") is None and not alone.node.side.serving
             discovery.writers[0].write(http(whole(7, s1="terminating", s2="in_service")))
-            await until(lambda: alone.state("s1") is MemberState.DRAINING)
-            assert alone.state("s2") is MemberState.READY and alone.node.side.serving
+            await until(lambda: alone.state("s1") is EndpointState.DRAINING)
+            assert alone.state("s2") is EndpointState.READY and alone.node.side.serving
             await alone.pass_until(lambda: len(discovery.got) == 2, 200)
             assert b"after=7&wait_ms=" in discovery.got[1]
             await alone.node.close()
@@ -153,7 +155,7 @@
     """It lies in the kernel as the next call goes out; read as its answer it would undo the drain before."""
 
     async def test():
-        settings = api.Settings(discovery=api.Discovery.ON_REQUEST)
+        settings = api.Settings(discovery=api.DiscoveryMode.POLLED)
         listener = socket.create_server(("127.0.0.1", 0))
         listener.setblocking(False)
         place = type("Place", (), {"port": listener.getsockname()[1]})
@@ -163,13 +165,13 @@
         first, _ = await loop.sock_accept(listener)
         await loop.sock_recv(first, 4096)
         first.send(http(whole(2, s1="terminating")))
-        await until(lambda: alone.state("s1") is MemberState.DRAINING)
+        await until(lambda: alone.state("s1") is EndpointState.DRAINING)
         cross(first, crossing)
         alone.clock.go(150)  # the next call is due, with no turn of the loop since
         second, _ = await loop.sock_accept(listener)
         assert b"after=2&" in await loop.sock_recv(second, 4096)
-        assert alone.state("s1") is MemberState.DRAINING
-        assert alone.node.counters["transport_map_failures"] == 0
+        assert alone.state("s1") is EndpointState.DRAINING
+        assert alone.node.counters["endpoint_list_failures"] == 0
         await alone.node.close()
         for one in (first, second, listener):
             one.close()
@@ -184,14 +186,14 @@
     async def heard_after(seed: int) -> float:
         back = False
         settings = api.Settings(
-            rules=api.Rules(drain_grace_ns=grace * NS), discovery=api.Discovery.ON_REQUEST
+            rules=api.Rules(drain_grace_ns=grace * NS), discovery=api.DiscoveryMode.POLLED
         )
         async with Peer(lambda _: http(whole(2, s1="terminating")) if back else b"") as discovery:
             alone = Alone(discovery, whole(1, s1="in_service"), settings, seed=seed)
             await alone.node.start()
             await alone.pass_until(lambda: len(discovery.got) == 6, 60_000)  # it waits for long by now
             back, began = True, alone.clock.now()  # for the next call: nobody answers this one any more
-            await alone.pass_until(lambda: alone.state("s1") is MemberState.DRAINING, 20_000)
+            await alone.pass_until(lambda: alone.state("s1") is EndpointState.DRAINING, 20_000)
             await alone.node.close()
             return alone.clock.now() - began
 
@@ -202,10 +204,10 @@
 @pytest.mark.parametrize(("discovery", "longest"), [("pushed", 500), ("on_request", 2_000)])
 def test_after_discovery_was_down_the_next_call_is_soon_where_it_counts_at_once(discovery, longest):
     """Where lists are pushed, what the agent gets at its return counts as told at that moment."""
-    router = Router(discovery=api.Discovery(discovery))
+    router = Router(discovery=api.DiscoveryMode(discovery))
     pauses = []
     for _ in range(8):
-        actions = router.tell(api.MemberList(api.ListKind.FAILED))
+        actions = router.tell(api.EndpointUpdate(api.UpdateKind.FAILED))
         (timer,) = [action for action in actions if isinstance(action, api.SetTimer)]
         pauses.append((timer.at - router.now) / MS)
         router.now = timer.at
@@ -216,7 +218,7 @@
     """No server may be sent to, so requests are refused in time and `mn` says no."""
 
     async def test():
-        settings = api.Settings(discovery=api.Discovery.ON_REQUEST)
+        settings = api.Settings(discovery=api.DiscoveryMode.POLLED)
         async with Peer(lambda _: b"") as discovery:
             alone = Alone(discovery, whole(1, s1="in_service"), settings)
             port = await alone.node.start()
@@ -231,7 +233,7 @@
             assert (await reader.readline()).startswith(b"SERVER_ERROR busy")
             await alone.pass_until(lambda: len(discovery.got) == 2, 200)
             discovery.writers[0].write(http(whole(3, s1="in_service")))
-            await until(lambda: alone.state("s1") is MemberState.READY)
+            await until(lambda: alone.state("s1") is EndpointState.READY)
             writer.write(b"mn\r\n")
             assert await reader.readline() == b"MN\r\n"
             writer.close()
@@ -242,11 +244,11 @@
 
 def test_without_discovery_a_node_goes_by_the_list_it_had_and_asks_on(play):
     async def test():
-        settings = api.Settings(discovery=api.Discovery.PUSHED)
+        settings = api.Settings(discovery=api.DiscoveryMode.PUSHED)
         async with Peer(lambda _: None) as discovery:
             alone = Alone(discovery, whole(1, s1="in_service"), settings)
             await alone.node.start()
-            await until(lambda: alone.state("s1") is MemberState.READY)
+            await until(lambda: alone.state("s1") is EndpointState.READY)
             assert alone.node.side.serving
             await alone.pass_until(lambda: len(discovery.got) == 2, 1_000)
             await alone.node.close()
@@ -278,10 +280,10 @@
     async def __aenter__(self) -> "Side":
         self.clock, self.clients = HandClock(), []
         log, self.counters = quiet()
-        self.core = Core(Held(), SETTINGS, self.clock, 1 << 20, log, self.counters)
-        transports = TransportMap((), (), SETTINGS, self.clock)
+        self.core = RequestLifecycle(Held(), SETTINGS, self.clock, 1 << 20, log, self.counters)
+        transports = EndpointList((), (), SETTINGS, self.clock)
         entry = {"id": "s1", "host_port": "127.0.0.1:1", "phase": "in_service"}
-        transports.take({"revision": 1, "complete": True, "members": [entry]})
+        transports.apply({"revision": 1, "complete": True, "members": [entry]})
         self.side = SenderSide(self.core, SETTINGS, transports, self.clock, self.room, log, self.counters)
         self.port = await self.side.listen(Address("127.0.0.1", 0))
         return self
@@ -290,7 +292,7 @@
         for client in self.clients:
             client.close()
         for uid in list(self.core._open):
-            self.core.gone(uid)
+            self.core.client_disconnected(uid)
         self.side.close()
         await turns()
 
@@ -346,7 +348,7 @@
         async with Side() as s:
             client = await s.client(READ % b"r0")
             await until(lambda: s.requests == 1)
-            s.core._overdue("r0")
+            s.core._fail_overdue("r0")
             await turns()
             client.sendall(READ % b"r1")  # no turn of the loop since: the node cannot have read it
             s.clock.go(UNUSED + 250)
@@ -383,7 +385,7 @@
             await until(lambda: s.requests == 1)
             connection._reader.feed_data = feed
             assert s.counters["connections_unused"] == 0
-            s.core._overdue("r1")
+            s.core._fail_overdue("r1")
             assert await reader.readline() == FAILED
             s.clock.go(UNUSED + 250)
             assert await reader.read() == b""
@@ -404,8 +406,8 @@
             await until(lambda: s.requests == 1)
             (connection,) = s.side._connections
             size = 16 << 20  # more than any buffer of the system takes
-            s.core._answered("r0", request := s.core._open["r0"])
-            request.reply.served(Served(b"x" * size, receipt=False))
+            s.core._mark_answered("r0", request := s.core._open["r0"])
+            request.responder.respond(Response(b"x" * size, receipt=False))
             read = connection._reader.fed
             s.clock.go(UNUSED + 250)
             assert connection._transport.get_write_buffer_size()
@@ -433,7 +435,7 @@
             await turns()
             client.sendall(READ % b"r1" + READ % b"r2")  # always the next one written
             await turns()
-            s.core._overdue("r0")
+            s.core._fail_overdue("r0")
             assert await rest(client) == FAILED
             assert s.requests == 1  # its client sends the others again elsewhere
             client.close()
@@ -469,7 +471,7 @@
             endless = await s.client(READ % b"r1")
             await until(lambda: s.requests == 2)
             for uid in ("r0", "r1"):
-                s.core._overdue(uid)
+                s.core._fail_overdue(uid)
             await turns()
             s.clock.go(UNUSED + 250)
             endless.setblocking(False)
@@ -534,7 +536,7 @@
             await until(lambda: s.requests == taken)
             await turns()
             leave(client)
-            await until(lambda: s.counters["clients_gone"] == taken)
+            await until(lambda: s.counters["clients_disconnected"] == taken)
             await until(lambda: not s.side._connections)
             assert s.requests == taken and s.core.idle
 
@@ -550,7 +552,7 @@
     """
 
     async def test():
-        settings = replace(SETTINGS, discovery=api.Discovery.ON_REQUEST)
+        settings = replace(SETTINGS, discovery=api.DiscoveryMode.POLLED)
 
         def held(data: bytes) -> bytes:
             uid = data.split(b" O")[1].split(b" ")[0]
@@ -565,7 +567,7 @@
             client = socket.create_connection(("127.0.0.1", await alone.node.start()))
             for number in range(100):  # until a connection to each server is kept: a send is written at once
                 client.sendall(READ.replace(b"key7", b"k%d" % number) % b"w%d" % number)
-                await until(lambda count=number: alone.node.counters["answers_served"] > count)
+                await until(lambda count=number: alone.node.counters["responses_served"] > count)
                 if one.connections and two.connections:
                     break
             client.setblocking(False)
@@ -584,11 +586,11 @@
                 core.submit = crossing
             else:
                 alone.node.delivery._report = crossing
-            await until(lambda: alone.node.counters["clients_gone"] == 1)
+            await until(lambda: alone.node.counters["clients_disconnected"] == 1)
             await until(lambda: not alone.node.side._connections)
             await turns()
             assert len(one.got) + len(two.got) == sent + (answer is not None) and core.idle
-            assert alone.node.counters["attempts_withheld"] == 1
+            assert alone.node.counters["attempts_expired_unsent"] == 1
             await alone.node.close()
 
     asyncio.run(test())
@@ -610,7 +612,7 @@
             leave(client)
             await turns()
             s.clock.go(SWEEP)
-            assert s.counters["clients_gone"] == PIPELINED
+            assert s.counters["clients_disconnected"] == PIPELINED
             await until(lambda: not s.side._connections)
             assert s.requests == PIPELINED
 
@@ -626,7 +628,7 @@
             client = await s.client(READ % b"r0")
             await until(lambda: s.requests == 1)
             held = weakref.ref(next(iter(s.side._connections)))
-            s.core._overdue("r0")
+            s.core._fail_overdue("r0")
             await turns()
             if leave is not gone_with_a_reset:  # closed over an unread answer it would reset as well
                 assert client.recv(100) == FAILED
@@ -699,10 +701,10 @@
 
     def __init__(self, port: int, flavor: str = "m2", monkeypatch=None) -> None:
         self.clock = HandClock()
-        self.transports = TransportMap((), ("m2", "origin"), SETTINGS, self.clock)
+        self.transports = EndpointList((), ("m2", "origin"), SETTINGS, self.clock)
         entry = {"id": "s1", "host_port": f"127.0.0.1:{port}", "flavor": flavor, "phase": "in_service"}
-        self.transports.take({"revision": 1, "complete": True, "members": [entry]})
-        self.ended: list[Answer] = []
+        self.transports.apply({"revision": 1, "complete": True, "members": [entry]})
+        self.ended: list[AttemptResult] = []
         log, self.counters = quiet()
         report = lambda attempt, answer: self.ended.append(answer)  # noqa: E731
         self.delivery = Delivery(self.transports, SETTINGS, self.clock, 8, report, log, self.counters)
@@ -727,18 +729,18 @@
 
             monkeypatch.setattr(delivery, "_open", late)
 
-    def attempt(self, uid: str = "a1", value=None, wait: float = 400.0, **limits) -> DeliveryAttempt:
+    def attempt(self, uid: str = "a1", value=None, wait: float = 400.0, **limits) -> UpstreamAttempt:
         now = self.clock.now()
         limits = {name: now + after for name, after in limits.items()}
-        return DeliveryAttempt(uid, 0, "s1", envelope(uid, value=value), now, now + wait, **limits)
+        return UpstreamAttempt(uid, 0, "s1", make_request(uid, value=value), now, now + wait, **limits)
 
-    async def carry(self, **changes) -> DeliveryAttempt:
+    async def carry(self, **changes) -> UpstreamAttempt:
         attempt = self.attempt(**changes)
         self.delivery.start(attempt)
         await asyncio.sleep(0)
         return attempt
 
-    async def answer(self, **changes) -> Answer:
+    async def answer(self, **changes) -> AttemptResult:
         count = len(self.ended)
         await self.carry(**changes)
         await until(lambda: len(self.ended) > count)
@@ -746,7 +748,7 @@
 
 
 def client_left(bench, attempt) -> None:
-    attempt.over = True  # as the core says of the attempts of a request that has ended
+    attempt.request_ended = True  # as the core says of the attempts of a request that has ended
 
 
 def grace_over(bench, attempt) -> None:
@@ -767,7 +769,10 @@
             meanwhile(bench, attempt)
             bench.up.set()
             await until(lambda: bench.ended)
-            assert bench.ended == [Answer(Outcome.MOOT)] and bench.counters["attempts_withheld"] == 1
+            assert (
+                bench.ended == [AttemptResult(Outcome.WITHDRAWN)]
+                and bench.counters["attempts_expired_unsent"] == 1
+            )
             await turns()
             assert peer.connections == 1 and peer.got == []
             assert (await bench.answer()).outcome is Outcome.OK  # the connection is as good as new
@@ -966,9 +971,9 @@
 @pytest.mark.parametrize(
     ("flavor", "first", "second", "said"),
     [
-        ("origin", origin_says(b"r1"), origin_says(b"r2"), (Outcome.OK, Served(b"r2", receipt=True))),
-        ("m2", BUSY, b"HD Oa1 cr2\r\n", (Outcome.OK, Served(b"r2", receipt=True))),
-        ("m2", FAILED, b"HD Oa1 cr2\r\n", (Outcome.OK, Served(b"r2", receipt=True))),
+        ("origin", origin_says(b"r1"), origin_says(b"r2"), (Outcome.OK, Response(b"r2", receipt=True))),
+        ("m2", BUSY, b"HD Oa1 cr2\r\n", (Outcome.OK, Response(b"r2", receipt=True))),
+        ("m2", FAILED, b"HD Oa1 cr2\r\n", (Outcome.OK, Response(b"r2", receipt=True))),
     ],
 )
 def test_a_late_second_answer_that_names_no_request_passes_for_no_other(play, flavor, first, second, said):
@@ -983,11 +988,11 @@
             await until(lambda: peer.connections == 2)
             peer.writers[0].write(first)
             await until(lambda: len(bench.ended) == 2)
-            assert (bench.ended[1].outcome, bench.ended[1].served) == said
+            assert (bench.ended[1].outcome, bench.ended[1].response) == said
             await until(lambda: bench.counters["connections_unasked"] == 1)
             bench.clock.go(REST)
             answers.append(second)
-            assert (await bench.answer(value=b"z")).served == said[1] and peer.connections == 2
+            assert (await bench.answer(value=b"z")).response == said[1] and peer.connections == 2
             await bench.delivery.close()
 
     play(test)
@@ -1013,9 +1018,9 @@
             else:
                 gone_with_a_reset(one)
             await until(lambda ended=bench.ended: ended)
-            served = Served(b"r12", receipt=value is not None)
+            served = Response(b"r12", receipt=value is not None)
             expected = (Outcome.OK, served) if orderly else (Outcome.RESET, None)
-            assert (bench.ended[0].outcome, bench.ended[0].served) == expected
+            assert (bench.ended[0].outcome, bench.ended[0].response) == expected
             await bench.delivery.close()
             listener.close()
 
@@ -1050,7 +1055,7 @@
 
 def test_what_a_turn_of_the_loop_reads_may_have_come_since_the_turn_before(monkeypatch):
     times = iter([1.0, *(2.0, 2.0), *(2.3, 2.3), *(2.3, 2.9), *(3.2, 3.2)])
-    monkeypatch.setattr("flintridge.net.clock.time.monotonic", lambda: next(times))
+    monkeypatch.setattr("flintridge.runtime.clock.time.monotonic", lambda: next(times))
     turns = TurnSelector()
     since = []
     for _ in range(4):  # at once, at once, after a wait, and at once behind that
@@ -1065,7 +1070,7 @@
     """Found by the brink days: the origin was told the client's whole time, however much of it was over."""
 
     async def test():
-        settings = replace(SETTINGS, discovery=api.Discovery.ON_REQUEST)
+        settings = replace(SETTINGS, discovery=api.DiscoveryMode.POLLED)
         async with Peer(lambda _: b"") as discovery, Peer(lambda _: b"") as one, Peer(lambda _: b"") as two:
             known = whole(1, s1="in_service", s2="in_service")
             for entry, peer, flavor in zip(known["members"], (one, two), ("m2", further), strict=True):
@@ -1120,7 +1125,7 @@
 def test_a_send_carries_how_long_its_reasons_hold():
     router = Router()
     uid = router.ask("k", cls=1)
-    grace, window = router.settings.rules.drain_grace_ns, router.settings.classes[1].window_ns
+    grace, window = router.settings.rules.drain_grace_ns, router.settings.classes[1].deduplication_window_ns
     first, sent_at = router.sends[-1], router.now
     assert (first.begin_by, first.written_by) == (sent_at + grace, math.inf)
     router.now += 10 * MS
@@ -1130,7 +1135,7 @@
     assert (again.begin_by, again.written_by) == (router.now + grace, sent_at + window)
 
 
-@pytest.mark.parametrize(("after", "answer"), [(400, api.Refuse), (401, api.Fail)])
+@pytest.mark.parametrize(("after", "answer"), [(400, api.Reject), (401, api.Fail)])
 def test_trying_again_is_called_harmless_only_while_the_window_is_open(after, answer):
     """Found in review: beyond its window a repeat runs twice, so `busy` said what is not true."""
     router = Router(limits=api.Limits(max_attempts=1))
@@ -1144,22 +1149,22 @@
     async def test():
         class Sends:
             def handle(self, now, event):
-                if isinstance(event, api.Request):
+                if isinstance(event, api.RequestReceived):
                     return [api.Send(event.id, "s1", 0, now + 100 * NS, now + 200 * NS)]
                 return []
 
-        started: list[DeliveryAttempt] = []
+        started: list[UpstreamAttempt] = []
         clock = HandClock()
         log, counters = quiet()
-        core = Core(Sends(), SETTINGS, clock, 1 << 20, log, counters)
+        core = RequestLifecycle(Sends(), SETTINGS, clock, 1 << 20, log, counters)
         driver = type("Driver", (), {"start": staticmethod(started.append)})()
         core.attach(driver, driver)
-        core.submit(envelope("a1"), Replies())
+        core.submit(make_request("a1"), Replies())
         (attempt,) = started
         assert (attempt.begin_by, attempt.written_by) == (clock.now() + 100, clock.now() + 200)
-        assert not attempt.over
-        core.gone("a1")
-        assert attempt.over
+        assert not attempt.request_ended
+        core.client_disconnected("a1")
+        assert attempt.request_ended
 
     asyncio.run(test())
 
@@ -1230,7 +1235,7 @@
             program = Program(tmp_path, {"box": box}, discovery)
             text = (
                 "import os, runpy, signal\n"
-                "from flintridge.net.log import Log\n"
+                "from flintridge.telemetry.log import Log\n"
                 "close = Log.close\n"
                 f"Log.close = lambda log: (os.kill(os.getpid(), {int(late)}), close(log))\n"
                 "runpy.run_module('flintridge', run_name='__main__')\n"
--- a/tests/test_holdings.py
+++ b/tests/test_holdings.py
@@ -33,14 +33,16 @@
     """150 a second and all nodes: 15 a second a node by right."""
     made = router()
     if part != 1.0:
-        made.tell(api.Holdings({0: part}))
+        made.tell(api.AllocationUpdate({0: part}))
     assert least <= let_in(made, 10) <= most
     assert 150 <= let_in(made, 10, tenant=1) <= 170
 
 
 def test_a_loan_ends_by_the_clock_whether_or_not_anybody_tells():
     made = router()
-    made.tell(api.Holdings({0: 4.0}, until=made.now + 5 * S, after=api.Holdings({0: 0.4})))
+    made.tell(
+        api.AllocationUpdate({0: 4.0}, valid_until=made.now + 5 * S, fallback=api.AllocationUpdate({0: 0.4}))
+    )
     assert 300 <= let_in(made, 5) <= 365
     assert let_in(made, 5) <= 0.4 * 15 * 5 + 8
     assert made.balancer.holdings.tenants == {0: 0.4}
@@ -51,16 +53,16 @@
     made = router()
     made.balancer.quotas[0] = 100.0  # a bucket deep enough to show
     let_in(made, 2)
-    made.tell(api.Holdings({0: 0.0}))
+    made.tell(api.AllocationUpdate({0: 0.0}))
     made.pass_time(60 * S)
-    made.tell(api.Holdings({0: 1.0}))
+    made.tell(api.AllocationUpdate({0: 1.0}))
     assert let_in(made, 1) <= 101
 
 
 @pytest.mark.parametrize("strict", [False, True])
 def test_what_is_beyond_a_quota_is_refused_with_room_only_where_that_is_strict(strict):
     made = router()
-    made.tell(api.Holdings(strict=strict))
+    made.tell(api.AllocationUpdate(strict_quotas=strict))
     served = let_in(made, 4, spare=1.0)
     assert served <= 4 * 15 + 15 if strict else served == 800
 
@@ -68,7 +70,7 @@
 def test_a_strict_quota_is_asked_again_at_each_try():
     """What was refused once is not beyond its quota for ever."""
     made = router()
-    made.tell(api.Holdings(strict=True))
+    made.tell(api.AllocationUpdate(strict_quotas=True))
     while (uid := made.ask("k", work_ns=MS)) not in made.answers:
         made.end(uid, Outcome.OK)
     made.pass_time(100 * MS)
@@ -79,7 +81,13 @@
     made = Router(count=4, fleet_size=100)
     gates = made.balancer.caches, made.balancer.origin
     assert [gate.floor for gate in gates] == [0.1, 0.1]
-    made.tell(api.Holdings(floors=50.0, until=made.now + S, after=api.Holdings(floors=10.0)))
+    made.tell(
+        api.AllocationUpdate(
+            concurrency_floors=50.0,
+            valid_until=made.now + S,
+            fallback=api.AllocationUpdate(concurrency_floors=10.0),
+        )
+    )
     assert [gate.floor for gate in gates] == [2.0, 2.0] and gates[0].step == 1.0
     made.pass_time(2 * S)
     made.ask("k")
@@ -88,24 +96,24 @@
 
 def test_places_bound_what_is_out_at_the_origin_and_at_the_caches():
     made = Router(count=4, mode=api.CacheMode.ASIDE)
-    made.tell(api.Holdings(origin_places=2, cache_places=3))
+    made.tell(api.AllocationUpdate(origin_permits=2, cache_permits=3))
     uids = [made.ask(f"k{i}") for i in range(10)]
     assert len(made.out) == 3
     for uid in [uid for uid in uids if made.tries.get(uid)][:3]:
         made.end(uid, Outcome.MISS, final=False)
     at_origin = [server for server, _ in made.out.values() if server == "10.9.9.9:80"]
     assert len(at_origin) == 2 and len(made.out) == 5
-    made.tell(api.Holdings(origin_places=0, cache_places=0))
+    made.tell(api.AllocationUpdate(origin_permits=0, cache_permits=0))
     waiting = made.ask("another")
     assert made.tries.get(waiting) is None
-    made.tell(api.Holdings())
+    made.tell(api.AllocationUpdate())
     made.pass_time(1 * MS)
     made.ask("one more")
     assert made.tries.get(waiting) == 1
 
 
 def test_repeats_are_a_share_of_first_attempts_and_a_rate_that_is_held():
-    held = api.Holdings({-1: 1.0}, repeats_per_s=2.0, repeat_share=0.1)
+    held = api.AllocationUpdate({-1: 1.0}, retries_per_s=2.0, retries_per_attempt=0.1)
     # 300 first attempts in 15 s: 30 by their share, 2 or 6 a second, and 8 in a row at first.
     for event, least, most in (
         (None, 300, 900),
@@ -127,12 +135,12 @@
 
 def test_the_way_to_the_origin_after_a_miss_is_no_repeat():
     made = Router(count=3)
-    made.tell(api.Holdings({-1: 0.0}, repeats_per_s=0.001))
+    made.tell(api.AllocationUpdate({-1: 0.0}, retries_per_s=0.001))
     for i in range(20):
         uid = made.ask(f"k{i}")
         made.end(uid, Outcome.MISS, final=False)
         made.end(uid, Outcome.OK)
-    assert not any(isinstance(answer, api.Refuse) for answer in made.answers.values())
+    assert not any(isinstance(answer, api.Reject) for answer in made.answers.values())
 
 
 def test_the_part_of_a_cold_servers_work_follows_what_is_held():
@@ -140,5 +148,5 @@
     made = Router(count=4, tenants=tenants, fleet_size=20)
     made.ask("k")
     even = made.balancer.own_part()
-    made.tell(api.Holdings(cold=5.0))
+    made.tell(api.AllocationUpdate(slow_start=5.0))
     assert made.balancer.own_part() == pytest.approx(5 * even)
--- a/tests/test_lab_budgets.py
+++ b/tests/test_lab_budgets.py
@@ -51,7 +51,7 @@
         self.config, self.core, self.name = self, self, name
         self.events = []
 
-    def told(self, event):
+    def notify(self, event):
         self.events.append(event)
 
 
@@ -85,10 +85,10 @@
     clock.to(1000.0)
     first = nodes[0].events[-1]
     assert first.tenants == ({0: 4.0, 1: 0.0} if dealing.tenants else {})
-    assert first.floors == (2.0 if dealing.floors else 1.0)
-    assert nodes[2].events[-1].floors == (0.0 if dealing.floors else 1.0)
+    assert first.concurrency_floors == (2.0 if dealing.floors else 1.0)
+    assert nodes[2].events[-1].concurrency_floors == (0.0 if dealing.floors else 1.0)
     clock.to(3500.0)  # nobody asked of late
-    assert nodes[0].events[-1].floors == 1.0 and len(nodes[0].events) == 3
+    assert nodes[0].events[-1].concurrency_floors == 1.0 and len(nodes[0].events) == 3
 
 
 def test_a_day_is_dealt_out_and_stays_sound():
--- a/tests/test_lab_experiment.py
+++ b/tests/test_lab_experiment.py
@@ -67,8 +67,9 @@
 
 def whose_node(scenario, seed, **_):
     """Tells whose decision module a worker runs."""
-    from flintridge import api, decide, node
+    from flintridge import api, node
     from flintridge.lab import result
+    from flintridge.policy import balancer as decide
 
     ours = [str(Path(module.__file__).parent.parent) == str(ROOT) for module in (decide, node)]
     lab_is_ours = Path(result.__file__).is_relative_to(ROOT)
@@ -146,7 +147,7 @@
     copy.mkdir()
     for part in ("__init__.py", *NODE_PARTS):
         subprocess.run(["cp", "-r", str(ROOT / "flintridge" / part), str(copy / part)], check=True)
-    with (copy / "decide.py").open("a") as file:
+    with (copy / "policy" / "balancer.py").open("a") as file:
         file.write("\nCHANGED_IN_THE_COPY = 1\n")
     a = Side(label="ours", scenario=Scenario())
     b = Side(label="copy", scenario=Scenario(), tree=str(tmp_path))
--- a/tests/test_lab_fleet.py
+++ b/tests/test_lab_fleet.py
@@ -324,9 +324,9 @@
     settings = built.settings
     assert (built.zones, built.kinds, settings.zone) == (SCENE.zones, ("big", "small", "origin"), 1)
     assert (settings.origin_kind, settings.mode.value, settings.discovery.value) == (2, "aside", "on_request")
-    assert (settings.limits.conn_idle_ns, settings.rules.ask_within_ns) == (4 * 10**9, 10**10)
+    assert (settings.limits.conn_idle_ns, settings.rules.poll_interval_ns) == (4 * 10**9, 10**10)
     assert [(t.share, t.quota_per_s) for t in settings.tenants] == [(0.75, 0.0), (0.25, 7.0)]
-    assert [(c.name, c.effect.value, c.window_ns) for c in settings.classes][1] == (
+    assert [(c.name, c.effect.value, c.deduplication_window_ns) for c in settings.classes][1] == (
         "put",
         "keyed",
         25 * 10**8,
--- a/tests/test_lab_load.py
+++ b/tests/test_lab_load.py
@@ -9,6 +9,7 @@
 from hypothesis import strategies as st
 from net_helpers import FIXED, SETTINGS
 
+from flintridge.core.request import Request
 from flintridge.lab.backend.virtual import VirtualFabric
 from flintridge.lab.load import trace
 from flintridge.lab.load.answers import AnswerReader
@@ -23,7 +24,7 @@
 from flintridge.lab.seeds import Seeds
 from flintridge.lab.truth import Truth
 from flintridge.lab.virtual import FixedLink, Network, run
-from flintridge.net.memcache import CommandParser, Envelope
+from flintridge.net.memcache import CommandParser
 
 DAY = Scenario(length_s=4, warmup_s=1, load=model.Load(rate_per_s=200, shape="bursty", swing=0.8, period_s=2))
 
@@ -112,10 +113,10 @@
     idem = "5c0f6e1a2b3d4c59" if writer.is_keyed(drawn) else ""
     made = writer.command(drawn, "9b1f03aa5c7e2d41", 480, nth, 12_500, idem)
     (read,) = CommandParser(SETTINGS).feed(made.data)
-    assert isinstance(read, Envelope)
-    assert (read.id, read.key, read.wait_ms) == (b"9b1f03aa5c7e2d41", b"menu:1a2b", 480)
+    assert isinstance(read, Request)
+    assert (read.id, read.key, read.timeout_ms) == (b"9b1f03aa5c7e2d41", b"menu:1a2b", 480)
     assert (read.retry, read.work_us, read.size) == (nth > 0, 12_500, made.fact.size)
-    assert (read.value is not None) is write and (b",k=" in read.extras) is write
+    assert (read.value is not None) is write and (b",k=" in read.options) is write
     if write:
         assert b"9b1f03aa5c7e2d41" in read.value and b"menu:1a2b" in read.value
         assert made.digest == token(read.value) and made.fact.size == len(read.value)
--- a/tests/test_lab_loopback.py
+++ b/tests/test_lab_loopback.py
@@ -402,7 +402,7 @@
         ends = [one for one in said() if one[1] == "exited"]
         assert sorted(ends) == [("n1", "exited", -9), ("n7", "exited", 2)]
         told = sorted(nodes.usage()["unexpected"])
-        assert told[0].startswith("n1 exited with -9") and "aim_ns" in told[1]
+        assert told[0].startswith("n1 exited with -9") and "latency_objective_ns" in told[1]
         assert not nodes.running("n1")
 
     on_nodes(test)
--- a/tests/test_long_values.py
+++ b/tests/test_long_values.py
@@ -5,23 +5,23 @@
 import pytest
 from hypothesis import given
 from hypothesis import strategies as st
-from net_helpers import FIXED, SETTINGS, HandClock, Passing, Peer, envelope, quiet, until
+from net_helpers import FIXED, SETTINGS, HandClock, Passing, Peer, make_request, quiet, until
 from test_net_core import Script
 from test_net_drivers import READ, Bench
 
 from flintridge.api import Outcome
+from flintridge.core.lifecycle import RequestLifecycle
+from flintridge.core.memory_budget import MemoryBudget
+from flintridge.core.request import Request
+from flintridge.discovery.endpoint_list import EndpointList
 from flintridge.lab import virtual
 from flintridge.net import memcache
-from flintridge.net.core import Core
 from flintridge.net.delivery import SERVER_SILENT, Delivery
-from flintridge.net.envelope import Envelope
 from flintridge.net.memcache import LONG, MAX_VALUE, Announced, BadCommand, CacheExchange, CommandParser
 from flintridge.net.origin import OriginExchange
 from flintridge.net.parting import SLOW_READER
-from flintridge.net.room import Room
 from flintridge.net.sender import ROOM_TIME, UNFINISHED, SenderSide
-from flintridge.net.streams import READ as READ_AT_A_TIME
-from flintridge.net.transport_map import TransportMap
+from flintridge.runtime.streams import READ as READ_AT_A_TIME
 from flintridge.settings import Address
 
 LENGTH = LONG + 5000
@@ -42,8 +42,8 @@
     for piece in pieces:
         assert answer is None
         answer = exchange.feed(piece)
-        if exchange.long is not None:
-            out.append(b"".join(exchange.long.taken()))
+        if exchange.streamed_value is not None:
+            out.append(b"".join(exchange.streamed_value.take_chunks()))
     return out, answer
 
 
@@ -52,17 +52,17 @@
 @given(CUTS)
 def test_a_long_value_comes_out_as_it_went_in_and_at_once(kind, cuts):
     cache = kind == "cache"
-    exchange = CacheExchange(envelope(), 100.0) if cache else OriginExchange(envelope(), "o:1", 100.0)
-    exchange.question()
+    exchange = CacheExchange(make_request(), 100.0) if cache else OriginExchange(make_request(), "o:1", 100.0)
+    exchange.encode_request()
     data = ANSWER if cache else HTTP
     head = data.index(VALUE[:100])
     fed, out = 0, 0
     for piece in pieces_of(data, cuts):
         answer = exchange.feed(piece)
         fed += len(piece)
-        if exchange.long is not None:
-            assert exchange.long.length == LENGTH
-            out += sum(map(len, exchange.long.taken()))
+        if exchange.streamed_value is not None:
+            assert exchange.streamed_value.length == LENGTH
+            out += sum(map(len, exchange.streamed_value.take_chunks()))
         # All that came is let out, but for the last byte until the end was seen.
         assert out == max(0, min(fed - head, LENGTH - (0 if answer else 1)))
     assert answer is not None and answer.outcome is Outcome.OK and exchange.reusable
@@ -71,23 +71,23 @@
 @FIXED
 @given(CUTS, st.sampled_from([b"XY", b"\rX", b"\n\r", b"xxxxxx"]))
 def test_a_bad_end_is_an_error_and_the_last_byte_never_goes_out(cuts, end):
-    out, answer = taken(CacheExchange(envelope(), 100.0), pieces_of(ANSWER[:-2] + end, cuts)[:])
-    assert answer is not None and answer.spoilt and answer.outcome is Outcome.ERROR
+    out, answer = taken(CacheExchange(make_request(), 100.0), pieces_of(ANSWER[:-2] + end, cuts)[:])
+    assert answer is not None and answer.malformed and answer.outcome is Outcome.ERROR
     assert b"".join(out) == VALUE[:-1]
 
 
 def test_more_than_the_answer_ends_the_connection_but_not_the_answer():
-    exchange = CacheExchange(envelope(), 100.0)
+    exchange = CacheExchange(make_request(), 100.0)
     assert exchange.feed(ANSWER + b"VA 2").outcome is Outcome.OK and not exchange.reusable
 
 
 def test_what_an_exchange_holds_of_a_long_value_is_what_it_was_just_fed():
-    exchange = CacheExchange(envelope(), 100.0)
+    exchange = CacheExchange(make_request(), 100.0)
     for piece in pieces_of(ANSWER[:-2], list(range(0, LENGTH, 1000))):
         exchange.feed(piece)
-        exchange.long and exchange.long.taken()
-        assert len(exchange._reader._buffer) == 0 or exchange.long is None
-        assert exchange.long is None or not exchange.long._pieces
+        exchange.streamed_value and exchange.streamed_value.take_chunks()
+        assert len(exchange._reader._buffer) == 0 or exchange.streamed_value is None
+        assert exchange.streamed_value is None or not exchange.streamed_value._pieces
 
 
 @pytest.mark.parametrize(
@@ -100,9 +100,9 @@
     ],
 )
 def test_what_is_no_good_long_value_does_not_go_through(head):
-    exchange = OriginExchange(envelope(), "o:1", 100.0)
+    exchange = OriginExchange(make_request(), "o:1", 100.0)
     answer = exchange.feed(head + b"x" * 70000)
-    assert exchange.long is None and answer is not None and answer.outcome is Outcome.ERROR
+    assert exchange.streamed_value is None and answer is not None and answer.outcome is Outcome.ERROR
 
 
 # Writes
@@ -125,9 +125,9 @@
             else:
                 found.append(command)
     assert announced == 2 and [type(c).__name__ for c in found] == [
-        "Envelope" if room else "PassedOver", "Hello"
+        "Request" if room else "PassedOver", "Hello"
     ] * 2  # fmt: skip
-    assert not room or all(c.value == VALUE for c in found if isinstance(c, Envelope))
+    assert not room or all(c.value == VALUE for c in found if isinstance(c, Request))
     assert parser.idle
 
 
@@ -138,20 +138,20 @@
     assert bad == BadCommand("bad data chunk", fatal=True)
 
 
-# Room
+# MemoryBudget
 
 
 def test_room_is_had_in_the_order_of_asking_or_not_in_time():
     clock, told = HandClock(), []
-    room = Room(100, clock)
-    assert room.take(80)
+    room = MemoryBudget(100, clock)
+    assert room.try_reserve(80)
     room.wait(60, 1000, lambda kept: told.append(("first", kept)))
     room.wait(10, 500, lambda kept: told.append(("second", kept)))
-    assert not room.take(5) and told == []  # it does not pass by those who wait
+    assert not room.try_reserve(5) and told == []  # it does not pass by those who wait
     clock.go(500)
     assert told == [("second", False)]
-    room.give(80)
-    assert told[1:] == [("first", True)] and room.used == 60
+    room.release(80)
+    assert told[1:] == [("first", True)] and room.reserved == 60
     room.wait(101, 1000, lambda kept: told.append(("too much", kept)))
     assert told[2:] == [("too much", False)]
 
@@ -160,7 +160,7 @@
 @given(st.lists(st.tuples(st.integers(0, 120), st.integers(0, 3)), max_size=40))
 def test_all_room_is_given_back_whatever_happens(steps):
     clock = HandClock()
-    room, held, leaving = Room(100, clock), [], []
+    room, held, leaving = MemoryBudget(100, clock), [], []
 
     def done(count):
         return lambda kept: held.append(count) if kept else None
@@ -169,16 +169,16 @@
         if step == 0:
             leaving.append(room.wait(count, 300, done(count)))
         elif step == 1 and held:
-            room.give(held.pop(0))
+            room.release(held.pop(0))
         elif step == 2 and leaving:
             leaving.pop(0)()
         else:
             clock.go(100)
-        assert 0 <= room.used <= 100 and room.used == sum(held)
+        assert 0 <= room.reserved <= 100 and room.reserved == sum(held)
     clock.go(300)
     while held:
-        room.give(held.pop())
-    assert room.used == 0 and not room._waiting
+        room.release(held.pop())
+    assert room.reserved == 0 and not room._waiting
 
 
 # The drivers
@@ -249,8 +249,8 @@
     def __init__(self, room: int) -> None:
         self.clock, self.script, self.writers = HandClock(), Script(), []
         log, self.counters = quiet()
-        self.core = Core(self.script, SETTINGS, self.clock, room, log, self.counters)
-        transports = TransportMap((), (), SETTINGS, self.clock)
+        self.core = RequestLifecycle(self.script, SETTINGS, self.clock, room, log, self.counters)
+        transports = EndpointList((), (), SETTINGS, self.clock)
         self.side = SenderSide(self.core, SETTINGS, transports, self.clock, 8, log, self.counters)
 
     async def client(self, *parts: bytes):
@@ -267,12 +267,12 @@
         self.side.close()
         self.core.close()
         await asyncio.sleep(0.1)
-        assert self.core.room.used == 0
+        assert self.core.memory_budget.reserved == 0
 
-    def reply(self, uid: str):
+    def responder(self, uid: str):
         request = self.core._open[uid]
-        self.core._answered(uid, request)
-        return request.reply
+        self.core._mark_answered(uid, request)
+        return request.responder
 
 
 def test_pieces_go_out_in_their_turn_and_a_cut_ends_the_connection():
@@ -280,24 +280,24 @@
         async with Front(1 << 20) as front:
             reader, _ = await front.client(READ % b"a1", READ % b"a2", READ % b"a3")
             await until(lambda: front.counters["requests"] == 3)
-            second = front.reply("a2").begin(10)
-            waiting = asyncio.ensure_future(second.room())
+            second = front.responder("a2").start_stream(10)
+            waiting = asyncio.ensure_future(second.wait_writable())
             await asyncio.sleep(0.1)
             assert not waiting.done()  # the first answer is still owed
-            front.reply("a1").failed()
+            front.responder("a1").fail()
             await waiting
             second.write([b"0123"])
             assert await reader.readexactly(36) == b"SERVER_ERROR failed\r\nVA 10 Oa2\r\n0123"
-            front.reply("a3").failed()
-            await second.room()
+            front.responder("a3").fail()
+            await second.wait_writable()
             second.write([b"456789"])
             second.end()
             assert await reader.readexactly(29) == b"456789\r\nSERVER_ERROR failed\r\n"
             reader, _ = await front.client(READ % b"b1")
             await until(lambda: front.counters["requests"] == 4)
-            third = front.reply("b1").begin(10)
+            third = front.responder("b1").start_stream(10)
             third.write([b"0123"])
-            third.cut()
+            third.abort()
             assert await reader.read() == b"VA 10 Ob1\r\n0123"
 
     virtual.run(test())
@@ -308,11 +308,11 @@
         async with Front(1 << 20) as front:
             reader, writer = await front.client(READ % b"a1")
             await until(lambda: front.counters["requests"] == 1)
-            passage = front.reply("a1").begin(4 << 20)
+            passage = front.responder("a1").start_stream(4 << 20)
             reader._transport.pause_reading()
             for _ in range(64):
                 passage.write([b"x" * 65536])
-            waiting = asyncio.ensure_future(passage.room())
+            waiting = asyncio.ensure_future(passage.wait_writable())
             for _ in range(4):
                 await asyncio.sleep(0.1)
                 front.clock.go(SLOW_READER - 1)
@@ -326,7 +326,7 @@
             front.clock.go(SLOW_READER)
             with pytest.raises(ConnectionError):
                 await waiting
-            passage.cut()
+            passage.abort()
             writer.close()
 
     virtual.run(test())
@@ -336,7 +336,7 @@
     async def test():
         async with Front(LENGTH + 1000) as front:
             half, half_writer = await front.client(LONG_WRITE[:5000])
-            await until(lambda: front.core.room.used == LENGTH)
+            await until(lambda: front.core.memory_budget.reserved == LENGTH)
             none, none_writer = await front.client(LONG_WRITE.replace(b"Oa1", b"Oa2"), b"mn\r\n")
             await asyncio.sleep(0.2)
             front.clock.go(ROOM_TIME)
@@ -346,18 +346,18 @@
             await asyncio.sleep(0.2)
             half_writer.write(LONG_WRITE[5000:])
             await until(lambda: front.counters["requests"] == 1)
-            assert bytes(front.core._open["a1"].envelope.value) == VALUE
-            front.core._overdue("a1")
+            assert bytes(front.core._open["a1"].request.value) == VALUE
+            front.core._fail_overdue("a1")
             assert await half.readline() == b"SERVER_ERROR failed\r\n"
             await until(lambda: front.counters["requests"] == 2)  # it had waited for its room
-            front.core._overdue("a3")
+            front.core._fail_overdue("a3")
             assert await then.readline() == b"SERVER_ERROR failed\r\n"
-            assert front.core.room.used == 0
+            assert front.core.memory_budget.reserved == 0
             gone, gone_writer = await front.client(LONG_WRITE[:90_00])
-            await until(lambda: front.core.room.used == LENGTH)
+            await until(lambda: front.core.memory_budget.reserved == LENGTH)
             front.clock.go(UNFINISHED + 250)
             assert (await gone.read()).startswith(b"CLIENT_ERROR")
-            await until(lambda: front.core.room.used == 0)
+            await until(lambda: front.core.memory_budget.reserved == 0)
             for writer in (none_writer, gone_writer):
                 writer.close()
 
@@ -371,8 +371,8 @@
             await until(lambda: front.counters["requests"] == 1)
             second, _ = await front.client(LONG_WRITE)
             assert await second.readline() == b"CLIENT_ERROR id in use\r\n"
-            assert front.core.room.used == LENGTH
-            front.core._overdue("a1")
+            assert front.core.memory_budget.reserved == LENGTH
+            front.core._fail_overdue("a1")
             assert await first.readline() == memcache.FAILED
 
     virtual.run(test())
--- a/tests/test_net_core.py
+++ b/tests/test_net_core.py
@@ -3,16 +3,16 @@
 from dataclasses import replace
 
 import pytest
-from net_helpers import SETTINGS, HandClock, Replies, envelope, quiet
+from net_helpers import SETTINGS, HandClock, Replies, make_request, quiet
 
 from flintridge import api
 from flintridge.api import Outcome
-from flintridge.net.clock import to_ns
-from flintridge.net.core import Core, IdInUse
-from flintridge.net.envelope import Answer, Served
+from flintridge.core.lifecycle import IdInUseError, RequestLifecycle
+from flintridge.core.response import AttemptResult, Response
+from flintridge.runtime.clock import to_ns
 
 HELD_BYTES = 1 << 20
-OK = Answer(Outcome.OK, Served(b"value", receipt=False))
+OK = AttemptResult(Outcome.OK, Response(b"value", receipt=False))
 
 
 class Script:
@@ -41,18 +41,18 @@
     def __init__(self) -> None:
         self.clock, self.script, self.replies = HandClock(), Script(), Replies()
         self.log, self.counters = quiet()
-        self.core = Core(self.script, SETTINGS, self.clock, HELD_BYTES, self.log, self.counters)
+        self.core = RequestLifecycle(self.script, SETTINGS, self.clock, HELD_BYTES, self.log, self.counters)
         self.attempts, self.done = [], []
         self.core.attach(self, self)
 
     def start(self, attempt) -> None:
-        attempt.give_up = lambda: self.done.append(("given up", attempt.number))
+        attempt.abort = lambda: self.done.append(("given up", attempt.number))
         self.attempts.append(attempt)
 
-    def probe(self, server, done) -> None:
-        done(Answer(Outcome.OK, load={"qps": 3.0}))
+    def check_health(self, server, done) -> None:
+        done(AttemptResult(Outcome.OK, load={"qps": 3.0}))
 
-    def close_idle(self, server) -> None:
+    def close_idle_connections(self, server) -> None:
         self.done.append(("close", server))
 
     def watch(self, on) -> None:
@@ -65,12 +65,12 @@
         self.script.answers[kind] = lambda _: list(actions)
 
     def ask(self, **changes) -> None:
-        self.core.submit(envelope(**changes), self.replies)
+        self.core.submit(make_request(**changes), self.replies)
 
     def ring(self, *actions) -> None:
         """Have the module act now."""
-        self.on(api.MemberList, *actions)
-        self.core.told(api.MemberList(api.ListKind.DELTA))
+        self.on(api.EndpointUpdate, *actions)
+        self.core.notify(api.EndpointUpdate(api.UpdateKind.DELTA))
 
 
 SEND = api.Send("a1", "s1")
@@ -78,10 +78,10 @@
 
 def test_a_request_reaches_the_module_in_its_terms():
     node = Node()
-    node.ask(value=b"v", cls=1, retry=True, work_us=12000.5, size=3.0)
+    node.ask(value=b"v", class_index=1, retry=True, work_us=12000.5, size=3.0)
     now, event = node.script.events[0]
     assert now == to_ns(10_000) and event.deadline == to_ns(10_470)  # early, for the way back
-    assert (event.id, event.key, event.write, event.cls, event.retry) == ("a1", "key7", True, 1, True)
+    assert (event.id, event.key, event.write, event.class_index, event.retry) == ("a1", "key7", True, 1, True)
     assert (event.work_ns, event.size) == (12_000_500, 3.0)
 
 
@@ -94,13 +94,13 @@
 
 def test_the_first_ok_is_passed_on_before_the_module_is_told():
     node = Node()
-    node.on(api.Request, SEND, SEND)
+    node.on(api.RequestReceived, SEND, SEND)
     node.script.answers[api.AttemptEnded] = lambda e: node.done.append(list(node.replies.said)) or []
     node.ask()
     node.clock.go(30)
     node.core.attempt_ended(node.attempts[1], OK)
     assert node.replies.said == [b"value"] and node.done == [[b"value"]]
-    node.core.attempt_ended(node.attempts[0], Answer(Outcome.OK, Served(b"second", receipt=False)))
+    node.core.attempt_ended(node.attempts[0], AttemptResult(Outcome.OK, Response(b"second", receipt=False)))
     assert node.replies.said == [b"value"]
     assert node.script.ends() == [(1, Outcome.OK, True), (0, Outcome.OK, True)]
     assert node.script.events[1][1].latency_ns == to_ns(30)
@@ -110,49 +110,49 @@
     """On a loop that stood still at the deadline the net and the attempt's end come due in one turn, and the
     attempt's task hears of it a step later: the module is to answer, which may say when to come again."""
     node = Node()
-    node.on(api.Request, SEND)
-    node.on(api.AttemptEnded, api.Refuse("a1", to_ns(300)))
+    node.on(api.RequestReceived, SEND)
+    node.on(api.AttemptEnded, api.Reject("a1", to_ns(300)))
     node.ask()
-    timed_out = Answer(Outcome.TIMEOUT)
+    timed_out = AttemptResult(Outcome.TIMEOUT)
     node.clock.call_at(10_475, node.core.attempt_ended, node.attempts[0], timed_out)  # right behind the net
     node.clock.go(475)
-    assert node.replies.said == [("busy", 300.0)] and not node.counters["answers_overdue"]
+    assert node.replies.said == [("busy", 300.0)] and not node.counters["responses_overdue"]
 
 
 def test_every_send_ends_once_also_after_the_final_answer():
     node = Node()
-    node.on(api.Request, SEND)
+    node.on(api.RequestReceived, SEND)
     node.ask()
-    node.ring(api.Refuse("a1", to_ns(9000)), api.Fail("a1"), SEND)
+    node.ring(api.Reject("a1", to_ns(9000)), api.Fail("a1"), SEND)
     assert node.replies.said == [("busy", 2000.0)]  # once, and capped by the settings
-    assert node.script.ends() == [(1, Outcome.MOOT, True)]
-    node.core.attempt_ended(node.attempts[0], Answer(Outcome.RESET))
+    assert node.script.ends() == [(1, Outcome.WITHDRAWN, True)]
+    node.core.attempt_ended(node.attempts[0], AttemptResult(Outcome.RESET))
     node.core.attempt_ended(node.attempts[0], OK)
-    assert node.script.ends() == [(1, Outcome.MOOT, True), (0, Outcome.RESET, True)]
+    assert node.script.ends() == [(1, Outcome.WITHDRAWN, True), (0, Outcome.RESET, True)]
     assert node.core.idle and len(node.attempts) == 1
 
 
 def test_sends_over_the_cap_or_too_late_are_moot_and_the_cap_counts_all():
     node = Node()
-    node.on(api.Request, SEND, SEND, SEND, SEND)
+    node.on(api.RequestReceived, SEND, SEND, SEND, SEND)
     node.ask()
-    assert node.script.ends() == [(3, Outcome.MOOT, False)] and len(node.attempts) == 3
+    assert node.script.ends() == [(3, Outcome.WITHDRAWN, False)] and len(node.attempts) == 3
     late = Node()
     late.ask(wait=0.0)
     late.ring(SEND, api.Send("a1", "s1", -5))
-    assert [outcome for _, outcome, _ in late.script.ends()] == [Outcome.MOOT, Outcome.MOOT]
+    assert [outcome for _, outcome, _ in late.script.ends()] == [Outcome.WITHDRAWN, Outcome.WITHDRAWN]
 
 
 def test_an_attempts_time_is_trimmed_to_the_deadline():
     node = Node()
-    node.on(api.Request, SEND, api.Send("a1", "s1", to_ns(100)), api.Send("a1", "s1", to_ns(9000)))
+    node.on(api.RequestReceived, SEND, api.Send("a1", "s1", to_ns(100)), api.Send("a1", "s1", to_ns(9000)))
     node.ask()
-    assert [attempt.until for attempt in node.attempts] == [10_470, 10_100, 10_470]
+    assert [attempt.deadline for attempt in node.attempts] == [10_470, 10_100, 10_470]
 
 
 def test_events_that_actions_cause_wait_their_turn():
     node = Node()  # Script itself fails on a call within a call
-    node.on(api.Request, api.Probe("s1"), api.Probe("s2"))
+    node.on(api.RequestReceived, api.CheckHealth("s1"), api.CheckHealth("s2"))
     node.ask()
     assert [getattr(e, "server", "") for _, e in node.script.events] == ["", "s1", "s2"]
     assert node.script.events[1][1].load == {"qps": 3.0}
@@ -160,7 +160,7 @@
 
 def test_a_cancel_ends_the_attempt_and_gives_it_up():
     node = Node()
-    node.on(api.Request, SEND)
+    node.on(api.RequestReceived, SEND)
     node.ask()
     node.ring(api.Cancel("a1", 0), api.Cancel("a1", 7), api.Cancel("other", 0))
     assert node.done == [("given up", 0)] and node.script.ends() == [(0, Outcome.CANCELLED, False)]
@@ -168,15 +168,15 @@
 
 def test_a_client_that_left_is_owed_nothing_but_its_attempts_end():
     node = Node()
-    node.on(api.Request, SEND)
+    node.on(api.RequestReceived, SEND)
     node.ask()
-    node.core.gone("a1")
-    node.core.gone("a1")
-    with pytest.raises(IdInUse):  # its attempt may still run: the same id must not be begun anew
+    node.core.client_disconnected("a1")
+    node.core.client_disconnected("a1")
+    with pytest.raises(IdInUseError):  # its attempt may still run: the same id must not be begun anew
         node.ask()
     node.core.attempt_ended(node.attempts[0], OK)
     assert node.replies.said == [] and node.script.ends() == [(0, Outcome.OK, True)]
-    assert sum(isinstance(e, api.ClientGone) for _, e in node.script.events) == 1
+    assert sum(isinstance(e, api.ClientDisconnected) for _, e in node.script.events) == 1
     node.ask()
 
 
@@ -191,17 +191,19 @@
 
 def test_a_module_that_breaks_or_forgets_still_leaves_an_answer_in_time():
     node = Node()
-    node.script.answers[api.Request] = lambda _: 1 // 0
+    node.script.answers[api.RequestReceived] = lambda _: 1 // 0
     node.script.handle = lambda now, event: 1 // 0
     node.ask()
-    assert node.counters["module_errors"] == 1 and node.replies.said == []
+    assert node.counters["policy_errors"] == 1 and node.replies.said == []
     node.clock.go(479)
     assert node.replies.said == ["failed"] and node.core.idle
 
 
 def test_the_other_actions_reach_their_drivers():
     node = Node()
-    node.ring(api.Watch(), api.Watch(False), api.FetchList(), api.CloseIdle("s1"), api.Log("hi"))
+    node.ring(
+        api.Watch(), api.Watch(False), api.FetchEndpoints(), api.CloseIdleConnections("s1"), api.Log("hi")
+    )
     assert node.done == [("watch", True), ("watch", False), "fetch", ("close", "s1")]
 
 
@@ -226,20 +228,20 @@
 
 def test_a_long_value_is_its_requests_one_answer_from_its_first_piece_on():
     node = Node()
-    node.on(api.Request, SEND)
+    node.on(api.RequestReceived, SEND)
     node.ask()
     (attempt,) = node.attempts
     node.clock.go(30)
 
     class Long:
-        length, answer = 100_000, Answer(Outcome.OK, note=1)
+        length, result = 100_000, AttemptResult(Outcome.OK, cache_status=1)
 
-    passage = node.core.begins(attempt, Long())
+    passage = node.core.start_stream(attempt, Long())
     assert node.replies.said == [passage] and passage.length == 100_000
     assert node.script.ends() == [(0, Outcome.OK, True)] and node.core.idle
     assert node.script.events[-1][1].latency_ns == to_ns(30)
-    node.core.attempt_ended(attempt, Answer(Outcome.RESET))  # a break on the way: nothing more is told
-    node.core.gone("a1")
+    node.core.attempt_ended(attempt, AttemptResult(Outcome.RESET))  # a break on the way: nothing more is told
+    node.core.client_disconnected("a1")
     node.clock.go(5000)
     assert len(node.script.ends()) == 1 and len(node.replies.said) == 1
-    assert node.core.begins(attempt, Long()) is None
+    assert node.core.start_stream(attempt, Long()) is None
--- a/tests/test_net_drivers.py
+++ b/tests/test_net_drivers.py
@@ -7,16 +7,17 @@
 
 import orjson
 import pytest
-from net_helpers import SETTINGS, HandClock, Peer, envelope, quiet, until
+from net_helpers import SETTINGS, HandClock, Peer, make_request, quiet, until
 
 from flintridge import api
-from flintridge.api import ListKind, Outcome
-from flintridge.drain import LINGER
+from flintridge.api import Outcome, UpdateKind
+from flintridge.core.lifecycle import RequestLifecycle
+from flintridge.core.request import UpstreamAttempt
+from flintridge.core.response import Response
+from flintridge.discovery.endpoint_list import EndpointList
+from flintridge.discovery.watcher import DiscoveryWatcher
 from flintridge.lab import virtual
-from flintridge.net.core import Core
 from flintridge.net.delivery import REST, SWEEP, Delivery
-from flintridge.net.envelope import DeliveryAttempt, Served
-from flintridge.net.log import WAITING, Log
 from flintridge.net.parting import PARTING, PARTING_BYTES, SLOW_READER
 from flintridge.net.sender import (
     BAD_COMMANDS,
@@ -29,8 +30,9 @@
     UNUSED,
     SenderSide,
 )
-from flintridge.net.transport_map import TransportMap, TransportWatch
 from flintridge.settings import Address, load_config
+from flintridge.shutdown import LINGER
+from flintridge.telemetry.log import WAITING, Log
 
 READ = b"mg key7 v O%b Pc=read,t=acme,d=480\r\n"
 VALUE = b"VA 2 Oa1\r\nok\r\n"
@@ -42,17 +44,17 @@
 
     def __init__(self, port: int, room: int = 8, flavor: str = "m2", settings=SETTINGS) -> None:
         self.clock = HandClock()
-        self.transports = TransportMap((), ("m2", "origin"), settings, self.clock)
+        self.transports = EndpointList((), ("m2", "origin"), settings, self.clock)
         entry = {"id": "s1", "host_port": f"127.0.0.1:{port}", "flavor": flavor, "phase": "in_service"}
-        self.transports.take({"revision": 1, "complete": True, "members": [entry]})
+        self.transports.apply({"revision": 1, "complete": True, "members": [entry]})
         self.ended: list = []
         log, self.counters = quiet()
         report = lambda attempt, answer: self.ended.append(answer.outcome)  # noqa: E731
         self.delivery = Delivery(self.transports, settings, self.clock, room, report, log, self.counters)
 
-    async def carry(self, value=None, wait: float = 400.0) -> DeliveryAttempt:
+    async def carry(self, value=None, wait: float = 400.0) -> UpstreamAttempt:
         now = self.clock.now()
-        attempt = DeliveryAttempt("a1", 0, "s1", envelope(value=value), now, now + wait)
+        attempt = UpstreamAttempt("a1", 0, "s1", make_request(value=value), now, now + wait)
         self.delivery.start(attempt)
         await asyncio.sleep(0)
         return attempt
@@ -124,7 +126,7 @@
             await until(lambda: bench.ended == [Outcome.TIMEOUT])
             attempt = await bench.carry()
             await until(lambda: len(peer.got) == 2)
-            attempt.give_up()
+            attempt.abort()
             await until(lambda: bench.ended[1:] == [Outcome.CANCELLED])
             await until(lambda: all(w.transport.is_closing() for w in peer.writers))
             await bench.delivery.close()
@@ -145,7 +147,7 @@
             await asyncio.sleep(0.01)
             bench.clock.go(SWEEP)
             assert await bench.outcome() is Outcome.OK and peer.connections == 3
-            bench.delivery.close_idle("s1")
+            bench.delivery.close_idle_connections("s1")
             assert await bench.outcome() is Outcome.OK and peer.connections == 4
             await bench.delivery.close()
 
@@ -176,7 +178,7 @@
             for _ in range(3):
                 await bench.carry()
             await until(
-                lambda: len(peer.got) == 2 and bench.ended == [Outcome.MOOT]
+                lambda: len(peer.got) == 2 and bench.ended == [Outcome.WITHDRAWN]
             )  # no fault of its server
             assert peer.connections == 2
             await bench.delivery.close()
@@ -211,7 +213,7 @@
             assert await bench.outcome() is Outcome.OK and len(bench.delivery._idle) == 1
             peer.writers[0].close()
             await until(lambda: not bench.delivery._idle and bench.delivery._open == 0)
-            bench.transports.take({"revision": 2, "complete": True, "members": []})
+            bench.transports.apply({"revision": 2, "complete": True, "members": []})
             assert await bench.outcome() is Outcome.CONNECT_FAILED  # unlisted by now: it never ran
             await bench.delivery.close()
 
@@ -228,7 +230,7 @@
                 bench.clock.go(REST)  # a second copy of an answer that names no request would show by then
             assert peer.connections == 1 and peer.got[0].startswith(b"GET /key7 HTTP/1.1\r\n")
             loads: list = []
-            bench.delivery.probe("s1", loads.append)
+            bench.delivery.check_health("s1", loads.append)
             await until(lambda: loads)
             assert peer.got[-1].startswith(b"GET /-/load ") and loads[0].outcome is Outcome.OK
             await bench.delivery.close()
@@ -254,31 +256,33 @@
             b"",
         ]
         async with Peer(lambda _: answers.pop(0)) as peer:
-            transports = TransportMap((), (), SETTINGS, clock)
-            transports.take({"revision": 41, "complete": True, "members": []})
-            watch = TransportWatch(Address("127.0.0.1", peer.port), transports, clock, told.append, *quiet())
+            transports = EndpointList((), (), SETTINGS, clock)
+            transports.apply({"revision": 41, "complete": True, "members": []})
+            watch = DiscoveryWatcher(
+                Address("127.0.0.1", peer.port), transports, clock, told.append, *quiet()
+            )
             watch.watch(True)
             watch.watch(True)  # never two at once
             await until(lambda: len(told) == 1)
-            assert (told[0].kind, told[0].version) == (ListKind.DELTA, 43) and len(peer.got) == 1
+            assert (told[0].kind, told[0].version) == (UpdateKind.DELTA, 43) and len(peer.got) == 1
             await until(lambda: clock.due[0][2] is not None)
             clock.go(150)  # well before the 200 ms that end a watch
             await until(lambda: len(told) == 2)
-            assert b"after=43&wait_ms=" in peer.got[1] and told[1].kind is ListKind.FAILED
+            assert b"after=43&wait_ms=" in peer.got[1] and told[1].kind is UpdateKind.FAILED
             clock.go(60_000)
             await asyncio.sleep(0.01)
             assert len(peer.got) == 2  # when to ask again is the module's decision
             watch.watch(True)
             await until(lambda: len(told) == 3)
-            assert told[2].kind is ListKind.FAILED
+            assert told[2].kind is UpdateKind.FAILED
             watch.fetch()
             await until(lambda: len(told) == 4)
-            assert b"GET /api/targets HTTP" in peer.got[3] and told[3].kind is ListKind.FULL
+            assert b"GET /api/targets HTTP" in peer.got[3] and told[3].kind is UpdateKind.FULL
             watch.watch(True)  # silence ends a call too
             await until(lambda: len(peer.got) == 5)
             clock.go(60_000)
             await until(lambda: len(told) == 5)
-            assert told[4].kind is ListKind.FAILED
+            assert told[4].kind is UpdateKind.FAILED
             await watch.close()
 
     play(test)
@@ -290,19 +294,19 @@
         whole = response(200, orjson.dumps({"revision": 3, "complete": True, "members": []}))
         answers = [response(503, b""), whole, b""]
         async with Peer(lambda _: b"") as old, Peer(lambda _: answers.pop(0)) as new:
-            transports = TransportMap((), (), SETTINGS, clock)
-            transports.take({"revision": 41, "complete": True, "members": []})
-            watch = TransportWatch(Address("127.0.0.1", old.port), transports, clock, told.append, *quiet())
+            transports = EndpointList((), (), SETTINGS, clock)
+            transports.apply({"revision": 41, "complete": True, "members": []})
+            watch = DiscoveryWatcher(Address("127.0.0.1", old.port), transports, clock, told.append, *quiet())
             watch.watch(True)
             await until(lambda: old.got)
             watch.move(Address("127.0.0.1", new.port))
             watch.watch(True)  # never two at once
             await until(lambda: told)  # without any time passing
-            assert [t.kind for t in told] == [ListKind.FAILED]
+            assert [t.kind for t in told] == [UpdateKind.FAILED]
             await until(lambda: old.writers[0].transport.is_closing())
             watch.watch(True)  # as the module asks; still there was no whole list
             await until(lambda: len(told) == 2)
-            assert (told[1].kind, told[1].version) == (ListKind.FULL, 3)
+            assert (told[1].kind, told[1].version) == (UpdateKind.FULL, 3)
             await until(lambda: clock.due[0][2] is not None)
             clock.go(150)
             await until(lambda: len(new.got) == 3)
@@ -328,8 +332,8 @@
     async def __aenter__(self) -> "Side":
         self.clock, self.kept = HandClock(), []
         log, self.counters = quiet()
-        self.core = Core(Held(), SETTINGS, self.clock, 1 << 20, log, self.counters)
-        transports = TransportMap((), (), SETTINGS, self.clock)
+        self.core = RequestLifecycle(Held(), SETTINGS, self.clock, 1 << 20, log, self.counters)
+        transports = EndpointList((), (), SETTINGS, self.clock)
         entry = {"id": "s1", "host_port": "127.0.0.1:1", "phase": "in_service"}
         self.members = {"revision": 1, "complete": True, "members": [entry]}
         self.side = SenderSide(self.core, SETTINGS, transports, self.clock, 2, log, self.counters)
@@ -339,7 +343,7 @@
 
     async def __aexit__(self, *_) -> None:
         for uid in list(self.core._open):
-            self.core.gone(uid)
+            self.core.client_disconnected(uid)
         await asyncio.sleep(0.01)
 
     async def client(self, *parts: bytes):
@@ -354,13 +358,13 @@
         async with Side() as s:
             reader, writer = await s.client(READ % b"r1", READ % b"r2", b"what\r\n", b"mn\r\n", READ % b"r1")
             await until(lambda: s.counters["requests"] == 2)
-            s.core._overdue("r2")
-            s.core._overdue("r1")
+            s.core._fail_overdue("r2")
+            s.core._fail_overdue("r1")
             said = [await reader.readline() for _ in range(5)]
             assert said[:3] == [b"SERVER_ERROR failed\r\n"] * 2 + [b"CLIENT_ERROR unknown command\r\n"]
             assert said[3] == b"SERVER_ERROR starting\r\n"  # no server is known yet
             assert said[4] == b"CLIENT_ERROR id in use\r\n"
-            s.transports.take(s.members)
+            s.transports.apply(s.members)
             writer.write(b"mn\r\nms k x Oa\r\nmn\r\n")
             assert await reader.read() == b"MN\r\nCLIENT_ERROR bad data length\r\n"  # framing lost: it ends
 
@@ -375,10 +379,10 @@
             await asyncio.sleep(0.01)
             assert s.counters["requests"] == PIPELINED
             for i in range(PIPELINED):
-                s.core._overdue(f"r{i}")
+                s.core._fail_overdue(f"r{i}")
             await until(lambda: s.counters["requests"] == PIPELINED + 5)
             writer.close()
-            await until(lambda: s.counters["clients_gone"] == 5)
+            await until(lambda: s.counters["clients_disconnected"] == 5)
             assert s.core.idle
 
     play(test)
@@ -411,7 +415,7 @@
             reader, _ = await s.client(b"mn\r\n", READ % b"r1", b"mn\r\n", READ % b"r2")
             await until(lambda: s.counters["requests"] == 2)
             for uid in ("r1", "r2"):
-                s.core._overdue(uid)
+                s.core._fail_overdue(uid)
             draining, failed = b"SERVER_ERROR draining\r\n", b"SERVER_ERROR failed\r\n"
             assert await reader.read() == (draining + failed) * 2
 
@@ -433,14 +437,14 @@
             _, late = await s.client(READ % b"r2")  # still served
             await until(lambda: s.counters["requests"] == 2)
             late.close()
-            await until(lambda: s.counters["clients_gone"] == 1)
+            await until(lambda: s.counters["clients_disconnected"] == 1)
             unused, _ = await s.client()  # came late and asks for nothing
             await until(lambda: s.counters["connections_accepted"] == 4)
             s.clock.go(SERVING - LINGER)
             await until(lambda: not s.side._listening.open)
             assert not leaving.done()
             assert await unused.read() == BUSY and not leaving.done()
-            s.core._overdue("r1")
+            s.core._fail_overdue("r1")
             assert await busy.read() == b"SERVER_ERROR failed\r\n"
             await until(lambda: s.clock.go(20) or leaving.done())
 
@@ -498,7 +502,7 @@
             reader, _ = await s.client(READ.replace(b"480", b"1999") % b"r1")
             await until(lambda: s.counters["requests"] == 1)
             s.clock.go(1900)
-            s.core._overdue("r1")
+            s.core._fail_overdue("r1")
             assert await reader.readline() == b"SERVER_ERROR failed\r\n"
             s.clock.go(UNUSED - 1)
             assert s.side._connections
@@ -532,7 +536,7 @@
         async with Side() as s:
             idle, _ = await s.client(b"mn\r\n" + READ % b"r0")
             await until(lambda: s.counters["requests"] == 1)
-            s.core._overdue("r0")
+            s.core._fail_overdue("r0")
             s.clock.go(500)
             _, new = await s.client()
             await until(lambda: s.counters["connections_accepted"] == 2)
@@ -569,8 +573,8 @@
 
             def served() -> bool:
                 for uid, request in list(s.core._open.items()):
-                    s.core._answered(uid, request)
-                    request.reply.served(Served(b"x" * 65536, receipt=False))
+                    s.core._mark_answered(uid, request)
+                    request.responder.respond(Response(b"x" * 65536, receipt=False))
                 return connection._writer.transport.get_write_buffer_size() > UNREAD
 
             await until(served)
--- a/tests/test_net_parsers.py
+++ b/tests/test_net_parsers.py
@@ -4,14 +4,14 @@
 import pytest
 from hypothesis import given
 from hypothesis import strategies as st
-from net_helpers import FIXED, SETTINGS, HandClock, envelope
+from net_helpers import FIXED, SETTINGS, HandClock, make_request
 
-from flintridge.api import ListKind, Member, MemberState, Outcome
+from flintridge.api import Endpoint, EndpointState, Outcome, UpdateKind
+from flintridge.core.response import Response
+from flintridge.discovery.endpoint_list import EndpointList
 from flintridge.net import memcache
-from flintridge.net.envelope import Served
 from flintridge.net.memcache import BadCommand, CacheExchange, CacheProbe, CommandParser, Hello
 from flintridge.net.origin import HttpExchange, OriginExchange, OriginProbe
-from flintridge.net.transport_map import TransportMap
 
 READ = b"mg key7 v Oa1 Pc=read,t=acme,d=480,h=12000,size=18\r\n"
 WRITE = b"ms key7 7 Oa2 Pc=put,t=acme,d=900,k=5c0f,r=1\r\nhe\r\nllo\r\n"
@@ -49,12 +49,12 @@
 @given(CUTS)
 def test_cut_answers_parse_as_whole(cuts):
     for make, text in (
-        (lambda: CacheExchange(envelope(), 100.0), VALUE),
+        (lambda: CacheExchange(make_request(), 100.0), VALUE),
         (CacheProbe, STATS),
-        (lambda: OriginExchange(envelope(), "o:1", 100.0), HTTP),
+        (lambda: OriginExchange(make_request(), "o:1", 100.0), HTTP),
     ):
         whole, parted = make(), make()
-        assert whole.question() == parted.question()
+        assert whole.encode_request() == parted.encode_request()
         expected = answered(whole, [text])
         assert expected is not None and expected.outcome is Outcome.OK
         assert answered(parted, [p for p in cut(text, cuts) if p]) == expected
@@ -75,26 +75,26 @@
     for command in commands(pieces):
         assert not isinstance(command, BadCommand) or command.reason.isprintable()
     exchanges = [
-        CacheExchange(envelope(), 1.0),
+        CacheExchange(make_request(), 1.0),
         CacheProbe(),
-        OriginExchange(envelope(), "o:1", 100.0),
+        OriginExchange(make_request(), "o:1", 100.0),
         OriginProbe("o"),
     ]
     for exchange in exchanges:
-        exchange.question()
+        exchange.encode_request()
         answered(exchange, [p for p in pieces if p])
         exchange.end()
-    transports = TransportMap((), (), SETTINGS, HandClock())
+    transports = EndpointList((), (), SETTINGS, HandClock())
     for piece in pieces:
         with pytest.raises(ValueError, match="list"):
-            transports.read(piece)
+            transports.parse(piece)
 
 
 def test_commands_mean_what_they_say():
     read, write, hello, *_ = commands([STREAM])
-    assert (read.id, read.key, read.wait_ms, read.work_us, read.size) == (b"a1", b"key7", 480, 12000, 18)
-    assert (read.cls, read.write, read.retry) == (0, False, False)
-    assert (write.cls, write.value, write.retry) == (1, b"he\r\nllo", True)
+    assert (read.id, read.key, read.timeout_ms, read.work_us, read.size) == (b"a1", b"key7", 480, 12000, 18)
+    assert (read.class_index, read.write, read.retry) == (0, False, False)
+    assert (write.class_index, write.value, write.retry) == (1, b"he\r\nllo", True)
     assert isinstance(hello, Hello)
 
 
@@ -127,13 +127,13 @@
 
 def test_a_command_is_passed_on_as_it_came_but_for_the_time_left():
     (read,), (write,) = commands([READ]), commands([WRITE])
-    assert b"".join(CacheExchange(read, 123.9).question()) == READ.replace(b"d=480", b"d=123")
-    assert b"".join(CacheExchange(write, 0.2).question()) == WRITE.replace(b"d=900", b"d=1")
+    assert b"".join(CacheExchange(read, 123.9).encode_request()) == READ.replace(b"d=480", b"d=123")
+    assert b"".join(CacheExchange(write, 0.2).encode_request()) == WRITE.replace(b"d=900", b"d=1")
 
 
 def test_clients_get_answers_in_client_form():
-    assert b"".join(memcache.served_parts(b"a1", Served(b"va\r\n", False))) == b"VA 4 Oa1\r\nva\r\n\r\n"
-    assert b"".join(memcache.served_parts(b"a1", Served(b"77", True))) == b"HD Oa1 c77\r\n"
+    assert b"".join(memcache.served_parts(b"a1", Response(b"va\r\n", False))) == b"VA 4 Oa1\r\nva\r\n\r\n"
+    assert b"".join(memcache.served_parts(b"a1", Response(b"77", True))) == b"HD Oa1 c77\r\n"
     assert b"".join(memcache.defer_parts(0)) == b"SERVER_ERROR busy\r\n"
     assert b"".join(memcache.defer_parts(80.2)) == b"SERVER_ERROR busy 81\r\n"
 
@@ -157,28 +157,28 @@
     ],
 )
 def test_what_a_cache_server_answers(line, outcome, note):
-    answer = CacheExchange(envelope(), 1.0).feed(line)
-    assert (answer.outcome, answer.note) == (outcome, note)
+    answer = CacheExchange(make_request(), 1.0).feed(line)
+    assert (answer.outcome, answer.cache_status) == (outcome, note)
 
 
 def test_more_than_the_answer_makes_a_connection_unfit_for_another():
-    exchange = CacheExchange(envelope(), 1.0)
+    exchange = CacheExchange(make_request(), 1.0)
     assert exchange.feed(b"EN Oa1\r\nEN").outcome is Outcome.MISS and not exchange.reusable
 
 
 def test_only_what_cannot_be_read_counts_as_spoilt_and_answers_ahead_of_the_origins_are_passed_over():
     for text in (b"VA 0 Oother\r\n\r\n", b"VA x Oa1\r\n", b"%"):
-        assert CacheExchange(envelope(), 1.0).feed(text).spoilt
-    assert not CacheExchange(envelope(), 1.0).feed(b"SERVER_ERROR failed\r\n").spoilt
+        assert CacheExchange(make_request(), 1.0).feed(text).malformed
+    assert not CacheExchange(make_request(), 1.0).feed(b"SERVER_ERROR failed\r\n").malformed
     early = b"HTTP/1.1 103 Early\r\n\r\n" * 2
     for text, spoilt in (
         (early + HTTP, False),
         (HTTP.replace(b"Srv-Load", b"Req-Id"), True),
         (b"?\r\n", True),
     ):
-        exchange = OriginExchange(envelope(), "o:1", 100.0)
-        exchange.question()
-        assert exchange.feed(text).spoilt is spoilt
+        exchange = OriginExchange(make_request(), "o:1", 100.0)
+        exchange.encode_request()
+        assert exchange.feed(text).malformed is spoilt
 
 
 @pytest.mark.parametrize(
@@ -194,20 +194,20 @@
     ],
 )
 def test_what_the_origin_answers(head, outcome):
-    exchange = OriginExchange(envelope(value=b"v"), "o:1", 123.9)
-    assert b"".join(exchange.question()) == (
+    exchange = OriginExchange(make_request(value=b"v"), "o:1", 123.9)
+    assert b"".join(exchange.encode_request()) == (
         b"PUT /key7 HTTP/1.1\r\nHost: o:1\r\nReq-Id: a1\r\nReq-Extra: c=read,t=acme,d=123,k=5c0f\r\n"
         b"Content-Length: 1\r\n\r\nv"
     )
     answer = exchange.feed(b"HTTP/1.1 " + head + b"\r\n\r\nok")
     assert (answer and answer.outcome) == outcome
     if outcome is Outcome.OK:
-        assert answer.served == Served(b"ok", receipt=True)
+        assert answer.response == Response(b"ok", receipt=True)
 
 
 def test_a_body_is_bounded():
     exchange = HttpExchange(b"GET", b"/", [(b"Host", b"o")], limit=3)
-    exchange.question()
+    exchange.encode_request()
     with pytest.raises(h11.RemoteProtocolError):
         exchange.feed(b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nabcd")
 
@@ -219,27 +219,27 @@
 
 
 def test_the_transport_map_reads_discoverys_form():
-    transports = TransportMap(("a", "b"), ("m2", "origin"), SETTINGS, HandClock())
-    members = transports.take(listed(), ListKind.CACHED)
-    assert members.kind is ListKind.CACHED and members.version == transports.revision == 41
-    assert members.members == (Member("s-5", MemberState.READY, 2.0, 3, 1, 0, 1),)
-    assert transports["s-5"].origin and transports["s-5"].address.port == 5 and transports.serving
+    transports = EndpointList(("a", "b"), ("m2", "origin"), SETTINGS, HandClock())
+    members = transports.apply(listed(), UpdateKind.CACHED)
+    assert members.kind is UpdateKind.CACHED and members.version == transports.revision == 41
+    assert members.endpoints == (Endpoint("s-5", EndpointState.READY, 2.0, 3, 1, 0, 1),)
+    assert transports["s-5"].origin and transports["s-5"].address.port == 5 and transports.any_ready
     # A restart is told by a new instant, on the node's own clock in the module's nanoseconds.
-    (restarted,) = transports.take(listed(False, up_since_ms=9500, host_port="127.0.0.1:6")).members
+    (restarted,) = transports.apply(listed(False, up_since_ms=9500, host_port="127.0.0.1:6")).endpoints
     assert restarted.started_at == 9_000_000_000 and transports["s-5"].address.port == 6
-    gone = transports.take(listed(False, phase="terminated", host_port=None))
-    assert gone.kind is ListKind.DELTA and not transports.serving and len(transports) == 0
+    gone = transports.apply(listed(False, phase="terminated", host_port=None))
+    assert gone.kind is UpdateKind.DELTA and not transports.any_ready and len(transports) == 0
 
 
 def test_the_transport_map_does_not_grow_with_servers_that_come_and_go():
-    transports = TransportMap((), ("m2",), SETTINGS, HandClock())
-    transports.take(listed())
+    transports = EndpointList((), ("m2",), SETTINGS, HandClock())
+    transports.apply(listed())
     for i in range(50):
-        transports.take(listed(False, id=f"n{i}"))
-        transports.take(listed(False, id=f"n{i}", phase="terminated"))
-        transports.take(listed(False, id=f"m{i}"))
+        transports.apply(listed(False, id=f"n{i}"))
+        transports.apply(listed(False, id=f"n{i}", phase="terminated"))
+        transports.apply(listed(False, id=f"m{i}"))
     assert len(transports) == 51
-    transports.take(listed())
+    transports.apply(listed())
     assert len(transports) == 1
 
 
@@ -247,7 +247,7 @@
     "changes", [{"phase": "odd"}, {"host_port": "nowhere"}, {"id": 5}, {"size": "big"}, {"up_since_ms": "x"}]
 )
 def test_a_malformed_list_changes_nothing(changes):
-    transports = TransportMap((), (), SETTINGS, HandClock())
+    transports = EndpointList((), (), SETTINGS, HandClock())
     with pytest.raises(ValueError, match="malformed list"):
-        transports.take(listed(**changes))
-    assert transports.revision == 0 and not transports.serving
+        transports.apply(listed(**changes))
+    assert transports.revision == 0 and not transports.any_ready
--- a/tests/test_net_program.py
+++ b/tests/test_net_program.py
@@ -95,7 +95,7 @@
                 assert discovery.got[0].startswith(b"GET /api/targets?after=41&wait_ms=")
                 program.process.send_signal(signal.SIGUSR1)
                 counters = await program.event("counters")
-                assert (counters["requests"], counters["answers_served"]) == (3, 3)
+                assert (counters["requests"], counters["responses_served"]) == (3, 3)
                 program.process.send_signal(signal.SIGTERM)
                 assert await reader.read() == b""
                 assert (await program.event("counters"))["bad_commands"] == 1
@@ -206,7 +206,7 @@
         (None, "PROXY_CONFIG"),
         ("{", "not JSON"),
         ("[]", "not a JSON object"),
-        ('{"settings": {"services": [{"sloNs": -4}]}}', "aim_ns"),
+        ('{"settings": {"services": [{"sloNs": -4}]}}', "latency_objective_ns"),
         ('{"settings": {}, "listen": "somewhere:1"}', "listen"),
         ('{"settings": {}, "listen": "127.0.0.1:0", "discovery": "127.0.0.1:1", "known": 5}', "known"),
     ],
--- a/tests/test_ordinary_path.py
+++ b/tests/test_ordinary_path.py
@@ -6,8 +6,8 @@
 from helpers import ORIGIN_KIND, Router, members
 
 from flintridge import api
-from flintridge.api import ListKind, MemberState, Outcome
-from flintridge.decide import EPSILON, MIN_CAP, place_of, points
+from flintridge.api import EndpointState, Outcome, UpdateKind
+from flintridge.policy.balancer import EPSILON, MIN_CAP, place_of, points
 
 CACHES = [m.server for m in members(5) if m.kind != ORIGIN_KIND]
 
@@ -67,11 +67,11 @@
     keys = [f"key{i}" for i in range(300)]
     before = homes(router, keys)
     lost = "10.0.0.3:80"
-    router.tell(api.MemberList(ListKind.DELTA, 2, (api.Member(lost, MemberState.GONE),)))
+    router.tell(api.EndpointUpdate(UpdateKind.DELTA, 2, (api.Endpoint(lost, EndpointState.GONE),)))
     after = homes(router, keys)
     assert lost not in after.values()
     assert all(after[k] == before[k] for k in keys if before[k] != lost)
-    router.tell(api.MemberList(ListKind.DELTA, 3, (api.Member(lost),)))
+    router.tell(api.EndpointUpdate(UpdateKind.DELTA, 3, (api.Endpoint(lost),)))
     assert homes(router, keys) == before
 
 
@@ -101,20 +101,20 @@
 
 def test_an_empty_list_is_refused_in_time_and_without_fault():
     router = Router()
-    router.tell(api.MemberList(ListKind.FULL, 2, ()))
+    router.tell(api.EndpointUpdate(UpdateKind.FULL, 2, ()))
     router.pass_time(2_000_000_000)
     uid = router.ask("k")
     router.pass_time(2_000_000_000)
-    assert isinstance(router.answers[uid], api.Refuse)
+    assert isinstance(router.answers[uid], api.Reject)
 
 
 def test_a_list_without_an_origin_ends_a_miss():
     router = Router()
-    router.tell(api.MemberList(ListKind.DELTA, 2, (api.Member("10.9.9.9:80", MemberState.GONE),)))
+    router.tell(api.EndpointUpdate(UpdateKind.DELTA, 2, (api.Endpoint("10.9.9.9:80", EndpointState.GONE),)))
     uid = router.ask("k")
     router.end(uid, Outcome.MISS)
     router.pass_time(2_000_000_000)
-    assert isinstance(router.answers[uid], api.Refuse)
+    assert isinstance(router.answers[uid], api.Reject)
 
 
 def test_a_spoilt_answer_is_asked_for_again_where_the_key_is_and_ejects_nobody():
@@ -128,21 +128,21 @@
     uid = router.ask("k")
     assert router.server_of(uid) == home
     router.now += 1_000_000
-    router.end(uid, Outcome.ERROR, spoilt=True)
+    router.end(uid, Outcome.ERROR, malformed=True)
     assert router.server_of(uid) == home
-    router.end(uid, Outcome.ERROR, spoilt=True)
+    router.end(uid, Outcome.ERROR, malformed=True)
     assert router.server_of(uid) != home  # twice is enough
     uid = router.ask("other")
     router.end(uid, Outcome.MISS)
     origin = router.server_of(uid)
-    router.end(uid, Outcome.ERROR, spoilt=True)  # it may be stored by now
+    router.end(uid, Outcome.ERROR, malformed=True)  # it may be stored by now
     router.end(uid, Outcome.MISS)
     assert router.server_of(uid) == origin
     for i in range(200):
         uid = router.ask(f"n{i}")
         router.now += 1_000_000
         spoilt = i % 25 == 24
-        router.end(uid, Outcome.ERROR if spoilt else Outcome.OK, final=True, spoilt=spoilt)
+        router.end(uid, Outcome.ERROR if spoilt else Outcome.OK, final=True, malformed=spoilt)
     router.balancer.refresh_shares()
     assert min(router.balancer.shares.values()) > 0.8
 
@@ -151,8 +151,8 @@
     """Guards small machines: with as many keys as large ones they turned a quarter of all away."""
     router = Router(count=0)
     weights = {f"10.0.0.{i}:80": 4.0 if i < 2 else 0.5 for i in range(6)}
-    listed = tuple(api.Member(s, weight=w) for s, w in weights.items())
-    router.tell(api.MemberList(ListKind.DELTA, 2, listed))
+    listed = tuple(api.Endpoint(s, weight=w) for s, w in weights.items())
+    router.tell(api.EndpointUpdate(UpdateKind.DELTA, 2, listed))
     keys = homes(router, [f"key{i}" for i in range(3000)])
     counts = {s: sum(home == s for home in keys.values()) for s in weights}
     large = counts["10.0.0.0:80"] + counts["10.0.0.1:80"]
@@ -162,5 +162,5 @@
         router.ask(f"held{i}")
     held = {s: router.balancer.servers[s].inflight for s in weights}
     assert min(held["10.0.0.0:80"], held["10.0.0.1:80"]) > max(held[s] for s in list(weights)[2:])
-    router.tell(api.MemberList(ListKind.DELTA, 3, (api.Member("10.0.0.9:80", weight=0.0),)))
+    router.tell(api.EndpointUpdate(UpdateKind.DELTA, 3, (api.Endpoint("10.0.0.9:80", weight=0.0),)))
     router.ask("no weight said")
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -11,12 +11,12 @@
 from net_helpers import FIXED
 
 from flintridge.lab.partial.machines import Link, Machines
-from flintridge.peers import presence as p
-from flintridge.peers.bucket import Bucket
-from flintridge.peers.presence import Presence
-from flintridge.peers.stream import NONCE, Ask, Exchange, Hello, Piece, Refusal
-from flintridge.peers.table import MOST_LIVES, REMEMBER, Table
-from flintridge.peers.wire import Dropped, Entry, Kind, Packet, State, Wire, size
+from flintridge.membership import failure_detector as p
+from flintridge.membership.byte_budget import Bucket
+from flintridge.membership.failure_detector import Presence
+from flintridge.membership.member_table import MOST_LIVES, REMEMBER, Table
+from flintridge.membership.messages import Dropped, Entry, Kind, Packet, State, Wire, size
+from flintridge.membership.state_exchange import NONCE, Ask, Exchange, Hello, Piece, Refusal
 
 KEY = b"k" * 32
 LIMIT = 4_000.0
--- a/tests/test_peers_config.py
+++ b/tests/test_peers_config.py
@@ -25,7 +25,7 @@
 from flintridge.lab.virtual import Network, VirtualLoop
 from flintridge.lab.world.fleet import World
 from flintridge.lab.world.links import LinkTable
-from flintridge.peers.wire import Kind
+from flintridge.membership.messages import Kind
 from flintridge.settings import Address, ConfigError, node_config
 
 ROOT = Path(__file__).resolve().parent.parent
@@ -127,7 +127,7 @@
             if field not in ("settings", "known"):
                 assert getattr(again, field) == getattr(config, field), field
         # A window and a group mean something for keyed classes alone; the platform names them for all.
-        plain = {"window_ns": 0, "group": api.Group.ALL}
+        plain = {"deduplication_window_ns": 0, "deduplication_scope": api.DeduplicationScope.ALL}
         assert again.settings.classes == tuple(
             cls if cls.effect is api.Effect.KEYED else replace(cls, **plain)
             for cls in config.settings.classes
--- a/tests/test_replica.py
+++ b/tests/test_replica.py
@@ -11,9 +11,9 @@
 from flintridge.lab.explore import explore
 from flintridge.lab.explore.copies import Copies, Left
 from flintridge.lab.partial.copying import random_day
-from flintridge.replica.copy import Copy, Limits, Standing
-from flintridge.replica.entry import Entry, Seen, Version, merge, ordered, winner, written
-from flintridge.replica.types import TABLE, Refused, checked
+from flintridge.replication.entry import Entry, Seen, Version, merge, ordered, winner, written
+from flintridge.replication.replica import Copy, Limits, Standing
+from flintridge.replication.value_types import TABLE, Refused, checked
 
 play = settings(derandomize=True, deadline=None, database=None, max_examples=100)
 NONE = {"writes": 0, "deletes": 0, "asks": 0}
--- a/tests/test_ring.py
+++ b/tests/test_ring.py
@@ -9,8 +9,8 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from flintridge import ring as module
-from flintridge.ring import MOST, POINTS, Ring, place_of, points
+from flintridge.policy import hash_ring as module
+from flintridge.policy.hash_ring import MOST, POINTS, Ring, place_of, points
 
 settings.register_profile("ring", derandomize=True, deadline=None, database=None)
 plain = settings(settings.get_profile("ring"), max_examples=60)
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -7,7 +7,7 @@
 from helpers import MS, ORIGIN_KIND, START, Router, S, members
 
 from flintridge import api
-from flintridge.api import NEVER_RAN, Effect, ListKind, MemberState, Outcome
+from flintridge.api import NEVER_EXECUTED, Effect, EndpointState, Outcome, UpdateKind
 
 FAILURES = [o for o in Outcome if o not in (Outcome.OK, Outcome.MISS)]
 
@@ -20,11 +20,11 @@
     uid = router.ask("k", cls)
     router.now += 10 * MS
     router.end(uid, outcome)
-    if effect is Effect.UNSAFE and outcome not in NEVER_RAN:
+    if effect is Effect.UNSAFE and outcome not in NEVER_EXECUTED:
         assert router.tries[uid] == 1
         assert isinstance(router.answers[uid], api.Fail)
     else:
-        assert router.tries[uid] == 2 or isinstance(router.answers[uid], api.Refuse)
+        assert router.tries[uid] == 2 or isinstance(router.answers[uid], api.Reject)
 
 
 def test_a_keyed_repeat_stays_within_its_window():
@@ -36,12 +36,16 @@
     assert uid in router.answers
 
 
-@pytest.mark.parametrize("group", [api.Group.ZONE, api.Group.CELL])
+@pytest.mark.parametrize("group", [api.DeduplicationScope.ZONE, api.DeduplicationScope.CELL])
 def test_a_keyed_repeat_stays_within_its_group(group):
-    classes = (api.RequestClass(effect=Effect.KEYED, group=group, window_ns=S, deadline_ns=3 * S),)
+    classes = (
+        api.RequestClass(
+            effect=Effect.KEYED, deduplication_scope=group, deduplication_window_ns=S, deadline_ns=3 * S
+        ),
+    )
     router = Router(classes=classes, mode=api.CacheMode.THROUGH, origin_kind=-1)
-    listed = tuple(api.Member(f"10.0.0.{i}:80", zone=i % 2, cell=i % 2) for i in range(6))
-    router.tell(api.MemberList(ListKind.FULL, 2, listed))
+    listed = tuple(api.Endpoint(f"10.0.0.{i}:80", zone=i % 2, cell=i % 2) for i in range(6))
+    router.tell(api.EndpointUpdate(UpdateKind.FULL, 2, listed))
     side = {m.server: m.zone for m in listed}
     repeated = 0
     for i in range(40):
@@ -60,9 +64,9 @@
 
 def test_a_draining_or_gone_server_gets_nothing_new():
     router = Router(count=4)
-    for state in (MemberState.DRAINING, MemberState.GONE):
+    for state in (EndpointState.DRAINING, EndpointState.GONE):
         target = router.server_of(router.ask("k"))
-        router.tell(api.MemberList(ListKind.DELTA, 2, (api.Member(target, state),)))
+        router.tell(api.EndpointUpdate(UpdateKind.DELTA, 2, (api.Endpoint(target, state),)))
         before = len(router.sends)
         for i in range(50):
             uid = router.ask(f"x{i}")
@@ -82,7 +86,7 @@
 def test_nothing_is_sent_for_a_client_that_has_gone():
     router = Router()
     uid = router.ask("k")
-    router.tell(api.ClientGone(uid))
+    router.tell(api.ClientDisconnected(uid))
     router.answers[uid] = api.Log("gone")
     router.end(uid, Outcome.MISS, final=True)
     assert router.tries[uid] == 1
@@ -90,7 +94,7 @@
 
 def test_events_for_unknown_requests_are_passed_over():
     router = Router()
-    assert router.tell(api.ClientGone("nobody")) == []
+    assert router.tell(api.ClientDisconnected("nobody")) == []
     assert router.tell(api.AttemptEnded("nobody", 0, "10.0.0.1:80", Outcome.OK, 1, True)) == []
     assert router.tell(api.StreamStarted("nobody", 0, "10.0.0.1:80")) == []
     assert router.tell(api.TimerFired(12345)) == []
@@ -105,7 +109,7 @@
         router.end(uid, Outcome.FULL)
     assert router.tries[uid] <= 3
     router.pass_time(2 * S)
-    assert isinstance(router.answers[uid], api.Refuse)
+    assert isinstance(router.answers[uid], api.Reject)
 
 
 def cold_work(router: Router, server: str, sends: list[tuple[int, str]], window: int) -> int:
@@ -120,8 +124,8 @@
         uid = router.ask(f"w{router.next_id}")
         router.pass_time(10 * MS)
         router.end(uid, Outcome.OK)
-    fresh = api.Member("10.0.1.1:80", started_at=router.now - 100 * MS)
-    router.tell(api.MemberList(ListKind.DELTA, 2, (fresh,)))
+    fresh = api.Endpoint("10.0.1.1:80", started_at=router.now - 100 * MS)
+    router.tell(api.EndpointUpdate(UpdateKind.DELTA, 2, (fresh,)))
     sends: list[tuple[int, str]] = []
     for _ in range(400):
         uid = router.ask(f"w{router.next_id}")
@@ -148,8 +152,8 @@
     """Rules 1 to 3 as invariants; the driver itself fails on a second answer or a send after the answer."""
     rng = random.Random(seed)
     tenants = (api.Tenant("a", 5.0), api.Tenant("b", 50.0))
-    router = Router(count=6, seed=seed, tenants=tenants, over_share_worth=0.1)
-    states = {m.server: MemberState.READY for m in members(6)}
+    router = Router(count=6, seed=seed, tenants=tenants, over_quota_weight=0.1)
+    states = {m.server: EndpointState.READY for m in members(6)}
     ran: dict[str, tuple[int, str]] = {}
     effects: dict[str, Effect] = {}
     told: dict[str, int] = {}
@@ -158,7 +162,7 @@
     def check_sends() -> None:
         nonlocal checked
         for send in router.sends[checked:]:
-            if states[send.server] is not MemberState.READY:
+            if states[send.server] is not EndpointState.READY:
                 assert router.now <= told[send.server] + router.settings.rules.drain_grace_ns
             if send.id in ran and effects[send.id] is not Effect.SAFE:
                 assert effects[send.id] is Effect.KEYED
@@ -185,20 +189,20 @@
             server, sent = router.out[uid, router.tries[uid] - 1]
             at_origin = server == "10.9.9.9:80"
             outcome = rng.choice([Outcome.OK] * 6 + FAILURES + ([] if at_origin else [Outcome.MISS] * 4))
-            if outcome not in NEVER_RAN:
+            if outcome not in NEVER_EXECUTED:
                 ran.setdefault(uid, (sent, server))
             router.end(uid, outcome)
         elif dice > 0.985:
             server = rng.choice(sorted(states))
-            states[server] = rng.choice(list(MemberState))
+            states[server] = rng.choice(list(EndpointState))
             kind = ORIGIN_KIND if server == "10.9.9.9:80" else 0
             router.tell(
-                api.MemberList(ListKind.DELTA, step, (api.Member(server, states[server], kind=kind),))
+                api.EndpointUpdate(UpdateKind.DELTA, step, (api.Endpoint(server, states[server], kind=kind),))
             )
             told[server] = router.now
         check_sends()
         for uid, answer in router.answers.items():
-            if isinstance(answer, api.Refuse) and effects[uid] is Effect.UNSAFE:
+            if isinstance(answer, api.Reject) and effects[uid] is Effect.UNSAFE:
                 assert uid not in ran
     router.pass_time(4 * S)
     for uid, _ in list(router.out):
@@ -210,7 +214,7 @@
 def worst_of_a_fleet(size: int, asked: int, warmed: bool, seconds: int = 3, **changes) -> int:
     """Requests that `size` routers send to one server in the worst rule window after it started, while each
     is asked `asked` times a second for the one key that is this server's."""
-    fresh = api.Member("10.0.1.1:80", started_at=START)
+    fresh = api.Endpoint("10.0.1.1:80", started_at=START)
     key = next(k for k in map(str, range(1000)) if first_server(k, fresh.server) == fresh.server)
     sent: list[int] = []
     for seed in range(size):
@@ -221,7 +225,7 @@
                 router.pass_time(100 * MS)
                 router.end(uid, Outcome.OK)
         start = replace(fresh, started_at=router.now)
-        router.tell(api.MemberList(ListKind.DELTA, 2, (start,)))
+        router.tell(api.EndpointUpdate(UpdateKind.DELTA, 2, (start,)))
         router.pass_time(seed * S // asked // size)
         began = start.started_at
         for _ in range(seconds * asked):
@@ -237,7 +241,7 @@
 
 def first_server(key: str, fresh: str, started_at: int = 0) -> str:
     router = Router(count=4, tenants=(api.Tenant("a", 1e9),))  # no budget that matters
-    router.tell(api.MemberList(ListKind.DELTA, 2, (api.Member(fresh, started_at=started_at),)))
+    router.tell(api.EndpointUpdate(UpdateKind.DELTA, 2, (api.Endpoint(fresh, started_at=started_at),)))
     return router.server_of(router.ask(key))
 
 
@@ -258,7 +262,7 @@
     """A share of less than one request must not be none, nor a fleet of one be refused."""
     assert worst_of_a_fleet(1, 20, warmed=False) >= 1
     router = Router(count=0)
-    router.tell(api.MemberList(ListKind.DELTA, 2, (api.Member("10.0.1.1:80", started_at=START),)))
+    router.tell(api.EndpointUpdate(UpdateKind.DELTA, 2, (api.Endpoint("10.0.1.1:80", started_at=START),)))
     answered = 0
     for _ in range(30):
         uid = router.ask("k")
@@ -286,7 +290,7 @@
         router = Router(count=4, seed=seed, fleet_size=size, tenants=(api.Tenant("a", 400.0),))
         for i in range(20):
             router.end(router.ask(f"w{i}", work_ns=light), Outcome.OK)
-        router.tell(api.MemberList(ListKind.DELTA, 2, (api.Member(name, started_at=START),)))
+        router.tell(api.EndpointUpdate(UpdateKind.DELTA, 2, (api.Endpoint(name, started_at=START),)))
         sent += router.server_of(router.ask(key, work_ns=heavy)) == name
     # The quotas let in 80 a second at each of five servers; the mean work is a little more than light by now.
     budget = 0.5 * 3.0 * 0.3 * 80 * 1.5 * light
--- a/tests/test_siblings.py
+++ b/tests/test_siblings.py
@@ -8,16 +8,16 @@
 import pytest
 from net_helpers import HandClock, quiet
 
-from flintridge.net.siblings import LOOK, Siblings
 from flintridge.node import Node
+from flintridge.runtime.worker_processes import LOOK, WorkerProcesses
 from flintridge.settings import LONGEST_MB, node_config
 
 HOLDER = """
 import sys
 sys.path.insert(0, "tests")
 from net_helpers import HandClock, quiet
-from flintridge.net.siblings import Siblings
-Siblings(sys.argv[1], HandClock(), quiet()[0], print).start()
+from flintridge.runtime.worker_processes import WorkerProcesses
+WorkerProcesses(sys.argv[1], HandClock(), quiet()[0], print).start()
 print("held", flush=True)
 sys.stdin.read()
 """
@@ -34,7 +34,7 @@
 
 def siblings(folder):
     clock, told = HandClock(), []
-    one = Siblings(str(folder), clock, quiet()[0], told.append)
+    one = WorkerProcesses(str(folder), clock, quiet()[0], told.append)
     one.start()
     return one, clock, told
 
@@ -92,10 +92,10 @@
     for get, whole in (
         (lambda node: node.side.room, config.client_sockets),
         (lambda node: node.delivery.room, config.server_sockets),
-        (lambda node: node.core.room.total, config.held_bytes),
+        (lambda node: node.core.memory_budget.total, config.held_bytes),
     ):
         assert sum(map(get, nodes)) <= whole and get(nodes[0]) >= whole // 2
-    assert nodes[0].core.room.total >= LONGEST_MB * 1024 * 1024
+    assert nodes[0].core.memory_budget.total >= LONGEST_MB * 1024 * 1024
     nodes[1]._siblings.close()
     clock.go(LOOK)
     assert nodes[0].side.room == config.client_sockets
--- a/tests/test_state.py
+++ b/tests/test_state.py
@@ -9,13 +9,13 @@
 from click.testing import CliRunner
 from test_budgets_config import PEERS, THREE, read
 
-from flintridge.api import ListKind, Member, MemberList, MemberState
+from flintridge.api import Endpoint, EndpointState, EndpointUpdate, UpdateKind
 from flintridge.cli.main import main
+from flintridge.discovery.overrides import EndpointOverrides
 from flintridge.fronts.console import ConsoleExchange, Taking
-from flintridge.net.transport_map import Holds
-from flintridge.replica.copy import Copy, Limits
-from flintridge.replica.spread import Spread
-from flintridge.replica.words import asked, asked_of, entry_of, flat, pieces, said_of, slice_of
+from flintridge.replication.gossip import Spread
+from flintridge.replication.messages import asked, asked_of, entry_of, flat, pieces, said_of, slice_of
+from flintridge.replication.replica import Copy, Limits
 from flintridge.settings import ConfigError, StateConfig
 
 KEY = ("hold", "s1")
@@ -99,30 +99,30 @@
     assert spreads["a"].counts["words_bad"] == 1
 
 
-# Holds over the list
+# EndpointOverrides over the list
 
 
 def test_a_held_server_is_told_as_draining_and_nothing_is_added_to_the_list():
     told = []
-    holds = Holds(told.append)
-    ready = {name: Member(name, MemberState.READY) for name in ("x", "y")}
-    holds.hold(frozenset({"x", "never listed"}))
+    holds = EndpointOverrides(told.append)
+    ready = {name: Endpoint(name, EndpointState.READY) for name in ("x", "y")}
+    holds.take_out(frozenset({"x", "never listed"}))
     assert not told
-    holds.told(MemberList(ListKind.FULL, 7, tuple(ready.values())))
-    assert [one.state for one in told[-1].members] == [MemberState.DRAINING, MemberState.READY]
-    holds.hold(frozenset({"y"}))
-    assert told[-1].kind is ListKind.DELTA and told[-1].version == 7
-    assert {one.server: one.state for one in told[-1].members} == {
-        "x": MemberState.READY,
-        "y": MemberState.DRAINING,
+    holds.apply(EndpointUpdate(UpdateKind.FULL, 7, tuple(ready.values())))
+    assert [one.state for one in told[-1].endpoints] == [EndpointState.DRAINING, EndpointState.READY]
+    holds.take_out(frozenset({"y"}))
+    assert told[-1].kind is UpdateKind.DELTA and told[-1].version == 7
+    assert {one.server: one.state for one in told[-1].endpoints} == {
+        "x": EndpointState.READY,
+        "y": EndpointState.DRAINING,
     }
-    holds.told(MemberList(ListKind.DELTA, 8, (Member("y", MemberState.GONE),)))
-    assert told[-1].members[0].state is MemberState.GONE
+    holds.apply(EndpointUpdate(UpdateKind.DELTA, 8, (Endpoint("y", EndpointState.GONE),)))
+    assert told[-1].endpoints[0].state is EndpointState.GONE
     count = len(told)
-    holds.hold(frozenset())
+    holds.take_out(frozenset())
     assert len(told) == count
-    holds.told(MemberList(ListKind.FAILED))
-    assert told[-1].kind is ListKind.FAILED
+    holds.apply(EndpointUpdate(UpdateKind.FAILED))
+    assert told[-1].kind is UpdateKind.FAILED
 
 
 # Configuration
--- a/tests/test_telemetry.py
+++ b/tests/test_telemetry.py
@@ -9,9 +9,9 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from flintridge.net.counters import Counters
-from flintridge.net.log import Log
+from flintridge.telemetry.counters import Counters
 from flintridge.telemetry.histogram import Histogram
+from flintridge.telemetry.log import Log
 from flintridge.telemetry.sampling import Sampler
 
 
