--- a/benchmarks/budgets_cold.py
+++ b/benchmarks/budgets_cold.py
@@ -33,7 +33,7 @@
 from flintridge.lab.run import play
 from flintridge.lab.scenario.load import load
 from flintridge.lab.scenario.model import Replace, Scenario, Tenant
-from flintridge.policy import balancer as decide
+from flintridge.policy import balancer
 
 MODES = {"off": [], "cold": ["peers={}", "budgets={cold=true}"]}
 AT_S, LENGTH_S, WARMUP_S, WORK_MS = 2.0, 13.0, 9.0, 60.0
@@ -76,9 +76,11 @@
         self.met: set[str] = set()
         self.walked: set[str] = set()
         self.looks = self.dealt = 0
-        asked = decide.Balancer.cold_room
+        asked = balancer.Balancer.cold_room
 
-        def cold_room(module: decide.Balancer, server: decide.Server, request: decide.Held) -> bool:
+        def cold_room(
+            module: balancer.Balancer, server: balancer.Server, request: balancer.OpenRequest
+        ) -> bool:
             free = asked(module, server, request)
             if module.warmth(server) < 1:
                 self.met.add(request.event.id)
@@ -88,8 +90,8 @@
                     self.walked.add(request.event.id)
             return free
 
-        self._undo = lambda: setattr(decide.Balancer, "cold_room", asked)
-        setattr(decide.Balancer, "cold_room", cold_room)  # noqa: B010  mypy refuses an assignment
+        self._undo = lambda: setattr(balancer.Balancer, "cold_room", asked)
+        setattr(balancer.Balancer, "cold_room", cold_room)  # noqa: B010  mypy refuses an assignment
 
     def close(self) -> None:
         self._undo()
--- a/benchmarks/budgets_cost.py
+++ b/benchmarks/budgets_cost.py
@@ -14,9 +14,9 @@
 from flintridge import api
 from flintridge.lab.partial.lending import Lenders
 from flintridge.lab.partial.machines import Machines
-from flintridge.leases.allocation import Terms
-from flintridge.leases.demand import Pace
-from flintridge.leases.driver import Budgets
+from flintridge.leases.allocation import LeaseTerms
+from flintridge.leases.demand import RequestRate
+from flintridge.leases.driver import LeaseDriver
 from flintridge.leases.lease_manager import PART
 from flintridge.policy.balancer import Balancer
 
@@ -93,8 +93,8 @@
 
 def hook() -> None:
     """`Core.seen`: one call a new request."""
-    made: Any = Budgets.__new__(Budgets)
-    made._pace, made._paces = Pace(0.0), {tenant: Pace(0.0) for tenant in range(TENANTS)}
+    made: Any = LeaseDriver.__new__(LeaseDriver)
+    made._pace, made._paces = RequestRate(0.0), {tenant: RequestRate(0.0) for tenant in range(TENANTS)}
     found = []
     for _ in range(ROUNDS):
         seen = made._seen
@@ -123,7 +123,7 @@
 
 def ledgers(count: int) -> None:
     alone = fleet(Machines(count, 1))
-    lenders = Quiet(count, 1, Terms(PART, 250, 4_000.0))
+    lenders = Quiet(count, 1, LeaseTerms(PART, 250, 4_000.0))
     for i, name in enumerate(lenders.names):
         lenders.need(name, 1.8 if i % 2 else 0.2)
     both = fleet(lenders)
--- a/benchmarks/budgets_leaving.py
+++ b/benchmarks/budgets_leaving.py
@@ -31,7 +31,7 @@
 from flintridge.lab.run import play
 from flintridge.lab.scenario.load import load
 from flintridge.lab.scenario.model import NodeKill, NodeRestart, Scenario
-from flintridge.leases.allocation import Terms
+from flintridge.leases.allocation import LeaseTerms
 from flintridge.leases.lease_manager import PART
 
 GONE = (0, 1, 2, 3, 4)  # of zones in turn
@@ -123,7 +123,7 @@
 
 
 def usable(how: str, stay: float, go: float, then: float) -> list[float]:
-    fleet = Lenders(10, 1, Terms(PART, 250, 4_000.0))
+    fleet = Lenders(10, 1, LeaseTerms(PART, 250, 4_000.0))
     for i, name in enumerate(fleet.names):
         fleet.need(name, go if i in GONE else stay)
     fleet.run(20_000.0 + AFTER[0])
--- a/benchmarks/peers_cost.py
+++ b/benchmarks/peers_cost.py
@@ -14,7 +14,7 @@
 from pathlib import Path
 from random import Random
 
-from flintridge.membership.failure_detector import Presence
+from flintridge.membership.failure_detector import FailureDetector
 from flintridge.membership.messages import Entry, Packet, Wire
 
 ROOT = Path(__file__).resolve().parent.parent
@@ -24,8 +24,8 @@
 TABLE = f'\n[peers]\nlisten = "127.0.0.1:7301"\nfleet = "c"\nknown = {{ {PEERS} }}\n'
 
 
-def node(key: bytes | None) -> Presence:
-    return Presence("n0", 7, NAMES, Wire("fleet", key), 8_000.0, 0.0, Random(1))
+def node(key: bytes | None) -> FailureDetector:
+    return FailureDetector("n0", 7, NAMES, Wire("fleet", key), 8_000.0, 0.0, Random(1))
 
 
 def cost(name: str, key: bytes | None, data: bytes, flood: bool = False) -> None:
--- a/benchmarks/place_cost.py
+++ b/benchmarks/place_cost.py
@@ -12,7 +12,7 @@
 from flintridge import api
 from flintridge.core.lifecycle import RequestLifecycle
 from flintridge.discovery.endpoint_list import EndpointList
-from flintridge.net.sender import SenderSide
+from flintridge.net.sender import Downstream
 from flintridge.runtime.clock import SystemClock
 from flintridge.telemetry.counters import Counters
 from flintridge.telemetry.log import Log
@@ -32,7 +32,7 @@
     def cut_short(self) -> None: ...
 
 
-def come(side: SenderSide, one: Crowd) -> None:
+def come(side: Downstream, one: Crowd) -> None:
     side._connections[one] = None  # type: ignore[index]
     side.places.used(one)  # type: ignore[arg-type]
 
@@ -47,7 +47,7 @@
     settings = api.Settings()
     core = RequestLifecycle(Silent(), settings, clock, 1 << 20, log, counters)
     transports = EndpointList((), (), settings, clock)
-    side = SenderSide(core, settings, transports, clock, size, log, counters)
+    side = Downstream(core, settings, transports, clock, size, log, counters)
     for _ in range(size):
         come(side, Crowd())
     began = time.perf_counter()
--- a/benchmarks/replica_converge.py
+++ b/benchmarks/replica_converge.py
@@ -19,7 +19,7 @@
 
 from flintridge.lab.partial.copying import Keepers
 from flintridge.replication.messages import pieces
-from flintridge.replication.replica import Copy, Limits, Standing
+from flintridge.replication.replica import Limits, Replica, Standing
 from flintridge.replication.value_types import checked
 
 WARM, CUT, MOST = 15_000.0, 30_000.0, 600_000.0
@@ -33,7 +33,7 @@
     # Half of the bytes are for exchanges, as in a node; the machines count the datagrams' half.
     fleet = Keepers(count, seed, Limits(entries=100_000), bytes_per_s=bytes_per_s / 2)
 
-    def write(copy: Copy, now: float) -> None:
+    def write(copy: Replica, now: float) -> None:
         for i in range(entries):
             copy.write(now, ("note", f"before-{i}"), NOTE, "ann", "so that there is something")
 
@@ -62,7 +62,7 @@
             raise RuntimeError(f"{count} nodes, seed {seed}: not the same after {MOST:g} ms")
     spent = [_bytes(fleet, name) - then for name, then in zip(fleet.names, before, strict=True)]
     one = fleet.keeper(fleet.names[0]).copy
-    none = Copy(("x", 1), one.limits, 0.0)
+    none = Replica(("x", 1), one.limits, 0.0)
     whole = sum(map(len, pieces(one.me, one.answer(none.ask(one.me), 1 << 30), fleet.clock(fleet.names[0]))))
     return list(last.values()), fleet.now - healed, statistics.fmean(spent), float(whole)
 
@@ -71,7 +71,7 @@
     """How long a node that starts empty takes to catch up, in ms; the bytes that were sent for it."""
     fleet = Keepers(count, 1, Limits(entries=100_000, wait=1e9), bytes_per_s=bytes_per_s / 2)
 
-    def write(copy: Copy, now: float) -> None:
+    def write(copy: Replica, now: float) -> None:
         for i in range(entries):
             copy.write(now, ("note", f"before-{i}"), NOTE, "ann", "so that there is something")
 
--- a/benchmarks/ring_cost.py
+++ b/benchmarks/ring_cost.py
@@ -21,7 +21,7 @@
 from types import FunctionType, MethodType
 from typing import Any, Protocol
 
-from flintridge.policy.hash_ring import Ring, place_of, points
+from flintridge.policy.hash_ring import HashRing, place_of, points
 
 SIZES = (8, 50, 200, 1_000, 5_000, 10_000)
 ZONES = (1, 2, 5)
@@ -112,7 +112,7 @@
                 yield entry
 
 
-class OneSeries(Ring):
+class OneSeries(HashRing):
     """The buckets of the ring in one series, the zone in a table."""
 
     __slots__ = ("table",)
@@ -210,7 +210,7 @@
     rows: list[tuple[str, int, int, dict[str, float]]] = []
     for size, zones in itertools.product(sizes, ZONES):
         kind: Callable[[], Kept]
-        for kind in (Before, Ring):
+        for kind in (Before, HashRing):
             repeats = 5 if kind is Before and size >= 1000 else 30
             rows.append((kind.__name__, size, zones, measure(kind, size, zones, repeats)))
     if asked.candidates:
--- a/flintridge/cli/ring_shares.py
+++ b/flintridge/cli/ring_shares.py
@@ -10,7 +10,7 @@
 from typing import NamedTuple
 
 from flintridge.cli.ring_lists import Cache, Fleet
-from flintridge.policy.hash_ring import POINTS, Ring, place_of, points
+from flintridge.policy.hash_ring import POINTS, HashRing, place_of, points
 
 WHOLE = 1 << 32  # places
 NUMBER_BITS = (1 << 24) - 1
@@ -140,7 +140,7 @@
     """The servers clockwise from a key's place, in the order in which a node would try them."""
     numbers, top, place = numbered(fleet), top_weight(fleet), place_of(key)
     by_number = {numbers[cache.id]: cache for cache in fleet.caches}
-    ring = Ring()
+    ring = HashRing()
     for number, cache in by_number.items():
         ring.add(cache.id, number)
     early: dict[int, bool] = dict.fromkeys(by_number, False)  # not met yet: whether an entry did not count
--- a/flintridge/fronts/console.py
+++ b/flintridge/fronts/console.py
@@ -31,7 +31,7 @@
 Routes = dict[bytes, dict[bytes, Callable[[], Said] | Taking]]
 
 
-class ConsoleExchange:
+class AdminExchange:
     """One call. `feed` gives the answer's parts once the call is whole, or cannot become a good one."""
 
     def __init__(self, routes: Routes) -> None:
--- a/flintridge/lab/backend/virtual.py
+++ b/flintridge/lab/backend/virtual.py
@@ -311,11 +311,11 @@
         for name, life in self._lives.items():
             if not self.running(name) or life.node is None:
                 continue
-            if life.node.peers is not None and not self._fabric.network.host(name).paused:
-                _, said = life.node.peers.said()
+            if life.node.membership is not None and not self._fabric.network.host(name).paused:
+                _, said = life.node.membership.said()
                 self._log.add(view_of(now, name, said))
-            if life.node.budgets is not None:  # also of one that stands still: it may use it once it goes on
-                _, said = life.node.budgets.said()
+            if life.node.leases is not None:  # also of one that stands still: it may use it once it goes on
+                _, said = life.node.leases.said()
                 for held in held_of(now, name, said):
                     self._log.add(held)
 
--- a/flintridge/lab/defects/copies.py
+++ b/flintridge/lab/defects/copies.py
@@ -1,17 +1,17 @@
 """Mistakes that a copy could have; the explorer must find each."""
 
 from flintridge.replication.entry import Entry, Key, Writer, merge
-from flintridge.replication.replica import Copy, Slice, Standing
+from flintridge.replication.replica import Replica, Slice, Standing
 
 
-class ArrivalDecides(Copy):
+class ArrivalDecides(Replica):
     """What came last is what holds."""
 
     def _merged(self, mine: Entry, entry: Entry) -> Entry:
         return entry
 
 
-class NewestStampDecides(Copy):
+class NewestStampDecides(Replica):
     """Of two writes that had not seen one another one is dropped."""
 
     def _merged(self, mine: Entry, entry: Entry) -> Entry:
@@ -19,7 +19,7 @@
         return Entry(tuple(sorted(both.versions, key=lambda one: (one.stamp, one.dot))[-1:]), both.seen)
 
 
-class HoldLostToRelease(Copy):
+class HoldLostToRelease(Replica):
     """A deletion ends what it had not seen."""
 
     def _merged(self, mine: Entry, entry: Entry) -> Entry:
@@ -28,7 +28,7 @@
         return Entry(ends or both.versions, both.seen)
 
 
-class EndedKept(Copy):
+class EndedKept(Replica):
     """Versions are only ever added."""
 
     def _merged(self, mine: Entry, entry: Entry) -> Entry:
@@ -36,14 +36,14 @@
         return Entry(tuple(all_of_them[dot] for dot in sorted(all_of_them)), merge(mine, entry).seen)
 
 
-class SeenNotPassedOn(Copy):
+class SeenNotPassedOn(Replica):
     """What others have seen is not taken over."""
 
     def _merged(self, mine: Entry, entry: Entry) -> Entry:
         return Entry(merge(mine, entry).versions, mine.seen)
 
 
-class EmptyCopyWins(Copy):
+class EmptyCopyWins(Replica):
     """What a source lacks is dropped, whoever it is."""
 
     def _writers(self) -> set[Writer]:
@@ -54,7 +54,7 @@
         return super().take(now, source, got)
 
 
-class DeletionForgottenEarly(Copy):
+class DeletionForgottenEarly(Replica):
     """By time alone, whether or not it had all that was written."""
 
     def _remembered(self, entry: Entry, until: float) -> Entry:
@@ -62,7 +62,7 @@
         return Entry(() if over else entry.versions, tuple(one for one in entry.seen if one.at >= until))
 
 
-class SliceTakenTwiceCounts(Copy):
+class SliceTakenTwiceCounts(Replica):
     """A doubled slice moves the cursor on."""
 
     def take(self, now: float, source: Writer, got: Slice) -> bool:
@@ -72,14 +72,14 @@
         return super().take(now, source, got)
 
 
-class DotReused(Copy):
+class DotReused(Replica):
     """A new life goes on under the name of the one before."""
 
     def __init__(self, me: Writer, *rest: object, **more: object) -> None:
         super().__init__((me[0], 0), *rest, **more)  # type: ignore[arg-type]
 
 
-class ReturnedBelieved(Copy):
+class ReturnedBelieved(Replica):
     """What it had, and was ended, is taken again from one that was away."""
 
     def hear(self, now: float, key: Key, entry: Entry) -> bool:
@@ -89,14 +89,14 @@
         return taken
 
 
-class KeptByTheReturned(Copy):
+class KeptByTheReturned(Replica):
     """One that was away keeps what others have ended."""
 
     def _end(self, now: float, got: Slice) -> None:
         pass
 
 
-class WholeFromPart(Copy):
+class WholeFromPart(Replica):
     """With the first slice it believes to have had all that the source has."""
 
     def take(self, now: float, source: Writer, got: Slice) -> bool:
@@ -105,14 +105,14 @@
         return over
 
 
-class AnySourceWillDo(Copy):
+class AnySourceWillDo(Replica):
     """It has caught up with one that has not."""
 
     def take(self, now: float, source: Writer, got: Slice) -> bool:
         return super().take(now, source, got._replace(caught=True))
 
 
-class FirstSliceIsAll(Copy):
+class FirstSliceIsAll(Replica):
     """It says that it has caught up after one slice."""
 
     def take(self, now: float, source: Writer, got: Slice) -> bool:
--- a/flintridge/lab/defects/hearing.py
+++ b/flintridge/lab/defects/hearing.py
@@ -3,15 +3,15 @@
 import itertools
 
 from flintridge.lab.defects.wrapping import put
-from flintridge.membership.failure_detector import Presence
-from flintridge.membership.member_table import Table
+from flintridge.membership.failure_detector import FailureDetector
+from flintridge.membership.member_table import MemberTable
 from flintridge.membership.messages import Entry, Kind
 from flintridge.node import Node
 
 
-def _presence(node: Node) -> Presence:
-    assert node.peers is not None
-    return node.peers.presence
+def _presence(node: Node) -> FailureDetector:
+    assert node.membership is not None
+    return node.membership.presence
 
 
 def gap_ignored(node: Node) -> None:
@@ -38,7 +38,7 @@
 def lives_mixed_up(node: Node) -> None:
     """A process that starts anew under its name is taken for the one before."""
     table = _presence(node).table
-    take = Table.take
+    take = MemberTable.take
 
     def first_of_name(name: str, life: int, now: float) -> object:
         held = table.of(name)
--- a/flintridge/lab/defects/lending.py
+++ b/flintridge/lab/defects/lending.py
@@ -2,39 +2,39 @@
 
 from dataclasses import dataclass, replace
 
-from flintridge.leases.allocation import Ask, Give, Grant, Holding, Loan, Peer, Word
+from flintridge.leases.allocation import Allocation, Lease, LeaseGrant, LeaseRelease, LeaseRequest, Peer, Word
 
 
 @dataclass(slots=True)
-class CreditBeforeDebit(Holding):
+class CreditBeforeDebit(Allocation):
     """It grants without taking the loan off its own part."""
 
-    def _lend(self, now: float, peer: Peer, ask: Ask, need: int) -> Grant | None:
+    def _lend(self, now: float, peer: Peer, ask: LeaseRequest, need: int) -> LeaseGrant | None:
         amount = min(ask.amount, self.lendable(now, need))
-        return Grant(ask.id, amount, ask.stamp) if amount > 0 else None
+        return LeaseGrant(ask.id, amount, ask.stamp) if amount > 0 else None
 
 
 @dataclass(slots=True)
-class LeaseFromArrival(Holding):
+class LeaseFromArrival(Allocation):
     """The borrower counts its lease from when the grant came in."""
 
-    def _borrow(self, now: float, lender: str, grant: Grant) -> None:
-        Holding._borrow(self, now, lender, grant._replace(stamp=now))
+    def _borrow(self, now: float, lender: str, grant: LeaseGrant) -> None:
+        Allocation._borrow(self, now, lender, grant._replace(stamp=now))
 
 
 @dataclass(slots=True)
-class NoMarginForDrift(Holding):
+class NoMarginForDrift(Allocation):
     """The lender counts a loan as over after the lease, whatever the borrower's clock does."""
 
-    def _lend(self, now: float, peer: Peer, ask: Ask, need: int) -> Grant | None:
-        grant = Holding._lend(self, now, peer, ask, need)
+    def _lend(self, now: float, peer: Peer, ask: LeaseRequest, need: int) -> LeaseGrant | None:
+        grant = Allocation._lend(self, now, peer, ask, need)
         if grant is not None:
-            self.lent[peer, ask.id] = Loan(grant.amount, now + self.terms.lease)
+            self.lent[peer, ask.id] = Lease(grant.amount, now + self.terms.lease)
         return grant
 
 
 @dataclass(slots=True)
-class LoansForgotten(Holding):
+class LoansForgotten(Allocation):
     """A process that starts anew holds its whole part at once."""
 
     def own(self, now: float) -> int:
@@ -42,7 +42,7 @@
 
 
 @dataclass(slots=True)
-class NoFloor(Holding):
+class NoFloor(Allocation):
     """It lends all that it has."""
 
     def lendable(self, now: float, need: int = 0) -> int:
@@ -50,59 +50,59 @@
 
 
 @dataclass(slots=True)
-class UsedAfterGivenBack(Holding):
+class UsedAfterGivenBack(Allocation):
     """It goes on using what it said it gives back."""
 
-    def give(self, now: float, lender: str, id: int) -> Give | None:
-        return Give(id) if (lender, id) in self.borrowed else None
+    def give(self, now: float, lender: str, id: int) -> LeaseRelease | None:
+        return LeaseRelease(id) if (lender, id) in self.borrowed else None
 
 
 @dataclass(slots=True)
-class DoubledGrantCountsTwice(Holding):
+class DoubledGrantCountsTwice(Allocation):
     """Each grant that comes in is added."""
 
-    def _borrow(self, now: float, lender: str, grant: Grant) -> None:
+    def _borrow(self, now: float, lender: str, grant: LeaseGrant) -> None:
         known = self.borrowed.get((lender, grant.id))
-        Holding._borrow(self, now, lender, grant)
+        Allocation._borrow(self, now, lender, grant)
         if known is not None and (lender, grant.id) in self.borrowed:
             loan = self.borrowed[lender, grant.id]
             self.borrowed[lender, grant.id] = replace(loan, amount=known.amount + grant.amount)
 
 
 @dataclass(slots=True)
-class LateGrantAfterGivingBack(Holding):
+class LateGrantAfterGivingBack(Allocation):
     """A grant counts whether or not the loan is still wanted."""
 
-    def _borrow(self, now: float, lender: str, grant: Grant) -> None:
+    def _borrow(self, now: float, lender: str, grant: LeaseGrant) -> None:
         self.asked.setdefault((lender, grant.id), grant.amount)
-        Holding._borrow(self, now, lender, grant)
+        Allocation._borrow(self, now, lender, grant)
 
 
 @dataclass(slots=True)
-class RenewedByAsking(Holding):
+class RenewedByAsking(Allocation):
     """A loan goes on as soon as its renewal was asked for."""
 
-    def renew(self, now: float, lender: str, id: int) -> Ask | None:
-        ask = Holding.renew(self, now, lender, id)
+    def renew(self, now: float, lender: str, id: int) -> LeaseRequest | None:
+        ask = Allocation.renew(self, now, lender, id)
         if ask is not None:
             self.borrowed[lender, id] = replace(self.borrowed[lender, id], until=now + self.terms.lease)
         return ask
 
 
 @dataclass(slots=True)
-class RenewalNotCounted(Holding):
+class RenewalNotCounted(Allocation):
     """The lender says yes to a renewal and goes by the first lease."""
 
-    def _lend(self, now: float, peer: Peer, ask: Ask, need: int) -> Grant | None:
+    def _lend(self, now: float, peer: Peer, ask: LeaseRequest, need: int) -> LeaseGrant | None:
         before = self.lent.get((peer, ask.id))
-        grant = Holding._lend(self, now, peer, ask, need)
+        grant = Allocation._lend(self, now, peer, ask, need)
         if before is not None and now < before.until:
             self.lent[peer, ask.id] = before
         return grant
 
 
 @dataclass(slots=True)
-class LeasesNotLookedAt(Holding):
+class LeasesNotLookedAt(Allocation):
     """What was borrowed counts until the next look, also after a pause."""
 
     def usable(self, now: float) -> int:
@@ -111,17 +111,17 @@
 
 
 @dataclass(slots=True)
-class AnotherLifesLoanEnds(Holding):
+class AnotherLifesLoanEnds(Allocation):
     """What is given back ends all loans of that number."""
 
     def hear(self, now: float, peer: Peer, word: Word, need: int = 0) -> Word | None:
-        if isinstance(word, Give):
+        if isinstance(word, LeaseRelease):
             self.lent = {key: loan for key, loan in self.lent.items() if key[1] != word.id}
             return None
-        return Holding.hear(self, now, peer, word, need)
+        return Allocation.hear(self, now, peer, word, need)
 
 
-LENDING: tuple[type[Holding], ...] = (
+LENDING: tuple[type[Allocation], ...] = (
     CreditBeforeDebit,
     LeaseFromArrival,
     NoMarginForDrift,
--- a/flintridge/lab/defects/planted.py
+++ b/flintridge/lab/defects/planted.py
@@ -13,10 +13,10 @@
 from flintridge.core.response import Responder, Response
 from flintridge.lab.defects.wrapping import Alter, every, put, wrap_replies
 from flintridge.net import memcache
-from flintridge.net.delivery import Link
-from flintridge.net.sender import Slot
+from flintridge.net.delivery import UpstreamConnection
+from flintridge.net.sender import PendingResponse
 from flintridge.node import Node
-from flintridge.policy.balancer import Balancer, Gate, Held, Server
+from flintridge.policy.balancer import Balancer, ConcurrencyLimiter, OpenRequest, Server
 from flintridge.runtime.clock import sleep, to_ns
 
 OFTEN = 10  # each tenth request is hit
@@ -109,7 +109,7 @@
         def respond(self, response: Response) -> None:
             self.reply.respond(response)
             slot = self.reply
-            if isinstance(slot, Slot) and not slot.connection._writer.is_closing():
+            if isinstance(slot, PendingResponse) and not slot.connection._writer.is_closing():
                 slot.connection._writer.writelines(memcache.served_parts(slot.id, response))
 
     wrap_replies(node, lambda _, reply: Twice(reply) if hit() else reply)
@@ -146,22 +146,22 @@
     """SIGTERM closes the listener and every connection at once, whatever is open on them."""
 
     async def leave() -> None:
-        node.side.close()
+        node.downstream.close()
         await sleep(node.clock, 50.0)
 
-    put(node.side, "leave", leave)
+    put(node.downstream, "leave", leave)
 
 
 def slow_to_leave(node: Node) -> None:
     """After SIGTERM all is answered, but the process stays on for as long as one may like."""
-    leave = node.side.leave
+    leave = node.downstream.leave
 
     async def stay() -> None:
         await leave()
         longest = max(cls.deadline_ns for cls in node.core._settings.classes) / 1e6
         await sleep(node.clock, longest + 2000)
 
-    put(node.side, "leave", stay)
+    put(node.downstream, "leave", stay)
 
 
 def drain_ignored(node: Node) -> None:
@@ -178,7 +178,7 @@
     """After SIGTERM all is answered, but then the program ends by an error."""
 
     async def broken() -> None:
-        await node.side.leave()
+        await node.downstream.leave()
         await node.close()
         raise RuntimeError("planted")
 
@@ -198,23 +198,23 @@
     _sent_again(node, api.Effect.UNSAFE, lambda _: to_ns(100.0))
 
 
-def _sent_again(node: Node, effect: api.Effect, patience_ns: Callable[[Held], int]) -> None:
+def _sent_again(node: Node, effect: api.Effect, patience_ns: Callable[[OpenRequest], int]) -> None:
     """The first attempt of what has this effect is awaited for `patience_ns`, and then may_send's word on the
     effect does not count: time and number still bound the attempts."""
     balancer = balancer_of(node)
     patience, may_send, repeat_by = balancer.patience, balancer.may_send, balancer.repeat_by
 
-    def impatient(request: Held, gate: Gate) -> int:
+    def impatient(request: OpenRequest, gate: ConcurrencyLimiter) -> int:
         first = request.cls.effect is effect and not request.attempts[1:]
         return patience_ns(request) if first else patience(request, gate)
 
-    def regardless(request: Held, server: str) -> bool:
+    def regardless(request: OpenRequest, server: str) -> bool:
         if request.cls.effect is not effect:
             return may_send(request, server)
         in_time = balancer.now < request.event.deadline
         return in_time and len(request.attempts) < balancer.settings.limits.max_attempts
 
-    def always(request: Held) -> float:
+    def always(request: OpenRequest) -> float:
         return math.inf if request.cls.effect is effect else repeat_by(request)
 
     put(balancer, "repeat_by", always)  # else the delivery would not write it
@@ -245,7 +245,7 @@
 def asks_after_the_answer(node: Node) -> None:
     """Each tenth request is sent to its server once more, 400 ms after its client has the answer."""
     hit = every(OFTEN)
-    start = node.delivery.start
+    start = node.dispatcher.start
 
     def once_more(attempt: UpstreamAttempt) -> None:
         now = node.clock.now()
@@ -282,7 +282,7 @@
         started[attempt.id] = attempt
         start(attempt)
 
-    put(node.delivery, "start", noted)
+    put(node.dispatcher, "start", noted)
     wrap_replies(node, alter)
 
 
@@ -298,14 +298,14 @@
 
 def _alter_requests(node: Node, change: Callable[[Request], Request], often: int = OFTEN) -> None:
     hit = every(often)
-    start = node.delivery.start
+    start = node.dispatcher.start
 
     def altered(attempt: UpstreamAttempt) -> None:
         if hit():
             attempt.request = change(attempt.request)
         start(attempt)
 
-    put(node.delivery, "start", altered)
+    put(node.dispatcher, "start", altered)
 
 
 # The fleet
@@ -313,7 +313,7 @@
 
 def fresh_work_3s_after_drain(node: Node) -> None:
     """What the list says of servers that leave is taken in 4 s late."""
-    tell = node.watch._notify
+    tell = node.discovery_watcher._notify
 
     def late(members: api.EndpointUpdate) -> None:
         leaving = any(m.state is not api.EndpointState.READY for m in members.endpoints)
@@ -322,7 +322,7 @@
         else:
             tell(members)
 
-    put(node.watch, "_notify", late)
+    put(node.discovery_watcher, "_notify", late)
 
 
 def cold_budget_ignored(node: Node) -> None:
@@ -330,13 +330,13 @@
     balancer = balancer_of(node)
     pick = balancer.pick
 
-    def room(server: Server, request: Held) -> bool:
+    def room(server: Server, request: OpenRequest) -> bool:
         return True
 
     def warmth(server: Server) -> float:
         return 1.0
 
-    def eager(request: Held) -> str | None:
+    def eager(request: OpenRequest) -> str | None:
         cold_ns = balancer.settings.rules.slow_start_ns
         for name in balancer.ready:
             started = balancer.servers[name].member.started_at
@@ -351,10 +351,10 @@
 
 def connection_leak(node: Node) -> None:
     """Connections to servers are neither used again nor closed, and no longer counted."""
-    lost: list[Link] = []
+    lost: list[UpstreamConnection] = []
 
-    def forget(server: str, link: Link, named: bool = True) -> None:
+    def forget(server: str, link: UpstreamConnection, named: bool = True) -> None:
         lost.append(link)
-        node.delivery._open -= 1
+        node.dispatcher._open -= 1
 
-    put(node.delivery, "_keep", forget)
+    put(node.dispatcher, "_keep", forget)
--- a/flintridge/lab/defects/sharing.py
+++ b/flintridge/lab/defects/sharing.py
@@ -8,8 +8,8 @@
 
 def loans_not_taken_off(node: Node) -> None:
     """The node lends and goes on using what it lent."""
-    assert node.budgets is not None
-    for account in node.budgets.ledger.accounts.values():
+    assert node.leases is not None
+    for account in node.leases.ledger.accounts.values():
         account.holding = CreditBeforeDebit(account.budget.terms, account.holding.begun)
 
 
--- a/flintridge/lab/explore/copies.py
+++ b/flintridge/lab/explore/copies.py
@@ -11,7 +11,7 @@
 from typing import NamedTuple, Self
 
 from flintridge.replication.entry import Dot, Entry, Key, Writer, counts
-from flintridge.replication.replica import Copy, Limits, Slice, Standing
+from flintridge.replication.replica import Limits, Replica, Slice, Standing
 
 KEY: Key = ("hold", "g")  # in the second bucket, so that a pass has two slices
 LIMITS = Limits(remember=1.5, wait=float("inf"), buckets=2)
@@ -38,7 +38,7 @@
 class Process:
     """`sound`: whether its state comes, over whatever others, from one that had caught up."""
 
-    copy: Copy
+    copy: Replica
     life: int = 0
     known: Known = frozenset()
     sound: bool = True
@@ -71,14 +71,14 @@
     flying: tuple[Flying, ...] = ()
     past: tuple[tuple[Dot, Known, bool], ...] = ()  # of each write: what its writer knew; whether it deleted
     cut: int = -1  # that process is cut off from the others
-    make: Callable[[Writer, Limits, float], Copy] = Copy
+    make: Callable[[Writer, Limits, float], Replica] = Replica
 
     @classmethod
     def begin(
         cls,
         size: int,
         left: Left,
-        make: Callable[[Writer, Limits, float], Copy] = Copy,
+        make: Callable[[Writer, Limits, float], Replica] = Replica,
         written: bool = False,
     ) -> Self:
         """`written`: one entry is in all copies."""
@@ -229,7 +229,7 @@
         seen = frozenset().union(*(past for dot, past, _ in self.past if dot in known))
         return {dot for dot, _, deleted in self.past if dot in known and dot not in seen and not deleted}
 
-    def _held(self, copy: Copy) -> set[Dot]:
+    def _held(self, copy: Replica) -> set[Dot]:
         entry = copy.entries.get(KEY, Entry())
         return {one.dot for one in entry.versions if counts(one, self.now)}
 
--- a/flintridge/lab/explore/leases.py
+++ b/flintridge/lab/explore/leases.py
@@ -9,10 +9,19 @@
 from dataclasses import dataclass, replace
 from typing import Self
 
-from flintridge.leases.allocation import Ask, Give, Grant, Holding, Loan, Peer, Terms, Word
+from flintridge.leases.allocation import (
+    Allocation,
+    Lease,
+    LeaseGrant,
+    LeaseRelease,
+    LeaseRequest,
+    LeaseTerms,
+    Peer,
+    Word,
+)
 
 STEP = 5.0
-TERMS = Terms(part=2, floor=1, lease=10.0, drift=0.2)
+TERMS = LeaseTerms(part=2, floor=1, lease=10.0, drift=0.2)
 LONG_AGO = 40.0  # before the start: no loan of a life before counts
 
 
@@ -22,7 +31,7 @@
     life: int
     clock: float
     speed: float  # of its clock, a step
-    holding: Holding
+    holding: Allocation
     paused: bool = False
 
     @property
@@ -50,19 +59,19 @@
 class Leases:
     """`make` builds a holding, so that a defect may be planted in each."""
 
-    terms: Terms
+    terms: LeaseTerms
     processes: tuple[Process, ...]
     left: Left
     flying: tuple[Flying, ...] = ()
-    make: Callable[[Terms, float], Holding] = Holding
+    make: Callable[[LeaseTerms, float], Allocation] = Allocation
 
     @classmethod
     def begin(
         cls,
         speeds: tuple[float, ...],
         left: Left | None = None,
-        terms: Terms = TERMS,
-        make: Callable[[Terms, float], Holding] = Holding,
+        terms: LeaseTerms = TERMS,
+        make: Callable[[LeaseTerms, float], Allocation] = Allocation,
     ) -> Self:
         """A process for each of `speeds`, all of which began long ago."""
         processes = tuple(
@@ -206,7 +215,7 @@
         for to, (name, life), word in self.flying:
             back = by_name[name].life - life
             # A stamp counts on the clock of whoever asked; beyond a lease it is all the same how old it is.
-            asker = by_name[to] if isinstance(word, Grant) else by_name[name]
+            asker = by_name[to] if isinstance(word, LeaseGrant) else by_name[name]
             stamp = getattr(word, "stamp", None)
             age = None if stamp is None else min(asker.clock - stamp, 2 * self.terms.lease)
             amount = getattr(word, "amount", 0)
@@ -214,9 +223,9 @@
         return sorted(words)
 
 
-def _owed(name: int, id: int, loan: Loan, now: float) -> tuple[int, int, int, float]:
+def _owed(name: int, id: int, loan: Lease, now: float) -> tuple[int, int, int, float]:
     return name, id, loan.amount, max(0.0, loan.until - now)
 
 
 SPEEDS = tuple(itertools.combinations_with_replacement((0.8 * STEP, 1.2 * STEP), 3))
-__all__ = ["SPEEDS", "TERMS", "Ask", "Give", "Leases", "Left"]
+__all__ = ["SPEEDS", "TERMS", "LeaseRelease", "LeaseRequest", "Leases", "Left"]
--- a/flintridge/lab/partial/copying.py
+++ b/flintridge/lab/partial/copying.py
@@ -11,12 +11,12 @@
 from typing import Any
 
 from flintridge.lab.partial.machines import Link, Machines, Process
-from flintridge.membership.failure_detector import Presence
-from flintridge.membership.member_table import Life
+from flintridge.membership.failure_detector import FailureDetector
+from flintridge.membership.member_table import Incarnation
 from flintridge.replication.entry import Dot, Key, Writer
-from flintridge.replication.gossip import Spread
+from flintridge.replication.gossip import RumorSpreader
 from flintridge.replication.messages import asked, asked_of, pieces, slice_of
-from flintridge.replication.replica import SLICE, Copy, Limits, Standing
+from flintridge.replication.replica import SLICE, Limits, Replica, Standing
 from flintridge.replication.value_types import checked
 
 UNIX = 1.7e12  # the time of day at the start
@@ -24,21 +24,21 @@
 LOOKS = 8  # buckets a tick, as in net/replica.py
 
 
-class Counted(Spread):
+class Counted(RumorSpreader):
     """It counts its bytes."""
 
     sent = 0
 
-    def say(self, now: float, to: Life, room: int) -> bytes | None:
+    def say(self, now: float, to: Incarnation, room: int) -> bytes | None:
         word = super().say(now, to, room)
         self.sent += len(word or b"")
         return word
 
 
-class Keeper(Presence):
+class Keeper(FailureDetector):
     """A process's peers with its copy, driven as `net/replica.py` does it."""
 
-    copy: Copy
+    copy: Replica
     spread: Counted
     fleet: "Keepers"
     asking = False
@@ -67,7 +67,7 @@
         seed: int,
         limits: Limits | None = None,
         topic_bytes: float = 2_000.0,
-        make: Callable[..., Copy] = Copy,
+        make: Callable[..., Replica] = Replica,
         **given: Any,
     ) -> None:
         self.limits = limits or Limits()
@@ -85,7 +85,7 @@
         bytes_per_s: float,
         now: float,
         rng: Random,
-    ) -> Presence:
+    ) -> FailureDetector:
         made = Keeper(name, life, names, wire, bytes_per_s, now, rng)
         made.fleet = self
         made.copy = self._make((name, life), self.limits, now, UNIX + self.now - now)
@@ -118,7 +118,7 @@
                 held.add(frozenset(dots))
         return len(held) == 1
 
-    def fill(self, write: Callable[[Copy, float], None]) -> None:
+    def fill(self, write: Callable[[Replica, float], None]) -> None:
         """All begin with what `write` puts into the first one's copy."""
         first = self.keeper(self.names[0])
         write(first.copy, self.clock(self.names[0]))
@@ -267,7 +267,7 @@
 
 
 def random_day(
-    seed: int, count: int = 5, length_ms: float = 60_000.0, make: Callable[..., Copy] = Copy
+    seed: int, count: int = 5, length_ms: float = 60_000.0, make: Callable[..., Replica] = Replica
 ) -> DayOf:
     """Writes and deletions every 300 ms, faults about every second; deletions are remembered for 5 s only."""
     rng = Random(seed)
--- a/flintridge/lab/partial/lending.py
+++ b/flintridge/lab/partial/lending.py
@@ -11,19 +11,19 @@
 from typing import Any
 
 from flintridge.lab.partial.machines import Link, Machines
-from flintridge.leases.allocation import Holding, Terms
-from flintridge.leases.lease_manager import FLOORS, PART, Budget, Ledger
-from flintridge.membership.failure_detector import Presence
+from flintridge.leases.allocation import Allocation, LeaseTerms
+from flintridge.leases.lease_manager import FLOORS, PART, FleetLimit, LeaseManager
+from flintridge.membership.failure_detector import FailureDetector
 
 LOOK = 20.0  # ms between two looks at the sum
 QUOTA = "quota a"
 DEEDS = (*["need"] * 6, "pause", "pause", "kill", "kill", "leave", "cut", "one way", "heal", "slow")
 
 
-class Lender(Presence):
+class Lender(FailureDetector):
     """A process's peers with its ledger on them, driven as `net/budgets.py` does it."""
 
-    ledger: Ledger
+    ledger: LeaseManager
 
     def tick(self, now: float) -> None:
         super().tick(now)
@@ -43,8 +43,8 @@
         self,
         count: int,
         seed: int,
-        terms: Terms,
-        make: type[Holding] = Holding,
+        terms: LeaseTerms,
+        make: type[Allocation] = Allocation,
         bytes_per_s: float = 2_000.0,
         **given: Any,
     ) -> None:
@@ -52,7 +52,7 @@
         self._make = make
         self._topic_bytes = bytes_per_s
         self.budgets = tuple(
-            Budget(name, 100.0 * count, "requests a second", count, terms) for name in (QUOTA, FLOORS)
+            FleetLimit(name, 100.0 * count, "requests a second", count, terms) for name in (QUOTA, FLOORS)
         )
         self.needs: dict[str, float] = {}
         self.over: list[str] = []  # what was seen over, and when
@@ -69,24 +69,24 @@
         bytes_per_s: float,
         now: float,
         rng: Random,
-    ) -> Presence:
+    ) -> FailureDetector:
         made = Lender(name, life, names, wire, bytes_per_s, now, rng)
         peers = tuple(one for one in names if one != name)
-        made.ledger = Ledger(
+        made.ledger = LeaseManager(
             peers, self.budgets, self._topic_bytes, now, Random(rng.random()), make=self._make
         )
         made.register(made.ledger)
         self.need(name, self.needs.get(name, 1.0), made.ledger)
         return made
 
-    def need(self, name: str, parts: float, ledger: Ledger | None = None) -> None:
+    def need(self, name: str, parts: float, ledger: LeaseManager | None = None) -> None:
         """What a node needs of its quota, in even parts; its pace goes with it."""
         self.needs[name] = parts
         for one in [ledger] if ledger is not None else [self.ledger(name)] if self.living(name) else []:
             one.need(QUOTA, parts)
             one.pace = 100.0 * parts
 
-    def ledger(self, name: str) -> Ledger:
+    def ledger(self, name: str) -> LeaseManager:
         machine = self.machine(name)
         assert isinstance(machine, Lender)
         return machine.ledger
@@ -132,7 +132,7 @@
     seed: int,
     count: int = 20,
     length_ms: float = 30_000.0,
-    make: type[Holding] = Holding,
+    make: type[Allocation] = Allocation,
     drift: float = 0.02,
 ) -> DayOf:
     """Faults about every 300 ms, several at once; needs change with them."""
@@ -143,7 +143,7 @@
         jitter=rng.choice((0.2, 20.0, 400.0)),
         double=rng.choice((0.0, 0.1)),
     )
-    terms = Terms(PART, rng.choice((100, 250, 500)), rng.choice((1_500.0, 4_000.0)), drift)
+    terms = LeaseTerms(PART, rng.choice((100, 250, 500)), rng.choice((1_500.0, 4_000.0)), drift)
     fleet = Lenders(count, seed, terms, make, link=link, drift=drift)
     deeds: dict[str, int] = {}
     granted = 0
--- a/flintridge/lab/partial/machines.py
+++ b/flintridge/lab/partial/machines.py
@@ -11,7 +11,7 @@
 from random import Random
 
 from flintridge.membership.byte_budget import Bucket
-from flintridge.membership.failure_detector import Presence
+from flintridge.membership.failure_detector import FailureDetector
 from flintridge.membership.messages import Entry, Wire, size
 
 TICK = 100.0
@@ -35,7 +35,7 @@
 @dataclass(slots=True, eq=False)
 class Process:
     name: str
-    machine: Presence
+    machine: FailureDetector
     offset: float  # of its clock
     rate: float
     begun: float
@@ -62,7 +62,7 @@
         link: Link | None = None,
         drift: float = 0.0,
         key: bytes | None = None,
-        build: Callable[..., Presence] = Presence,
+        build: Callable[..., FailureDetector] = FailureDetector,
     ) -> None:
         self.now = 0.0
         self.rng = Random(seed)
@@ -140,7 +140,7 @@
     def living(self, name: str) -> list[Process]:
         return [process for process in self.processes[name] if process.alive]
 
-    def machine(self, name: str) -> Presence:
+    def machine(self, name: str) -> FailureDetector:
         return self.living(name)[-1].machine
 
     def _tick(self, process: Process) -> None:
--- a/flintridge/lab/partial/views.py
+++ b/flintridge/lab/partial/views.py
@@ -3,12 +3,14 @@
 from typing import Any
 
 from flintridge.lab.records import Datagram, Held, View
-from flintridge.leases.lease_manager import Ledger
+from flintridge.leases.allocation import LeaseGrant, LeaseRelease, LeaseRequest
+from flintridge.leases.lease_manager import LeaseManager
 from flintridge.leases.messages import decode, word_of
 from flintridge.membership.messages import Dropped, Wire
 
 FLEET = "lab"
 KEY = b"the lab's own key, of 32 bytes.."
+MESSAGE_NAMES = {LeaseRequest: "ask", LeaseGrant: "grant", LeaseRelease: "give"}  # as scenarios name them
 VIEW_MS = 500.0  # between two looks at a node's console
 
 
@@ -53,8 +55,8 @@
         packet = wire.decode(data)
     except Dropped:
         return Datagram(t=t, source=source, target=target, size=len(data), fate=fate)
-    said = [decode(fact) for name, fact in packet.facts if name == Ledger.name]
-    words = tuple(type(word_of(*word[1:])).__name__.lower() for one in said if one for word in one.words)
+    said = [decode(fact) for name, fact in packet.facts if name == LeaseManager.name]
+    words = tuple(MESSAGE_NAMES[type(word_of(*word[1:]))] for one in said if one for word in one.words)
     return Datagram(
         t=t, source=source, target=target, size=len(data), fate=fate, kind=packet.kind, words=words
     )
--- a/flintridge/leases/allocation.py
+++ b/flintridge/leases/allocation.py
@@ -20,7 +20,7 @@
 Peer = tuple[str, int]  # a name and a life
 
 
-class Ask(NamedTuple):
+class LeaseRequest(NamedTuple):
     """May I have so much? Said again with a new stamp it renews loan `id`, whose amount stays. `held`: what
     its process may use just now, for a lender to choose by who shall have it."""
 
@@ -30,23 +30,23 @@
     held: int = 0
 
 
-class Grant(NamedTuple):
+class LeaseGrant(NamedTuple):
     id: int
     amount: int
     stamp: float
 
 
-class Give(NamedTuple):
+class LeaseRelease(NamedTuple):
     """The loan is over: I use nothing of it any more."""
 
     id: int
 
 
-Word = Ask | Grant | Give
+Word = LeaseRequest | LeaseGrant | LeaseRelease
 
 
 @dataclass(slots=True, frozen=True)
-class Terms:
+class LeaseTerms:
     """Of a budget, the same at all processes."""
 
     part: int  # of each name: the budget in even parts
@@ -77,28 +77,28 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Loan:
+class Lease:
     amount: int
     until: float
 
 
 @dataclass(slots=True)
-class Holding:
+class Allocation:
     """Of one life. `alone` is False while another process of this node lives: each then uses half, and lends
     nothing. Words that fit nothing are dropped."""
 
-    terms: Terms
+    terms: LeaseTerms
     begun: float
     alone: bool = True
     quiet_until: float = float("-inf")  # nothing is used before: the other process has not noticed yet
-    lent: dict[tuple[Peer, int], Loan] = field(default_factory=dict)
-    borrowed: dict[tuple[str, int], Loan] = field(default_factory=dict)  # by the lender's name
+    lent: dict[tuple[Peer, int], Lease] = field(default_factory=dict)
+    borrowed: dict[tuple[str, int], Lease] = field(default_factory=dict)  # by the lender's name
     asked: dict[tuple[str, int], int] = field(
         default_factory=dict
     )  # what is open: by the lender's name, amount
     last_id: int = 0
 
-    def copy(self) -> "Holding":
+    def copy(self) -> "Allocation":
         return replace(self, lent=dict(self.lent), borrowed=dict(self.borrowed), asked=dict(self.asked))
 
     # What may be used
@@ -138,62 +138,62 @@
 
     # Words
 
-    def ask(self, now: float, lender: str, amount: int) -> Ask:
+    def ask(self, now: float, lender: str, amount: int) -> LeaseRequest:
         self.last_id += 1
         self.asked[lender, self.last_id] = amount
-        return Ask(self.last_id, amount, now)
+        return LeaseRequest(self.last_id, amount, now)
 
-    def renew(self, now: float, lender: str, id: int) -> Ask | None:
+    def renew(self, now: float, lender: str, id: int) -> LeaseRequest | None:
         """None where there is no such loan, or it is over."""
         loan = self.borrowed.get((lender, id))
-        return Ask(id, loan.amount, now) if loan is not None and now < loan.until else None
+        return LeaseRequest(id, loan.amount, now) if loan is not None and now < loan.until else None
 
-    def give(self, now: float, lender: str, id: int) -> Give | None:
+    def give(self, now: float, lender: str, id: int) -> LeaseRelease | None:
         """It counts no more from here on, whether or not the lender hears of it."""
         self.asked.pop((lender, id), None)
-        return Give(id) if self.borrowed.pop((lender, id), None) is not None else None
+        return LeaseRelease(id) if self.borrowed.pop((lender, id), None) is not None else None
 
-    def forgo(self, lender: str, id: int) -> Give:
+    def forgo(self, lender: str, id: int) -> LeaseRelease:
         """A call that nobody answered is taken back: a grant that comes later counts nothing here, and the
         lender need not wait for its end."""
         self.asked.pop((lender, id), None)
         self.borrowed.pop((lender, id), None)
-        return Give(id)
+        return LeaseRelease(id)
 
     def hear(self, now: float, peer: Peer, word: Word, need: int = 0) -> Word | None:
         """Take a word in; the answer to it, if any. `need`: what this process keeps for itself."""
         match word:
-            case Ask():
+            case LeaseRequest():
                 return self._lend(now, peer, word, need)
-            case Grant():
+            case LeaseGrant():
                 self._borrow(now, peer[0], word)
-            case Give(id):
+            case LeaseRelease(id):
                 self.lent.pop((peer, id), None)
         return None
 
-    def _lend(self, now: float, peer: Peer, ask: Ask, need: int) -> Grant | None:
+    def _lend(self, now: float, peer: Peer, ask: LeaseRequest, need: int) -> LeaseGrant | None:
         key, until = (peer, ask.id), now + self.terms.lasts
         loan = self.lent.get(key)
         if loan is not None and now < loan.until:
             # Guards this process's own need: what it lent comes back for it at the end, and no earlier.
             if not self.alone or self.own(now) - self._out(now) < min(need, self.own(now)):
                 return None  # it ends by itself
-            self.lent[key] = Loan(loan.amount, max(loan.until, until))
-            return Grant(ask.id, loan.amount, ask.stamp)
+            self.lent[key] = Lease(loan.amount, max(loan.until, until))
+            return LeaseGrant(ask.id, loan.amount, ask.stamp)
         amount = min(ask.amount, self.lendable(now, need))
         if amount <= 0:
             return None
-        self.lent[key] = Loan(amount, until)  # before a word of it goes out
-        return Grant(ask.id, amount, ask.stamp)
+        self.lent[key] = Lease(amount, until)  # before a word of it goes out
+        return LeaseGrant(ask.id, amount, ask.stamp)
 
-    def _borrow(self, now: float, lender: str, grant: Grant) -> None:
+    def _borrow(self, now: float, lender: str, grant: LeaseGrant) -> None:
         key = lender, grant.id
         # What was not asked for, or was given back since, is not one's own; nor what came too late.
         if key not in self.asked or now >= (until := grant.stamp + self.terms.use):
             return
         known = self.borrowed.get(key)
         amount = grant.amount if known is None else min(known.amount, grant.amount)
-        self.borrowed[key] = Loan(amount, until if known is None else max(known.until, until))
+        self.borrowed[key] = Lease(amount, until if known is None else max(known.until, until))
 
     # Time
 
--- a/flintridge/leases/demand.py
+++ b/flintridge/leases/demand.py
@@ -6,7 +6,7 @@
 SLOW = 4_000.0
 
 
-class Pace:
+class RequestRate:
     """Times are float milliseconds, passed in.
 
     The greater of two means with memory: a node asks for more as soon as more comes, and gives back only what
@@ -34,7 +34,7 @@
         return max(self._quick, self._slow)
 
 
-class Level:
+class RecentPeak:
     """The most that was there at once of late: rises at once, half of it is forgotten in SLOW."""
 
     def __init__(self, now: float) -> None:
--- a/flintridge/leases/driver.py
+++ b/flintridge/leases/driver.py
@@ -15,10 +15,10 @@
 from flintridge.core.lifecycle import RequestLifecycle
 from flintridge.core.request import UpstreamAttempt
 from flintridge.discovery.endpoint_list import EndpointList, EndpointNotListedError
-from flintridge.leases.allocation import Terms
-from flintridge.leases.demand import Level, Pace
-from flintridge.leases.lease_manager import COLD, FLOORS, PART, REPEATS, Account, Budget, Ledger
-from flintridge.membership.driver import Peers
+from flintridge.leases.allocation import LeaseTerms
+from flintridge.leases.demand import RecentPeak, RequestRate
+from flintridge.leases.lease_manager import COLD, FLOORS, PART, REPEATS, Account, FleetLimit, LeaseManager
+from flintridge.membership.driver import MembershipDriver
 from flintridge.runtime.clock import NS, Clock, Timer, to_ms
 from flintridge.runtime.worker_processes import LOOK
 from flintridge.settings import BudgetsConfig
@@ -31,7 +31,7 @@
 AT_REPEATS = -1  # where the decisions look for what is held of repeats
 
 
-class Budgets:
+class LeaseDriver:
     """One process's part. Times are float milliseconds of `clock`."""
 
     def __init__(
@@ -39,7 +39,7 @@
         config: BudgetsConfig,
         settings: api.Settings,
         even: dict[int, float],
-        peers: Peers,
+        peers: MembershipDriver,
         transports: EndpointList,
         core: RequestLifecycle,
         clock: Clock,
@@ -51,7 +51,7 @@
         self.config = config
         self._clock, self._log, self._counters = clock, log, counters
         self._peers, self._transports, self._core = peers, transports, core
-        terms = Terms(PART, max(1, round(config.floor * PART)), config.lease_ms)
+        terms = LeaseTerms(PART, max(1, round(config.floor * PART)), config.lease_ms)
         nodes = self._nodes = settings.fleet_size
         self._tenants = {
             i: f"quota {tenant.name}"
@@ -59,31 +59,33 @@
             if config.tenants and even.get(i)
         }
         budgets = [
-            Budget(name, even[i] * nodes, "requests a second", nodes, terms)
+            FleetLimit(name, even[i] * nodes, "requests a second", nodes, terms)
             for i, name in self._tenants.items()
         ]
         for name, on in ((FLOORS, config.floors), (COLD, config.cold)):
             if on:
-                budgets.append(Budget(name, float(nodes), "even parts", nodes, terms))
+                budgets.append(FleetLimit(name, float(nodes), "even parts", nodes, terms))
         if config.repeats_per_s:
-            budgets.append(Budget(REPEATS, config.repeats_per_s, "repeats a second", nodes, terms))
+            budgets.append(FleetLimit(REPEATS, config.repeats_per_s, "repeats a second", nodes, terms))
         now = clock.now()
         # What is out when a loan ends stays out for as long as its client waits.
         keep = max(to_ms(cls.deadline_ns) for cls in settings.classes)
         places = {False: config.cache_places, True: config.origin_places}
         self._places = {
-            origin: Budget(PLACES[origin], float(count), "places", nodes, replace(terms, keep=keep))
+            origin: FleetLimit(PLACES[origin], float(count), "places", nodes, replace(terms, keep=keep))
             for origin, count in places.items()
             if count
         }
         budgets += self._places.values()
         self._out: dict[bool, set[tuple[str, int]]] = {origin: set() for origin in self._places}
-        self._levels = {origin: Level(now) for origin in self._places}
+        self._levels = {origin: RecentPeak(now) for origin in self._places}
         self._even = even
-        self._paces = {i: Pace(now) for i in self._tenants}
-        self._pace = Pace(now)
+        self._paces = {i: RequestRate(now) for i in self._tenants}
+        self._pace = RequestRate(now)
         names = tuple(name for name, _ in peers.config.known if name != peers.name)
-        self.ledger = Ledger(names, tuple(budgets), config.bytes_per_s, now, Random(entropy(16)), log.event)
+        self.ledger = LeaseManager(
+            names, tuple(budgets), config.bytes_per_s, now, Random(entropy(16)), log.event
+        )
         for origin, budget in self._places.items():
             self.ledger.uses(budget.name, partial(self._taken, origin))
         peers.presence.register(self.ledger)
--- a/flintridge/leases/lease_manager.py
+++ b/flintridge/leases/lease_manager.py
@@ -11,9 +11,17 @@
 from dataclasses import dataclass, field
 from random import Random
 
-from flintridge.leases.allocation import Ask, Give, Grant, Holding, Peer, Terms, Word
+from flintridge.leases.allocation import (
+    Allocation,
+    LeaseGrant,
+    LeaseRelease,
+    LeaseRequest,
+    LeaseTerms,
+    Peer,
+    Word,
+)
 from flintridge.leases.messages import MOST_OFFERS, MOST_WORDS, Said, decode, encode, flat, mark_of, word_of
-from flintridge.membership.member_table import Life
+from flintridge.membership.member_table import Incarnation
 
 PART = 1_000  # units of an even part
 FLOORS, COLD, REPEATS = "floors", "cold servers", "repeats"
@@ -35,14 +43,14 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Budget:
+class FleetLimit:
     """One that is lent. `whole` is what all nodes together may use, in `unit`."""
 
     name: str
     whole: float
     unit: str
     nodes: int  # it is cut into so many even parts
-    terms: Terms
+    terms: LeaseTerms
 
     @property
     def mark(self) -> bytes:
@@ -70,8 +78,8 @@
 class Account:
     """One budget here."""
 
-    budget: Budget
-    holding: Holding
+    budget: FleetLimit
+    holding: Allocation
     need: float = PART  # units, as last told
     offers: dict[str, Offer] = field(default_factory=dict)
     calls: dict[tuple[str, int], Call] = field(default_factory=dict)
@@ -91,7 +99,7 @@
         return max(self.need, self.in_use())
 
 
-class Ledger:
+class LeaseManager:
     """`told` is called with an event's name and fields for what staff should see."""
 
     name = "budgets"  # of the topic
@@ -99,12 +107,12 @@
     def __init__(
         self,
         peers: tuple[str, ...],
-        budgets: tuple[Budget, ...],
+        budgets: tuple[FleetLimit, ...],
         bytes_per_s: float,
         now: float,
         rng: Random,
         told: Callable[..., None] = lambda event, **fields: None,
-        make: Callable[[Terms, float], Holding] = Holding,
+        make: Callable[[LeaseTerms, float], Allocation] = Allocation,
     ) -> None:
         self.bytes_per_s = bytes_per_s
         self.accounts = {one.name: Account(one, make(one.terms, now)) for one in budgets}
@@ -225,7 +233,7 @@
                 self._forgo(account, lender, id)
                 continue
             call.tries, call.said_at = call.tries + 1, now
-            ask = Ask(id, call.amount, now, account.holding.usable(now))
+            ask = LeaseRequest(id, call.amount, now, account.holding.usable(now))
             self._say((lender, call.life), account, ask)
 
     def _forgo(self, account: Account, lender: str, id: int) -> None:
@@ -296,7 +304,7 @@
 
     # The topic
 
-    def say(self, now: float, to: Life, room: int) -> bytes | None:
+    def say(self, now: float, to: Incarnation, room: int) -> bytes | None:
         """The fact for a datagram to that life."""
         peer = to.name, to.life
         words = self._out.get(peer, {})
@@ -317,7 +325,7 @@
                 return None
             (offers or flats).pop()
         for mark, kind, id, *_ in flats:
-            words.pop((mark, ("Ask", "Grant", "Give")[kind], id), None)
+            words.pop((mark, ("LeaseRequest", "LeaseGrant", "LeaseRelease")[kind], id), None)
         if not words:
             self._out.pop(peer, None)
         return data
@@ -352,7 +360,7 @@
     def _word(self, account: Account, peer: Peer, word: Word, now: float) -> None:
         holding, key = account.holding, (peer[0], getattr(word, "id", 0))
         match word:
-            case Ask():
+            case LeaseRequest():
                 loan = holding.lent.get((peer, word.id))
                 need = account.wanted if loan is not None else self._kept(account)
                 turn = self._is_its_turn(account, peer, word, 0 if loan is None else loan.amount, now)
@@ -362,30 +370,30 @@
                     self.counts["refused_need" if turn else "refused_turn"] += 1
                     if loan is None:
                         account.refused[peer] = now, word.held
-                    grant = Grant(word.id, 0, word.stamp)  # no loan: a word that nothing will come
+                    grant = LeaseGrant(word.id, 0, word.stamp)  # no loan: a word that nothing will come
                 elif loan is None:
                     self.counts["lent"] += 1
                     account.refused.pop(peer, None)
                 self._say(peer, account, grant)
-            case Grant(id, 0, _):
+            case LeaseGrant(id, 0, _):
                 if account.calls.pop(key, None) is not None:
                     self.counts["denied"] += 1
                     account.offers.pop(peer[0], None)
                     holding.forgo(peer[0], id)
                 elif key in holding.borrowed:
                     account.denied.add(key)
-            case Grant():
+            case LeaseGrant():
                 before = key in holding.borrowed
                 holding.hear(now, peer, word)
                 if key in holding.borrowed:
                     account.calls.pop(key, None)
                     account.lenders[key] = peer[1]
                     self.counts["renewed" if before else "granted"] += 1
-            case Give():
+            case LeaseRelease():
                 holding.hear(now, peer, word)
 
     @staticmethod
-    def _is_its_turn(account: Account, peer: Peer, ask: Ask, amount: int, now: float) -> bool:
+    def _is_its_turn(account: Account, peer: Peer, ask: LeaseRequest, amount: int, now: float) -> bool:
         """Not while another asked here in vain that holds less, by so much that a loan may change hands.
         Guards who comes late against those that hold all there is to lend, and renew it. `amount`: of the
         loan that is to be renewed. One at a time: what changes hands is of no use meanwhile."""
--- a/flintridge/leases/messages.py
+++ b/flintridge/leases/messages.py
@@ -11,7 +11,7 @@
 import msgspec
 from msgspec import Meta
 
-from flintridge.leases.allocation import Ask, Give, Grant, Terms, Word
+from flintridge.leases.allocation import LeaseGrant, LeaseRelease, LeaseRequest, LeaseTerms, Word
 
 MOST_OFFERS = 64  # of one fact
 MOST_WORDS = 32
@@ -46,7 +46,7 @@
 _decoder = msgspec.msgpack.Decoder(Said)
 
 
-def mark_of(name: str, whole: float, nodes: int, terms: Terms) -> bytes:
+def mark_of(name: str, whole: float, nodes: int, terms: LeaseTerms) -> bytes:
     """Of a budget: its name, its size, how many even parts it is cut into, and the terms of loans."""
     text = f"{name}\n{whole!r}\n{nodes}\n{terms.part}\n{terms.lease!r}\n{terms.drift!r}\n{terms.keep!r}"
     return hashlib.blake2b(text.encode(), digest_size=4, person=b"flintridge-budg").digest()
@@ -54,22 +54,22 @@
 
 def flat(mark: bytes, word: Word) -> tuple[bytes, int, int, int, float, int]:
     match word:
-        case Ask(id, amount, stamp, held):
+        case LeaseRequest(id, amount, stamp, held):
             return mark, ASK, id, amount, stamp, held
-        case Grant(id, amount, stamp):
+        case LeaseGrant(id, amount, stamp):
             return mark, GRANT, id, amount, stamp, 0
-        case Give(id):
+        case LeaseRelease(id):
             return mark, GIVE, id, 0, 0.0, 0
 
 
 def word_of(kind: int, id: int, amount: int, stamp: float, held: int) -> Word:
     match kind:
         case 0:
-            return Ask(id, amount, stamp, held)
+            return LeaseRequest(id, amount, stamp, held)
         case 1:
-            return Grant(id, amount, stamp)
+            return LeaseGrant(id, amount, stamp)
         case _:
-            return Give(id)
+            return LeaseRelease(id)
 
 
 def encode(said: Said) -> bytes:
--- a/flintridge/membership/driver.py
+++ b/flintridge/membership/driver.py
@@ -11,8 +11,8 @@
 import msgspec
 
 from flintridge.membership.byte_budget import Bucket
-from flintridge.membership.failure_detector import Presence
-from flintridge.membership.member_table import Heard, Life
+from flintridge.membership.failure_detector import FailureDetector
+from flintridge.membership.member_table import Heard, Incarnation
 from flintridge.membership.messages import MAGIC, VERSION, Dropped, Entry, Wire
 from flintridge.membership.state_exchange import NONCE, Ask, Exchange, Hello, Piece, Refusal
 from flintridge.runtime.clock import Clock, DeadlineExceededError, Timer, sleep, within
@@ -54,7 +54,7 @@
         self._counters.add("peers_send_errors")
 
 
-class Peers:
+class MembershipDriver:
     """One process's part among its peers. Times are float milliseconds of `clock`."""
 
     def __init__(
@@ -73,7 +73,7 @@
         self._clock, self._log, self._counters = clock, log, counters
         self._wire = Wire(config.fleet, config.key)
         self._addresses = {peer: address for peer, address in config.known if peer != name}
-        self.presence = Presence(
+        self.presence = FailureDetector(
             name,
             self.life,
             tuple(self._addresses),
@@ -212,7 +212,7 @@
         if self._transport is not None and not self._transport.is_closing():
             self._transport.sendto(data, to)
 
-    def tell(self, life: Life) -> None:
+    def tell(self, life: Incarnation) -> None:
         """Send that life what topics have for it, now."""
         if not self._closed:
             self.presence.tell(self._clock.now(), life)
@@ -424,7 +424,7 @@
             "counts": counts,
         }
 
-    def _said(self, one: Life, now: float) -> dict[str, Any]:
+    def _said(self, one: Incarnation, now: float) -> dict[str, Any]:
         def ago(at: float) -> int | None:
             return None if at == float("-inf") else round(now - at)
 
--- a/flintridge/membership/failure_detector.py
+++ b/flintridge/membership/failure_detector.py
@@ -17,7 +17,7 @@
 from msgspec.structs import replace
 
 from flintridge.membership.byte_budget import Bucket
-from flintridge.membership.member_table import DRIFT, MOST_LIVES, Heard, Life, Table
+from flintridge.membership.member_table import DRIFT, MOST_LIVES, Heard, Incarnation, MemberTable
 from flintridge.membership.messages import LONGEST, Dropped, Entry, Kind, Packet, State, Wire, size
 
 PERIOD = 300.0  # between two probes
@@ -68,7 +68,7 @@
     name: str
     bytes_per_s: float
 
-    def say(self, now: float, to: Life, room: int) -> bytes | None:
+    def say(self, now: float, to: Incarnation, room: int) -> bytes | None:
         """What to tell that life now, in at most `room` bytes."""
 
     def hear(self, now: float, name: str, life: int, as_of: float, data: bytes) -> None:
@@ -106,7 +106,7 @@
         self.of[name] += count
 
 
-class Presence:
+class FailureDetector:
     """One node's view of its peers.
 
     `told` is called with an event's name and fields for what staff should see, each kind of refusal once.
@@ -123,7 +123,7 @@
         rng: Random,
         told: Callable[..., None] = lambda event, **fields: None,
     ) -> None:
-        self.table = Table(me, life, names, now, rng)
+        self.table = MemberTable(me, life, names, now, rng)
         self.counts = Counts()
         self.topics: dict[str, tuple[Topic, Bucket]] = {}
         self.slowness = 0
@@ -387,7 +387,7 @@
                 self._told_once.add("own_name")
                 self._told("peers_own_name", life=f"{packet.to:x}", answered_by=packet.name)
 
-    def _answer(self, packet: Packet, one: Life, now: float) -> None:
+    def _answer(self, packet: Packet, one: Incarnation, now: float) -> None:
         match packet.kind:
             case Kind.PING:
                 self._send(packet.name, packet.life, Kind.ACK, packet.ref, now, answer=True)
@@ -434,7 +434,7 @@
 
     # What goes
 
-    def tell(self, now: float, to: Life) -> bool:
+    def tell(self, now: float, to: Incarnation) -> bool:
         """Send what topics have for that life now, not with its next probe. False where nothing goes.
 
         A life of which nothing came yet believes nothing from here: it is probed, and the answer to its
@@ -466,7 +466,7 @@
         kind: Kind,
         ref: int,
         now: float,
-        reached: Life | None = None,
+        reached: Incarnation | None = None,
         about: tuple[str, int] | None = None,
         extra: Entry | None = None,
         answer: bool = False,
@@ -514,7 +514,7 @@
         self._out.append(Out(name, data))
         return True
 
-    def _facts(self, to: Life, now: float, room: int) -> tuple[tuple[str, bytes], ...]:
+    def _facts(self, to: Incarnation, now: float, room: int) -> tuple[tuple[str, bytes], ...]:
         if to.stamp < 0:
             return ()  # it could not tell how old they are, and would drop them
         said = []
--- a/flintridge/membership/member_table.py
+++ b/flintridge/membership/member_table.py
@@ -28,7 +28,7 @@
 
 
 @dataclass(slots=True, eq=False)
-class Life:
+class Incarnation:
     name: str
     life: int
     incarnation: int = 0
@@ -67,12 +67,12 @@
         return True
 
 
-def _lives(one: Life, since: float) -> bool:
+def _lives(one: Incarnation, since: float) -> bool:
     """What makes a life fresh, where knowledge counts from `since`."""
     return one.state < State.SILENT and one.known_at >= since
 
 
-def _bit(one: Life, salt: int, length: int) -> int:
+def _bit(one: Incarnation, salt: int, length: int) -> int:
     return crc32(one.life.to_bytes(8, "big"), salt) % (8 * length)
 
 
@@ -96,22 +96,24 @@
         return self.since.get(max(1, math.ceil(share * self.names - 1e-9)))
 
 
-class Table:
+class MemberTable:
     """`names`: of the peers, as configured. No life of any other name is ever held."""
 
     def __init__(self, me: str, life: int, names: tuple[str, ...], now: float, rng: Random) -> None:
         self.me, self.life, self.incarnation = me, life, 0
         self.names = tuple(name for name in names if name != me)
-        self._by_name: dict[str, dict[int, Life]] = {name: {} for name in (*self.names, me)}
+        self._by_name: dict[str, dict[int, Incarnation]] = {name: {} for name in (*self.names, me)}
         self._rng = rng
-        self._turns: list[Life] = []  # whose words go out next
-        self._suspects: dict[Life, None] = {}
+        self._turns: list[Incarnation] = []  # whose words go out next
+        self._suspects: dict[Incarnation, None] = {}
         self._young: dict[
-            Life, int
+            Incarnation, int
         ] = {}  # those of which something newer was learned, the latest last: left to tell
         self._proved_at = now  # the newest instant that anything proved
-        self._fresh: dict[Life, None] = {}
-        self._changed: dict[Life, None] = {}  # what may have become fresh, or ended, since the last look
+        self._fresh: dict[Incarnation, None] = {}
+        self._changed: dict[
+            Incarnation, None
+        ] = {}  # what may have become fresh, or ended, since the last look
         self._woke = False  # since then
         self._counted_from = now  # at the last look
         self._oldest = math.inf  # no fresh life was known later than this at the last look at all of them
@@ -119,21 +121,21 @@
         self.awake_from = now  # what was known before counts no more
         self.view = Heard(len(self.names) + 1, 1, 0, {1: now})
         self.retold = max(4, math.ceil(4 * math.log10(len(self.names) + 2)))  # times that news are passed on
-        self._news: list[dict[Life, None]] = [{} for _ in range(self.retold + 1)]  # by how often yet
+        self._news: list[dict[Incarnation, None]] = [{} for _ in range(self.retold + 1)]  # by how often yet
 
     # Lives
 
-    def __iter__(self) -> Iterator[Life]:
+    def __iter__(self) -> Iterator[Incarnation]:
         for lives in self._by_name.values():
             yield from lives.values()
 
-    def of(self, name: str) -> list[Life]:
+    def of(self, name: str) -> list[Incarnation]:
         return list(self._by_name.get(name, {}).values())
 
-    def find(self, name: str, life: int) -> Life | None:
+    def find(self, name: str, life: int) -> Incarnation | None:
         return self._by_name.get(name, {}).get(life)
 
-    def take(self, name: str, life: int, now: float) -> Life | None:
+    def take(self, name: str, life: int, now: float) -> Incarnation | None:
         """That life, made where it is new. None where its name is not of the fleet, or has all the lives that
         it may: guards memory against whoever starts again and again, or makes lives up."""
         lives = self._by_name.get(name)
@@ -146,7 +148,7 @@
             if not over:
                 return None
             self._drop(min(over, key=lambda one: one.known_at))
-        made = lives[life] = Life(name, life, since=now)
+        made = lives[life] = Incarnation(name, life, since=now)
         return made
 
     def forget(self, now: float) -> None:
@@ -158,7 +160,7 @@
                 if not one.fresh and now > max(one.since, one.known_at) + REMEMBER:
                     self._drop(one)
 
-    def _drop(self, one: Life) -> None:
+    def _drop(self, one: Incarnation) -> None:
         del self._by_name[one.name][one.life]
         self._news[one.news_left].pop(one, None)
         self._changed.pop(one, None)
@@ -167,7 +169,7 @@
 
     # Words
 
-    def speaks(self, one: Life, incarnation: int, as_of: float | None, now: float) -> None:
+    def speaks(self, one: Incarnation, incarnation: int, as_of: float | None, now: float) -> None:
         """A life's own bytes, sent at `as_of` or later; None: nobody can tell when."""
         if one.state is State.LEFT:
             return
@@ -222,7 +224,7 @@
             if state > one.state:
                 self._turn(one, state, now)
 
-    def suspect(self, one: Life, now: float) -> None:
+    def suspect(self, one: Incarnation, now: float) -> None:
         """A probe of this node's own failed, directly and through others."""
         if one.state is State.ALIVE:
             self._turn(one, State.SUSPECT, now)
@@ -234,7 +236,7 @@
                 lived = one.known_at > one.since
                 self._turn(one, State.ALIVE if lived else State.SILENT, now, news=not lived)
 
-    def _learn(self, one: Life, known_at: float) -> None:
+    def _learn(self, one: Incarnation, known_at: float) -> None:
         if not one.fresh:
             self._changed[one] = None
         if known_at > one.told_best + NEWER:
@@ -242,7 +244,7 @@
             self._young.pop(one, None)
             self._young[one] = TELL
 
-    def _turn(self, one: Life, state: State, now: float, news: bool = True) -> None:
+    def _turn(self, one: Incarnation, state: State, now: float, news: bool = True) -> None:
         one.state, one.since = state, now
         self._changed[one] = None
         if state is State.SUSPECT:
@@ -252,7 +254,7 @@
         if news:
             self._tell(one, self.retold)
 
-    def _tell(self, one: Life, left: int) -> None:
+    def _tell(self, one: Incarnation, left: int) -> None:
         """It is news for `left` datagrams more."""
         self._news[one.news_left].pop(one, None)
         one.news_left = left
@@ -261,19 +263,19 @@
 
     # What is passed on
 
-    def entry(self, one: Life, now: float, state: State | None = None) -> Entry:
+    def entry(self, one: Incarnation, now: float, state: State | None = None) -> Entry:
         age = min(now - one.known_at, float((1 << 40) - 1))
         return Entry(
             one.name, one.life, one.incarnation, one.state if state is None else state, math.ceil(age)
         )
 
-    def entries(self, to: Life | None, room: float, others: bool, now: float) -> list[Entry]:
+    def entries(self, to: Incarnation | None, room: float, others: bool, now: float) -> list[Entry]:
         """For a datagram to `to`, in at most `room` bytes: what it is held for itself; and, where words of
         `others` may go, news, what is young, and lives in turn. Only what fits uses up its turn."""
-        said: dict[Life, Entry] = {}
+        said: dict[Incarnation, Entry] = {}
         left = room
 
-        def fits(one: Life, keep: float, state: State | None = None) -> bool:
+        def fits(one: Incarnation, keep: float, state: State | None = None) -> bool:
             nonlocal left
             entry = self.entry(one, now, state)
             after = left - size(entry)
@@ -286,7 +288,7 @@
             fits(to, 0.0, to.accused or to.state)
         if not others:
             return [*said.values()]
-        told: list[Life] = []
+        told: list[Incarnation] = []
         for turn in reversed(self._news):
             for one in turn:
                 if one is to:
@@ -335,7 +337,7 @@
             bits[bit >> 3] |= 1 << (bit & 7)
         return salt.to_bytes(4, "big") + bits
 
-    def missing(self, bits: bytes) -> list[Life]:
+    def missing(self, bits: bytes) -> list[Incarnation]:
         """The fresh lives that are not among a peer's `heard_bits`; all, where it sent none."""
         fresh = [one for one in self._fresh if one.state < State.SILENT]
         if len(bits) <= 4:
@@ -347,22 +349,22 @@
     # What is heard
 
     @property
-    def fresh(self) -> list[Life]:
+    def fresh(self) -> list[Incarnation]:
         """As last looked."""
         return [*self._fresh]
 
     @property
-    def fresh_or_suspect(self) -> list[Life]:
+    def fresh_or_suspect(self) -> list[Incarnation]:
         return [*(self._fresh | self._suspects)]
 
     def _counts_from(self, now: float, limit: float) -> float:
         """Who is known to have lived then or later is heard."""
         return math.inf if self._proved_at < now - QUIET else max(now - limit, self.awake_from)
 
-    def is_fresh(self, one: Life, now: float, limit: float) -> bool:
+    def is_fresh(self, one: Incarnation, now: float, limit: float) -> bool:
         return _lives(one, self._counts_from(now, limit))
 
-    def standing(self, one: Life, now: float, limit: float) -> str:
+    def standing(self, one: Incarnation, now: float, limit: float) -> str:
         """For staff: heard (by its own bytes), through (by the word of others), suspect, silent or left."""
         if one.state is State.LEFT:
             return "left"
--- a/flintridge/net/console.py
+++ b/flintridge/net/console.py
@@ -2,7 +2,7 @@
 
 import asyncio
 
-from flintridge.fronts.console import ConsoleExchange, Routes
+from flintridge.fronts.console import AdminExchange, Routes
 from flintridge.net.parting import part
 from flintridge.runtime.clock import Clock, DeadlineExceededError, within
 from flintridge.runtime.listener import Listener, open_listener
@@ -13,7 +13,7 @@
 CALL_TIME = 3_000.0  # until which a call must be whole
 
 
-class Console:
+class AdminApi:
     def __init__(
         self,
         routes: Routes,
@@ -44,7 +44,7 @@
             self._drop(oldest)
         self._callers[writer] = asyncio.current_task()
         self._counters.add("console_calls")
-        exchange = ConsoleExchange(self._routes)
+        exchange = AdminExchange(self._routes)
         try:
             try:
                 parts = await within(self._clock, CALL_TIME, self._answer(exchange, reader))
@@ -66,7 +66,7 @@
             self._callers.pop(writer, None)
             writer.close()
 
-    async def _answer(self, exchange: ConsoleExchange, reader: asyncio.StreamReader) -> list[bytes] | None:
+    async def _answer(self, exchange: AdminExchange, reader: asyncio.StreamReader) -> list[bytes] | None:
         """None where the caller ends before its call is whole."""
         while data := await reader.read(4096):
             if (parts := exchange.feed(data)) is not None:
--- a/flintridge/net/delivery.py
+++ b/flintridge/net/delivery.py
@@ -67,7 +67,7 @@
 
 
 @dataclass(slots=True, eq=False)
-class Link:
+class UpstreamConnection:
     """A connection to a server."""
 
     address: Address
@@ -142,7 +142,7 @@
     return reader, await open_stream(reader, address.host, address.port)
 
 
-class Delivery:
+class Dispatcher:
     def __init__(
         self,
         transports: EndpointList,
@@ -166,7 +166,7 @@
         self._log = log
         self._counters = counters
         self._open = 0  # connections, those being opened too
-        self._idle: dict[str, deque[Link]] = {}  # by server, the latest used last
+        self._idle: dict[str, deque[UpstreamConnection]] = {}  # by server, the latest used last
         self._tasks: dict[asyncio.Task[None], None] = {}  # in their order, which a set would not keep
         self._sweep_timer = clock.call_at(clock.now() + SWEEP, self._sweep)
 
@@ -201,7 +201,7 @@
     # One attempt
 
     async def _carry(self, attempt: UpstreamAttempt) -> None:
-        link: Link | None = None
+        link: UpstreamConnection | None = None
         answer = AttemptResult(Outcome.CONNECT_FAILED)  # what holds until its last byte is written
         try:
             transport = self._transports[attempt.server]
@@ -264,7 +264,7 @@
         attempt: UpstreamAttempt,
         exchange: Exchange,
         long: StreamedValue,
-        link: Link,
+        link: UpstreamConnection,
         answer: AttemptResult | None,
     ) -> None:
         """A long value to its client, as fast as the client reads it. The attempt has ended by then."""
@@ -299,7 +299,7 @@
         return CacheExchange(attempt.request, left)
 
     async def _probe(self, server: str, done: Callable[[AttemptResult], None]) -> None:
-        link: Link | None = None
+        link: UpstreamConnection | None = None
         answer = AttemptResult(Outcome.CONNECT_FAILED)
         try:
             transport = self._transports[server]
@@ -326,9 +326,9 @@
 
     # Connections
 
-    def _take(self, server: str, transport: EndpointAddress) -> Link | None:
+    def _take(self, server: str, transport: EndpointAddress) -> UpstreamConnection | None:
         links, found, now = self._idle.get(server, deque()), None, self._clock.now()
-        resting: list[Link] = []
+        resting: list[UpstreamConnection] = []
         while links and found is None:
             link = links.pop()
             idle = now - link.idle_since
@@ -349,7 +349,7 @@
             self._idle.pop(server, None)
         return found
 
-    def _keep(self, server: str, link: Link, named: bool = True) -> None:
+    def _keep(self, server: str, link: UpstreamConnection, named: bool = True) -> None:
         """`named`: whether the last answer on it told which request it was for."""
         if link.broken:  # more than the answer came while it was passed on
             self._counters.add("connections_unasked")
@@ -380,7 +380,7 @@
                 limit = STALE_PART * age
         self._idle_time, self._stale_at = limit, now
 
-    def _unasked(self, server: str, link: Link) -> None:
+    def _unasked(self, server: str, link: UpstreamConnection) -> None:
         """Bytes nobody asked for, or the end, on an idle connection: it is of no use any more."""
         self._counters.add("connections_unasked")
         links = self._idle.get(server, deque())
@@ -390,7 +390,7 @@
                 del self._idle[server]
             self._close(link)
 
-    async def _connect(self, address: Address, limit: float) -> Link:
+    async def _connect(self, address: Address, limit: float) -> UpstreamConnection:
         if self._open >= self.room and not self._free_one():
             raise NoDescriptorError
         self._open += 1
@@ -402,9 +402,9 @@
             raise
         writer.transport.set_write_buffer_limits(high=0)
         self._counters.add("connections_opened")
-        return Link(address, reader, writer)
+        return UpstreamConnection(address, reader, writer)
 
-    def _close(self, link: Link) -> None:
+    def _close(self, link: UpstreamConnection) -> None:
         self._open -= 1
         link.reader.unasked = None
         if link.writer.transport.get_write_buffer_size():
@@ -430,7 +430,7 @@
         if now >= self._stale_at + STALE_SPAN:
             self._idle_time = self._longest
         for server, links in list(self._idle.items()):
-            stay: deque[Link] = deque()
+            stay: deque[UpstreamConnection] = deque()
             for link in links:
                 if link.broken or now - link.idle_since >= self._idle_time:
                     self._close(link)
--- a/flintridge/net/places.py
+++ b/flintridge/net/places.py
@@ -21,7 +21,7 @@
 C = TypeVar("C", bound=Placed)
 
 
-class Places(Generic[C]):
+class EvictionOrder(Generic[C]):
     """Connections in the order in which they make place: those that end, then those that have asked, then
     those that never did; of each kind the one unused for longest.
 
--- a/flintridge/net/sender.py
+++ b/flintridge/net/sender.py
@@ -11,12 +11,12 @@
 from flintridge.discovery.endpoint_list import EndpointList
 from flintridge.net import memcache
 from flintridge.net.parting import PARTING, PARTING_BYTES, all_read, let_go, part
-from flintridge.net.places import Places
+from flintridge.net.places import EvictionOrder
 from flintridge.runtime.clock import Clock, DeadlineExceededError, Timer, sleep, to_ms
 from flintridge.runtime.listener import Listener, open_listener
 from flintridge.runtime.streams import CountingReader, bound_reads, other_side_ended
 from flintridge.settings import Address
-from flintridge.shutdown import Drain
+from flintridge.shutdown import GracefulShutdown
 from flintridge.telemetry.counters import Counters
 from flintridge.telemetry.log import EventLog
 
@@ -39,24 +39,24 @@
 FIRST_WORD = 300.0  # for the first request of a connection that comes while others are closed
 
 
-class Slot:
+class PendingResponse:
     """The place of one command's answer among those of its connection; the Reply of its request."""
 
     __slots__ = ("connection", "id", "parts", "passage", "uid")
 
-    def __init__(self, connection: "SenderConnection", id_: bytes = b"") -> None:
+    def __init__(self, connection: "ClientConnection", id_: bytes = b"") -> None:
         self.connection = connection
         self.id = id_
         self.uid: str | None = None  # of a request that the core holds
         self.parts: list[bytes] | None = None
-        self.passage: ClientPassage | None = None  # while a long value goes through
+        self.passage: ClientStream | None = None  # while a long value goes through
 
     def check_client(self) -> None:
         self.connection.look()
 
-    def start_stream(self, length: int) -> "ClientPassage":
+    def start_stream(self, length: int) -> "ClientStream":
         self.uid = None  # the core holds it no longer
-        self.passage = ClientPassage(self, length)
+        self.passage = ClientStream(self, length)
         self.connection.flush()
         return self.passage
 
@@ -74,10 +74,10 @@
         self.connection.flush()
 
 
-class ClientPassage:
+class ClientStream:
     """A long value on its way to a client: in its turn, and no faster than the client reads."""
 
-    def __init__(self, slot: Slot, length: int) -> None:
+    def __init__(self, slot: PendingResponse, length: int) -> None:
         self._slot = slot
         self._head = memcache.passage_head(slot.id, length)
         self._turn = asyncio.Event()
@@ -108,7 +108,7 @@
         self._slot.connection.cut()
 
 
-class SenderConnection:
+class ClientConnection:
     """One client's connection.
 
     It ends in order (`close`): what was answered is written, the sending half shut, what still comes read
@@ -116,14 +116,14 @@
     after it never sent on: its client has no answer and sees the end, and sends it again elsewhere.
     """
 
-    def __init__(self, side: "SenderSide", reader: CountingReader, writer: asyncio.StreamWriter) -> None:
+    def __init__(self, side: "Downstream", reader: CountingReader, writer: asyncio.StreamWriter) -> None:
         self._side = side
         self._reader = reader
         self._writer = writer
         assert isinstance(writer.transport, asyncio.Transport)
         self._transport = writer.transport
         self._parser = memcache.CommandParser(side.settings)
-        self._slots: deque[Slot] = deque()
+        self._slots: deque[PendingResponse] = deque()
         self._moved = asyncio.Event()  # a slot became free
         self.used_at = side.clock.now()
         self.begun_at = self.used_at  # of the command that is not whole yet, or the connection
@@ -280,7 +280,7 @@
     def _carry_out(
         self, command: Request | memcache.Hello | memcache.BadCommand | memcache.PassedOver, kept: int
     ) -> bool:
-        slot = Slot(self, command.id if isinstance(command, Request) else b"")
+        slot = PendingResponse(self, command.id if isinstance(command, Request) else b"")
         self._slots.append(slot)
         if isinstance(command, Request):
             slot.uid = command.id.decode("ascii")
@@ -420,7 +420,7 @@
         self._side.core.memory_budget.release(kept)
 
 
-class SenderSide:
+class Downstream:
     def __init__(
         self,
         core: RequestLifecycle,
@@ -430,23 +430,23 @@
         room: int,
         log: EventLog,
         counters: Counters,
-        drain: Drain | None = None,
+        drain: GracefulShutdown | None = None,
     ) -> None:
         self.core = core
         self.settings = settings
         self.clock = clock
         self.counters = counters
-        self.drain = drain or Drain()
+        self.drain = drain or GracefulShutdown()
         self._transports = transports
         self.room = room
         self._log = log
         self._listening: Listener | None = None
         # A dict, not a set: it is walked in the order of arrival, and two nodes given the same do the same.
-        self._connections: dict[SenderConnection, None] = {}
-        self.places: Places[SenderConnection] = Places()
+        self._connections: dict[ClientConnection, None] = {}
+        self.places: EvictionOrder[ClientConnection] = EvictionOrder()
         self.blank = memcache.CommandParser(settings)  # of all that read no command any more
         self._partings = 0
-        self._beyond: dict[SenderConnection, None] = {}  # made place, and are still parted from
+        self._beyond: dict[ClientConnection, None] = {}  # made place, and are still parted from
         self._tasks: dict[asyncio.Task[None], None] = {}
         self.ready: Callable[[], bool] = lambda: True  # what else has to be, before `mn` is answered
         self._sweep_timer = clock.call_at(clock.now() + SWEEP, self._sweep)
@@ -483,7 +483,7 @@
             return
         self.counters.add("connections_accepted")
         assert isinstance(reader, CountingReader)
-        connection = SenderConnection(self, reader, writer)
+        connection = ClientConnection(self, reader, writer)
         self._connections[connection] = None
         self.places.used(connection)
         try:
@@ -551,7 +551,7 @@
             self.between_requests(connection)
         self._emptied()
 
-    def between_requests(self, connection: SenderConnection) -> None:
+    def between_requests(self, connection: ClientConnection) -> None:
         """Close it if the service is ending: between requests, or if its first one does not come."""
         if self.drain.welcoming or not connection.idle or not self.drain.parting(now := self.clock.now()):
             return
--- a/flintridge/node.py
+++ b/flintridge/node.py
@@ -17,22 +17,22 @@
 from flintridge.discovery.endpoint_list import EndpointList, configured_endpoints
 from flintridge.discovery.overrides import EndpointOverrides
 from flintridge.discovery.watcher import DiscoveryWatcher, watch_wait_ms
-from flintridge.net.delivery import Delivery
-from flintridge.net.sender import SenderSide
+from flintridge.net.delivery import Dispatcher
+from flintridge.net.sender import Downstream
 from flintridge.policy.balancer import QUOTA_SLACK, Balancer
 from flintridge.runtime.clock import Clock
 from flintridge.runtime.worker_processes import WorkerProcesses
 from flintridge.settings import LONGEST_MB, NodeConfig
-from flintridge.shutdown import Drain, State
+from flintridge.shutdown import GracefulShutdown, ServiceState
 from flintridge.telemetry.counters import Counters
 from flintridge.telemetry.log import EventLog
 
 if TYPE_CHECKING:
     from flintridge.fronts.console import Routes, Said
-    from flintridge.leases.driver import Budgets
-    from flintridge.membership.driver import Peers
-    from flintridge.net.console import Console
-    from flintridge.replication.driver import Replica
+    from flintridge.leases.driver import LeaseDriver
+    from flintridge.membership.driver import MembershipDriver
+    from flintridge.net.console import AdminApi
+    from flintridge.replication.driver import ReplicationDriver
 
 CHANGEABLE = ("discovery", "sockets", "memory_mb")  # without a restart
 
@@ -71,13 +71,13 @@
         self.log = log
         self.counters = counters or Counters()
         settings = config.settings
-        self.transports = EndpointList(config.zones, config.kinds, settings, clock)
-        self._known = configured_endpoints(config, self.transports)
+        self.endpoints = EndpointList(config.zones, config.kinds, settings, clock)
+        self._known = configured_endpoints(config, self.endpoints)
         self.core = RequestLifecycle(
             policy or Balancer(settings, config.seed), settings, clock, config.held_bytes, log, self.counters
         )
-        self.delivery = Delivery(
-            self.transports,
+        self.dispatcher = Dispatcher(
+            self.endpoints,
             settings,
             clock,
             config.server_sockets,
@@ -88,56 +88,65 @@
         )
         self._list_told: Callable[[EndpointUpdate], None] = self.core.notify
         if config.state is not None:
-            self._holds = EndpointOverrides(self.core.notify)
-            self._list_told = self._holds.apply
-        self.watch = DiscoveryWatcher(
+            self._overrides = EndpointOverrides(self.core.notify)
+            self._list_told = self._overrides.apply
+        self.discovery_watcher = DiscoveryWatcher(
             config.discovery,
-            self.transports,
+            self.endpoints,
             clock,
             self._list_told,
             log,
             self.counters,
             watch_wait_ms(settings),
         )
-        self.core.attach(self.delivery, self.watch)
-        self.drain = Drain()
-        self.side = SenderSide(
-            self.core, settings, self.transports, clock, config.client_sockets, log, self.counters, self.drain
+        self.core.attach(self.dispatcher, self.discovery_watcher)
+        self.shutdown = GracefulShutdown()
+        self.downstream = Downstream(
+            self.core,
+            settings,
+            self.endpoints,
+            clock,
+            config.client_sockets,
+            log,
+            self.counters,
+            self.shutdown,
         )
-        self.console: Console | None = None
-        self.peers: Peers | None = None
+        self.admin_api: AdminApi | None = None
+        self.membership: MembershipDriver | None = None
         if config.peers is not None:
-            from flintridge.membership.driver import Peers  # not held by a node that hears nobody
+            from flintridge.membership.driver import MembershipDriver  # not held by a node that hears nobody
 
-            self.peers = Peers(config.name, config.peers, clock, log, self.counters, entropy)
-        self.budgets: Budgets | None = None
-        if config.budgets is not None and self.peers is not None:
-            from flintridge.leases.driver import Budgets  # not held by a node that lends nothing
+            self.membership = MembershipDriver(config.name, config.peers, clock, log, self.counters, entropy)
+        self.leases: LeaseDriver | None = None
+        if config.budgets is not None and self.membership is not None:
+            from flintridge.leases.driver import LeaseDriver  # not held by a node that lends nothing
 
             even = {
                 i: QUOTA_SLACK / settings.fleet_size * tenant.quota_per_s
                 for i, tenant in enumerate(settings.tenants)
             }
-            self.budgets = Budgets(
+            self.leases = LeaseDriver(
                 config.budgets,
                 settings,
                 even,
-                self.peers,
-                self.transports,
+                self.membership,
+                self.endpoints,
                 self.core,
                 clock,
                 log,
                 self.counters,
                 entropy,
             )
-        self.replica: Replica | None = None
-        if config.state is not None and self.peers is not None:
-            from flintridge.replication.driver import Replica  # not held by a node that holds no state
+        self.replication: ReplicationDriver | None = None
+        if config.state is not None and self.membership is not None:
+            from flintridge.replication.driver import (
+                ReplicationDriver,  # not held by a node that holds no state
+            )
 
-            self.replica = Replica(
-                config.state, self.peers, clock, log, self.counters, entropy, self._holds.take_out
+            self.replication = ReplicationDriver(
+                config.state, self.membership, clock, log, self.counters, entropy, self._overrides.take_out
             )
-        self.side.ready = self._ready
+        self.downstream.ready = self._ready
         self._closed = False
         listen = config.listen
         self._siblings: WorkerProcesses | None = None
@@ -152,31 +161,33 @@
         """
         # Before anything else: what cannot have its console must not have taken a single connection.
         if self.config.console is not None:
-            from flintridge.net.console import Console  # not held by a node that has none
+            from flintridge.net.console import AdminApi  # not held by a node that has none
 
-            self.console = Console(self._routes(), self.clock, self.log, self.counters)
-            port = await self.console.listen(self.config.console)
+            self.admin_api = AdminApi(self._routes(), self.clock, self.log, self.counters)
+            port = await self.admin_api.listen(self.config.console)
             self.log.event("console", host=self.config.console.host, port=port)
-        if self.peers is not None:
-            await self.peers.start()
+        if self.membership is not None:
+            await self.membership.start()
         if self._siblings is not None:
             self._siblings.start()
-        if self.budgets is not None:
-            self.budgets.start()  # before the first request: a process that just began holds its floor alone
-        if self.replica is not None:
-            self.replica.start()
+        if self.leases is not None:
+            self.leases.start()  # before the first request: a process that just began holds its floor alone
+        if self.replication is not None:
+            self.replication.start()
         if self.config.settings.discovery is DiscoveryMode.PUSHED:
-            self.watch.begin(self._known)  # a watch is how lists are pushed: it is open from the first moment
+            self.discovery_watcher.begin(
+                self._known
+            )  # a watch is how lists are pushed: it is open from the first moment
         else:
             self._list_told(self._known)
         listen = self.config.listen
-        port = await self.side.listen(listen)
+        port = await self.downstream.listen(listen)
         self.log.event("serving", host=listen.host, port=port, members=len(self._known.endpoints))
         return port
 
     def _ready(self) -> bool:
         """What else has to be before `mn` is answered: a list, and the state of others where it is held."""
-        return self.watch.has_list and (self.replica is None or self.replica.caught_up())
+        return self.discovery_watcher.has_list and (self.replication is None or self.replication.caught_up())
 
     def reload(self, new: NodeConfig) -> Reloaded:
         """Take over from `new` what can change in service; no request and no connection is touched."""
@@ -188,8 +199,8 @@
         now = {name: getattr(new, name) for name in changed if name in CHANGEABLE}
         self.config = replace(old, **now)  # what holds, whatever else the file says
         self._deal_out()
-        if self.watch.discovery != self.config.discovery:
-            self.watch.move(self.config.discovery)
+        if self.discovery_watcher.discovery != self.config.discovery:
+            self.discovery_watcher.move(self.config.discovery)
         done = Reloaded(tuple(now), tuple(name for name in changed if name not in now))
         self.log.event("reloaded", changed=list(done.changed), until_restart=list(done.until_restart))
         return done
@@ -202,10 +213,10 @@
         count = 1 if self._siblings is None else self._siblings.count
         config = self.config
         self.core.memory_budget.resize(max(int(LONGEST_MB * 1024 * 1024), config.held_bytes // count))
-        self.delivery.room = config.server_sockets // count
-        self.side.room = config.client_sockets // count
-        if self.budgets is not None:
-            self.budgets.processes(count)
+        self.dispatcher.room = config.server_sockets // count
+        self.downstream.room = config.client_sockets // count
+        if self.leases is not None:
+            self.leases.processes(count)
 
     def refuse_reload(self, error: Exception) -> None:
         """A configuration that cannot be read changes nothing; it is counted and told."""
@@ -220,22 +231,26 @@
             b"/admin/health": {b"GET": self._health},
             b"/admin/quiesce": {b"POST": self._quiesce},
             b"/admin/resume": {b"POST": self._resume},
-            **({} if self.peers is None else {b"/admin/peers": {b"GET": self.peers.said}}),
-            **({} if self.budgets is None else {b"/admin/budgets": {b"GET": self.budgets.said}}),
-            **({} if self.replica is None else self.replica.routes()),
+            **({} if self.membership is None else {b"/admin/peers": {b"GET": self.membership.said}}),
+            **({} if self.leases is None else {b"/admin/budgets": {b"GET": self.leases.said}}),
+            **({} if self.replication is None else self.replication.routes()),
         }
 
     @property
     def state(self) -> str:
         """`starting`, or as in `drain.State`."""
-        if self.drain.state is State.SERVING and not self.side.serving:
+        if self.shutdown.state is ServiceState.SERVING and not self.downstream.serving:
             return "starting"
-        return self.drain.state.value
+        return self.shutdown.state.value
 
     def _health(self) -> Said:
         # A drained process can serve: it is only told not to. One that leaves ends soon.
-        able = self.side.serving and self.drain.state is not State.LEAVING
-        said = {"state": self.state, "connections": self.side.connections, "requests": self.core.unanswered}
+        able = self.downstream.serving and self.shutdown.state is not ServiceState.LEAVING
+        said = {
+            "state": self.state,
+            "connections": self.downstream.connections,
+            "requests": self.core.unanswered,
+        }
         return 200 if able else 503, said
 
     def _quiesce(self) -> Said:
@@ -244,49 +259,49 @@
 
     def _resume(self) -> Said:
         self.resume()
-        return 409 if self.drain.state is State.LEAVING else 200, {"state": self.state}
+        return 409 if self.shutdown.state is ServiceState.LEAVING else 200, {"state": self.state}
 
     def quiesce(self) -> bool:
         """Drain: `mn` is told no, connections end between requests, the process runs on. False: it was told
         before."""
-        if not self.drain.quiesce(self.clock.now()):
+        if not self.shutdown.quiesce(self.clock.now()):
             return False
         self.counters.add("drains")
-        self.log.event("draining", connections=self.side.connections)
-        self.side.ending()
+        self.log.event("draining", connections=self.downstream.connections)
+        self.downstream.ending()
         return True
 
     def resume(self) -> bool:
         """End the drain. False where there was none, or the process leaves."""
-        if not self.drain.resume(self.clock.now()):
+        if not self.shutdown.resume(self.clock.now()):
             return False
         self.counters.add("resumes")
-        self.side.resumed()
-        self.log.event("resumed", connections=self.side.connections)
+        self.downstream.resumed()
+        self.log.event("resumed", connections=self.downstream.connections)
         return True
 
     async def leave(self) -> None:
         """Serve on for 0.7 s, answer all that was taken, then close."""
         other = None if self._siblings is None else self._siblings.place_of_other()
-        stepped_aside = other is not None and self.side.step_aside(other)
+        stepped_aside = other is not None and self.downstream.step_aside(other)
         self.log.event("leaving", stepped_aside=stepped_aside)
-        if self.budgets is not None:
-            self.budgets.leave()
-        await self.side.leave()
-        if self.peers is not None:
-            self.peers.leave()
+        if self.leases is not None:
+            self.leases.leave()
+        await self.downstream.leave()
+        if self.membership is not None:
+            self.membership.leave()
         await self.close()
         self.tell_counters()
         self.log.event("left")
 
     def tell_counters(self) -> None:
         """Log what was counted, and the histograms where there are any."""
-        if self.peers is not None:
-            self.peers.tell_counters()
-        if self.budgets is not None:
-            self.budgets.tell_counters()
-        if self.replica is not None:
-            self.replica.tell_counters()
+        if self.membership is not None:
+            self.membership.tell_counters()
+        if self.leases is not None:
+            self.leases.tell_counters()
+        if self.replication is not None:
+            self.replication.tell_counters()
         self.log.event("counters", **self.counters.snapshot())
         if histograms := self.counters.histograms():
             self.log.event("histograms", **histograms)
@@ -296,17 +311,17 @@
         if self._closed:
             return
         self._closed = True
-        self.side.close()
-        if self.console is not None:
-            self.console.close()
+        self.downstream.close()
+        if self.admin_api is not None:
+            self.admin_api.close()
         if self._siblings is not None:
             self._siblings.close()
-        if self.budgets is not None:
-            self.budgets.close()
-        if self.replica is not None:
-            await self.replica.close()
-        if self.peers is not None:
-            await self.peers.close()
-        await self.watch.close()
-        await self.delivery.close()
+        if self.leases is not None:
+            self.leases.close()
+        if self.replication is not None:
+            await self.replication.close()
+        if self.membership is not None:
+            await self.membership.close()
+        await self.discovery_watcher.close()
+        await self.dispatcher.close()
         self.core.close()
--- a/flintridge/policy/balancer.py
+++ b/flintridge/policy/balancer.py
@@ -78,7 +78,7 @@
 
 
 @dataclass(slots=True, eq=False)
-class Gate:
+class ConcurrencyLimiter:
     """How many attempts may be out at once at the caches, or at the origin, and who waits for a place.
 
     Additive increase, multiplicative decrease on the part of a round's attempts that fail or are slow. Guards
@@ -100,7 +100,9 @@
     seen: int = 0
     slow: int = 0
     left: int = 0
-    waiting: list[tuple[float, int, "Held"]] = field(default_factory=list)  # heap: worthiest, newest first
+    waiting: list[tuple[float, int, "OpenRequest"]] = field(
+        default_factory=list
+    )  # heap: worthiest, newest first
 
     def calm(self, now: int) -> bool:
         return now > self.narrowed_at + CALM
@@ -155,7 +157,7 @@
 
 
 @dataclass(slots=True, eq=False)
-class Held:
+class OpenRequest:
     """A request that this router still has to answer, or whose attempts are still out."""
 
     event: api.RequestReceived
@@ -163,7 +165,7 @@
     arrived: int  # of the client's first try, as far as known
     came: int  # of this try
     over_quota: bool = False
-    gate: Gate | None = None  # where it waits
+    gate: ConcurrencyLimiter | None = None  # where it waits
     missed_at: str | None = None  # the first server that missed: it stores what the origin answers
     prefer: str | None = None  # the server that has just stored its key
     attempts: list[Attempt] = field(default_factory=list)
@@ -187,7 +189,7 @@
         self.on_ring: set[str] = set()
         self.ready: list[str] = []
         self.origins: list[str] = []
-        self.caches, self.origin = Gate(4.0), Gate(8.0)
+        self.caches, self.origin = ConcurrencyLimiter(4.0), ConcurrencyLimiter(8.0)
         self.latency: dict[tuple[int, bool], float] = {}  # of served attempts, by class and if at the origin
         self.idles: deque[tuple[int, int, bool]] = deque(maxlen=16)  # at, idle time before, silence after
         self.stale_after = math.inf  # idle time
@@ -202,10 +204,10 @@
         self.load_from, self.load_sum = 0, 0.0  # the window in which served work is added up
         self.warm_load = 0.0  # work that this router saw a warm server do in a rule window, at the most
         self.mean_work = 0.0  # of requests
-        self.held: dict[str, Held] = {}
+        self.held: dict[str, OpenRequest] = {}
         self.timers: dict[int, Callable[[], None]] = {}
         self.order = itertools.count()
-        self.fetches: dict[str, list[Held]] = {}  # keys that are being fetched, and who waits for them
+        self.fetches: dict[str, list[OpenRequest]] = {}  # keys that are being fetched, and who waits for them
         # First arrival and quota of what was refused: a flagged retry goes on from there. Guards against
         # storms, whose late repeats would be served for nothing and eat the tenants' quotas.
         self.refused: dict[tuple[int, int, str | None, int | None], tuple[int, bool | None]] = {}
@@ -274,7 +276,7 @@
     def is_origin(self, member: api.Endpoint) -> bool:
         return self.settings.mode is api.CacheMode.ASIDE and member.kind == self.settings.origin_kind
 
-    def gate_of(self, server: Server) -> Gate:
+    def gate_of(self, server: Server) -> ConcurrencyLimiter:
         return self.origin if self.is_origin(server.member) else self.caches
 
     def build_ring(self) -> None:
@@ -311,7 +313,7 @@
     def on_request(self, event: api.RequestReceived) -> None:
         if event.id in self.held:
             return
-        request = self.held[event.id] = Held(
+        request = self.held[event.id] = OpenRequest(
             event, self.settings.classes[event.class_index], self.now, self.now
         )
         work = self.work(request)
@@ -329,13 +331,13 @@
         else:
             self.route(request)
 
-    def route(self, request: Held) -> None:
+    def route(self, request: OpenRequest) -> None:
         write = request.event.write and self.settings.mode is api.CacheMode.ASIDE
         self.enter(request, self.origin if write else self.caches)
 
     # Waiting for a place
 
-    def enter(self, request: Held, gate: Gate) -> None:
+    def enter(self, request: OpenRequest, gate: ConcurrencyLimiter) -> None:
         """Send at once where there is a place, else wait for one: the worthiest first, the newest of equals.
 
         Whoever could no longer be answered in time is refused early. Newest first because under lasting
@@ -355,7 +357,7 @@
             else:
                 self.timer(until, partial(self.wait, request_id))
 
-    def last_start(self, request: Held, gate: Gate) -> int:
+    def last_start(self, request: OpenRequest, gate: ConcurrencyLimiter) -> int:
         cls, event = request.cls, request.event
         # A slow spell must not teach that a class is hopeless.
         usual = min(
@@ -373,7 +375,7 @@
             return min(until - int(usual), request.came + int(waits))
         return until - int(usual)
 
-    def value(self, request: Held) -> float:
+    def value(self, request: OpenRequest) -> float:
         """Worth for each unit of work, and less for what is beyond the tenant's quota."""
         worth = request.cls.priority_weight * (self.settings.over_quota_weight if request.over_quota else 1)
         usual = max(self.latency.get((request.event.class_index, False), 0.0), MS)
@@ -414,8 +416,8 @@
         self.admit(self.caches)
         self.admit(self.origin)
 
-    def admit(self, gate: Gate) -> None:
-        passed: list[tuple[float, int, Held]] = []
+    def admit(self, gate: ConcurrencyLimiter) -> None:
+        passed: list[tuple[float, int, OpenRequest]] = []
         while gate.waiting and gate.room(self.now) and len(passed) < 4:
             entry = heapq.heappop(gate.waiting)
             request = entry[2]
@@ -445,7 +447,7 @@
             gate.timer_at = gate.next_at
             self.timer(gate.next_at, self.admit_all)
 
-    def pick(self, request: Held) -> str | None:
+    def pick(self, request: OpenRequest) -> str | None:
         """The first server clockwise from the key that is under the cap."""
         if not self.ready:
             return None
@@ -539,7 +541,7 @@
         return server.evidence * math.pow(0.5, (self.now - server.cost_at) / FADE)
 
     def note_cost(
-        self, server: Server, request: Held, event: api.AttemptEnded, failed: bool, spoilt: bool
+        self, server: Server, request: OpenRequest, event: api.AttemptEnded, failed: bool, spoilt: bool
     ) -> None:
         expected = request.event.work_ns or self.latency.get((request.event.class_index, False))
         if not expected:
@@ -583,7 +585,7 @@
             + (1 - rules.slow_start_fraction) * max(self.now - started, 0) / rules.slow_start_ns
         )
 
-    def cold_room(self, server: Server, request: Held) -> bool:
+    def cold_room(self, server: Server, request: OpenRequest) -> bool:
         rules, share = self.settings.rules, self.warmth(server)
         if share == 1 or not rules.overload_multiple or not rules.overload_window_ns:
             return True
@@ -610,10 +612,10 @@
         each = let_in or window / max(1, min(cls.latency_objective_ns for cls in settings.classes))
         return max(self.warm_load, each * self.mean_work / settings.fleet_size * self.holdings.slow_start)
 
-    def work(self, request: Held) -> float:
+    def work(self, request: OpenRequest) -> float:
         return 1.0 if request.event.work_ns is None else request.event.work_ns / MS
 
-    def note_served(self, server: Server, request: Held) -> None:
+    def note_served(self, server: Server, request: OpenRequest) -> None:
         window = self.settings.rules.overload_window_ns
         if not window or self.warmth(server) < 1:
             return
@@ -625,7 +627,7 @@
             self.load_from, self.load_sum = self.now, 0.0
         self.load_sum += self.work(request)
 
-    def send(self, request: Held, server: str) -> None:
+    def send(self, request: OpenRequest, server: str) -> None:
         if not self.may_send(request, server):
             self.give_up(request)
             return
@@ -673,7 +675,7 @@
             if was_lost and idle and silent >= 2 and told_apart:
                 self.stale_after = 0.8 * idle
 
-    def patience(self, request: Held, gate: Gate) -> int:
+    def patience(self, request: OpenRequest, gate: ConcurrencyLimiter) -> int:
         """How long to wait for an answer before another attempt; 0: until the client gives up.
 
         Until this one counts as slow and takes some times the usual, if rule 2 allows another and that can
@@ -691,7 +693,7 @@
         in_time = wait <= self.last_start(request, gate) - self.now
         return wait if in_time and (cls.effect is Effect.SAFE or wait < cls.deduplication_window_ns) else 0
 
-    def may_repeat(self, request: Held) -> bool:
+    def may_repeat(self, request: OpenRequest) -> bool:
         """Whether a repeat is harmless by now, wherever it runs."""
         effect, group = request.cls.effect, request.cls.deduplication_scope
         dropped = (
@@ -702,7 +704,7 @@
         return effect is Effect.SAFE or dropped
 
     @staticmethod
-    def repeat_by(request: Held) -> float:
+    def repeat_by(request: OpenRequest) -> float:
         """Until when it may be sent once more; always, while none of its attempts may have run."""
         window = {Effect.SAFE: math.inf, Effect.KEYED: request.cls.deduplication_window_ns, Effect.UNSAFE: -1}
         return math.inf if request.ran_at is None else request.ran_at + window[request.cls.effect]
@@ -711,10 +713,10 @@
     # and then ask the server that stored it. Guards the origin; where answers are not kept, a follower loses
     # the time of one cache trip.
 
-    def fetched_key(self, request: Held) -> str | None:
+    def fetched_key(self, request: OpenRequest) -> str | None:
         return None if request.event.write else request.event.key
 
-    def end_fetch(self, request: Held, outcome: Outcome) -> None:
+    def end_fetch(self, request: OpenRequest, outcome: Outcome) -> None:
         for follower in self.fetches.pop(self.fetched_key(request) or "", []):
             if follower.gate is not self.origin or follower.done:
                 continue
@@ -778,7 +780,9 @@
             self.next_step(request, attempt, event.outcome, spoilt)
         self.admit(gate)
 
-    def next_step(self, request: Held, attempt: Attempt, outcome: Outcome, spoilt: bool = False) -> None:
+    def next_step(
+        self, request: OpenRequest, attempt: Attempt, outcome: Outcome, spoilt: bool = False
+    ) -> None:
         repeats = not attempt.moot and outcome is not Outcome.MISS  # that is the way to the origin
         if self.now >= request.event.deadline or (repeats and self.beyond_quota(REPEATS)):
             self.give_up(request)
@@ -792,10 +796,10 @@
             (request.spoilt if again else request.failed).append(attempt.server)
             self.route(request)
 
-    def is_last(self, request: Held) -> bool:
+    def is_last(self, request: OpenRequest) -> bool:
         return len(request.attempts) >= self.settings.limits.max_attempts - 1
 
-    def may_send(self, request: Held, server: str) -> bool:
+    def may_send(self, request: OpenRequest, server: str) -> bool:
         """Rule 2, the attempts cap and the client's patience."""
         late = self.now >= request.event.deadline or self.now > self.repeat_by(request)
         if late or len(request.attempts) >= self.settings.limits.max_attempts:
@@ -809,7 +813,7 @@
             else first.cell == then.cell
         )
 
-    def give_up(self, request: Held) -> None:
+    def give_up(self, request: OpenRequest) -> None:
         """The final answer when nothing more can be done: a refusal where trying again is harmless."""
         harmless = request.ran_at is None or self.may_repeat(request)
         self.refused.pop(likeness := self.likeness(request.event), None)
@@ -823,7 +827,7 @@
         self.out.append(api.Reject(uid, back) if harmless else api.Fail(uid))
         self.forget(request)
 
-    def come_back(self, request: Held) -> int:
+    def come_back(self, request: OpenRequest) -> int:
         """When the client may find a place: its quota has room again, or those before it have had their turn.
 
         Reckoned from this router's own line and pace. It could harm where the line shrinks much faster.
@@ -845,7 +849,7 @@
             wait = max(usual * line / max(gate.limit, gate.floor), gate.next_at - self.now)
         return int(min(max(wait, 1 * MS), limits.max_retry_after_ns))
 
-    def forget(self, request: Held) -> None:
+    def forget(self, request: OpenRequest) -> None:
         request.done = True
         if request.gate is not None:
             request.gate.leave()
--- a/flintridge/policy/hash_ring.py
+++ b/flintridge/policy/hash_ring.py
@@ -56,7 +56,7 @@
     return [place & ~LOW_BITS | number << 8 | rank for rank, place in enumerate(places)]
 
 
-class Ring:
+class HashRing:
     """Servers by number, each with its entries in one zone."""
 
     __slots__ = ("_servers", "_zones")
--- a/flintridge/replication/driver.py
+++ b/flintridge/replication/driver.py
@@ -15,13 +15,13 @@
 import msgspec
 
 from flintridge.fronts.console import Routes, Taking
-from flintridge.membership.driver import Peers
+from flintridge.membership.driver import MembershipDriver
 from flintridge.membership.driver import Refused as PeerRefused
 from flintridge.membership.messages import Dropped
 from flintridge.replication.entry import Dot, Entry, Key, Version, Writer, counts, ordered
-from flintridge.replication.gossip import Spread
+from flintridge.replication.gossip import RumorSpreader
 from flintridge.replication.messages import asked, asked_of, pieces, slice_of
-from flintridge.replication.replica import SLICE, Copy, Limits, Standing
+from flintridge.replication.replica import SLICE, Limits, Replica, Standing
 from flintridge.replication.value_types import TABLE, Body, Refused, checked, decode
 from flintridge.runtime.clock import Clock, DeadlineExceededError, Timer, sleep
 from flintridge.settings import StateConfig
@@ -47,13 +47,13 @@
     delete: bool = False
 
 
-class Replica:
+class ReplicationDriver:
     """One process's part. Times are float milliseconds of `clock`."""
 
     def __init__(
         self,
         config: StateConfig,
-        peers: Peers,
+        peers: MembershipDriver,
         clock: Clock,
         log: EventLog,
         counters: Counters,
@@ -66,9 +66,9 @@
         now = clock.now()
         limits = Limits(config.entries, config.entry_bytes, config.remember_s * 1000.0, config.wait_ms)
         me = peers.name, peers.life
-        self.copy = Copy(me, limits, now, time.time() * 1000 - now, log.event)
+        self.copy = Replica(me, limits, now, time.time() * 1000 - now, log.event)
         names = tuple(name for name, _ in peers.config.known if name != peers.name)
-        self.spread = Spread(self.copy, names, config.bytes_per_s, Random(entropy(16)))
+        self.spread = RumorSpreader(self.copy, names, config.bytes_per_s, Random(entropy(16)))
         self.spread.changed = self._changed
         self.obeyed: Callable[[str, str, Body | None], None] = lambda type, name, body: None
         self._hold = hold
--- a/flintridge/replication/gossip.py
+++ b/flintridge/replication/gossip.py
@@ -10,10 +10,10 @@
 from dataclasses import dataclass, field
 from random import Random
 
-from flintridge.membership.member_table import Life
+from flintridge.membership.member_table import Incarnation
 from flintridge.replication.entry import Dot, Entry, Key, Writer
 from flintridge.replication.messages import Held, Said, entry_of, flat, said, said_of
-from flintridge.replication.replica import Copy, Standing
+from flintridge.replication.replica import Replica, Standing
 
 FAN = 6  # lives that each process tells of what is new to it; the comparison brings it to those that are left
 AT_ONCE = 3  # of them without waiting for the next datagram
@@ -43,12 +43,12 @@
     not_before: float = -math.inf  # it is asked
 
 
-class Spread:
+class RumorSpreader:
     """`told` is called with an event's name and fields for what staff should see."""
 
     name = "state"  # of the topic
 
-    def __init__(self, copy: Copy, peers: tuple[str, ...], bytes_per_s: float, rng: Random) -> None:
+    def __init__(self, copy: Replica, peers: tuple[str, ...], bytes_per_s: float, rng: Random) -> None:
         self.copy = copy
         self.bytes_per_s = bytes_per_s
         self.counts: Counter[str] = Counter()
@@ -100,7 +100,7 @@
 
     # The topic
 
-    def say(self, now: float, to: Life, room: int) -> bytes | None:
+    def say(self, now: float, to: Incarnation, room: int) -> bytes | None:
         """The fact for a datagram to that life."""
         peer = to.name, to.life
         copy = self.copy
--- a/flintridge/replication/replica.py
+++ b/flintridge/replication/replica.py
@@ -78,7 +78,7 @@
     return int.from_bytes(made) >> 1
 
 
-class Copy:
+class Replica:
     """`offset`: makes a time of day (ms) of the clock, for stamps alone. `told`: what staff should see."""
 
     def __init__(
--- a/tests/discovery/test_watch_termination.py
+++ b/tests/discovery/test_watch_termination.py
@@ -53,10 +53,10 @@
             await alone.node.start()
             await until(lambda: discovery.got)
             assert discovery.got[0].startswith(b"GET /api/targets HTTP/1.1\r\n")
-            assert alone.state("s1") is None and not alone.node.side.serving
+            assert alone.state("s1") is None and not alone.node.downstream.serving
             discovery.writers[0].write(http(whole(7, s1="terminating", s2="in_service")))
             await until(lambda: alone.state("s1") is EndpointState.DRAINING)
-            assert alone.state("s2") is EndpointState.READY and alone.node.side.serving
+            assert alone.state("s2") is EndpointState.READY and alone.node.downstream.serving
             await alone.pass_until(lambda: len(discovery.got) == 2, 200)
             assert b"after=7&wait_ms=" in discovery.got[1]
             await alone.node.close()
@@ -150,7 +150,7 @@
             alone = Alone(discovery, whole(1, s1="in_service"), settings)
             await alone.node.start()
             await until(lambda: alone.state("s1") is EndpointState.READY)
-            assert alone.node.side.serving
+            assert alone.node.downstream.serving
             await alone.pass_until(lambda: len(discovery.got) == 2, 1_000)
             await alone.node.close()
 
--- a/tests/downstream/test_admin_api.py
+++ b/tests/downstream/test_admin_api.py
@@ -16,9 +16,9 @@
 from support.paths import ROOT
 from support.program import Program, cache
 
-from flintridge.fronts.console import MAX_BODY, MAX_HEAD, ConsoleExchange
+from flintridge.fronts.console import MAX_BODY, MAX_HEAD, AdminExchange
 from flintridge.lab import virtual
-from flintridge.net.console import CALL_TIME, Console
+from flintridge.net.console import CALL_TIME, AdminApi
 from flintridge.net.parting import PARTING
 from flintridge.runtime.listener import ListenError, open_listener
 from flintridge.settings import Address, ConfigError, node_config
@@ -38,7 +38,7 @@
 
 
 def answered(data: bytes, *cuts: int) -> tuple[int, dict[bytes, bytes], bytes] | None:
-    exchange = ConsoleExchange(routes())
+    exchange = AdminExchange(routes())
     edges = [0, *sorted(cut % (len(data) + 1) for cut in cuts), len(data)]
     for start, end in itertools.pairwise(edges):
         if start < end and (parts := exchange.feed(data[start:end])) is not None:
@@ -88,7 +88,7 @@
 @FIXED
 @given(st.lists(st.binary(min_size=1, max_size=60), max_size=20))
 def test_garbage_is_refused_or_waited_for_and_never_raises(pieces):
-    exchange = ConsoleExchange(routes())
+    exchange = AdminExchange(routes())
     answers = [parts for piece in pieces if (parts := exchange.feed(piece)) is not None]
     assert len(answers) <= 1 and all(b"HTTP/1.1 4" in b"".join(parts) for parts in answers)
 
@@ -96,7 +96,7 @@
 def test_callers_who_say_nothing_or_half_a_call_keep_nobody_waiting():
     async def test():
         clock, (log, counters) = HandClock(), quiet()
-        console = Console(routes(), clock, log, counters, places=3)
+        console = AdminApi(routes(), clock, log, counters, places=3)
         port = await console.listen(Address("127.0.0.1", 0))
         silent = [await asyncio.open_connection("127.0.0.1", port) for _ in range(5)]
         silent[3][1].write(HEALTH[:20])
@@ -146,7 +146,7 @@
             taken.listen()
             port = taken.getsockname()[1]
             with pytest.raises(ListenError, match=rf"127.0.0.1:{port}: Address already in use"):
-                await Console(routes(), HandClock(), log, counters).listen(Address("127.0.0.1", port))
+                await AdminApi(routes(), HandClock(), log, counters).listen(Address("127.0.0.1", port))
 
     asyncio.run(test())
 
@@ -308,7 +308,7 @@
 
     async def test():
         clock, (log, counters) = HandClock(), quiet()
-        console = Console(routes(), clock, log, counters)
+        console = AdminApi(routes(), clock, log, counters)
         port = await console.listen(Address("127.0.0.1", 0))
         loop, turns, over = asyncio.get_running_loop(), 0, False
 
--- a/tests/downstream/test_admin_api_termination.py
+++ b/tests/downstream/test_admin_api_termination.py
@@ -6,7 +6,7 @@
 from support.downstream_termination import rest, turns
 from support.network import HandClock, quiet, until
 
-from flintridge.net.console import CALL_TIME, Console
+from flintridge.net.console import CALL_TIME, AdminApi
 from flintridge.net.parting import PARTING
 from flintridge.settings import Address
 
@@ -14,7 +14,7 @@
 def test_a_call_that_was_not_whole_in_time_is_told_so_though_more_of_it_lies_there():
     async def test():
         clock, (log, counters) = HandClock(), quiet()
-        console = Console({}, clock, log, counters)
+        console = AdminApi({}, clock, log, counters)
         port = await console.listen(Address("127.0.0.1", 0))
         caller = socket.create_connection(("127.0.0.1", port))
         caller.sendall(b"GET /admin/health HTTP/1.1\r\n")
--- a/tests/downstream/test_connection_termination.py
+++ b/tests/downstream/test_connection_termination.py
@@ -272,9 +272,9 @@
             if answer is None:
                 core.submit = crossing
             else:
-                alone.node.delivery._report = crossing
+                alone.node.dispatcher._report = crossing
             await until(lambda: alone.node.counters["clients_disconnected"] == 1)
-            await until(lambda: not alone.node.side._connections)
+            await until(lambda: not alone.node.downstream._connections)
             await turns()
             assert len(one.got) + len(two.got) == sent + (answer is not None) and core.idle
             assert alone.node.counters["attempts_expired_unsent"] == 1
--- a/tests/downstream/test_downstream_streaming.py
+++ b/tests/downstream/test_downstream_streaming.py
@@ -13,7 +13,7 @@
 from flintridge.lab import virtual
 from flintridge.net import memcache
 from flintridge.net.parting import SLOW_READER
-from flintridge.net.sender import ROOM_TIME, UNFINISHED, SenderSide
+from flintridge.net.sender import ROOM_TIME, UNFINISHED, Downstream
 from flintridge.settings import Address
 
 
@@ -25,7 +25,7 @@
         log, self.counters = quiet()
         self.core = RequestLifecycle(self.script, SETTINGS, self.clock, room, log, self.counters)
         transports = EndpointList((), (), SETTINGS, self.clock)
-        self.side = SenderSide(self.core, SETTINGS, transports, self.clock, 8, log, self.counters)
+        self.side = Downstream(self.core, SETTINGS, transports, self.clock, 8, log, self.counters)
 
     async def client(self, *parts: bytes):
         reader, writer = await asyncio.open_connection("127.0.0.1", self.port)
--- a/tests/downstream/test_eviction.py
+++ b/tests/downstream/test_eviction.py
@@ -4,7 +4,7 @@
 from hypothesis import strategies as st
 from support.network import FIXED
 
-from flintridge.net.places import Places
+from flintridge.net.places import EvictionOrder
 
 
 class Connection:
@@ -36,7 +36,7 @@
 @FIXED
 @given(st.lists(DEEDS, max_size=40))
 def test_the_order_is_that_of_the_rule_whatever_happens(deeds):
-    places, there, now = Places(), [], 0
+    places, there, now = EvictionOrder(), [], 0
     for now, (deed, which) in enumerate(deeds, 1):
         if deed == "come":
             there.append(one := Connection(now))
@@ -67,7 +67,7 @@
 
 def test_a_newcomer_looks_at_few_however_many_there_are():
     """Guards a node in a crowd: the walk over all took half of its time, and requests lay there meanwhile."""
-    places = Places()
+    places = EvictionOrder()
     there = [Connection(number) for number in range(5_000)]
     for number, one in enumerate(there):
         one.asked = number % 2 == 0
--- a/tests/leases/test_allocation.py
+++ b/tests/leases/test_allocation.py
@@ -7,18 +7,18 @@
 from flintridge.lab.defects.lending import LENDING
 from flintridge.lab.explore import explore
 from flintridge.lab.explore.leases import SPEEDS, Leases, Left
-from flintridge.leases.allocation import Ask, Give, Grant, Holding, Terms
+from flintridge.leases.allocation import Allocation, LeaseGrant, LeaseRelease, LeaseRequest, LeaseTerms
 
-TERMS = Terms(part=100, floor=40, lease=1000.0, drift=0.02)
+TERMS = LeaseTerms(part=100, floor=40, lease=1000.0, drift=0.02)
 A, B = ("a", 1), ("b", 2)
 OLD = -1e9  # begun long ago
 
 
-def pair() -> tuple[Holding, Holding]:
-    return Holding(TERMS, OLD), Holding(TERMS, OLD)
+def pair() -> tuple[Allocation, Allocation]:
+    return Allocation(TERMS, OLD), Allocation(TERMS, OLD)
 
 
-def lent(amount=60, now=0.0) -> tuple[Holding, Holding, Grant]:
+def lent(amount=60, now=0.0) -> tuple[Allocation, Allocation, LeaseGrant]:
     lender, borrower = pair()
     grant = lender.hear(now, B, borrower.ask(now, "a", amount))
     borrower.hear(now, A, grant)
@@ -77,13 +77,13 @@
     assert (lender.usable(999), borrower.usable(999)) == (40, 160)
     assert (lender.usable(1001), borrower.usable(1001)) == (40, 100)  # the borrower's ends first
     assert lender.usable(TERMS.lasts) == 100
-    assert lender.lendable(0) == 0 and lender.hear(0.0, B, Ask(9, 5, 0.0)) is None
+    assert lender.lendable(0) == 0 and lender.hear(0.0, B, LeaseRequest(9, 5, 0.0)) is None
 
 
 def test_what_a_node_needs_itself_is_not_lent():
     lender, borrower = pair()
     assert lender.lendable(0, need=70) == 30 and lender.lendable(0, need=500) == 0
-    assert lender.hear(0.0, B, borrower.ask(0.0, "a", 60), need=70) == Grant(1, 30, 0.0)
+    assert lender.hear(0.0, B, borrower.ask(0.0, "a", 60), need=70) == LeaseGrant(1, 30, 0.0)
 
 
 def test_a_grant_that_is_lost_stays_lent_and_a_repeated_call_gives_the_same_loan():
@@ -99,30 +99,30 @@
 
 def test_a_grant_that_comes_late_unasked_or_for_what_was_given_back_counts_nothing():
     lender, borrower, grant = lent()
-    late = Holding(TERMS, OLD)
+    late = Allocation(TERMS, OLD)
     late.ask(0.0, "a", 60)
     late.hear(1000.0, A, grant)
     assert late.usable(1000.0) == 100
-    stranger = Holding(TERMS, OLD)
+    stranger = Allocation(TERMS, OLD)
     stranger.hear(0.0, A, grant)
     assert stranger.usable(0.0) == 100
-    assert borrower.give(1.0, "a", 1) == Give(1) and borrower.usable(1.0) == 100
+    assert borrower.give(1.0, "a", 1) == LeaseRelease(1) and borrower.usable(1.0) == 100
     borrower.hear(2.0, A, grant)
     assert borrower.usable(2.0) == 100 and borrower.give(2.0, "a", 1) is None
-    lender.hear(3.0, B, Give(1))
-    lender.hear(3.0, B, Give(1))
+    lender.hear(3.0, B, LeaseRelease(1))
+    lender.hear(3.0, B, LeaseRelease(1))
     assert lender.usable(3.0) == 100
 
 
 def test_a_process_that_starts_anew_holds_its_floor_until_the_longest_loan_is_over():
-    lender = Holding(TERMS, 5_000.0)
+    lender = Allocation(TERMS, 5_000.0)
     assert (lender.usable(5_000.0), lender.lendable(5_000.0)) == (40, 0)
     assert lender.usable(5_000.0 + TERMS.lasts) == 100
 
 
 def test_two_processes_of_a_node_use_half_each_and_the_new_one_nothing_until_the_old_one_knows():
-    old, new = Holding(TERMS, OLD), Holding(TERMS, 0.0)
-    other = Holding(TERMS, OLD)
+    old, new = Allocation(TERMS, OLD), Allocation(TERMS, 0.0)
+    other = Allocation(TERMS, OLD)
     other.hear(0.0, A, old.hear(0.0, B, other.ask(0.0, "a", 60)))
     new.joined(0.0, notice=500.0)
     for now in range(0, 4_000, 50):
@@ -148,7 +148,7 @@
     def clock(name):
         return offsets[name] + now * rates[name]
 
-    held = {name: Holding(TERMS, OLD) for name in names}
+    held = {name: Allocation(TERMS, OLD) for name in names}
     stopped: dict[str, float] = {}
     flying: list[tuple[float, str, tuple[str, int], object]] = []
     moved = 0
@@ -183,7 +183,7 @@
             elif deed < 0.52:
                 stopped[name] = now + rng.choice((100.0, 1_500.0, 5_000.0))
             elif deed < 0.54:
-                held[name], lives[name] = Holding(TERMS, at), lives[name] + 1
+                held[name], lives[name] = Allocation(TERMS, at), lives[name] + 1
         used = {n: one.usable(clock(n)) for n, one in held.items()}
         moved = max(moved, max(used.values()))
         assert sum(used.values()) <= 500 and min(used.values()) >= 40, (now, used)
@@ -201,7 +201,7 @@
 )
 def test_terms_that_mean_nothing_are_refused(values, reason):
     with pytest.raises(ValueError, match=reason):
-        Terms(**values)
+        LeaseTerms(**values)
 
 
 def test_the_speeds_of_the_whole_search_are_all_mixtures_of_slow_and_fast():
--- a/tests/leases/test_lease_manager.py
+++ b/tests/leases/test_lease_manager.py
@@ -10,19 +10,30 @@
 from flintridge.lab.defects.lending import CreditBeforeDebit, LeaseFromArrival, LoansForgotten
 from flintridge.lab.partial.lending import QUOTA, Lenders, random_day
 from flintridge.lab.partial.machines import Link
-from flintridge.leases.allocation import Ask, Give, Grant, Terms
-from flintridge.leases.demand import Level, Pace
-from flintridge.leases.lease_manager import AGAIN, CHUNK, FLOORS, MOST_WORDS, PART, TRIES, Budget, Ledger
+from flintridge.leases.allocation import LeaseGrant, LeaseRelease, LeaseRequest, LeaseTerms
+from flintridge.leases.demand import RecentPeak, RequestRate
+from flintridge.leases.lease_manager import (
+    AGAIN,
+    CHUNK,
+    FLOORS,
+    MOST_WORDS,
+    PART,
+    TRIES,
+    FleetLimit,
+    LeaseManager,
+)
 from flintridge.leases.messages import Said, decode, encode, flat, mark_of, word_of
 
-TERMS = Terms(PART, floor=250, lease=4_000.0)
+TERMS = LeaseTerms(PART, floor=250, lease=4_000.0)
 OLD = -1e9  # begun long ago
 ROOM = 1_000
 
 
-def ledger(*peers: str, nodes: int = 2, terms: Terms = TERMS, seed: int = 1, names=(QUOTA,), told=None):
-    budgets = tuple(Budget(name, 100.0 * nodes, "requests a second", nodes, terms) for name in names)
-    return Ledger(peers, budgets, 2_000.0, OLD, random.Random(seed), told or (lambda event, **fields: None))
+def ledger(*peers: str, nodes: int = 2, terms: LeaseTerms = TERMS, seed: int = 1, names=(QUOTA,), told=None):
+    budgets = tuple(FleetLimit(name, 100.0 * nodes, "requests a second", nodes, terms) for name in names)
+    return LeaseManager(
+        peers, budgets, 2_000.0, OLD, random.Random(seed), told or (lambda event, **fields: None)
+    )
 
 
 def life(name: str) -> SimpleNamespace:
@@ -30,7 +41,7 @@
 
 
 def pass_words(
-    now: float, source: tuple[str, Ledger], target: tuple[str, Ledger], room: int = ROOM
+    now: float, source: tuple[str, LeaseManager], target: tuple[str, LeaseManager], room: int = ROOM
 ) -> bytes | None:
     data = source[1].say(now, life(target[0]), room)
     if data is not None:
@@ -38,7 +49,7 @@
     return data
 
 
-def talk(now: float, a: tuple[str, Ledger], b: tuple[str, Ledger], times: int = 4) -> None:
+def talk(now: float, a: tuple[str, LeaseManager], b: tuple[str, LeaseManager], times: int = 4) -> None:
     for _ in range(times):
         for one in (a[1], b[1]):
             one.tick(now)
@@ -124,9 +135,9 @@
         if (data := a[1].say(now, life("b"), ROOM)) is not None:
             said += [word_of(*one[1:]) for one in decode(data).words]
     ids = {word.id for word in said}
-    assert [type(word) for word in said if word.id == min(ids)] == [Ask] * TRIES + [Give]
+    assert [type(word) for word in said if word.id == min(ids)] == [LeaseRequest] * TRIES + [LeaseRelease]
     assert a[1].counts["unanswered"] == len(ids) and not a[1].accounts[QUOTA].calls
-    late = encode(Said(0.0, (), (flat(a[1].accounts[QUOTA].budget.mark, Grant(1, CHUNK, 0.0)),)))
+    late = encode(Said(0.0, (), (flat(a[1].accounts[QUOTA].budget.mark, LeaseGrant(1, CHUNK, 0.0)),)))
     a[1].hear(2_000.0, "b", 1, 2_000.0, late)
     assert a[1].usable(QUOTA, 2_000.0) == 1.0
 
@@ -179,7 +190,7 @@
 
 
 def test_places_that_are_taken_up_are_neither_lent_nor_given_back():
-    terms = Terms(PART, floor=250, lease=6_000.0, keep=2_500.0)
+    terms = LeaseTerms(PART, floor=250, lease=6_000.0, keep=2_500.0)
     a, b = pair(terms=terms)
     taken = {"a": 0.0, "b": 0.9}
     for name, one in (a, b):
@@ -203,13 +214,13 @@
 
 
 def test_a_place_is_taken_only_as_long_as_what_begins_there_ends_before_the_loan():
-    terms = Terms(PART, floor=250, lease=6_000.0, keep=2_500.0)
+    terms = LeaseTerms(PART, floor=250, lease=6_000.0, keep=2_500.0)
     a, b = pair(terms=terms)
     talk(0.0, a, b)
     assert a[1].usable(QUOTA, 3_499.0) > 1 == a[1].usable(QUOTA, 3_500.0)
     assert b[1].usable(QUOTA, 6_000.0) < 1 == b[1].usable(QUOTA, terms.lasts)
     with pytest.raises(ValueError, match="keep 6000 must be from 0 to under the lease of 6000"):
-        Terms(PART, 250, 6_000.0, keep=6_000.0)
+        LeaseTerms(PART, 250, 6_000.0, keep=6_000.0)
 
 
 # Words
@@ -218,10 +229,10 @@
 def test_budgets_of_another_size_are_refused_and_told_once():
     told = []
     a = "a", ledger("b", told=lambda event, **fields: told.append((event, fields)))
-    for other in (ledger("a", nodes=3), ledger("a", terms=Terms(PART, 250, 5_000.0))):
+    for other in (ledger("a", nodes=3), ledger("a", terms=LeaseTerms(PART, 250, 5_000.0))):
         other.need(QUOTA, 3.0)
         mark = other.accounts[QUOTA].budget.mark
-        words = (flat(mark, Ask(1, 100, 0.0)), flat(mark, Grant(2, 100, 0.0)))
+        words = (flat(mark, LeaseRequest(1, 100, 0.0)), flat(mark, LeaseGrant(2, 100, 0.0)))
         a[1].hear(0.0, "b", 1, 0.0, encode(Said(0.0, ((mark, 500),), words)))
     assert a[1].counts["refused_terms"] == 4 and told == [("budgets_terms_differ", {"peer": "b"})]
     assert a[1].usable(QUOTA, 0.0) == 1.0 and not a[1].accounts[QUOTA].offers
@@ -233,10 +244,10 @@
         for name in ("a", "b")
         for whole in (10.0, 10.5)
         for nodes in (2, 3)
-        for terms in (TERMS, Terms(PART, 250, 4_001.0), Terms(PART, 250, keep=1.0))
+        for terms in (TERMS, LeaseTerms(PART, 250, 4_001.0), LeaseTerms(PART, 250, keep=1.0))
     }
     assert len(marks) == 24
-    assert mark_of("a", 1.0, 2, TERMS) == mark_of("a", 1.0, 2, Terms(PART, 900))  # a floor is one's own
+    assert mark_of("a", 1.0, 2, TERMS) == mark_of("a", 1.0, 2, LeaseTerms(PART, 900))  # a floor is one's own
 
 
 @settings(derandomize=True, deadline=None)
@@ -255,7 +266,7 @@
         one.need(name, 0.0)
     for account in one.accounts.values():
         for id in range(3):
-            one._word(account, ("b", 1), Ask(id, 100, 1.0), 0.0)
+            one._word(account, ("b", 1), LeaseRequest(id, 100, 1.0), 0.0)
     assert sum(len(words) for words in one._out.values()) <= MOST_WORDS
     for room in (10, 40, 200, 1_000):
         data = one.say(0.0, life("b"), room)
@@ -266,7 +277,7 @@
 
 
 def test_a_pace_rises_quickly_and_falls_slowly():
-    pace, level = Pace(0.0), Level(0.0)
+    pace, level = RequestRate(0.0), RecentPeak(0.0)
     for now in range(50, 3_050, 50):
         pace.add(5)
         pace.look(now)
--- a/tests/membership/test_failure_detector.py
+++ b/tests/membership/test_failure_detector.py
@@ -13,8 +13,8 @@
 from flintridge.lab.partial.machines import Link, Machines
 from flintridge.membership import failure_detector as p
 from flintridge.membership.byte_budget import Bucket
-from flintridge.membership.failure_detector import Presence
-from flintridge.membership.member_table import MOST_LIVES, REMEMBER, Table
+from flintridge.membership.failure_detector import FailureDetector
+from flintridge.membership.member_table import MOST_LIVES, REMEMBER, MemberTable
 from flintridge.membership.messages import Dropped, Entry, Kind, Packet, State, Wire, size
 from flintridge.membership.state_exchange import NONCE, Ask, Exchange, Hello, Piece, Refusal
 
@@ -131,7 +131,7 @@
 
 
 def test_words_for_which_there_is_no_room_keep_their_turns():
-    table = Table("n0", 1, tuple(f"n{i}" for i in range(1, 40)), 0.0, Random(1))
+    table = MemberTable("n0", 1, tuple(f"n{i}" for i in range(1, 40)), 0.0, Random(1))
     for name in table.names:
         table.told(Entry(name, 9, 0, State.ALIVE, 0), 0.0, DOUBT, 0.0, LIMIT)
         table.suspect(table.find(name, 9), 0.0)
@@ -257,7 +257,7 @@
 
 def test_a_table_that_is_asked_for_leaves_out_the_lives_that_are_heard():
     names = tuple(f"n{i}" for i in range(1, 41))
-    here, there = (Table("n0", 1, names, 0.0, Random(seed)) for seed in (1, 2))
+    here, there = (MemberTable("n0", 1, names, 0.0, Random(seed)) for seed in (1, 2))
     for i, name in enumerate(names):
         for table in (here, there)[i % 2 :]:
             table.told(Entry(name, i + 9, 0, State.ALIVE, 0), 0.0, DOUBT, 0.0, LIMIT)
@@ -321,8 +321,8 @@
     assert sum(amount for _, amount in taken) > 0.9 * now  # and is used
 
 
-def presence(names=("n1", "n2"), key=None, told=None) -> Presence:
-    return Presence(
+def presence(names=("n1", "n2"), key=None, told=None) -> FailureDetector:
+    return FailureDetector(
         "n0", 7, names, Wire("fleet", key), 8_000.0, 0.0, Random(1), told or (lambda *a, **k: None)
     )
 
@@ -365,7 +365,7 @@
 
 
 def test_what_share_is_heard_and_since_when():
-    table = Table("n0", 1, ("n1", "n2", "n3"), 0.0, Random(1))
+    table = MemberTable("n0", 1, ("n1", "n2", "n3"), 0.0, Random(1))
     lives = {name: table.take(name, 9, 0.0) for name in table.names}
 
     def heard(now, *names):
@@ -388,7 +388,7 @@
 
 
 def test_a_fresh_life_gives_its_place_to_none():
-    table = Table("n0", 1, ("n1",), 0.0, Random(1))
+    table = MemberTable("n0", 1, ("n1",), 0.0, Random(1))
     for life in range(MOST_LIVES):
         one = table.take("n1", 100 + life, 0.0)
         table.speaks(one, 0, 0.0, 0.0)
@@ -516,7 +516,7 @@
     now = 20_000.0
     ends = []
     for order in (words, rng.sample(words, len(words))):
-        table = Table("n0", 7, ("n1", "n2"), 0.0, Random(1))
+        table = MemberTable("n0", 7, ("n1", "n2"), 0.0, Random(1))
         for entry, late in order:
             table.told(entry, now - late, DOUBT, now, LIMIT)
         for one in table:
@@ -527,7 +527,7 @@
 
 
 def test_an_ended_life_is_forgotten_after_a_while_and_old_words_do_not_bring_it_back():
-    table = Table("n0", 1, ("n1",), 0.0, Random(1))
+    table = MemberTable("n0", 1, ("n1",), 0.0, Random(1))
     table.speaks(table.take("n1", 9, 0.0), 0, 0.0, 0.0)
     table.look(LIMIT + 1, LIMIT)
     table.forget(REMEMBER + 1)
--- a/tests/policy/test_hash_ring.py
+++ b/tests/policy/test_hash_ring.py
@@ -10,7 +10,7 @@
 from hypothesis import strategies as st
 
 from flintridge.policy import hash_ring as module
-from flintridge.policy.hash_ring import MOST, POINTS, Ring, place_of, points
+from flintridge.policy.hash_ring import MOST, POINTS, HashRing, place_of, points
 
 settings.register_profile("ring", derandomize=True, deadline=None, database=None)
 plain = settings(settings.get_profile("ring"), max_examples=60)
@@ -44,7 +44,7 @@
     with pytest.MonkeyPatch.context() as patch:
         patch.setattr(module, "MOST", most)
         patch.setattr(module, "LEAST", max(1, most // 8))
-        ring, held = Ring(), {}
+        ring, held = HashRing(), {}
         for change in changes:
             changed(ring, held, *change)
         everything = reference(held, 0)
@@ -58,7 +58,7 @@
 @given(order=st.permutations(range(6)), extra=st.lists(numbers.map(lambda n: n + 10), unique=True))
 @plain
 def test_equal_contents_give_equal_walks_whatever_the_order(order, extra):
-    first, second = Ring(), Ring()
+    first, second = HashRing(), HashRing()
     for number in range(6):
         first.add(f"s{number}", number, number % 2)
     for number in extra:
@@ -75,7 +75,7 @@
     monkeypatch.setattr(
         module, "points", lambda server, number: [1 << 40 | number << 8 | r for r in range(3)]
     )
-    ring = Ring()
+    ring = HashRing()
     for number in (2, 0, 1):
         ring.add("any", number, number)
     low = 1 << 40
@@ -86,7 +86,7 @@
 
 
 def test_a_large_ring_that_shrinks_and_grows_stays_small_and_right():
-    chance, ring, held = random.Random(4), Ring(), {}
+    chance, ring, held = random.Random(4), HashRing(), {}
     for number in range(300):
         changed(ring, held, number, f"s{number}", number % 5)
     for number in chance.sample(range(300), 292):
@@ -99,7 +99,7 @@
 
 
 def test_a_walk_left_early_takes_only_what_it_gave():
-    ring = Ring()
+    ring = HashRing()
     for number in range(200):
         ring.add(f"s{number}", number, number % 5)
     seen = []
@@ -112,7 +112,7 @@
 
 
 def test_faults_of_the_caller_change_nothing():
-    ring = Ring()
+    ring = HashRing()
     ring.add("a", 1)
     for number in (1, -1, 1 << 24):
         with pytest.raises(ValueError):
--- a/tests/policy/test_mechanisms.py
+++ b/tests/policy/test_mechanisms.py
@@ -6,10 +6,10 @@
 
 from flintridge import api
 from flintridge.api import EndpointState, Outcome, UpdateKind
-from flintridge.policy.balancer import HEALTHY, LEAST_SHARE, SICK, Gate
+from flintridge.policy.balancer import HEALTHY, LEAST_SHARE, SICK, ConcurrencyLimiter
 
 
-def rounds(gate: Gate, now: int, slow: bool, count: int = 40) -> int:
+def rounds(gate: ConcurrencyLimiter, now: int, slow: bool, count: int = 40) -> int:
     for _ in range(count):
         now += 10 * MS
         gate.note(now, slow, now)
@@ -18,7 +18,7 @@
 
 def test_a_gate_narrows_when_attempts_are_slow_and_widens_again():
     """Overload answered by more attempts; a limit that never grew back after a spell."""
-    gate = Gate(40.0)
+    gate = ConcurrencyLimiter(40.0)
     gate.inflight = 40
     now = rounds(gate, 0, slow=True, count=400)
     narrow = gate.limit
@@ -30,7 +30,7 @@
 
 def test_an_unreached_limit_narrows_from_what_is_in_flight():
     """Many routers, each with few requests out, all far under limits that mean nothing."""
-    gate = Gate(94.0)
+    gate = ConcurrencyLimiter(94.0)
     gate.inflight = 9
     rounds(gate, 0, slow=True, count=20)
     assert gate.limit < 10
@@ -488,7 +488,7 @@
 
 
 def test_a_gate_narrows_from_the_most_in_flight_not_from_a_lull():
-    gate = Gate(40.0)
+    gate = ConcurrencyLimiter(40.0)
     gate.peak, gate.inflight = 38, 2
     rounds(gate, 0, slow=True, count=8)
     assert gate.limit > 20
--- a/tests/replication/test_replica.py
+++ b/tests/replication/test_replica.py
@@ -12,7 +12,7 @@
 from flintridge.lab.explore.copies import Copies, Left
 from flintridge.lab.partial.copying import random_day
 from flintridge.replication.entry import Entry, Seen, Version, merge, ordered, winner, written
-from flintridge.replication.replica import Copy, Limits, Standing
+from flintridge.replication.replica import Limits, Replica, Standing
 from flintridge.replication.value_types import TABLE, Refused, checked
 
 play = settings(derandomize=True, deadline=None, database=None, max_examples=100)
@@ -171,7 +171,7 @@
 
 
 def copy(name="a", life=1, now=0.0, **more):
-    return Copy((name, life), LIMITS, now, **more)
+    return Replica((name, life), LIMITS, now, **more)
 
 
 def pull(one, other, now):
--- a/tests/replication/test_state.py
+++ b/tests/replication/test_state.py
@@ -12,10 +12,10 @@
 from flintridge.api import Endpoint, EndpointState, EndpointUpdate, UpdateKind
 from flintridge.cli.main import main
 from flintridge.discovery.overrides import EndpointOverrides
-from flintridge.fronts.console import ConsoleExchange, Taking
-from flintridge.replication.gossip import Spread
+from flintridge.fronts.console import AdminExchange, Taking
+from flintridge.replication.gossip import RumorSpreader
 from flintridge.replication.messages import asked, asked_of, entry_of, flat, pieces, said_of, slice_of
-from flintridge.replication.replica import Copy, Limits
+from flintridge.replication.replica import Limits, Replica
 from flintridge.settings import ConfigError, StateConfig
 
 KEY = ("hold", "s1")
@@ -23,7 +23,7 @@
 
 
 def copy(name, life=1, offset=1e12):
-    return Copy((name, life), Limits(), 0.0, offset)
+    return Replica((name, life), Limits(), 0.0, offset)
 
 
 # Words
@@ -52,7 +52,7 @@
 
 
 def fleet(*names):
-    return {name: Spread(copy(name), names, 1e9, Random(1)) for name in names}
+    return {name: RumorSpreader(copy(name), names, 1e9, Random(1)) for name in names}
 
 
 def carry(spreads, source, target, now, room=1100):
@@ -164,14 +164,14 @@
     got = []
     taking = Taking(lambda query, body: got.append((query, body)) or (200, {}))
     routes = {b"/w": {b"POST": taking, b"GET": lambda: (200, {"plain": True})}}
-    exchange = ConsoleExchange(routes)
+    exchange = AdminExchange(routes)
     head = b"POST /w?a=1 HTTP/1.1\r\nHost: x\r\nContent-Length: 6\r\n\r\n"
     assert exchange.feed(head + b"abc") is None
     assert b" 200 " in b"".join(exchange.feed(b"def"))
     assert got == [(b"a=1", b"abcdef")]
-    plain = ConsoleExchange(routes)
+    plain = AdminExchange(routes)
     assert b"plain" in b"".join(plain.feed(head.replace(b"POST", b"GET") + b"abcdef"))
-    long = ConsoleExchange(routes)
+    long = AdminExchange(routes)
     answer = long.feed(head.replace(b" 6", b" 70000") + b"x" * 70_000)
     assert b" 413 " in b"".join(answer) and len(got) == 1
 
--- a/tests/support/downstream.py
+++ b/tests/support/downstream.py
@@ -5,7 +5,7 @@
 from flintridge.core.lifecycle import RequestLifecycle
 from flintridge.discovery.endpoint_list import EndpointList
 from flintridge.net.sender import (
-    SenderSide,
+    Downstream,
 )
 from flintridge.settings import Address
 from support.network import SETTINGS, HandClock, quiet
@@ -31,7 +31,7 @@
         transports = EndpointList((), (), SETTINGS, self.clock)
         entry = {"id": "s1", "host_port": "127.0.0.1:1", "phase": "in_service"}
         self.members = {"revision": 1, "complete": True, "members": [entry]}
-        self.side = SenderSide(self.core, SETTINGS, transports, self.clock, 2, log, self.counters)
+        self.side = Downstream(self.core, SETTINGS, transports, self.clock, 2, log, self.counters)
         self.port = await self.side.listen(Address("127.0.0.1", 0))
         self.transports = transports
         return self
--- a/tests/support/downstream_termination.py
+++ b/tests/support/downstream_termination.py
@@ -6,7 +6,7 @@
 
 from flintridge.core.lifecycle import RequestLifecycle
 from flintridge.discovery.endpoint_list import EndpointList
-from flintridge.net.sender import SenderSide
+from flintridge.net.sender import Downstream
 from flintridge.settings import Address
 from support.network import SETTINGS, HandClock, quiet, until
 
@@ -42,7 +42,7 @@
         transports = EndpointList((), (), SETTINGS, self.clock)
         entry = {"id": "s1", "host_port": "127.0.0.1:1", "phase": "in_service"}
         transports.apply({"revision": 1, "complete": True, "members": [entry]})
-        self.side = SenderSide(self.core, SETTINGS, transports, self.clock, self.room, log, self.counters)
+        self.side = Downstream(self.core, SETTINGS, transports, self.clock, self.room, log, self.counters)
         self.port = await self.side.listen(Address("127.0.0.1", 0))
         return self
 
--- a/tests/support/upstream.py
+++ b/tests/support/upstream.py
@@ -5,7 +5,7 @@
 from flintridge.api import Outcome
 from flintridge.core.request import UpstreamAttempt
 from flintridge.discovery.endpoint_list import EndpointList
-from flintridge.net.delivery import Delivery
+from flintridge.net.delivery import Dispatcher
 from support.network import SETTINGS, HandClock, make_request, quiet, until
 
 READ = b"mg key7 v O%b Pc=read,t=acme,d=480\r\n"
@@ -25,7 +25,7 @@
         self.ended: list = []
         log, self.counters = quiet()
         report = lambda attempt, answer: self.ended.append(answer.outcome)  # noqa: E731
-        self.delivery = Delivery(self.transports, settings, self.clock, room, report, log, self.counters)
+        self.delivery = Dispatcher(self.transports, settings, self.clock, room, report, log, self.counters)
 
     async def carry(self, value=None, wait: float = 400.0) -> UpstreamAttempt:
         now = self.clock.now()
--- a/tests/support/upstream_termination.py
+++ b/tests/support/upstream_termination.py
@@ -6,7 +6,7 @@
 from flintridge.core.response import AttemptResult
 from flintridge.discovery.endpoint_list import EndpointList
 from flintridge.net import delivery
-from flintridge.net.delivery import Delivery
+from flintridge.net.delivery import Dispatcher
 from support.network import SETTINGS, HandClock, make_request, quiet, until
 
 VALUE = b"VA 2 Oa1\r\nok\r\n"
@@ -23,7 +23,7 @@
         self.ended: list[AttemptResult] = []
         log, self.counters = quiet()
         report = lambda attempt, answer: self.ended.append(answer)  # noqa: E731
-        self.delivery = Delivery(self.transports, SETTINGS, self.clock, 8, report, log, self.counters)
+        self.delivery = Dispatcher(self.transports, SETTINGS, self.clock, 8, report, log, self.counters)
         self.links: dict = {}
         connect = self.delivery._connect
 
--- a/tests/test_lab_run.py
+++ b/tests/test_lab_run.py
@@ -68,7 +68,7 @@
         while True:
             pass
 
-    node.delivery.start = start
+    node.dispatcher.start = start
 
 
 def spin(node):
--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -12,9 +12,9 @@
 from flintridge.discovery.endpoint_list import EndpointList
 from flintridge.lab import virtual
 from flintridge.net.parting import PARTING
-from flintridge.net.sender import FIRST_WORD, SenderSide
+from flintridge.net.sender import FIRST_WORD, Downstream
 from flintridge.settings import Address
-from flintridge.shutdown import CEASE, LINGER, Drain, State
+from flintridge.shutdown import CEASE, LINGER, GracefulShutdown, ServiceState
 
 BUSY = b"SERVER_ERROR busy\r\n"
 CALLS = {
@@ -25,13 +25,13 @@
 }
 
 
-def drain_in(state: State) -> Drain:
-    drain = Drain()
-    if state is not State.SERVING:
+def drain_in(state: ServiceState) -> GracefulShutdown:
+    drain = GracefulShutdown()
+    if state is not ServiceState.SERVING:
         drain.quiesce(0.0)
-    if state is State.DRAINED:
+    if state is ServiceState.DRAINED:
         drain.emptied(LINGER)
-    if state is State.LEAVING:
+    if state is ServiceState.LEAVING:
         drain.leave(0.0)
     assert drain.state is state
     return drain
@@ -59,7 +59,7 @@
     ],
 )
 def test_each_call_in_each_state(state, call, then):
-    drain = drain_in(State(state))
+    drain = drain_in(ServiceState(state))
     changed = CALLS[call](drain, 1000.0)
     assert drain.state.value == then and changed == (state != then)
     assert drain.welcoming == (then == "serving")
@@ -68,19 +68,19 @@
 @FIXED
 @given(st.lists(st.tuples(st.sampled_from(sorted(CALLS)), st.floats(0, 900)), max_size=30))
 def test_the_times_of_a_drain_count_from_the_call_that_ended_the_service(calls):
-    drain, now, since = Drain(), 0.0, None
+    drain, now, since = GracefulShutdown(), 0.0, None
     for call, pause in calls:
         now += pause
         before = drain.state
         CALLS[call](drain, now)
-        if before is State.SERVING and drain.state is not State.SERVING:
+        if before is ServiceState.SERVING and drain.state is not ServiceState.SERVING:
             since = now
-        if drain.state is State.SERVING:
+        if drain.state is ServiceState.SERVING:
             since = None
         assert drain.parting(now) == (since is not None and now >= since + LINGER)
         assert drain.ceasing(now) == (since is not None and now >= since + CEASE)
         assert all(at > now for at in drain.due(now))
-        assert before is not State.LEAVING or drain.state is State.LEAVING
+        assert before is not ServiceState.LEAVING or drain.state is ServiceState.LEAVING
 
 
 class Side:
@@ -93,8 +93,8 @@
         transports = EndpointList((), (), SETTINGS, self.clock)
         entry = {"id": "s1", "host_port": "127.0.0.1:1", "phase": "in_service"}
         transports.apply({"revision": 1, "complete": True, "members": [entry]})
-        self.drain = Drain()
-        self.side = SenderSide(
+        self.drain = GracefulShutdown()
+        self.side = Downstream(
             self.core, SETTINGS, transports, self.clock, room, log, self.counters, self.drain
         )
 
@@ -141,9 +141,9 @@
         assert await late.read() == b"SERVER_ERROR failed\r\n"
         late_writer.close()
         await settle()
-        assert s.drain.state is State.DRAINING  # two have not closed their half
+        assert s.drain.state is ServiceState.DRAINING  # two have not closed their half
         s.clock.go(PARTING)
-        await until(lambda: s.drain.state is State.DRAINED)
+        await until(lambda: s.drain.state is ServiceState.DRAINED)
         visitor, _ = await s.client(READ % b"r3")  # answered, not dropped
         s.answer("r3")
         assert await visitor.read() == b"SERVER_ERROR failed\r\n"
@@ -211,7 +211,7 @@
             elif step == "mn":
                 reader, writer = await s.client(b"mn\r\n")
                 said = await reader.readline()
-                assert (said == b"MN\r\n") == (s.drain.state is State.SERVING)
+                assert (said == b"MN\r\n") == (s.drain.state is ServiceState.SERVING)
                 writer.close()
             elif step == "pass":
                 s.clock.go(300)
--- a/tests/upstream/test_attempt_termination.py
+++ b/tests/upstream/test_attempt_termination.py
@@ -117,7 +117,7 @@
         bench = Bench(listener.getsockname()[1])
         connect = bench.delivery._connect
 
-        async def connected(*where) -> delivery.Link:
+        async def connected(*where) -> delivery.UpstreamConnection:
             link = await connect(*where)
             link.writer.get_extra_info("socket").setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
             return link
--- a/tests/upstream/test_upstream_streaming.py
+++ b/tests/upstream/test_upstream_streaming.py
@@ -8,7 +8,7 @@
 from support.upstream import Bench
 
 from flintridge.lab import virtual
-from flintridge.net.delivery import SERVER_SILENT, Delivery
+from flintridge.net.delivery import SERVER_SILENT, Dispatcher
 from flintridge.runtime.streams import READ as READ_AT_A_TIME
 
 
@@ -21,7 +21,7 @@
         bench.begun.append(long.length)
         return bench.passing
 
-    bench.delivery = Delivery(
+    bench.delivery = Dispatcher(
         bench.transports, SETTINGS, bench.clock, 8, bench.delivery._report, *quiet(), begins
     )
     return bench
