--- a/flintridge/core/drivers.py
+++ b/flintridge/core/drivers.py
@@ -20,7 +20,8 @@
 class HealthCheckCallback(Protocol):
     """Called once with the result of a health check."""
 
-    def __call__(self, result: AttemptResult) -> None: ...
+    def __call__(self, result: AttemptResult) -> None:
+        """Take the result."""
 
 
 class UpstreamDriver(Protocol):
--- a/flintridge/core/memory_budget.py
+++ b/flintridge/core/memory_budget.py
@@ -1,5 +1,4 @@
-"""A budget of memory: bytes are reserved before they are used, released once, and granted in the order of
-asking."""
+"""A budget of memory: bytes are reserved before use, released once, and granted in the order of asking."""
 
 import asyncio
 from collections import deque
--- a/flintridge/core/request.py
+++ b/flintridge/core/request.py
@@ -1,5 +1,4 @@
-"""A client's request and the attempts at it, as they pass between protocol frontend, core and upstream
-dispatch."""
+"""A client's request and the attempts at it, as they pass between frontend, core and upstream dispatch."""
 
 import math
 from collections.abc import Callable
--- a/flintridge/core/response.py
+++ b/flintridge/core/response.py
@@ -62,8 +62,10 @@
     """The client's end of a request. Of its calls, but for `check_client`, exactly one is made, once."""
 
     def check_client(self) -> None:
-        """See whether the client has disconnected by now; if so, `RequestLifecycle.client_disconnected` is
-        called."""
+        """See whether the client has disconnected by now.
+
+        If so, `RequestLifecycle.client_disconnected` is called before this returns.
+        """
 
     def start_stream(self, length: int) -> StreamedResponse:
         """Respond with a long value of `length` bytes, in chunks."""
--- a/tests/test_compatibility.py
+++ b/tests/test_compatibility.py
@@ -1,7 +1,7 @@
 """What the version before wrote is read as it meant it: datagrams, lease messages, traces, kept days.
 
-The files in `tests/fixtures` were written by commit 3453447, before its names were changed. Messages are compared by
-their fields' order, which is what they are encoded by.
+The files in `tests/fixtures` were written by commit 3453447, before its names were changed. Messages are
+compared field by field, in the order of their encoding.
 """
 
 import json
--- /dev/null
+++ b/tests/test_import_layers.py
@@ -0,0 +1,97 @@
+"""Imports go from the top of the table in docs/ARCHITECTURE.md to its bottom, and never in a circle."""
+
+import ast
+import re
+
+import pytest
+from support.paths import ROOT
+
+PACKAGE = ROOT / "flintridge"
+# Circles that stand; this list only shrinks.
+CIRCLES = {
+    frozenset({"flintridge.lab.virtual.loop", "flintridge.lab.virtual.net", "flintridge.lab.virtual.transport"}),
+}
+
+
+def module_name(path) -> str:
+    parts = path.relative_to(ROOT).with_suffix("").parts
+    return ".".join(parts[:-1] if parts[-1] == "__init__" else parts)
+
+
+MODULES = {module_name(path): path for path in sorted(PACKAGE.rglob("*.py"))}
+
+
+def layers() -> list[set[str]]:
+    """The parts of each layer, from the table: `core/` is `core`, `node.py` is `node`."""
+    text = (ROOT / "docs" / "ARCHITECTURE.md").read_text()
+    table = re.search(r"\| layer \| parts \|.*?\n\n", text, re.S)
+    assert table is not None
+    rows = [row.split("|") for row in table[0].strip().splitlines()[2:]]
+    return [set(re.findall(r"`([a-z_]+)(?:/|\.py)`", row[2])) for row in rows]
+
+
+def imported(name: str) -> set[str]:
+    """The modules of flintridge that a module imports, wherever in it: late ones and those for types too."""
+    found = set()
+    for node in ast.walk(ast.parse(MODULES[name].read_text())):
+        if isinstance(node, ast.Import):
+            found |= {alias.name for alias in node.names if alias.name in MODULES}
+        elif isinstance(node, ast.ImportFrom) and node.module:
+            for alias in node.names:
+                whole = f"{node.module}.{alias.name}"
+                found.add(whole if whole in MODULES else node.module)
+    return {one for one in found if one in MODULES} - {name}
+
+
+def part_of(name: str) -> str:
+    """`core` for `flintridge.core.request`; `flintridge` for the package itself."""
+    return name.split(".")[1] if "." in name else name
+
+
+@pytest.mark.parametrize("name", [name for name in MODULES if part_of(name) not in ("lab", "flintridge")])
+def test_imports_when_of_a_node_go_down_the_layers(name):
+    depth = {part: at for at, parts in enumerate(layers()) for part in parts}
+    assert part_of(name) in depth, f"{part_of(name)} stands in no layer"
+    for other in imported(name):
+        part = part_of(other)
+        if part == "flintridge":
+            continue  # the package itself has the public names, and imports down
+        if part == "lab":
+            assert part_of(name) == "cli", f"{name} imports {other}"
+            continue
+        same = part == part_of(name)
+        assert same or depth[part_of(name)] < depth[part], f"{name} imports {other}, which is not below it"
+
+
+def circles() -> set[frozenset[str]]:
+    """Strongly connected modules."""
+    graph = {name: imported(name) for name in MODULES}
+    index: dict[str, int] = {}
+    low: dict[str, int] = {}
+    stack: list[str] = []
+    found: set[frozenset[str]] = set()
+
+    def visit(name: str) -> None:
+        index[name] = low[name] = len(index)
+        stack.append(name)
+        for other in sorted(graph[name]):
+            if other not in index:
+                visit(other)
+                low[name] = min(low[name], low[other])
+            elif other in stack:
+                low[name] = min(low[name], index[other])
+        if low[name] == index[name]:
+            at = stack.index(name)
+            members = frozenset(stack[at:])
+            del stack[at:]
+            if len(members) > 1:
+                found.add(members)
+
+    for name in MODULES:
+        if name not in index:
+            visit(name)
+    return found
+
+
+def test_modules_import_one_another_in_no_circle():
+    assert circles() <= CIRCLES
