--- a/flintridge/__main__.py
+++ b/flintridge/__main__.py
@@ -16,10 +16,12 @@
 import contextlib
 import os
 
+from flintridge.config.errors import ConfigError
+from flintridge.config.loader import load_config
+from flintridge.config.node_config import NodeConfig
 from flintridge.node import Node
 from flintridge.runtime.clock import SystemClock, TurnSelector
 from flintridge.runtime.listener import ListenError
-from flintridge.settings import ConfigError, NodeConfig, load_config
 from flintridge.telemetry.log import Log
 
 
--- a/flintridge/api/settings.py
+++ b/flintridge/api/settings.py
@@ -1,7 +1,6 @@
 """Settings of the decision policy: request classes, tenants, rules of the platform, limits, prices and goal.
 
-The names on the wire and in configuration files are other ones: `flintridge/settings.py` and
-`flintridge/config/` map them to these.
+The names on the wire and in configuration files are other ones: `flintridge/config/` maps them to these.
 """
 
 from dataclasses import dataclass, fields
--- a/flintridge/cli/calls.py
+++ b/flintridge/cli/calls.py
@@ -5,7 +5,7 @@
 from typing import Any
 
 from flintridge.cli.exits import Wrong
-from flintridge.settings import Address
+from flintridge.config.address import Address
 
 WAIT_S = 3.0
 LONGEST = 16 * 1024 * 1024  # bytes of an answer
--- a/flintridge/cli/ring_lists.py
+++ b/flintridge/cli/ring_lists.py
@@ -5,12 +5,12 @@
 
 from flintridge.config.contradictions import addresses, contradictions, fault, twice
 from flintridge.config.faults import ConfigFaults, Fault, decode_raw, given
+from flintridge.config.loader import is_own
 from flintridge.config.model import Listed as OwnListed
 from flintridge.config.model import NodeFile
 from flintridge.config.platform import Known, Listed, PlatformFile, Settings, conflicts
 from flintridge.config.syntax import SyntaxFault, parse_json, parse_toml
 from flintridge.config.words import NOTHING
-from flintridge.settings import is_own
 
 ORIGIN = "origin"  # the kind that discovery gives the origin, where no configuration names another
 
--- a/flintridge/config/__init__.py
+++ b/flintridge/config/__init__.py
@@ -1,5 +1,7 @@
-"""Configuration as a format: typed structs, decoded with every fault told at once.
+"""Configuration of a node: reading its file, validating it, and what the node is started with.
 
-`faults.decode` serves any format made of msgspec structs, the node's own (`model`) and the lab's scenarios
-alike. A node imports this package only for a file in its own format: the platform's JSON needs none of it.
+`loader` reads the file. The platform's JSON needs `platform_config` and `platform_settings` alone. The node's
+own format (`model`) and `flintridge check` need the other modules, which import msgspec: a node that is
+started by the platform's JSON must not import them. `faults.decode` serves any format made of msgspec
+structs, the lab's scenarios too.
 """
--- a/flintridge/config/build.py
+++ b/flintridge/config/build.py
@@ -7,19 +7,13 @@
 import msgspec
 
 from flintridge import api
+from flintridge.config.address import Address, optional_address
 from flintridge.config.contradictions import all_parts, contradictions
+from flintridge.config.errors import ConfigError
 from flintridge.config.faults import ConfigFaults, Fault, decode
 from flintridge.config.model import NodeFile, RequestClass
+from flintridge.config.node_config import BudgetsConfig, NodeConfig, PeersConfig, StateConfig
 from flintridge.config.words import NOTHING
-from flintridge.settings import (
-    Address,
-    BudgetsConfig,
-    ConfigError,
-    NodeConfig,
-    PeersConfig,
-    StateConfig,
-    optional_address,
-)
 
 SHORTEST_KEY, LONGEST_KEY = (
     16,
--- a/flintridge/config/check.py
+++ b/flintridge/config/check.py
@@ -4,12 +4,14 @@
 from collections.abc import Mapping
 
 from flintridge.config.contradictions import contradictions
+from flintridge.config.errors import ConfigError
 from flintridge.config.faults import ConfigFaults, Fault, decode_raw
+from flintridge.config.loader import is_own, load_config
 from flintridge.config.model import NodeFile
+from flintridge.config.node_config import NodeConfig
 from flintridge.config.platform import PlatformFile, conflicts
 from flintridge.config.syntax import SyntaxFault, parse_json, parse_toml
 from flintridge.config.words import NOTHING
-from flintridge.settings import ConfigError, NodeConfig, is_own, load_config
 
 # A file may leave its addresses to the environment of the machine that it is for, which is not this one.
 ELSEWHERE = {"PROXY_LISTEN": "127.0.0.1:1", "PROXY_DISCOVERY": "127.0.0.1:2"}
--- a/flintridge/config/contradictions.py
+++ b/flintridge/config/contradictions.py
@@ -5,11 +5,11 @@
 from collections.abc import Callable, Iterable, Iterator, Sequence
 from typing import Any
 
+from flintridge.config.address import Address
 from flintridge.config.faults import Fault, given
 from flintridge.config.model import Goal, Limits, NodeFile, RequestClass, Rules
 from flintridge.config.walk import joined
 from flintridge.config.words import NOTHING
-from flintridge.settings import Address
 
 
 def contradictions(file: NodeFile) -> Iterator[Fault]:
--- a/flintridge/discovery/client.py
+++ b/flintridge/discovery/client.py
@@ -2,9 +2,9 @@
 
 import asyncio
 
+from flintridge.config.address import Address
 from flintridge.net.origin import HttpExchange
 from flintridge.runtime.streams import CountingReader, holds_bytes, open_stream, spent
-from flintridge.settings import Address
 
 MAX_LIST_BYTES = 4 * 1024 * 1024
 READ_BYTES = 64 * 1024
--- a/flintridge/discovery/endpoint_list.py
+++ b/flintridge/discovery/endpoint_list.py
@@ -6,9 +6,11 @@
 import orjson
 
 from flintridge.api import Endpoint, EndpointState, EndpointUpdate, Settings, UpdateKind
+from flintridge.config.address import Address
+from flintridge.config.errors import ConfigError
+from flintridge.config.node_config import NodeConfig
 from flintridge.errors import FlintridgeError
 from flintridge.runtime.clock import Clock, to_ns
-from flintridge.settings import Address, ConfigError, NodeConfig
 
 PHASES = {
     "in_service": EndpointState.READY,
--- a/flintridge/discovery/watcher.py
+++ b/flintridge/discovery/watcher.py
@@ -6,10 +6,10 @@
 import h11
 
 from flintridge.api import EndpointUpdate, Settings, UpdateKind
+from flintridge.config.address import Address
 from flintridge.discovery.client import DiscoveryClient
 from flintridge.discovery.endpoint_list import EndpointList
 from flintridge.runtime.clock import Clock, DeadlineExceededError, sleep, to_ms, within
-from flintridge.settings import Address
 from flintridge.telemetry.counters import Counters
 from flintridge.telemetry.log import EventLog
 
--- a/flintridge/lab/backend/virtual.py
+++ b/flintridge/lab/backend/virtual.py
@@ -12,6 +12,10 @@
 import msgspec
 import orjson
 
+from flintridge.config.address import Address
+from flintridge.config.errors import ConfigError
+from flintridge.config.node_config import BudgetsConfig, PeersConfig
+from flintridge.config.platform_config import node_config
 from flintridge.lab.fabric import DayClock, Links, Listener
 from flintridge.lab.partial.views import FLEET, KEY, VIEW_MS, datagram_of, held_of, view_of
 from flintridge.lab.records import Connections, Line, Log, NodeSaid
@@ -20,7 +24,6 @@
 from flintridge.membership.messages import Wire
 from flintridge.node import Node
 from flintridge.runtime.clock import SystemClock
-from flintridge.settings import Address, BudgetsConfig, ConfigError, PeersConfig, node_config
 from flintridge.telemetry.counters import Counters
 
 UNIX_MS = 1_700_000_000_000.0  # the Unix time at which each virtual day begins
--- a/flintridge/lab/experiment/worker.py
+++ b/flintridge/lab/experiment/worker.py
@@ -16,7 +16,7 @@
 from pathlib import Path
 from typing import Any
 
-NODE_PARTS = ("api", "policy", "node.py", "settings.py", "net")
+NODE_PARTS = ("api", "policy", "node.py", "config", "net")
 
 
 class NoTree(Exception):
--- a/flintridge/lab/partial/own.py
+++ b/flintridge/lab/partial/own.py
@@ -3,7 +3,7 @@
 from typing import Any
 
 from flintridge import api
-from flintridge.settings import NodeConfig
+from flintridge.config.node_config import NodeConfig
 
 MS, S = 1e6, 1e9
 
--- a/flintridge/lab/partial/peernet.py
+++ b/flintridge/lab/partial/peernet.py
@@ -5,6 +5,8 @@
 
 import orjson
 
+from flintridge.config.address import Address
+from flintridge.config.platform_config import node_config
 from flintridge.lab.backend.loopback_fabric import LoopbackFabric
 from flintridge.lab.partial.own import own_format
 from flintridge.lab.partial.relay import Relay
@@ -13,7 +15,6 @@
 from flintridge.lab.scenario.model import Peers
 from flintridge.lab.world.links import LinkTable
 from flintridge.membership.messages import Wire
-from flintridge.settings import Address, node_config
 
 CALL_S = 1.0  # for a console's answer; one that is late is no view
 
--- a/flintridge/leases/driver.py
+++ b/flintridge/leases/driver.py
@@ -12,6 +12,7 @@
 from typing import Any
 
 from flintridge import api
+from flintridge.config.node_config import BudgetsConfig
 from flintridge.core.lifecycle import RequestLifecycle
 from flintridge.core.request import UpstreamAttempt
 from flintridge.discovery.endpoint_list import EndpointList, EndpointNotListedError
@@ -21,7 +22,6 @@
 from flintridge.membership.driver import MembershipDriver
 from flintridge.runtime.clock import NS, Clock, Timer, to_ms
 from flintridge.runtime.worker_processes import LOOK
-from flintridge.settings import BudgetsConfig
 from flintridge.telemetry.counters import Counters
 from flintridge.telemetry.log import EventLog
 
--- a/flintridge/membership/driver.py
+++ b/flintridge/membership/driver.py
@@ -10,6 +10,8 @@
 
 import msgspec
 
+from flintridge.config.address import Address
+from flintridge.config.node_config import PeersConfig
 from flintridge.membership.byte_budget import Bucket
 from flintridge.membership.failure_detector import FailureDetector
 from flintridge.membership.member_table import Heard, Incarnation
@@ -17,7 +19,6 @@
 from flintridge.membership.state_exchange import NONCE, Ask, Exchange, Hello, Piece, Refusal
 from flintridge.runtime.clock import Clock, DeadlineExceededError, Timer, sleep, within
 from flintridge.runtime.listener import ListenError
-from flintridge.settings import Address, PeersConfig
 from flintridge.telemetry.counters import Counters
 from flintridge.telemetry.log import EventLog
 
--- a/flintridge/net/console.py
+++ b/flintridge/net/console.py
@@ -2,11 +2,12 @@
 
 import asyncio
 
+from flintridge.config.address import Address
+from flintridge.config.node_config import CONSOLE_PLACES
 from flintridge.fronts.console import AdminExchange, Routes
 from flintridge.net.parting import part
 from flintridge.runtime.clock import Clock, DeadlineExceededError, within
 from flintridge.runtime.listener import Listener, open_listener
-from flintridge.settings import CONSOLE_PLACES, Address
 from flintridge.telemetry.counters import Counters
 from flintridge.telemetry.log import EventLog
 
--- a/flintridge/net/delivery.py
+++ b/flintridge/net/delivery.py
@@ -11,6 +11,7 @@
 from dataclasses import dataclass
 
 from flintridge.api import Outcome, Settings
+from flintridge.config.address import Address
 from flintridge.core.exchange import Exchange
 from flintridge.core.request import UpstreamAttempt
 from flintridge.core.response import AttemptResult, DownstreamClosedError, StreamedResponse, StreamedValue
@@ -19,7 +20,6 @@
 from flintridge.net.origin import OriginExchange, OriginProbe
 from flintridge.runtime.clock import Clock, DeadlineExceededError, to_ms, within
 from flintridge.runtime.streams import READ, CountingReader, holds_bytes, open_stream, spent
-from flintridge.settings import Address
 from flintridge.telemetry.counters import Counters
 from flintridge.telemetry.log import EventLog
 
--- a/flintridge/net/sender.py
+++ b/flintridge/net/sender.py
@@ -5,6 +5,7 @@
 from collections.abc import Callable, Coroutine
 
 from flintridge.api import Settings
+from flintridge.config.address import Address
 from flintridge.core.lifecycle import IdInUseError, RequestLifecycle, bytes_to_reserve
 from flintridge.core.request import Request
 from flintridge.core.response import DownstreamClosedError, Response
@@ -15,7 +16,6 @@
 from flintridge.runtime.clock import Clock, DeadlineExceededError, Timer, sleep, to_ms
 from flintridge.runtime.listener import Listener, open_listener
 from flintridge.runtime.streams import CountingReader, bound_reads, other_side_ended
-from flintridge.settings import Address
 from flintridge.shutdown import GracefulShutdown
 from flintridge.telemetry.counters import Counters
 from flintridge.telemetry.log import EventLog
--- a/flintridge/node.py
+++ b/flintridge/node.py
@@ -12,6 +12,7 @@
 from typing import TYPE_CHECKING
 
 from flintridge.api import DiscoveryMode, EndpointUpdate
+from flintridge.config.node_config import LONGEST_MB, NodeConfig
 from flintridge.core.drivers import Policy
 from flintridge.core.lifecycle import RequestLifecycle
 from flintridge.discovery.endpoint_list import EndpointList, configured_endpoints
@@ -22,7 +23,6 @@
 from flintridge.policy.balancer import QUOTA_SLACK, Balancer
 from flintridge.runtime.clock import Clock
 from flintridge.runtime.worker_processes import WorkerProcesses
-from flintridge.settings import LONGEST_MB, NodeConfig
 from flintridge.shutdown import GracefulShutdown, ServiceState
 from flintridge.telemetry.counters import Counters
 from flintridge.telemetry.log import EventLog
--- a/flintridge/replication/driver.py
+++ b/flintridge/replication/driver.py
@@ -14,6 +14,7 @@
 
 import msgspec
 
+from flintridge.config.node_config import StateConfig
 from flintridge.fronts.console import Routes, Taking
 from flintridge.membership.driver import MembershipDriver
 from flintridge.membership.driver import Refused as PeerRefused
@@ -24,7 +25,6 @@
 from flintridge.replication.replica import SLICE, Limits, Replica, Standing
 from flintridge.replication.value_types import TABLE, Body, Refused, checked, decode
 from flintridge.runtime.clock import Clock, DeadlineExceededError, Timer, sleep
-from flintridge.settings import StateConfig
 from flintridge.telemetry.counters import Counters
 from flintridge.telemetry.log import EventLog
 
--- a/flintridge/runtime/listener.py
+++ b/flintridge/runtime/listener.py
@@ -8,8 +8,8 @@
 from array import array
 from collections.abc import Awaitable, Callable
 
+from flintridge.config.address import Address
 from flintridge.runtime.streams import CountingReader
-from flintridge.settings import Address
 
 # In one go asyncio accepts as many as it is told to let wait, before any of them can be turned away. Guards
 # the spare descriptors against a burst: out of them it accepts nothing for a second, and says so as an error.
--- a/flintridge/simulator_adapter.py
+++ b/flintridge/simulator_adapter.py
@@ -7,8 +7,8 @@
 from typing import TextIO
 
 from flintridge import api
+from flintridge.config.platform_settings import settings_from
 from flintridge.policy.balancer import Balancer
-from flintridge.settings import settings_from
 
 OUTCOMES = {
     "S": api.Outcome.OK,
--- a/tests/cli/test_cli.py
+++ b/tests/cli/test_cli.py
@@ -176,13 +176,22 @@
 
 def test_a_node_holds_nothing_of_the_command_line_the_lab_or_a_format_it_does_not_read():
     code = (
-        "import sys, flintridge.__main__ as m; from flintridge.settings import load_config; load_config();"
+        "import sys, flintridge.__main__ as m; from flintridge.config.loader import load_config;"
+        "load_config();"
         "print(*sorted(name for name in sys.modules if '.' not in name or name.startswith('flintridge')))"
     )
     held = run("-c", code, PROXY_CONFIG="examples/config.json").stdout.split()
     unwanted = ("click", "rich", "msgspec", "tomllib", "numpy", "flintridge.lab", "flintridge.cli")
     assert "flintridge.node" in held and not [name for name in held if name.startswith(unwanted)]
-    assert "flintridge.config" not in held
+    assert [name for name in held if name.startswith("flintridge.config")] == [
+        "flintridge.config",
+        "flintridge.config.address",
+        "flintridge.config.errors",
+        "flintridge.config.loader",
+        "flintridge.config.node_config",
+        "flintridge.config.platform_config",
+        "flintridge.config.platform_settings",
+    ]
     held = run("-c", code, PROXY_CONFIG="examples/node.toml").stdout.split()
     assert "msgspec" in held and not {"click", "rich", "tomli_w", "flintridge.lab", "flintridge.cli"} & set(
         held
--- a/tests/config/test_config.py
+++ b/tests/config/test_config.py
@@ -14,17 +14,17 @@
 from hypothesis import strategies as st
 from support.paths import ROOT
 
-from flintridge import settings as node_settings
-from flintridge.config import platform
+from flintridge.config import platform, platform_settings
 from flintridge.config.build import read_own
 from flintridge.config.check import check_file
 from flintridge.config.contradictions import contradictions
+from flintridge.config.errors import ConfigError
 from flintridge.config.faults import ConfigFaults, decode, decode_raw
+from flintridge.config.loader import load_config
 from flintridge.config.model import NodeFile
 from flintridge.discovery.endpoint_list import EndpointList, configured_endpoints
 from flintridge.lab.scenario.load import dump, load, names
 from flintridge.lab.scenario.model import Scenario
-from flintridge.settings import ConfigError, load_config
 
 NODE = tomllib.loads((ROOT / "examples" / "node.toml").read_text())
 PLATFORM = json.loads((ROOT / "examples" / "config.json").read_text())
@@ -279,13 +279,13 @@
 
 def test_check_knows_every_name_that_a_node_reads_of_the_platforms_file():
     tables = {
-        platform.Service: node_settings.CLASS_KEYS,
-        platform.Tenant: node_settings.TENANT_KEYS,
-        platform.Rules: node_settings.RULE_KEYS,
-        platform.Permissions: node_settings.LIMIT_KEYS,
-        platform.Prices: node_settings.PRICE_KEYS,
-        platform.Goal: node_settings.GOAL_KEYS,
-        platform.Settings: node_settings.TOP_KEYS,
+        platform.Service: platform_settings.CLASS_KEYS,
+        platform.Tenant: platform_settings.TENANT_KEYS,
+        platform.Rules: platform_settings.RULE_KEYS,
+        platform.Permissions: platform_settings.LIMIT_KEYS,
+        platform.Prices: platform_settings.PRICE_KEYS,
+        platform.Goal: platform_settings.GOAL_KEYS,
+        platform.Settings: platform_settings.TOP_KEYS,
     }
     for struct, keys in tables.items():
         assert set(keys) <= {field.encode_name for field in msgspec.structs.fields(struct)}
--- a/tests/config/test_example.py
+++ b/tests/config/test_example.py
@@ -3,7 +3,7 @@
 from support.paths import ROOT
 
 from flintridge import api
-from flintridge.settings import load_config
+from flintridge.config.loader import load_config
 
 
 def test_the_example_configuration_is_good():
--- a/tests/discovery/test_watcher.py
+++ b/tests/discovery/test_watcher.py
@@ -6,9 +6,9 @@
 from support.network import SETTINGS, HandClock, Peer, quiet, until
 
 from flintridge.api import UpdateKind
+from flintridge.config.address import Address
 from flintridge.discovery.endpoint_list import EndpointList
 from flintridge.discovery.watcher import DiscoveryWatcher
-from flintridge.settings import Address
 
 
 def response(status: int, body: bytes) -> bytes:
--- a/tests/downstream/test_admin_api.py
+++ b/tests/downstream/test_admin_api.py
@@ -16,12 +16,14 @@
 from support.paths import ROOT
 from support.program import Program, cache
 
+from flintridge.config.address import Address
+from flintridge.config.errors import ConfigError
+from flintridge.config.platform_config import node_config
 from flintridge.fronts.console import MAX_BODY, MAX_HEAD, AdminExchange
 from flintridge.lab import virtual
 from flintridge.net.console import CALL_TIME, AdminApi
 from flintridge.net.parting import PARTING
 from flintridge.runtime.listener import ListenError, open_listener
-from flintridge.settings import Address, ConfigError, node_config
 
 HEALTH = b"GET /admin/health HTTP/1.1\r\nHost: n1\r\n\r\n"
 
--- a/tests/downstream/test_admin_api_termination.py
+++ b/tests/downstream/test_admin_api_termination.py
@@ -6,9 +6,9 @@
 from support.downstream_termination import rest, turns
 from support.network import HandClock, quiet, until
 
+from flintridge.config.address import Address
 from flintridge.net.console import CALL_TIME, AdminApi
 from flintridge.net.parting import PARTING
-from flintridge.settings import Address
 
 
 def test_a_call_that_was_not_whole_in_time_is_told_so_though_more_of_it_lies_there():
--- a/tests/downstream/test_downstream_streaming.py
+++ b/tests/downstream/test_downstream_streaming.py
@@ -8,13 +8,13 @@
 from support.network import SETTINGS, HandClock, quiet, until
 from support.upstream import READ
 
+from flintridge.config.address import Address
 from flintridge.core.lifecycle import RequestLifecycle
 from flintridge.discovery.endpoint_list import EndpointList
 from flintridge.lab import virtual
 from flintridge.net import memcache
 from flintridge.net.parting import SLOW_READER
 from flintridge.net.sender import ROOM_TIME, UNFINISHED, Downstream
-from flintridge.settings import Address
 
 
 class Front:
--- a/tests/leases/test_leases_config.py
+++ b/tests/leases/test_leases_config.py
@@ -13,9 +13,11 @@
 
 from flintridge.cli.main import main
 from flintridge.config.check import check_file
+from flintridge.config.errors import ConfigError
 from flintridge.config.faults import ConfigFaults
 from flintridge.config.model import NodeFile
-from flintridge.settings import BudgetsConfig, ConfigError, node_config
+from flintridge.config.node_config import BudgetsConfig
+from flintridge.config.platform_config import node_config
 
 BUDGETS = """
 [budgets]
--- a/tests/membership/test_membership_config.py
+++ b/tests/membership/test_membership_config.py
@@ -11,8 +11,11 @@
 from support.paths import ROOT
 
 from flintridge import api
+from flintridge.config.address import Address
 from flintridge.config.build import read_own
 from flintridge.config.check import check_file
+from flintridge.config.errors import ConfigError
+from flintridge.config.platform_config import node_config
 from flintridge.lab.backend.virtual import VirtualFabric
 from flintridge.lab.faults.check import check
 from flintridge.lab.partial.own import own_format
@@ -26,7 +29,6 @@
 from flintridge.lab.world.fleet import World
 from flintridge.lab.world.links import LinkTable
 from flintridge.membership.messages import Kind
-from flintridge.settings import Address, ConfigError, node_config
 
 EXAMPLE = (ROOT / "examples" / "node.toml").read_text()
 PEERS = """
@@ -95,7 +97,7 @@
 
 def test_a_node_without_peers_imports_nothing_of_them():
     code = (
-        "import sys, flintridge.__main__; from flintridge.settings import load_config;"
+        "import sys, flintridge.__main__; from flintridge.config.loader import load_config;"
         "from flintridge.node import Node;"
         "held = ('peers', 'budgets', 'replica', 'msgspec');"
         "print(*(name for name in sys.modules if any(one in name for one in held)))"
--- a/tests/replication/test_state.py
+++ b/tests/replication/test_state.py
@@ -11,12 +11,13 @@
 
 from flintridge.api import Endpoint, EndpointState, EndpointUpdate, UpdateKind
 from flintridge.cli.main import main
+from flintridge.config.errors import ConfigError
+from flintridge.config.node_config import StateConfig
 from flintridge.discovery.overrides import EndpointOverrides
 from flintridge.fronts.console import AdminExchange, Taking
 from flintridge.replication.gossip import RumorSpreader
 from flintridge.replication.messages import asked, asked_of, entry_of, flat, pieces, said_of, slice_of
 from flintridge.replication.replica import Limits, Replica
-from flintridge.settings import ConfigError, StateConfig
 
 KEY = ("hold", "s1")
 ALL = THREE + PEERS + "\n[state]\n"
--- a/tests/runtime/test_worker_processes.py
+++ b/tests/runtime/test_worker_processes.py
@@ -8,9 +8,10 @@
 import pytest
 from support.network import HandClock, quiet
 
+from flintridge.config.node_config import LONGEST_MB
+from flintridge.config.platform_config import node_config
 from flintridge.node import Node
 from flintridge.runtime.worker_processes import LOOK, WorkerProcesses
-from flintridge.settings import LONGEST_MB, node_config
 
 HOLDER = """
 import sys
--- a/tests/support/downstream_termination.py
+++ b/tests/support/downstream_termination.py
@@ -4,10 +4,10 @@
 import socket
 import struct
 
+from flintridge.config.address import Address
 from flintridge.core.lifecycle import RequestLifecycle
 from flintridge.discovery.endpoint_list import EndpointList
 from flintridge.net.sender import Downstream
-from flintridge.settings import Address
 from support.network import SETTINGS, HandClock, quiet, until
 
 READ = b"mg key7 v O%b Pc=read,t=acme,d=480\r\n"
--- a/tests/support/node.py
+++ b/tests/support/node.py
@@ -6,8 +6,9 @@
 
 from flintridge import api
 from flintridge.api import EndpointState
+from flintridge.config.address import Address
+from flintridge.config.node_config import NodeConfig
 from flintridge.node import Node
-from flintridge.settings import Address, NodeConfig
 from support.network import HandClock, Peer, quiet
 
 
--- a/tests/test_lab_budgets.py
+++ b/tests/test_lab_budgets.py
@@ -6,6 +6,7 @@
 import pytest
 
 from flintridge.config.faults import ConfigFaults
+from flintridge.config.node_config import BudgetsConfig
 from flintridge.lab import records as r
 from flintridge.lab.backend.virtual import VirtualPeers
 from flintridge.lab.fabric import DayClock
@@ -19,7 +20,6 @@
 from flintridge.lab.run import play
 from flintridge.lab.scenario.load import load
 from flintridge.lab.scenario.model import Budgets, Peers, Scenario
-from flintridge.settings import BudgetsConfig
 
 NODES = ("n0", "n1", "n2", "n3")
 
--- a/tests/test_lab_fleet.py
+++ b/tests/test_lab_fleet.py
@@ -10,6 +10,7 @@
 from msgspec.structs import replace
 from support.network import FIXED
 
+from flintridge.config.platform_config import node_config
 from flintridge.lab.backend.virtual import VirtualFabric
 from flintridge.lab.faults.active import Active, Knobs, On, burst_factor
 from flintridge.lab.faults.check import check
@@ -29,7 +30,6 @@
 from flintridge.lab.world.fleet_plan import Ids, specs
 from flintridge.lab.world.links import LinkTable
 from flintridge.lab.world.settings import node_settings
-from flintridge.settings import node_config
 
 
 def entry(name="a", phase=IN_SERVICE, started_at=0.0) -> Entry:
--- a/tests/test_lab_virtual.py
+++ b/tests/test_lab_virtual.py
@@ -18,8 +18,8 @@
 from support.paths import ROOT
 
 import flintridge.__main__
+from flintridge.config.loader import load_config
 from flintridge.lab.virtual import Deadlock, FixedLink, Network, Stuck, VirtualLoop, current_host, run
-from flintridge.settings import load_config
 
 BIG = 8 << 20  # more than any kernel takes by itself
 READER = 1 << 16
--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -8,12 +8,12 @@
 from support.downstream import READ, Held
 from support.network import FIXED, SETTINGS, HandClock, quiet, until
 
+from flintridge.config.address import Address
 from flintridge.core.lifecycle import RequestLifecycle
 from flintridge.discovery.endpoint_list import EndpointList
 from flintridge.lab import virtual
 from flintridge.net.parting import PARTING
 from flintridge.net.sender import FIRST_WORD, Downstream
-from flintridge.settings import Address
 from flintridge.shutdown import CEASE, LINGER, GracefulShutdown, ServiceState
 
 BUSY = b"SERVER_ERROR busy\r\n"
