--- a/flintridge/discovery/watcher.py
+++ b/flintridge/discovery/watcher.py
@@ -95,7 +95,8 @@
     def move(self, discovery: Address) -> None:
         """Go on at another address, at once and from its full list.
 
-        Its revisions need not go on from the old ones. Only calls to the old address end; what they would still have said is in the new full list.
+        Its revisions need not go on from the old ones. Only calls to the old address end; what they would still
+        have said is in the new full list.
         """
         self.discovery = discovery
         self._needs_full_list = True
