--- a/benchmarks/place_cost.py
+++ b/benchmarks/place_cost.py
@@ -12,7 +12,7 @@
 from flintridge import api
 from flintridge.core.lifecycle import RequestLifecycle
 from flintridge.discovery.endpoint_list import EndpointList
-from flintridge.net.sender import Downstream
+from flintridge.downstream.listener import Downstream
 from flintridge.runtime.clock import SystemClock
 from flintridge.telemetry.counters import Counters
 from flintridge.telemetry.log import Log
@@ -24,17 +24,17 @@
 class Crowd:
     """A connection that never said anything."""
 
-    owed = asked = closing = False
+    has_pending = has_requested = closing = False
     idle = True
 
-    def make_place(self) -> None: ...
+    def evict(self) -> None: ...
 
-    def cut_short(self) -> None: ...
+    def abort(self) -> None: ...
 
 
 def come(side: Downstream, one: Crowd) -> None:
     side._connections[one] = None  # type: ignore[index]
-    side.places.used(one)  # type: ignore[arg-type]
+    side.eviction_order.touch(one)  # type: ignore[arg-type]
 
 
 class Silent:
@@ -52,7 +52,7 @@
         come(side, Crowd())
     began = time.perf_counter()
     for _ in range(NEWCOMERS):
-        assert side._free_one()
+        assert side._evict_one()
         come(side, Crowd())
     took = time.perf_counter() - began
     side._connections.clear()
--- /dev/null
+++ b/flintridge/downstream/admin_api.py
@@ -0,0 +1,115 @@
+"""Listener of the admin API.
+
+It has a few connections of its own, which no crowd of clients and no silent caller can use up.
+"""
+
+import asyncio
+
+from flintridge.downstream.admin_exchange import AdminExchange, Routes
+from flintridge.downstream.lingering_close import close_lingering
+from flintridge.runtime.clock import Clock, DeadlineExceededError, within
+from flintridge.runtime.listener import Listener, open_listener
+from flintridge.settings import CONSOLE_PLACES, Address
+from flintridge.telemetry.counters import Counters
+from flintridge.telemetry.log import EventLog
+
+CALL_TIMEOUT_MS = 3_000.0  # until which a call must be whole
+READ_BYTES = 4096
+
+
+class AdminApi:
+    """The operators' HTTP calls, one a connection."""
+
+    def __init__(
+        self,
+        routes: Routes,
+        clock: Clock,
+        log: EventLog,
+        counters: Counters,
+        connection_limit: int = CONSOLE_PLACES,
+    ) -> None:
+        """Prepare it; `listen` opens it.
+
+        Args:
+            routes: By path and method, what carries a call out.
+            clock: Gives the time, in float milliseconds.
+            log: Takes its events.
+            counters: Takes its counts.
+            connection_limit: Of callers at a time.
+        """
+        self._routes = routes
+        self._clock = clock
+        self._log = log
+        self._counters = counters
+        self._connection_limit = connection_limit
+        self._listener: Listener | None = None
+        self._callers: dict[asyncio.StreamWriter, asyncio.Task[None] | None] = {}  # the oldest first
+
+    async def listen(self, address: Address) -> int:
+        """Open the listener, which is shared with no other process.
+
+        Returns:
+            The port.
+
+        Raises:
+            ListenError: It can't be opened.
+        """
+        self._listener = await open_listener(self._serve_caller, address, shared=False)
+        return self._listener.port
+
+    async def _serve_caller(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        if len(self._callers) >= self._connection_limit:
+            # Guards those who call against those who only hold a connection: the oldest has sent nothing
+            # whole so far, as a call is answered at once.
+            oldest = next(iter(self._callers))
+            self._counters.add("admin_api_evictions")
+            self._abort(oldest)
+        self._callers[writer] = asyncio.current_task()
+        self._counters.add("admin_api_calls")
+        try:
+            await self._exchange(reader, writer)
+        except OSError:
+            pass  # the caller's end of the connection
+        except asyncio.CancelledError:
+            if writer in self._callers:
+                raise  # else it was evicted, and nobody waits for this task
+        except Exception as error:
+            self._counters.add("admin_api_errors")
+            self._log.error("admin_api_failed", error)
+        finally:
+            self._callers.pop(writer, None)
+            writer.close()
+
+    async def _exchange(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        exchange = AdminExchange(self._routes)
+        try:
+            buffers = await within(self._clock, CALL_TIMEOUT_MS, self._read_call(exchange, reader))
+        except DeadlineExceededError:
+            self._counters.add("admin_api_timeouts")
+            buffers = exchange.time_out()
+        if buffers is not None:
+            writer.writelines(buffers)
+            await close_lingering(self._clock, reader, writer)
+
+    async def _read_call(self, exchange: AdminExchange, reader: asyncio.StreamReader) -> list[bytes] | None:
+        """The response's buffers; None where the caller ends before its call is whole."""
+        while True:
+            data = await reader.read(READ_BYTES)
+            if not data:
+                return None
+            buffers = exchange.feed(data)
+            if buffers is not None:
+                return buffers
+
+    def _abort(self, writer: asyncio.StreamWriter) -> None:
+        task = self._callers.pop(writer)
+        if task is not None:
+            task.cancel()
+        writer.close()
+
+    def close(self) -> None:
+        """Close the listener and every connection, at once."""
+        if self._listener is not None:
+            self._listener.close()
+        for writer in list(self._callers):
+            self._abort(writer)
--- /dev/null
+++ b/flintridge/downstream/admin_exchange.py
@@ -0,0 +1,138 @@
+"""One HTTP/1.1 call of the admin API and its response, as an I/O-free state machine on h11.
+
+    GET  /admin/health     200 once this process can serve, drained or not; else 503
+    POST /admin/quiesce    end the service, not the process
+    POST /admin/resume     serve again
+
+Bodies are JSON objects that say the state. Those of calls are discarded, but for the routes that take one.
+"""
+
+from collections.abc import Callable
+from dataclasses import dataclass
+from typing import Any
+
+import h11
+import orjson
+
+MAX_HEAD_BYTES = 8 * 1024
+MAX_BODY_BYTES = 64 * 1024  # of a call
+
+BAD_REQUEST = 400
+NOT_FOUND = 404
+METHOD_NOT_ALLOWED = 405
+REQUEST_TIMEOUT = 408
+BODY_TOO_LARGE = 413
+END_OF_ERROR_STATUSES = 600
+
+# What answers a call: an HTTP status and the body's fields.
+AdminResponse = tuple[int, dict[str, Any]]
+
+
+@dataclass(slots=True, frozen=True)
+class RouteWithInput:
+    """A route that is given the call's query and body, which may be empty."""
+
+    call: Callable[[bytes, bytes], AdminResponse]
+
+
+Routes = dict[bytes, dict[bytes, Callable[[], AdminResponse] | RouteWithInput]]
+
+
+class AdminExchange:
+    """One call. `feed` gives the response's buffers once the call is whole, or cannot become a good one."""
+
+    def __init__(self, routes: Routes) -> None:
+        """Await a call.
+
+        Args:
+            routes: By path and method, what carries the call out.
+        """
+        self._routes = routes
+        self._connection = h11.Connection(h11.SERVER, max_incomplete_event_size=MAX_HEAD_BYTES)
+        self._request: h11.Request | None = None
+        self._body_bytes = 0
+        self._body = bytearray()  # of a route that takes it
+        self._takes_body = False
+        self._responded = False
+
+    def feed(self, data: bytes) -> list[bytes] | None:
+        """Take in what came.
+
+        Args:
+            data: Not empty.
+
+        Returns:
+            The response's buffers; None while more is to come, and after the response.
+        """
+        if self._responded:
+            return None
+        try:
+            self._connection.receive_data(data)
+            return self._next_response()
+        except h11.RemoteProtocolError as error:
+            status = error.error_status_hint
+            if not BAD_REQUEST <= status < END_OF_ERROR_STATUSES:
+                status = BAD_REQUEST
+            return self._respond(status, {"error": str(error)})
+
+    def time_out(self) -> list[bytes]:
+        """The response's buffers for a call that did not become whole in time."""
+        return self._respond(REQUEST_TIMEOUT, {"error": "the call was not whole in time"})
+
+    def _next_response(self) -> list[bytes] | None:
+        while True:
+            event = self._connection.next_event()
+            if event is h11.NEED_DATA:
+                return None
+            if isinstance(event, h11.Request):
+                self._request = event
+                path = event.target.partition(b"?")[0]
+                self._takes_body = isinstance(self._routes.get(path, {}).get(event.method), RouteWithInput)
+            elif isinstance(event, h11.Data):
+                self._body_bytes += len(event.data)
+                if self._body_bytes > MAX_BODY_BYTES:
+                    return self._respond(BODY_TOO_LARGE, {"error": f"a body over {MAX_BODY_BYTES} bytes"})
+                if self._takes_body:
+                    self._body += event.data
+            elif isinstance(event, h11.EndOfMessage):
+                return self._carry_out()
+
+    def _carry_out(self) -> list[bytes]:
+        assert self._request is not None
+        path, _, query = self._request.target.partition(b"?")
+        methods = self._routes.get(path)
+        if methods is None:
+            paths = [known.decode() for known in self._routes]
+            return self._respond(NOT_FOUND, {"error": "no such path", "paths": paths})
+        route = methods.get(self._request.method)
+        if route is None:
+            allowed = b", ".join(methods)
+            fields = {"error": f"only {allowed.decode()}"}
+            return self._respond(METHOD_NOT_ALLOWED, fields, [(b"Allow", allowed)])
+        if isinstance(route, RouteWithInput):
+            return self._respond(*route.call(query, bytes(self._body)))
+        return self._respond(*route())
+
+    def _respond(
+        self,
+        status: int,
+        fields: dict[str, Any],
+        extra_headers: list[tuple[bytes, bytes]] | None = None,
+    ) -> list[bytes]:
+        self._responded = True
+        body = orjson.dumps(fields) + b"\n"
+        headers = [
+            (b"Content-Type", b"application/json"),
+            (b"Content-Length", b"%d" % len(body)),
+            (b"Connection", b"close"),
+            *(extra_headers or ()),
+        ]
+        # h11 itself would not write after an error of the caller's head; the head is written by a fresh one.
+        writer = self._connection
+        if writer.our_state is h11.ERROR or writer.their_state is h11.ERROR:
+            writer = h11.Connection(h11.SERVER)
+        head = h11.Response(status_code=status, headers=headers)
+        buffers = list(writer.send_with_data_passthrough(head) or ())
+        if self._request is None or self._request.method != b"HEAD":
+            buffers.append(body)
+        return buffers
--- a/flintridge/lab/defects/planted.py
+++ b/flintridge/lab/defects/planted.py
@@ -11,10 +11,11 @@
 from flintridge import api
 from flintridge.core.request import Request, UpstreamAttempt
 from flintridge.core.response import Responder, Response
+from flintridge.downstream.connection import ClientConnection
+from flintridge.downstream.pipeline import PendingResponse
 from flintridge.lab.defects.wrapping import Alter, every, put, wrap_replies
 from flintridge.net import memcache
 from flintridge.net.delivery import UpstreamConnection
-from flintridge.net.sender import PendingResponse
 from flintridge.node import Node
 from flintridge.policy.balancer import Balancer, ConcurrencyLimiter, OpenRequest, Server
 from flintridge.runtime.clock import sleep, to_ns
@@ -108,9 +109,12 @@
     class Twice(Alter):
         def respond(self, response: Response) -> None:
             self.reply.respond(response)
-            slot = self.reply
-            if isinstance(slot, PendingResponse) and not slot.connection._writer.is_closing():
-                slot.connection._writer.writelines(memcache.served_parts(slot.id, response))
+            pending = self.reply
+            if not isinstance(pending, PendingResponse):
+                return
+            connection = pending.connection
+            if isinstance(connection, ClientConnection) and not connection._writer.is_closing():
+                connection._writer.writelines(memcache.served_parts(pending.id, response))
 
     wrap_replies(node, lambda _, reply: Twice(reply) if hit() else reply)
 
--- a/flintridge/node.py
+++ b/flintridge/node.py
@@ -17,8 +17,8 @@
 from flintridge.discovery.endpoint_list import EndpointList, configured_endpoints
 from flintridge.discovery.overrides import EndpointOverrides
 from flintridge.discovery.watcher import DiscoveryWatcher, watch_wait_ms
+from flintridge.downstream.listener import Downstream
 from flintridge.net.delivery import Dispatcher
-from flintridge.net.sender import Downstream
 from flintridge.policy.balancer import QUOTA_SLACK, Balancer
 from flintridge.runtime.clock import Clock
 from flintridge.runtime.worker_processes import WorkerProcesses
@@ -28,10 +28,10 @@
 from flintridge.telemetry.log import EventLog
 
 if TYPE_CHECKING:
-    from flintridge.fronts.console import Routes, Said
+    from flintridge.downstream.admin_api import AdminApi
+    from flintridge.downstream.admin_exchange import AdminResponse, Routes
     from flintridge.leases.driver import LeaseDriver
     from flintridge.membership.driver import MembershipDriver
-    from flintridge.net.console import AdminApi
     from flintridge.replication.driver import ReplicationDriver
 
 CHANGEABLE = ("discovery", "sockets", "memory_mb")  # without a restart
@@ -146,7 +146,7 @@
             self.replication = ReplicationDriver(
                 config.state, self.membership, clock, log, self.counters, entropy, self._overrides.take_out
             )
-        self.downstream.ready = self._ready
+        self.downstream.is_ready = self._ready
         self._closed = False
         listen = config.listen
         self._siblings: WorkerProcesses | None = None
@@ -161,11 +161,11 @@
         """
         # Before anything else: what cannot have its console must not have taken a single connection.
         if self.config.console is not None:
-            from flintridge.net.console import AdminApi  # not held by a node that has none
+            from flintridge.downstream.admin_api import AdminApi  # not held by a node that has none
 
             self.admin_api = AdminApi(self._routes(), self.clock, self.log, self.counters)
             port = await self.admin_api.listen(self.config.console)
-            self.log.event("console", host=self.config.console.host, port=port)
+            self.log.event("admin_api_listening", host=self.config.console.host, port=port)
         if self.membership is not None:
             await self.membership.start()
         if self._siblings is not None:
@@ -214,7 +214,7 @@
         config = self.config
         self.core.memory_budget.resize(max(int(LONGEST_MB * 1024 * 1024), config.held_bytes // count))
         self.dispatcher.room = config.server_sockets // count
-        self.downstream.room = config.client_sockets // count
+        self.downstream.connection_limit = config.client_sockets // count
         if self.leases is not None:
             self.leases.processes(count)
 
@@ -243,21 +243,21 @@
             return "starting"
         return self.shutdown.state.value
 
-    def _health(self) -> Said:
+    def _health(self) -> AdminResponse:
         # A drained process can serve: it is only told not to. One that leaves ends soon.
         able = self.downstream.serving and self.shutdown.state is not ServiceState.LEAVING
         said = {
             "state": self.state,
-            "connections": self.downstream.connections,
+            "connections": self.downstream.connection_count,
             "requests": self.core.unanswered,
         }
         return 200 if able else 503, said
 
-    def _quiesce(self) -> Said:
+    def _quiesce(self) -> AdminResponse:
         self.quiesce()
         return 200, {"state": self.state}
 
-    def _resume(self) -> Said:
+    def _resume(self) -> AdminResponse:
         self.resume()
         return 409 if self.shutdown.state is ServiceState.LEAVING else 200, {"state": self.state}
 
@@ -267,8 +267,8 @@
         if not self.shutdown.quiesce(self.clock.now()):
             return False
         self.counters.add("drains")
-        self.log.event("draining", connections=self.downstream.connections)
-        self.downstream.ending()
+        self.log.event("draining", connections=self.downstream.connection_count)
+        self.downstream.start_drain()
         return True
 
     def resume(self) -> bool:
@@ -276,14 +276,14 @@
         if not self.shutdown.resume(self.clock.now()):
             return False
         self.counters.add("resumes")
-        self.downstream.resumed()
-        self.log.event("resumed", connections=self.downstream.connections)
+        self.downstream.cancel_drain()
+        self.log.event("resumed", connections=self.downstream.connection_count)
         return True
 
     async def leave(self) -> None:
         """Serve on for 0.7 s, answer all that was taken, then close."""
         other = None if self._siblings is None else self._siblings.place_of_other()
-        stepped_aside = other is not None and self.downstream.step_aside(other)
+        stepped_aside = other is not None and self.downstream.redirect_new_connections(other)
         self.log.event("leaving", stepped_aside=stepped_aside)
         if self.leases is not None:
             self.leases.leave()
--- a/flintridge/replication/driver.py
+++ b/flintridge/replication/driver.py
@@ -14,7 +14,7 @@
 
 import msgspec
 
-from flintridge.fronts.console import Routes, Taking
+from flintridge.downstream.admin_exchange import Routes, RouteWithInput
 from flintridge.membership.driver import MembershipDriver
 from flintridge.membership.driver import Refused as PeerRefused
 from flintridge.membership.messages import Dropped
@@ -95,8 +95,8 @@
     def routes(self) -> Routes:
         """What staff call for."""
         return {
-            b"/admin/state": {b"GET": Taking(self.said), b"POST": Taking(self.write)},
-            b"/admin/state/had": {b"GET": Taking(self.had)},
+            b"/admin/state": {b"GET": RouteWithInput(self.said), b"POST": RouteWithInput(self.write)},
+            b"/admin/state/had": {b"GET": RouteWithInput(self.had)},
         }
 
     def caught_up(self) -> bool:
--- a/tests/downstream/test_admin_api.py
+++ b/tests/downstream/test_admin_api.py
@@ -16,10 +16,10 @@
 from support.paths import ROOT
 from support.program import Program, cache
 
-from flintridge.fronts.console import MAX_BODY, MAX_HEAD, AdminExchange
+from flintridge.downstream.admin_api import CALL_TIMEOUT_MS, AdminApi
+from flintridge.downstream.admin_exchange import MAX_BODY_BYTES, MAX_HEAD_BYTES, AdminExchange
+from flintridge.downstream.lingering_close import LINGERING_CLOSE_MS
 from flintridge.lab import virtual
-from flintridge.net.console import CALL_TIME, AdminApi
-from flintridge.net.parting import PARTING
 from flintridge.runtime.listener import ListenError, open_listener
 from flintridge.settings import Address, ConfigError, node_config
 
@@ -60,10 +60,10 @@
         (b"GET / HTTP/1.1\r\nHost: n1\r\n\r\n", 404),
         (b"GET /admin/health HTTP/1.1\r\n\r\n", 400),  # no host
         (b"mn\r\n\r\n", 400),
-        (b"GET /" + b"x" * MAX_HEAD * 2, 431),
+        (b"GET /" + b"x" * MAX_HEAD_BYTES * 2, 431),
         (
             b"POST /admin/quiesce HTTP/1.1\r\nHost: n1\r\nContent-Length: 99999999\r\n\r\n"
-            + b"x" * MAX_BODY * 2,
+            + b"x" * MAX_BODY_BYTES * 2,
             413,
         ),
         (b"POST /admin/quiesce HTTP/1.1\r\nHost: n1\r\nContent-Length: -4\r\n\r\n", 400),
@@ -96,29 +96,29 @@
 def test_callers_who_say_nothing_or_half_a_call_keep_nobody_waiting():
     async def test():
         clock, (log, counters) = HandClock(), quiet()
-        console = AdminApi(routes(), clock, log, counters, places=3)
-        port = await console.listen(Address("127.0.0.1", 0))
+        admin_api = AdminApi(routes(), clock, log, counters, connection_limit=3)
+        port = await admin_api.listen(Address("127.0.0.1", 0))
         silent = [await asyncio.open_connection("127.0.0.1", port) for _ in range(5)]
         silent[3][1].write(HEALTH[:20])
         for _ in range(4):  # at once, with no time passing
             reader, writer = await asyncio.open_connection("127.0.0.1", port)
             writer.write(HEALTH)
             assert (await reader.read()).startswith(b"HTTP/1.1 200")
-        assert counters["console_made_place"] >= 3
-        clock.go(CALL_TIME)  # and none stays for long
+        assert counters["admin_api_evictions"] >= 3
+        clock.go(CALL_TIMEOUT_MS)  # and none stays for long
         for reader, _ in silent:
             said = await reader.read()
             assert said == b"" or said.startswith(b"HTTP/1.1 408")
-        clock.go(PARTING)  # which they have to end their side
-        await until(lambda: not console._callers)
-        late = counters["console_late"]
+        clock.go(LINGERING_CLOSE_MS)  # which they have to end their side
+        await until(lambda: not admin_api._callers)
+        late = counters["admin_api_timeouts"]
         reader, writer = await asyncio.open_connection("127.0.0.1", port)
         writer.write(HEALTH)
         assert (await reader.read()).startswith(b"HTTP/1.1 200")
-        clock.go(CALL_TIME)  # answered, and its caller does not close: that is not late
-        await until(lambda: not console._callers)
-        assert counters["console_late"] == late
-        console.close()
+        clock.go(CALL_TIMEOUT_MS)  # answered, and its caller does not close: that is not late
+        await until(lambda: not admin_api._callers)
+        assert counters["admin_api_timeouts"] == late
+        admin_api.close()
 
     virtual.run(test())
 
@@ -308,8 +308,8 @@
 
     async def test():
         clock, (log, counters) = HandClock(), quiet()
-        console = AdminApi(routes(), clock, log, counters)
-        port = await console.listen(Address("127.0.0.1", 0))
+        admin_api = AdminApi(routes(), clock, log, counters)
+        port = await admin_api.listen(Address("127.0.0.1", 0))
         loop, turns, over = asyncio.get_running_loop(), 0, False
 
         def turn() -> None:
@@ -326,7 +326,7 @@
         assert (await reader.read()).startswith(b"HTTP/1.1 200")
         over = True
         assert turns <= 100
-        console.close()
+        admin_api.close()
 
     asyncio.run(test())
 
--- a/tests/downstream/test_connection_termination.py
+++ b/tests/downstream/test_connection_termination.py
@@ -1,4 +1,4 @@
-"""How clients' connections end, with what crosses each end forced: docs/endings.md lists them."""
+"""How clients' connections end, with what crosses each end forced: docs/termination.md lists them."""
 
 import asyncio
 import contextlib
@@ -7,24 +7,29 @@
 from dataclasses import replace
 
 import pytest
-from support.downstream_termination import (
+from support.downstream import (
     BUSY,
     FAILED,
-    PATIENT,
+    LONG_DEADLINE_READ,
     READ,
-    Side,
-    gone_with_a_reset,
-    rest,
-    turns,
+    DownstreamHarness,
+    run_loop_turns,
 )
+from support.downstream_termination import gone_with_a_reset, read_until_end
 from support.network import SETTINGS, Peer, until
 from support.node import Alone, whole
 from support.upstream_termination import Bench
 
 from flintridge import api
 from flintridge.core.response import Response
-from flintridge.net.parting import PARTING
-from flintridge.net.sender import PARTINGS, PIPELINED, SERVING, SWEEP, UNUSED
+from flintridge.downstream.connection import IDLE_TIMEOUT_MS
+from flintridge.downstream.lingering_close import LINGERING_CLOSE_MS
+from flintridge.downstream.listener import (
+    MAX_LINGERING_BEYOND_LIMIT,
+    SHUTDOWN_ACCEPT_MS,
+    SWEEP_INTERVAL_MS,
+)
+from flintridge.downstream.pipeline import MAX_PIPELINED_COMMANDS
 from flintridge.shutdown import CEASE, LINGER
 
 
@@ -32,19 +37,21 @@
     """The request lies in the kernel as the node closes a resting connection, with an answer still unread."""
 
     async def test():
-        async with Side() as s:
-            client = await s.client(READ % b"r0")
-            await until(lambda: s.requests == 1)
-            s.core._fail_overdue("r0")
-            await turns()
+        async with DownstreamHarness() as harness:
+            client = await harness.socket_client(READ % b"r0")
+            await until(lambda: harness.request_count == 1)
+            harness.core._fail_overdue("r0")
+            await run_loop_turns()
             client.sendall(READ % b"r1")  # no turn of the loop since: the node cannot have read it
-            s.clock.go(UNUSED + 250)
-            assert s.counters["connections_unused"] == 1
-            assert await rest(client) == FAILED  # the answer, then an orderly end
-            await turns()
-            assert s.requests == 1 and len(s.side._connections) == 1  # it waits for its client's half
+            harness.clock.go(IDLE_TIMEOUT_MS + 250)
+            assert harness.counters["connections_idle_timeout"] == 1
+            assert await read_until_end(client) == FAILED  # the answer, then an orderly end
+            await run_loop_turns()
+            assert (
+                harness.request_count == 1 and len(harness.downstream._connections) == 1
+            )  # it waits for its client's half
             client.close()
-            await until(lambda: not s.side._connections)
+            await until(lambda: not harness.downstream._connections)
 
     asyncio.run(test())
 
@@ -54,31 +61,31 @@
     """It was fed to the connection, but not looked at, as the sweep came."""
 
     async def test():
-        async with Side() as s:
-            reader, writer = await asyncio.open_connection("127.0.0.1", s.port)
-            await until(lambda: s.side._connections)
-            (connection,) = s.side._connections
+        async with DownstreamHarness() as harness:
+            reader, writer = await asyncio.open_connection("127.0.0.1", harness.port)
+            await until(lambda: harness.downstream._connections)
+            (connection,) = harness.downstream._connections
             feed = connection._reader.feed_data
             if ends == "drain":
-                connection.heard = True
-                s.side.drain.quiesce(s.clock.now())
+                connection.has_sent_command = True
+                harness.downstream.shutdown.quiesce(harness.clock.now())
 
             def crossing(data: bytes) -> None:
                 feed(data)
-                s.clock.go(UNUSED + 250 if ends == "unused" else LINGER + 250)
+                harness.clock.go(IDLE_TIMEOUT_MS + 250 if ends == "unused" else LINGER + 250)
 
             connection._reader.feed_data = crossing
             writer.write(READ % b"r1")
-            await until(lambda: s.requests == 1)
+            await until(lambda: harness.request_count == 1)
             connection._reader.feed_data = feed
-            assert s.counters["connections_unused"] == 0
-            s.core._fail_overdue("r1")
+            assert harness.counters["connections_idle_timeout"] == 0
+            harness.core._fail_overdue("r1")
             assert await reader.readline() == FAILED
-            s.clock.go(UNUSED + 250)
+            harness.clock.go(IDLE_TIMEOUT_MS + 250)
             assert await reader.read() == b""
-            assert s.counters["connections_unused"] == (ends == "unused")
+            assert harness.counters["connections_idle_timeout"] == (ends == "unused")
             writer.close()
-            await until(lambda: not s.side._connections)
+            await until(lambda: not harness.downstream._connections)
 
     play(test)
 
@@ -87,65 +94,65 @@
     """What is read before the shutdown would be owed an answer, and the answer before it is not out yet."""
 
     async def test():
-        async with Side() as s:
-            client = await s.client()
+        async with DownstreamHarness() as harness:
+            client = await harness.socket_client()
             client.sendall(READ % b"r0")
-            await until(lambda: s.requests == 1)
-            (connection,) = s.side._connections
+            await until(lambda: harness.request_count == 1)
+            (connection,) = harness.downstream._connections
             size = 16 << 20  # more than any buffer of the system takes
-            s.core._mark_answered("r0", request := s.core._open["r0"])
+            harness.core._mark_answered("r0", request := harness.core._open["r0"])
             request.responder.respond(Response(b"x" * size, receipt=False))
             read = connection._reader.fed
-            s.clock.go(UNUSED + 250)
+            harness.clock.go(IDLE_TIMEOUT_MS + 250)
             assert connection._transport.get_write_buffer_size()
             client.sendall(READ % b"r1")
-            await turns()
+            await run_loop_turns()
             assert connection._reader.fed == read and not connection._writer.is_closing()
-            said = await rest(client)
+            said = await read_until_end(client)
             assert len(said) == len(b"VA %d Or0\r\n" % size) + size + 2 and said.endswith(b"x\r\n")
-            await turns()
-            assert s.requests == 1
+            await run_loop_turns()
+            assert harness.request_count == 1
             client.close()
-            await until(lambda: not s.side._connections)
+            await until(lambda: not harness.downstream._connections)
 
     asyncio.run(test())
 
 
 def test_the_next_command_that_lies_there_at_the_end_of_a_drain_costs_no_answer():
     async def test():
-        async with Side() as s:
-            client = await s.client(PATIENT % b"r0")
-            await until(lambda: s.requests == 1)
-            leaving = asyncio.ensure_future(s.side.leave())
-            await turns(1)
-            s.clock.go(CEASE)
-            await turns()
+        async with DownstreamHarness() as harness:
+            client = await harness.socket_client(LONG_DEADLINE_READ % b"r0")
+            await until(lambda: harness.request_count == 1)
+            leaving = asyncio.ensure_future(harness.downstream.leave())
+            await run_loop_turns(1)
+            harness.clock.go(CEASE)
+            await run_loop_turns()
             client.sendall(READ % b"r1" + READ % b"r2")  # always the next one written
-            await turns()
-            s.core._fail_overdue("r0")
-            assert await rest(client) == FAILED
-            assert s.requests == 1  # its client sends the others again elsewhere
+            await run_loop_turns()
+            harness.core._fail_overdue("r0")
+            assert await read_until_end(client) == FAILED
+            assert harness.request_count == 1  # its client sends the others again elsewhere
             client.close()
-            await until(lambda: s.clock.go(20) or leaving.done())
+            await until(lambda: harness.clock.go(20) or leaving.done())
 
     asyncio.run(test())
 
 
 def test_a_connection_that_was_read_no_further_is_read_on_when_the_drain_is_called_off(play):
     async def test():
-        async with Side() as s:
-            _, writer = await asyncio.open_connection("127.0.0.1", s.port)
-            writer.write(PATIENT % b"r0")
-            await until(lambda: s.requests == 1)
-            s.side.drain.quiesce(s.clock.now())
-            s.side.ending()
-            s.clock.go(CEASE)
+        async with DownstreamHarness() as harness:
+            _, writer = await asyncio.open_connection("127.0.0.1", harness.port)
+            writer.write(LONG_DEADLINE_READ % b"r0")
+            await until(lambda: harness.request_count == 1)
+            harness.downstream.shutdown.quiesce(harness.clock.now())
+            harness.downstream.start_drain()
+            harness.clock.go(CEASE)
             writer.write(READ % b"r1")
-            await turns()
-            assert s.requests == 1
-            s.side.drain.resume(s.clock.now())
-            s.side.resumed()
-            await until(lambda: s.requests == 2)
+            await run_loop_turns()
+            assert harness.request_count == 1
+            harness.downstream.shutdown.resume(harness.clock.now())
+            harness.downstream.cancel_drain()
+            await until(lambda: harness.request_count == 2)
             writer.close()
 
     play(test)
@@ -153,23 +160,23 @@
 
 def test_a_client_that_goes_on_sending_or_never_ends_is_closed_within_bounds():
     async def test():
-        async with Side() as s:
-            silent = await s.client(READ % b"r0")
-            endless = await s.client(READ % b"r1")
-            await until(lambda: s.requests == 2)
+        async with DownstreamHarness() as harness:
+            silent = await harness.socket_client(READ % b"r0")
+            endless = await harness.socket_client(READ % b"r1")
+            await until(lambda: harness.request_count == 2)
             for uid in ("r0", "r1"):
-                s.core._fail_overdue(uid)
-            await turns()
-            s.clock.go(UNUSED + 250)
+                harness.core._fail_overdue(uid)
+            await run_loop_turns()
+            harness.clock.go(IDLE_TIMEOUT_MS + 250)
             endless.setblocking(False)
             with contextlib.suppress(ConnectionError):
                 async with asyncio.timeout(10):
                     while True:
                         await asyncio.get_running_loop().sock_sendall(endless, b"x" * 65536)
-            await until(lambda: len(s.side._connections) == 1)
-            s.clock.go(PARTING)
-            await until(lambda: not s.side._connections)
-            assert await rest(silent) == FAILED
+            await until(lambda: len(harness.downstream._connections) == 1)
+            harness.clock.go(LINGERING_CLOSE_MS)
+            await until(lambda: not harness.downstream._connections)
+            assert await read_until_end(silent) == FAILED
 
     asyncio.run(test())
 
@@ -178,15 +185,18 @@
     """Their requests lie in the kernel: closed over these unread, the answer would go with the reset."""
 
     async def test():
-        async with Side(room=1) as s:
-            await s.client(READ % b"r0")
-            await until(lambda: s.requests == 1)
-            late = [socket.create_connection(("127.0.0.1", s.port)) for _ in range(PARTINGS + 8)]
+        async with DownstreamHarness(connection_limit=1) as harness:
+            await harness.socket_client(READ % b"r0")
+            await until(lambda: harness.request_count == 1)
+            late = [
+                socket.create_connection(("127.0.0.1", harness.port))
+                for _ in range(MAX_LINGERING_BEYOND_LIMIT + 8)
+            ]
             for number, client in enumerate(late):
                 client.sendall(READ % b"late%d" % number)
-            await turns()
-            assert [await rest(client) for client in late] == [BUSY] * len(late)  # orderly ends
-            assert s.counters["connections_turned_away"] == len(late) and s.requests == 1
+            await run_loop_turns()
+            assert [await read_until_end(client) for client in late] == [BUSY] * len(late)  # orderly ends
+            assert harness.counters["connections_rejected"] == len(late) and harness.request_count == 1
             for client in late:
                 client.close()
 
@@ -195,16 +205,16 @@
 
 def test_more_that_make_place_at_once_than_can_be_parted_from_are_told_so_and_not_reset():
     async def test():
-        async with Side(room=PARTINGS + 8) as s:
-            crossed = [await s.client() for _ in range(s.side.room)]
-            await until(lambda: len(s.side._connections) == s.side.room)
+        async with DownstreamHarness(connection_limit=MAX_LINGERING_BEYOND_LIMIT + 8) as harness:
+            crossed = [await harness.socket_client() for _ in range(harness.downstream.connection_limit)]
+            await until(lambda: len(harness.downstream._connections) == harness.downstream.connection_limit)
             for number, client in enumerate(crossed):
                 client.sendall(READ % b"r%d" % number)  # no turn of the loop since
-            while s.side._free_one():
+            while harness.downstream._evict_one():
                 pass
-            await turns()
-            assert [await rest(client) for client in crossed] == [BUSY] * len(crossed)
-            assert s.counters["connections_made_place"] == len(crossed) and s.requests == 0
+            await run_loop_turns()
+            assert [await read_until_end(client) for client in crossed] == [BUSY] * len(crossed)
+            assert harness.counters["connections_evicted"] == len(crossed) and harness.request_count == 0
             # A reset that comes behind the orderly end, which some systems let go before it.
             assert not any(client.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR) for client in crossed)
 
@@ -212,20 +222,20 @@
 
 
 @pytest.mark.parametrize("leave", [socket.socket.close, gone_with_a_reset])
-@pytest.mark.parametrize("waiting", [1, PIPELINED, PIPELINED + 5, 400])
+@pytest.mark.parametrize("waiting", [1, MAX_PIPELINED_COMMANDS, MAX_PIPELINED_COMMANDS + 5, 400])
 def test_a_client_that_leaves_is_seen_whatever_waits_of_it(leave, waiting):
     """In flight, behind others on its connection, and while nothing more is read of it."""
 
     async def test():
-        async with Side() as s:
-            client = await s.client(*(READ % b"r%d" % i for i in range(waiting)))
-            taken = min(waiting, PIPELINED)
-            await until(lambda: s.requests == taken)
-            await turns()
+        async with DownstreamHarness() as harness:
+            client = await harness.socket_client(*(READ % b"r%d" % i for i in range(waiting)))
+            taken = min(waiting, MAX_PIPELINED_COMMANDS)
+            await until(lambda: harness.request_count == taken)
+            await run_loop_turns()
             leave(client)
-            await until(lambda: s.counters["clients_disconnected"] == taken)
-            await until(lambda: not s.side._connections)
-            assert s.requests == taken and s.core.idle
+            await until(lambda: harness.counters["clients_disconnected"] == taken)
+            await until(lambda: not harness.downstream._connections)
+            assert harness.request_count == taken and harness.core.idle
 
     asyncio.run(test())
 
@@ -275,7 +285,7 @@
                 alone.node.dispatcher._report = crossing
             await until(lambda: alone.node.counters["clients_disconnected"] == 1)
             await until(lambda: not alone.node.downstream._connections)
-            await turns()
+            await run_loop_turns()
             assert len(one.got) + len(two.got) == sent + (answer is not None) and core.idle
             assert alone.node.counters["attempts_expired_unsent"] == 1
             await alone.node.close()
@@ -286,22 +296,22 @@
 @pytest.mark.parametrize("leave", [socket.socket.close, gone_with_a_reset])
 def test_a_client_that_sent_more_than_is_read_and_left_is_seen_by_the_next_sweep(leave):
     async def test():
-        async with Side() as s:
-            client = await s.client(READ % b"r")
-            await until(lambda: s.requests == 1)
-            (connection,) = s.side._connections
+        async with DownstreamHarness() as harness:
+            client = await harness.socket_client(READ % b"r")
+            await until(lambda: harness.request_count == 1)
+            (connection,) = harness.downstream._connections
             for number in range(1000):  # until it is read no further, and the system holds what came last
                 client.sendall(b"".join(READ % b"f%d-%d" % (number, i) for i in range(100)))
-                await turns(1)
+                await run_loop_turns(1)
                 if not connection._transport.is_reading():
                     break
-            assert s.requests == PIPELINED and not connection._transport.is_reading()
+            assert harness.request_count == MAX_PIPELINED_COMMANDS and not connection._transport.is_reading()
             leave(client)
-            await turns()
-            s.clock.go(SWEEP)
-            assert s.counters["clients_disconnected"] == PIPELINED
-            await until(lambda: not s.side._connections)
-            assert s.requests == PIPELINED
+            await run_loop_turns()
+            harness.clock.go(SWEEP_INTERVAL_MS)
+            assert harness.counters["clients_disconnected"] == MAX_PIPELINED_COMMANDS
+            await until(lambda: not harness.downstream._connections)
+            assert harness.request_count == MAX_PIPELINED_COMMANDS
 
     asyncio.run(test())
 
@@ -311,16 +321,16 @@
     """Found on the long day: 20 MB in place of 18, as each held its reader and the reader it."""
 
     async def test():
-        async with Side() as s:
-            client = await s.client(READ % b"r0")
-            await until(lambda: s.requests == 1)
-            held = weakref.ref(next(iter(s.side._connections)))
-            s.core._fail_overdue("r0")
-            await turns()
+        async with DownstreamHarness() as harness:
+            client = await harness.socket_client(READ % b"r0")
+            await until(lambda: harness.request_count == 1)
+            held = weakref.ref(next(iter(harness.downstream._connections)))
+            harness.core._fail_overdue("r0")
+            await run_loop_turns()
             if leave is not gone_with_a_reset:  # closed over an unread answer it would reset as well
                 assert client.recv(100) == FAILED
             leave(client)
-            await until(lambda: not s.side._connections)
+            await until(lambda: not harness.downstream._connections)
             await until(lambda: held() is None)
 
     asyncio.run(test())
@@ -330,23 +340,23 @@
     """With a class that waits for 2 s and one for 3 s the end may come 3.7 s after SIGTERM."""
 
     async def test():
-        async with Side() as s:
-            began = s.clock.now()
-            leaving = asyncio.ensure_future(s.side.leave())
-            await turns(1)
-            s.clock.go(LINGER)
-            reader, writer = await asyncio.open_connection("127.0.0.1", s.port)
+        async with DownstreamHarness() as harness:
+            began = harness.clock.now()
+            leaving = asyncio.ensure_future(harness.downstream.leave())
+            await run_loop_turns(1)
+            harness.clock.go(LINGER)
+            reader, writer = await asyncio.open_connection("127.0.0.1", harness.port)
             writer.write(b"ms key7 2 Oa1 Pc=put,t=acme,d=3000\r\n")  # the rest comes late
-            await until(lambda: any(not c._parser.idle for c in s.side._connections))
-            s.clock.go(SERVING)
-            await turns()
+            await until(lambda: any(not c._parser.idle for c in harness.downstream._connections))
+            harness.clock.go(SHUTDOWN_ACCEPT_MS)
+            await run_loop_turns()
             writer.write(b"hi\r\n")
-            await until(lambda: s.requests == 1)
-            assert s.clock.now() == began + LINGER + SERVING
-            s.clock.go(SERVING + 3_000 - 1 - (s.clock.now() - began))
+            await until(lambda: harness.request_count == 1)
+            assert harness.clock.now() == began + LINGER + SHUTDOWN_ACCEPT_MS
+            harness.clock.go(SHUTDOWN_ACCEPT_MS + 3_000 - 1 - (harness.clock.now() - began))
             assert await reader.read() == FAILED  # by the net: nobody decides anything here
             writer.close()
-            await until(lambda: s.clock.go(20) or leaving.done())
+            await until(lambda: harness.clock.go(20) or leaving.done())
 
     play(test)
 
@@ -359,19 +369,19 @@
             opened = transport.get_extra_info("socket")
             delays.append(opened.getsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY))
 
-        async with Side() as s, Peer(lambda _: b"") as peer:
-            await s.client()
-            (connection,) = s.side._connections
+        async with DownstreamHarness() as harness, Peer(lambda _: b"") as peer:
+            await harness.socket_client()
+            (connection,) = harness.downstream._connections
             seen(connection._transport)
             bench = Bench(peer.port)
             await bench.carry()
             await until(lambda: peer.got)
             seen(next(iter(bench.links)).writer.transport)
             await bench.delivery.close()
-            early = socket.create_connection(("127.0.0.1", s.port))  # accepted as the listener closes
-            s.side._listening.close()
-            await until(lambda: s.counters["connections_accepted"] == 2)
-            seen(list(s.side._connections)[-1]._transport)
+            early = socket.create_connection(("127.0.0.1", harness.port))  # accepted as the listener closes
+            harness.downstream._listener.close()
+            await until(lambda: harness.counters["connections_accepted"] == 2)
+            seen(list(harness.downstream._connections)[-1]._transport)
             early.close()
         assert delays == [1, 1, 1]
 
--- a/tests/downstream/test_eviction.py
+++ b/tests/downstream/test_eviction.py
@@ -4,16 +4,16 @@
 from hypothesis import strategies as st
 from support.network import FIXED
 
-from flintridge.net.places import EvictionOrder
+from flintridge.downstream.eviction import EvictionOrder
 
 
 class Connection:
     def __init__(self, number: int) -> None:
         self.number, self.used_at, self.looks = number, 0, 0
-        self.asked = self.closing = self.waits = self.half = False
+        self.has_requested = self.closing = self.waits = self.half = False
 
     @property
-    def owed(self) -> bool:
+    def has_pending(self) -> bool:
         self.looks += 1
         return self.waits
 
@@ -24,8 +24,8 @@
 
 def as_reckoned(connections: list[Connection]) -> Connection | None:
     """The rule, looked for among all."""
-    free = [c for c in connections if c.closing or (not c.waits and (c.idle or not c.asked))]
-    return min(free, key=lambda c: (not c.closing, not c.asked, c.used_at), default=None)
+    free = [c for c in connections if c.closing or (not c.waits and (c.idle or not c.has_requested))]
+    return min(free, key=lambda c: (not c.closing, not c.has_requested, c.used_at), default=None)
 
 
 DEEDS = st.tuples(
@@ -36,42 +36,42 @@
 @FIXED
 @given(st.lists(DEEDS, max_size=40))
 def test_the_order_is_that_of_the_rule_whatever_happens(deeds):
-    places, there, now = EvictionOrder(), [], 0
+    order, there, now = EvictionOrder(), [], 0
     for now, (deed, which) in enumerate(deeds, 1):
         if deed == "come":
             there.append(one := Connection(now))
             one.used_at = now
-            places.used(one)
+            order.touch(one)
         elif deed == "make":
-            if (first := places.first()) is not None:
+            if (first := order.first_evictable()) is not None:
                 there.remove(first)
-                places.left(first)
+                order.remove(first)
         elif there:
             one = there[which % len(there)]
             if deed == "leave":
                 there.remove(one)
-                places.left(one)
+                order.remove(one)
                 continue
             if deed == "wait":
                 one.waits = not one.waits
                 continue  # it is neither read nor written by that
             if deed == "half":
                 one.half = True
-            one.asked |= deed == "ask"
+            one.has_requested |= deed == "ask"
             if not one.closing:
                 one.used_at = now
             one.closing |= deed == "close"
-            places.used(one)
-        assert places.first() is as_reckoned(there)
+            order.touch(one)
+        assert order.first_evictable() is as_reckoned(there)
 
 
 def test_a_newcomer_looks_at_few_however_many_there_are():
     """Guards a node in a crowd: the walk over all took half of its time, and requests lay there meanwhile."""
-    places = EvictionOrder()
+    order = EvictionOrder()
     there = [Connection(number) for number in range(5_000)]
     for number, one in enumerate(there):
-        one.asked = number % 2 == 0
-        places.used(one)
+        one.has_requested = number % 2 == 0
+        order.touch(one)
     for _ in range(2_000):
-        places.left(places.first())
+        order.remove(order.first_evictable())
     assert sum(one.looks for one in there) <= 2 * 2_000
--- a/tests/replication/test_state.py
+++ b/tests/replication/test_state.py
@@ -12,7 +12,7 @@
 from flintridge.api import Endpoint, EndpointState, EndpointUpdate, UpdateKind
 from flintridge.cli.main import main
 from flintridge.discovery.overrides import EndpointOverrides
-from flintridge.fronts.console import AdminExchange, Taking
+from flintridge.downstream.admin_exchange import AdminExchange, RouteWithInput
 from flintridge.replication.gossip import RumorSpreader
 from flintridge.replication.messages import asked, asked_of, entry_of, flat, pieces, said_of, slice_of
 from flintridge.replication.replica import Limits, Replica
@@ -162,7 +162,7 @@
 
 def test_a_route_that_takes_a_body_is_given_it_with_the_query_and_others_are_not():
     got = []
-    taking = Taking(lambda query, body: got.append((query, body)) or (200, {}))
+    taking = RouteWithInput(lambda query, body: got.append((query, body)) or (200, {}))
     routes = {b"/w": {b"POST": taking, b"GET": lambda: (200, {"plain": True})}}
     exchange = AdminExchange(routes)
     head = b"POST /w?a=1 HTTP/1.1\r\nHost: x\r\nContent-Length: 6\r\n\r\n"
--- a/tests/runtime/test_worker_processes.py
+++ b/tests/runtime/test_worker_processes.py
@@ -90,7 +90,7 @@
     os.utime(nodes[0]._siblings._path, ns=(1, 1))  # files of one moment may bear the same time
     assert [node._siblings.place_of_other() for node in nodes] == [1, 0]
     for get, whole in (
-        (lambda node: node.downstream.room, config.client_sockets),
+        (lambda node: node.downstream.connection_limit, config.client_sockets),
         (lambda node: node.dispatcher.room, config.server_sockets),
         (lambda node: node.core.memory_budget.total, config.held_bytes),
     ):
@@ -98,5 +98,5 @@
     assert nodes[0].core.memory_budget.total >= LONGEST_MB * 1024 * 1024
     nodes[1]._siblings.close()
     clock.go(LOOK)
-    assert nodes[0].downstream.room == config.client_sockets
+    assert nodes[0].downstream.connection_limit == config.client_sockets
     nodes[0]._siblings.close()
--- a/tests/support/downstream.py
+++ b/tests/support/downstream.py
@@ -1,48 +1,90 @@
-"""The client side of a node, in harnesses of their own."""
+"""The client side of a node whose requests the test answers, and its clients."""
 
 import asyncio
+import socket
 
 from flintridge.core.lifecycle import RequestLifecycle
 from flintridge.discovery.endpoint_list import EndpointList
-from flintridge.net.sender import (
-    Downstream,
-)
+from flintridge.downstream.listener import Downstream
 from flintridge.settings import Address
-from support.network import SETTINGS, HandClock, quiet
+from support.network import SETTINGS, HandClock, quiet, until
 
 READ = b"mg key7 v O%b Pc=read,t=acme,d=480\r\n"
-
-
+LONG_DEADLINE_READ = READ.replace(b"480", b"1900")
 BUSY = b"SERVER_ERROR busy\r\n"
+FAILED = b"SERVER_ERROR failed\r\n"
+
+ENDPOINT = {"id": "s1", "host_port": "127.0.0.1:1", "phase": "in_service"}
+ENDPOINT_LIST = {"revision": 1, "complete": True, "members": [ENDPOINT]}
 
 
-class Held:
-    """Stands for the module: leaves every request to the test."""
+class SilentPolicy:
+    """Decides nothing: leaves every request to the test."""
 
     def handle(self, now, event):
         return []
 
 
-class Side:
-    async def __aenter__(self) -> "Side":
-        self.clock, self.kept = HandClock(), []
+class DownstreamHarness:
+    """A listener on loopback with a request core; time is set by hand."""
+
+    def __init__(
+        self,
+        connection_limit: int = 8,
+        memory_bytes: int = 1 << 20,
+        policy=None,
+        endpoints_known: bool = True,
+    ) -> None:
+        self.connection_limit = connection_limit
+        self.memory_bytes = memory_bytes
+        self.policy = policy or SilentPolicy()
+        self.endpoints_known = endpoints_known
+
+    async def __aenter__(self):
+        self.clock = HandClock()
+        self.clients: list[socket.socket | asyncio.StreamWriter] = []
         log, self.counters = quiet()
-        self.core = RequestLifecycle(Held(), SETTINGS, self.clock, 1 << 20, log, self.counters)
-        transports = EndpointList((), (), SETTINGS, self.clock)
-        entry = {"id": "s1", "host_port": "127.0.0.1:1", "phase": "in_service"}
-        self.members = {"revision": 1, "complete": True, "members": [entry]}
-        self.side = Downstream(self.core, SETTINGS, transports, self.clock, 2, log, self.counters)
-        self.port = await self.side.listen(Address("127.0.0.1", 0))
-        self.transports = transports
+        self.core = RequestLifecycle(self.policy, SETTINGS, self.clock, self.memory_bytes, log, self.counters)
+        self.endpoints = EndpointList((), (), SETTINGS, self.clock)
+        if self.endpoints_known:
+            self.endpoints.apply(ENDPOINT_LIST)
+        self.downstream = Downstream(
+            self.core, SETTINGS, self.endpoints, self.clock, self.connection_limit, log, self.counters
+        )
+        self.port = await self.downstream.listen(Address("127.0.0.1", 0))
         return self
 
     async def __aexit__(self, *_) -> None:
-        for uid in list(self.core._open):
-            self.core.client_disconnected(uid)
-        await asyncio.sleep(0.01)
+        for client in self.clients:
+            client.close()
+        for request_id in list(self.core._open):
+            self.core.client_disconnected(request_id)
+        self.downstream.close()
+        await run_loop_turns()
 
-    async def client(self, *parts: bytes):
+    @property
+    def request_count(self) -> int:
+        return self.counters["requests"]
+
+    async def stream_client(self, *parts: bytes) -> tuple[asyncio.StreamReader, asyncio.StreamWriter]:
+        """A client on asyncio's streams; `parts` are written at once."""
         reader, writer = await asyncio.open_connection("127.0.0.1", self.port)
         writer.writelines(parts)
-        self.kept.append(writer)  # a forgotten writer closes its connection
+        self.clients.append(writer)  # a forgotten writer closes its connection
         return reader, writer
+
+    async def socket_client(self, *parts: bytes) -> socket.socket:
+        """A client on a plain socket, which acts at once; accepted by now, and `parts` are sent."""
+        client = socket.create_connection(("127.0.0.1", self.port))
+        client.settimeout(10)
+        self.clients.append(client)
+        await until(lambda: self.counters["connections_accepted"] == len(self.clients))
+        client.sendall(b"".join(parts))
+        return client
+
+
+async def run_loop_turns(count: int = 20) -> None:
+    """Let the event loop carry out what is due."""
+    for _ in range(count):
+        await asyncio.sleep(0)
+        await asyncio.sleep(0.0005)
--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -5,14 +5,14 @@
 import pytest
 from hypothesis import given
 from hypothesis import strategies as st
-from support.downstream import READ, Held
+from support.downstream import READ, SilentPolicy
 from support.network import FIXED, SETTINGS, HandClock, quiet, until
 
 from flintridge.core.lifecycle import RequestLifecycle
 from flintridge.discovery.endpoint_list import EndpointList
+from flintridge.downstream.lingering_close import LINGERING_CLOSE_MS
+from flintridge.downstream.listener import DRAIN_FIRST_COMMAND_TIMEOUT_MS, Downstream
 from flintridge.lab import virtual
-from flintridge.net.parting import PARTING
-from flintridge.net.sender import FIRST_WORD, Downstream
 from flintridge.settings import Address
 from flintridge.shutdown import CEASE, LINGER, GracefulShutdown, ServiceState
 
@@ -89,7 +89,7 @@
     def __init__(self, room: int = 64) -> None:
         self.clock = HandClock()
         log, self.counters = quiet()
-        self.core = RequestLifecycle(Held(), SETTINGS, self.clock, 1 << 20, log, self.counters)
+        self.core = RequestLifecycle(SilentPolicy(), SETTINGS, self.clock, 1 << 20, log, self.counters)
         transports = EndpointList((), (), SETTINGS, self.clock)
         entry = {"id": "s1", "host_port": "127.0.0.1:1", "phase": "in_service"}
         transports.apply({"revision": 1, "complete": True, "members": [entry]})
@@ -110,7 +110,7 @@
 
     def quiesce(self) -> None:
         self.drain.quiesce(self.clock.now())
-        self.side.ending()
+        self.side.start_drain()
 
     def answer(self, uid: str) -> None:
         self.core._fail_overdue(uid)
@@ -142,13 +142,13 @@
         late_writer.close()
         await settle()
         assert s.drain.state is ServiceState.DRAINING  # two have not closed their half
-        s.clock.go(PARTING)
+        s.clock.go(LINGERING_CLOSE_MS)
         await until(lambda: s.drain.state is ServiceState.DRAINED)
         visitor, _ = await s.client(READ % b"r3")  # answered, not dropped
         s.answer("r3")
         assert await visitor.read() == b"SERVER_ERROR failed\r\n"
         silent, _ = await s.client()
-        s.clock.go(FIRST_WORD + 250)
+        s.clock.go(DRAIN_FIRST_COMMAND_TIMEOUT_MS + 250)
         assert await silent.read() == BUSY
 
     virtual.run(test())
@@ -192,7 +192,7 @@
                 s.drain.resume(s.clock.now())
             elif step == "leave":
                 s.drain.leave(s.clock.now())
-                s.side.ending()
+                s.side.start_drain()
             elif step == "ask" or (step == "ask_more" and not clients):
                 reader, writer = await s.client(READ % b"q%d" % number)
                 clients.append((reader, writer))
@@ -219,7 +219,7 @@
         for uid in taken[answered:]:
             s.answer(uid)
         s.drain.leave(s.clock.now())
-        s.side.ending()
+        s.side.start_drain()
         s.clock.go(CEASE)
         said = b""
         for reader, _ in clients:
