--- a/flintridge/downstream/listener.py
+++ b/flintridge/downstream/listener.py
@@ -96,8 +96,9 @@
     @property
     def serving(self) -> bool:
         """Whether this process can serve: it listens, knows endpoints that are ready, and `is_ready`."""
-        listening = self._listener is not None and self._listener.open
-        return listening and self._endpoints.any_ready and self.is_ready()
+        if self._listener is None or not self._listener.open:
+            return False
+        return self._endpoints.any_ready and self.is_ready()
 
     @property
     def hello_response(self) -> bytes:
@@ -232,7 +233,9 @@
         Returns:
             Whether the kernel does so.
         """
-        return self._listener is not None and self._listener.open and self._listener.step_aside(position)
+        if self._listener is None or not self._listener.open:
+            return False
+        return self._listener.step_aside(position)
 
     def start_drain(self) -> None:
         """The end of the service was asked for: schedule what falls due."""
--- a/tests/downstream/test_admin_api.py
+++ b/tests/downstream/test_admin_api.py
@@ -1,4 +1,4 @@
-"""The console: its exchange against every cut and garbage, its sockets against callers who say nothing."""
+"""The admin API: its exchange given any chunks and garbage, its sockets with callers who send nothing."""
 
 import asyncio
 import itertools
@@ -26,9 +26,9 @@
 HEALTH = b"GET /admin/health HTTP/1.1\r\nHost: n1\r\n\r\n"
 
 
-def routes(done: list | None = None):
+def routes(calls: list | None = None):
     def call():
-        (done if done is not None else []).append("quiesce")
+        (calls if calls is not None else []).append("quiesce")
         return 200, {"state": "draining"}
 
     return {
@@ -37,10 +37,10 @@
     }
 
 
-def answered(data: bytes, *cuts: int) -> tuple[int, dict[bytes, bytes], bytes] | None:
+def status_headers_body(data: bytes, *offsets: int) -> tuple[int, dict[bytes, bytes], bytes] | None:
     exchange = AdminExchange(routes())
-    edges = [0, *sorted(cut % (len(data) + 1) for cut in cuts), len(data)]
-    for start, end in itertools.pairwise(edges):
+    bounds = [0, *sorted(offset % (len(data) + 1) for offset in offsets), len(data)]
+    for start, end in itertools.pairwise(bounds):
         if start < end and (parts := exchange.feed(data[start:end])) is not None:
             head, _, body = b"".join(parts).partition(b"\r\n\r\n")
             first, *lines = head.split(b"\r\n")
@@ -69,46 +69,46 @@
         (b"POST /admin/quiesce HTTP/1.1\r\nHost: n1\r\nContent-Length: -4\r\n\r\n", 400),
     ],
 )
-def test_each_call_has_its_status(call, status):
-    got = answered(call)
-    assert got is not None and got[0] == status
-    assert int(got[1][b"Content-Length"]) == len(got[2]) and got[1][b"Connection"] == b"close"
-    orjson.loads(got[2])
+def test_exchange_when_given_a_call_then_has_its_status(call, status):
+    result = status_headers_body(call)
+    assert result is not None and result[0] == status
+    assert int(result[1][b"Content-Length"]) == len(result[2]) and result[1][b"Connection"] == b"close"
+    orjson.loads(result[2])
     if status == 405:
-        assert got[1][b"Allow"] == b"POST"
+        assert result[1][b"Allow"] == b"POST"
 
 
 @FIXED
 @given(st.lists(st.integers(0, 10_000), max_size=8))
-def test_a_call_is_read_in_whichever_cuts(cuts):
-    got = answered(HEALTH, *cuts)
-    assert got is not None and got[0] == 200
+def test_exchange_when_a_call_comes_in_any_chunks_then_is_read(offsets):
+    result = status_headers_body(HEALTH, *offsets)
+    assert result is not None and result[0] == 200
 
 
 @FIXED
 @given(st.lists(st.binary(min_size=1, max_size=60), max_size=20))
-def test_garbage_is_refused_or_waited_for_and_never_raises(pieces):
+def test_exchange_when_given_garbage_then_rejects_or_waits_and_never_raises(pieces):
     exchange = AdminExchange(routes())
-    answers = [parts for piece in pieces if (parts := exchange.feed(piece)) is not None]
-    assert len(answers) <= 1 and all(b"HTTP/1.1 4" in b"".join(parts) for parts in answers)
+    responses = [parts for piece in pieces if (parts := exchange.feed(piece)) is not None]
+    assert len(responses) <= 1 and all(b"HTTP/1.1 4" in b"".join(parts) for parts in responses)
 
 
-def test_callers_who_say_nothing_or_half_a_call_keep_nobody_waiting():
+def test_admin_api_when_callers_are_silent_or_incomplete_then_others_are_served():
     async def test():
         clock, (log, counters) = HandClock(), quiet()
         admin_api = AdminApi(routes(), clock, log, counters, connection_limit=3)
         port = await admin_api.listen(Address("127.0.0.1", 0))
-        silent = [await asyncio.open_connection("127.0.0.1", port) for _ in range(5)]
-        silent[3][1].write(HEALTH[:20])
+        silent_callers = [await asyncio.open_connection("127.0.0.1", port) for _ in range(5)]
+        silent_callers[3][1].write(HEALTH[:20])
         for _ in range(4):  # at once, with no time passing
             reader, writer = await asyncio.open_connection("127.0.0.1", port)
             writer.write(HEALTH)
             assert (await reader.read()).startswith(b"HTTP/1.1 200")
         assert counters["admin_api_evictions"] >= 3
         clock.go(CALL_TIMEOUT_MS)  # and none stays for long
-        for reader, _ in silent:
-            said = await reader.read()
-            assert said == b"" or said.startswith(b"HTTP/1.1 408")
+        for reader, _ in silent_callers:
+            response = await reader.read()
+            assert response == b"" or response.startswith(b"HTTP/1.1 408")
         clock.go(LINGERING_CLOSE_MS)  # which they have to end their side
         await until(lambda: not admin_api._callers)
         late = counters["admin_api_timeouts"]
@@ -127,7 +127,7 @@
     return {"settings": {}, "listen": "127.0.0.1:7", "discovery": "127.0.0.1:8", **changes}
 
 
-def test_a_console_that_is_no_address_or_another_ones_is_refused(tmp_path):
+def test_console_setting_when_no_address_or_a_taken_one_then_is_rejected(tmp_path):
     with pytest.raises(ConfigError, match=r"console: 'somewhere:1'|console: 'somewhere'"):
         node_config(config(tmp_path, console="somewhere:1"), {})
     with pytest.raises(ConfigError, match=r"console: 127.0.0.1:7 is listen"):
@@ -138,7 +138,7 @@
     assert node_config(config(tmp_path, console="127.0.0.1:6"), env).console == Address("127.0.0.1", 6)
 
 
-def test_a_taken_console_is_told_as_such():
+def test_listen_when_the_address_is_in_use_then_the_error_says_so():
     async def test():
         log, counters = quiet()
         with socket.socket() as taken:
@@ -154,9 +154,9 @@
 async def call(port: int, method: str, path: str) -> tuple[int, dict]:
     reader, writer = await asyncio.open_connection("127.0.0.1", port)
     writer.write(f"{method} {path} HTTP/1.1\r\nHost: n1\r\n\r\n".encode())
-    said = await reader.read()
+    response = await reader.read()
     writer.close()
-    return int(said.split()[1]), orjson.loads(said.partition(b"\r\n\r\n")[2])
+    return int(response.split()[1]), orjson.loads(response.partition(b"\r\n\r\n")[2])
 
 
 def free_port() -> int:
@@ -165,38 +165,38 @@
         return one.getsockname()[1]
 
 
-def test_the_program_drains_resumes_and_leaves_by_its_console(tmp_path):
+def test_program_when_called_by_its_admin_api_then_drains_resumes_and_shuts_down(tmp_path):
     async def test():
-        async with Peer(cache) as box, Peer(lambda _: b"") as discovery:
-            program = Program(tmp_path, {"box": box}, discovery)
-            door = free_port()
-            held = json.loads(program.config.read_text()) | {"console": f"127.0.0.1:{door}"}
-            program.config.write_text(json.dumps(held))
+        async with Peer(cache) as cache_server, Peer(lambda _: b"") as discovery:
+            program = Program(tmp_path, {"box": cache_server}, discovery)
+            admin_port = free_port()
+            config_fields = json.loads(program.config.read_text()) | {"console": f"127.0.0.1:{admin_port}"}
+            program.config.write_text(json.dumps(config_fields))
             port = await program.start()
             try:
-                assert await call(door, "GET", "/admin/health") == (
+                assert await call(admin_port, "GET", "/admin/health") == (
                     200, {"state": "serving", "connections": 0, "requests": 0},
                 )  # fmt: skip
                 reader, writer = await asyncio.open_connection("127.0.0.1", port)
-                assert (await call(door, "POST", "/admin/quiesce")) == (200, {"state": "draining"})
-                assert (await call(door, "POST", "/admin/quiesce"))[0] == 200
+                assert (await call(admin_port, "POST", "/admin/quiesce")) == (200, {"state": "draining"})
+                assert (await call(admin_port, "POST", "/admin/quiesce"))[0] == 200
                 writer.write(b"mn\r\nmg kept v Oa1 Pc=read,d=9000\r\n")
                 assert await reader.readline() == b"SERVER_ERROR draining\r\n"
                 assert await reader.read() == b"VA 4 Oa1\r\nmenu\r\n"  # served, then closed
                 await program.event("drained")
                 program.process.send_signal(signal.SIGHUP)
                 await program.event("reloaded")  # and it stays drained
-                status, said = await call(door, "GET", "/admin/health")
-                assert (status, said["state"]) == (200, "drained")
-                assert await call(door, "POST", "/admin/resume") == (200, {"state": "serving"})
+                status, response = await call(admin_port, "GET", "/admin/health")
+                assert (status, response["state"]) == (200, "drained")
+                assert await call(admin_port, "POST", "/admin/resume") == (200, {"state": "serving"})
                 reader, writer = await asyncio.open_connection("127.0.0.1", port)
                 writer.write(b"mn\r\n")
                 assert await reader.readline() == b"MN\r\n"
                 program.process.send_signal(signal.SIGTERM)
                 await program.event("leaving")
-                status, said = await call(door, "GET", "/admin/health")
-                assert (status, said["state"]) == (503, "leaving")
-                assert (await call(door, "POST", "/admin/resume"))[0] == 409
+                status, response = await call(admin_port, "GET", "/admin/health")
+                assert (status, response["state"]) == (503, "leaving")
+                assert (await call(admin_port, "POST", "/admin/resume"))[0] == 409
                 assert await program.process.wait() == 0
             finally:
                 if program.process.returncode is None:
@@ -205,24 +205,26 @@
     asyncio.run(test())
 
 
-def test_two_programs_share_the_clients_address_and_nothing_is_lost_as_one_leaves(tmp_path):
+def test_shared_address_when_one_of_two_programs_shuts_down_then_no_request_is_lost(tmp_path):
     """Requests throughout, each on a connection of its own; those that wait as a listener closes too."""
 
     async def test():
-        async with Peer(cache) as box, Peer(lambda _: b"") as discovery:
+        async with Peer(cache) as cache_server, Peer(lambda _: b"") as discovery:
             programs = []
             port = free_port()
             for name in ("old", "new"):
                 (tmp_path / name).mkdir()
-                program = Program(tmp_path / name, {"box": box}, discovery)
-                held = json.loads(program.config.read_text()) | {"listen": f"127.0.0.1:{port}"}
-                program.config.write_text(json.dumps(held))
+                program = Program(tmp_path / name, {"box": cache_server}, discovery)
+                config_fields = json.loads(program.config.read_text()) | {"listen": f"127.0.0.1:{port}"}
+                program.config.write_text(json.dumps(config_fields))
                 programs.append(program)
             try:
                 await programs[0].start()
-                answers, crossed, ended = [], [], asyncio.Event()
+                responses: list[bytes] = []
+                crossed: list[int] = []
+                finished = asyncio.Event()
 
-                async def ask(number: int, again: bool = True) -> None:
+                async def send_request(number: int, retry: bool = True) -> None:
                     """As clients do it: what a close crossed is sent once more."""
                     try:
                         reader, writer = await asyncio.open_connection("127.0.0.1", port)
@@ -232,32 +234,32 @@
                         line = b""
                     else:
                         writer.close()
-                    if not line and again:
+                    if not line and retry:
                         crossed.append(number)
-                        await ask(number, again=False)
+                        await send_request(number, retry=False)
                         return
-                    answers.append(line)
+                    responses.append(line)
 
-                async def ask_on() -> None:
+                async def send_requests() -> None:
                     number = 0
-                    while not ended.is_set():
+                    while not finished.is_set():
                         number += 10
-                        await asyncio.gather(*(ask(number + i) for i in range(10)))
+                        await asyncio.gather(*(send_request(number + i) for i in range(10)))
 
-                asking = asyncio.ensure_future(ask_on())
+                sending = asyncio.ensure_future(send_requests())
                 await programs[1].start()
-                seen = len(answers)
-                await until(lambda: len(answers) > seen + 100)
+                seen = len(responses)
+                await until(lambda: len(responses) > seen + 100)
                 while (await programs[0].event("processes"))["count"] != 2:
                     pass
                 programs[0].process.send_signal(signal.SIGTERM)
                 assert (await programs[0].event("leaving"))["stepped_aside"] is True
                 assert await programs[0].process.wait() == 0
-                seen = len(answers)
-                await until(lambda: len(answers) > seen + 100)
-                ended.set()
-                await asking
-                assert [one for one in answers if not one.startswith(b"VA 4 Oa")] == []
+                seen = len(responses)
+                await until(lambda: len(responses) > seen + 100)
+                finished.set()
+                await sending
+                assert [line for line in responses if not line.startswith(b"VA 4 Oa")] == []
                 assert crossed == []  # nor had any to be sent again
             finally:
                 for program in programs:
@@ -267,30 +269,34 @@
     asyncio.run(test())
 
 
-def test_a_new_version_that_cannot_start_says_why_and_the_old_one_goes_on(tmp_path):
+def test_new_version_when_it_cannot_start_then_says_why_and_the_old_one_serves(tmp_path):
     async def test():
-        async with Peer(cache) as box, Peer(lambda _: b"") as discovery:
-            program = Program(tmp_path, {"box": box}, discovery)
-            port, door = free_port(), free_port()
-            held = json.loads(program.config.read_text()) | {"listen": f"127.0.0.1:{port}"}
-            program.config.write_text(json.dumps(held | {"console": f"127.0.0.1:{door}"}))
+        async with Peer(cache) as cache_server, Peer(lambda _: b"") as discovery:
+            program = Program(tmp_path, {"box": cache_server}, discovery)
+            port, admin_port = free_port(), free_port()
+            config_fields = json.loads(program.config.read_text()) | {"listen": f"127.0.0.1:{port}"}
+            program.config.write_text(json.dumps(config_fields | {"console": f"127.0.0.1:{admin_port}"}))
             await program.start()
             try:
-                for changes, code, said in (
-                    ({"console": f"127.0.0.1:{door}"}, 1, f"127.0.0.1:{door}: Address already in use"),
+                for changes, exit_code, message in (
+                    (
+                        {"console": f"127.0.0.1:{admin_port}"},
+                        1,
+                        f"127.0.0.1:{admin_port}: Address already in use",
+                    ),
                     ({"console": "here"}, 2, "console: 'here'"),
                     ({"console": f"127.0.0.1:{port}"}, 2, f"console: 127.0.0.1:{port} is listen"),
                 ):
                     path = tmp_path / "new.json"
-                    path.write_text(json.dumps(held | changes))
+                    path.write_text(json.dumps(config_fields | changes))
                     new = await asyncio.create_subprocess_exec(
                         sys.executable, "-m", "flintridge", cwd=ROOT, stderr=asyncio.subprocess.PIPE,
                         stdout=asyncio.subprocess.DEVNULL, env={**os.environ, "PROXY_CONFIG": str(path)},
                     )  # fmt: skip
                     line = (await new.stderr.read()).decode()
-                    assert await new.wait() == code
-                    assert line.startswith(f"flintridge: {said}") and line.count("\n") == 1
-                    status, state = await call(door, "GET", "/admin/health")
+                    assert await new.wait() == exit_code
+                    assert line.startswith(f"flintridge: {message}") and line.count("\n") == 1
+                    status, state = await call(admin_port, "GET", "/admin/health")
                     assert (status, state["state"]) == (200, "serving")
                     reader, writer = await asyncio.open_connection("127.0.0.1", port)
                     writer.write(b"mg kept v Oa1 Pc=read,d=9000\r\n")
@@ -303,8 +309,8 @@
     asyncio.run(test())
 
 
-def test_a_call_is_answered_within_few_turns_of_a_loop_that_is_never_idle():
-    """A thousand callbacks in each turn hold the console up only by what they themselves take."""
+def test_admin_call_when_the_event_loop_is_never_idle_then_is_answered_in_few_turns():
+    """A thousand callbacks in each turn hold the admin API up only by what they themselves take."""
 
     async def test():
         clock, (log, counters) = HandClock(), quiet()
@@ -331,30 +337,32 @@
     asyncio.run(test())
 
 
-def test_a_listener_steps_aside_for_the_other_one_and_not_for_none():
+def test_listener_when_it_steps_aside_then_another_gets_its_connections_if_there_is_one():
     async def test():
-        took = {"first": 0, "second": 0}
+        accepted = {"first": 0, "second": 0}
 
-        def taker(name):
-            async def take(reader, writer) -> None:
-                took[name] += 1
+        def counting_acceptor(name):
+            async def accept(reader, writer) -> None:
+                accepted[name] += 1
                 writer.close()
 
-            return take
+            return accept
 
         async def connect(count: int) -> dict[str, int]:
-            took.update(first=0, second=0)
+            accepted.update(first=0, second=0)
             for _ in range(count):
                 reader, writer = await asyncio.open_connection("127.0.0.1", first.port)
                 assert await reader.read() == b""
                 writer.close()
-            return dict(took)
+            return dict(accepted)
 
-        first = await open_listener(taker("first"), Address("127.0.0.1", 0), shared=True)
+        first = await open_listener(counting_acceptor("first"), Address("127.0.0.1", 0), shared=True)
         assert first.step_aside(1) and await connect(8) == {"first": 8, "second": 0}  # there is no other
-        second = await open_listener(taker("second"), Address("127.0.0.1", first.port), shared=True)
-        dealt = await connect(64)  # the new one ended what had been chosen
-        assert dealt["first"] and dealt["second"]
+        second = await open_listener(
+            counting_acceptor("second"), Address("127.0.0.1", first.port), shared=True
+        )
+        distribution = await connect(64)  # the new one ended what had been chosen
+        assert distribution["first"] and distribution["second"]
         assert first.step_aside(1) and await connect(16) == {"first": 0, "second": 16}
         assert second.step_aside(0) and await connect(16) == {"first": 16, "second": 0}
         assert first.step_aside(1)
--- a/tests/downstream/test_admin_api_termination.py
+++ b/tests/downstream/test_admin_api_termination.py
@@ -12,7 +12,7 @@
 from flintridge.settings import Address
 
 
-def test_a_call_that_was_not_whole_in_time_is_told_so_though_more_of_it_lies_there():
+def test_admin_call_when_incomplete_in_time_then_gets_408_though_more_input_is_unread():
     async def test():
         clock, (log, counters) = HandClock(), quiet()
         admin_api = AdminApi({}, clock, log, counters)
--- a/tests/downstream/test_connection.py
+++ b/tests/downstream/test_connection.py
@@ -27,33 +27,33 @@
 from flintridge.shutdown import LINGER
 
 
-async def half_a_command(harness) -> bytes:
+async def send_half_command(harness) -> bytes:
     reader, _ = await harness.stream_client(b"ms key7 500 Oa1 Pc=put\r\nhalf")
     await until(lambda: any(not c._parser.idle for c in harness.downstream._connections))
     harness.clock.go(COMMAND_TIMEOUT_MS + 250 + 250)
     return await reader.read()
 
 
-async def silence(harness) -> bytes:
+async def send_nothing(harness) -> bytes:
     reader, _ = await harness.stream_client()
     await until(lambda: harness.downstream._connections)
     harness.clock.go(IDLE_TIMEOUT_MS + 250)
     return await reader.read()
 
 
-async def many_bad_commands(harness) -> bytes:
+async def send_many_bad_commands(harness) -> bytes:
     reader, _ = await harness.stream_client(b"no\r\n" * 500)
     return await reader.read()
 
 
-async def a_huge_value(harness) -> bytes:
+async def send_huge_value(harness) -> bytes:
     reader, _ = await harness.stream_client(
         b"ms key7 60000000 Oa1 Pc=put\r\n" + b"x" * LINGERING_CLOSE_MAX_BYTES
     )
     return await reader.read()
 
 
-def test_answers_go_out_in_the_order_of_their_commands(play):
+def test_responses_when_completed_out_of_order_then_go_out_in_command_order(play):
     async def test():
         async with DownstreamHarness(connection_limit=2, endpoints_known=False) as harness:
             reader, writer = await harness.stream_client(
@@ -62,10 +62,10 @@
             await until(lambda: harness.request_count == 2)
             harness.core._fail_overdue("r2")
             harness.core._fail_overdue("r1")
-            said = [await reader.readline() for _ in range(5)]
-            assert said[:3] == [FAILED] * 2 + [b"CLIENT_ERROR unknown command\r\n"]
-            assert said[3] == b"SERVER_ERROR starting\r\n"  # no server is known yet
-            assert said[4] == b"CLIENT_ERROR id in use\r\n"
+            responses = [await reader.readline() for _ in range(5)]
+            assert responses[:3] == [FAILED] * 2 + [b"CLIENT_ERROR unknown command\r\n"]
+            assert responses[3] == b"SERVER_ERROR starting\r\n"  # no server is known yet
+            assert responses[4] == b"CLIENT_ERROR id in use\r\n"
             harness.endpoints.apply(ENDPOINT_LIST)
             writer.write(b"mn\r\nms k x Oa\r\nmn\r\n")
             assert await reader.read() == b"MN\r\nCLIENT_ERROR bad data length\r\n"  # framing lost: it ends
@@ -73,7 +73,7 @@
     play(test)
 
 
-def test_the_end_of_a_client_is_told_and_a_long_pipeline_waits(play):
+def test_pipeline_when_full_then_waits_and_a_disconnect_reaches_the_core(play):
     async def test():
         async with DownstreamHarness(connection_limit=2, endpoints_known=False) as harness:
             _, writer = await harness.stream_client(
@@ -92,7 +92,7 @@
     play(test)
 
 
-def test_with_no_room_an_idle_client_makes_place_and_a_busy_one_does_not(play):
+def test_connection_limit_when_reached_then_idle_is_evicted_and_new_rejected(play):
     async def test():
         async with DownstreamHarness(connection_limit=2, endpoints_known=False) as harness:
             idle, _ = await harness.stream_client()
@@ -101,10 +101,10 @@
             for i in range(2):
                 await harness.stream_client(READ % b"r%d" % i)
                 await until(lambda i=i: harness.request_count == i + 1)
-            assert await idle.read() == BUSY  # it never asked: its first request may be on its way
+            assert await idle.read() == BUSY  # it never requested: its first request may be on its way
             for _ in range(MAX_LINGERING_BEYOND_LIMIT + 1):
-                turned, _ = await harness.stream_client(READ % b"r9")
-                assert await turned.readline() == BUSY  # refused, not lost
+                rejected, _ = await harness.stream_client(READ % b"r9")
+                assert await rejected.readline() == BUSY  # rejected, not lost
             assert (
                 harness.counters["connections_rejected"] == MAX_LINGERING_BEYOND_LIMIT + 1
                 and harness.request_count == 2
@@ -115,7 +115,7 @@
     play(test)
 
 
-def test_leaving_closes_no_connection_while_commands_that_came_together_are_taken(play):
+def test_drain_when_commands_came_together_then_all_are_answered_before_the_close(play):
     async def test():
         async with DownstreamHarness(connection_limit=2, endpoints_known=False) as harness:
             harness.downstream.shutdown.quiesce(harness.clock.now() - LINGER)
@@ -129,13 +129,13 @@
     play(test)
 
 
-def test_leaving_serves_what_arrives_closes_between_requests_and_answers_all(play):
+def test_shutdown_when_requests_arrive_then_serves_them_and_closes_between_requests(play):
     async def test():
         async with DownstreamHarness(connection_limit=2, endpoints_known=False) as harness:
             idle, _ = await harness.stream_client()
             busy, _ = await harness.stream_client(READ.replace(b"480", b"1900") % b"r1")
             await until(lambda: harness.request_count == 1)
-            leaving = asyncio.ensure_future(harness.downstream.leave())
+            shutdown = asyncio.ensure_future(harness.downstream.leave())
             await asyncio.sleep(0)
             harness.clock.go(LINGER - 1)
             assert not idle.at_eof()
@@ -149,28 +149,28 @@
             await until(lambda: harness.counters["connections_accepted"] == 4)
             harness.clock.go(SHUTDOWN_ACCEPT_MS - LINGER)
             await until(lambda: not harness.downstream._listener.open)
-            assert not leaving.done()
-            assert await unused.read() == BUSY and not leaving.done()
+            assert not shutdown.done()
+            assert await unused.read() == BUSY and not shutdown.done()
             harness.core._fail_overdue("r1")
             assert await busy.read() == FAILED
-            await until(lambda: harness.clock.go(20) or leaving.done())
+            await until(lambda: harness.clock.go(20) or shutdown.done())
 
     play(test)
 
 
 @pytest.mark.parametrize(
-    ("client", "said"),
+    ("client", "expected"),
     [
-        (half_a_command, b"CLIENT_ERROR command not finished in time\r\n"),
-        (silence, b""),
-        (many_bad_commands, b"CLIENT_ERROR unknown command\r\n" * MAX_BAD_COMMANDS),
-        (a_huge_value, b"CLIENT_ERROR value too large\r\n"),
+        (send_half_command, b"CLIENT_ERROR command not finished in time\r\n"),
+        (send_nothing, b""),
+        (send_many_bad_commands, b"CLIENT_ERROR unknown command\r\n" * MAX_BAD_COMMANDS),
+        (send_huge_value, b"CLIENT_ERROR value too large\r\n"),
     ],
 )
-def test_a_bad_client_is_told_so_or_closed_soon_and_holds_nothing(play, client, said):
+def test_bad_client_when_it_errs_or_stalls_then_is_closed_soon_with_nothing_open(play, client, expected):
     async def test():
         async with DownstreamHarness(connection_limit=2, endpoints_known=False) as harness:
-            assert await client(harness) == said
+            assert await client(harness) == expected
             assert harness.request_count == 0
             for writer in harness.clients:
                 writer.close()
@@ -179,7 +179,7 @@
     play(test)
 
 
-def test_a_connection_is_closed_once_it_is_of_no_use_but_never_with_a_request_open(play):
+def test_idle_timeout_when_a_request_is_open_then_starts_after_its_response(play):
     async def test():
         async with DownstreamHarness(connection_limit=2, endpoints_known=False) as harness:
             reader, _ = await harness.stream_client(READ.replace(b"480", b"1999") % b"r1")
@@ -195,25 +195,25 @@
     play(test)
 
 
-def test_a_connection_that_is_parted_from_makes_place_without_a_further_word(play):
-    """Guards the new one: an error in making place left it open, owned by nobody, one descriptor less."""
+def test_eviction_when_already_closing_after_an_error_then_writes_nothing_more(play):
+    """Guards the new one: an error in the eviction left it open, owned by nobody, one descriptor less."""
 
     async def test():
         async with DownstreamHarness(connection_limit=2, endpoints_known=False) as harness:
-            parted = [await harness.stream_client(b"ms k x Oa\r\n") for _ in range(2)]
-            for reader, _ in parted:
+            closing = [await harness.stream_client(b"ms k x Oa\r\n") for _ in range(2)]
+            for reader, _ in closing:
                 assert await reader.readline() == b"CLIENT_ERROR bad data length\r\n"
-            _, asking = await harness.stream_client(READ % b"r1")
+            _, requesting = await harness.stream_client(READ % b"r1")
             await until(lambda: harness.request_count == 1)
             assert harness.counters["connections_evicted"] == 1 and len(harness.downstream._connections) == 2
-            assert sorted([await reader.read() for reader, _ in parted]) == [b"", b""]
-            asking.close()
+            assert sorted([await reader.read() for reader, _ in closing]) == [b"", b""]
+            requesting.close()
 
     play(test)
 
 
-def test_a_connection_that_came_just_now_does_not_make_place_for_the_next(play):
-    """Guards clients against closing one another: the place was full of idle ones that had asked."""
+def test_eviction_when_a_connection_just_came_then_an_older_idle_one_is_chosen(play):
+    """Guards clients against closing one another: the limit was reached by idle ones that had requested."""
 
     async def test():
         async with DownstreamHarness(connection_limit=2, endpoints_known=False) as harness:
@@ -232,7 +232,7 @@
     play(test)
 
 
-def test_half_a_command_makes_place_for_a_client_that_asks(play):
+def test_eviction_when_a_connection_has_half_a_command_then_is_chosen(play):
     async def test():
         async with DownstreamHarness(connection_limit=2, endpoints_known=False) as harness:
             half, _ = await harness.stream_client(b"mg key7")
@@ -245,8 +245,8 @@
     play(test)
 
 
-def test_a_client_that_does_not_read_is_read_no_further_and_cut_off(play):
-    """Guards the node's memory: each client could otherwise have it hold all the answers it asks for."""
+def test_slow_reader_when_nothing_is_read_then_is_read_no_further_and_aborted(play):
+    """Guards the node's memory: each client could otherwise have it hold all the responses it asks for."""
 
     async def test():
         async with DownstreamHarness(connection_limit=2, endpoints_known=False) as harness:
@@ -269,20 +269,20 @@
     play(test)
 
 
-def test_half_a_command_does_not_hold_up_the_end_of_a_node_that_leaves(play):
+def test_shutdown_when_half_a_command_is_here_then_ends_in_bounded_time(play):
     """Found by the lab's crowd: a client that had stopped half way kept the process for 2.6 s."""
 
     async def test():
         async with DownstreamHarness(connection_limit=2, endpoints_known=False) as harness:
             half, _ = await harness.stream_client(b"mg key7 v O")
             await until(lambda: any(not c._parser.idle for c in harness.downstream._connections))
-            leaving = asyncio.ensure_future(harness.downstream.leave())
+            shutdown = asyncio.ensure_future(harness.downstream.leave())
             await asyncio.sleep(0)
             harness.clock.go(SHUTDOWN_ACCEPT_MS)
             await until(lambda: not harness.downstream._listener.open)
-            assert not leaving.done() and not half._eof  # it may still become whole
+            assert not shutdown.done() and not half._eof  # it may still become whole
             harness.clock.go(SHUTDOWN_COMMAND_TIMEOUT_MS - SHUTDOWN_ACCEPT_MS)
-            await until(lambda: harness.clock.go(20) or leaving.done())
+            await until(lambda: harness.clock.go(20) or shutdown.done())
             assert (
                 harness.clock.now() < 10_000 + SHUTDOWN_COMMAND_TIMEOUT_MS + LINGERING_CLOSE_MS + 250
             )  # its client does not close
--- a/tests/downstream/test_connection_termination.py
+++ b/tests/downstream/test_connection_termination.py
@@ -1,4 +1,4 @@
-"""How clients' connections end, with what crosses each end forced: docs/termination.md lists them."""
+"""How client connections end, with what crosses each end forced: docs/termination.md lists them."""
 
 import asyncio
 import contextlib
@@ -33,8 +33,8 @@
 from flintridge.shutdown import CEASE, LINGER
 
 
-def test_what_is_read_after_the_shutdown_is_not_taken_and_resets_nothing():
-    """The request lies in the kernel as the node closes a resting connection, with an answer still unread."""
+def test_lingering_close_when_a_request_crosses_it_then_discards_it_without_a_reset():
+    """The request lies in the kernel as the node closes an idle connection, with a response still unread."""
 
     async def test():
         async with DownstreamHarness() as harness:
@@ -56,8 +56,8 @@
     asyncio.run(test())
 
 
-@pytest.mark.parametrize("ends", ["unused", "drain"])
-def test_what_was_read_before_the_close_is_answered(play, ends):
+@pytest.mark.parametrize("close_cause", ["unused", "drain"])
+def test_close_when_a_request_was_read_before_then_it_is_answered(play, close_cause):
     """It was fed to the connection, but not looked at, as the sweep came."""
 
     async def test():
@@ -66,13 +66,13 @@
             await until(lambda: harness.downstream._connections)
             (connection,) = harness.downstream._connections
             feed = connection._reader.feed_data
-            if ends == "drain":
+            if close_cause == "drain":
                 connection.has_sent_command = True
                 harness.downstream.shutdown.quiesce(harness.clock.now())
 
             def crossing(data: bytes) -> None:
                 feed(data)
-                harness.clock.go(IDLE_TIMEOUT_MS + 250 if ends == "unused" else LINGER + 250)
+                harness.clock.go(IDLE_TIMEOUT_MS + 250 if close_cause == "unused" else LINGER + 250)
 
             connection._reader.feed_data = crossing
             writer.write(READ % b"r1")
@@ -83,15 +83,15 @@
             assert await reader.readline() == FAILED
             harness.clock.go(IDLE_TIMEOUT_MS + 250)
             assert await reader.read() == b""
-            assert harness.counters["connections_idle_timeout"] == (ends == "unused")
+            assert harness.counters["connections_idle_timeout"] == (close_cause == "unused")
             writer.close()
             await until(lambda: not harness.downstream._connections)
 
     play(test)
 
 
-def test_nothing_is_read_while_the_last_answer_is_still_on_its_way_out():
-    """What is read before the shutdown would be owed an answer, and the answer before it is not out yet."""
+def test_close_when_the_last_response_is_unwritten_then_nothing_is_read():
+    """What is read before the shutdown would be owed an answer, and the response before it is not out yet."""
 
     async def test():
         async with DownstreamHarness() as harness:
@@ -108,8 +108,8 @@
             client.sendall(READ % b"r1")
             await run_loop_turns()
             assert connection._reader.fed == read and not connection._writer.is_closing()
-            said = await read_until_end(client)
-            assert len(said) == len(b"VA %d Or0\r\n" % size) + size + 2 and said.endswith(b"x\r\n")
+            received = await read_until_end(client)
+            assert len(received) == len(b"VA %d Or0\r\n" % size) + size + 2 and received.endswith(b"x\r\n")
             await run_loop_turns()
             assert harness.request_count == 1
             client.close()
@@ -118,12 +118,12 @@
     asyncio.run(test())
 
 
-def test_the_next_command_that_lies_there_at_the_end_of_a_drain_costs_no_answer():
+def test_drain_when_the_next_command_is_always_written_then_no_response_is_lost():
     async def test():
         async with DownstreamHarness() as harness:
             client = await harness.socket_client(LONG_DEADLINE_READ % b"r0")
             await until(lambda: harness.request_count == 1)
-            leaving = asyncio.ensure_future(harness.downstream.leave())
+            shutdown = asyncio.ensure_future(harness.downstream.leave())
             await run_loop_turns(1)
             harness.clock.go(CEASE)
             await run_loop_turns()
@@ -133,12 +133,12 @@
             assert await read_until_end(client) == FAILED
             assert harness.request_count == 1  # its client sends the others again elsewhere
             client.close()
-            await until(lambda: harness.clock.go(20) or leaving.done())
+            await until(lambda: harness.clock.go(20) or shutdown.done())
 
     asyncio.run(test())
 
 
-def test_a_connection_that_was_read_no_further_is_read_on_when_the_drain_is_called_off(play):
+def test_drain_when_cancelled_then_stopped_connections_are_read_again(play):
     async def test():
         async with DownstreamHarness() as harness:
             _, writer = await asyncio.open_connection("127.0.0.1", harness.port)
@@ -158,10 +158,10 @@
     play(test)
 
 
-def test_a_client_that_goes_on_sending_or_never_ends_is_closed_within_bounds():
+def test_lingering_close_when_the_client_goes_on_sending_or_never_ends_then_is_bounded():
     async def test():
         async with DownstreamHarness() as harness:
-            silent = await harness.socket_client(READ % b"r0")
+            unresponsive = await harness.socket_client(READ % b"r0")
             endless = await harness.socket_client(READ % b"r1")
             await until(lambda: harness.request_count == 2)
             for uid in ("r0", "r1"):
@@ -176,54 +176,56 @@
             await until(lambda: len(harness.downstream._connections) == 1)
             harness.clock.go(LINGERING_CLOSE_MS)
             await until(lambda: not harness.downstream._connections)
-            assert await read_until_end(silent) == FAILED
+            assert await read_until_end(unresponsive) == FAILED
 
     asyncio.run(test())
 
 
-def test_more_that_are_turned_away_at_once_than_can_be_parted_from_are_told_so_and_not_reset():
-    """Their requests lie in the kernel: closed over these unread, the answer would go with the reset."""
+def test_rejection_when_more_than_may_linger_then_each_gets_busy_without_a_reset():
+    """Their requests lie in the kernel: closed over these unread, the response would go with the reset."""
 
     async def test():
         async with DownstreamHarness(connection_limit=1) as harness:
             await harness.socket_client(READ % b"r0")
             await until(lambda: harness.request_count == 1)
-            late = [
+            rejected = [
                 socket.create_connection(("127.0.0.1", harness.port))
                 for _ in range(MAX_LINGERING_BEYOND_LIMIT + 8)
             ]
-            for number, client in enumerate(late):
+            for number, client in enumerate(rejected):
                 client.sendall(READ % b"late%d" % number)
             await run_loop_turns()
-            assert [await read_until_end(client) for client in late] == [BUSY] * len(late)  # orderly ends
-            assert harness.counters["connections_rejected"] == len(late) and harness.request_count == 1
-            for client in late:
+            assert [await read_until_end(client) for client in rejected] == [BUSY] * len(
+                rejected
+            )  # orderly ends
+            assert harness.counters["connections_rejected"] == len(rejected) and harness.request_count == 1
+            for client in rejected:
                 client.close()
 
     asyncio.run(test())
 
 
-def test_more_that_make_place_at_once_than_can_be_parted_from_are_told_so_and_not_reset():
+def test_eviction_when_more_than_may_linger_then_each_gets_busy_without_a_reset():
     async def test():
         async with DownstreamHarness(connection_limit=MAX_LINGERING_BEYOND_LIMIT + 8) as harness:
-            crossed = [await harness.socket_client() for _ in range(harness.downstream.connection_limit)]
+            evicted = [await harness.socket_client() for _ in range(harness.downstream.connection_limit)]
             await until(lambda: len(harness.downstream._connections) == harness.downstream.connection_limit)
-            for number, client in enumerate(crossed):
+            for number, client in enumerate(evicted):
                 client.sendall(READ % b"r%d" % number)  # no turn of the loop since
             while harness.downstream._evict_one():
                 pass
             await run_loop_turns()
-            assert [await read_until_end(client) for client in crossed] == [BUSY] * len(crossed)
-            assert harness.counters["connections_evicted"] == len(crossed) and harness.request_count == 0
+            assert [await read_until_end(client) for client in evicted] == [BUSY] * len(evicted)
+            assert harness.counters["connections_evicted"] == len(evicted) and harness.request_count == 0
             # A reset that comes behind the orderly end, which some systems let go before it.
-            assert not any(client.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR) for client in crossed)
+            assert not any(client.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR) for client in evicted)
 
     asyncio.run(test())
 
 
-@pytest.mark.parametrize("leave", [socket.socket.close, gone_with_a_reset])
+@pytest.mark.parametrize("disconnect", [socket.socket.close, gone_with_a_reset])
 @pytest.mark.parametrize("waiting", [1, MAX_PIPELINED_COMMANDS, MAX_PIPELINED_COMMANDS + 5, 400])
-def test_a_client_that_leaves_is_seen_whatever_waits_of_it(leave, waiting):
+def test_disconnect_when_commands_are_pending_then_is_seen_at_once(disconnect, waiting):
     """In flight, behind others on its connection, and while nothing more is read of it."""
 
     async def test():
@@ -232,7 +234,7 @@
             taken = min(waiting, MAX_PIPELINED_COMMANDS)
             await until(lambda: harness.request_count == taken)
             await run_loop_turns()
-            leave(client)
+            disconnect(client)
             await until(lambda: harness.counters["clients_disconnected"] == taken)
             await until(lambda: not harness.downstream._connections)
             assert harness.request_count == taken and harness.core.idle
@@ -240,24 +242,28 @@
     asyncio.run(test())
 
 
-@pytest.mark.parametrize("leave", [socket.socket.close, gone_with_a_reset])
-@pytest.mark.parametrize("answer", [None, BUSY])
-def test_nothing_is_sent_on_for_a_client_whose_end_the_event_loop_has_yet_to_come_to(leave, answer):
+@pytest.mark.parametrize("disconnect", [socket.socket.close, gone_with_a_reset])
+@pytest.mark.parametrize("response", [None, BUSY])
+def test_disconnect_when_the_event_loop_has_not_seen_it_then_no_attempt_is_sent(disconnect, response):
     """Found by the brink days, in a crowd: 0.2 s after its client had left, as both lay there at once.
 
-    It left before the first attempt, or in the step in which that was turned away and another would follow.
+    It left before the first attempt, or in the step in which that was rejected and another would follow.
     """
 
     async def test():
         settings = replace(SETTINGS, discovery=api.DiscoveryMode.POLLED)
 
-        def held(data: bytes) -> bytes:
+        def respond_to(data: bytes) -> bytes:
             uid = data.split(b" O")[1].split(b" ")[0]
-            return answer if uid == b"a1" else b"VA 2 O%b\r\nok\r\n" % uid
+            return response if uid == b"a1" else b"VA 2 O%b\r\nok\r\n" % uid
 
-        async with Peer(lambda _: b"") as discovery, Peer(held) as one, Peer(held) as two:
+        async with (
+            Peer(lambda _: b"") as discovery,
+            Peer(respond_to) as first_server,
+            Peer(respond_to) as second_server,
+        ):
             known = whole(1, s1="in_service", s2="in_service")
-            for entry, peer in zip(known["members"], (one, two), strict=True):
+            for entry, peer in zip(known["members"], (first_server, second_server), strict=True):
                 entry |= {"host_port": f"127.0.0.1:{peer.port}", "flavor": "m2"}
             alone = Alone(discovery, known, settings, kinds=("m2", "origin"))
             core, loop = alone.node.core, asyncio.get_running_loop()
@@ -265,36 +271,38 @@
             for number in range(100):  # until a connection to each server is kept: a send is written at once
                 client.sendall(READ.replace(b"key7", b"k%d" % number) % b"w%d" % number)
                 await until(lambda count=number: alone.node.counters["responses_served"] > count)
-                if one.connections and two.connections:
+                if first_server.connections and second_server.connections:
                     break
             client.setblocking(False)
             await loop.sock_recv(client, 1 << 16)
-            sent = len(one.got) + len(two.got)
-            name = "submit" if answer is None else "attempt_ended"
-            usual = getattr(core, name)
+            sent = len(first_server.got) + len(second_server.got)
+            name = "submit" if response is None else "attempt_ended"
+            original = getattr(core, name)
 
-            def crossing(*about):
+            def crossing(*arguments):
                 if client.fileno() >= 0:
-                    leave(client)  # no turn of the loop between this and the send
-                return usual(*about)
+                    disconnect(client)  # no turn of the loop between this and the send
+                return original(*arguments)
 
             client.send(READ % b"a1")
-            if answer is None:
+            if response is None:
                 core.submit = crossing
             else:
                 alone.node.dispatcher._report = crossing
             await until(lambda: alone.node.counters["clients_disconnected"] == 1)
             await until(lambda: not alone.node.downstream._connections)
             await run_loop_turns()
-            assert len(one.got) + len(two.got) == sent + (answer is not None) and core.idle
+            assert (
+                len(first_server.got) + len(second_server.got) == sent + (response is not None) and core.idle
+            )
             assert alone.node.counters["attempts_expired_unsent"] == 1
             await alone.node.close()
 
     asyncio.run(test())
 
 
-@pytest.mark.parametrize("leave", [socket.socket.close, gone_with_a_reset])
-def test_a_client_that_sent_more_than_is_read_and_left_is_seen_by_the_next_sweep(leave):
+@pytest.mark.parametrize("disconnect", [socket.socket.close, gone_with_a_reset])
+def test_disconnect_when_behind_unread_input_then_is_seen_by_the_next_sweep(disconnect):
     async def test():
         async with DownstreamHarness() as harness:
             client = await harness.socket_client(READ % b"r")
@@ -306,7 +314,7 @@
                 if not connection._transport.is_reading():
                     break
             assert harness.request_count == MAX_PIPELINED_COMMANDS and not connection._transport.is_reading()
-            leave(client)
+            disconnect(client)
             await run_loop_turns()
             harness.clock.go(SWEEP_INTERVAL_MS)
             assert harness.counters["clients_disconnected"] == MAX_PIPELINED_COMMANDS
@@ -316,33 +324,33 @@
     asyncio.run(test())
 
 
-@pytest.mark.parametrize("leave", [socket.socket.close, gone_with_a_reset])
-def test_a_connection_that_ended_is_freed_without_the_collector(no_collector, leave):
+@pytest.mark.parametrize("disconnect", [socket.socket.close, gone_with_a_reset])
+def test_connection_when_closed_then_is_freed_without_the_collector(no_collector, disconnect):
     """Found on the long day: 20 MB in place of 18, as each held its reader and the reader it."""
 
     async def test():
         async with DownstreamHarness() as harness:
             client = await harness.socket_client(READ % b"r0")
             await until(lambda: harness.request_count == 1)
-            held = weakref.ref(next(iter(harness.downstream._connections)))
+            reference = weakref.ref(next(iter(harness.downstream._connections)))
             harness.core._fail_overdue("r0")
             await run_loop_turns()
-            if leave is not gone_with_a_reset:  # closed over an unread answer it would reset as well
+            if disconnect is not gone_with_a_reset:  # closed over an unread answer it would reset as well
                 assert client.recv(100) == FAILED
-            leave(client)
+            disconnect(client)
             await until(lambda: not harness.downstream._connections)
-            await until(lambda: held() is None)
+            await until(lambda: reference() is None)
 
     asyncio.run(test())
 
 
-def test_what_comes_after_sigterm_is_answered_before_the_process_may_be_killed(play):
+def test_shutdown_when_a_request_comes_late_then_is_answered_before_the_kill(play):
     """With a class that waits for 2 s and one for 3 s the end may come 3.7 s after SIGTERM."""
 
     async def test():
         async with DownstreamHarness() as harness:
-            began = harness.clock.now()
-            leaving = asyncio.ensure_future(harness.downstream.leave())
+            started_at = harness.clock.now()
+            shutdown = asyncio.ensure_future(harness.downstream.leave())
             await run_loop_turns(1)
             harness.clock.go(LINGER)
             reader, writer = await asyncio.open_connection("127.0.0.1", harness.port)
@@ -352,37 +360,37 @@
             await run_loop_turns()
             writer.write(b"hi\r\n")
             await until(lambda: harness.request_count == 1)
-            assert harness.clock.now() == began + LINGER + SHUTDOWN_ACCEPT_MS
-            harness.clock.go(SHUTDOWN_ACCEPT_MS + 3_000 - 1 - (harness.clock.now() - began))
+            assert harness.clock.now() == started_at + LINGER + SHUTDOWN_ACCEPT_MS
+            harness.clock.go(SHUTDOWN_ACCEPT_MS + 3_000 - 1 - (harness.clock.now() - started_at))
             assert await reader.read() == FAILED  # by the net: nobody decides anything here
             writer.close()
-            await until(lambda: harness.clock.go(20) or leaving.done())
+            await until(lambda: harness.clock.go(20) or shutdown.done())
 
     play(test)
 
 
-def test_small_writes_are_held_back_on_no_socket():
+def test_sockets_when_opened_or_accepted_then_have_no_delay_set():
     async def test():
         delays: list[int] = []
 
-        def seen(transport) -> None:
+        def record_delay(transport) -> None:
             opened = transport.get_extra_info("socket")
             delays.append(opened.getsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY))
 
         async with DownstreamHarness() as harness, Peer(lambda _: b"") as peer:
             await harness.socket_client()
             (connection,) = harness.downstream._connections
-            seen(connection._transport)
+            record_delay(connection._transport)
             bench = Bench(peer.port)
             await bench.carry()
             await until(lambda: peer.got)
-            seen(next(iter(bench.links)).writer.transport)
+            record_delay(next(iter(bench.links)).writer.transport)
             await bench.delivery.close()
-            early = socket.create_connection(("127.0.0.1", harness.port))  # accepted as the listener closes
+            queued = socket.create_connection(("127.0.0.1", harness.port))  # accepted as the listener closes
             harness.downstream._listener.close()
             await until(lambda: harness.counters["connections_accepted"] == 2)
-            seen(list(harness.downstream._connections)[-1]._transport)
-            early.close()
+            record_delay(list(harness.downstream._connections)[-1]._transport)
+            queued.close()
         assert delays == [1, 1, 1]
 
     asyncio.run(test())
--- a/tests/downstream/test_downstream_streaming.py
+++ b/tests/downstream/test_downstream_streaming.py
@@ -33,7 +33,7 @@
         return request.responder
 
 
-def test_pieces_go_out_in_their_turn_and_a_cut_ends_the_connection():
+def test_stream_when_responses_precede_it_then_waits_and_an_abort_closes_the_connection():
     async def test():
         async with StreamingHarness(1 << 20) as harness:
             reader, _ = await harness.stream_client(READ % b"a1", READ % b"a2", READ % b"a3")
@@ -61,7 +61,7 @@
     virtual.run(test())
 
 
-def test_a_client_that_reads_slowly_is_waited_for_and_one_that_reads_nothing_is_not():
+def test_stream_when_the_client_reads_slowly_then_waits_but_not_for_one_that_reads_nothing():
     async def test():
         async with StreamingHarness(1 << 20) as harness:
             reader, writer = await harness.stream_client(READ % b"a1")
@@ -90,17 +90,19 @@
     virtual.run(test())
 
 
-def test_room_for_a_long_write_is_kept_before_it_is_read_and_missed_in_time():
+def test_long_write_when_no_memory_is_free_then_is_rejected_in_time_else_reserved():
     async def test():
         async with StreamingHarness(LENGTH + 1000) as harness:
             half, half_writer = await harness.stream_client(LONG_WRITE[:5000])
             await until(lambda: harness.core.memory_budget.reserved == LENGTH)
-            none, none_writer = await harness.stream_client(LONG_WRITE.replace(b"Oa1", b"Oa2"), b"mn\r\n")
+            rejected, rejected_writer = await harness.stream_client(
+                LONG_WRITE.replace(b"Oa1", b"Oa2"), b"mn\r\n"
+            )
             await asyncio.sleep(0.2)
             harness.clock.go(MEMORY_WAIT_MS)
-            said = b"SERVER_ERROR busy\r\nSERVER_ERROR starting\r\n"
-            assert await none.readexactly(len(said)) == said  # framing held
-            then, _ = await harness.stream_client(LONG_WRITE.replace(b"Oa1", b"Oa3"))
+            responses = b"SERVER_ERROR busy\r\nSERVER_ERROR starting\r\n"
+            assert await rejected.readexactly(len(responses)) == responses  # framing held
+            waiting, _ = await harness.stream_client(LONG_WRITE.replace(b"Oa1", b"Oa3"))
             await asyncio.sleep(0.2)
             half_writer.write(LONG_WRITE[5000:])
             await until(lambda: harness.request_count == 1)
@@ -109,20 +111,20 @@
             assert await half.readline() == b"SERVER_ERROR failed\r\n"
             await until(lambda: harness.request_count == 2)  # it had waited for its room
             harness.core._fail_overdue("a3")
-            assert await then.readline() == b"SERVER_ERROR failed\r\n"
+            assert await waiting.readline() == b"SERVER_ERROR failed\r\n"
             assert harness.core.memory_budget.reserved == 0
-            gone, gone_writer = await harness.stream_client(LONG_WRITE[:90_00])
+            unfinished, unfinished_writer = await harness.stream_client(LONG_WRITE[:90_00])
             await until(lambda: harness.core.memory_budget.reserved == LENGTH)
             harness.clock.go(COMMAND_TIMEOUT_MS + 250)
-            assert (await gone.read()).startswith(b"CLIENT_ERROR")
+            assert (await unfinished.read()).startswith(b"CLIENT_ERROR")
             await until(lambda: harness.core.memory_budget.reserved == 0)
-            for writer in (none_writer, gone_writer):
+            for writer in (rejected_writer, unfinished_writer):
                 writer.close()
 
     virtual.run(test())
 
 
-def test_an_id_in_use_gives_the_room_back():
+def test_long_write_when_its_id_is_in_use_then_releases_its_memory():
     async def test():
         async with StreamingHarness(3 * LENGTH) as harness:
             first, _ = await harness.stream_client(LONG_WRITE)
--- a/tests/downstream/test_eviction.py
+++ b/tests/downstream/test_eviction.py
@@ -1,4 +1,4 @@
-"""Which connection makes place for another: the order, and what it costs to know."""
+"""Connection eviction: the order, and what it costs to find the first."""
 
 from hypothesis import given
 from hypothesis import strategies as st
@@ -9,69 +9,81 @@
 
 class Connection:
     def __init__(self, number: int) -> None:
-        self.number, self.used_at, self.looks = number, 0, 0
-        self.has_requested = self.closing = self.waits = self.half = False
+        self.number = number
+        self.last_used_at = 0
+        self.checks = 0
+        self.has_requested = False
+        self.closing = False
+        self.pending = False
+        self.half_command = False
 
     @property
     def has_pending(self) -> bool:
-        self.looks += 1
-        return self.waits
+        self.checks += 1
+        return self.pending
 
     @property
     def idle(self) -> bool:
-        return not self.waits and not self.half
+        return not self.pending and not self.half_command
 
 
-def as_reckoned(connections: list[Connection]) -> Connection | None:
+def expected_victim(connections: list[Connection]) -> Connection | None:
     """The rule, looked for among all."""
-    free = [c for c in connections if c.closing or (not c.waits and (c.idle or not c.has_requested))]
-    return min(free, key=lambda c: (not c.closing, not c.has_requested, c.used_at), default=None)
+    evictable = [c for c in connections if c.closing or (not c.pending and (c.idle or not c.has_requested))]
+    return min(evictable, key=lambda c: (not c.closing, not c.has_requested, c.last_used_at), default=None)
 
 
-DEEDS = st.tuples(
-    st.sampled_from(["come", "use", "ask", "wait", "half", "close", "leave", "make"]), st.integers(0, 9)
+ACTIONS = st.tuples(
+    st.sampled_from(["open", "use", "request", "pend", "half", "close", "remove", "evict"]),
+    st.integers(0, 9),
 )
 
 
+def act(order: EvictionOrder, connection: Connection, action: str, now: int) -> None:
+    """Have one of the open connections do something, but for its removal."""
+    if action == "pend":
+        connection.pending = not connection.pending
+        return  # it is neither read nor written by that
+    if action == "half":
+        connection.half_command = True
+    connection.has_requested |= action == "request"
+    if not connection.closing:
+        connection.last_used_at = now
+    connection.closing |= action == "close"
+    order.touch(connection)
+
+
 @FIXED
-@given(st.lists(DEEDS, max_size=40))
-def test_the_order_is_that_of_the_rule_whatever_happens(deeds):
-    order, there, now = EvictionOrder(), [], 0
-    for now, (deed, which) in enumerate(deeds, 1):
-        if deed == "come":
-            there.append(one := Connection(now))
-            one.used_at = now
-            order.touch(one)
-        elif deed == "make":
-            if (first := order.first_evictable()) is not None:
-                there.remove(first)
-                order.remove(first)
-        elif there:
-            one = there[which % len(there)]
-            if deed == "leave":
-                there.remove(one)
-                order.remove(one)
-                continue
-            if deed == "wait":
-                one.waits = not one.waits
-                continue  # it is neither read nor written by that
-            if deed == "half":
-                one.half = True
-            one.has_requested |= deed == "ask"
-            if not one.closing:
-                one.used_at = now
-            one.closing |= deed == "close"
-            order.touch(one)
-        assert order.first_evictable() is as_reckoned(there)
-
-
-def test_a_newcomer_looks_at_few_however_many_there_are():
+@given(st.lists(ACTIONS, max_size=40))
+def test_order_when_anything_happens_then_is_that_of_the_rule(actions):
+    order = EvictionOrder()
+    connections: list[Connection] = []
+    for now, (action, index) in enumerate(actions, 1):
+        if action == "open":
+            connection = Connection(now)
+            connection.last_used_at = now
+            connections.append(connection)
+            order.touch(connection)
+        elif action == "evict":
+            victim = order.first_evictable()
+            if victim is not None:
+                connections.remove(victim)
+                order.remove(victim)
+        elif connections and action == "remove":
+            removed = connections.pop(index % len(connections))
+            order.remove(removed)
+        elif connections:
+            act(order, connections[index % len(connections)], action, now)
+        assert order.first_evictable() is expected_victim(connections)
+
+
+def test_first_evictable_when_thousands_are_open_then_looks_at_few():
     """Guards a node in a crowd: the walk over all took half of its time, and requests lay there meanwhile."""
     order = EvictionOrder()
-    there = [Connection(number) for number in range(5_000)]
-    for number, one in enumerate(there):
-        one.has_requested = number % 2 == 0
-        order.touch(one)
+    connections = [Connection(number) for number in range(5_000)]
+    for connection in connections:
+        connection.has_requested = connection.number % 2 == 0
+        order.touch(connection)
     for _ in range(2_000):
         order.remove(order.first_evictable())
-    assert sum(one.looks for one in there) <= 2 * 2_000
+    assert sum(connection.checks for connection in connections) <= 2 * 2_000
