--- a/benchmarks/place_cost.py
+++ b/benchmarks/place_cost.py
@@ -1,8 +1,8 @@
-"""What it costs to make place for a newcomer, with few connections open and with thousands.
+"""Cost of evicting a connection for a new one, with few connections open and with thousands.
 
     .venv-dev/bin/python -m benchmarks.place_cost
 
-Prints microseconds a newcomer, and how they grow with the number open.
+Prints microseconds a new connection, and how they grow with the number open.
 """
 
 import asyncio
@@ -18,13 +18,15 @@
 from flintridge.telemetry.log import Log
 
 SIZES = (100, 1000, 8000)
-NEWCOMERS = 4000
+NEW_CONNECTIONS = 4000
 
 
-class Crowd:
-    """A connection that never said anything."""
+class SilentConnection:
+    """A connection on which nothing was ever sent."""
 
-    has_pending = has_requested = closing = False
+    has_pending = False
+    has_requested = False
+    closing = False
     idle = True
 
     def evict(self) -> None: ...
@@ -32,40 +34,42 @@
     def abort(self) -> None: ...
 
 
-def come(side: Downstream, one: Crowd) -> None:
-    side._connections[one] = None  # type: ignore[index]
-    side.eviction_order.touch(one)  # type: ignore[arg-type]
+def add_connection(downstream: Downstream, connection: SilentConnection) -> None:
+    downstream._connections[connection] = None  # type: ignore[index]
+    downstream.eviction_order.touch(connection)  # type: ignore[arg-type]
 
 
-class Silent:
+class PassivePolicy:
     def handle(self, now: int, event: api.Event) -> list[api.Action]:
         return []
 
 
 async def cost(size: int) -> float:
-    clock, log, counters = SystemClock(asyncio.get_running_loop()), Log("bench", io.BytesIO()), Counters()
+    clock = SystemClock(asyncio.get_running_loop())
+    log = Log("bench", io.BytesIO())
+    counters = Counters()
     settings = api.Settings()
-    core = RequestLifecycle(Silent(), settings, clock, 1 << 20, log, counters)
-    transports = EndpointList((), (), settings, clock)
-    side = Downstream(core, settings, transports, clock, size, log, counters)
+    core = RequestLifecycle(PassivePolicy(), settings, clock, 1 << 20, log, counters)
+    endpoints = EndpointList((), (), settings, clock)
+    downstream = Downstream(core, settings, endpoints, clock, size, log, counters)
     for _ in range(size):
-        come(side, Crowd())
-    began = time.perf_counter()
-    for _ in range(NEWCOMERS):
-        assert side._evict_one()
-        come(side, Crowd())
-    took = time.perf_counter() - began
-    side._connections.clear()
-    side.close()
+        add_connection(downstream, SilentConnection())
+    started_at = time.perf_counter()
+    for _ in range(NEW_CONNECTIONS):
+        assert downstream._evict_one()
+        add_connection(downstream, SilentConnection())
+    took = time.perf_counter() - started_at
+    downstream._connections.clear()
+    downstream.close()
     log.close()
-    return took / NEWCOMERS * 1e6
+    return took / NEW_CONNECTIONS * 1e6
 
 
 def main() -> None:
     figures = {size: asyncio.run(cost(size)) for size in SIZES}
     first = figures[SIZES[0]]
     for size, us in figures.items():
-        print(f"{size:6} open: {us:7.2f} us a newcomer, {us / first:5.1f} times that of {SIZES[0]}")
+        print(f"{size:6} open: {us:7.2f} us a new connection, {us / first:5.1f} times that of {SIZES[0]}")
 
 
 if __name__ == "__main__":
--- a/tests/support/downstream.py
+++ b/tests/support/downstream.py
@@ -18,7 +18,7 @@
 ENDPOINT_LIST = {"revision": 1, "complete": True, "members": [ENDPOINT]}
 
 
-class SilentPolicy:
+class PassivePolicy:
     """Decides nothing: leaves every request to the test."""
 
     def handle(self, now, event):
@@ -37,7 +37,7 @@
     ) -> None:
         self.connection_limit = connection_limit
         self.memory_bytes = memory_bytes
-        self.policy = policy or SilentPolicy()
+        self.policy = policy or PassivePolicy()
         self.endpoints_known = endpoints_known
 
     async def __aenter__(self):
--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -5,7 +5,7 @@
 import pytest
 from hypothesis import given
 from hypothesis import strategies as st
-from support.downstream import READ, SilentPolicy
+from support.downstream import READ, PassivePolicy
 from support.network import FIXED, SETTINGS, HandClock, quiet, until
 
 from flintridge.core.lifecycle import RequestLifecycle
@@ -89,7 +89,7 @@
     def __init__(self, room: int = 64) -> None:
         self.clock = HandClock()
         log, self.counters = quiet()
-        self.core = RequestLifecycle(SilentPolicy(), SETTINGS, self.clock, 1 << 20, log, self.counters)
+        self.core = RequestLifecycle(PassivePolicy(), SETTINGS, self.clock, 1 << 20, log, self.counters)
         transports = EndpointList((), (), SETTINGS, self.clock)
         entry = {"id": "s1", "host_port": "127.0.0.1:1", "phase": "in_service"}
         transports.apply({"revision": 1, "complete": True, "members": [entry]})
