--- a/benchmarks/replica_converge.py
+++ b/benchmarks/replica_converge.py
@@ -18,20 +18,22 @@
 from concurrent.futures import ProcessPoolExecutor
 
 from flintridge.lab.partial.copying import Keepers
-from flintridge.replication.messages import pieces
-from flintridge.replication.replica import Limits, Replica, Standing
-from flintridge.replication.value_types import checked
+from flintridge.replication.comparison import SyncState
+from flintridge.replication.limits import ReplicaLimits
+from flintridge.replication.messages import encode_chunk
+from flintridge.replication.replica import Replica
+from flintridge.replication.value_types import encode_body
 
 WARM, CUT, MOST = 15_000.0, 30_000.0, 600_000.0
 WRITES, BOTH = 20, 5
 STEP = 50.0
-NOTE = checked("note", {"text": "an incident's name, and a line on it"})
+NOTE = encode_body("note", {"text": "an incident's name, and a line on it"})
 
 
 def day(count: int, seed: int, entries: int, bytes_per_s: float) -> tuple[list[float], float, float, float]:
     """Each node's time in ms; until all were the same; a node's bytes; those of a whole copy."""
     # Half of the bytes are for exchanges, as in a node; the machines count the datagrams' half.
-    fleet = Keepers(count, seed, Limits(entries=100_000), bytes_per_s=bytes_per_s / 2)
+    fleet = Keepers(count, seed, ReplicaLimits(max_entries=100_000), bytes_per_s=bytes_per_s / 2)
 
     def write(copy: Replica, now: float) -> None:
         for i in range(entries):
@@ -63,13 +65,16 @@
     spent = [_bytes(fleet, name) - then for name, then in zip(fleet.names, before, strict=True)]
     one = fleet.keeper(fleet.names[0]).copy
     none = Replica(("x", 1), one.limits, 0.0)
-    whole = sum(map(len, pieces(one.me, one.answer(none.ask(one.me), 1 << 30), fleet.clock(fleet.names[0]))))
+    chunk = one.make_chunk(none.next_request(one.writer), 1 << 30)
+    whole = sum(map(len, encode_chunk(one.writer, chunk, fleet.clock(fleet.names[0]))))
     return list(last.values()), fleet.now - healed, statistics.fmean(spent), float(whole)
 
 
 def returned(count: int, entries: int, bytes_per_s: float) -> tuple[float, float]:
     """How long a node that starts empty takes to catch up, in ms; the bytes that were sent for it."""
-    fleet = Keepers(count, 1, Limits(entries=100_000, wait=1e9), bytes_per_s=bytes_per_s / 2)
+    fleet = Keepers(
+        count, 1, ReplicaLimits(max_entries=100_000, sync_wait_ms=1e9), bytes_per_s=bytes_per_s / 2
+    )
 
     def write(copy: Replica, now: float) -> None:
         for i in range(entries):
@@ -84,7 +89,7 @@
     sent = sum(_bytes(fleet, other) for other in fleet.names[1:])
     fleet.start(name)
     began = fleet.now
-    fleet.run(MOST, lambda: fleet.keeper(name).copy.standing is Standing.CAUGHT)
+    fleet.run(MOST, lambda: fleet.keeper(name).copy.sync_state is SyncState.SYNCHRONIZED)
     return fleet.now - began, sum(_bytes(fleet, other) for other in fleet.names[1:]) - sent
 
 
--- a/flintridge/config/contradictions.py
+++ b/flintridge/config/contradictions.py
@@ -190,7 +190,7 @@
             yield fault("budgets.lease_ms", lease_ms, f"must be {allowed}", allowed)
 
 
-RANGES = 256  # that keys are cut into, as in flintridge/replication/replica.py
+RANGES = 256  # that keys are cut into, as `bucket_count` in flintridge/replication/limits.py
 RANGE_S = 4.0  # in which one of them, full, must go through an exchange: it may last 10 s
 
 
--- a/flintridge/lab/defects/copies.py
+++ b/flintridge/lab/defects/copies.py
@@ -1,46 +1,51 @@
 """Mistakes that a copy could have; the explorer must find each."""
 
+from flintridge.replication.comparison import SnapshotChunk, SyncState
 from flintridge.replication.entry import Entry, Key, Writer, merge
-from flintridge.replication.replica import Replica, Slice, Standing
+from flintridge.replication.replica import Replica
 
 
 class ArrivalDecides(Replica):
     """What came last is what holds."""
 
-    def _merged(self, mine: Entry, entry: Entry) -> Entry:
-        return entry
+    def _merged(self, local: Entry, remote: Entry) -> Entry:
+        return remote
 
 
 class NewestStampDecides(Replica):
     """Of two writes that had not seen one another one is dropped."""
 
-    def _merged(self, mine: Entry, entry: Entry) -> Entry:
-        both = merge(mine, entry)
-        return Entry(tuple(sorted(both.versions, key=lambda one: (one.stamp, one.dot))[-1:]), both.seen)
+    def _merged(self, local: Entry, remote: Entry) -> Entry:
+        both = merge(local, remote)
+        return Entry(
+            tuple(sorted(both.versions, key=lambda one: (one.stamp, one.dot))[-1:]), both.version_vector
+        )
 
 
 class HoldLostToRelease(Replica):
     """A deletion ends what it had not seen."""
 
-    def _merged(self, mine: Entry, entry: Entry) -> Entry:
-        both = merge(mine, entry)
+    def _merged(self, local: Entry, remote: Entry) -> Entry:
+        both = merge(local, remote)
         ends = tuple(one for one in both.versions if one.deleted)
-        return Entry(ends or both.versions, both.seen)
+        return Entry(ends or both.versions, both.version_vector)
 
 
 class EndedKept(Replica):
     """Versions are only ever added."""
 
-    def _merged(self, mine: Entry, entry: Entry) -> Entry:
-        all_of_them = {one.dot: one for one in (*mine.versions, *entry.versions)}
-        return Entry(tuple(all_of_them[dot] for dot in sorted(all_of_them)), merge(mine, entry).seen)
+    def _merged(self, local: Entry, remote: Entry) -> Entry:
+        all_of_them = {one.dot: one for one in (*local.versions, *remote.versions)}
+        return Entry(
+            tuple(all_of_them[dot] for dot in sorted(all_of_them)), merge(local, remote).version_vector
+        )
 
 
 class SeenNotPassedOn(Replica):
     """What others have seen is not taken over."""
 
-    def _merged(self, mine: Entry, entry: Entry) -> Entry:
-        return Entry(merge(mine, entry).versions, mine.seen)
+    def _merged(self, local: Entry, remote: Entry) -> Entry:
+        return Entry(merge(local, remote).versions, local.version_vector)
 
 
 class EmptyCopyWins(Replica):
@@ -49,27 +54,34 @@
     def _writers(self) -> set[Writer]:
         return {one.dot[0] for entry in self.entries.values() for one in entry.versions}
 
-    def take(self, now: float, source: Writer, got: Slice) -> bool:
-        super()._end(now, got._replace(whole=tuple((writer, 1 << 62) for writer in self._writers())))
-        return super().take(now, source, got)
+    def apply_chunk(self, now: float, source: Writer, chunk: SnapshotChunk) -> bool:
+        super()._drop_ended(
+            now, chunk._replace(complete_up_to=tuple((writer, 1 << 62) for writer in self._writers()))
+        )
+        return super().apply_chunk(now, source, chunk)
 
 
 class DeletionForgottenEarly(Replica):
     """By time alone, whether or not it had all that was written."""
 
-    def _remembered(self, entry: Entry, until: float) -> Entry:
-        over = all(one.over_at() < until for one in entry.versions)
-        return Entry(() if over else entry.versions, tuple(one for one in entry.seen if one.at >= until))
+    def _unexpired(self, entry: Entry, until: float) -> Entry:
+        over = all(one.inactive_since() < until for one in entry.versions)
+        return Entry(
+            () if over else entry.versions,
+            tuple(one for one in entry.version_vector if one.written_at >= until),
+        )
 
 
 class SliceTakenTwiceCounts(Replica):
     """A doubled slice moves the cursor on."""
 
-    def take(self, now: float, source: Writer, got: Slice) -> bool:
-        one = self.passes.get(source)
-        if one is not None and got.number == one.number and got.first < one.cursor:
-            got = got._replace(first=one.cursor, end=min(len(self.digests), one.cursor + got.end - got.first))
-        return super().take(now, source, got)
+    def apply_chunk(self, now: float, source: Writer, chunk: SnapshotChunk) -> bool:
+        one = self.comparisons.get(source)
+        if one is not None and chunk.number == one.number and chunk.first < one.cursor:
+            chunk = chunk._replace(
+                first=one.cursor, end=min(len(self.digests), one.cursor + chunk.end - chunk.first)
+            )
+        return super().apply_chunk(now, source, chunk)
 
 
 class DotReused(Replica):
@@ -82,43 +94,43 @@
 class ReturnedBelieved(Replica):
     """What it had, and was ended, is taken again from one that was away."""
 
-    def hear(self, now: float, key: Key, entry: Entry) -> bool:
-        whole, self.whole = self.whole, {}
-        taken = super().hear(now, key, entry)
-        self.whole = whole
+    def receive(self, now: float, key: Key, entry: Entry) -> bool:
+        complete_up_to, self.complete_up_to = self.complete_up_to, {}
+        taken = super().receive(now, key, entry)
+        self.complete_up_to = complete_up_to
         return taken
 
 
 class KeptByTheReturned(Replica):
     """One that was away keeps what others have ended."""
 
-    def _end(self, now: float, got: Slice) -> None:
+    def _drop_ended(self, now: float, chunk: SnapshotChunk) -> None:
         pass
 
 
 class WholeFromPart(Replica):
     """With the first slice it believes to have had all that the source has."""
 
-    def take(self, now: float, source: Writer, got: Slice) -> bool:
-        over = super().take(now, source, got)
-        self.whole.update(got.whole)
+    def apply_chunk(self, now: float, source: Writer, chunk: SnapshotChunk) -> bool:
+        over = super().apply_chunk(now, source, chunk)
+        self.complete_up_to.update(chunk.complete_up_to)
         return over
 
 
 class AnySourceWillDo(Replica):
     """It has caught up with one that has not."""
 
-    def take(self, now: float, source: Writer, got: Slice) -> bool:
-        return super().take(now, source, got._replace(caught=True))
+    def apply_chunk(self, now: float, source: Writer, chunk: SnapshotChunk) -> bool:
+        return super().apply_chunk(now, source, chunk._replace(source_synchronized=True))
 
 
 class FirstSliceIsAll(Replica):
     """It says that it has caught up after one slice."""
 
-    def take(self, now: float, source: Writer, got: Slice) -> bool:
-        over = super().take(now, source, got)
-        if got.caught:
-            self.standing = Standing.CAUGHT
+    def apply_chunk(self, now: float, source: Writer, chunk: SnapshotChunk) -> bool:
+        over = super().apply_chunk(now, source, chunk)
+        if chunk.source_synchronized:
+            self.sync_state = SyncState.SYNCHRONIZED
         return over
 
 
--- a/flintridge/lab/explore/copies.py
+++ b/flintridge/lab/explore/copies.py
@@ -10,11 +10,13 @@
 from dataclasses import dataclass, replace
 from typing import NamedTuple, Self
 
-from flintridge.replication.entry import Dot, Entry, Key, Writer, counts
-from flintridge.replication.replica import Limits, Replica, Slice, Standing
+from flintridge.replication.comparison import SnapshotChunk, SyncState
+from flintridge.replication.entry import Dot, Entry, Key, Writer, is_active
+from flintridge.replication.limits import ReplicaLimits
+from flintridge.replication.replica import Replica
 
 KEY: Key = ("hold", "g")  # in the second bucket, so that a pass has two slices
-LIMITS = Limits(remember=1.5, wait=float("inf"), buckets=2)
+LIMITS = ReplicaLimits(tombstone_ms=1.5, sync_wait_ms=float("inf"), bucket_count=2)
 START = 100.0
 Known = frozenset[Dot]
 
@@ -58,7 +60,7 @@
     to: int
     source: Writer
     known: Known
-    word: Entry | Slice | Root
+    word: Entry | SnapshotChunk | Root
 
 
 @dataclass(slots=True, frozen=True)
@@ -71,20 +73,20 @@
     flying: tuple[Flying, ...] = ()
     past: tuple[tuple[Dot, Known, bool], ...] = ()  # of each write: what its writer knew; whether it deleted
     cut: int = -1  # that process is cut off from the others
-    make: Callable[[Writer, Limits, float], Replica] = Replica
+    make: Callable[[Writer, ReplicaLimits, float], Replica] = Replica
 
     @classmethod
     def begin(
         cls,
         size: int,
         left: Left,
-        make: Callable[[Writer, Limits, float], Replica] = Replica,
+        make: Callable[[Writer, ReplicaLimits, float], Replica] = Replica,
         written: bool = False,
     ) -> Self:
         """`written`: one entry is in all copies."""
         copies = [make(("abc"[i], 0), LIMITS, START) for i in range(size)]
         for one in copies:
-            one.begin()
+            one.mark_synchronized()
         world = cls(tuple(Process(one) for one in copies), left, make=make)
         if not written:
             return world
@@ -92,7 +94,7 @@
         for word in world.flying:
             world = world._arrives(word)
         for process in world.processes:
-            process.copy.whole[copies[0].me] = 1
+            process.copy.complete_up_to[copies[0].writer] = 1
         return replace(world, flying=(), left=left)
 
     # What can happen
@@ -104,10 +106,10 @@
         if self.cut >= 0:
             yield "the cut heals", replace(self, cut=-1)
         for i, process in enumerate(self.processes):
-            name = process.copy.me[0]
+            name = process.copy.writer[0]
             if left.writes:
                 yield f"{name} writes", self._write(i, deleted=False)
-            if left.deletes and process.copy.holding(KEY, self.now) is not None:
+            if left.deletes and process.copy.active_version(KEY, self.now) is not None:
                 yield f"{name} deletes", self._write(i, deleted=True)
             if left.restarts:
                 yield f"{name} is killed and starts empty", self._restart(i)
@@ -115,16 +117,16 @@
                 yield f"{name} is cut off", replace(self, cut=i, left=self._spend(cuts=-1))
             for j, other in enumerate(self.processes):
                 if i != j and left.says and self._linked(i, j):
-                    yield f"{name} says what it is to {other.copy.me[0]}", self._say(i, j)
-                busy = any(isinstance(one.word, Slice) and one.to == i for one in self.flying)
+                    yield f"{name} says what it is to {other.copy.writer[0]}", self._say(i, j)
+                busy = any(isinstance(one.word, SnapshotChunk) and one.to == i for one in self.flying)
                 if i != j and left.asks and self._linked(i, j) and not busy:
-                    yield f"{name} asks {other.copy.me[0]}", self._ask(i, j)
+                    yield f"{name} asks {other.copy.writer[0]}", self._ask(i, j)
         for word in dict.fromkeys(self.flying):
             yield from self._of_word(word)
 
     def _of_word(self, word: Flying) -> Iterator[tuple[str, Self]]:
-        what = f"{type(word.word).__name__} from {word.source[0]} to {self.processes[word.to].copy.me[0]}"
-        source = next(i for i, one in enumerate(self.processes) if one.copy.me[0] == word.source[0])
+        what = f"{type(word.word).__name__} from {word.source[0]} to {self.processes[word.to].copy.writer[0]}"
+        source = next(i for i, one in enumerate(self.processes) if one.copy.writer[0] == word.source[0])
         if self._linked(source, word.to):
             yield f"{what} arrives", self._without(word)._arrives(word)
         if self.left.losses:
@@ -138,14 +140,14 @@
 
     def _write(self, i: int, deleted: bool) -> Self:
         process = self.processes[i]
-        made = process.copy.twin()
+        made = process.copy.clone()
         version = made.write(self.now, KEY, b"", "", "", deleted=deleted)
         dot = version.dot
         past = (*self.past, (dot, process.known, deleted))
         after = replace(process, copy=made, known=process.known | {dot}, exact=False)
         left = self._spend(**{"deletes" if deleted else "writes": -1})
         words = tuple(
-            Flying(j, made.me, after.known, made.entries[KEY])
+            Flying(j, made.writer, after.known, made.entries[KEY])
             for j in range(len(self.processes))
             if j != i and self._linked(i, j)
         )
@@ -153,47 +155,47 @@
 
     def _restart(self, i: int) -> Self:
         old = self.processes[i]
-        made = self.make((old.copy.me[0], old.life + 1), LIMITS, self.now)
+        made = self.make((old.copy.writer[0], old.life + 1), LIMITS, self.now)
         flying = tuple(one for one in self.flying if one.to != i)
         world = replace(self, flying=flying, left=self._spend(restarts=-1))
         return world._with(i, Process(made, old.life + 1, sound=False))
 
     def _ask(self, i: int, j: int) -> Self:
         process, other = self.processes[i], self.processes[j]
-        made = process.copy.twin()
-        fresh = other.copy.me not in made.passes
-        ask = made.ask(other.copy.me)
+        made = process.copy.clone()
+        fresh = other.copy.writer not in made.comparisons
+        ask = made.next_request(other.copy.writer)
         begun = process.begun
         if fresh:
-            rest = tuple(one for one in begun if one[0] != other.copy.me)
-            begun = (*rest, (other.copy.me, other.known, other.sound))
-        got = other.copy.answer(ask, most=0)
-        word = Flying(i, other.copy.me, other.known if got.sent else frozenset(), got)
+            rest = tuple(one for one in begun if one[0] != other.copy.writer)
+            begun = (*rest, (other.copy.writer, other.known, other.sound))
+        got = other.copy.make_chunk(ask, max_bytes=0)
+        word = Flying(i, other.copy.writer, other.known if got.buckets else frozenset(), got)
         world = self._with(i, replace(process, copy=made, begun=begun))
         return replace(world, flying=(*self.flying, word), left=self._spend(asks=-1))
 
     def _say(self, i: int, j: int) -> Self:
         process = self.processes[i]
         made = process.copy
-        word = Root(made.root(), made.standing is Standing.CAUGHT, made.own)
-        flying = (*self.flying, Flying(j, made.me, process.known, word))
+        word = Root(made.root(), made.sync_state is SyncState.SYNCHRONIZED, made.write_count)
+        flying = (*self.flying, Flying(j, made.writer, process.known, word))
         return replace(self, flying=flying, left=self._spend(says=-1))
 
     def _arrives(self, word: Flying) -> Self:
         process = self.processes[word.to]
-        made = process.copy.twin()
+        made = process.copy.clone()
         known, sound, over = process.known, process.sound, False
         if isinstance(word.word, Entry):
-            made.hear(self.now, KEY, word.word)
+            made.receive(self.now, KEY, word.word)
             known |= word.known
         elif isinstance(word.word, Root):
             if made.root() == word.word.root:
                 known |= word.known
-            made.told_root(self.now, word.source, *word.word)
+            made.receive_root(self.now, word.source, *word.word)
         else:
-            turn = made.counts["slices_out_of_turn"]
-            over = made.take(self.now, word.source, word.word)
-            if made.counts["slices_out_of_turn"] == turn:
+            turn = made.counts["chunks_out_of_order"]
+            over = made.apply_chunk(self.now, word.source, word.word)
+            if made.counts["chunks_out_of_order"] == turn:
                 known |= word.known
             if over:
                 began = next(one for one in process.begun if one[0] == word.source)
@@ -205,8 +207,8 @@
         now = self.now + 1.0
         moved = []
         for process in self.processes:
-            made = process.copy.twin()
-            made.look(now)
+            made = process.copy.clone()
+            made.expire(now)
             moved.append(replace(process, copy=made))
         return replace(self, now=now, processes=tuple(moved), left=self._spend(ticks=-1))
 
@@ -231,7 +233,7 @@
 
     def _held(self, copy: Replica) -> set[Dot]:
         entry = copy.entries.get(KEY, Entry())
-        return {one.dot for one in entry.versions if counts(one, self.now)}
+        return {one.dot for one in entry.versions if is_active(one, self.now)}
 
     def broken(self) -> str:
         for process in self.processes:
@@ -239,27 +241,29 @@
             # One that was away may see a write beside one that was replaced and forgotten, until it asks.
             early = held != due and (self.now == START or process.exact)
             if early or not due <= held or held & process.gone:
-                return f"{process.copy.me[0]} holds {sorted(held)}; by what it was told {sorted(due)}"
-            if process.copy.standing is Standing.CAUGHT and not process.sound:
-                return f"{process.copy.me[0]} says that it has caught up, with one that had not"
+                return f"{process.copy.writer[0]} holds {sorted(held)}; by what it was told {sorted(due)}"
+            if process.copy.sync_state is SyncState.SYNCHRONIZED and not process.sound:
+                return f"{process.copy.writer[0]} says that it has caught up, with one that had not"
         return self._settled()
 
     def _settled(self) -> str:
         """Nothing fails any more, and each asks each."""
-        copies = [process.copy.twin() for process in self.processes]
+        copies = [process.copy.clone() for process in self.processes]
         for one in copies:
-            one.passes.clear()
+            one.comparisons.clear()
         for _ in range(2):
             for one, other in itertools.permutations(copies, 2):
                 if one.digests == other.digests:
                     continue
-                while not one.take(self.now, other.me, other.answer(one.ask(other.me))):
+                while not one.apply_chunk(
+                    self.now, other.writer, other.make_chunk(one.next_request(other.writer))
+                ):
                     pass
         due = self._due(frozenset().union(*(process.known for process in self.processes)))
         for one in copies:
-            one.look(self.now)  # one may remember what is over for longer than the others
+            one.expire(self.now)  # one may remember what is over for longer than the others
             if (held := self._held(one)) != due:
-                return f"after all is well {one.me[0]} holds {sorted(held)} and not {sorted(due)}"
+                return f"after all is well {one.writer[0]} holds {sorted(held)} and not {sorted(due)}"
         return (
             "" if len({tuple(one.digests) for one in copies}) == 1 else "the copies differ after all is well"
         )
@@ -270,7 +274,7 @@
         """By ages, not by the time; the least over all ways to call the processes."""
         best = None
         for order in itertools.permutations(range(len(self.processes))):
-            called = {self.processes[i].copy.me[0]: j for j, i in enumerate(order)}
+            called = {self.processes[i].copy.writer[0]: j for j, i in enumerate(order)}
             text = repr(
                 (
                     [self._of_process(self.processes[i], called) for i in order],
@@ -283,26 +287,30 @@
         return best, self.left
 
     def _of_entry(self, entry: Entry, called: dict[str, int]) -> object:
-        versions = sorted((_dot(one.dot, called), one.deleted, self.now - one.at) for one in entry.versions)
-        seen = sorted((_dot((one.writer, one.upto), called), self.now - one.at) for one in entry.seen)
+        versions = sorted(
+            (_dot(one.dot, called), one.deleted, self.now - one.written_at) for one in entry.versions
+        )
+        seen = sorted(
+            (_dot((one.writer, one.up_to), called), self.now - one.written_at) for one in entry.version_vector
+        )
         return versions, seen
 
     def _of_process(self, process: Process, called: dict[str, int]) -> object:
         copy = process.copy
-        whole = _dots(frozenset(copy.whole.items()), called)
+        whole = _dots(frozenset(copy.complete_up_to.items()), called)
         passes = sorted(
             (
                 _dot((who, 0), called),
                 one.number,
                 one.cursor,
-                one.caught,
-                _dots(frozenset(one.whole or ()), called),
+                one.source_synchronized,
+                _dots(frozenset(one.complete_up_to or ()), called),
             )
-            for who, one in copy.passes.items()
+            for who, one in copy.comparisons.items()
         )
         begun = sorted((_dot((who, 0), called), _dots(known, called), ok) for who, known, ok in process.begun)
         entry = self._of_entry(copy.entries.get(KEY, Entry()), called)
-        me = copy.standing, process.life, process.sound, process.exact
+        me = copy.sync_state, process.life, process.sound, process.exact
         known = _dots(process.known, called), _dots(process.gone, called)
         return entry, me, whole, passes, begun, known
 
@@ -315,8 +323,8 @@
             word = one.word, [same[j] for j in order]
         else:
             entries = [self._of_entry(entry, called) for _, entry in one.word.entries]
-            whole = _dots(frozenset(one.word.whole), called)
-            word = (*one.word[:4], whole, one.word.sent, entries)
+            whole = _dots(frozenset(one.word.complete_up_to), called)
+            word = (*one.word[:4], whole, one.word.buckets, entries)
         return order.index(one.to), _dot((one.source, 0), called), _dots(one.known, called), word
 
 
--- a/flintridge/lab/partial/copying.py
+++ b/flintridge/lab/partial/copying.py
@@ -13,15 +13,17 @@
 from flintridge.lab.partial.machines import Link, Machines, Process
 from flintridge.membership.failure_detector import FailureDetector
 from flintridge.membership.member_table import Incarnation
+from flintridge.replication.comparison import SyncState
 from flintridge.replication.entry import Dot, Key, Writer
 from flintridge.replication.gossip import RumorSpreader
-from flintridge.replication.messages import asked, asked_of, pieces, slice_of
-from flintridge.replication.replica import SLICE, Limits, Replica, Standing
-from flintridge.replication.value_types import checked
+from flintridge.replication.limits import ReplicaLimits
+from flintridge.replication.messages import decode_chunk, decode_request, encode_chunk, encode_request
+from flintridge.replication.replica import CHUNK_BYTES, Replica
+from flintridge.replication.value_types import encode_body
 
 UNIX = 1.7e12  # the time of day at the start
 BROKEN = 10_000.0  # ms until an exchange that gets no answer is given up
-LOOKS = 8  # buckets a tick, as in net/replica.py
+LOOKS = 8  # buckets a tick, as in flintridge/replication/driver.py
 
 
 class Counted(RumorSpreader):
@@ -36,7 +38,7 @@
 
 
 class Keeper(FailureDetector):
-    """A process's peers with its copy, driven as `net/replica.py` does it."""
+    """A process's peers with its copy, driven as `flintridge/replication/driver.py` does it."""
 
     copy: Replica
     spread: Counted
@@ -47,13 +49,13 @@
 
     def tick(self, now: float) -> None:
         super().tick(now)
-        self.copy.look(now, LOOKS)
+        self.copy.expire(now, LOOKS)
         me = self.table.me
         fresh = [(one.name, one.life) for one in self.table if one.fresh and one.name != me]
-        for name, life in self.spread.waiting(now, fresh):
+        for name, life in self.spread.urgent_targets(now, fresh):
             if (one := self.table.find(name, life)) is not None:
                 self.tell(now, one)
-        if not self.asking and (source := self.spread.source(now, fresh)) is not None:
+        if not self.asking and (source := self.spread.comparisons.choose_source(now, fresh)) is not None:
             self.asking = True
             self.fleet.ask(self, source)
 
@@ -65,12 +67,12 @@
         self,
         count: int,
         seed: int,
-        limits: Limits | None = None,
+        limits: ReplicaLimits | None = None,
         topic_bytes: float = 2_000.0,
         make: Callable[..., Replica] = Replica,
         **given: Any,
     ) -> None:
-        self.limits = limits or Limits()
+        self.limits = limits or ReplicaLimits()
         self._topic_bytes = topic_bytes
         self._make = make
         self._exchange_bytes = given.get("bytes_per_s", 8_000.0)
@@ -113,7 +115,9 @@
             if self.living(name):
                 copy, now = self.keeper(name).copy, self.clock(name)
                 dots = (
-                    version.dot for key in copy.entries if (version := copy.holding(key, now)) is not None
+                    version.dot
+                    for key in copy.entries
+                    if (version := copy.active_version(key, now)) is not None
                 )
                 held.add(frozenset(dots))
         return len(held) == 1
@@ -122,15 +126,15 @@
         """All begin with what `write` puts into the first one's copy."""
         first = self.keeper(self.names[0])
         write(first.copy, self.clock(self.names[0]))
-        first.copy.begin()
+        first.copy.mark_synchronized()
         for name in self.names[1:]:
             now, mine = self.clock(name), self.keeper(name).copy
-            mine.begin()
-            got = first.copy.answer(mine.ask(first.copy.me), most=1 << 30)
-            parts = pieces(first.copy.me, got, self.clock(self.names[0]))
-            answer = slice_of(parts, now)
-            assert answer is not None and mine.take(now, *answer)
-            self.keeper(name).spread.waiting(now + 1e6, [])  # it is no news to anybody
+            mine.mark_synchronized()
+            got = first.copy.make_chunk(mine.next_request(first.copy.writer), max_bytes=1 << 30)
+            parts = encode_chunk(first.copy.writer, got, self.clock(self.names[0]))
+            answer = decode_chunk(parts, now)
+            assert answer is not None and mine.apply_chunk(now, answer.source, answer.chunk)
+            self.keeper(name).spread.urgent_targets(now + 1e6, [])  # it is no news to anybody
 
     # Exchanges
 
@@ -144,8 +148,8 @@
 
         def over() -> None:
             keeper.asking = False
-            keeper.copy.broke_off(source)
-            keeper.spread.compared(asker.clock(self.now), source, keeper.copy.root() != root)
+            keeper.copy.abandon_comparison(source)
+            keeper.spread.comparisons.finish(asker.clock(self.now), source, keeper.copy.root() != root)
 
         def linked() -> bool:
             ways = (asker.name, source[0]), (source[0], asker.name)
@@ -155,26 +159,28 @@
         def call() -> None:
             nonlocal began
             began = self.now
-            word = asked(keeper.copy.ask(source))
+            word = encode_request(keeper.copy.next_request(source))
             keeper.exchange_bytes += len(word)
             if not linked():
                 self.at(self.now + BROKEN, over)
                 return
-            ask = asked_of(word)
+            ask = decode_request(word)
             assert ask is not None and target is not None
             other = target.machine
             assert isinstance(other, Keeper)
-            parts = pieces(other.copy.me, other.copy.answer(ask, SLICE), target.clock(self.now))
+            parts = encode_chunk(
+                other.copy.writer, other.copy.make_chunk(ask, CHUNK_BYTES), target.clock(self.now)
+            )
             size = sum(map(len, parts))
             other.exchange_bytes += size
             other.free_at = max(self.now, other.free_at) + size / self._exchange_bytes * 1000.0
             self.at(other.free_at + 2 * self.usual.delay, lambda: arrived(parts))
 
         def arrived(parts: list[bytes]) -> None:
-            answer = slice_of(parts, asker.clock(began))
+            answer = decode_chunk(parts, asker.clock(began))
             if not linked() or answer is None:
                 self.at(max(self.now, began + BROKEN), over)
-            elif keeper.copy.take(asker.clock(self.now), *answer):
+            elif keeper.copy.apply_chunk(asker.clock(self.now), answer.source, answer.chunk):
                 over()
             else:
                 self.at(self.now + 50.0, call)
@@ -212,7 +218,7 @@
     settled_ms: float  # from the last fault until all had caught up and went by the same writes
 
 
-NOTE = checked("note", {"text": "x"})
+NOTE = encode_body("note", {"text": "x"})
 HAD = 2  # an acknowledged write is one that so many have
 SETTLED = 120_000.0
 
@@ -227,19 +233,19 @@
 
     def write(self, node: str, rng: Random) -> None:
         keeper, now = self.fleet.keeper(node), self.fleet.clock(node)
-        held = [key for key in keeper.copy.entries if keeper.copy.holding(key, now) is not None]
+        held = [key for key in keeper.copy.entries if keeper.copy.active_version(key, now) is not None]
         taken = {one.key for one in self.writes if one.deletes}
         free = sorted(key for key in held if key not in taken)
         deletes = bool(free) and rng.random() < 0.3
         key = rng.choice(free) if deletes else ("note", f"{node}-{len(self.writes)}")
         dot = keeper.copy.write(now, key, NOTE, "ann", "a day", deleted=deletes).dot
-        keeper.spread.wrote(dot)
+        keeper.spread.acknowledgements.track(dot)
         self.writes.append(Written(key, node, dot, deletes, {node}))
 
     def look(self) -> None:
         for one in self.writes:
             if self.fleet.living(one.node) and not one.died:
-                one.had |= self.fleet.keeper(one.node).spread.names_with(one.dot)
+                one.had |= self.fleet.keeper(one.node).spread.acknowledgements.holders(one.dot)
 
     def kill(self, node: str) -> None:
         """It dies now; what it was told until now counts."""
@@ -257,12 +263,12 @@
             f"{one.key[1]} by {one.node}, which {len(one.had)} had, is lost"
             for one in self.writes
             if not one.deletes and one.safe and one.key not in deleted
-            if copy.holding(one.key, now) is None
+            if copy.active_version(one.key, now) is None
         ]
         return told + [
             f"{one.key[1]}, deleted by {one.node}, which {len(one.had)} had, is back"
             for one in self.writes
-            if one.deletes and one.safe and copy.holding(one.key, now) is not None
+            if one.deletes and one.safe and copy.active_version(one.key, now) is not None
         ]
 
 
@@ -272,14 +278,14 @@
     """Writes and deletions every 300 ms, faults about every second; deletions are remembered for 5 s only."""
     rng = Random(seed)
     link = Link(loss=rng.choice((0.0, 0.05, 0.3)), jitter=rng.choice((0.2, 20.0, 400.0)), double=0.1)
-    limits = Limits(remember=5_000.0, wait=4_000.0)
+    limits = ReplicaLimits(tombstone_ms=5_000.0, sync_wait_ms=4_000.0)
     fleet = Keepers(count, seed, limits, make=make, link=link, drift=0.02)
     judge = Judge(fleet)
     kills = cuts = 0
     down: list[str] = []
 
     def caught(name: str) -> bool:
-        return bool(fleet.living(name)) and fleet.keeper(name).copy.standing is Standing.CAUGHT
+        return bool(fleet.living(name)) and fleet.keeper(name).copy.sync_state is SyncState.SYNCHRONIZED
 
     fleet.run(30_000.0, lambda: all(map(caught, fleet.names)))
     end = fleet.now + length_ms
--- a/flintridge/node.py
+++ b/flintridge/node.py
@@ -187,7 +187,9 @@
 
     def _ready(self) -> bool:
         """What else has to be before `mn` is answered: a list, and the state of others where it is held."""
-        return self.discovery_watcher.has_list and (self.replication is None or self.replication.caught_up())
+        return self.discovery_watcher.has_list and (
+            self.replication is None or self.replication.is_synchronized()
+        )
 
     def reload(self, new: NodeConfig) -> Reloaded:
         """Take over from `new` what can change in service; no request and no connection is touched."""
@@ -301,7 +303,7 @@
         if self.leases is not None:
             self.leases.tell_counters()
         if self.replication is not None:
-            self.replication.tell_counters()
+            self.replication.publish_counters()
         self.log.event("counters", **self.counters.snapshot())
         if histograms := self.counters.histograms():
             self.log.event("histograms", **histograms)
--- /dev/null
+++ b/flintridge/replication/admin.py
@@ -0,0 +1,241 @@
+"""The admin API's routes of the replicated state: queries, writes, and who has a write."""
+
+import math
+from collections.abc import Callable
+from dataclasses import dataclass
+from typing import Any
+from urllib.parse import parse_qsl
+
+import msgspec
+
+from flintridge.fronts.console import Routes, Taking
+from flintridge.membership.driver import MembershipDriver
+from flintridge.replication.comparison import SyncState
+from flintridge.replication.entry import Dot, Key, Version, by_precedence, is_active
+from flintridge.replication.gossip import RumorSpreader
+from flintridge.replication.replica import Replica
+from flintridge.replication.value_types import (
+    VALUE_TYPES,
+    Body,
+    WriteRejectedError,
+    decode_body,
+    encode_body,
+)
+from flintridge.runtime.clock import Clock
+from flintridge.telemetry.counters import Counters
+
+Response = tuple[int, dict[str, Any]]  # an HTTP status and a JSON object, as the admin API takes them
+
+PAGE_ENTRIES = 100
+MAX_NAME_CHARACTERS = 200
+MAX_NUMBER_DIGITS = 18
+QUERY_FIELDS = ("type", "name", "bucket", "conflicts", "after", "digests", "entries")
+ENTRY_QUERY_FIELDS = frozenset(("type", "bucket", "conflicts", "entries"))
+
+# The names that the admin API's JSON has for them; tools of operators read these.
+SYNC_STATE_NAMES = {
+    SyncState.UNSYNCHRONIZED: "fresh",
+    SyncState.SYNCHRONIZING: "catching",
+    SyncState.SYNCHRONIZED: "caught",
+}
+COUNT_NAMES = {
+    "clock_ahead": "ahead",
+    "versions_ended": "ended",
+    "chunks_out_of_order": "slices_out_of_turn",
+    "messages_malformed": "words_bad",
+}
+
+
+class WriteCall(
+    msgspec.Struct,
+    frozen=True,
+    forbid_unknown_fields=True,
+    rename={"type_name": "type", "author": "by", "reason": "why", "lifetime_ms": "lasts_ms"},
+):
+    """The JSON of a write."""
+
+    type_name: str
+    name: str
+    author: str
+    reason: str
+    body: dict[str, Any] = {}
+    lifetime_ms: float | None = None
+    delete: bool = False
+
+
+@dataclass(slots=True, frozen=True)
+class ReplicationActivity:
+    """What the driver does just now.
+
+    Attributes:
+        source: The node with which a comparison is under way, if any.
+        taken_out: The servers that operators hold out of service.
+    """
+
+    source: str | None
+    taken_out: frozenset[str]
+
+
+class StateAdminApi:
+    """Handlers of the routes below /admin/state. Each takes a query and a body, and returns a response."""
+
+    def __init__(
+        self,
+        replica: Replica,
+        gossip: RumorSpreader,
+        membership: MembershipDriver,
+        clock: Clock,
+        counters: Counters,
+        activity: Callable[[], ReplicationActivity],
+    ) -> None:
+        """`activity` says what the driver does just now."""
+        self._replica = replica
+        self._gossip = gossip
+        self._membership = membership
+        self._clock = clock
+        self._counters = counters
+        self._activity = activity
+
+    def routes(self) -> Routes:
+        """The handlers by path and method."""
+        return {
+            b"/admin/state": {b"GET": Taking(self.query), b"POST": Taking(self.write)},
+            b"/admin/state/had": {b"GET": Taking(self.holder_count)},
+        }
+
+    def query(self, query: bytes, _body: bytes) -> Response:
+        """GET /admin/state: the replica as a whole.
+
+        With `type=T[&name=N]`, `bucket=I` or `conflicts=1` also entries, PAGE_ENTRIES at a time; `after` goes
+        on from the `next` of the page before.
+        """
+        fields = dict(parse_qsl(query.decode("utf-8", "replace")))
+        unknown = sorted(set(fields) - set(QUERY_FIELDS))
+        if unknown:
+            return 400, {"error": f"unknown {unknown[0]}; allowed: {', '.join(QUERY_FIELDS)}"}
+        summary = self._summary()
+        if "digests" in fields:
+            summary["digests"] = [f"{digest:016x}" for digest in self._replica.digests]
+        if ENTRY_QUERY_FIELDS & set(fields):
+            try:
+                summary.update(self._page(fields))
+            except (ValueError, IndexError):
+                limit = len(self._replica.digests)
+                return 400, {"error": f"bucket and after are numbers; a bucket is under {limit}"}
+        return 200, summary
+
+    def _summary(self) -> dict[str, Any]:
+        replica = self._replica
+        activity = self._activity()
+        counts = {**replica.counts, **self._gossip.counts}
+        return {
+            "name": self._membership.name,
+            "life": f"{self._membership.life:x}",
+            "standing": SYNC_STATE_NAMES[replica.sync_state],
+            "root": f"{replica.root():016x}",
+            "asking": activity.source,
+            "entries": len(replica.entries),
+            "of": replica.limits.max_entries,
+            "conflicts": sum(1 for _ in replica.conflicting_keys()),
+            "held": sorted(activity.taken_out),
+            "heard": self._membership.heard.heard,
+            "counts": {COUNT_NAMES.get(name, name): count for name, count in counts.items()},
+        }
+
+    def _page(self, fields: dict[str, str]) -> dict[str, Any]:
+        keys = self._matching_keys(fields)
+        start = int(fields.get("after", "0"))
+        end = start + PAGE_ENTRIES
+        now = self._clock.now()
+        return {
+            "page": [self._entry_json(key, now) for key in keys[start:end]],
+            "next": end if end < len(keys) else None,
+        }
+
+    def _matching_keys(self, fields: dict[str, str]) -> list[Key]:
+        replica = self._replica
+        if "bucket" in fields:
+            return replica.sorted_bucket(int(fields["bucket"]))
+        if "type" in fields and "name" in fields:
+            key = fields["type"], fields["name"]
+            return [key] if key in replica.entries else []
+        keys = replica.conflicting_keys() if "conflicts" in fields else replica.entries
+        type_name = fields.get("type")
+        return sorted(key for key in keys if type_name is None or key[0] == type_name)
+
+    def _entry_json(self, key: Key, now: float) -> dict[str, Any]:
+        type_name, name = key
+        versions = by_precedence(type_name, self._replica.entries[key], now)
+        return {
+            "type": type_name,
+            "name": name,
+            "holds": bool(versions) and is_active(versions[0], now),
+            "known": type_name in VALUE_TYPES,
+            "versions": [_version_json(version, now) for version in versions],
+        }
+
+    def write(self, _query: bytes, body: bytes) -> Response:
+        """POST /admin/state, a `WriteCall` in JSON. Written here at once; nothing waits for other nodes."""
+        try:
+            call = msgspec.json.decode(body, type=WriteCall)
+            version = self._write(call)
+        except msgspec.MsgspecError as error:
+            return 400, {"error": str(error)}
+        except (UnicodeDecodeError, RecursionError):
+            return 400, {"error": "the body is not JSON"}
+        except WriteRejectedError as error:
+            self._counters.add("state_writes_rejected")
+            return 409, {"error": str(error)}
+        self._gossip.acknowledgements.track(version.dot)
+        self._counters.add("state_writes")
+        return 200, {
+            "name": self._membership.name,
+            "write": version.dot[1],
+            "life": f"{self._membership.life:x}",
+        }
+
+    def _write(self, call: WriteCall) -> Version:
+        if not call.author or not call.reason:
+            raise WriteRejectedError("by and why must say who and for what reason")
+        if not 0 < len(call.name) <= MAX_NAME_CHARACTERS:
+            raise WriteRejectedError(f"name has 1 to {MAX_NAME_CHARACTERS} characters")
+        body = encode_body(call.type_name, call.body)
+        key = call.type_name, call.name
+        if call.delete and key not in self._replica.entries:
+            raise WriteRejectedError(f"there is no {call.type_name} {call.name} here")
+        lifetime_ms = math.inf if call.lifetime_ms is None else call.lifetime_ms
+        return self._replica.write(
+            self._clock.now(), key, body, call.author, call.reason, lifetime_ms, call.delete
+        )
+
+    def holder_count(self, query: bytes, _body: bytes) -> Response:
+        """GET /admin/state/had?write=N: how many nodes are known to have that write of this process."""
+        text = dict(parse_qsl(query.decode("utf-8", "replace"))).get("write", "")
+        is_number = text.isdecimal() and len(text) <= MAX_NUMBER_DIGITS
+        dot: Dot = (self._replica.writer, int(text) if is_number else 0)
+        count = self._gossip.acknowledgements.holder_count(dot)
+        if count is None:
+            return 404, {"error": "no such write of this process, or too long ago"}
+        return 200, {"had": count, "life": f"{self._membership.life:x}"}
+
+
+def _version_json(version: Version, now: float) -> dict[str, Any]:
+    (node, incarnation), count = version.dot
+    ends_in_ms = None if version.lifetime_ms == math.inf else round(version.expires_at() - now)
+    return {
+        "dot": f"{node}/{incarnation:x}/{count}",
+        "body": decode_for_display(version.body),
+        "by": version.author,
+        "why": version.reason,
+        "age_ms": max(0, round(now - version.written_at)),
+        "ends_in_ms": ends_in_ms,
+        "deleted": version.deleted,
+    }
+
+
+def decode_for_display(body: bytes) -> Body | None:
+    """The body of a version; None where it can't be read, as of a type of a later release."""
+    try:
+        return decode_body(body)
+    except (msgspec.MsgspecError, UnicodeDecodeError, RecursionError):
+        return None
--- a/flintridge/replication/driver.py
+++ b/flintridge/replication/driver.py
@@ -1,329 +1,265 @@
-"""What a node holds of the fleet's state: its copy's driver, between peers, the list of servers and staff.
+"""The driver of a process's replica: its timer, its topic in the datagrams, and its exchanges with peers.
 
-It judges nothing. A hold reaches the decisions as the server's being drained, by the list's own way; see
-`Holds` in `net/transport_map.py`. Quotas and stops are held and shown; `obeyed` is where they go from here.
+It makes no decision on requests. A hold by operators reaches the policy as the server's draining, by way of
+the endpoint list; see `flintridge.discovery.overrides`. Quotas and stops are stored and shown;
+`on_limit_change` is where they go from here.
 """
 
 import asyncio
-import math
 import time
 from collections.abc import Callable, Iterable
 from random import Random
-from typing import Any
-from urllib.parse import parse_qsl
 
-import msgspec
-
-from flintridge.fronts.console import Routes, Taking
+from flintridge.fronts.console import Routes
 from flintridge.membership.driver import MembershipDriver
-from flintridge.membership.driver import Refused as PeerRefused
-from flintridge.membership.messages import Dropped
-from flintridge.replication.entry import Dot, Entry, Key, Version, Writer, counts, ordered
+from flintridge.membership.driver import Refused as ExchangeRejectedError
+from flintridge.membership.messages import Dropped as ExchangeDroppedError
+from flintridge.replication.admin import ReplicationActivity, StateAdminApi, decode_for_display
+from flintridge.replication.comparison import IncompatibleDigestsError, SyncState
+from flintridge.replication.entry import Entry, Key, Writer, by_precedence, is_active
 from flintridge.replication.gossip import RumorSpreader
-from flintridge.replication.messages import asked, asked_of, pieces, slice_of
-from flintridge.replication.replica import SLICE, Limits, Replica, Standing
-from flintridge.replication.value_types import TABLE, Body, Refused, checked, decode
+from flintridge.replication.limits import ReplicaLimits
+from flintridge.replication.messages import (
+    ReceivedChunk,
+    decode_chunk,
+    decode_request,
+    encode_chunk,
+    encode_request,
+)
+from flintridge.replication.replica import CHUNK_BYTES, Replica
+from flintridge.replication.value_types import Body
 from flintridge.runtime.clock import Clock, DeadlineExceededError, Timer, sleep
 from flintridge.settings import StateConfig
 from flintridge.telemetry.counters import Counters
 from flintridge.telemetry.log import EventLog
 
-TICK = 50.0
-LOOKS = 8  # buckets a tick; all of them within two seconds
-PAGE = 100  # entries in an answer to staff
-FIELDS = ("type", "name", "bucket", "conflicts", "after", "digests", "entries")  # of a query
-SLICE_S = 2.0  # of the bytes a second that exchanges have, for a slice: it must be over within their time
-
+TICK_MS = 50.0
+EXPIRY_BUCKETS_PER_TICK = 8  # all of them within two seconds
+# Of the bytes a second that exchanges have, for a chunk: it must be complete within their time limit.
+CHUNK_TIME_S = 2.0
+HOLD = "hold"
+LIMIT_TYPES = ("quota", "stop")
 
-class Call(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """A write, as staff call for it."""
 
-    type: str
-    name: str
-    by: str
-    why: str
-    body: dict[str, Any] = {}
-    lasts_ms: float | None = None
-    delete: bool = False
+class ReplicationDriver:
+    """One process's replica, connected to its peers, its endpoint list and its operators.
 
+    Times are float milliseconds of the clock.
 
-class ReplicationDriver:
-    """One process's part. Times are float milliseconds of `clock`."""
+    Attributes:
+        config: The table `[state]`.
+        replica: This process's.
+        gossip: Its topic.
+        on_limit_change: Called with type, name and body of a quota or a stop that changed; without a body
+            where it applies no more.
+    """
 
     def __init__(
         self,
         config: StateConfig,
-        peers: MembershipDriver,
+        membership: MembershipDriver,
         clock: Clock,
         log: EventLog,
         counters: Counters,
         entropy: Callable[[int], bytes],
-        hold: Callable[[frozenset[str]], None],
+        take_out: Callable[[frozenset[str]], None],
     ) -> None:
-        """`hold` is told which servers are held out, at each change."""
+        """`take_out` is called with the servers that operators hold out of service, at each change."""
         self.config = config
-        self._peers, self._clock, self._log, self._counters = peers, clock, log, counters
-        now = clock.now()
-        limits = Limits(config.entries, config.entry_bytes, config.remember_s * 1000.0, config.wait_ms)
-        me = peers.name, peers.life
-        self.copy = Replica(me, limits, now, time.time() * 1000 - now, log.event)
-        names = tuple(name for name, _ in peers.config.known if name != peers.name)
-        self.spread = RumorSpreader(self.copy, names, config.bytes_per_s, Random(entropy(16)))
-        self.spread.changed = self._changed
-        self.obeyed: Callable[[str, str, Body | None], None] = lambda type, name, body: None
-        self._hold = hold
-        self._held: frozenset[str] = frozenset()
-        self._holds: set[str] = set()  # names of hold entries that may count
-        self._slice = min(SLICE, int(peers.config.bytes_per_s / 2 * SLICE_S))
+        self.on_limit_change: Callable[[str, str, Body | None], None] = lambda type_name, name, body: None
+        self._membership = membership
+        self._clock = clock
+        self._log = log
+        self._counters = counters
+        self._take_out = take_out
+        self._taken_out: frozenset[str] = frozenset()
+        self._hold_names: set[str] = set()  # of entries of type hold that may be active
+        self._chunk_bytes = min(CHUNK_BYTES, int(membership.config.bytes_per_s / 2 * CHUNK_TIME_S))
         self._timer: Timer | None = None
-        self._asking: asyncio.Task[None] | None = None
-        self._asked: Writer | None = None  # whom, while that goes on
-        peers.presence.register(self.spread)
-        peers.answer(self.spread.name, self._answer)
+        self._comparison_task: asyncio.Task[None] | None = None
+        self._source: Writer | None = None  # of the comparison under way
+        now = clock.now()
+        self.replica = Replica(
+            (membership.name, membership.life),
+            _limits(config),
+            now,
+            time.time() * 1000 - now,
+            log.event,
+        )
+        peers = tuple(name for name, _ in membership.config.known if name != membership.name)
+        self.gossip = RumorSpreader(self.replica, peers, config.bytes_per_s, Random(entropy(16)))
+        self.gossip.on_change = self._entry_changed
+        self._admin_api = StateAdminApi(
+            self.replica, self.gossip, membership, clock, counters, self._activity
+        )
+        membership.presence.register(self.gossip)
+        membership.answer(self.gossip.name, self._respond)
 
     def start(self) -> None:
-        self._log.event("state", entries=self.config.entries, remember_s=self.config.remember_s)
+        """Begin with the timer."""
+        self._log.event("state_started", entries=self.config.entries, remember_s=self.config.remember_s)
         self._tick()
 
     async def close(self) -> None:
+        """End the timer and the comparison under way."""
         if self._timer is not None:
             self._timer.cancel()
-        if self._asking is not None:
-            self._asking.cancel()
-            await asyncio.gather(self._asking, return_exceptions=True)
+        if self._comparison_task is not None:
+            self._comparison_task.cancel()
+            await asyncio.gather(self._comparison_task, return_exceptions=True)
 
     def routes(self) -> Routes:
-        """What staff call for."""
-        return {
-            b"/admin/state": {b"GET": Taking(self.said), b"POST": Taking(self.write)},
-            b"/admin/state/had": {b"GET": Taking(self.had)},
-        }
-
-    def caught_up(self) -> bool:
-        """Whether this node may call for clients: `mn` is told no before."""
-        return self.copy.standing is Standing.CAUGHT
+        """The admin API's routes of the state."""
+        return self._admin_api.routes()
+
+    def is_synchronized(self) -> bool:
+        """Whether this node may send requests for clients: `mn` is not answered before."""
+        return self.replica.sync_state is SyncState.SYNCHRONIZED
+
+    def publish_counters(self) -> None:
+        """Bring the node's counters up to those of the replica and its gossip."""
+        for name, count in (self.replica.counts + self.gossip.counts).items():
+            counter = f"state_{name}"
+            self._counters.add(counter, count - self._counters[counter])
+
+    def _activity(self) -> ReplicationActivity:
+        return ReplicationActivity(
+            source=None if self._source is None else self._source[0], taken_out=self._taken_out
+        )
 
     def _tick(self) -> None:
         now = self._clock.now()
-        self._timer = self._clock.call_at(now + TICK, self._tick)
+        self._timer = self._clock.call_at(now + TICK_MS, self._tick)
         try:
-            self.copy.offset = time.time() * 1000 - now
-            self.copy.look(now, LOOKS)
-            self._lay_holds(now)
-            fresh = self._fresh()
-            for name, life in self.spread.waiting(now, fresh):
-                if (one := self._peers.presence.table.find(name, life)) is not None:
-                    self._peers.tell(one)
-            if self._asking is None or self._asking.done():
-                source = self.spread.source(now, fresh)
-                if source is not None:
-                    self._asking = asyncio.ensure_future(self._ask(source))
+            self.replica.time_of_day_offset = time.time() * 1000 - now
+            self.replica.expire(now, EXPIRY_BUCKETS_PER_TICK)
+            self._apply_holds(now)
+            reachable = self._reachable()
+            self._send_urgent(now, reachable)
+            self._compare_if_due(now, reachable)
         except Exception as error:  # the node must serve on whatever breaks here
             self._counters.add("state_errors")
-            self._log.error("state_broke", error)
+            self._log.error("state_tick_failed", error)
 
-    def _fresh(self) -> list[Writer]:
-        names = self._peers.config.known
-        known = {name for name, _ in names}
+    def _reachable(self) -> list[Writer]:
+        configured = {name for name, _ in self._membership.config.known}
         return [
-            (one.name, one.life)
-            for one in self._peers.presence.table
-            if one.fresh and one.name in known and one.name != self._peers.name
+            (member.name, member.life)
+            for member in self._membership.presence.table
+            if member.fresh and member.name in configured and member.name != self._membership.name
         ]
 
-    # What changes
+    def _send_urgent(self, now: float, reachable: list[Writer]) -> None:
+        for name, incarnation in self.gossip.urgent_targets(now, reachable):
+            member = self._membership.presence.table.find(name, incarnation)
+            if member is not None:
+                self._membership.tell(member)
+
+    def _compare_if_due(self, now: float, reachable: list[Writer]) -> None:
+        if self._comparison_task is not None and not self._comparison_task.done():
+            return
+        source = self.gossip.comparisons.choose_source(now, reachable)
+        if source is not None:
+            self._comparison_task = asyncio.ensure_future(self._compare(source))
+
+    # Changes of entries
 
-    def _changed(self, key: Key, entry: Entry) -> None:
+    def _entry_changed(self, key: Key, entry: Entry) -> None:
+        type_name, name = key
         now = self._clock.now()
-        order = ordered(key[0], entry, now)
-        if not order:
+        versions = by_precedence(type_name, entry, now)
+        if not versions:
             return
-        if key[0] == "hold":
-            self._holds.add(key[1])
-        first = order[0]
-        body = _shown(first.body)
+        if type_name == HOLD:
+            self._hold_names.add(name)
+        first = versions[0]
+        body = decode_for_display(first.body)
         self._log.event(
             "state_changed",
-            type=key[0],
-            name=key[1],
-            by=first.by,
-            why=first.why,
+            type=type_name,
+            name=name,
+            by=first.author,
+            why=first.reason,
             writer=first.dot[0][0],
             deleted=first.deleted,
             body=body,
-            conflict=len(order) > 1,
+            conflict=len(versions) > 1,
         )
-        if key[0] in ("quota", "stop"):
-            self.obeyed(key[0], key[1], body if counts(first, now) else None)
+        if type_name in LIMIT_TYPES:
+            self.on_limit_change(type_name, name, body if is_active(first, now) else None)
 
-    def _lay_holds(self, now: float) -> None:
-        held = set()
-        for name in list(self._holds):
-            version = self.copy.holding(("hold", name), now)
+    def _apply_holds(self, now: float) -> None:
+        taken_out = set()
+        for name in list(self._hold_names):
+            version = self.replica.active_version((HOLD, name), now)
             if version is None:
-                self._holds.discard(name)
-            elif (_shown(version.body) or {}).get("held") is True:
-                held.add(name)
-        if held != self._held:
-            self._held = frozenset(held)
-            self._log.event("holds", servers=sorted(held))
-            self._hold(self._held)
+                self._hold_names.discard(name)
+                continue
+            body = decode_for_display(version.body) or {}
+            if body.get("held") is True:
+                taken_out.add(name)
+        if taken_out != self._taken_out:
+            self._taken_out = frozenset(taken_out)
+            self._log.event("operator_holds", servers=sorted(taken_out))
+            self._take_out(self._taken_out)
 
     # Comparisons
 
-    def _answer(self, about: bytes) -> Iterable[bytes]:
-        ask = asked_of(about)
-        if ask is None:
+    def _respond(self, about: bytes) -> Iterable[bytes]:
+        request = decode_request(about)
+        if request is None:
             return ()
         try:
-            got = self.copy.answer(ask, self._slice)
-        except Refused as refused:
-            self._log.event("state_not_comparable", reason=str(refused))
+            chunk = self.replica.make_chunk(request, self._chunk_bytes)
+        except IncompatibleDigestsError as error:
+            self._log.event("state_incompatible", reason=str(error))
             return ()
-        return pieces(self.copy.me, got, self._clock.now())
+        return encode_chunk(self.replica.writer, chunk, self._clock.now())
 
-    async def _ask(self, source: Writer) -> None:
-        """Until that one has told all that differs. What was taken stays, whatever happens."""
-        copy, clock = self.copy, self._clock
-        before = copy.root()
-        self._asked = source
+    async def _compare(self, source: Writer) -> None:
+        """Until the source has sent all that differs; what was accepted stays, whatever happens."""
+        replica = self.replica
+        root_before = replica.root()
+        self._source = source
         try:
-            while True:
-                asked_at, ask = clock.now(), copy.ask(source)
-                parts = await self._peers.exchange(source[0], self.spread.name, asked(ask))
-                got = slice_of(parts, asked_at)
-                if got is None:
-                    raise Dropped("malformed")
-                if got[0] != source:
-                    raise ConnectionResetError("another process answers there")
-                self._counters.add("state_slices")
-                self._counters.add("state_slice_bytes", sum(map(len, parts)))
-                for _, entry in got[1].entries:
-                    self.spread.owe(entry)
-                if copy.take(clock.now(), source, got[1]):
-                    break
-                await sleep(clock, TICK)
+            while not await self._fetch_chunk(source):
+                await sleep(self._clock, TICK_MS)
             self._counters.add("state_comparisons")
-        except (OSError, DeadlineExceededError, Dropped, PeerRefused) as error:
-            self._counters.add("state_comparisons_broken")
-            self._log.event("state_broke_off", source=source[0], error=repr(error))
+        except (OSError, DeadlineExceededError, ExchangeDroppedError, ExchangeRejectedError) as error:
+            self._counters.add("state_comparisons_failed")
+            self._log.event("state_comparison_failed", source=source[0], error=repr(error))
         finally:
-            self._asked = None
-            copy.broke_off(source)
-            self.spread.compared(clock.now(), source, copy.root() != before)
-
-    # For staff
-
-    def said(self, query: bytes, body: bytes) -> tuple[int, dict[str, Any]]:
-        """GET /admin/state: of the copy as a whole. With `type=T[&name=N]`, `bucket=I` or `conflicts=1` also
-        entries, PAGE at a time; `after` goes on from the `next` of the page before."""
-        asked_for = dict(parse_qsl(query.decode("utf-8", "replace")))
-        if unknown := sorted(set(asked_for) - set(FIELDS)):
-            return 400, {"error": f"unknown {unknown[0]}; allowed: {', '.join(FIELDS)}"}
-        now, copy = self._clock.now(), self.copy
-        said: dict[str, Any] = {
-            "name": self._peers.name,
-            "life": f"{self._peers.life:x}",
-            "standing": copy.standing.name.lower(),
-            "root": f"{copy.root():016x}",
-            "asking": None if self._asked is None else self._asked[0],
-            "entries": len(copy.entries),
-            "of": self.config.entries,
-            "conflicts": sum(1 for _ in copy.conflicts()),
-            "held": sorted(self._held),
-            "heard": self._peers.heard.heard,
-            "counts": {**copy.counts, **self.spread.counts},
-        }
-        if "digests" in asked_for:
-            said["digests"] = [f"{one:016x}" for one in copy.digests]
-        if {"type", "bucket", "conflicts", "entries"} & set(asked_for):
-            try:
-                keys = self._keys(asked_for)
-                at = int(asked_for.get("after", "0"))
-            except (ValueError, IndexError):
-                return 400, {"error": f"bucket and after are numbers; a bucket is under {len(copy.digests)}"}
-            page = keys[at : at + PAGE]
-            said["page"] = [self._said(key, now) for key in page]
-            said["next"] = at + PAGE if at + PAGE < len(keys) else None
-        return 200, said
-
-    def _keys(self, asked_for: dict[str, str]) -> list[Key]:
-        copy = self.copy
-        if "bucket" in asked_for:
-            return copy.bucket(int(asked_for["bucket"]))
-        if "type" in asked_for and "name" in asked_for:
-            key = asked_for["type"], asked_for["name"]
-            return [key] if key in copy.entries else []
-        keys = copy.conflicts() if "conflicts" in asked_for else copy.entries
-        return sorted(key for key in keys if asked_for.get("type") in (None, key[0]))
-
-    def _said(self, key: Key, now: float) -> dict[str, Any]:
-        entry = self.copy.entries[key]
-        order = ordered(key[0], entry, now)
-        holds = bool(order) and counts(order[0], now)
-        return {
-            "type": key[0],
-            "name": key[1],
-            "holds": holds,
-            "known": key[0] in TABLE,
-            "versions": [self._version(one, now) for one in order],
-        }
-
-    def _version(self, one: Version, now: float) -> dict[str, Any]:
-        (name, life), count = one.dot
-        return {
-            "dot": f"{name}/{life:x}/{count}",
-            "body": _shown(one.body),
-            "by": one.by,
-            "why": one.why,
-            "age_ms": max(0, round(now - one.at)),
-            "ends_in_ms": None if one.lasts == math.inf else round(one.ends() - now),
-            "deleted": one.deleted,
-        }
-
-    def write(self, query: bytes, body: bytes) -> tuple[int, dict[str, Any]]:
-        """POST /admin/state, a `Call` in JSON. Written here at once; nothing waits for others."""
-        try:
-            call = msgspec.json.decode(body, type=Call)
-            if not call.by or not call.why:
-                raise Refused("by and why must say who and for what reason")
-            if not 0 < len(call.name) <= 200:
-                raise Refused("name has 1 to 200 characters")
-            data = checked(call.type, call.body)
-            key = call.type, call.name
-            if call.delete and key not in self.copy.entries:
-                raise Refused(f"there is no {call.type} {call.name} here")
-            lasts = math.inf if call.lasts_ms is None else call.lasts_ms
-            version = self.copy.write(self._clock.now(), key, data, call.by, call.why, lasts, call.delete)
-        except msgspec.MsgspecError as error:
-            return 400, {"error": str(error)}
-        except (UnicodeDecodeError, RecursionError):
-            return 400, {"error": "the body is not JSON"}
-        except Refused as refused:
-            self._counters.add("state_refused")
-            return 409, {"error": str(refused)}
-        self.spread.wrote(version.dot)
-        self._counters.add("state_writes")
-        return 200, {"name": self._peers.name, "write": version.dot[1], "life": f"{self._peers.life:x}"}
-
-    def had(self, query: bytes, body: bytes) -> tuple[int, dict[str, Any]]:
-        """GET /admin/state/had?write=N: how many nodes are known to have that write of this process."""
-        text = dict(parse_qsl(query.decode("utf-8", "replace"))).get("write", "")
-        dot: Dot = self.copy.me, int(text) if text.isdecimal() and len(text) < 19 else 0
-        had = self.spread.had_by(dot)
-        if had is None:
-            return 404, {"error": "no such write of this process, or too long ago"}
-        return 200, {"had": had, "life": f"{self._peers.life:x}"}
-
-    def tell_counters(self) -> None:
-        """The copy's counts into the node's counters."""
-        for name, count in (self.copy.counts + self.spread.counts).items():
-            full = f"state_{name}"
-            self._counters.add(full, count - self._counters[full])
-
-
-def _shown(body: bytes) -> Body | None:
-    try:
-        return decode(body)
-    except (msgspec.MsgspecError, UnicodeDecodeError, RecursionError):
-        return None
+            self._source = None
+            replica.abandon_comparison(source)
+            was_productive = replica.root() != root_before
+            self.gossip.comparisons.finish(self._clock.now(), source, was_productive)
+
+    async def _fetch_chunk(self, source: Writer) -> bool:
+        """Request a chunk and apply it; whether it was the last one."""
+        requested_at = self._clock.now()
+        request = self.replica.next_request(source)
+        frames = await self._membership.exchange(source[0], self.gossip.name, encode_request(request))
+        received = _checked_chunk(frames, requested_at, source)
+        self._counters.add("state_chunks")
+        self._counters.add("state_chunk_bytes", sum(map(len, frames)))
+        for _, entry in received.chunk.entries:
+            self.gossip.acknowledgements.owe(entry)
+        return self.replica.apply_chunk(self._clock.now(), source, received.chunk)
+
+
+def _limits(config: StateConfig) -> ReplicaLimits:
+    return ReplicaLimits(
+        max_entries=config.entries,
+        max_entry_bytes=config.entry_bytes,
+        tombstone_ms=config.remember_s * 1000.0,
+        sync_wait_ms=config.wait_ms,
+    )
+
+
+def _checked_chunk(frames: list[bytes], requested_at: float, source: Writer) -> ReceivedChunk:
+    received = decode_chunk(frames, requested_at)
+    if received is None:
+        raise ExchangeDroppedError("malformed")
+    if received.source != source:
+        raise ConnectionResetError("another process answers there")
+    return received
--- a/flintridge/replication/entry.py
+++ b/flintridge/replication/entry.py
@@ -1,107 +1,162 @@
-"""One key: the versions that nobody who had seen them has replaced, and all that was ever seen of it.
+"""One key of the replicated map: its concurrent versions, and a version vector of all writes it ever saw.
 
-`merge` is commutative, associative and idempotent. What decides is who had seen whom, never the order in
-which words arrive nor a time of day; stamps only put versions in an order that all processes share.
+`merge` is commutative, associative and idempotent. What decides is which writer had seen which write, never
+the order in which messages arrive nor a time of day; stamps only put versions in an order that all processes
+share.
 """
 
 import math
 from typing import NamedTuple
 
-from flintridge.replication.value_types import rank
+from flintridge.replication.value_types import precedence
 
-Writer = tuple[str, int]  # a process: its node's name, and its life, so that no dot is ever used twice
-Dot = tuple[Writer, int]
-Key = tuple[str, str]  # type and name
+# Plain tuples: digests hash their `repr`, and those are compared between nodes of different releases.
+Writer = tuple[str, int]  # a process: its node's name and its incarnation, so that no dot is ever used twice
+Dot = tuple[Writer, int]  # one write: its writer, and its number among that writer's writes
+Key = tuple[str, str]  # the entry's type and name
 
 
 class Version(NamedTuple):
-    """One write. `at`: when it was written, by the holder's own clock; it travels as an age."""
+    """One write of a key.
+
+    Attributes:
+        dot: Identifies the write.
+        written_at: When it was written, in milliseconds of the local clock; it travels as an age.
+        stamp: Of a hybrid logical clock.
+        body: The value, encoded; see `value_types`.
+        author: Who wrote it.
+        reason: What for, in the author's words.
+        lifetime_ms: For how long it is active, from `written_at` on.
+        deleted: Whether it is a tombstone.
+    """
 
     dot: Dot
-    at: float
-    stamp: int  # of a hybrid logical clock
+    written_at: float
+    stamp: int
     body: bytes
-    by: str
-    why: str
-    lasts: float = math.inf  # ms from `at` on
+    author: str
+    reason: str
+    lifetime_ms: float = math.inf
     deleted: bool = False
 
-    def ends(self) -> float:
-        return self.at + self.lasts
+    def expires_at(self) -> float:
+        """When its lifetime is over, in milliseconds; infinite where it never is."""
+        return self.written_at + self.lifetime_ms
 
-    def over_at(self) -> float:
-        """Since when it counts no more; infinite where it does for ever."""
-        return self.at if self.deleted else self.ends()
+    def inactive_since(self) -> float:
+        """Since when it is a tombstone or expired, in milliseconds; infinite where it never will be."""
+        return self.written_at if self.deleted else self.expires_at()
 
 
-class Seen(NamedTuple):
-    """All dots of that writer up to `upto` were seen, the last at `at`."""
+class VectorComponent(NamedTuple):
+    """A component of a version vector: all of that writer's writes up to a number were seen.
+
+    Attributes:
+        writer: The process.
+        up_to: The number of the last write seen.
+        written_at: When that one was written or last replaced, in milliseconds of the local clock.
+    """
 
     writer: Writer
-    upto: int
-    at: float
+    up_to: int
+    written_at: float
 
 
 class Entry(NamedTuple):
-    """Both in the order of their writers. Without versions it remembers what was there."""
+    """What a replica holds of a key; without versions it only remembers what was there.
+
+    Attributes:
+        versions: Those that nobody who had seen them has replaced, in the order of their dots.
+        version_vector: In the order of the writers.
+    """
 
     versions: tuple[Version, ...] = ()
-    seen: tuple[Seen, ...] = ()
+    version_vector: tuple[VectorComponent, ...] = ()
 
     @property
-    def lasting(self) -> bool:
-        """One version for ever, and nothing else to forget."""
-        if len(self.versions) != 1 or len(self.seen) != 1:
+    def is_permanent(self) -> bool:
+        """Whether it is one version without an end, and time changes nothing about it."""
+        if len(self.versions) != 1 or len(self.version_vector) != 1:
             return False
-        return not self.versions[0].deleted and self.versions[0].lasts == math.inf
+        return not self.versions[0].deleted and self.versions[0].lifetime_ms == math.inf
 
     def has_seen(self, dot: Dot) -> bool:
-        return any(one.writer == dot[0] and one.upto >= dot[1] for one in self.seen)
+        """Whether the version vector covers that write."""
+        writer, count = dot
+        return any(
+            component.writer == writer and component.up_to >= count for component in self.version_vector
+        )
 
 
-def merge(mine: Entry, other: Entry) -> Entry:
-    """What whoever heard both knows: a version stays where each side has it or has never seen it."""
+def merge(local: Entry, remote: Entry) -> Entry:
+    """Combine two entries of a key: a version stays where each side has it or has never seen it."""
     versions: dict[Dot, Version] = {}
-    for one, against in ((mine, other), (other, mine)):
-        held = {version.dot: version for version in against.versions}
-        for version in one.versions:
-            twin = held.get(version.dot)
-            if twin is not None:
-                # The younger: ages are told too old by up to a trip, never too young.
-                versions[version.dot] = version if version.at >= twin.at else twin
-            elif not against.has_seen(version.dot):
+    for entry, opposite in ((local, remote), (remote, local)):
+        opposite_versions = {version.dot: version for version in opposite.versions}
+        for version in entry.versions:
+            same_write = opposite_versions.get(version.dot)
+            if same_write is not None:
+                # The younger: an age is received too old by up to a trip, never too young.
+                is_younger = version.written_at >= same_write.written_at
+                versions[version.dot] = version if is_younger else same_write
+            elif not opposite.has_seen(version.dot):
                 versions[version.dot] = version
-    seen: dict[Writer, Seen] = {}
-    for pair in (*mine.seen, *other.seen):
-        before = seen.get(pair.writer)
-        if before is None or pair[1:] > before[1:]:
-            seen[pair.writer] = pair
-    return Entry(tuple(versions[dot] for dot in sorted(versions)), tuple(seen[w] for w in sorted(seen)))
+    vector: dict[Writer, VectorComponent] = {}
+    for component in (*local.version_vector, *remote.version_vector):
+        known = vector.get(component.writer)
+        if known is None or component[1:] > known[1:]:
+            vector[component.writer] = component
+    return Entry(
+        tuple(versions[dot] for dot in sorted(versions)), tuple(vector[writer] for writer in sorted(vector))
+    )
 
 
-def written(entry: Entry, version: Version) -> Entry:
-    """After a write by somebody who had seen all of it."""
+def with_write(entry: Entry, version: Version) -> Entry:
+    """The entry after a write by somebody who had seen all of it."""
     writer, count = version.dot
-    replaced = {one.dot[0] for one in entry.versions}
-    seen = {one.writer: one._replace(at=version.at) if one.writer in replaced else one for one in entry.seen}
-    seen[writer] = Seen(writer, count, version.at)
-    return Entry((version,), tuple(seen[one] for one in sorted(seen)))
+    replaced_writers = {replaced.dot[0] for replaced in entry.versions}
+    vector = {
+        component.writer: component._replace(written_at=version.written_at)
+        if component.writer in replaced_writers
+        else component
+        for component in entry.version_vector
+    }
+    vector[writer] = VectorComponent(writer, count, version.written_at)
+    return Entry((version,), tuple(vector[key] for key in sorted(vector)))
+
+
+def without_versions(entry: Entry, dots: set[Dot], now: float) -> Entry:
+    """The entry without those versions: they count as seen, and as replaced from now on."""
+    writers = {dot[0] for dot in dots}
+    vector = tuple(
+        component._replace(written_at=now) if component.writer in writers else component
+        for component in entry.version_vector
+    )
+    return Entry(tuple(version for version in entry.versions if version.dot not in dots), vector)
 
 
-def counts(version: Version, now: float) -> bool:
-    return not version.deleted and now < version.ends()
+def is_active(version: Version, now: float) -> bool:
+    """Whether it is neither a tombstone nor expired at `now`, in milliseconds."""
+    return not version.deleted and now < version.expires_at()
 
 
-def ordered(kind: str, entry: Entry, now: float) -> list[Version]:
-    """The one that counts first; all processes choose the same."""
+def by_precedence(type_name: str, entry: Entry, now: float) -> list[Version]:
+    """The versions, the one that applies first; all processes choose the same."""
     return sorted(
         entry.versions,
-        key=lambda one: (counts(one, now), rank(kind, one.body, one.lasts), one.stamp, one.dot),
+        key=lambda version: (
+            is_active(version, now),
+            precedence(type_name, version.body, version.lifetime_ms),
+            version.stamp,
+            version.dot,
+        ),
         reverse=True,
     )
 
 
-def winner(kind: str, entry: Entry, now: float) -> Version | None:
-    """What holds now. None where it was deleted, is over, or never was."""
-    order = ordered(kind, entry, now)
-    return order[0] if order and counts(order[0], now) else None
+def active_version(type_name: str, entry: Entry, now: float) -> Version | None:
+    """The version that applies at `now`; None where it was deleted, has expired, or never was."""
+    versions = by_precedence(type_name, entry, now)
+    if versions and is_active(versions[0], now):
+        return versions[0]
+    return None
--- a/flintridge/replication/gossip.py
+++ b/flintridge/replication/gossip.py
@@ -1,204 +1,154 @@
-"""How what is new in one copy comes to the others: at once to a few, who pass it on; the rest by comparison.
+"""Rumor mongering: what is new in one replica goes at once to a few processes, who pass it on.
 
-A state machine without I/O over a `Copy`; a topic of the peers' datagrams. Times are float milliseconds of
-the process's own clock.
+A state machine without I/O over a `Replica`; a topic of the membership's datagrams. Times are float
+milliseconds of the process's own clock. What rumors do not reach is brought by anti-entropy.
 """
 
-import math
-from collections import Counter, deque
+from collections import Counter
 from collections.abc import Callable
 from dataclasses import dataclass, field
 from random import Random
 
-from flintridge.membership.member_table import Incarnation
-from flintridge.replication.entry import Dot, Entry, Key, Writer
-from flintridge.replication.messages import Held, Said, entry_of, flat, said, said_of
-from flintridge.replication.replica import Replica, Standing
-
-FAN = 6  # lives that each process tells of what is new to it; the comparison brings it to those that are left
-AT_ONCE = 3  # of them without waiting for the next datagram
-HOT = 2_000.0  # ms for which it is new
-MOST_HOT = 64  # keys; beyond, the comparison does it
-MISFITS = 4  # entries too long for a datagram that are looked at for each
-WAITED_FOR = 256  # newest writes of this process of which it is known who has them
-SETTLE = 1_500.0  # ms for which two copies differ before one asks: what is on its way comes meanwhile
-AGAIN = 10_000.0  # ms before one is asked again that had nothing new, as that may go on for long
-PAUSE = 1_000.0  # ms between two comparisons
-SAID_AGE = 30_000.0  # ms for which a peer's word counts
-
+import msgspec
 
-@dataclass(slots=True)
-class Hot:
-    since: float
-    told: set[Writer] = field(default_factory=set)
+from flintridge.membership.member_table import Incarnation
+from flintridge.replication.acknowledgements import Acknowledgements
+from flintridge.replication.anti_entropy import ComparisonScheduler
+from flintridge.replication.comparison import SyncState
+from flintridge.replication.entry import Entry, Key, Writer
+from flintridge.replication.messages import (
+    GossipMessage,
+    decode_gossip,
+    encode_gossip,
+    make_entry,
+    parse_entry,
+)
+from flintridge.replication.replica import Replica
+
+FANOUT = 6  # processes that each one notifies of what is new to it; anti-entropy brings it to the others
+IMMEDIATE_FANOUT = 3  # of them without waiting for the next datagram
+RUMOR_LIFETIME_MS = 2_000.0
+MAX_RUMORS = 64  # keys; beyond, anti-entropy does it
+MAX_OVERSIZED_ENTRIES = 4  # entries too long for a datagram that are tried for each
 
 
 @dataclass(slots=True)
-class Other:
-    """What a life last said of its copy."""
+class Rumor:
+    """An entry that is new here, at `since`, and the processes that it was sent to or came from."""
 
-    at: float
-    caught: bool
-    differs: float = math.inf  # since when
-    not_before: float = -math.inf  # it is asked
+    since: float
+    sent_to: set[Writer] = field(default_factory=set)
 
 
 class RumorSpreader:
-    """`told` is called with an event's name and fields for what staff should see."""
-
-    name = "state"  # of the topic
-
-    def __init__(self, copy: Replica, peers: tuple[str, ...], bytes_per_s: float, rng: Random) -> None:
-        self.copy = copy
+    """Exchanges rumors and the status of replicas in datagrams.
+
+    Attributes:
+        name: Of the topic.
+        replica: This process's.
+        bytes_per_s: What the topic may send.
+        counts: Of what happened, by name.
+        acknowledgements: Who has this process's writes, and whose writes it has.
+        comparisons: When to compare with whom.
+        on_change: Called with an entry whose versions changed.
+    """
+
+    name = "state"
+
+    def __init__(self, replica: Replica, peers: tuple[str, ...], bytes_per_s: float, rng: Random) -> None:
+        """`peers`: the names of the other nodes."""
+        self.replica = replica
         self.bytes_per_s = bytes_per_s
         self.counts: Counter[str] = Counter()
-        self.changed: Callable[[Key, Entry], None] = lambda key, entry: None
+        self.acknowledgements = Acknowledgements(peers)
+        self.comparisons = ComparisonScheduler(replica, rng)
+        self.on_change: Callable[[Key, Entry], None] = lambda key, entry: None
         self._peers = frozenset(peers)
         self._rng = rng
-        self._hot: dict[Key, Hot] = {}
-        self._others: dict[Writer, Other] = {}
-        self._owed: dict[Writer, deque[int]] = {}  # of whose writes it is still to be said that they are here
-        self._had: dict[Dot, set[str]] = {}  # of this process's newest writes: which names have them
-        self._next_at = -math.inf
+        self._rumors: dict[Key, Rumor] = {}
         self._now = 0.0
-        copy.changed = self._changed
-
-    # What is new
+        replica.on_change = self._start_rumor
 
-    def wrote(self, dot: Dot) -> None:
-        """Count who comes to have it."""
-        self._had[dot] = set()
-        while len(self._had) > WAITED_FOR:
-            del self._had[next(iter(self._had))]
+    def _start_rumor(self, key: Key, entry: Entry) -> None:
+        if len(self._rumors) < MAX_RUMORS and entry.versions:
+            self._rumors[key] = Rumor(self._now)
+        self.on_change(key, entry)
 
-    def had_by(self, dot: Dot) -> int | None:
-        """How many nodes are known to have that write of this process, itself included; None where it is too
-        long ago, or never was."""
-        had = self._had.get(dot)
-        return None if had is None else 1 + len(had)
-
-    def names_with(self, dot: Dot) -> frozenset[str]:
-        """The other nodes that are known to have that write of this process."""
-        return frozenset(self._had.get(dot, ()))
-
-    def _changed(self, key: Key, entry: Entry) -> None:
-        if len(self._hot) < MOST_HOT and entry.versions:
-            self._hot[key] = Hot(self._now)
-        self.changed(key, entry)
-
-    def waiting(self, now: float, fresh: list[Writer]) -> list[Writer]:
-        """Of the lives that are heard, those for which there are words that need not wait."""
+    def urgent_targets(self, now: float, reachable: list[Writer]) -> list[Writer]:
+        """Of the reachable processes, those for which there is something that need not wait."""
         self._now = now
-        for key in [key for key, one in self._hot.items() if now > one.since + HOT or len(one.told) >= FAN]:
-            del self._hot[key]
-        wanted = [peer for peer in fresh if peer in self._owed]
-        for key in self._hot:
-            told = self._hot[key].told
-            rest = [peer for peer in fresh if peer not in told and peer not in wanted]
-            wanted += self._rng.sample(rest, min(max(0, AT_ONCE - len(told)), len(rest)))
-        return wanted
-
-    # The topic
+        self._drop_old_rumors(now)
+        targets = [peer for peer in reachable if self.acknowledgements.is_pending(peer)]
+        for rumor in self._rumors.values():
+            candidates = [peer for peer in reachable if peer not in rumor.sent_to and peer not in targets]
+            missing = max(0, IMMEDIATE_FANOUT - len(rumor.sent_to))
+            targets += self._rng.sample(candidates, min(missing, len(candidates)))
+        return targets
+
+    def _drop_old_rumors(self, now: float) -> None:
+        old = [
+            key
+            for key, rumor in self._rumors.items()
+            if now > rumor.since + RUMOR_LIFETIME_MS or len(rumor.sent_to) >= FANOUT
+        ]
+        for key in old:
+            del self._rumors[key]
 
     def say(self, now: float, to: Incarnation, room: int) -> bytes | None:
-        """The fact for a datagram to that life."""
+        """The message for a datagram to that process, in at most `room` bytes; None where there is none."""
         peer = to.name, to.life
-        copy = self.copy
-        had = list(self._owed.get(peer, ()))[:32]
-        entries: list[Held] = []
-        told: list[Key] = []
-        caught = copy.standing is Standing.CAUGHT
-        word = said(Said(copy.root(), caught, (), tuple(had), copy.own))
-        if len(word) > room:
+        replica = self.replica
+        message = GossipMessage(
+            root=replica.root(),
+            synchronized=replica.sync_state is SyncState.SYNCHRONIZED,
+            acknowledged=self.acknowledgements.next_for(peer),
+            write_count=replica.write_count,
+        )
+        data = encode_gossip(message)
+        if len(data) > room:
             return None
-        misfits = 0
-        for key, hot in self._hot.items():
-            if misfits >= MISFITS:
+        oversized_entries = 0
+        for key, rumor in self._rumors.items():
+            if oversized_entries >= MAX_OVERSIZED_ENTRIES:
                 break
-            entry = copy.entries.get(key)
-            if entry is None or peer in hot.told or len(hot.told) >= FAN:
+            entry = replica.entries.get(key)
+            if entry is None or peer in rumor.sent_to or len(rumor.sent_to) >= FANOUT:
                 continue
-            longer = said(Said(copy.root(), caught, (*entries, flat(key, entry, now)), tuple(had), copy.own))
-            if len(longer) > room:
-                misfits += 1
+            entries = (*message.entries, make_entry(key, entry, now))
+            longer_message = msgspec.structs.replace(message, entries=entries)
+            longer_data = encode_gossip(longer_message)
+            if len(longer_data) > room:
+                oversized_entries += 1
                 continue  # a long one goes with the next datagram, or by comparison
-            entries.append(flat(key, entry, now))
-            told.append(key)
-            word = longer
-        for key in told:
-            self._hot[key].told.add(peer)
-        if had:
-            owed = self._owed[peer]
-            for _ in had:
-                owed.popleft()
-            if not owed:
-                del self._owed[peer]
-        return word
+            rumor.sent_to.add(peer)
+            message = longer_message
+            data = longer_data
+        self.acknowledgements.mark_sent(peer, len(message.acknowledged))
+        return data
 
     def hear(self, now: float, name: str, life: int, as_of: float, data: bytes) -> None:
-        """What a peer said, at `as_of` or later."""
-        word = said_of(data)
-        if word is None or name not in self._peers:
-            self.counts["words_bad"] += 1
+        """Take in a peer's message, which was sent at `as_of` or later, in milliseconds."""
+        message = decode_gossip(data)
+        if message is None or name not in self._peers:
+            self.counts["messages_malformed"] += 1
             return
         self._now = now
         peer = name, life
-        for held in word.entries:
-            key, entry = entry_of(held, as_of)
-            if self.copy.hear(now, key, entry):
-                if key in self._hot:
-                    self._hot[key].told.add(peer)
-                self.owe(entry)
-        for count in word.had:
-            if (had := self._had.get((self.copy.me, count))) is not None:
-                had.add(name)
-        other = self._others.setdefault(peer, Other(now, word.caught))
-        other.at, other.caught = now, word.caught
-        if self.copy.told_root(now, peer, word.root, word.caught, word.own):
-            other.differs = min(other.differs, now)
-        else:
-            other.differs = math.inf
-            for had in self._had.values():  # what it holds is what is here
-                had.add(name)
-
-    def owe(self, entry: Entry) -> None:
-        """Its writers are to be told that it is here."""
-        for one in entry.versions:
-            if one.dot[0][0] in self._peers:
-                owed = self._owed.setdefault(one.dot[0], deque(maxlen=256))
-                if one.dot[1] not in owed:
-                    owed.append(one.dot[1])
-        while len(self._owed) > 1024:  # lives that are never heard again
-            del self._owed[next(iter(self._owed))]
-
-    # Whom to ask
-
-    def source(self, now: float, fresh: list[Writer]) -> Writer | None:
-        """Whom to compare with now, of those that are heard; None where that need not be."""
-        if now < self._next_at:
-            return None
-        heard = set(fresh)
-        for peer in [peer for peer in self._others if peer not in heard]:
-            if now > self._others[peer].at + SAID_AGE:
-                del self._others[peer]
-        wait = SETTLE if self.copy.standing is Standing.CAUGHT else 0.0
-        due = [
-            peer
-            for peer, other in self._others.items()
-            if peer in heard and now >= other.differs + wait and now >= other.not_before
-        ]
-        if not due:
-            return None
-        first = [peer for peer in due if self._others[peer].caught]
-        if not first and self.copy.standing is Standing.CAUGHT:
-            return None  # what it holds half is what it takes from here just now; later it has caught up
-        first = first or due
-        return self._rng.choice(sorted(first))
-
-    def compared(self, now: float, peer: Writer, news: bool) -> None:
-        """A comparison with that one is over, or broke off."""
-        self._next_at = now + PAUSE * self._rng.uniform(0.5, 1.5)
-        if (other := self._others.get(peer)) is not None:
-            other.differs = math.inf
-            # Guards against asking for ever where it is the other side that lacks something, or refuses it.
-            other.not_before = now + (0.0 if news else AGAIN * self._rng.uniform(0.8, 1.2))
+        for entry_message in message.entries:
+            self._receive_rumor(now, peer, *parse_entry(entry_message, as_of))
+        for count in message.acknowledged:
+            self.acknowledgements.receive(name, (self.replica.writer, count))
+        differs = self.replica.receive_root(
+            now, peer, message.root, message.synchronized, message.write_count
+        )
+        self.comparisons.receive_status(now, peer, message.synchronized, differs)
+        if not differs:
+            self.acknowledgements.receive_all(name)
+
+    def _receive_rumor(self, now: float, peer: Writer, key: Key, entry: Entry) -> None:
+        if not self.replica.receive(now, key, entry):
+            return
+        rumor = self._rumors.get(key)
+        if rumor is not None:
+            rumor.sent_to.add(peer)
+        self.acknowledgements.owe(entry)
--- a/flintridge/replication/messages.py
+++ b/flintridge/replication/messages.py
@@ -1,185 +1,266 @@
-"""What copies say to one another, in bytes. Times travel as ages, in whole milliseconds.
+"""The messages between replicas, in bytes. Times travel as ages, in whole milliseconds.
 
-What a later version adds stands at the end of a word, where this one does not look. A type that is not known
-here goes on as it came: its body is bytes to whoever passes it on.
+What a later release adds stands at the end of a message, where this one does not look. A type of entries that
+is not known here is passed on as it came: its body is bytes to whoever passes it on.
 """
 
 import math
+from dataclasses import dataclass
 from typing import Annotated
 
 import msgspec
 from msgspec import Meta
 
-from flintridge.replication.entry import Entry, Key, Seen, Version, Writer
-from flintridge.replication.replica import Ask, Slice
+from flintridge.replication.comparison import DigestRequest, SnapshotChunk
+from flintridge.replication.entry import Entry, Key, VectorComponent, Version, Writer
 
-PIECE = 24 * 1024  # bytes of entries in a piece of an exchange, about
-MOST_VERSIONS = 1024
-MOST_SEEN = 4096
+FRAME_BYTES = 24 * 1024  # of entries in a frame of an exchange, about
+MAX_VERSIONS = 1024
+MAX_VECTOR_COMPONENTS = 4096
+NO_END = -1.0  # as a lifetime
 
 Name = Annotated[str, Meta(min_length=1, max_length=64)]
 Text = Annotated[str, Meta(max_length=4096)]
 Number = Annotated[int, Meta(ge=0, le=(1 << 63) - 1)]
-Hash = Annotated[int, Meta(ge=0, le=(1 << 63) - 1)]
-Age = Annotated[int, Meta(ge=0, lt=1 << 50)]
+Digest = Annotated[int, Meta(ge=0, le=(1 << 63) - 1)]
+AgeMs = Annotated[int, Meta(ge=0, lt=1 << 50)]
+Bucket = Annotated[int, Meta(ge=0, le=4096)]
 
 
-class Written(msgspec.Struct, array_like=True, frozen=True, gc=False):
-    """A version."""
+class VersionMessage(msgspec.Struct, array_like=True, frozen=True, gc=False):
+    """A version of an entry: its dot (`node`, `incarnation`, `count`) and what was written."""
 
-    name: Name
-    life: Number
+    node: Name
+    incarnation: Number
     count: Number
-    age: Age
+    age_ms: AgeMs
     stamp: Number
     body: Annotated[bytes, Meta(max_length=16384)]
-    by: Text
-    why: Text
-    lasts: Annotated[float, Meta(ge=-1)] = -1.0  # -1: for ever
+    author: Text
+    reason: Text
+    lifetime_ms: Annotated[float, Meta(ge=-1)] = NO_END
     deleted: bool = False
 
 
-class Held(msgspec.Struct, array_like=True, frozen=True, gc=False):
-    """An entry."""
+class EntryMessage(msgspec.Struct, array_like=True, frozen=True, gc=False):
+    """An entry; a component of its version vector is a node, its incarnation, a number and an age."""
 
-    type: Name
+    type_name: Name
     name: Text
-    versions: Annotated[tuple[Written, ...], Meta(max_length=MOST_VERSIONS)]
-    seen: Annotated[tuple[tuple[Name, Number, Number, Age], ...], Meta(max_length=MOST_SEEN)]
+    versions: Annotated[tuple[VersionMessage, ...], Meta(max_length=MAX_VERSIONS)]
+    version_vector: Annotated[
+        tuple[tuple[Name, Number, Number, AgeMs], ...], Meta(max_length=MAX_VECTOR_COMPONENTS)
+    ]
+
+
+class GossipMessage(msgspec.Struct, array_like=True, frozen=True, gc=False):
+    """What a datagram between peers carries.
 
+    Attributes:
+        root: The digest of the whole replica that sends it.
+        synchronized: Whether that replica has synchronized.
+        entries: Rumors.
+        acknowledged: Numbers of the receiver's own writes that the sender has.
+        write_count: How many writes the sender has made.
+    """
 
-class Said(msgspec.Struct, array_like=True, frozen=True, gc=False):
-    """One fact of the peers' datagrams."""
+    root: Digest
+    synchronized: bool
+    entries: Annotated[tuple[EntryMessage, ...], Meta(max_length=64)] = ()
+    acknowledged: Annotated[tuple[Number, ...], Meta(max_length=64)] = ()
+    write_count: Number = 0
 
-    root: Hash
-    caught: bool
-    entries: Annotated[tuple[Held, ...], Meta(max_length=64)] = ()
-    had: Annotated[tuple[Number, ...], Meta(max_length=64)] = ()  # numbers of the hearer's own writes
-    own: Number = 0  # how many writes the speaker has made
 
+class RequestMessage(msgspec.Struct, array_like=True, frozen=True, gc=False):
+    """A `DigestRequest`."""
 
-class Asked(msgspec.Struct, array_like=True, frozen=True, gc=False):
-    digests: Annotated[tuple[Hash, ...], Meta(max_length=4096)]
-    cursor: Annotated[int, Meta(ge=0, le=4096)]
+    digests: Annotated[tuple[Digest, ...], Meta(max_length=4096)]
+    cursor: Bucket
     number: Number
 
 
-class Head(msgspec.Struct, array_like=True, frozen=True, gc=False):
-    """The first piece of an answer; the others are tuples of entries."""
+class ChunkHeader(msgspec.Struct, array_like=True, frozen=True, gc=False):
+    """The first frame of a `SnapshotChunk`, with who sends it; the other frames are arrays of entries."""
 
-    name: Name  # who answers
-    life: Number
+    node: Name
+    incarnation: Number
     number: Number
-    first: Annotated[int, Meta(ge=0, le=4096)]
-    end: Annotated[int, Meta(ge=0, le=4096)]
-    caught: bool
-    whole: Annotated[tuple[tuple[Name, Number, Number], ...], Meta(max_length=8192)]
-    sent: Annotated[tuple[int, ...], Meta(max_length=4096)]
+    first: Bucket
+    end: Bucket
+    source_synchronized: bool
+    complete_up_to: Annotated[tuple[tuple[Name, Number, Number], ...], Meta(max_length=8192)]
+    buckets: Annotated[tuple[int, ...], Meta(max_length=4096)]
+
+
+@dataclass(slots=True, frozen=True)
+class ReceivedChunk:
+    """A chunk and the process that sent it."""
+
+    source: Writer
+    chunk: SnapshotChunk
 
 
 _encoder = msgspec.msgpack.Encoder()
-_said = msgspec.msgpack.Decoder(Said)
-_asked = msgspec.msgpack.Decoder(Asked)
-_head = msgspec.msgpack.Decoder(Head)
-_held = msgspec.msgpack.Decoder(tuple[Held, ...])
-ERRORS = (msgspec.MsgspecError, UnicodeDecodeError, RecursionError)
-
-
-def flat(key: Key, entry: Entry, now: float) -> Held:
-    return Held(
-        key[0],
-        key[1],
-        tuple(
-            Written(
-                *one.dot[0],
-                one.dot[1],
-                max(0, round(now - one.at)),
-                one.stamp,
-                one.body,
-                one.by,
-                one.why,
-                -1.0 if one.lasts == math.inf else one.lasts,
-                one.deleted,
-            )
-            for one in entry.versions
+_gossip_decoder = msgspec.msgpack.Decoder(GossipMessage)
+_request_decoder = msgspec.msgpack.Decoder(RequestMessage)
+_header_decoder = msgspec.msgpack.Decoder(ChunkHeader)
+_entries_decoder = msgspec.msgpack.Decoder(tuple[EntryMessage, ...])
+DECODE_ERRORS = (msgspec.MsgspecError, UnicodeDecodeError, RecursionError)
+
+
+def make_entry(key: Key, entry: Entry, now: float) -> EntryMessage:
+    """An entry as it travels at `now`, in milliseconds."""
+    return EntryMessage(
+        type_name=key[0],
+        name=key[1],
+        versions=tuple(_make_version(version, now) for version in entry.versions),
+        version_vector=tuple(
+            (*component.writer, component.up_to, _age_ms(component.written_at, now))
+            for component in entry.version_vector
         ),
-        tuple((*one.writer, one.upto, max(0, round(now - one.at))) for one in entry.seen),
     )
 
 
-def entry_of(held: Held, as_of: float) -> tuple[Key, Entry]:
-    """`as_of`: an instant of the own clock at which it was said, or before."""
-    versions = [
-        Version(
-            ((one.name, one.life), one.count),
-            as_of - one.age,
-            one.stamp,
-            one.body,
-            one.by,
-            one.why,
-            math.inf if one.lasts < 0 else one.lasts,
-            one.deleted,
-        )
-        for one in held.versions
+def _make_version(version: Version, now: float) -> VersionMessage:
+    (node, incarnation), count = version.dot
+    return VersionMessage(
+        node=node,
+        incarnation=incarnation,
+        count=count,
+        age_ms=_age_ms(version.written_at, now),
+        stamp=version.stamp,
+        body=version.body,
+        author=version.author,
+        reason=version.reason,
+        lifetime_ms=NO_END if version.lifetime_ms == math.inf else version.lifetime_ms,
+        deleted=version.deleted,
+    )
+
+
+def _age_ms(written_at: float, now: float) -> int:
+    return max(0, round(now - written_at))
+
+
+def parse_entry(message: EntryMessage, as_of: float) -> tuple[Key, Entry]:
+    """The key and the entry of a message.
+
+    Args:
+        message: As it came.
+        as_of: A time of the local clock at which it was sent, or before; milliseconds.
+    """
+    versions = [_parse_version(version, as_of) for version in message.versions]
+    vector = [
+        VectorComponent((node, incarnation), count, as_of - age_ms)
+        for node, incarnation, count, age_ms in message.version_vector
     ]
-    seen = [Seen((name, life), upto, as_of - age) for name, life, upto, age in held.seen]
-    return (held.type, held.name), Entry(
-        tuple(sorted(versions, key=lambda one: one.dot)), tuple(sorted(seen))
+    in_order = tuple(sorted(versions, key=lambda version: version.dot))
+    return (message.type_name, message.name), Entry(in_order, tuple(sorted(vector)))
+
+
+def _parse_version(message: VersionMessage, as_of: float) -> Version:
+    return Version(
+        dot=((message.node, message.incarnation), message.count),
+        written_at=as_of - message.age_ms,
+        stamp=message.stamp,
+        body=message.body,
+        author=message.author,
+        reason=message.reason,
+        lifetime_ms=math.inf if message.lifetime_ms < 0 else message.lifetime_ms,
+        deleted=message.deleted,
     )
 
 
-def said(word: Said) -> bytes:
-    return _encoder.encode(word)
+def encode_gossip(message: GossipMessage) -> bytes:
+    """The bytes of a message."""
+    return _encoder.encode(message)
 
 
-def said_of(data: bytes) -> Said | None:
-    """None where it is none."""
+def decode_gossip(data: bytes) -> GossipMessage | None:
+    """The message of those bytes; None where they are none."""
     try:
-        return _said.decode(data)
-    except ERRORS:
+        return _gossip_decoder.decode(data)
+    except DECODE_ERRORS:
         return None
 
 
-def asked(ask: Ask) -> bytes:
-    return _encoder.encode(Asked(ask.digests, ask.cursor, ask.number))
+def encode_request(request: DigestRequest) -> bytes:
+    """The bytes of a request."""
+    return _encoder.encode(RequestMessage(request.digests, request.cursor, request.number))
 
 
-def asked_of(data: bytes) -> Ask | None:
+def decode_request(data: bytes) -> DigestRequest | None:
+    """The request of those bytes; None where they are none."""
     try:
-        word = _asked.decode(data)
-    except ERRORS:
+        message = _request_decoder.decode(data)
+    except DECODE_ERRORS:
         return None
-    return Ask(word.digests, word.cursor, word.number)
-
-
-def pieces(me: Writer, got: Slice, now: float) -> list[bytes]:
-    """An answer."""
-    whole = tuple((*writer, count) for writer, count in got.whole)
-    made = [_encoder.encode(Head(*me, got.number, got.first, got.end, got.caught, whole, got.sent))]
-    held: list[bytes] = []
+    return DigestRequest(message.digests, message.cursor, message.number)
+
+
+def encode_chunk(source: Writer, chunk: SnapshotChunk, now: float) -> list[bytes]:
+    """The frames of a chunk.
+
+    Args:
+        source: The process that sends it.
+        chunk: The chunk.
+        now: The time, in milliseconds.
+    """
+    node, incarnation = source
+    header = ChunkHeader(
+        node=node,
+        incarnation=incarnation,
+        number=chunk.number,
+        first=chunk.first,
+        end=chunk.end,
+        source_synchronized=chunk.source_synchronized,
+        complete_up_to=tuple((*writer, count) for writer, count in chunk.complete_up_to),
+        buckets=chunk.buckets,
+    )
+    frames = [_encoder.encode(header)]
+    encoded: list[bytes] = []
     size = 0
-    for key, entry in got.entries:
-        held.append(_encoder.encode(flat(key, entry, now)))
-        size += len(held[-1])
-        if size > PIECE:
-            made.append(_joined(held))
-            held, size = [], 0
-    if held:
-        made.append(_joined(held))
-    return made
+    for key, entry in chunk.entries:
+        encoded.append(_encoder.encode(make_entry(key, entry, now)))
+        size += len(encoded[-1])
+        if size > FRAME_BYTES:
+            frames.append(_join(encoded))
+            encoded = []
+            size = 0
+    if encoded:
+        frames.append(_join(encoded))
+    return frames
+
 
+def _join(encoded: list[bytes]) -> bytes:
+    return _encoder.encode([msgspec.Raw(entry) for entry in encoded])
 
-def _joined(held: list[bytes]) -> bytes:
-    return _encoder.encode([msgspec.Raw(one) for one in held])
 
+def decode_chunk(frames: list[bytes], as_of: float) -> ReceivedChunk | None:
+    """The chunk of those frames; None where they are none.
 
-def slice_of(parts: list[bytes], as_of: float) -> tuple[Writer, Slice] | None:
-    """Who answered, and what; None where it is no answer."""
+    Args:
+        frames: As they came.
+        as_of: A time of the local clock at which it was sent, or before; milliseconds.
+    """
     try:
-        head = _head.decode(parts[0])
-        entries = [entry_of(one, as_of) for part in parts[1:] if part for one in _held.decode(part)]
-    except (*ERRORS, IndexError):
+        header = _header_decoder.decode(frames[0])
+        entries = [
+            parse_entry(message, as_of)
+            for frame in frames[1:]
+            if frame
+            for message in _entries_decoder.decode(frame)
+        ]
+    except (*DECODE_ERRORS, IndexError):
         return None
-    whole = tuple(((name, life), count) for name, life, count in head.whole)
-    got = Slice(head.number, head.first, head.end, head.caught, whole, tuple(entries), head.sent)
-    return (head.name, head.life), got
+    chunk = SnapshotChunk(
+        number=header.number,
+        first=header.first,
+        end=header.end,
+        source_synchronized=header.source_synchronized,
+        complete_up_to=tuple(
+            ((node, incarnation), count) for node, incarnation, count in header.complete_up_to
+        ),
+        entries=tuple(entries),
+        buckets=header.buckets,
+    )
+    return ReceivedChunk((header.node, header.incarnation), chunk)
--- a/flintridge/replication/replica.py
+++ b/flintridge/replication/replica.py
@@ -1,366 +1,385 @@
-"""One process's copy: writes, merging with what others hold, forgetting, and catching up.
+"""One process's replica of the entries: writes, merging, expiry of tombstones, and synchronization.
 
-Without I/O; times are float milliseconds of the process's own clock. A copy compares itself with others by
-digests of ranges of keys (buckets), and takes those that differ whole. `whole` says of each writer up to
-which of its writes this copy had all: one of those that is not here was ended, and is neither taken again nor
-kept by another copy that has it still. So nothing deleted returns, however long a process was away.
+Without I/O; times are float milliseconds of the process's own clock. A replica compares itself with others
+by digests of buckets of keys, and takes the buckets that differ whole. `complete_up_to` says of each writer
+up to which of its writes this replica received all: one of those that is not here was replaced or deleted,
+and is neither accepted again nor kept by another replica that still has it. So nothing deleted returns,
+however long a process was away.
 """
 
 import copy
-import hashlib
 import math
 from collections import Counter
 from collections.abc import Callable, Iterable
-from dataclasses import dataclass
-from enum import IntEnum
-from typing import NamedTuple, Self
+from typing import Self
+
+from flintridge.replication.comparison import (
+    Comparison,
+    DigestRequest,
+    IncompatibleDigestsError,
+    SnapshotChunk,
+    SyncState,
+)
+from flintridge.replication.entry import (
+    Dot,
+    Entry,
+    Key,
+    Version,
+    Writer,
+    active_version,
+    merge,
+    with_write,
+    without_versions,
+)
+from flintridge.replication.entry_table import EntryTable
+from flintridge.replication.limits import ReplicaLimits, check_writer_count
+from flintridge.replication.value_types import WriteRejectedError
+
+STAMP_SHIFT_BITS = 16  # bits of a stamp below its milliseconds
+CHUNK_BYTES = 16 * 1024  # of entries in a chunk, about; a bucket is never divided
+UNPRODUCTIVE_SOURCE_FACTOR = 6.0  # times `sync_wait_ms`: for a source that is reachable, but delivers nothing
 
-from flintridge.replication.entry import Dot, Entry, Key, Seen, Version, Writer, merge, winner, written
-from flintridge.replication.value_types import Refused
-
-SHIFT = 16  # bits of a stamp below its milliseconds
-SLICE = 16 * 1024  # bytes of entries in a slice, about; a bucket is never cut
-MOST_WRITERS = 4096  # lives that ever wrote
-PATIENCE = 6.0  # times `wait`, for one that has caught up and is heard, but gives nothing
-
-
-class Standing(IntEnum):
-    FRESH = 0  # nothing was taken yet
-    CATCHING = 1
-    CAUGHT = 2  # has all that some process held that had itself caught up
-
-
-@dataclass(slots=True, frozen=True)
-class Limits:
-    """Milliseconds and bytes. `entries`: keys, those of remembered deletions included."""
-
-    entries: int = 10_000
-    entry_bytes: int = 512
-    remember: float = 3_600_000.0
-    wait: float = 10_000.0
-    ahead: float = 60_000.0
-    buckets: int = 256
-
-
-class Ask(NamedTuple):
-    """For what differs, from that bucket on."""
-
-    digests: tuple[int, ...]
-    cursor: int
-    number: int  # of the pass
 
+class Replica:
+    """The state machine of one process's replica.
+
+    Attributes:
+        writer: This process.
+        limits: Its bounds.
+        time_of_day_offset: Makes a time of day in milliseconds of the clock, for stamps alone.
+        sync_state: Whether it has synchronized.
+        complete_up_to: Of each writer, up to which of its writes all were received.
+        counts: Of what happened, by name.
+        comparisons: Those under way, by their sources.
+        on_change: Called with an entry whose versions changed.
+    """
 
-class Slice(NamedTuple):
-    """All that was held in those of the buckets `first` to `end` that differ."""
+    def __init__(
+        self,
+        writer: Writer,
+        limits: ReplicaLimits,
+        now: float,
+        time_of_day_offset: float = 0.0,
+        log_event: Callable[..., None] = lambda event, **fields: None,
+    ) -> None:
+        """`log_event` is called with an event's name and fields for what operators should see."""
+        self.writer = writer
+        self.limits = limits
+        self.time_of_day_offset = time_of_day_offset
+        self.sync_state = SyncState.UNSYNCHRONIZED
+        self.complete_up_to: dict[Writer, int] = {}
+        self.counts: Counter[str] = Counter()
+        self.comparisons: dict[Writer, Comparison] = {}
+        self.on_change: Callable[[Key, Entry], None] = lambda key, entry: None
+        self._table = EntryTable(limits.bucket_count)
+        self._log_event = log_event
+        self._started_at = now
+        self._synchronized_peer_at = -math.inf  # when one that has synchronized was last heard from
+        self._last_chunk_at = -math.inf  # when one of those last sent a chunk
+        self._write_count = 0
+        self._last_stamp = 0
+        self._last_comparison_number = 0
+        self._next_expiry_bucket = 0
 
-    number: int
-    first: int
-    end: int
-    caught: bool
-    whole: tuple[tuple[Writer, int], ...]
-    entries: tuple[tuple[Key, Entry], ...]
-    sent: tuple[int, ...] = ()  # the buckets that are in it
+    @property
+    def entries(self) -> dict[Key, Entry]:
+        """All entries, those of tombstones included."""
+        return self._table.entries
 
+    @property
+    def digests(self) -> list[int]:
+        """The digest of each bucket."""
+        return self._table.digests
 
-class Pass(NamedTuple):
-    """A comparison with one source that is under way."""
+    @property
+    def write_count(self) -> int:
+        """How many writes this process has made."""
+        return self._write_count
 
-    number: int
-    cursor: int
-    caught: bool = True  # the source had caught up in all slices so far
-    refused: bool = False  # something of it was not taken
-    whole: tuple[tuple[Writer, int], ...] | None = None  # the source's, at the first slice
+    def root(self) -> int:
+        """A digest of all entries, equal for replicas that hold the same."""
+        return self._table.root()
 
+    def active_version(self, key: Key, now: float) -> Version | None:
+        """The version of a key that applies at `now`, if any."""
+        entry = self.entries.get(key)
+        return None if entry is None else active_version(key[0], entry, now)
 
-def _hash(text: str) -> int:
-    """63 bits, as a word has place for."""
-    made = hashlib.blake2b(text.encode(), digest_size=8, person=b"flintridge-copy").digest()
-    return int.from_bytes(made) >> 1
+    def sorted_bucket(self, bucket: int) -> list[Key]:
+        """The keys of a bucket.
 
+        Raises:
+            IndexError: There is no such bucket.
+        """
+        return sorted(self._table.keys_in(bucket))
 
-class Replica:
-    """`offset`: makes a time of day (ms) of the clock, for stamps alone. `told`: what staff should see."""
+    def conflicting_keys(self) -> Iterable[Key]:
+        """The keys of which there are concurrent versions."""
+        return (key for key, entry in self.entries.items() if len(entry.versions) > 1)
 
-    def __init__(
-        self,
-        me: Writer,
-        limits: Limits,
-        now: float,
-        offset: float = 0.0,
-        told: Callable[..., None] = lambda event, **fields: None,
-    ) -> None:
-        self.me, self.limits, self.offset = me, limits, offset
-        self.standing = Standing.FRESH
-        self.entries: dict[Key, Entry] = {}
-        self.digests = [0] * limits.buckets
-        self._buckets: list[dict[Key, None]] = [{} for _ in range(limits.buckets)]
-        self._root: int | None = None
-        self._next_look = 0
-        self.whole: dict[Writer, int] = {}
-        self.counts: Counter[str] = Counter()
-        self.passes: dict[Writer, Pass] = {}
-        self.changed: Callable[[Key, Entry], None] = lambda key, entry: None
-        self._told = told
-        self._begun = now
-        self._elder_at = -math.inf  # when one that has caught up was last heard
-        self._given_at = -math.inf  # when one gave something
-        self._count = 0
-        self._stamp = 0
-        self._number = 0
-
-    # Writing
+    # Writes
 
     def write(
         self,
         now: float,
         key: Key,
         body: bytes,
-        by: str,
-        why: str,
-        lasts: float = math.inf,
+        author: str,
+        reason: str,
+        lifetime_ms: float = math.inf,
         deleted: bool = False,
     ) -> Version:
-        """In this copy at once. Raises Refused, and then nothing is written."""
-        size = sum(len(text.encode()) for text in (*key, by, why)) + len(body)
-        if size > self.limits.entry_bytes:
-            raise Refused(f"{size} bytes are over entry_bytes of {self.limits.entry_bytes}")
-        if key not in self.entries and len(self.entries) >= self.limits.entries:
-            raise Refused(
-                f"{len(self.entries)} entries are held, deletions included; allowed: {self.limits.entries}"
-            )
-        if self.me not in self.whole and len(self.whole) >= MOST_WRITERS:
-            raise Refused(f"{len(self.whole)} processes have written; allowed: {MOST_WRITERS}")
-        if not lasts > 0:
-            raise Refused("it must last longer than 0 ms")
-        self._stamp = max(int(now + self.offset) << SHIFT, self._stamp + 1)
-        self._count += 1
-        self.whole[self.me] = self._count
-        version = Version((self.me, self._count), now, self._stamp, body, by, why, lasts, deleted)
-        self._put(key, written(self.entries.get(key, Entry()), version), now)
+        """Replace what this replica holds of a key, at once.
+
+        Args:
+            now: The time, in milliseconds.
+            key: The entry's type and name.
+            body: The encoded value.
+            author: Who writes.
+            reason: What for.
+            lifetime_ms: For how long it is active.
+            deleted: Whether to write a tombstone.
+
+        Raises:
+            WriteRejectedError: It is beyond a bound; nothing is written.
+        """
+        self.limits.check_write(key, body, author, reason)
+        if key not in self.entries:
+            self.limits.check_entry_count(len(self.entries))
+        if self.writer not in self.complete_up_to:
+            check_writer_count(len(self.complete_up_to))
+        if not lifetime_ms > 0:
+            raise WriteRejectedError("it must last longer than 0 ms")
+        self._last_stamp = max(int(now + self.time_of_day_offset) << STAMP_SHIFT_BITS, self._last_stamp + 1)
+        self._write_count += 1
+        self.complete_up_to[self.writer] = self._write_count
+        dot = self.writer, self._write_count
+        version = Version(dot, now, self._last_stamp, body, author, reason, lifetime_ms, deleted)
+        self._put(key, with_write(self.entries.get(key, Entry()), version))
         return version
 
-    # What others hold
+    # Merging
 
-    def hear(self, now: float, key: Key, entry: Entry) -> bool:
-        """An entry of another copy, with its times on the own clock. Whether it was taken."""
-        if any((one.stamp >> SHIFT) > one.at + self.offset + self.limits.ahead for one in entry.versions):
+    def receive(self, now: float, key: Key, entry: Entry) -> bool:
+        """Merge an entry of another replica, with its times on the local clock.
+
+        Returns:
+            Whether it was accepted.
+        """
+        if any(self._is_too_far_ahead(version) for version in entry.versions):
             # Not in part either: what its writer had seen would end what is here, and leave nothing.
-            self.counts["ahead"] += 1
-            self._told("state_ahead", type=key[0], name=key[1])
+            self.counts["clock_ahead"] += 1
+            self._log_event("state_clock_ahead", type=key[0], name=key[1])
             return False
-        mine = self.entries.get(key, Entry())
-        held = {one.dot for one in mine.versions}
-        ended = {one.dot for one in entry.versions if one.dot not in held and self._had(one.dot)}
-        if ended:
-            self.counts["ended"] += len(ended)
-            entry = Entry(tuple(one for one in entry.versions if one.dot not in ended), entry.seen)
-        for one in entry.versions:
-            self._stamp = max(self._stamp, one.stamp)
-        # Guards against memories that two copies hand one another for ever, each after it has forgotten them.
-        merged = self._merged(mine, entry)
-        self._put(key, self._remembered(merged, now - self.limits.remember), now)
+        local = self.entries.get(key, Entry())
+        local_dots = {version.dot for version in local.versions}
+        ended_dots = {
+            version.dot
+            for version in entry.versions
+            if version.dot not in local_dots and self._was_received(version.dot)
+        }
+        if ended_dots:
+            self.counts["versions_ended"] += len(ended_dots)
+            remaining = tuple(version for version in entry.versions if version.dot not in ended_dots)
+            entry = Entry(remaining, entry.version_vector)
+        for version in entry.versions:
+            self._last_stamp = max(self._last_stamp, version.stamp)
+        # Guards against tombstones that two replicas send one another for ever, each after expiring them.
+        merged = self._merged(local, entry)
+        self._put(key, self._unexpired(merged, now - self.limits.tombstone_ms))
         return True
 
-    def _had(self, dot: Dot) -> bool:
-        return self.whole.get(dot[0], 0) >= dot[1]
+    def _is_too_far_ahead(self, version: Version) -> bool:
+        latest = version.written_at + self.time_of_day_offset + self.limits.max_clock_lead_ms
+        return (version.stamp >> STAMP_SHIFT_BITS) > latest
+
+    def _was_received(self, dot: Dot) -> bool:
+        writer, count = dot
+        return self.complete_up_to.get(writer, 0) >= count
 
-    def _merged(self, mine: Entry, entry: Entry) -> Entry:
-        return merge(mine, entry)
+    def _merged(self, local: Entry, remote: Entry) -> Entry:
+        return merge(local, remote)
 
-    def _put(self, key: Key, entry: Entry, now: float) -> None:
+    def _put(self, key: Key, entry: Entry) -> None:
         before = self.entries.get(key)
         if entry == before:
             return
-        bucket = _hash("\0".join(key)) % self.limits.buckets
-        self._root = None
-        if before is not None:
-            self.digests[bucket] ^= digest(key, before)
-        if entry.versions or entry.seen:
-            self.entries[key] = entry
-            self._buckets[bucket][key] = None
-            self.digests[bucket] ^= digest(key, entry)
-        else:
-            self.entries.pop(key, None)
-            self._buckets[bucket].pop(key, None)
-        dots = [one.dot for one in entry.versions]
-        if before is None or [one.dot for one in before.versions] != dots:
-            if len(dots) > 1 and len(dots) > (len(before.versions) if before else 0):
-                self.counts["conflicts"] += 1
-            self.changed(key, entry)
-
-    # Time
-
-    def look(self, now: float, most: int | None = None) -> None:
-        """What is over for long enough is forgotten, with what was seen: in `most` buckets more, or all."""
-        size = len(self._buckets)
-        for _ in range(size if most is None else min(most, size)):
-            for key in list(self._buckets[self._next_look]):
+        self._table.put(key, entry)
+        dots = [version.dot for version in entry.versions]
+        dots_before = None if before is None else [version.dot for version in before.versions]
+        if dots == dots_before:
+            return
+        if len(dots) > 1 and len(dots) > len(dots_before or ()):
+            self.counts["conflicts"] += 1
+        self.on_change(key, entry)
+
+    # Expiry
+
+    def expire(self, now: float, max_buckets: int | None = None) -> None:
+        """Forget what has been inactive for long enough, and end a wait for a source that is over.
+
+        Args:
+            now: The time, in milliseconds.
+            max_buckets: How many buckets to go through, from where the last call ended; None for all.
+        """
+        bucket_count = self.limits.bucket_count
+        count = bucket_count if max_buckets is None else min(max_buckets, bucket_count)
+        for _ in range(count):
+            for key in self._table.keys_in(self._next_expiry_bucket):
                 entry = self.entries[key]
-                if not entry.lasting:
-                    self._put(key, self._remembered(entry, now - self.limits.remember), now)
-            self._next_look = (self._next_look + 1) % size
-        begun, given = max(self._begun, self._elder_at), max(self._begun, self._given_at)
-        # Guards the service against one that is heard, but whose exchanges never come through.
-        late = now - begun >= self.limits.wait or now - given >= PATIENCE * self.limits.wait
-        if self.standing is not Standing.CAUGHT and late:
-            self._told("state_alone", waited_ms=round(now - self._begun))
-            self.begin()
-
-    def begin(self) -> None:
-        """There is nobody to catch up with: what is here is the state."""
-        self.standing = Standing.CAUGHT
-
-    def _remembered(self, entry: Entry, until: float) -> Entry:
-        """Only what this copy had all of goes: it could not tell the rest from what is new."""
-        if all(one.over_at() < until and self._had(one.dot) for one in entry.versions):
-            entry = Entry((), entry.seen)
-        # A write that replaces a version has to say so, however old that is: its writer's pair stays.
-        needed = {one.dot[0] for one in entry.versions}
-        seen = tuple(
-            one
-            for one in entry.seen
-            if one.writer in needed or one.at >= until or not self._had((one.writer, one.upto))
+                if not entry.is_permanent:
+                    self._put(key, self._unexpired(entry, now - self.limits.tombstone_ms))
+            self._next_expiry_bucket = (self._next_expiry_bucket + 1) % bucket_count
+        if self.sync_state is not SyncState.SYNCHRONIZED and self._waited_long_enough(now):
+            self._log_event("state_synchronized_alone", waited_ms=round(now - self._started_at))
+            self.mark_synchronized()
+
+    def _waited_long_enough(self, now: float) -> bool:
+        without_peer_ms = now - max(self._started_at, self._synchronized_peer_at)
+        if without_peer_ms >= self.limits.sync_wait_ms:
+            return True
+        # Guards the service against a source that is reachable, but whose exchanges never come through.
+        without_chunk_ms = now - max(self._started_at, self._last_chunk_at)
+        return without_chunk_ms >= UNPRODUCTIVE_SOURCE_FACTOR * self.limits.sync_wait_ms
+
+    def mark_synchronized(self) -> None:
+        """There is nobody to synchronize with: what is here is the state."""
+        self.sync_state = SyncState.SYNCHRONIZED
+
+    def _unexpired(self, entry: Entry, until: float) -> Entry:
+        """The entry without what was inactive before `until`.
+
+        Only writes of which this replica received all may go: it could not tell others from new ones.
+        """
+        if all(
+            version.inactive_since() < until and self._was_received(version.dot) for version in entry.versions
+        ):
+            entry = Entry((), entry.version_vector)
+        # A write that replaces a version has to say so, however old that is: its writer's component stays.
+        required_writers = {version.dot[0] for version in entry.versions}
+        vector = tuple(
+            component
+            for component in entry.version_vector
+            if component.writer in required_writers
+            or component.written_at >= until
+            or not self._was_received((component.writer, component.up_to))
         )
-        return Entry(entry.versions, seen)
-
-    # Catching up
-
-    def root(self) -> int:
-        """The same for copies that hold the same."""
-        if self._root is None:
-            self._root = _hash(repr(self.digests))
-        return self._root
-
-    def told_root(self, now: float, source: Writer, root: int, caught: bool, own: int) -> bool:
-        """What a copy said of itself, with how many writes of its own. Whether it should be asked."""
-        if caught:
-            self._elder_at = now
-        if own and root == self.root():
+        return Entry(entry.versions, vector)
+
+    # Comparisons with other replicas
+
+    def receive_root(
+        self, now: float, peer: Writer, root: int, peer_synchronized: bool, peer_writes: int
+    ) -> bool:
+        """Take in what another replica says of itself.
+
+        Args:
+            now: The time, in milliseconds.
+            peer: Its process.
+            root: Its digest.
+            peer_synchronized: Whether it has synchronized.
+            peer_writes: How many writes that process has made.
+
+        Returns:
+            Whether to compare with it.
+        """
+        if peer_synchronized:
+            self._synchronized_peer_at = now
+        differs = root != self.root()
+        if peer_writes and not differs:
             # It holds what is held here: each of its writes until then is here, or was ended.
-            self.whole[source] = max(own, self.whole.get(source, 0))
-        return root != self.root() or (caught and self.standing is not Standing.CAUGHT)
-
-    @property
-    def own(self) -> int:
-        """How many writes this process has made."""
-        return self._count
-
-    def ask(self, source: Writer) -> Ask:
-        """The next call to that source: the pass goes on where it stands."""
-        if self.standing is Standing.FRESH:
-            self.standing = Standing.CATCHING
-        one = self.passes.get(source)
-        if one is None:
-            self._number += 1
-            one = self.passes[source] = Pass(self._number, 0)
-        return Ask(tuple(self.digests), one.cursor, one.number)
-
-    def answer(self, ask: Ask, most: int = SLICE) -> Slice:
-        """Raises Refused where the other side cuts its keys in another way."""
-        if len(ask.digests) != len(self.digests):
-            raise Refused(f"{len(ask.digests)} digests; allowed: {len(self.digests)}")
-        taken: list[tuple[Key, Entry]] = []
-        sent: list[int] = []
-        size, end = 0, ask.cursor
-        while end < len(self.digests) and (end == ask.cursor or size < most):
-            if self.digests[end] != ask.digests[end]:
-                sent.append(end)
-                for key in sorted(self._buckets[end]):
-                    taken.append((key, self.entries[key]))
-                    size += weight(*taken[-1])
-            end += 1
-        caught = self.standing is Standing.CAUGHT
-        return Slice(
-            ask.number, ask.cursor, end, caught, tuple(self.whole.items()), tuple(taken), tuple(sent)
+            self.complete_up_to[peer] = max(peer_writes, self.complete_up_to.get(peer, 0))
+        return differs or (peer_synchronized and self.sync_state is not SyncState.SYNCHRONIZED)
+
+    def next_request(self, source: Writer) -> DigestRequest:
+        """The next request to that source: its comparison goes on where it stands, or begins."""
+        if self.sync_state is SyncState.UNSYNCHRONIZED:
+            self.sync_state = SyncState.SYNCHRONIZING
+        comparison = self.comparisons.get(source)
+        if comparison is None:
+            self._last_comparison_number += 1
+            comparison = Comparison(self._last_comparison_number, 0)
+            self.comparisons[source] = comparison
+        return DigestRequest(tuple(self.digests), comparison.cursor, comparison.number)
+
+    def make_chunk(self, request: DigestRequest, max_bytes: int = CHUNK_BYTES) -> SnapshotChunk:
+        """The response to another replica's request: about `max_bytes`, and at least one bucket.
+
+        Raises:
+            IncompatibleDigestsError: The other replica divides its keys in another way.
+        """
+        if len(request.digests) != len(self.digests):
+            raise IncompatibleDigestsError(f"{len(request.digests)} digests; allowed: {len(self.digests)}")
+        difference = self._table.difference(request.digests, request.cursor, max_bytes)
+        return SnapshotChunk(
+            request.number,
+            request.cursor,
+            difference.end,
+            self.sync_state is SyncState.SYNCHRONIZED,
+            tuple(self.complete_up_to.items()),
+            difference.entries,
+            difference.buckets,
         )
 
-    def take(self, now: float, source: Writer, got: Slice) -> bool:
-        """A slice, with its entries' times on the own clock. Whether the pass is over."""
-        one = self.passes.get(source)
-        if one is None or (got.number, got.first) != (one.number, one.cursor):
-            self.counts["slices_out_of_turn"] += 1  # doubled, late, or of a pass that is given up
+    def apply_chunk(self, now: float, source: Writer, chunk: SnapshotChunk) -> bool:
+        """Merge a chunk, with its entries' times on the local clock.
+
+        Returns:
+            Whether the comparison is complete.
+        """
+        comparison = self.comparisons.get(source)
+        if comparison is None or (chunk.number, chunk.first) != (comparison.number, comparison.cursor):
+            self.counts["chunks_out_of_order"] += 1  # duplicated, late, or of an abandoned comparison
             return False
-        if got.caught:
-            self._elder_at = self._given_at = now
-        self._end(now, got)
-        taken = [self.hear(now, key, entry) for key, entry in got.entries]
-        one = Pass(
-            one.number,
-            got.end,
-            one.caught and got.caught,
-            one.refused or not all(taken),
-            got.whole if one.whole is None else one.whole,
-        )
-        self.passes[source] = one
-        if got.end < len(self.digests):
+        if chunk.source_synchronized:
+            self._synchronized_peer_at = now
+            self._last_chunk_at = now
+        self._drop_ended(now, chunk)
+        accepted = [self.receive(now, key, entry) for key, entry in chunk.entries]
+        comparison = comparison.after(chunk, rejected_entries=not all(accepted))
+        self.comparisons[source] = comparison
+        if chunk.end < len(self.digests):
             return False
-        del self.passes[source]
-        if not one.refused:
-            for writer, count in one.whole or ():
-                self.whole[writer] = max(count, self.whole.get(writer, 0))
-        if one.caught:
-            if self.standing is not Standing.CAUGHT:
-                self._told("state_caught_up", source=source[0], entries=len(self.entries))
-            self.standing = Standing.CAUGHT
+        del self.comparisons[source]
+        self._complete(source, comparison)
         return True
 
-    def broke_off(self, source: Writer) -> None:
-        """That source is not heard any more; what was taken stays, and another one is asked for the rest."""
-        self.passes.pop(source, None)
-
-    def _end(self, now: float, got: Slice) -> None:
-        """What the source had, and does not have any more, was ended there."""
-        theirs = {key: {one.dot for one in entry.versions} for key, entry in got.entries}
-        had = dict(got.whole)
-        for bucket in got.sent:
-            for key in list(self._buckets[bucket]):
-                entry, held = self.entries[key], theirs.get(key, set())
-                gone = {
-                    one.dot
-                    for one in entry.versions
-                    if one.dot not in held and had.get(one.dot[0], 0) >= one.dot[1]
+    def _complete(self, source: Writer, comparison: Comparison) -> None:
+        if not comparison.rejected_entries:
+            for writer, count in comparison.complete_up_to or ():
+                self.complete_up_to[writer] = max(count, self.complete_up_to.get(writer, 0))
+        if comparison.source_synchronized:
+            if self.sync_state is not SyncState.SYNCHRONIZED:
+                self._log_event("state_synchronized", source=source[0], entries=len(self.entries))
+            self.sync_state = SyncState.SYNCHRONIZED
+
+    def abandon_comparison(self, source: Writer) -> None:
+        """The source is gone; what was accepted stays, and another one is asked for the rest."""
+        self.comparisons.pop(source, None)
+
+    def _drop_ended(self, now: float, chunk: SnapshotChunk) -> None:
+        """Drop what the source received and does not hold any more: it was replaced or deleted there."""
+        source_dots = {key: {version.dot for version in entry.versions} for key, entry in chunk.entries}
+        source_complete = dict(chunk.complete_up_to)
+        for bucket in chunk.buckets:
+            for key in self._table.keys_in(bucket):
+                entry = self.entries[key]
+                held_by_source = source_dots.get(key, set())
+                ended_dots = {
+                    version.dot
+                    for version in entry.versions
+                    if version.dot not in held_by_source
+                    and source_complete.get(version.dot[0], 0) >= version.dot[1]
                 }
-                if gone:
-                    self.counts["ended"] += len(gone)
-                    self._put(key, _without(entry, gone, now), now)
+                if ended_dots:
+                    self.counts["versions_ended"] += len(ended_dots)
+                    self._put(key, without_versions(entry, ended_dots, now))
 
-    def twin(self) -> Self:
-        """Another one with the same content, for searches."""
+    def clone(self) -> Self:
+        """A replica of its own with the same content, for searches."""
         other = copy.copy(self)
-        other.entries, other.digests = dict(self.entries), list(self.digests)
-        other._buckets = [dict(one) for one in self._buckets]
-        other.counts, other.whole, other.passes = Counter(self.counts), dict(self.whole), dict(self.passes)
+        other._table = self._table.clone()
+        other.counts = Counter(self.counts)
+        other.complete_up_to = dict(self.complete_up_to)
+        other.comparisons = dict(self.comparisons)
         return other
-
-    # For staff
-
-    def holding(self, key: Key, now: float) -> Version | None:
-        entry = self.entries.get(key)
-        return None if entry is None else winner(key[0], entry, now)
-
-    def bucket(self, i: int) -> list[Key]:
-        """The keys of a range. Raises IndexError."""
-        return sorted(self._buckets[i])
-
-    def conflicts(self) -> Iterable[Key]:
-        return (key for key, entry in self.entries.items() if len(entry.versions) > 1)
-
-
-def _without(entry: Entry, dots: set[Dot], now: float) -> Entry:
-    """They are seen, and gone, from now on."""
-    writers = {dot[0] for dot in dots}
-    seen = tuple(Seen(one.writer, one.upto, now if one.writer in writers else one.at) for one in entry.seen)
-    return Entry(tuple(one for one in entry.versions if one.dot not in dots), seen)
-
-
-def digest(key: Key, entry: Entry) -> int:
-    """By dots alone, as times differ from one copy to another."""
-    if entry.versions:
-        return _hash(f"{key!r}{[one.dot for one in entry.versions]!r}")
-    return _hash(f"{key!r} was {[one[:2] for one in entry.seen]!r}")
-
-
-def weight(key: Key, entry: Entry) -> int:
-    """Bytes of it, about."""
-    texts = sum(len(one.body) + len(one.by) + len(one.why) + 48 for one in entry.versions)
-    return texts + 32 * len(entry.seen) + len(key[0]) + len(key[1])
--- a/flintridge/replication/value_types.py
+++ b/flintridge/replication/value_types.py
@@ -1,6 +1,6 @@
-"""What may be held, and which of two versions counts where neither writer had seen the other.
+"""The types of replicated entries: their fields, and which of two concurrent versions takes precedence.
 
-`TABLE` is the rule, and the tests hold the table of docs/design/replication.md against it.
+`VALUE_TYPES` is the rule, and the tests compare the table of docs/design/replication.md with it.
 """
 
 import math
@@ -10,115 +10,166 @@
 
 import msgspec
 
+from flintridge.errors import FlintridgeError
+
 Body = dict[str, Any]
-Rank = Callable[[Body, float], tuple[float, ...]]
+Precedence = tuple[float, ...]
+MAX_RETURN_MS = 86_400_000  # a day
+MAX_QUOTA_FACTOR = 10
 
 
-class Refused(ValueError):
-    """A write that is not taken. The text says why and what is allowed, in one line."""
+class WriteRejectedError(FlintridgeError, ValueError):
+    """A write that is not accepted. The text says why and what is allowed, in one line."""
 
 
 @dataclass(slots=True, frozen=True)
-class Kind:
-    """A type of entries. `check` says what is wrong with a body, or nothing; of two concurrent versions that
-    with the higher `rank` (of its body, and how long it lasts in milliseconds) counts, then the newer one."""
+class ValueType:
+    """A type of entries.
+
+    Attributes:
+        name: As it stands in keys.
+        fields: The fields of a body, for the documentation.
+        rule: Which of two concurrent versions takes precedence, for the documentation.
+        before_synchronized: What applies on a node that has not synchronized yet, for the documentation.
+        validate: Says what is wrong with a body; empty where nothing is.
+        precedence: Of two concurrent versions the one with the higher result applies, then the newer one.
+            Called with the body and the version's lifetime in milliseconds.
+    """
 
     name: str
     fields: str
     rule: str
-    before: str
-    check: Callable[[Body], str]
-    rank: Rank
-    all_shown: bool = False
+    before_synchronized: str
+    validate: Callable[[Body], str]
+    precedence: Callable[[Body, float], Precedence]
 
 
-def _number(body: Body, name: str, least: float, most: float) -> str:
+def _check_number(body: Body, name: str, minimum: float, maximum: float) -> str:
     value = body.get(name)
     # bool is an int in Python: `true` for a factor would be taken for 1.
-    good = isinstance(value, int | float) and not isinstance(value, bool) and least <= value <= most
-    return "" if good else f"{name} is a number from {least:g} to {most:g}"
+    if isinstance(value, int | float) and not isinstance(value, bool) and minimum <= value <= maximum:
+        return ""
+    return f"{name} is a number from {minimum:g} to {maximum:g}"
 
 
-def _flag(body: Body, name: str) -> str:
+def _check_flag(body: Body, name: str) -> str:
     return "" if isinstance(body.get(name), bool) else f"{name} is true or false"
 
 
-def _only(body: Body, *names: str) -> str:
-    extra = sorted(set(body) - set(names))
-    return f"unknown field {extra[0]}; allowed: {', '.join(names)}" if extra else ""
+def _check_names(body: Body, *names: str) -> str:
+    unknown = sorted(set(body) - set(names))
+    return f"unknown field {unknown[0]}; allowed: {', '.join(names)}" if unknown else ""
+
+
+def _validate_hold(body: Body) -> str:
+    return _check_names(body, "held") or _check_flag(body, "held")
+
+
+def _hold_precedence(body: Body, _lifetime_ms: float) -> Precedence:
+    return (float(body.get("held") is True),)
+
+
+def _validate_quota(body: Body) -> str:
+    return _check_names(body, "factor") or _check_number(body, "factor", 0, MAX_QUOTA_FACTOR)
+
 
+def _quota_precedence(body: Body, _lifetime_ms: float) -> Precedence:
+    return (-float(body.get("factor", 1)),)
 
-def _text(body: Body) -> str:
+
+def _validate_stop(body: Body) -> str:
+    fault = _check_names(body, "stopped", "return_ms") or _check_flag(body, "stopped")
+    if fault or "return_ms" not in body:
+        return fault
+    return _check_number(body, "return_ms", 0, MAX_RETURN_MS)
+
+
+def _stop_precedence(body: Body, lifetime_ms: float) -> Precedence:
+    return (float(body.get("stopped") is True), lifetime_ms, float(body.get("return_ms", 0)))
+
+
+def _validate_note(body: Body) -> str:
     text = body.get("text")
-    return "" if isinstance(text, str) and text else "text is a text that is not empty"
+    is_text = isinstance(text, str) and bool(text)
+    return _check_names(body, "text") or ("" if is_text else "text is a text that is not empty")
 
 
-def _stop(body: Body) -> str:
-    if wrong := _only(body, "stopped", "return_ms") or _flag(body, "stopped"):
-        return wrong
-    return _number(body, "return_ms", 0, 86_400_000) if "return_ms" in body else ""
+def _note_precedence(_body: Body, _lifetime_ms: float) -> Precedence:
+    return ()
 
 
-TABLE = {
-    one.name: one
-    for one in (
-        Kind(
-            "hold",
-            "held",
-            "held wins over released",
-            "holds that are known count at once",
-            lambda body: _only(body, "held") or _flag(body, "held"),
-            lambda body, lasts: (float(body.get("held") is True),),
+VALUE_TYPES = {
+    value_type.name: value_type
+    for value_type in (
+        ValueType(
+            name="hold",
+            fields="held",
+            rule="held wins over released",
+            before_synchronized="holds that are known count at once",
+            validate=_validate_hold,
+            precedence=_hold_precedence,
         ),
-        Kind(
-            "quota",
-            "factor",
-            "the stricter (lower) factor wins",
-            "the configured quota",
-            lambda body: _only(body, "factor") or _number(body, "factor", 0, 10),
-            lambda body, lasts: (-float(body.get("factor", 1)),),
+        ValueType(
+            name="quota",
+            fields="factor",
+            rule="the stricter (lower) factor wins",
+            before_synchronized="the configured quota",
+            validate=_validate_quota,
+            precedence=_quota_precedence,
         ),
-        Kind(
-            "stop",
-            "stopped, return_ms",
-            "stopped wins over served, then the longer",
-            "stops that are known count at once",
-            _stop,
-            lambda body, lasts: (float(body.get("stopped") is True), lasts, float(body.get("return_ms", 0))),
+        ValueType(
+            name="stop",
+            fields="stopped, return_ms",
+            rule="stopped wins over served, then the longer",
+            before_synchronized="stops that are known count at once",
+            validate=_validate_stop,
+            precedence=_stop_precedence,
         ),
-        Kind(
-            "note",
-            "text",
-            "all are kept and shown, the newest first",
-            "shown as known",
-            lambda body: _only(body, "text") or _text(body),
-            lambda body, lasts: (),
-            all_shown=True,
+        ValueType(
+            name="note",
+            fields="text",
+            rule="all are kept and shown, the newest first",
+            before_synchronized="shown as known",
+            validate=_validate_note,
+            precedence=_note_precedence,
         ),
     )
 }
 
 
-def rank(kind: str, body: bytes, lasts: float) -> tuple[float, ...]:
-    """Of a version. Of a type that is not known here it is always the same: the newest counts."""
-    known = TABLE.get(kind)
-    if known is None:
+def precedence(type_name: str, body: bytes, lifetime_ms: float) -> Precedence:
+    """Of a version among concurrent ones; the higher applies.
+
+    Of a type that this release does not know it is always the same: the newest applies.
+    """
+    value_type = VALUE_TYPES.get(type_name)
+    if value_type is None:
         return ()
     try:
-        return known.rank(decode(body), lasts)
+        return value_type.precedence(decode_body(body), lifetime_ms)
     except (msgspec.MsgspecError, TypeError, ValueError, AttributeError):
         return (-math.inf,)
 
 
-def checked(kind: str, body: Body) -> bytes:
-    """The body in bytes. Raises Refused."""
-    if (known := TABLE.get(kind)) is None:
-        raise Refused(f"unknown type {kind}; allowed: {', '.join(TABLE)}")
-    if wrong := known.check(body):
-        raise Refused(f"{kind}: {wrong}")
+def encode_body(type_name: str, body: Body) -> bytes:
+    """Validate a body and encode it.
+
+    Raises:
+        WriteRejectedError: The type is unknown, or the body is not one of it.
+    """
+    value_type = VALUE_TYPES.get(type_name)
+    if value_type is None:
+        raise WriteRejectedError(f"unknown type {type_name}; allowed: {', '.join(VALUE_TYPES)}")
+    fault = value_type.validate(body)
+    if fault:
+        raise WriteRejectedError(f"{type_name}: {fault}")
     return msgspec.msgpack.encode(body, order="sorted")
 
 
-def decode(body: bytes) -> Body:
-    """Raises msgspec.MsgspecError."""
+def decode_body(body: bytes) -> Body:
+    """Decode a body, of whatever type.
+
+    Raises:
+        msgspec.MsgspecError: It is no map.
+    """
     return msgspec.msgpack.decode(body, type=dict[str, Any])
--- a/tests/replication/test_replica.py
+++ b/tests/replication/test_replica.py
@@ -11,13 +11,23 @@
 from flintridge.lab.explore import explore
 from flintridge.lab.explore.copies import Copies, Left
 from flintridge.lab.partial.copying import random_day
-from flintridge.replication.entry import Entry, Seen, Version, merge, ordered, winner, written
-from flintridge.replication.replica import Limits, Replica, Standing
-from flintridge.replication.value_types import TABLE, Refused, checked
+from flintridge.replication.comparison import SyncState
+from flintridge.replication.entry import (
+    Entry,
+    VectorComponent,
+    Version,
+    active_version,
+    by_precedence,
+    merge,
+    with_write,
+)
+from flintridge.replication.limits import ReplicaLimits
+from flintridge.replication.replica import Replica
+from flintridge.replication.value_types import VALUE_TYPES, WriteRejectedError, encode_body
 
 play = settings(derandomize=True, deadline=None, database=None, max_examples=100)
 NONE = {"writes": 0, "deletes": 0, "asks": 0}
-LIMITS = Limits(remember=1000.0, wait=500.0, entries=50, entry_bytes=200)
+LIMITS = ReplicaLimits(tombstone_ms=1000.0, sync_wait_ms=500.0, max_entries=50, max_entry_bytes=200)
 KEY = ("hold", "s1")
 
 # The algebra, of all that writes and merges can bring about
@@ -41,16 +51,16 @@
             copies[i] = merge(copies[i], copies[other])
         else:
             count += 1
-            body = checked(kind, BODIES[kind][what % 2])
+            body = encode_body(kind, BODIES[kind][what % 2])
             lasts = float("inf") if what else 50.0
             version = Version(
                 (("abc"[i], 1), count), float(count), 7 * what + count, body, "", "", lasts, deleted
             )
-            copies[i] = written(copies[i], version)
+            copies[i] = with_write(copies[i], version)
     return copies
 
 
-@pytest.mark.parametrize("kind", TABLE)
+@pytest.mark.parametrize("kind", VALUE_TYPES)
 @play
 @given(steps=STEPS)
 def test_merge_is_commutative_associative_and_idempotent_and_all_choose_the_same(kind, steps):
@@ -58,16 +68,16 @@
     assert merge(a, b) == merge(b, a)
     assert merge(a, merge(b, c)) == merge(merge(a, b), c)
     assert merge(a, a) == a and merge(merge(a, b), b) == merge(a, b)
-    assert winner(kind, merge(a, b), 40.0) == winner(kind, merge(b, a), 40.0)
+    assert active_version(kind, merge(a, b), 40.0) == active_version(kind, merge(b, a), 40.0)
 
 
 def both(kind, one, other, later_wins=True):
     versions = [
-        Version((("ab"[i], 1), 1), 0.0, i, checked(kind, body), "", "", *more)
+        Version((("ab"[i], 1), 1), 0.0, i, encode_body(kind, body), "", "", *more)
         for i, (body, *more) in enumerate((one, other))
     ]
-    entries = [Entry((one,), (Seen(one.dot[0], 1, 0.0),)) for one in versions]
-    order = ordered(kind, merge(*entries), 10.0)
+    entries = [Entry((one,), (VectorComponent(one.dot[0], 1, 0.0),)) for one in versions]
+    order = by_precedence(kind, merge(*entries), 10.0)
     assert len(order) == 2
     return order[0].dot[0][0]
 
@@ -94,7 +104,7 @@
         for row in (re.findall(r"[^|]+", line) for line in text.splitlines() if line.startswith("| `"))
         for row in [[cell.strip().strip("`") for cell in row]]
     }
-    assert rows == {one.name: (one.fields, one.rule, one.before) for one in TABLE.values()}
+    assert rows == {one.name: (one.fields, one.rule, one.before_synchronized) for one in VALUE_TYPES.values()}
 
 
 @pytest.mark.parametrize(
@@ -110,8 +120,8 @@
     ],
 )
 def test_a_bad_body_is_refused_in_a_line(kind, body, says):
-    with pytest.raises(Refused, match=says) as told:
-        checked(kind, body)
+    with pytest.raises(WriteRejectedError, match=says) as told:
+        encode_body(kind, body)
     assert "\n" not in str(told.value)
 
 
@@ -176,33 +186,35 @@
 
 def pull(one, other, now):
     """All of `other`, as if their clocks were one."""
-    while not one.take(now, other.me, other.answer(one.ask(other.me), most=1)):
+    while not one.apply_chunk(
+        now, other.writer, other.make_chunk(one.next_request(other.writer), max_bytes=1)
+    ):
         pass
 
 
 def test_a_release_that_has_seen_the_hold_ends_it_and_one_that_has_not_is_a_conflict_of_both():
     a, b = copy("a"), copy("b")
-    a.write(0.0, KEY, checked("hold", {"held": True}), "ann", "disk")
-    b.hear(1.0, KEY, a.entries[KEY])
-    b.write(2.0, KEY, checked("hold", {"held": False}), "bob", "well", deleted=True)
-    a.write(2.0, KEY, checked("hold", {"held": True}), "ann", "again")
-    a.hear(3.0, KEY, b.entries[KEY])
-    assert a.holding(KEY, 3.0).why == "again" and len(a.entries[KEY].versions) == 2
-    assert a.counts["conflicts"] == 1 and list(a.conflicts()) == [KEY]
-    a.write(4.0, KEY, checked("hold", {"held": False}), "ann", "seen both", deleted=True)
-    b.hear(5.0, KEY, a.entries[KEY])
-    assert b.holding(KEY, 5.0) is None and not list(b.conflicts())
+    a.write(0.0, KEY, encode_body("hold", {"held": True}), "ann", "disk")
+    b.receive(1.0, KEY, a.entries[KEY])
+    b.write(2.0, KEY, encode_body("hold", {"held": False}), "bob", "well", deleted=True)
+    a.write(2.0, KEY, encode_body("hold", {"held": True}), "ann", "again")
+    a.receive(3.0, KEY, b.entries[KEY])
+    assert a.active_version(KEY, 3.0).reason == "again" and len(a.entries[KEY].versions) == 2
+    assert a.counts["conflicts"] == 1 and list(a.conflicting_keys()) == [KEY]
+    a.write(4.0, KEY, encode_body("hold", {"held": False}), "ann", "seen both", deleted=True)
+    b.receive(5.0, KEY, a.entries[KEY])
+    assert b.active_version(KEY, 5.0) is None and not list(b.conflicting_keys())
 
 
 def test_what_is_beyond_a_bound_is_refused_to_its_writer_and_nothing_is_written():
     a = copy()
-    with pytest.raises(Refused, match=r"bytes are over entry_bytes of 200"):
+    with pytest.raises(WriteRejectedError, match=r"bytes are over entry_bytes of 200"):
         a.write(0.0, KEY, b"x" * 200, "", "")
-    with pytest.raises(Refused, match="longer than 0 ms"):
-        a.write(0.0, KEY, b"", "", "", lasts=0.0)
+    with pytest.raises(WriteRejectedError, match="longer than 0 ms"):
+        a.write(0.0, KEY, b"", "", "", lifetime_ms=0.0)
     for i in range(50):
         a.write(0.0, ("note", str(i)), b"", "", "")
-    with pytest.raises(Refused, match="allowed: 50"):
+    with pytest.raises(WriteRejectedError, match="allowed: 50"):
         a.write(0.0, ("note", "more"), b"", "", "")
     a.write(0.0, ("note", "7"), b"", "", "", deleted=True)
     assert len(a.entries) == 50
@@ -210,31 +222,33 @@
 
 def test_a_deletion_is_forgotten_in_time_and_one_that_was_away_for_ever_ends_its_own():
     a, b = copy("a"), copy("b")
-    a.begin(), b.begin()
+    a.mark_synchronized(), b.mark_synchronized()
     a.write(0.0, KEY, b"", "", "")
     pull(b, a, 1.0)
     a.write(2.0, KEY, b"", "", "", deleted=True)
     a.write(3.0, ("note", "x"), b"", "", "")
     b.write(3.0, ("note", "y"), b"", "", "")
-    a.look(1e6)
+    a.expire(1e6)
     assert KEY not in a.entries
     pull(a, b, 1e6)
     pull(b, a, 1e6)
-    assert a.holding(KEY, 1e6) is None and b.holding(KEY, 1e6) is None
-    b.look(1e6 + 2_000.0)
-    a.look(1e6 + 2_000.0)
-    assert b.holding(("note", "x"), 1e6) and a.holding(("note", "y"), 1e6) and a.root() == b.root()
+    assert a.active_version(KEY, 1e6) is None and b.active_version(KEY, 1e6) is None
+    b.expire(1e6 + 2_000.0)
+    a.expire(1e6 + 2_000.0)
+    assert (
+        b.active_version(("note", "x"), 1e6) and a.active_version(("note", "y"), 1e6) and a.root() == b.root()
+    )
 
 
 def test_copies_that_are_the_same_forget_a_deletion_without_a_comparison():
     a, b = copy("a"), copy("b")
     a.write(0.0, KEY, b"", "", "")
     a.write(1.0, KEY, b"", "", "", deleted=True)
-    b.hear(2.0, KEY, a.entries[KEY])
-    b.look(5_000.0)
+    b.receive(2.0, KEY, a.entries[KEY])
+    b.expire(5_000.0)
     assert KEY in b.entries  # a write of another one may be on its way still
-    b.told_root(5_000.0, a.me, a.root(), caught=True, own=a.own)
-    b.look(5_000.0)
+    b.receive_root(5_000.0, a.writer, a.root(), peer_synchronized=True, peer_writes=a.write_count)
+    b.expire(5_000.0)
     assert KEY not in b.entries
 
 
@@ -243,71 +257,77 @@
     a.write(0.0, KEY, b"", "", "")
     a.write(1.0, KEY, b"", "", "", deleted=True)
     pull(b, a, 2.0)
-    a.look(9_000.0)
+    a.expire(9_000.0)
     pull(a, b, 9_000.0)
     assert KEY not in a.entries and KEY in b.entries
-    b.look(9_000.0)
+    b.expire(9_000.0)
     assert a.root() == b.root()
 
 
 def test_emptiness_never_counts_and_the_state_is_had_only_from_one_that_has_it():
     a, b, c = copy("a"), copy("b"), copy("c", now=400.0)
-    a.begin()
+    a.mark_synchronized()
     a.write(0.0, KEY, b"", "", "")
     pull(c, b, 410.0)
-    assert c.standing is Standing.CATCHING
+    assert c.sync_state is SyncState.SYNCHRONIZING
     pull(a, c, 410.0)
-    assert a.holding(KEY, 410.0)
-    c.told_root(600.0, a.me, a.root(), caught=True, own=1)
-    c.look(1_000.0)
-    assert c.standing is Standing.CATCHING  # one that has caught up was heard
+    assert a.active_version(KEY, 410.0)
+    c.receive_root(600.0, a.writer, a.root(), peer_synchronized=True, peer_writes=1)
+    c.expire(1_000.0)
+    assert c.sync_state is SyncState.SYNCHRONIZING  # one that has caught up was heard
     pull(c, a, 1_000.0)
-    assert c.standing is Standing.CAUGHT and c.holding(KEY, 1_000.0)
+    assert c.sync_state is SyncState.SYNCHRONIZED and c.active_version(KEY, 1_000.0)
     late = copy("d")
     for now in range(0, 3_000, 100):
-        late.told_root(now, a.me, a.root(), caught=True, own=1)
-        late.look(float(now))
-    assert late.standing is Standing.FRESH
-    late.told_root(3_000.0, a.me, a.root(), caught=True, own=1)
-    late.look(3_000.0)
-    assert late.standing is Standing.CAUGHT  # it is heard, but gives nothing
-    b.look(499.0)
-    assert b.standing is not Standing.CAUGHT
-    b.look(500.0)
-    assert b.standing is Standing.CAUGHT  # nobody was heard for the stated time
+        late.receive_root(now, a.writer, a.root(), peer_synchronized=True, peer_writes=1)
+        late.expire(float(now))
+    assert late.sync_state is SyncState.UNSYNCHRONIZED
+    late.receive_root(3_000.0, a.writer, a.root(), peer_synchronized=True, peer_writes=1)
+    late.expire(3_000.0)
+    assert late.sync_state is SyncState.SYNCHRONIZED  # it is heard, but gives nothing
+    b.expire(499.0)
+    assert b.sync_state is not SyncState.SYNCHRONIZED
+    b.expire(500.0)
+    assert b.sync_state is SyncState.SYNCHRONIZED  # nobody was heard for the stated time
 
 
 def test_a_pass_whose_source_dies_goes_on_with_another_and_sends_nothing_twice():
     a, b = copy("a"), copy("b")
-    a.begin(), b.begin()
+    a.mark_synchronized(), b.mark_synchronized()
     for i in range(40):
         a.write(0.0, ("note", str(i)), b"x", "", "")
     pull(b, a, 1.0)
     new = copy("c")
     for _ in range(2):
-        new.take(2.0, a.me, a.answer(new.ask(a.me), most=500))
+        new.apply_chunk(2.0, a.writer, a.make_chunk(new.next_request(a.writer), max_bytes=500))
     had = len(new.entries)
-    new.broke_off(a.me)
-    rest = b.answer(new.ask(b.me), most=1 << 20)
+    new.abandon_comparison(a.writer)
+    rest = b.make_chunk(new.next_request(b.writer), max_bytes=1 << 20)
     assert 0 < had < 40 and len(rest.entries) == 40 - had
-    assert new.take(3.0, b.me, rest) and new.root() == a.root() and new.standing is Standing.CAUGHT
-    assert not new.take(3.0, b.me, rest) and new.counts["slices_out_of_turn"] == 1
+    assert (
+        new.apply_chunk(3.0, b.writer, rest)
+        and new.root() == a.root()
+        and new.sync_state is SyncState.SYNCHRONIZED
+    )
+    assert not new.apply_chunk(3.0, b.writer, rest) and new.counts["chunks_out_of_order"] == 1
 
 
 def test_a_stamp_far_ahead_is_not_taken_and_not_believed_to_be_had():
     told = []
     hour = 3_600_000.0
-    a = copy("a", offset=1e12 + hour)
-    b = copy("b", offset=1e12, told=lambda event, **fields: told.append(event))
-    a.begin()
+    a = copy("a", time_of_day_offset=1e12 + hour)
+    b = copy("b", time_of_day_offset=1e12, log_event=lambda event, **fields: told.append(event))
+    a.mark_synchronized()
     a.write(0.0, KEY, b"", "", "")
     pull(b, a, 1.0)
-    assert not b.entries and b.counts["ahead"] == 1 and told == ["state_ahead", "state_caught_up"]
+    assert (
+        not b.entries and b.counts["clock_ahead"] == 1 and told == ["state_clock_ahead", "state_synchronized"]
+    )
     pull(a, b, 2.0)
-    assert a.holding(KEY, 2.0)
-    b.offset += hour
+    assert a.active_version(KEY, 2.0)
+    b.time_of_day_offset += hour
     pull(b, a, 3.0)
-    assert b.holding(KEY, 3.0)  # once the clocks are right
+    assert b.active_version(KEY, 3.0)  # once the clocks are right
 
 
 def test_a_type_that_is_not_known_is_kept_and_passed_on_untouched():
--- a/tests/replication/test_state.py
+++ b/tests/replication/test_state.py
@@ -14,8 +14,17 @@
 from flintridge.discovery.overrides import EndpointOverrides
 from flintridge.fronts.console import AdminExchange, Taking
 from flintridge.replication.gossip import RumorSpreader
-from flintridge.replication.messages import asked, asked_of, entry_of, flat, pieces, said_of, slice_of
-from flintridge.replication.replica import Limits, Replica
+from flintridge.replication.limits import ReplicaLimits
+from flintridge.replication.messages import (
+    decode_chunk,
+    decode_gossip,
+    decode_request,
+    encode_chunk,
+    encode_request,
+    make_entry,
+    parse_entry,
+)
+from flintridge.replication.replica import Replica
 from flintridge.settings import ConfigError, StateConfig
 
 KEY = ("hold", "s1")
@@ -23,7 +32,7 @@
 
 
 def copy(name, life=1, offset=1e12):
-    return Replica((name, life), Limits(), 0.0, offset)
+    return Replica((name, life), ReplicaLimits(), 0.0, offset)
 
 
 # Words
@@ -31,21 +40,23 @@
 
 def test_entries_and_slices_come_back_as_they_went_with_times_as_ages():
     a = copy("a")
-    a.write(100.0, KEY, b"\x80", "ann", "why", lasts=500.0)
+    a.write(100.0, KEY, b"\x80", "ann", "why", lifetime_ms=500.0)
     a.write(100.0, ("later", "x"), b"\xc1", "ann", "why")
-    key, entry = entry_of(flat(KEY, a.entries[KEY], 150.0), as_of=1_000.0)
+    key, entry = parse_entry(make_entry(KEY, a.entries[KEY], 150.0), as_of=1_000.0)
     version = entry.versions[0]
-    assert key == KEY and version.at == 950.0 and version.ends() == 1_450.0
-    ask = copy("b").ask(a.me)
-    assert asked_of(asked(ask)) == ask
-    source, got = slice_of(pieces(a.me, a.answer(ask), 100.0), as_of=100.0)
-    assert source == a.me and got == a.answer(ask) and got.entries[1][1].versions[0].lasts == math.inf
+    assert key == KEY and version.written_at == 950.0 and version.expires_at() == 1_450.0
+    ask = copy("b").next_request(a.writer)
+    assert decode_request(encode_request(ask)) == ask
+    received = decode_chunk(encode_chunk(a.writer, a.make_chunk(ask), 100.0), as_of=100.0)
+    assert received.source == a.writer
+    assert received.chunk == a.make_chunk(ask)
+    assert received.chunk.entries[1][1].versions[0].lifetime_ms == math.inf
 
 
 @pytest.mark.parametrize("data", [b"", b"\xc1", b"\x90", b"\x92\xff\xc3", b"\x93\x01\xc3\xa1x"])
 def test_bytes_that_are_no_word_are_none(data):
-    assert said_of(data) is None and asked_of(data) is None and slice_of([data], 0.0) is None
-    assert slice_of([], 0.0) is None
+    assert decode_gossip(data) is None and decode_request(data) is None and decode_chunk([data], 0.0) is None
+    assert decode_chunk([], 0.0) is None
 
 
 # The topic
@@ -65,38 +76,43 @@
 
 def test_a_write_is_told_at_once_and_counted_where_it_has_come_to():
     spreads = fleet("a", "b", "c")
-    dot = spreads["a"].copy.write(0.0, KEY, b"", "", "").dot
-    spreads["a"].wrote(dot)
-    assert sorted(spreads["a"].waiting(0.0, [("b", 1), ("c", 1)])) == [("b", 1), ("c", 1)]
+    dot = spreads["a"].replica.write(0.0, KEY, b"", "", "").dot
+    spreads["a"].acknowledgements.track(dot)
+    assert sorted(spreads["a"].urgent_targets(0.0, [("b", 1), ("c", 1)])) == [("b", 1), ("c", 1)]
     carry(spreads, "a", "b", 1.0)
-    assert spreads["b"].copy.holding(KEY, 1.0) and spreads["a"].had_by(dot) == 1
-    assert ("a", 1) in spreads["b"].waiting(1.0, [("a", 1), ("c", 1)])
+    assert (
+        spreads["b"].replica.active_version(KEY, 1.0) and spreads["a"].acknowledgements.holder_count(dot) == 1
+    )
+    assert ("a", 1) in spreads["b"].urgent_targets(1.0, [("a", 1), ("c", 1)])
     carry(spreads, "b", "c", 1.0)
     for name in ("b", "c"):
         carry(spreads, name, "a", 2.0)
-    assert spreads["a"].had_by(dot) == 3 and spreads["a"].had_by((dot[0], 9)) is None
+    assert (
+        spreads["a"].acknowledgements.holder_count(dot) == 3
+        and spreads["a"].acknowledgements.holder_count((dot[0], 9)) is None
+    )
 
 
 def test_what_does_not_fit_waits_for_the_comparison_and_who_differs_for_long_is_asked():
     spreads = fleet("a", "b")
-    spreads["a"].copy.begin()
-    spreads["a"].copy.write(0.0, KEY, b"x" * 400, "", "")
+    spreads["a"].replica.mark_synchronized()
+    spreads["a"].replica.write(0.0, KEY, b"x" * 400, "", "")
     carry(spreads, "a", "b", 10.0, room=100)
-    assert not spreads["b"].copy.entries
-    assert spreads["b"].source(10.0, [("a", 1)]) == ("a", 1)  # it has not caught up
-    spreads["b"].copy.begin()
-    assert spreads["b"].source(100.0, [("a", 1)]) is None
-    assert spreads["b"].source(2_000.0, []) is None
-    assert spreads["b"].source(2_000.0, [("a", 1)]) == ("a", 1)
-    spreads["b"].compared(2_000.0, ("a", 1), news=False)
+    assert not spreads["b"].replica.entries
+    assert spreads["b"].comparisons.choose_source(10.0, [("a", 1)]) == ("a", 1)  # it has not caught up
+    spreads["b"].replica.mark_synchronized()
+    assert spreads["b"].comparisons.choose_source(100.0, [("a", 1)]) is None
+    assert spreads["b"].comparisons.choose_source(2_000.0, []) is None
+    assert spreads["b"].comparisons.choose_source(2_000.0, [("a", 1)]) == ("a", 1)
+    spreads["b"].comparisons.finish(2_000.0, ("a", 1), was_productive=False)
     carry(spreads, "a", "b", 4_000.0, room=100)
-    assert spreads["b"].source(7_000.0, [("a", 1)]) is None  # it had nothing new
+    assert spreads["b"].comparisons.choose_source(7_000.0, [("a", 1)]) is None  # it had nothing new
 
 
 def test_words_of_names_that_are_not_configured_are_not_heard():
     spreads = fleet("a", "b")
     spreads["a"].hear(0.0, "x", 1, 0.0, spreads["b"].say(0.0, SimpleNamespace(name="a", life=1), 1100))
-    assert spreads["a"].counts["words_bad"] == 1
+    assert spreads["a"].counts["messages_malformed"] == 1
 
 
 # EndpointOverrides over the list
