--- /dev/null
+++ b/tests/replication/test_admin.py
@@ -0,0 +1,126 @@
+"""The JSON of /admin/state, whose names tools of operators read."""
+
+from random import Random
+from types import SimpleNamespace
+
+import orjson
+import pytest
+from support.replication import KEY, make_replica
+
+from flintridge.replication.admin import ReplicationActivity, StateAdminApi
+from flintridge.replication.comparison import SyncState
+from flintridge.replication.gossip import RumorSpreader
+from flintridge.telemetry.counters import Counters
+
+WRITE = {"type": "hold", "name": "s1", "by": "ann", "why": "disk", "body": {"held": True}}
+
+
+@pytest.fixture
+def api():
+    """That of node a, at 100 ms; `replica` is its replica."""
+    replica = make_replica("a", incarnation=255)
+    gossip = RumorSpreader(replica, ("b",), 1e9, Random(1))
+    membership = SimpleNamespace(name="a", life=255, heard=SimpleNamespace(heard=1))
+    clock = SimpleNamespace(now=lambda: 100.0)
+    activity = ReplicationActivity(source="b", taken_out=frozenset({"s1"}))
+    made = StateAdminApi(replica, gossip, membership, clock, Counters(), lambda: activity)
+    made.replica = replica
+    return made
+
+
+def test_query_when_nothing_is_asked_for_has_the_summary_alone(api):
+    status, response = api.query(b"", b"")
+    root = response.pop("root")
+    assert status == 200
+    assert len(root) == 16
+    assert list(response.items()) == [
+        ("name", "a"),
+        ("life", "ff"),
+        ("standing", "fresh"),
+        ("asking", "b"),
+        ("entries", 0),
+        ("of", 50),
+        ("conflicts", 0),
+        ("held", ["s1"]),
+        ("heard", 1),
+        ("counts", {}),
+    ]
+
+
+@pytest.mark.parametrize(
+    ("sync_state", "standing"),
+    [
+        (SyncState.UNSYNCHRONIZED, "fresh"),
+        (SyncState.SYNCHRONIZING, "catching"),
+        (SyncState.SYNCHRONIZED, "caught"),
+    ],
+)
+def test_query_in_each_synchronization_state_has_its_public_name(api, sync_state, standing):
+    api.replica.sync_state = sync_state
+    assert api.query(b"", b"")[1]["standing"] == standing
+
+
+def test_query_when_things_were_counted_has_their_public_names(api):
+    names = ("clock_ahead", "versions_ended", "chunks_out_of_order", "conflicts")
+    api.replica.counts.update(dict.fromkeys(names, 2))
+    assert api.query(b"", b"")[1]["counts"] == {
+        "ahead": 2,
+        "ended": 2,
+        "slices_out_of_turn": 2,
+        "conflicts": 2,
+    }
+
+
+def test_write_when_queried_has_its_version(api):
+    assert api.write(b"", orjson.dumps(WRITE)) == (200, {"name": "a", "write": 1, "life": "ff"})
+    assert api.holder_count(b"write=1", b"") == (200, {"had": 1, "life": "ff"})
+    status, response = api.query(b"type=hold&name=s1", b"")
+    assert status == 200
+    assert response["next"] is None
+    assert response["page"] == [
+        {
+            "type": "hold",
+            "name": "s1",
+            "holds": True,
+            "known": True,
+            "versions": [
+                {
+                    "dot": "a/ff/1",
+                    "body": {"held": True},
+                    "by": "ann",
+                    "why": "disk",
+                    "age_ms": 0,
+                    "ends_in_ms": None,
+                    "deleted": False,
+                }
+            ],
+        }
+    ]
+
+
+@pytest.mark.parametrize(
+    ("change", "status", "message"),
+    [
+        ({"by": ""}, 409, "by and why must say who and for what reason"),
+        ({"name": ""}, 409, "name has 1 to 200 characters"),
+        ({"delete": True}, 409, "there is no hold s1 here"),
+        ({"lasts_ms": 0}, 409, "it must last longer than 0 ms"),
+        ({"author": "ann"}, 400, "Object contains unknown field `author`"),
+        ({"lasts_ms": "x"}, 400, "Expected `float | null`, got `str` - at `$.lasts_ms`"),
+    ],
+)
+def test_write_when_not_acceptable_is_rejected_and_nothing_is_written(api, change, status, message):
+    assert api.write(b"", orjson.dumps(WRITE | change)) == (status, {"error": message})
+    assert KEY not in api.replica.entries
+
+
+@pytest.mark.parametrize("query", [b"bucket=x", b"bucket=256", b"entries=1&after=x"])
+def test_query_when_a_number_is_malformed_is_rejected(api, query):
+    message = "bucket and after are numbers; a bucket is under 256"
+    assert api.query(query, b"") == (400, {"error": message})
+
+
+def test_holder_count_when_the_write_is_unknown_is_not_found(api):
+    error = {"error": "no such write of this process, or too long ago"}
+    assert api.holder_count(b"write=7", b"") == (404, error)
+    assert api.holder_count(b"write=x", b"") == (404, error)
--- /dev/null
+++ b/tests/replication/test_replica_exploration.py
@@ -0,0 +1,68 @@
+"""Replicas in all interleavings of a few processes, with planted defects, and in random runs of five."""
+
+import pytest
+
+from flintridge.lab.defects.copies import COPYING, EmptyCopyWins
+from flintridge.lab.explore import explore
+from flintridge.lab.explore.copies import Copies, Left
+from flintridge.lab.partial.copying import random_day
+
+NO_EVENTS = {"writes": 0, "deletes": 0, "asks": 0}
+
+
+@pytest.mark.parametrize(
+    ("process_count", "events", "written", "minimum_states"),
+    [
+        (3, {"writes": 2, "deletes": 1}, False, 500),
+        (3, {"deletes": 1, "asks": 1, "ticks": 2}, True, 300),
+        (2, {"writes": 2, "deletes": 1, "asks": 1}, False, 900),
+        (2, {"writes": 1, "asks": 2, "restarts": 1, "losses": 1}, False, 300),
+        (2, {"writes": 1, "deletes": 1, "says": 1, "ticks": 2}, False, 300),
+    ],
+)
+def test_replicas_in_every_interleaving_become_equal_and_nothing_is_lost_or_returns(
+    process_count, events, written, minimum_states
+):
+    """The longer searches are a command: benchmarks/copies_search.py."""
+    found = explore(Copies.begin(process_count, Left(**NO_EVENTS | events), written=written))
+    assert found.whole, (found.broken, found.story)
+    assert not found.broken, (found.broken, found.story)
+    assert found.states > minimum_states
+
+
+# What has to happen for a defect to show, where two writes, a deletion and a comparison do not do.
+EVENTS_OF_DEFECTS = {
+    "DeletionForgottenEarly": (2, False, {"writes": 1, "deletes": 1, "doubles": 1, "ticks": 2}),
+    "SliceTakenTwiceCounts": (2, True, {"asks": 1, "doubles": 1, "restarts": 1}),
+    "DotReused": (2, False, {"writes": 2, "asks": 2, "restarts": 1}),
+    "ReturnedBelieved": (2, True, {"deletes": 1, "ticks": 2}),
+    "KeptByTheReturned": (2, True, {"deletes": 1, "ticks": 2, "asks": 2}),
+    "WholeFromPart": (2, True, {"asks": 2, "restarts": 1}),
+    "AnySourceWillDo": (2, True, {"asks": 2, "restarts": 2}),
+    "FirstSliceIsAll": (2, True, {"asks": 1, "restarts": 1}),
+}
+DEFAULT_EVENTS = (2, False, {"writes": 2, "deletes": 1, "asks": 1})
+
+
+@pytest.mark.parametrize("defect", COPYING, ids=lambda defect: defect.__name__)
+def test_exploration_when_a_defect_is_planted_finds_it_with_its_story(defect):
+    process_count, written, events = EVENTS_OF_DEFECTS.get(defect.__name__, DEFAULT_EVENTS)
+    found = explore(Copies.begin(process_count, Left(**NO_EVENTS | events), defect, written))
+    assert defect.__doc__
+    assert found.broken, (defect.__doc__, found.states)
+    assert found.story, (defect.__doc__, found.states)
+
+
+@pytest.mark.parametrize("seed", range(2))
+def test_random_run_of_five_nodes_loses_nothing_that_two_had_and_nothing_deleted_returns(seed):
+    """More of them are a command: benchmarks/replica_days.py."""
+    run = random_day(seed, length_ms=30_000.0)
+    assert run.acknowledged > 30
+    assert run.kills
+    assert run.cuts
+    assert not run.wrong
+
+
+def test_judge_of_random_runs_when_an_empty_replica_empties_others_reports_a_loss():
+    run = random_day(0, length_ms=30_000.0, make=EmptyCopyWins)
+    assert "is lost" in run.wrong[0]
--- /dev/null
+++ b/tests/replication/test_state_commands.py
@@ -0,0 +1,105 @@
+"""The commands `flintridge state`, and the admin API's routes that take a body."""
+
+import json
+
+import pytest
+from click.testing import CliRunner
+
+from flintridge.cli.main import main
+from flintridge.fronts.console import AdminExchange, Taking
+
+ONE_CONSOLE = ("--console", "127.0.0.1:1")
+
+
+def test_route_when_it_takes_a_body_is_given_it_with_the_query_and_others_are_not():
+    calls = []
+    taking = Taking(lambda query, body: calls.append((query, body)) or (200, {}))
+    routes = {b"/w": {b"POST": taking, b"GET": lambda: (200, {"plain": True})}}
+    exchange = AdminExchange(routes)
+    head = b"POST /w?a=1 HTTP/1.1\r\nHost: x\r\nContent-Length: 6\r\n\r\n"
+    assert exchange.feed(head + b"abc") is None
+    assert b" 200 " in b"".join(exchange.feed(b"def"))
+    assert calls == [(b"a=1", b"abcdef")]
+    without_body = AdminExchange(routes)
+    assert b"plain" in b"".join(without_body.feed(head.replace(b"POST", b"GET") + b"abcdef"))
+    too_long = AdminExchange(routes)
+    response = too_long.feed(head.replace(b" 6", b" 70000") + b"x" * 70_000)
+    assert b" 413 " in b"".join(response)
+    assert len(calls) == 1
+
+
+def run_state(*arguments):
+    """The exit code and the output of `flintridge state`."""
+    result = CliRunner().invoke(main, ["state", *arguments])
+    return result.exit_code, result.output
+
+
+@pytest.mark.parametrize(
+    ("arguments", "message"),
+    [
+        (("set", "quota", "t", "--body", "{", "--by", "a", "--why", "b"), "--body: is not JSON"),
+        (("set", "quota", "t", "--body", "[]", "--by", "a", "--why", "b"), "must be a JSON object"),
+        (("hold", "s", "--why", "b"), "--by"),
+        (("hold", "s", "--by", "a", "--why", "b"), "no console answers there"),
+        (("get", "--name", "x"), "--name: needs --type"),
+        (("diff",), "two or more"),
+    ],
+)
+def test_command_when_it_cannot_be_done_says_why_in_a_line_with_exit_code_2(arguments, message):
+    code, output = run_state(*arguments, *ONE_CONSOLE)
+    assert code == 2
+    assert message in output
+    assert "Traceback" not in output
+
+
+def respond_with(monkeypatch, *responses):
+    """Let the admin API answer the next calls so."""
+    remaining = iter(responses)
+    monkeypatch.setattr("flintridge.cli.state.call", lambda *arguments: next(remaining))
+
+
+def test_wait_when_too_few_nodes_have_the_write_ends_with_exit_code_1(monkeypatch):
+    arguments = ("hold", "s", "--by", "a", "--why", "b", *ONE_CONSOLE, "--wait", "2")
+    written = (200, {"name": "n0", "write": 1, "life": "f"})
+    respond_with(monkeypatch, written, (200, {"had": 2, "life": "f"}))
+    assert run_state(*arguments)[0] == 0
+    respond_with(monkeypatch, written, (200, {"had": 1, "life": "f"}))
+    code, output = run_state(*arguments, "--timeout", "0.1")
+    assert code == 1
+    assert "1 and not 2 nodes" in output
+
+
+def test_wait_when_the_process_is_another_one_or_rejects_the_write_ends_with_exit_code_2(monkeypatch):
+    arguments = ("hold", "s", "--by", "a", "--why", "b", *ONE_CONSOLE, "--wait", "2")
+    written = (200, {"name": "n0", "write": 1, "life": "f"})
+    respond_with(monkeypatch, written, (200, {"had": 2, "life": "another"}))
+    assert run_state(*arguments)[0] == 2
+    respond_with(monkeypatch, (409, {"error": "10000 entries are held; allowed: 10000"}))
+    code, output = run_state(*arguments)
+    assert code == 2
+    assert "allowed: 10000" in output
+
+
+def test_diff_when_nodes_differ_shows_the_entries_and_since_when(monkeypatch):
+    version = {
+        "dot": "n0/f/1",
+        "body": {"held": True},
+        "by": "a",
+        "why": "b",
+        "age_ms": 70,
+        "ends_in_ms": None,
+        "deleted": False,
+    }
+    entry = {"type": "hold", "name": "s", "versions": [version]}
+    summaries = [(200, {"name": f"n{i}", "digests": ["1", str(i)], "entries": 1}) for i in range(2)]
+    pages = [(200, {"page": page, "next": None}) for page in ([entry], [])]
+    arguments = ("diff", *ONE_CONSOLE, "--console", "127.0.0.1:2")
+    respond_with(monkeypatch, *summaries, *pages)
+    code, output = run_state(*arguments)
+    assert code == 1
+    assert "hold s: differs, the newest write 70 ms ago" in output
+    assert "127.0.0.1:2: nothing" in output
+    respond_with(monkeypatch, summaries[0], summaries[0])
+    code, output = run_state(*arguments, "--json")
+    assert code == 0
+    assert json.loads(output)["differ"] == []
