--- a/flintridge/lab/defects/copies.py
+++ b/flintridge/lab/defects/copies.py
@@ -1,4 +1,4 @@
-"""Mistakes that a copy could have; the explorer must find each."""
+"""Defects that a replica could have; the exploration must find each."""
 
 from flintridge.replication.comparison import SnapshotChunk, SyncState
 from flintridge.replication.entry import Entry, Key, Writer, merge
@@ -6,7 +6,7 @@
 
 
 class ArrivalDecides(Replica):
-    """What came last is what holds."""
+    """What was received last is what applies."""
 
     def _merged(self, local: Entry, remote: Entry) -> Entry:
         return remote
@@ -18,41 +18,40 @@
     def _merged(self, local: Entry, remote: Entry) -> Entry:
         both = merge(local, remote)
         return Entry(
-            tuple(sorted(both.versions, key=lambda one: (one.stamp, one.dot))[-1:]), both.version_vector
+            tuple(sorted(both.versions, key=lambda version: (version.stamp, version.dot))[-1:]),
+            both.version_vector,
         )
 
 
-class HoldLostToRelease(Replica):
-    """A deletion ends what it had not seen."""
+class TombstoneEndsUnseenVersions(Replica):
+    """A tombstone ends versions that its writer had not seen."""
 
     def _merged(self, local: Entry, remote: Entry) -> Entry:
         both = merge(local, remote)
-        ends = tuple(one for one in both.versions if one.deleted)
-        return Entry(ends or both.versions, both.version_vector)
+        tombstones = tuple(version for version in both.versions if version.deleted)
+        return Entry(tombstones or both.versions, both.version_vector)
 
 
-class EndedKept(Replica):
+class ReplacedVersionsKept(Replica):
     """Versions are only ever added."""
 
     def _merged(self, local: Entry, remote: Entry) -> Entry:
-        all_of_them = {one.dot: one for one in (*local.versions, *remote.versions)}
-        return Entry(
-            tuple(all_of_them[dot] for dot in sorted(all_of_them)), merge(local, remote).version_vector
-        )
+        versions = {version.dot: version for version in (*local.versions, *remote.versions)}
+        return Entry(tuple(versions[dot] for dot in sorted(versions)), merge(local, remote).version_vector)
 
 
-class SeenNotPassedOn(Replica):
-    """What others have seen is not taken over."""
+class VersionVectorNotMerged(Replica):
+    """What other replicas have seen is not merged."""
 
     def _merged(self, local: Entry, remote: Entry) -> Entry:
         return Entry(merge(local, remote).versions, local.version_vector)
 
 
-class EmptyCopyWins(Replica):
+class EmptyReplicaWins(Replica):
     """What a source lacks is dropped, whoever it is."""
 
     def _writers(self) -> set[Writer]:
-        return {one.dot[0] for entry in self.entries.values() for one in entry.versions}
+        return {version.dot[0] for entry in self.entries.values() for version in entry.versions}
 
     def apply_chunk(self, now: float, source: Writer, chunk: SnapshotChunk) -> bool:
         super()._drop_ended(
@@ -61,92 +60,93 @@
         return super().apply_chunk(now, source, chunk)
 
 
-class DeletionForgottenEarly(Replica):
-    """By time alone, whether or not it had all that was written."""
+class TombstoneExpiredEarly(Replica):
+    """Tombstones expire by time alone, whether or not all earlier writes were received."""
 
     def _unexpired(self, entry: Entry, until: float) -> Entry:
-        over = all(one.inactive_since() < until for one in entry.versions)
+        is_inactive = all(version.inactive_since() < until for version in entry.versions)
         return Entry(
-            () if over else entry.versions,
-            tuple(one for one in entry.version_vector if one.written_at >= until),
+            () if is_inactive else entry.versions,
+            tuple(component for component in entry.version_vector if component.written_at >= until),
         )
 
 
-class SliceTakenTwiceCounts(Replica):
-    """A doubled slice moves the cursor on."""
+class DuplicateChunkMovesCursor(Replica):
+    """A duplicate chunk moves the cursor on."""
 
     def apply_chunk(self, now: float, source: Writer, chunk: SnapshotChunk) -> bool:
-        one = self.comparisons.get(source)
-        if one is not None and chunk.number == one.number and chunk.first < one.cursor:
-            chunk = chunk._replace(
-                first=one.cursor, end=min(len(self.digests), one.cursor + chunk.end - chunk.first)
-            )
+        comparison = self.comparisons.get(source)
+        if comparison is not None and chunk.number == comparison.number and chunk.first < comparison.cursor:
+            end = min(len(self.digests), comparison.cursor + chunk.end - chunk.first)
+            chunk = chunk._replace(first=comparison.cursor, end=end)
         return super().apply_chunk(now, source, chunk)
 
 
 class DotReused(Replica):
-    """A new life goes on under the name of the one before."""
+    """A new incarnation writes as the one before."""
 
-    def __init__(self, me: Writer, *rest: object, **more: object) -> None:
-        super().__init__((me[0], 0), *rest, **more)  # type: ignore[arg-type]
+    def __init__(self, writer: Writer, *arguments: object, **options: object) -> None:
+        node, _ = writer
+        super().__init__((node, 0), *arguments, **options)  # type: ignore[arg-type]
 
 
-class ReturnedBelieved(Replica):
-    """What it had, and was ended, is taken again from one that was away."""
+class ReturnedNodeBelieved(Replica):
+    """What it received, and was ended, is accepted again from a node that was away."""
 
     def receive(self, now: float, key: Key, entry: Entry) -> bool:
-        complete_up_to, self.complete_up_to = self.complete_up_to, {}
-        taken = super().receive(now, key, entry)
+        complete_up_to = self.complete_up_to
+        self.complete_up_to = {}
+        is_accepted = super().receive(now, key, entry)
         self.complete_up_to = complete_up_to
-        return taken
+        return is_accepted
 
 
-class KeptByTheReturned(Replica):
-    """One that was away keeps what others have ended."""
+class EndedKeptByReturnedNode(Replica):
+    """A node that was away keeps what others have ended."""
 
     def _drop_ended(self, now: float, chunk: SnapshotChunk) -> None:
         pass
 
 
-class WholeFromPart(Replica):
-    """With the first slice it believes to have had all that the source has."""
+class CompleteAfterFirstChunk(Replica):
+    """After the first chunk it counts all that the source received as received."""
 
     def apply_chunk(self, now: float, source: Writer, chunk: SnapshotChunk) -> bool:
-        over = super().apply_chunk(now, source, chunk)
+        is_complete = super().apply_chunk(now, source, chunk)
         self.complete_up_to.update(chunk.complete_up_to)
-        return over
+        return is_complete
 
 
-class AnySourceWillDo(Replica):
-    """It has caught up with one that has not."""
+class SynchronizedByAnySource(Replica):
+    """It has synchronized with a source that has not."""
 
     def apply_chunk(self, now: float, source: Writer, chunk: SnapshotChunk) -> bool:
         return super().apply_chunk(now, source, chunk._replace(source_synchronized=True))
 
 
-class FirstSliceIsAll(Replica):
-    """It says that it has caught up after one slice."""
+class SynchronizedAfterFirstChunk(Replica):
+    """It has synchronized after one chunk."""
 
     def apply_chunk(self, now: float, source: Writer, chunk: SnapshotChunk) -> bool:
-        over = super().apply_chunk(now, source, chunk)
+        is_complete = super().apply_chunk(now, source, chunk)
         if chunk.source_synchronized:
             self.sync_state = SyncState.SYNCHRONIZED
-        return over
+        return is_complete
 
 
-COPYING = (
+REPLICATION_DEFECTS = (
     ArrivalDecides,
     NewestStampDecides,
-    HoldLostToRelease,
-    EndedKept,
-    SeenNotPassedOn,
-    EmptyCopyWins,
-    DeletionForgottenEarly,
-    SliceTakenTwiceCounts,
+    TombstoneEndsUnseenVersions,
+    ReplacedVersionsKept,
+    VersionVectorNotMerged,
+    EmptyReplicaWins,
+    TombstoneExpiredEarly,
+    DuplicateChunkMovesCursor,
     DotReused,
-    ReturnedBelieved,
-    KeptByTheReturned,
-    WholeFromPart,
-    AnySourceWillDo,
-    FirstSliceIsAll,
+    ReturnedNodeBelieved,
+    EndedKeptByReturnedNode,
+    CompleteAfterFirstChunk,
+    SynchronizedByAnySource,
+    SynchronizedAfterFirstChunk,
 )
--- a/tests/replication/test_replica_exploration.py
+++ b/tests/replication/test_replica_exploration.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from flintridge.lab.defects.copies import COPYING, EmptyCopyWins
+from flintridge.lab.defects.copies import REPLICATION_DEFECTS, EmptyReplicaWins
 from flintridge.lab.explore import explore
 from flintridge.lab.explore.copies import Copies, Left
 from flintridge.lab.partial.copying import random_day
@@ -32,19 +32,19 @@
 
 # What has to happen for a defect to show, where two writes, a deletion and a comparison do not do.
 EVENTS_OF_DEFECTS = {
-    "DeletionForgottenEarly": (2, False, {"writes": 1, "deletes": 1, "doubles": 1, "ticks": 2}),
-    "SliceTakenTwiceCounts": (2, True, {"asks": 1, "doubles": 1, "restarts": 1}),
+    "TombstoneExpiredEarly": (2, False, {"writes": 1, "deletes": 1, "doubles": 1, "ticks": 2}),
+    "DuplicateChunkMovesCursor": (2, True, {"asks": 1, "doubles": 1, "restarts": 1}),
     "DotReused": (2, False, {"writes": 2, "asks": 2, "restarts": 1}),
-    "ReturnedBelieved": (2, True, {"deletes": 1, "ticks": 2}),
-    "KeptByTheReturned": (2, True, {"deletes": 1, "ticks": 2, "asks": 2}),
-    "WholeFromPart": (2, True, {"asks": 2, "restarts": 1}),
-    "AnySourceWillDo": (2, True, {"asks": 2, "restarts": 2}),
-    "FirstSliceIsAll": (2, True, {"asks": 1, "restarts": 1}),
+    "ReturnedNodeBelieved": (2, True, {"deletes": 1, "ticks": 2}),
+    "EndedKeptByReturnedNode": (2, True, {"deletes": 1, "ticks": 2, "asks": 2}),
+    "CompleteAfterFirstChunk": (2, True, {"asks": 2, "restarts": 1}),
+    "SynchronizedByAnySource": (2, True, {"asks": 2, "restarts": 2}),
+    "SynchronizedAfterFirstChunk": (2, True, {"asks": 1, "restarts": 1}),
 }
 DEFAULT_EVENTS = (2, False, {"writes": 2, "deletes": 1, "asks": 1})
 
 
-@pytest.mark.parametrize("defect", COPYING, ids=lambda defect: defect.__name__)
+@pytest.mark.parametrize("defect", REPLICATION_DEFECTS, ids=lambda defect: defect.__name__)
 def test_exploration_when_a_defect_is_planted_finds_it_with_its_story(defect):
     process_count, written, events = EVENTS_OF_DEFECTS.get(defect.__name__, DEFAULT_EVENTS)
     found = explore(Copies.begin(process_count, Left(**NO_EVENTS | events), defect, written))
@@ -64,5 +64,5 @@
 
 
 def test_judge_of_random_runs_when_an_empty_replica_empties_others_reports_a_loss():
-    run = random_day(0, length_ms=30_000.0, make=EmptyCopyWins)
+    run = random_day(0, length_ms=30_000.0, make=EmptyReplicaWins)
     assert "is lost" in run.wrong[0]
