--- /dev/null
+++ b/flintridge/core/admin_routes.py
@@ -0,0 +1,18 @@
+"""Routes of the admin API: what the parts of a node answer operators with."""
+
+from collections.abc import Callable
+from dataclasses import dataclass
+from typing import Any
+
+# What answers a call: an HTTP status and the body's fields.
+AdminResponse = tuple[int, dict[str, Any]]
+
+
+@dataclass(slots=True, frozen=True)
+class RouteWithInput:
+    """A route that is given the call's query and body, which may be empty."""
+
+    call: Callable[[bytes, bytes], AdminResponse]
+
+
+Routes = dict[bytes, dict[bytes, Callable[[], AdminResponse] | RouteWithInput]]
--- a/flintridge/downstream/admin_api.py
+++ b/flintridge/downstream/admin_api.py
@@ -7,7 +7,8 @@
 
 from flintridge.config.address import Address
 from flintridge.config.node_config import CONSOLE_PLACES
-from flintridge.downstream.admin_exchange import AdminExchange, Routes
+from flintridge.core.admin_routes import Routes
+from flintridge.downstream.admin_exchange import AdminExchange
 from flintridge.downstream.lingering_close import close_lingering
 from flintridge.runtime.clock import Clock, DeadlineExceededError, within
 from flintridge.runtime.listener import Listener, open_listener
--- a/flintridge/downstream/admin_exchange.py
+++ b/flintridge/downstream/admin_exchange.py
@@ -7,13 +7,13 @@
 Bodies are JSON objects that say the state. Those of calls are discarded, but for the routes that take one.
 """
 
-from collections.abc import Callable
-from dataclasses import dataclass
 from typing import Any
 
 import h11
 import orjson
 
+from flintridge.core.admin_routes import Routes, RouteWithInput
+
 MAX_HEAD_BYTES = 8 * 1024
 MAX_BODY_BYTES = 64 * 1024  # of a call
 
@@ -24,19 +24,6 @@
 BODY_TOO_LARGE = 413
 END_OF_ERROR_STATUSES = 600
 
-# What answers a call: an HTTP status and the body's fields.
-AdminResponse = tuple[int, dict[str, Any]]
-
-
-@dataclass(slots=True, frozen=True)
-class RouteWithInput:
-    """A route that is given the call's query and body, which may be empty."""
-
-    call: Callable[[bytes, bytes], AdminResponse]
-
-
-Routes = dict[bytes, dict[bytes, Callable[[], AdminResponse] | RouteWithInput]]
-
 
 class AdminExchange:
     """One call. `feed` gives the response's buffers once the call is whole, or cannot become a good one."""
--- a/tests/membership/test_membership_config.py
+++ b/tests/membership/test_membership_config.py
@@ -99,7 +99,7 @@
     code = (
         "import sys, flintridge.__main__; from flintridge.config.loader import load_config;"
         "from flintridge.node import Node;"
-        "held = ('peers', 'budgets', 'replica', 'msgspec');"
+        "held = ('membership', 'leases', 'replication', 'msgspec');"
         "print(*(name for name in sys.modules if any(one in name for one in held)))"
     )
     done = subprocess.run([sys.executable, "-c", code], capture_output=True, text=True, check=True, cwd=ROOT)
--- a/tests/test_compatibility.py
+++ b/tests/test_compatibility.py
@@ -15,7 +15,8 @@
 from flintridge.leases import messages as lease_messages
 from flintridge.membership.messages import Wire
 from flintridge.replication import messages as replication_messages
-from flintridge.replication.replica import Limits, Replica
+from flintridge.replication.limits import ReplicaLimits
+from flintridge.replication.replica import Replica
 
 FIXTURES = ROOT / "tests" / "fixtures"
 PEER_MESSAGES = json.loads((FIXTURES / "peer_messages.json").read_text())
@@ -66,14 +67,15 @@
 
 def test_a_replica_takes_a_snapshot_of_the_version_before_and_agrees_on_its_digest():
     fixture = json.loads((FIXTURES / "replication_snapshot.json").read_text())
-    source, chunk = replication_messages.slice_of(
+    received = replication_messages.decode_chunk(
         [bytes.fromhex(text) for text in fixture["chunks"]], fixture["as_of_ms"]
     )
+    source, chunk = received.source, received.chunk
     assert list(source) == fixture["source"]
-    replica = Replica(("n2", 9), Limits(), 0.0, offset=fixture["offset_ms"])
-    request = replica.ask(source)
-    assert replication_messages.asked(request).hex() == fixture["request"]
-    assert replica.take(fixture["as_of_ms"], source, chunk)
+    replica = Replica(("n2", 9), ReplicaLimits(), 0.0, offset=fixture["offset_ms"])
+    request = replica.next_request(source)
+    assert replication_messages.encode_request(request).hex() == fixture["request"]
+    assert replica.apply_chunk(fixture["as_of_ms"], source, chunk)
     assert replica.root() == fixture["root"]
     assert sorted(map(list, replica.entries)) == fixture["keys"]
     for key, entry in replica.entries.items():
