--- a/flintridge/cli/check.py
+++ b/flintridge/cli/check.py
@@ -5,7 +5,7 @@
 import click
 
 from flintridge.cli.exits import Wrong
-from flintridge.config.faults import ConfigFaults
+from flintridge.config.faults import ConfigFaultsError
 
 
 @click.command
@@ -32,7 +32,7 @@
     for file in files:
         try:
             click.echo(_sound(file, scenario))
-        except ConfigFaults as faults:
+        except ConfigFaultsError as faults:
             faulty.append(str(faults))
         except OSError as error:
             faulty.append(f"{file}: {error.strerror or error}")
@@ -41,7 +41,7 @@
 
 
 def _sound(file: str, scenario: bool) -> str:
-    """The line for a sound file. Raises ConfigFaults, OSError."""
+    """The line for a sound file. Raises ConfigFaultsError, OSError."""
     if scenario:
         from flintridge.lab.scenario.load import load
 
--- a/flintridge/cli/exits.py
+++ b/flintridge/cli/exits.py
@@ -47,9 +47,9 @@
         place = f"{error.filename}: " if error.filename is not None else ""
         raise Wrong(f"{place}{error.strerror or error}") from error
     except ValueError as error:
-        from flintridge.config.faults import ConfigFaults
+        from flintridge.config.faults import ConfigFaultsError
 
-        if not isinstance(error, ConfigFaults):
+        if not isinstance(error, ConfigFaultsError):
             raise
         raise Wrong(str(error)) from error
 
--- a/flintridge/cli/ring.py
+++ b/flintridge/cli/ring.py
@@ -298,13 +298,13 @@
     read: "Callable[[str, str | None], Fleet]", old: str, new: str, origin: str | None
 ) -> "tuple[Fleet, Fleet]":
     """Both files, or the faults of both together. Raises Wrong."""
-    from flintridge.config.faults import ConfigFaults
+    from flintridge.config.faults import ConfigFaultsError
 
     fleets, faults = [], []
     for file in (old, new):
         try:
             fleets.append(read(file, origin))
-        except ConfigFaults as error:
+        except ConfigFaultsError as error:
             faults.append(str(error))
         except OSError as error:
             faults.append(f"{file}: {error.strerror or error}")
--- a/flintridge/cli/ring_lists.py
+++ b/flintridge/cli/ring_lists.py
@@ -1,16 +1,16 @@
 """`flintridge ring`: a list of servers from a file, as discovery gives it or as a configuration holds it."""
 
-from collections.abc import Iterator
 from typing import Any, NamedTuple
 
-from flintridge.config.contradictions import addresses, contradictions, fault, twice
-from flintridge.config.faults import ConfigFaults, Fault, decode_raw, given
-from flintridge.config.loader import is_own
+from flintridge.config.decoding import decode_values, syntax_fault
+from flintridge.config.faults import UNSET, ConfigFault, ConfigFaultsError
+from flintridge.config.loader import is_node_format
 from flintridge.config.model import Listed as OwnListed
 from flintridge.config.model import NodeFile
-from flintridge.config.platform import Known, Listed, PlatformFile, Settings, conflicts
-from flintridge.config.syntax import SyntaxFault, parse_json, parse_toml
-from flintridge.config.words import NOTHING
+from flintridge.config.node_file_validation import validate_node_file
+from flintridge.config.platform_model import ListedServer, PlatformFile, ServerList, Settings
+from flintridge.config.platform_validation import validate_platform_file, validate_server_list
+from flintridge.config.syntax import ConfigSyntaxError, parse_json, parse_toml
 
 ORIGIN = "origin"  # the kind that discovery gives the origin, where no configuration names another
 
@@ -43,17 +43,19 @@
 def read(file: str, origin_kind: str | None = None) -> Fleet:
     """The fleet in a file; `origin_kind` goes before what a configuration says.
 
-    Raises ConfigFaults with every fault of the file, or OSError.
+    Raises ConfigFaultsError with every fault of the file, or OSError.
     """
     with open(file, "rb") as opened:
         text = opened.read()
     try:
         raw = parse_toml(text) if file.endswith(".toml") else parse_json(text)
-    except SyntaxFault as error:
-        raise ConfigFaults([Fault(file, error.place, NOTHING, error.reason)]) from error
+    except ConfigSyntaxError as error:
+        raise syntax_fault(file, error) from error
     listed, origin = _held(file, raw)
     if listed is None:
-        raise ConfigFaults([Fault(file, "known", NOTHING, "is missing: this file holds no list of servers")])
+        raise ConfigFaultsError(
+            [ConfigFault(file, "known", UNSET, "is missing: this file holds no list of servers")]
+        )
     return _fleet(file, listed.revision, listed.members, origin if origin_kind is None else origin_kind)
 
 
@@ -61,27 +63,15 @@
     """The list in a file of any of the three forms, None where there is none, and the origin's kind."""
     names = raw if isinstance(raw, dict) else ()
     if "members" in names and "settings" not in names and "classes" not in names:
-        return decode_raw(file, raw, Known, _list_faults), ORIGIN
-    if is_own(file, raw):
-        own = decode_raw(file, raw, NodeFile, contradictions)
+        return decode_values(file, raw, ServerList, validate_server_list), ORIGIN
+    if is_node_format(file, raw):
+        own = decode_values(file, raw, NodeFile, validate_node_file)
         return own.known, own.origin_kind
     if "settings" in names:
-        platform = decode_raw(file, raw, PlatformFile, conflicts)
+        platform = decode_values(file, raw, PlatformFile, validate_platform_file)
         return platform.known, _platform_origin(platform.settings)
     reason = "must be a list of servers (revision, complete, members) or a node's configuration"
-    raise ConfigFaults([Fault(file, "", NOTHING, reason)])
-
-
-def _list_faults(listed: Known) -> Iterator[Fault]:
-    if given(listed.complete) and not listed.complete:
-        yield fault("complete", False, "must be true: this is a change of a list, not a list", "true")
-    if not given(listed.members):
-        return
-    yield from twice(listed.members, "members", "id")
-    yield from addresses(listed.members, "members")
-    for i, one in enumerate(listed.members):
-        if given(one) and given(one.phase) and one.phase != "terminated" and one.host_port is None:
-            yield fault(f"members[{i}].host_port", NOTHING, "is missing for a server that is not gone")
+    raise ConfigFaultsError([ConfigFault(file, "", UNSET, reason)])
 
 
 def _platform_origin(settings: Settings) -> str | None:
@@ -90,7 +80,9 @@
     return kinds[at] if settings.family_info.mode == "aside" and 0 <= at < len(kinds) else None
 
 
-def _fleet(file: str, revision: int, members: tuple[Listed | OwnListed, ...], origin: str | None) -> Fleet:
+def _fleet(
+    file: str, revision: int, members: tuple[ListedServer | OwnListed, ...], origin: str | None
+) -> Fleet:
     caches: list[Cache] = []
     off: dict[str, str] = {}
     for one in sorted(members, key=lambda member: member.id):
--- a/flintridge/config/address.py
+++ b/flintridge/config/address.py
@@ -1,31 +1,61 @@
-"""Numeric addresses with a port, as configurations name them."""
+"""Numeric IP addresses with a port, as configurations name them."""
 
 import ipaddress
 from dataclasses import dataclass
-from typing import Any
+
+from flintridge.config.errors import AddressError
+
+ADDRESS_FORMAT = "a numeric address with a port, as 10.0.0.4:11211"
+PORT_MAX = 65_535
 
 
 @dataclass(slots=True, frozen=True)
 class Address:
+    """Where a node listens, or what it connects to.
+
+    Attributes:
+        host: A numeric IPv4 or IPv6 address, without brackets.
+        port: 0 to 65535; 0 lets the kernel choose a port to listen on.
+    """
+
     host: str
     port: int
 
     @classmethod
-    def parse(cls, text: Any) -> "Address":
-        host, _, port = text.rpartition(":") if isinstance(text, str) else ("", "", "")
+    def parse(cls, text: object) -> "Address":
+        """Read `10.0.0.4:11211` or `[::1]:11211`.
+
+        Args:
+            text: A value from a configuration or the environment, of any type.
+
+        Raises:
+            AddressError: It is not a numeric address with a port.
+        """
         try:
-            ipaddress.ip_address(host.strip("[]"))  # names cannot be resolved where nodes run
-            if not port.isdecimal() or not 0 <= int(port) < 65536:
+            if not isinstance(text, str):
+                raise ValueError("no text")
+            host, _, port_text = text.rpartition(":")
+            host = host.strip("[]")
+            ipaddress.ip_address(host)  # names cannot be resolved where nodes run
+            if not port_text.isdecimal() or int(port_text) > PORT_MAX:
                 raise ValueError("no port")
         except ValueError as error:
-            allowed = "a numeric address with a port, as 10.0.0.4:11211"
-            raise ValueError(f"{text!r} must be {allowed}") from error
-        return cls(host.strip("[]"), int(port))
+            raise AddressError(f"{text!r} must be {ADDRESS_FORMAT}") from error
+        return cls(host, int(port_text))
 
     def __str__(self) -> str:
         return f"[{self.host}]:{self.port}" if ":" in self.host else f"{self.host}:{self.port}"
 
 
-def optional_address(text: Any) -> Address | None:
-    """None where nothing is said. Raises ValueError."""
-    return None if text is None or text == "" else Address.parse(text)
+def optional_address(text: object) -> Address | None:
+    """Read an address that may be left out.
+
+    Returns:
+        None where the text is missing or empty.
+
+    Raises:
+        AddressError: It is not a numeric address with a port.
+    """
+    if text is None or text == "":
+        return None
+    return Address.parse(text)
--- /dev/null
+++ b/flintridge/config/descriptions.py
@@ -0,0 +1,121 @@
+"""Descriptions of values, and of what a type allows, in one line of an error message."""
+
+from collections.abc import Iterable
+from typing import Any
+
+from msgspec import inspect
+
+SHOWN_CHARACTERS_MAX = 60
+EXACT_INTEGER_MAX = 1e15  # larger floats are not written out as integers
+
+
+def shown(value: Any) -> str:
+    """A value in an error message: one line, cut where it is long. Never raises."""
+    if value is None:
+        return "null"
+    if isinstance(value, bool):
+        return "true" if value else "false"
+    if isinstance(value, dict):
+        return "a table"
+    if isinstance(value, float) and value.is_integer():
+        return number(value)
+    try:
+        text = repr(value)
+    except (ValueError, RecursionError):  # a number of thousands of digits, lists nested hundreds deep
+        return "what is too long to show"
+    if len(text) <= SHOWN_CHARACTERS_MAX:
+        return text
+    return f"{text[: SHOWN_CHARACTERS_MAX - 3]}..."
+
+
+def number(value: float) -> str:
+    """A number without a fraction of zero."""
+    if float(value).is_integer() and abs(value) < EXACT_INTEGER_MAX:
+        return str(int(value))
+    return f"{value:g}"
+
+
+def bounds(info: inspect.FloatType | inspect.IntType) -> str:
+    """The range of a number, as in `>= 0 and <= 1`; empty where there is none."""
+    limits = ((">", info.gt), (">=", info.ge), ("<", info.lt), ("<=", info.le))
+    descriptions = [f"{sign} {number(limit)}" for sign, limit in limits if limit is not None]
+    if info.multiple_of is not None:
+        descriptions.append(f"a multiple of {number(info.multiple_of)}")
+    return " and ".join(descriptions)
+
+
+def length(info: inspect.StrType | inspect.ListType | inspect.VarTupleType, unit: str) -> str:
+    """The allowed length, as in `1 to 64 characters`; empty where any length is allowed."""
+    minimum = info.min_length
+    maximum = info.max_length
+    if minimum is None and maximum is None:
+        return ""
+    if minimum == maximum:
+        return f"{minimum} {unit}"
+    if maximum is None:
+        return f"at least {minimum} {unit}"
+    if minimum:
+        return f"{minimum} to {maximum} {unit}"
+    return f"at most {maximum} {unit}"
+
+
+def choice(values: Iterable[Any]) -> str:
+    """The values of which one is allowed."""
+    choices = [shown(value) for value in values]
+    return choices[0] if len(choices) == 1 else f"one of {', '.join(choices)}"
+
+
+def allowed_by(info: inspect.Type) -> str:
+    """What a type allows, as in `a number >= 0 and <= 1`."""
+    match info:
+        case inspect.Metadata():  # descriptions, which the JSON Schema has
+            return allowed_by(info.type)
+        case inspect.FloatType():
+            return f"a number {bounds(info)}".strip()
+        case inspect.IntType():
+            return f"a whole number {bounds(info)}".strip()
+        case inspect.StrType():
+            return _allowed_text(info)
+        case inspect.BoolType():
+            return "true or false"
+        case inspect.NoneType():
+            return "null"
+        case inspect.LiteralType():
+            return choice(info.values)
+        case inspect.EnumType():
+            return choice(member.value for member in info.cls)
+        case _:
+            return _allowed_by_container(info)
+
+
+def _allowed_by_container(info: inspect.Type) -> str:
+    match info:
+        case inspect.ListType() | inspect.VarTupleType():
+            size = length(info, "values")
+            sized = f"a list of {size}" if size else "a list"
+            return f"{sized}, each {allowed_by(info.item_type)}"
+        case inspect.TupleType():
+            return f"a list of {len(info.item_types)} values"
+        case inspect.UnionType():
+            return _allowed_by_union(info)
+        case inspect.StructType() | inspect.DictType():
+            return "a table"
+        case _:
+            return "another kind of value"
+
+
+def _allowed_by_union(info: inspect.UnionType) -> str:
+    structs = [member for member in info.types if isinstance(member, inspect.StructType)]
+    descriptions = [allowed_by(member) for member in info.types if member not in structs]
+    if structs:
+        descriptions.append("a table")
+    return ", or ".join(descriptions)
+
+
+def _allowed_text(info: inspect.StrType) -> str:
+    description = "text"
+    if size := length(info, "characters"):
+        description += f" of {size}"
+    if info.pattern:
+        description += f" matching {info.pattern}"
+    return description
--- a/flintridge/config/errors.py
+++ b/flintridge/config/errors.py
@@ -1,5 +1,11 @@
-"""Errors of a configuration."""
+"""Errors of a node's configuration."""
 
+from flintridge.errors import FlintridgeError
 
-class ConfigError(ValueError):
-    """A configuration that no node can be started with; its text is one line for the operator."""
+
+class ConfigError(FlintridgeError, ValueError):
+    """A configuration that no node can be started with; its text has a line for each fault."""
+
+
+class AddressError(FlintridgeError, ValueError):
+    """A text that is not a numeric address with a port."""
--- a/flintridge/config/faults.py
+++ b/flintridge/config/faults.py
@@ -1,23 +1,26 @@
-"""Decoding a file into a struct with all of its faults told at once, one line each."""
+"""Faults of a file, each with its place, its value and what is allowed there."""
 
-from collections.abc import Callable, Iterable
-from dataclasses import dataclass, replace
-from typing import Any, TypeVar, cast
+from dataclasses import dataclass
+from typing import Any
 
 import msgspec
 
-from flintridge.config.syntax import SyntaxFault, parse
-from flintridge.config.walk import Walk, type_info
-from flintridge.config.words import NOTHING, shown
+from flintridge.config.descriptions import shown
+from flintridge.errors import FlintridgeError
 
-T = TypeVar("T")
+UNSET: Any = msgspec.UNSET  # in place of a value that is missing or not valid
 
 
 @dataclass(slots=True, frozen=True)
-class Fault:
+class ConfigFault:
     """What is wrong at one place of a file.
 
-    `path` is as in `classes[1].aim_ms`; `allowed` says what may stand there, empty where the reason says all.
+    Attributes:
+        file: The file's name; empty until the fault is reported.
+        path: As in `classes[1].aim_ms`; empty for the file as a whole.
+        value: What is there; UNSET where it is missing or not to be shown.
+        reason: What is wrong with it.
+        allowed: What is allowed there; empty where the reason says all.
     """
 
     file: str
@@ -27,52 +30,27 @@
     allowed: str = ""
 
     def __str__(self) -> str:
-        parts = [self.file, self.path, "" if self.value is NOTHING else shown(self.value), self.reason]
-        return ": ".join(part for part in parts if part)
+        value = "" if self.value is UNSET else shown(self.value)
+        return ": ".join(text for text in (self.file, self.path, value, self.reason) if text)
 
 
-class ConfigFaults(ValueError):
-    """Every fault of a file; its text has a line for each."""
+class ConfigFaultsError(FlintridgeError, ValueError):
+    """A file is not valid; the text has a line for each fault.
 
-    def __init__(self, faults: list[Fault]) -> None:
+    Attributes:
+        faults: All faults of the file.
+    """
+
+    def __init__(self, faults: list[ConfigFault]) -> None:
         super().__init__("\n".join(map(str, faults)))
         self.faults = faults
 
 
-Also = Callable[[Any], Iterable[Fault]]
+def fault_at(path: str, value: Any, reason: str, allowed: str = "") -> ConfigFault:
+    """A fault of a file whose name is filled in later, see `ConfigFault`."""
+    return ConfigFault("", path, value, reason, allowed)
 
 
-def decode(path: str, text: bytes, type: type[T], also: Also | None = None) -> T:
-    """The file's text (TOML, or JSON by its suffix) as a `type`. Raises ConfigFaults.
-
-    `also` looks for contradictions. It is given the struct even where some of it is faulty; what is faulty
-    then is `NOTHING`, see `given`.
-    """
-    try:
-        raw = parse(path, text)
-    except SyntaxFault as error:
-        raise ConfigFaults([Fault(path, error.place, NOTHING, error.reason)]) from error
-    return decode_raw(path, raw, type, also)
-
-
-def decode_raw(path: str, raw: Any, type: type[T], also: Also | None = None) -> T:
-    """Plain values as a `type`; as `decode`."""
-    walk, kind = Walk(), cast(Any, type)
-    partial = walk.take(type_info(kind), raw, "")
-    faults = [Fault(path, place, value, reason, allowed) for place, value, reason, allowed in walk.found]
-    whole = None
-    if not faults:
-        try:
-            whole = partial = msgspec.convert(raw, type)
-        except msgspec.ValidationError as error:  # guards against a kind of type that the walk does not know
-            faults = [Fault(path, "", NOTHING, str(error))]
-    if also and given(partial):
-        faults += [replace(fault, file=path) for fault in also(partial)]
-    if faults or whole is None:
-        raise ConfigFaults(faults)
-    return whole
-
-
-def given(*values: Any) -> bool:
-    """Whether none of the values is faulty: what contradicts a faulty one is not known."""
-    return all(value is not NOTHING for value in values)
+def all_valid(*values: Any) -> bool:
+    """Whether none of the values is UNSET: nothing can be said to conflict with a value that is not valid."""
+    return all(value is not UNSET for value in values)
--- a/flintridge/config/model.py
+++ b/flintridge/config/model.py
@@ -2,6 +2,8 @@
 
 Units are part of the names: `_ms` milliseconds, `_s` seconds, `_mb` megabytes, `_per_s` a second; shares are
 from 0 to 1. Classes, tenants, limits, rules, prices and goal are named as in the lab's scenarios.
+
+The JSON Schema that `flintridge check --schema` prints has the names of these classes and their doc comments.
 """
 
 from typing import Annotated, Literal
@@ -23,11 +25,13 @@
 ]
 
 
-class Part(msgspec.Struct, forbid_unknown_fields=True, kw_only=True, frozen=True, omit_defaults=True):
-    """A table of the file: a name that it does not know is refused."""
+class Section(msgspec.Struct, forbid_unknown_fields=True, kw_only=True, frozen=True, omit_defaults=True):
+    """A table of the file; a key that is not known is refused."""
+
 
+class RequestClass(Section, kw_only=True, frozen=True):
+    """A class of requests: how soon they must be answered, and what they are worth."""
 
-class RequestClass(Part, kw_only=True, frozen=True):
     name: Name
     aim_ms: PositiveMs = 1000.0  # answered within this: full worth
     deadline_ms: PositiveMs = 2000.0  # over all tries of the client
@@ -40,20 +44,22 @@
     aim_stretch: Amount = 0.0  # the aim grows by this multiple of the request's own work
 
 
-class Tenant(Part, kw_only=True, frozen=True):
+class Tenant(Section, kw_only=True, frozen=True):
+    """A tenant and its quota."""
+
     name: Name
     quota_per_s: Amount = 0.0  # over all nodes (0: none)
     share: Share = 0.0
 
 
-class Machine(Part, kw_only=True, frozen=True):
+class Machine(Section, kw_only=True, frozen=True):
     """What the node's machine gives it."""
 
     sockets: Annotated[int, Meta(ge=32, le=1_000_000)] = 1024
     memory_mb: Annotated[float, Meta(ge=32, le=65_536, description="megabytes")] = 192.0
 
 
-class Limits(Part, kw_only=True, frozen=True):
+class Limits(Section, kw_only=True, frozen=True):
     """What the node may do."""
 
     max_attempts: Annotated[int, Meta(ge=1, le=100)] = 3
@@ -68,7 +74,9 @@
     conn_idle_s: PositiveSeconds = 60.0  # servers close connections that are idle for so long
 
 
-class Rules(Part, kw_only=True, frozen=True):
+class Rules(Section, kw_only=True, frozen=True):
+    """Rules of the platform that servers and nodes keep to."""
+
     answer_slack_ms: Ms = 0.0
     ask_within_s: PositiveSeconds = 10.0  # without a watch, ask for the list this often
     drain_grace_ms: Ms = 0.0
@@ -78,7 +86,7 @@
     fall_ms: Ms = 0.0  # for this long, a cold server falls over
 
 
-class Prices(Part, kw_only=True, frozen=True):
+class Prices(Section, kw_only=True, frozen=True):
     """Points of service lost, each times its share or rate."""
 
     cross_zone: Amount = 0.0
@@ -93,7 +101,7 @@
     discovery: Amount = 0.0
 
 
-class Goal(Part, kw_only=True, frozen=True):
+class Goal(Section, kw_only=True, frozen=True):
     """Weights of the parts of the result (0: not counted), and the two bounds that are no weights."""
 
     whole: Amount = 1.0
@@ -106,7 +114,7 @@
     full_at_nines: Amount = 3.0
 
 
-class Listed(Part, kw_only=True, frozen=True):
+class Listed(Section, kw_only=True, frozen=True):
     """A cache server or the origin as discovery lists it."""
 
     id: Annotated[str, Meta(min_length=1, max_length=256)]
@@ -119,7 +127,7 @@
     up_since_ms: Annotated[float, Meta(ge=0, le=1e15, description="Unix time; 0: long ago")] = 0.0
 
 
-class Known(Part, kw_only=True, frozen=True):
+class Known(Section, kw_only=True, frozen=True):
     """The list of servers as last held, possibly old."""
 
     revision: Annotated[int, Meta(ge=0)] = 0
@@ -127,12 +135,14 @@
     members: tuple[Listed, ...] = ()
 
 
-class LogPart(Part, kw_only=True, frozen=True):
+class LogPart(Section, kw_only=True, frozen=True):
+    """What is logged."""
+
     level: Literal["debug", "info", "warning", "error"] = "info"
     repeats_per_s: Annotated[int, Meta(ge=1, le=100_000)] = 50  # of one event; the rest is counted
 
 
-class Peers(Part, kw_only=True, frozen=True):
+class Peers(Section, kw_only=True, frozen=True):
     """The other nodes that this one hears. Without this table it hears none."""
 
     listen: Address  # for datagrams (UDP) and exchanges (TCP)
@@ -142,7 +152,7 @@
     bytes_per_s: Annotated[float, Meta(ge=4000, le=1e7, description="bytes, of all that is sent")] = 16_000.0
 
 
-class Budgets(Part, kw_only=True, frozen=True):
+class Budgets(Section, kw_only=True, frozen=True):
     """Which budgets of the fleet nodes lend one another. Without this table each holds its even part."""
 
     tenants: bool = False  # the tenants' quotas
@@ -158,7 +168,7 @@
     bytes_per_s: Annotated[float, Meta(ge=200, le=2.5e6, description="bytes, of those of peers")] = 2000.0
 
 
-class State(Part, kw_only=True, frozen=True):
+class State(Section, kw_only=True, frozen=True):
     """What operators tell one node and all hold. Without this table a node holds none of it."""
 
     entries: Annotated[int, Meta(ge=1, le=100_000)] = 10_000  # those of remembered deletions included
@@ -168,7 +178,7 @@
     bytes_per_s: Annotated[float, Meta(ge=200, le=2.5e6, description="bytes, of those of peers")] = 2000.0
 
 
-class NodeFile(Part, kw_only=True, frozen=True):
+class NodeFile(Section, kw_only=True, frozen=True):
     """A node. `listen`, `discovery` and `console` may be left to PROXY_LISTEN and so on."""
 
     name: Name | None = None
--- a/flintridge/config/node_config.py
+++ b/flintridge/config/node_config.py
@@ -1,4 +1,7 @@
-"""What a node is started with, and the limits that follow from it."""
+"""The configuration that a node is started with, and the limits that are derived from it.
+
+Fields have the names of the keys in the node's own format (`model`), where each is described with its range.
+"""
 
 from dataclasses import dataclass
 from typing import Any
@@ -6,99 +9,157 @@
 from flintridge import api
 from flintridge.config.address import Address
 
-# Descriptors for the listener, discovery, the event loop, the log, connections on their way in, and those
-# beyond the room that are still read past: in a burst up to 16 are accepted before the first of them is seen.
-SPARE = 32
-CONSOLE_PLACES = 12  # callers at a time, and descriptors beyond those, where there is a console
-PEER_PLACES = 8  # datagrams, exchanges both ways and their listener, where there are peers
-# Of the others, for clients: their requests need a third of all, and each of these an attempt or two. What is
-# more lets those that never ask wait for their end without taking the place of those that do.
-CLIENT_PART = 0.6
-LONGEST_MB = 4.0  # of a value
-BASE_MB = 24.0  # what a node takes with nothing held: 14 to 17 MB were seen
+# Descriptors for the listener, discovery, the event loop, the log, accepted connections that are not counted
+# yet, and connections beyond the limit that are still read from: in a burst up to 16 are accepted before the
+# first of them is seen.
+RESERVED_DESCRIPTORS = 32
+ADMIN_CONNECTIONS_MAX = 12  # at once, and descriptors beyond the reserved ones, where there is an admin API
+PEER_DESCRIPTORS = 8  # datagrams, exchanges both ways and their listener, where there are peers
+# Of the remaining sockets, for clients: their requests need a third of all, and each of these an attempt or
+# two. The rest lets idle clients wait for their timeout without taking sockets from active ones.
+CLIENT_SOCKETS_FRACTION = 0.6
+MAX_VALUE_MB = 4.0
+BASE_MEMORY_MB = 24.0  # what a node takes with no request in flight: 14 to 17 MB were measured
+BYTES_PER_MB = 1024 * 1024
 
 
 @dataclass(slots=True, frozen=True)
 class PeersConfig:
-    """Who the other nodes are; only in the node's own format."""
+    """The other nodes of the fleet; only in the node's own format.
+
+    Attributes:
+        listen: For datagrams and exchanges.
+        known: Peers by name, with the address at which this node reaches each; its own entry is not used.
+        fleet: The fleet's name; traffic of another fleet is dropped.
+        key: Seals the traffic; None: nothing is sealed, and all of it stays on this machine.
+        bytes_per_s: Of all that is sent to peers.
+    """
 
-    listen: Address  # datagrams and exchanges
-    known: tuple[tuple[str, Address], ...]  # by name, where this node reaches it; its own is not used
+    listen: Address
+    known: tuple[tuple[str, Address], ...]
     fleet: str
-    key: bytes | None = None  # None: nothing is sealed, and all of it stays on this machine
+    key: bytes | None = None
     bytes_per_s: float = 16_000.0
 
 
 @dataclass(slots=True, frozen=True)
 class BudgetsConfig:
-    """Which budgets of the fleet are lent between nodes that hear one another; only in the node's own format.
-
-    Each is cut into one even part a node; `floor` is the share of its part that a node never lends.
+    """Which fleet-wide limits are leased between nodes that reach one another; only in the node's own format.
+
+    Each is divided into one equal allocation a node.
+
+    Attributes:
+        tenants: The tenants' quotas.
+        floors: What concurrency limiters admit at the least.
+        cold: The work that may go to a server that is warming up.
+        cache_places: Attempts in flight at the caches, over all nodes; 0: no such limit.
+        origin_places: Attempts in flight at the origin, over all nodes; 0: no such limit.
+        repeats_per_s: Retries over all nodes; 0: no such limit.
+        repeat_share: Retries allowed beside these for each first attempt.
+        strict: Reject what exceeds a quota, whatever capacity is free.
+        floor: The fraction of its allocation that a node never lends.
+        lease_ms: Length of a lease, by the borrower's clock.
+        bytes_per_s: Of lease messages; included in what [peers] allows.
     """
 
-    tenants: bool = False  # the tenants' quotas
-    floors: bool = False  # what gates let through at the least
-    cold: bool = False  # the work that may go to a server that has just started
-    cache_places: int = 0  # attempts that may be out at the caches, over all nodes (0: no such bound)
-    origin_places: int = 0  # and at the origin
-    repeats_per_s: float = 0.0  # attempts that may follow a failed one, over all nodes (0: no such bound),
-    repeat_share: float = 0.1  # and beside these so many for each first attempt
-    strict: bool = False  # what is beyond a quota is refused, whatever room there is
+    tenants: bool = False
+    floors: bool = False
+    cold: bool = False
+    cache_places: int = 0
+    origin_places: int = 0
+    repeats_per_s: float = 0.0
+    repeat_share: float = 0.1
+    strict: bool = False
     floor: float = 0.25
-    lease_ms: float = 4_000.0  # of a loan, by the borrower's clock
-    bytes_per_s: float = 2_000.0  # of what is said of budgets; a part of what [peers] allows
+    lease_ms: float = 4_000.0
+    bytes_per_s: float = 2_000.0
 
 
 @dataclass(slots=True, frozen=True)
 class StateConfig:
-    """What a node holds of the fleet's state; only in the node's own format."""
+    """The replica of the fleet's state that a node has; only in the node's own format.
+
+    Attributes:
+        entries: At most, remembered deletions included.
+        entry_bytes: Of one entry, at most.
+        remember_s: How long deletions are remembered, at the least.
+        wait_ms: For a peer that is synchronized, before `mn` is answered without one.
+        bytes_per_s: Of entries in datagrams; included in what [peers] allows.
+    """
 
-    entries: int = 10_000  # those of remembered deletions included
+    entries: int = 10_000
     entry_bytes: int = 512
-    remember_s: float = 3_600.0  # deletions, at the least
-    wait_ms: float = 10_000.0  # for a peer that has caught up, before `mn` is answered without one
-    bytes_per_s: float = 2_000.0  # of what is told in datagrams; a part of what [peers] allows
+    remember_s: float = 3_600.0
+    wait_ms: float = 10_000.0
+    bytes_per_s: float = 2_000.0
 
 
 @dataclass(slots=True, frozen=True)
 class NodeConfig:
-    """What a real node is told at its start."""
+    """All that a node is started with.
+
+    Attributes:
+        name: The node's name in logs and to its peers.
+        listen: For clients.
+        discovery: The discovery service.
+        seed: Of the policy's random numbers.
+        settings: For the policy.
+        zones: Names by position, as the policy counts them.
+        kinds: Names of the kinds of servers by position.
+        known: The list of cache servers as last seen, decoded JSON in discovery's form that is validated only
+            when it is applied; None: no such list.
+        sockets: Descriptors that the node may open.
+        memory_mb: Memory that the node may use.
+        log_level: Lines below it are not written.
+        log_repeats_per_s: Lines of one event; further ones are counted in one line.
+        console: The address of the admin API; None: no admin API.
+        peers: None: this node reaches no other, and has no state of membership.
+        budgets: None: this node uses its equal allocation of each limit, as without peers.
+        state: None: this node has no replica of the fleet's state.
+    """
 
     name: str
     listen: Address
     discovery: Address
     seed: int
     settings: api.Settings
-    zones: tuple[str, ...] = ()  # by position, as the module counts them
+    zones: tuple[str, ...] = ()
     kinds: tuple[str, ...] = ()
-    known: Any = None  # the list of cache servers as last held, in discovery's form
+    known: Any = None
     sockets: int = 1024
     memory_mb: float = 192.0
     log_level: str = "info"
-    log_repeats_per_s: int = 50  # lines of one event; the rest is counted in one
-    console: Address | None = None  # for operators; None: no such address
-    peers: PeersConfig | None = None  # None: this node hears no other, and holds nothing of that part
-    budgets: BudgetsConfig | None = None  # None: an even part of each, as without peers
-    state: StateConfig | None = None  # None: nothing is held that others were told
+    log_repeats_per_s: int = 50
+    console: Address | None = None
+    peers: PeersConfig | None = None
+    budgets: BudgetsConfig | None = None
+    state: StateConfig | None = None
 
     @property
     def client_sockets(self) -> int:
-        return int(CLIENT_PART * (self.sockets - self._spare))
+        """Connections of clients that the node accepts."""
+        return int(CLIENT_SOCKETS_FRACTION * (self.sockets - self._reserved_sockets))
 
     @property
     def server_sockets(self) -> int:
-        return self.sockets - self._spare - self.client_sockets
+        """Connections to servers that the node opens."""
+        return self.sockets - self._reserved_sockets - self.client_sockets
 
     @property
-    def held_bytes(self) -> int:
-        """Room for the values of writes: a third of what a node has beyond its own, but always a longest one.
+    def memory_budget_bytes(self) -> int:
+        """Memory for the values of writes: a third of what exceeds the node's base, at least a largest value.
 
-        Another third is for what is on its way to clients, in short answers and in pieces of long ones.
+        Another third is for what is being sent to clients, as short responses and as chunks of long ones.
         """
-        return int(max(LONGEST_MB, (self.memory_mb - BASE_MB) / 3) * 1024 * 1024)
+        budget_mb = max(MAX_VALUE_MB, (self.memory_mb - BASE_MEMORY_MB) / 3)
+        return int(budget_mb * BYTES_PER_MB)
 
     @property
-    def _spare(self) -> int:
-        spare = SPARE if self.console is None else SPARE + CONSOLE_PLACES
-        spare += 0 if self.peers is None else PEER_PLACES
-        return spare if self.sockets > 4 * spare else self.sockets // 4
+    def _reserved_sockets(self) -> int:
+        reserved = RESERVED_DESCRIPTORS
+        if self.console is not None:
+            reserved += ADMIN_CONNECTIONS_MAX
+        if self.peers is not None:
+            reserved += PEER_DESCRIPTORS
+        # Guards against a small limit that the reserved ones would use up.
+        return min(reserved, self.sockets // 4)
--- /dev/null
+++ b/flintridge/config/node_file_validation.py
@@ -0,0 +1,162 @@
+"""Cross-field validation of a node's own format: values that are allowed each, but not together.
+
+All checks take a file that may be faulty in parts: a value that is `UNSET` conflicts with nothing.
+"""
+
+from collections.abc import Iterator, Sequence
+
+from flintridge.config.cross_field import (
+    address_faults,
+    console_address_faults,
+    duplicate_faults,
+    member_address_faults,
+)
+from flintridge.config.faults import UNSET, ConfigFault, all_valid, fault_at
+from flintridge.config.fleet_validation import validate_fleet_tables
+from flintridge.config.model import Goal, Limits, NodeFile, RequestClass, Rules, Tenant
+
+SHARES_SUM_TOLERANCE = 1e-6
+GOAL_WEIGHTS = ("whole", "worst_window", "worst_class", "worst_tenant", "tail", "availability")
+
+
+def validate_node_file(file: NodeFile) -> Iterator[ConfigFault]:
+    """Find all values of a file that cannot stand together."""
+    yield from _addresses_faults(file)
+    yield from _names_faults(file)
+    yield from _mode_faults(file)
+    if all_valid(file.self_index, file.fleet_size) and file.self_index >= file.fleet_size:
+        allowed = f"0 to {file.fleet_size - 1}"
+        yield fault_at("self_index", file.self_index, f"must be {allowed}, by fleet_size", allowed)
+    if all_valid(file.limits):
+        yield from _limits_faults(file.limits)
+    if all_valid(file.rules):
+        yield from _rules_faults(file.rules)
+    if all_valid(file.goal):
+        yield from _goal_faults(file.goal)
+    if all_valid(file.classes):
+        yield from _classes_faults(file.classes)
+    if all_valid(file.tenants):
+        yield from duplicate_faults(file.tenants, "tenants", "name")
+        yield from _shares_faults(file.tenants)
+    yield from validate_fleet_tables(file)
+    if all_valid(file.known) and file.known is not None and all_valid(file.known.members):
+        yield from duplicate_faults(file.known.members, "known.members", "id")
+        yield from member_address_faults(file.known.members, "known.members")
+
+
+def _addresses_faults(file: NodeFile) -> Iterator[ConfigFault]:
+    yield from address_faults("listen", file.listen)
+    yield from address_faults("discovery", file.discovery)
+    yield from address_faults("console", file.console)
+    yield from console_address_faults(file)
+    if all_valid(file.listen, file.discovery) and file.listen and file.listen == file.discovery:
+        yield fault_at("discovery", file.discovery, "is the address that the node itself listens on")
+
+
+def _names_faults(file: NodeFile) -> Iterator[ConfigFault]:
+    """Find names of zones and kinds that stand twice, and a zone that is not named."""
+    for path in ("zones", "kinds"):
+        names = getattr(file, path)
+        if not all_valid(names):
+            continue
+        for i, name in enumerate(names):
+            if all_valid(name) and name in names[:i]:
+                yield fault_at(f"{path}[{i}]", name, "stands there twice")
+    has_several_zones = all_valid(file.zones) and len(file.zones) > 1
+    yield from _reference_faults("zone", file.zone, file.zones, "zones", required=has_several_zones)
+
+
+def _mode_faults(file: NodeFile) -> Iterator[ConfigFault]:
+    if not all_valid(file.mode):
+        return
+    is_aside = file.mode == "aside"
+    yield from _reference_faults("origin_kind", file.origin_kind, file.kinds, "kinds", required=is_aside)
+    if not is_aside and all_valid(file.origin_kind) and file.origin_kind is not None:
+        reason = "has no meaning where mode is 'through'"
+        yield fault_at("origin_kind", file.origin_kind, reason, "aside")
+
+
+def _reference_faults(
+    path: str, name: str | None, names: Sequence[str], names_path: str, *, required: bool
+) -> Iterator[ConfigFault]:
+    """Find a name that is not in the list it must be from, or is missing where one is required."""
+    if not all_valid(name, names) or not all_valid(*names):
+        return
+    allowed = f"named in {names_path}, which is empty"
+    if names:
+        allowed = f"one of {', '.join(map(repr, names))}"
+    if name is None:
+        if required:
+            yield fault_at(path, UNSET, f"is missing: it must be {allowed}", allowed)
+    elif name not in names:
+        yield fault_at(path, name, f"is not in {names_path}: it must be {allowed}", allowed)
+
+
+def _classes_faults(classes: Sequence[RequestClass]) -> Iterator[ConfigFault]:
+    for i, request_class in enumerate(classes):
+        if all_valid(request_class):
+            yield from _class_faults(request_class, f"classes[{i}]")
+    yield from duplicate_faults(classes, "classes", "name")
+
+
+def _class_faults(request_class: RequestClass, path: str) -> Iterator[ConfigFault]:
+    aim_ms = request_class.aim_ms
+    deadline_ms = request_class.deadline_ms
+    if all_valid(aim_ms, deadline_ms) and aim_ms > deadline_ms:
+        allowed = f"at most the deadline_ms of {deadline_ms:g}"
+        yield fault_at(f"{path}.aim_ms", aim_ms, f"must be {allowed}", allowed)
+    if not all_valid(request_class.effect) or request_class.effect == "keyed":
+        return
+    reason = f"has a meaning for effect 'keyed' only, and this class is {request_class.effect!r}"
+    if all_valid(request_class.window_ms) and request_class.window_ms > 0:
+        yield fault_at(f"{path}.window_ms", request_class.window_ms, reason, "0")
+    if all_valid(request_class.group) and request_class.group != "all":
+        yield fault_at(f"{path}.group", request_class.group, reason, "'all'")
+
+
+def _shares_faults(tenants: Sequence[Tenant]) -> Iterator[ConfigFault]:
+    if not all_valid(*tenants) or not all_valid(*(tenant.share for tenant in tenants)):
+        return
+    shares_sum = sum(tenant.share for tenant in tenants)
+    if shares_sum > 1 + SHARES_SUM_TOLERANCE:
+        yield fault_at("tenants", f"shares of {shares_sum:g} in all", "must not be more than 1", "<= 1")
+
+
+def _limits_faults(limits: Limits) -> Iterator[ConfigFault]:
+    maximum_ms = limits.max_retry_after_ms
+    if all_valid(limits.retry_after, maximum_ms) and maximum_ms > 0 and not limits.retry_after:
+        reason = "has no meaning while retry_after is false"
+        yield fault_at("limits.max_retry_after_ms", maximum_ms, reason, "0")
+    if not all_valid(limits.max_attempts, limits.second_copies):
+        return
+    if limits.second_copies and limits.max_attempts < 2:
+        reason = "must be at least 2 while second_copies is true"
+        yield fault_at("limits.max_attempts", limits.max_attempts, reason, ">= 2")
+
+
+def _rules_faults(rules: Rules) -> Iterator[ConfigFault]:
+    if all_valid(rules.cold_share, rules.cold_s):
+        if rules.cold_s > 0 and rules.cold_share == 1:
+            reason = "says that servers start cold, but a cold_share of 1 that they can do all at once"
+            yield fault_at("rules.cold_s", rules.cold_s, reason, "0, or a cold_share < 1")
+        if rules.cold_s == 0 and rules.cold_share < 1:
+            reason = "says that servers start cold, but a cold_s of 0 that they are warm at once"
+            yield fault_at("rules.cold_share", rules.cold_share, reason, "1, or a cold_s > 0")
+    if not all_valid(rules.fall_multiple, rules.fall_ms):
+        return
+    if rules.fall_multiple > 0 and not rules.fall_ms > 0:
+        yield _overload_fault("fall_ms", "fall_multiple")
+    if rules.fall_ms > 0 and not rules.fall_multiple > 0:
+        yield _overload_fault("fall_multiple", "fall_ms")
+
+
+def _overload_fault(missing: str, present: str) -> ConfigFault:
+    reason = f"must be over 0 as {present} is: a load, and how long it is borne"
+    return fault_at(f"rules.{missing}", 0, reason, "> 0")
+
+
+def _goal_faults(goal: Goal) -> Iterator[ConfigFault]:
+    weights = [getattr(goal, name) for name in GOAL_WEIGHTS]
+    if all_valid(*weights) and not any(weights):
+        reason = f"counts nothing: one of {', '.join(GOAL_WEIGHTS)} must be over 0"
+        yield fault_at("goal", 0, reason)
--- a/flintridge/config/platform_config.py
+++ b/flintridge/config/platform_config.py
@@ -1,6 +1,7 @@
-"""The platform's configuration, a JSON object, as the configuration of a node."""
+"""Mapping of the platform's configuration file, a JSON object, to a `NodeConfig`."""
 
-from collections.abc import Mapping
+from collections.abc import Iterator, Mapping
+from contextlib import contextmanager
 from typing import Any
 
 from flintridge.config.address import Address, optional_address
@@ -8,39 +9,70 @@
 from flintridge.config.node_config import NodeConfig
 from flintridge.config.platform_settings import settings_from
 
+SOCKETS_MIN = 32
+
 
 def node_config(config: Any, env: Mapping[str, str]) -> NodeConfig:
-    """The configuration's JSON object; what it leaves out is taken from the environment."""
+    """Build a node's configuration; keys that are not known are ignored.
+
+    Args:
+        config: The file's decoded JSON.
+        env: Variables that stand in for addresses and a name that the file leaves out.
+
+    Raises:
+        ConfigError: A section cannot be used; the text names the first such section.
+    """
     if not isinstance(config, dict):
         raise ConfigError("the configuration is not a JSON object")
-    part = "settings"
-    try:
+    with _naming_section("settings"):
         source = config["settings"]
         if not isinstance(source, dict):
             raise ValueError("not an object")
         settings = settings_from(source)
-        zones, kinds = (tuple(map(str, source.get(k) or ())) for k in ("zones", "kinds"))
-        part = "listen"
-        listen = Address.parse(config.get(part) or env.get("PROXY_LISTEN"))
-        part = "discovery"
-        discovery = Address.parse(config.get(part) or env.get("PROXY_DISCOVERY"))
-        part = "console"
-        console = optional_address(config.get(part) or env.get("PROXY_CONSOLE"))
+        zones = tuple(map(str, source.get("zones") or ()))
+        kinds = tuple(map(str, source.get("kinds") or ()))
+    with _naming_section("listen"):
+        listen = Address.parse(config.get("listen") or env.get("PROXY_LISTEN"))
+    with _naming_section("discovery"):
+        discovery = Address.parse(config.get("discovery") or env.get("PROXY_DISCOVERY"))
+    with _naming_section("console"):
+        console = optional_address(config.get("console") or env.get("PROXY_CONSOLE"))
         if console in (listen, discovery):
             raise ValueError(f"{console} is listen or discovery as well; it must be an address of its own")
-        part = "seed"
-        seed = int(str(config.get(part, "0")), 16)
-        part = "limits"
-        limits = config.get(part) or {}
-        sockets, memory_mb = int(limits.get("sockets", 1024)), float(limits.get("memory_mb", 192))
-        if sockets < 32:
-            raise ValueError(f"{sockets} sockets are too few")
-        if not memory_mb > 0:
-            raise ValueError(f"{memory_mb} MB of memory are too few")
-    except (ValueError, KeyError, TypeError, AttributeError) as error:
-        raise ConfigError(f"{part}: {str(error) or type(error).__name__}") from error
-    name = str(config.get("name") or env.get("PROXY_NAME") or "node")
-    known = config.get("known")
+    with _naming_section("seed"):
+        seed = int(str(config.get("seed", "0")), 16)
+    with _naming_section("limits"):
+        sockets, memory_mb = _limits(config.get("limits") or {})
     return NodeConfig(
-        name, listen, discovery, seed, settings, zones, kinds, known, sockets, memory_mb, console=console
+        name=str(config.get("name") or env.get("PROXY_NAME") or "node"),
+        listen=listen,
+        discovery=discovery,
+        seed=seed,
+        settings=settings,
+        zones=zones,
+        kinds=kinds,
+        known=config.get("known"),
+        sockets=sockets,
+        memory_mb=memory_mb,
+        console=console,
     )
+
+
+def _limits(limits: dict[str, Any]) -> tuple[int, float]:
+    """The node's sockets and megabytes of memory."""
+    sockets = int(limits.get("sockets", 1024))
+    memory_mb = float(limits.get("memory_mb", 192))
+    if sockets < SOCKETS_MIN:
+        raise ValueError(f"{sockets} sockets are too few")
+    if not memory_mb > 0:
+        raise ValueError(f"{memory_mb} MB of memory are too few")
+    return sockets, memory_mb
+
+
+@contextmanager
+def _naming_section(section: str) -> Iterator[None]:
+    """Turn what goes wrong in reading a section into an error that names it."""
+    try:
+        yield
+    except (ValueError, KeyError, TypeError, AttributeError) as error:
+        raise ConfigError(f"{section}: {str(error) or type(error).__name__}") from error
--- /dev/null
+++ b/flintridge/config/platform_model.py
@@ -0,0 +1,170 @@
+"""The platform's JSON as `flintridge check` reads it: keys that are not known are ignored, as by a node.
+
+It is stricter than a node, which starts with what it can make sense of: what passes here, a node accepts.
+"""
+
+from typing import Annotated, Literal
+
+import msgspec
+from msgspec import Meta
+
+Ns = Annotated[float, Meta(ge=0, le=1e18, description="nanoseconds")] | None
+Amount = Annotated[float, Meta(ge=0, le=1e12)] | None
+Flag = bool | None
+
+
+class Section(msgspec.Struct, rename="camel", kw_only=True, frozen=True):
+    """An object of the settings; null stands for a key that is left out."""
+
+
+class Service(Section, kw_only=True, frozen=True):
+    """A class of requests."""
+
+    name: str | None = None
+    slo_ns: Ns = None
+    hard_limit_ns: Ns = None
+    points: Amount = None
+    late_share: Amount = None
+    effect: Literal["retryable", "dedup", "fragile"] | None = None
+    group: Literal["all", "zone", "cell"] | None = None
+    window_ns: Ns = None
+    stream: Flag = None
+    aim_stretch: Amount = None
+
+
+class Tenant(Section, kw_only=True, frozen=True):
+    """A tenant and its quota."""
+
+    name: str | None = None
+    quota_per_s: Amount = None
+    share: Amount = None
+
+
+class Rules(Section, kw_only=True, frozen=True):
+    """Rules of the platform."""
+
+    answer_slack_ns: Ns = None
+    ask_within_ns: Ns = None
+    drain_grace_ns: Ns = None
+    cold_share: Amount = None
+    cold_ns: Ns = None
+    fall_multiple: Amount = None
+    fall_ns: Ns = None
+
+
+class Permissions(Section, kw_only=True, frozen=True):
+    """What a node may do."""
+
+    attempts_cap: Annotated[int, Meta(ge=1)] | None = None
+    parallel_tries: Flag = None
+    cancel: Flag = None
+    probes: Flag = None
+    may_tell: Flag = None
+    retry_after: Flag = None
+    max_retry_after_ns: Ns = None
+    max_open: Annotated[int, Meta(ge=1)] | None = None
+    connect_timeout_ns: Ns = None
+    conn_idle_ns: Ns = None
+
+
+class Prices(Section, kw_only=True, frozen=True):
+    """Cost of each event, in units of the result."""
+
+    cross_zone: Amount = None
+    waste: Amount = None
+    late_fail: Amount = None
+    connection: Amount = None
+    handshake: Amount = None
+    origin: Amount = None
+    probe: Amount = None
+    peer: Amount = None
+    moves: Amount = None
+    discovery: Amount = None
+
+
+class Goal(Section, kw_only=True, frozen=True):
+    """Weights of the parts of the result."""
+
+    whole: Amount = None
+    worst_window: Amount = None
+    worst_class: Amount = None
+    worst_tenant: Amount = None
+    tail: Amount = None
+    tail_slack: Amount = None
+    availability: Amount = None
+    full_at_nines: Amount = None
+
+
+class FamilyInfo(Section, kw_only=True, frozen=True):
+    """Who fetches what is not cached."""
+
+    mode: Literal["through", "aside"] = "through"
+    origin_kind: int = -1
+
+
+class Report(Section, kw_only=True, frozen=True):
+    """How servers report their load."""
+
+    how: Literal["none", "probe", "answers"] = "none"
+
+
+class Settings(Section, kw_only=True, frozen=True):
+    """The settings that the policy is given."""
+
+    services: tuple[Service, ...] | None = None
+    tenants: tuple[Tenant, ...] | None = None
+    rules: Rules = Rules()
+    permissions: Permissions = Permissions()
+    prices: Prices = Prices()
+    goal: Goal = Goal()
+    family_info: FamilyInfo = FamilyInfo()
+    report: Report = Report()
+    discovery: Literal["pushed", "on_request"] = "pushed"
+    worth_by: str | None = None
+    fleet_size: Annotated[int, Meta(ge=1)] | None = None
+    self_index: Annotated[int, Meta(ge=0)] | None = None
+    zone: Annotated[int, Meta(ge=0)] | None = None
+    over_share_worth: Amount = None
+    zones: tuple[str, ...] | None = None
+    kinds: tuple[str, ...] | None = None
+
+
+class Machine(msgspec.Struct, kw_only=True, frozen=True):
+    """Sockets and memory of a node."""
+
+    sockets: Annotated[int, Meta(ge=32)] = 1024
+    memory_mb: Annotated[float, Meta(gt=0, le=1e9)] = 192.0
+
+
+class ListedServer(msgspec.Struct, kw_only=True, frozen=True):
+    """A server as discovery lists it."""
+
+    id: Annotated[str, Meta(min_length=1)]
+    phase: Literal["in_service", "terminating", "terminated"]
+    host_port: str | None = None
+    locality: str = ""
+    flavor: str = ""
+    cell: int | None = None
+    size: Annotated[float, Meta(ge=0, le=1e12)] | None = None
+    up_since_ms: Annotated[float, Meta(ge=0, le=1e15)] | None = None
+
+
+class ServerList(msgspec.Struct, kw_only=True, frozen=True):
+    """The list of servers as last seen."""
+
+    revision: int
+    complete: bool
+    members: tuple[ListedServer, ...]
+
+
+class PlatformFile(msgspec.Struct, kw_only=True, frozen=True):
+    """The file as a whole; `listen`, `discovery` and `console` may be left to the environment."""
+
+    settings: Settings
+    name: str | None = None
+    listen: str | None = None
+    discovery: str | None = None
+    console: str | None = None
+    seed: Annotated[str, Meta(pattern=r"^[0-9a-fA-F]{1,64}$(?!\n)", description="hexadecimal")] = "0"
+    limits: Machine | None = None
+    known: ServerList | None = None
--- a/flintridge/config/platform_settings.py
+++ b/flintridge/config/platform_settings.py
@@ -1,13 +1,18 @@
-"""The platform's settings, a JSON object, as settings of the policy."""
+"""Mapping of the platform's settings, a JSON object, to the policy's `flintridge.api.Settings`."""
 
+from collections.abc import Mapping
 from typing import Any
 
 from flintridge import api
 
-EFFECTS = {"retryable": api.Effect.SAFE, "dedup": api.Effect.KEYED, "fragile": api.Effect.UNSAFE}
+EFFECTS: Mapping[str, api.Effect] = {
+    "retryable": api.Effect.SAFE,
+    "dedup": api.Effect.KEYED,
+    "fragile": api.Effect.UNSAFE,
+}
 
-# Names in the settings -> names in `flintridge.api`; whatever is not named here is skipped.
-CLASS_KEYS = {
+# Keys of the JSON -> fields of `flintridge.api`; other keys are ignored.
+CLASS_KEYS: Mapping[str, str] = {
     "name": "name",
     "sloNs": "latency_objective_ns",
     "hardLimitNs": "deadline_ns",
@@ -19,8 +24,8 @@
     "stream": "stream",
     "aimStretch": "objective_work_factor",
 }
-TENANT_KEYS = {"name": "name", "quotaPerS": "quota_per_s", "share": "share"}
-RULE_KEYS = {
+TENANT_KEYS: Mapping[str, str] = {"name": "name", "quotaPerS": "quota_per_s", "share": "share"}
+RULE_KEYS: Mapping[str, str] = {
     "answerSlackNs": "answer_slack_ns",
     "askWithinNs": "poll_interval_ns",
     "drainGraceNs": "drain_grace_ns",
@@ -29,7 +34,7 @@
     "fallMultiple": "overload_multiple",
     "fallNs": "overload_window_ns",
 }
-LIMIT_KEYS = {
+LIMIT_KEYS: Mapping[str, str] = {
     "attemptsCap": "max_attempts",
     "parallelTries": "hedged_requests",
     "cancel": "cancel",
@@ -41,7 +46,7 @@
     "connectTimeoutNs": "connect_timeout_ns",
     "connIdleNs": "conn_idle_ns",
 }
-PRICE_KEYS = {
+PRICE_KEYS: Mapping[str, str] = {
     "crossZone": "cross_zone",
     "waste": "waste",
     "lateFail": "late_fail",
@@ -53,7 +58,7 @@
     "moves": "moves",
     "discovery": "discovery",
 }
-GOAL_KEYS = {
+GOAL_KEYS: Mapping[str, str] = {
     "whole": "whole",
     "worstWindow": "worst_window",
     "worstClass": "worst_class",
@@ -63,7 +68,7 @@
     "availability": "availability",
     "fullAtNines": "full_at_nines",
 }
-TOP_KEYS = {
+SETTINGS_KEYS: Mapping[str, str] = {
     "fleetSize": "fleet_size",
     "selfIndex": "self_index",
     "zone": "zone",
@@ -71,35 +76,43 @@
 }
 
 
-def _known(source: dict[str, Any], names: dict[str, str]) -> dict[str, Any]:
-    return {ours: source[theirs] for theirs, ours in names.items() if source.get(theirs) is not None}
-
-
-def class_from(config: dict[str, Any]) -> api.RequestClass:
-    values = _known(config, CLASS_KEYS)
-    if "effect" in values:
-        values["effect"] = EFFECTS[values["effect"]]
-    if "deduplication_scope" in values:
-        values["deduplication_scope"] = api.DeduplicationScope(values["deduplication_scope"])
-    return api.RequestClass(**values)
+def settings_from(config: dict[str, Any]) -> api.Settings:
+    """Build the policy's settings.
 
+    Args:
+        config: The decoded JSON object; absent and null keys take the defaults of `flintridge.api`.
 
-def settings_from(config: dict[str, Any]) -> api.Settings:
-    """The settings an instance is given; absent keys take the defaults of `flintridge.api`."""
+    Raises:
+        ValueError, KeyError, TypeError, AttributeError: A value has a wrong type or is not allowed.
+    """
     family = config.get("familyInfo", {})
-    values = _known(config, TOP_KEYS)
+    values = _renamed(config, SETTINGS_KEYS)
     if config.get("services"):
-        values["classes"] = tuple(class_from(c) for c in config["services"])
+        values["classes"] = tuple(_request_class(service) for service in config["services"])
+    tenants = config.get("tenants") or ()
     return api.Settings(
         **values,
-        tenants=tuple(api.Tenant(**_known(t, TENANT_KEYS)) for t in config.get("tenants") or ()),
-        rules=api.Rules(**_known(config.get("rules", {}), RULE_KEYS)),
-        limits=api.Limits(**_known(config.get("permissions", {}), LIMIT_KEYS)),
-        prices=api.Prices(**_known(config.get("prices", {}), PRICE_KEYS)),
-        goal=api.Goal(**_known(config.get("goal", {}), GOAL_KEYS)),
+        tenants=tuple(api.Tenant(**_renamed(tenant, TENANT_KEYS)) for tenant in tenants),
+        rules=api.Rules(**_renamed(config.get("rules", {}), RULE_KEYS)),
+        limits=api.Limits(**_renamed(config.get("permissions", {}), LIMIT_KEYS)),
+        prices=api.Prices(**_renamed(config.get("prices", {}), PRICE_KEYS)),
+        goal=api.Goal(**_renamed(config.get("goal", {}), GOAL_KEYS)),
         discovery=api.DiscoveryMode(config.get("discovery", "pushed")),
         mode=api.CacheMode(family.get("mode", "through")),
         origin_kind=family.get("originKind", -1),
         load_reporting=api.LoadReporting(config.get("report", {}).get("how", "none")),
         weight_by_work=config.get("worthBy") == "work",
     )
+
+
+def _request_class(service: dict[str, Any]) -> api.RequestClass:
+    values = _renamed(service, CLASS_KEYS)
+    if "effect" in values:
+        values["effect"] = EFFECTS[values["effect"]]
+    if "deduplication_scope" in values:
+        values["deduplication_scope"] = api.DeduplicationScope(values["deduplication_scope"])
+    return api.RequestClass(**values)
+
+
+def _renamed(source: dict[str, Any], fields_by_key: Mapping[str, str]) -> dict[str, Any]:
+    return {field: source[key] for key, field in fields_by_key.items() if source.get(key) is not None}
--- a/flintridge/config/syntax.py
+++ b/flintridge/config/syntax.py
@@ -1,82 +1,110 @@
-"""The text of a file as plain values: TOML, or JSON by the file's suffix `.json`."""
+"""Parsing of a file's text into plain values: TOML, or JSON by the file's suffix `.json`."""
 
 import json
 import re
 import tomllib
 from typing import Any
 
-PLACE = re.compile(r" \(at (?:line (\d+), column (\d+)|end of document)\)$")
+from flintridge.errors import FlintridgeError
 
+TOML_POSITION = re.compile(r" \(at (?:line (\d+), column (\d+)|end of document)\)$")
+REASON_CHARACTERS_MAX = 120
 
-class SyntaxFault(ValueError):
-    """Text that cannot be read at all; `place` says where, as a line and a column counted from 1."""
 
-    def __init__(self, place: str, reason: str) -> None:
-        super().__init__(f"{place}: {reason}")
-        self.place = place
+class ConfigSyntaxError(FlintridgeError, ValueError):
+    """Text that cannot be parsed.
+
+    Attributes:
+        position: The line and the column, both from 1.
+        reason: What is wrong there.
+    """
+
+    def __init__(self, position: str, reason: str) -> None:
+        super().__init__(f"{position}: {reason}")
+        self.position = position
         self.reason = reason
 
 
 def parse(file: str, text: bytes) -> Any:
-    """Plain values. Raises SyntaxFault."""
+    """Parse the text of a file.
+
+    Args:
+        file: Its name, whose suffix tells JSON from TOML.
+        text: The file's bytes.
+
+    Raises:
+        ConfigSyntaxError: It is not text of that format.
+    """
     return parse_json(text) if file.lower().endswith(".json") else parse_toml(text)
 
 
 def parse_toml(text: bytes) -> dict[str, Any]:
-    """Raises SyntaxFault."""
-    decoded = _decoded(text)
+    """Parse TOML.
+
+    Raises:
+        ConfigSyntaxError: It is not TOML in UTF-8.
+    """
+    decoded = _decode_utf8(text)
     try:
         return tomllib.loads(decoded)
     except tomllib.TOMLDecodeError as error:
-        said = str(error)
-        found = PLACE.search(said)
-        line, column = (found[1], found[2]) if found and found[1] else _place(decoded, len(decoded))
-        raise SyntaxFault(_said(line, column), f"not TOML: {PLACE.sub('', said)}") from error
+        message = str(error)
+        found = TOML_POSITION.search(message)
+        position = _position_at(decoded, len(decoded))
+        if found and found[1]:
+            position = _position(found[1], found[2])
+        raise ConfigSyntaxError(position, f"not TOML: {TOML_POSITION.sub('', message)}") from error
     except (ValueError, RecursionError) as error:
-        raise SyntaxFault("line 1", f"not TOML: {_short(error)}") from error
+        raise ConfigSyntaxError("line 1", f"not TOML: {_short_reason(error)}") from error
 
 
 def parse_json(text: bytes) -> Any:
-    """Raises SyntaxFault. A name that stands twice in an object is refused: one of the two would be lost."""
-    decoded = _decoded(text)
+    """Parse JSON. A name that an object has twice is refused: one of the two values would be lost.
+
+    Raises:
+        ConfigSyntaxError: It is not JSON in UTF-8, or an object has a name twice.
+    """
+    decoded = _decode_utf8(text)
     try:
-        return json.loads(decoded, object_pairs_hook=_once, parse_constant=_no_constant)
+        return json.loads(decoded, object_pairs_hook=_unique_names, parse_constant=_refuse_constant)
     except json.JSONDecodeError as error:
-        raise SyntaxFault(_said(error.lineno, error.colno), f"not JSON: {error.msg}") from error
+        raise ConfigSyntaxError(_position(error.lineno, error.colno), f"not JSON: {error.msg}") from error
     except (ValueError, RecursionError) as error:
-        raise SyntaxFault("line 1", f"not JSON: {_short(error)}") from error
+        raise ConfigSyntaxError("line 1", f"not JSON: {_short_reason(error)}") from error
 
 
-def _decoded(text: bytes) -> str:
+def _decode_utf8(text: bytes) -> str:
     try:
         return text.decode()
     except UnicodeDecodeError as error:
         before = text[: error.start].decode()
-        raise SyntaxFault(_said(*_place(before, len(before))), "not UTF-8 text") from error
+        raise ConfigSyntaxError(_position_at(before, len(before)), "not UTF-8 text") from error
 
 
-def _place(text: str, at: int) -> tuple[int, int]:
-    return text.count("\n", 0, at) + 1, at - (text.rfind("\n", 0, at) + 1) + 1
+def _position_at(text: str, offset: int) -> str:
+    line = text.count("\n", 0, offset) + 1
+    line_start = text.rfind("\n", 0, offset) + 1
+    return _position(line, offset - line_start + 1)
 
 
-def _said(line: int | str, column: int | str) -> str:
+def _position(line: int | str, column: int | str) -> str:
     return f"line {line}, column {column}"
 
 
-def _short(error: Exception) -> str:
+def _short_reason(error: Exception) -> str:
     if isinstance(error, RecursionError):
         return "nested too deeply"
-    return str(error).splitlines()[0][:120]
+    return str(error).splitlines()[0][:REASON_CHARACTERS_MAX]
 
 
-def _once(pairs: list[tuple[str, Any]]) -> dict[str, Any]:
-    whole = dict(pairs)
-    if len(whole) < len(pairs):
+def _unique_names(pairs: list[tuple[str, Any]]) -> dict[str, Any]:
+    values = dict(pairs)
+    if len(values) < len(pairs):
         names = [name for name, _ in pairs]
-        twice = next(name for name in names if names.count(name) > 1)
-        raise ValueError(f"{twice!r} stands twice in one object")
-    return whole
+        duplicate = next(name for name in names if names.count(name) > 1)
+        raise ValueError(f"{duplicate!r} stands twice in one object")
+    return values
 
 
-def _no_constant(name: str) -> Any:
+def _refuse_constant(name: str) -> Any:
     raise ValueError(f"{name} is not a value")
--- a/flintridge/config/units.py
+++ b/flintridge/config/units.py
@@ -1,10 +1,11 @@
-"""Names that carry their unit: what was meant by a name that is not known, or by a text such as "1.2s"."""
+"""Units in names of keys: what was meant by a name that is not known, or by a text such as "1.2s"."""
 
 import difflib
 import re
 from collections.abc import Sequence
+from typing import NamedTuple
 
-SAID = {
+UNIT_NAMES = {
     "ns": "nanoseconds",
     "us": "microseconds",
     "ms": "milliseconds",
@@ -18,7 +19,7 @@
     "per_s": "a second",
     "per_min": "a minute",
 }
-ALIASES = {
+UNIT_ALIASES = {
     "nanos": "ns",
     "micros": "us",
     "usec": "us",
@@ -35,48 +36,71 @@
     "per_sec": "per_s",
     "per_second": "per_s",
 }
-SECONDS = {"ns": 1e-9, "us": 1e-6, "ms": 1e-3, "s": 1.0, "min": 60.0, "h": 3600.0}
-BYTES = {"bytes": 1.0, "b": 1.0, "kb": 1024.0, "mb": 1024.0**2, "gb": 1024.0**3}
-ENDINGS = sorted((*SAID, *ALIASES), key=len, reverse=True)  # `per_s` before `s`
+# A quantity's units, each as a multiple of one of them.
+SECONDS_BY_UNIT = {"ns": 1e-9, "us": 1e-6, "ms": 1e-3, "s": 1.0, "min": 60.0, "h": 3600.0}
+BYTES_BY_UNIT = {"bytes": 1.0, "b": 1.0, "kb": 1024.0, "mb": 1024.0**2, "gb": 1024.0**3}
+SUFFIXES = sorted((*UNIT_NAMES, *UNIT_ALIASES), key=len, reverse=True)  # `per_s` before `s`
 QUANTITY = re.compile(r"\s*(\d+(?:\.\d+)?)\s*([A-Za-z]+)\s*$")
+SIMILARITY_MIN = 0.6  # as `difflib` measures it, of a name to the one that was probably meant
 
 
-def split(name: str) -> tuple[str, str]:
-    """A name's stem and its unit, empty where it has none: `aim_ms` and `aimMs` are `aim` and `ms`."""
+class SplitName(NamedTuple):
+    """A key's name without its unit, and the unit, empty where the name has none."""
+
+    stem: str
+    unit: str
+
+    @property
+    def plain(self) -> str:
+        """Both joined by an underscore."""
+        return f"{self.stem}_{self.unit}" if self.stem and self.unit else self.stem or self.unit
+
+
+def split_unit(name: str) -> SplitName:
+    """Split a name into its stem and its unit: `aim_ms` and `aimMs` are `aim` and `ms`."""
     plain = re.sub(r"(?<=[a-z0-9])(?=[A-Z])", "_", name).lower().replace("-", "_")
-    for ending in ENDINGS:
-        if plain.endswith(f"_{ending}"):
-            return plain[: -len(ending) - 1], ALIASES.get(ending, ending)
-    return plain, ""
-
-
-def unknown(name: str, allowed: Sequence[str]) -> str:
-    """Why a name is refused, and which of those that are allowed was probably meant."""
-    stem, unit = split(name)
-    for other in allowed:
-        other_stem, other_unit = split(other)
-        if other_stem == stem and other_unit and other_unit != unit:
-            return f"wrong unit: it is {other} ({SAID[other_unit]})"
-    if meant := close(name, allowed):
+    for suffix in SUFFIXES:
+        if plain.endswith(f"_{suffix}"):
+            return SplitName(plain[: -len(suffix) - 1], UNIT_ALIASES.get(suffix, suffix))
+    return SplitName(plain, "")
+
+
+def unknown_name_reason(name: str, allowed: Sequence[str]) -> str:
+    """Why a name is refused, and which of the allowed ones was probably meant."""
+    stem, unit = split_unit(name)
+    for candidate in allowed:
+        candidate_stem, candidate_unit = split_unit(candidate)
+        if candidate_stem == stem and candidate_unit and candidate_unit != unit:
+            return f"wrong unit: it is {candidate} ({UNIT_NAMES[candidate_unit]})"
+    if meant := closest_name(name, allowed):
         return f"unknown name: did you mean {meant}?"
     return f"unknown name: known here are {', '.join(allowed) or 'none'}"
 
 
-def close(name: str, allowed: Sequence[str]) -> str:
-    """The one of `allowed` that was probably meant; empty where none is near."""
-    plain = {"_".join(filter(None, split(other))): other for other in allowed}
-    near = difflib.get_close_matches("_".join(filter(None, split(name))), plain, n=1, cutoff=0.6)
-    return plain[near[0]] if near else ""
+def closest_name(name: str, allowed: Sequence[str]) -> str:
+    """The one of `allowed` that was probably meant; empty where none is similar."""
+    by_plain_name = {split_unit(candidate).plain: candidate for candidate in allowed}
+    closest = difflib.get_close_matches(split_unit(name).plain, by_plain_name, n=1, cutoff=SIMILARITY_MIN)
+    return by_plain_name[closest[0]] if closest else ""
+
+
+def amount_in_unit(name: str, text: str) -> str:
+    """What to write for a text such as "1.2s" where `name` takes a number.
 
+    Args:
+        name: The key's name, which ends in its unit.
+        text: What stands there, with a unit of its own.
 
-def in_unit(name: str, text: str) -> str:
-    """What to write for a text such as "1.2s" where `name` takes a number; empty where that is not clear."""
+    Returns:
+        The number in the name's unit; empty where that is not clear.
+    """
     found = QUANTITY.match(text)
-    _, unit = split(name)
+    unit = split_unit(name).unit
     if not found or not unit:
         return ""
-    said = ALIASES.get(found[2].lower(), found[2].lower())
-    for factors in (SECONDS, BYTES):
-        if said in factors and unit in factors:
-            return f"{float(found[1]) * factors[said] / factors[unit]:.12g}"
+    written_unit = UNIT_ALIASES.get(found[2].lower(), found[2].lower())
+    for factors in (SECONDS_BY_UNIT, BYTES_BY_UNIT):
+        if written_unit in factors and unit in factors:
+            amount = float(found[1]) * factors[written_unit] / factors[unit]
+            return f"{amount:.12g}"
     return ""
--- a/flintridge/lab/faults/check.py
+++ b/flintridge/lab/faults/check.py
@@ -6,7 +6,7 @@
 
 import msgspec
 
-from flintridge.config.contradictions import SHARED, SHORTEST_USE
+from flintridge.config.fleet_validation import BUDGET_SWITCHES, PERMIT_LEASE_MARGIN_MS
 from flintridge.lab.faults.choose import Candidate, fitting
 from flintridge.lab.scenario import model as m
 from flintridge.lab.world.fleet_plan import server_zones
@@ -111,13 +111,13 @@
             f"budgets.bytes_per_s: {budgets.bytes_per_s:g} is more than a quarter of peers.bytes_per_s;"
             f" allowed is up to {most:g}"
         )
-    if not any(getattr(budgets, name) for name in SHARED):
-        yield f"budgets: nothing is switched on; one of {', '.join(SHARED)} must be"
+    if not any(getattr(budgets, name) for name in BUDGET_SWITCHES):
+        yield f"budgets: nothing is switched on; one of {', '.join(BUDGET_SWITCHES)} must be"
     if budgets.tenants and not any(tenant.quota_per_s for tenant in scenario.tenants):
         yield "budgets.tenants: no tenant has a quota_per_s above 0; false is allowed"
     if budgets.strict and not budgets.tenants:
         yield "budgets.strict: quotas are not shared; it must be false while budgets.tenants is"
-    longest = max(cls.deadline_ms for cls in scenario.classes) + SHORTEST_USE
+    longest = max(cls.deadline_ms for cls in scenario.classes) + PERMIT_LEASE_MARGIN_MS
     for name in ("cache_places", "origin_places"):
         places = getattr(budgets, name)
         if 0 < places < scenario.nodes.count:
--- a/flintridge/lab/partial/own.py
+++ b/flintridge/lab/partial/own.py
@@ -9,8 +9,8 @@
 
 
 def own_format(config: NodeConfig) -> dict[str, Any]:
-    """What `flintridge.config.build.read_own` makes `config` of again, as a JSON object. `peers` is left out:
-    its addresses are another thing."""
+    """What `flintridge.config.node_file.parse_node_file` makes `config` of again, as a JSON object. `peers`
+    is left out: its addresses are another thing."""
     settings = config.settings
     zones, kinds = list(config.zones), list(config.kinds)
     made: dict[str, Any] = {
--- a/flintridge/lab/scenario/load.py
+++ b/flintridge/lab/scenario/load.py
@@ -8,8 +8,8 @@
 import msgspec
 import tomli_w
 
-from flintridge.config.faults import ConfigFaults, Fault, decode_raw
-from flintridge.config.words import NOTHING
+from flintridge.config.decoding import decode_values
+from flintridge.config.faults import UNSET, ConfigFault, ConfigFaultsError
 from flintridge.lab.scenario import sources
 from flintridge.lab.scenario.model import Scenario
 from flintridge.lab.scenario.overrides import Override, apply, source
@@ -20,21 +20,21 @@
 
     Each of `overrides` changes one value, as `load.rate_per_s=300`, `faults[0].for_s=3` or `nodes.count=5`;
     values are TOML, and a bare word is text. A file may stand upon another one by `base = "calm"`. A trace is
-    taken as relative to the file that names it and made absolute. Raises ConfigFaults with every fault, and
-    OSError where the file cannot be read.
+    taken as relative to the file that names it and made absolute. Raises ConfigFaultsError with every fault,
+    and OSError where the file cannot be read.
     """
     changes = [Override.parse(one) for one in overrides]
     file, raw = sources.read(path_or_name)
     for change in changes:
         raw = apply(raw, change)
     try:
-        scenario = decode_raw(file, raw, Scenario)
+        scenario = decode_values(file, raw, Scenario)
         scenario, missing = _with_trace(scenario)
-        found = [Fault(file, *_parted(said)) for said in (*missing, *_contradictions(scenario))]
+        found = [ConfigFault(file, *_parted(said)) for said in (*missing, *_contradictions(scenario))]
         if found:
-            raise ConfigFaults(found)
-    except ConfigFaults as error:
-        raise ConfigFaults([_blamed(fault, changes) for fault in error.faults]) from error
+            raise ConfigFaultsError(found)
+    except ConfigFaultsError as error:
+        raise ConfigFaultsError([_blamed(fault, changes) for fault in error.faults]) from error
     return scenario
 
 
@@ -63,14 +63,14 @@
 def _parted(said: str) -> tuple[str, Any, str]:
     """`path: reason` as the parts of a fault."""
     path, _, reason = said.partition(": ")
-    return (path, NOTHING, reason) if reason else ("", NOTHING, said)
+    return (path, UNSET, reason) if reason else ("", UNSET, said)
 
 
-def _blamed(fault: Fault, changes: Sequence[Override]) -> Fault:
+def _blamed(fault: ConfigFault, changes: Sequence[Override]) -> ConfigFault:
     """A fault in what an override set is the override's, not the file's."""
     for change in changes:
         if fault.path == change.path or fault.path.startswith((f"{change.path}.", f"{change.path}[")):
-            return Fault(source(change.text), fault.path, fault.value, fault.reason, fault.allowed)
+            return ConfigFault(source(change.text), fault.path, fault.value, fault.reason, fault.allowed)
     return fault
 
 
--- a/flintridge/lab/scenario/overrides.py
+++ b/flintridge/lab/scenario/overrides.py
@@ -9,9 +9,8 @@
 import msgspec
 from msgspec import inspect
 
-from flintridge.config.faults import ConfigFaults, Fault
-from flintridge.config.walk import type_info
-from flintridge.config.words import NOTHING
+from flintridge.config.faults import UNSET, ConfigFault, ConfigFaultsError
+from flintridge.config.type_validation import type_info
 from flintridge.lab.scenario.model import Scenario
 
 STEP = re.compile(r"\.?([A-Za-z0-9_-]+)|\[(\d{1,6})\]")
@@ -29,7 +28,7 @@
 
     @classmethod
     def parse(cls, text: str) -> "Override":
-        """Raises ConfigFaults."""
+        """Raises ConfigFaultsError."""
         path, sign, value = text.partition("=")
         path = path.strip()
         if not sign or not path:
@@ -38,7 +37,7 @@
 
 
 def apply(raw: Any, change: Override) -> Any:
-    """The raw scenario with the change in it; `raw` is left as it is. Raises ConfigFaults.
+    """The raw scenario with the change in it; `raw` is left as it is. Raises ConfigFaultsError.
 
     What the file leaves out is there with its default: `kinds[0].cores=4` needs no `kinds` in the file.
     """
@@ -114,8 +113,8 @@
     return read["value"]
 
 
-def _refused(text: str, reason: str) -> ConfigFaults:
-    return ConfigFaults([Fault(source(text), "", NOTHING, reason)])
+def _refused(text: str, reason: str) -> ConfigFaultsError:
+    return ConfigFaultsError([ConfigFault(source(text), "", UNSET, reason)])
 
 
 def source(text: str) -> str:
--- a/flintridge/lab/scenario/sources.py
+++ b/flintridge/lab/scenario/sources.py
@@ -6,9 +6,9 @@
 from typing import Any
 
 from flintridge.config import units
-from flintridge.config.faults import ConfigFaults, Fault
-from flintridge.config.syntax import SyntaxFault, parse
-from flintridge.config.words import NOTHING
+from flintridge.config.decoding import syntax_fault
+from flintridge.config.faults import UNSET, ConfigFault, ConfigFaultsError
+from flintridge.config.syntax import ConfigSyntaxError, parse
 
 NAMED = resources.files("flintridge.lab.scenario") / "named"
 BASE = "base"
@@ -18,7 +18,7 @@
     """What to call the source, and its plain values with those of its base under them.
 
     A table is laid over the base's table name by name, anything else takes the place of what the base has.
-    Raises ConfigFaults, OSError.
+    Raises ConfigFaultsError, OSError.
     """
     return _read(path_or_name, Path(), ())
 
@@ -32,7 +32,7 @@
     """What a shipped scenario says of itself."""
     try:
         return str(parse("", text).get("about", ""))
-    except SyntaxFault as error:  # guards the list against one file that cannot be read
+    except ConfigSyntaxError as error:  # guards the list against one file that cannot be read
         return f"(cannot be read: {error})"
 
 
@@ -40,8 +40,8 @@
     file, text, inside = _text(path_or_name, folder)
     try:
         raw = parse(file, text)
-    except SyntaxFault as error:
-        raise ConfigFaults([Fault(file, error.place, NOTHING, error.reason)]) from error
+    except ConfigSyntaxError as error:
+        raise syntax_fault(file, error) from error
     if not isinstance(raw, dict):
         return file, raw
     _place_trace(raw, inside)
@@ -49,14 +49,15 @@
         return file, raw
     base = raw.pop(BASE)
     if not isinstance(base, str) or not base:
-        raise ConfigFaults([Fault(file, BASE, base, "must be the name of a shipped scenario, or a file")])
+        reason = "must be the name of a shipped scenario, or a file"
+        raise ConfigFaultsError([ConfigFault(file, BASE, base, reason)])
     if file in above:  # guards against files that stand upon each other without end
-        raise ConfigFaults([Fault(file, BASE, base, "leads back to this file")])
+        raise ConfigFaultsError([ConfigFault(file, BASE, base, "leads back to this file")])
     try:
         _, under = _read(base, inside, (*above, file))
     except OSError as error:
         reason = f"cannot be read: {error.strerror or error}"
-        raise ConfigFaults([Fault(file, BASE, base, reason)]) from error
+        raise ConfigFaultsError([ConfigFault(file, BASE, base, reason)]) from error
     return file, _laid(raw, under) if isinstance(under, dict) else under
 
 
@@ -69,9 +70,10 @@
         if said in known:
             return said, known[said], Path.cwd()
         if not path.is_file():
-            meant = units.close(said, list(known))
+            meant = units.closest_name(said, list(known))
             hint = f"did you mean {meant}?" if meant else "`flintridge lab list` names those that ship"
-            raise ConfigFaults([Fault(said, "", NOTHING, f"no such scenario, and no such file; {hint}")])
+            reason = f"no such scenario, and no such file; {hint}"
+            raise ConfigFaultsError([ConfigFault(said, "", UNSET, reason)])
     return str(path), path.read_bytes(), path.parent
 
 
--- a/flintridge/net/console.py
+++ b/flintridge/net/console.py
@@ -3,7 +3,7 @@
 import asyncio
 
 from flintridge.config.address import Address
-from flintridge.config.node_config import CONSOLE_PLACES
+from flintridge.config.node_config import ADMIN_CONNECTIONS_MAX
 from flintridge.fronts.console import AdminExchange, Routes
 from flintridge.net.parting import part
 from flintridge.runtime.clock import Clock, DeadlineExceededError, within
@@ -21,7 +21,7 @@
         clock: Clock,
         log: EventLog,
         counters: Counters,
-        places: int = CONSOLE_PLACES,
+        places: int = ADMIN_CONNECTIONS_MAX,
     ) -> None:
         self._routes = routes
         self._clock = clock
--- a/flintridge/node.py
+++ b/flintridge/node.py
@@ -12,7 +12,7 @@
 from typing import TYPE_CHECKING
 
 from flintridge.api import DiscoveryMode, EndpointUpdate
-from flintridge.config.node_config import LONGEST_MB, NodeConfig
+from flintridge.config.node_config import MAX_VALUE_MB, NodeConfig
 from flintridge.core.drivers import Policy
 from flintridge.core.lifecycle import RequestLifecycle
 from flintridge.discovery.endpoint_list import EndpointList, configured_endpoints
@@ -74,7 +74,12 @@
         self.endpoints = EndpointList(config.zones, config.kinds, settings, clock)
         self._known = configured_endpoints(config, self.endpoints)
         self.core = RequestLifecycle(
-            policy or Balancer(settings, config.seed), settings, clock, config.held_bytes, log, self.counters
+            policy or Balancer(settings, config.seed),
+            settings,
+            clock,
+            config.memory_budget_bytes,
+            log,
+            self.counters,
         )
         self.dispatcher = Dispatcher(
             self.endpoints,
@@ -212,7 +217,9 @@
         """
         count = 1 if self._siblings is None else self._siblings.count
         config = self.config
-        self.core.memory_budget.resize(max(int(LONGEST_MB * 1024 * 1024), config.held_bytes // count))
+        self.core.memory_budget.resize(
+            max(int(MAX_VALUE_MB * 1024 * 1024), config.memory_budget_bytes // count)
+        )
         self.dispatcher.room = config.server_sockets // count
         self.downstream.room = config.client_sockets // count
         if self.leases is not None:
--- a/tests/cli/test_cli.py
+++ b/tests/cli/test_cli.py
@@ -16,7 +16,7 @@
 from flintridge.cli.lab import COMMANDS as LAB
 from flintridge.cli.lazy import Lazy, LazyGroup
 from flintridge.cli.main import COMMANDS, main
-from flintridge.config.faults import ConfigFaults, Fault
+from flintridge.config.faults import ConfigFault, ConfigFaultsError
 
 NODE = str(ROOT / "examples" / "node.toml")
 
@@ -112,7 +112,11 @@
 @pytest.mark.parametrize(
     ("error", "code", "line"),
     [
-        (ConfigFaults([Fault("f", "a", 1, "no"), Fault("f", "b", 2, "no")]), 2, "f: a: 1: no"),
+        (
+            ConfigFaultsError([ConfigFault("f", "a", 1, "no"), ConfigFault("f", "b", 2, "no")]),
+            2,
+            "f: a: 1: no",
+        ),
         (OSError(28, "No space left on device", "out.json"), 2, "out.json: No space left on device"),
         (OSError("odd"), 2, "odd"),
         (KeyboardInterrupt(), 1, "interrupted"),
--- a/tests/config/test_config.py
+++ b/tests/config/test_config.py
@@ -14,14 +14,15 @@
 from hypothesis import strategies as st
 from support.paths import ROOT
 
-from flintridge.config import platform, platform_settings
-from flintridge.config.build import read_own
+from flintridge.config import platform_model, platform_settings
 from flintridge.config.check import check_file
-from flintridge.config.contradictions import contradictions
+from flintridge.config.decoding import decode, decode_values
 from flintridge.config.errors import ConfigError
-from flintridge.config.faults import ConfigFaults, decode, decode_raw
+from flintridge.config.faults import ConfigFaultsError
 from flintridge.config.loader import load_config
 from flintridge.config.model import NodeFile
+from flintridge.config.node_file import parse_node_file
+from flintridge.config.node_file_validation import validate_node_file
 from flintridge.discovery.endpoint_list import EndpointList, configured_endpoints
 from flintridge.lab.scenario.load import dump, load, names
 from flintridge.lab.scenario.model import Scenario
@@ -35,12 +36,12 @@
 
 
 def lines_of(call, *args):
-    with pytest.raises(ConfigFaults) as caught:
+    with pytest.raises(ConfigFaultsError) as caught:
         call(*args)
     return str(caught.value).splitlines()
 
 
-def told(changes: str, also=contradictions) -> list[str]:
+def told(changes: str, also=validate_node_file) -> list[str]:
     return lines_of(decode, "n.toml", changes.encode(), NodeFile, also)
 
 
@@ -135,7 +136,7 @@
     ],
 )
 def test_contradictions_are_refused(path, change):
-    (line,) = lines_of(decode_raw, "f", NODE | change, NodeFile, contradictions)
+    (line,) = lines_of(decode_values, "f", NODE | change, NodeFile, validate_node_file)
     assert line.startswith(f"f: {path}: ")
 
 
@@ -210,8 +211,8 @@
     except msgspec.ValidationError:
         sound = False
     try:
-        decode_raw("f.toml", raw, kind, also)
-    except ConfigFaults as error:
+        decode_values("f.toml", raw, kind, also)
+    except ConfigFaultsError as error:
         assert error.faults and all(fault.reason for fault in error.faults)
         assert len(str(error).splitlines()) == len(error.faults) and "Traceback" not in str(error)
         return False, sound
@@ -223,7 +224,7 @@
 def test_a_spoilt_configuration_is_refused_and_never_breaks(raw):
     ours, theirs = holds_to_its_word(raw, NodeFile)
     assert theirs or not ours
-    with_contradictions, _ = holds_to_its_word(raw, NodeFile, contradictions)
+    with_contradictions, _ = holds_to_its_word(raw, NodeFile, validate_node_file)
     assert ours or not with_contradictions
 
 
@@ -243,7 +244,7 @@
     path.write_text(json.dumps(raw))
     try:
         check_file(str(path), {})
-    except ConfigFaults:
+    except ConfigFaultsError:
         return
     env = {"PROXY_CONFIG": str(path), "PROXY_LISTEN": "127.0.0.1:1", "PROXY_DISCOVERY": "127.0.0.1:2"}
     config = load_config(env)
@@ -273,19 +274,22 @@
     assert "listen from the environment" in check_file(str(as_json), {})
     left = {name: value for name, value in NODE.items() if name != "listen"}
     with pytest.raises(ConfigError, match="listen: is missing, and PROXY_LISTEN holds no address either"):
-        read_own("f.toml", tomli_w.dumps(left).encode(), {})
-    assert read_own("f.toml", tomli_w.dumps(left).encode(), {"PROXY_LISTEN": "[::1]:5"}).listen.host == "::1"
+        parse_node_file("f.toml", tomli_w.dumps(left).encode(), {})
+    assert (
+        parse_node_file("f.toml", tomli_w.dumps(left).encode(), {"PROXY_LISTEN": "[::1]:5"}).listen.host
+        == "::1"
+    )
 
 
 def test_check_knows_every_name_that_a_node_reads_of_the_platforms_file():
     tables = {
-        platform.Service: platform_settings.CLASS_KEYS,
-        platform.Tenant: platform_settings.TENANT_KEYS,
-        platform.Rules: platform_settings.RULE_KEYS,
-        platform.Permissions: platform_settings.LIMIT_KEYS,
-        platform.Prices: platform_settings.PRICE_KEYS,
-        platform.Goal: platform_settings.GOAL_KEYS,
-        platform.Settings: platform_settings.TOP_KEYS,
+        platform_model.Service: platform_settings.CLASS_KEYS,
+        platform_model.Tenant: platform_settings.TENANT_KEYS,
+        platform_model.Rules: platform_settings.RULE_KEYS,
+        platform_model.Permissions: platform_settings.LIMIT_KEYS,
+        platform_model.Prices: platform_settings.PRICE_KEYS,
+        platform_model.Goal: platform_settings.GOAL_KEYS,
+        platform_model.Settings: platform_settings.SETTINGS_KEYS,
     }
     for struct, keys in tables.items():
         assert set(keys) <= {field.encode_name for field in msgspec.structs.fields(struct)}
--- a/tests/leases/test_leases_config.py
+++ b/tests/leases/test_leases_config.py
@@ -14,7 +14,7 @@
 from flintridge.cli.main import main
 from flintridge.config.check import check_file
 from flintridge.config.errors import ConfigError
-from flintridge.config.faults import ConfigFaults
+from flintridge.config.faults import ConfigFaultsError
 from flintridge.config.model import NodeFile
 from flintridge.config.node_config import BudgetsConfig
 from flintridge.config.platform_config import node_config
@@ -110,7 +110,7 @@
     file.write_text(ALL)
     assert "node n1" in check_file(str(file))
     file.write_text(PLAIN + PEERS + "[budgets]\nstrict = true\nfloor = 2\nbytes_per_s = 9000\n")
-    with pytest.raises(ConfigFaults) as caught:
+    with pytest.raises(ConfigFaultsError) as caught:
         check_file(str(file))
     assert [fault.path for fault in caught.value.faults] == [
         "budgets.floor",
--- a/tests/membership/test_membership_config.py
+++ b/tests/membership/test_membership_config.py
@@ -12,9 +12,9 @@
 
 from flintridge import api
 from flintridge.config.address import Address
-from flintridge.config.build import read_own
 from flintridge.config.check import check_file
 from flintridge.config.errors import ConfigError
+from flintridge.config.node_file import parse_node_file
 from flintridge.config.platform_config import node_config
 from flintridge.lab.backend.virtual import VirtualFabric
 from flintridge.lab.faults.check import check
@@ -40,7 +40,7 @@
 
 
 def read(peers: str, path="n.toml"):
-    return read_own(path, (EXAMPLE + peers).encode(), {})
+    return parse_node_file(path, (EXAMPLE + peers).encode(), {})
 
 
 def test_a_sound_table_and_its_defaults():
@@ -123,7 +123,7 @@
         return made
 
     for config in loop.run(configs()):
-        again = read_own("n.json", json.dumps(own_format(config)).encode(), {})
+        again = parse_node_file("n.json", json.dumps(own_format(config)).encode(), {})
         for field in config.__dataclass_fields__:
             if field not in ("settings", "known"):
                 assert getattr(again, field) == getattr(config, field), field
--- a/tests/runtime/test_worker_processes.py
+++ b/tests/runtime/test_worker_processes.py
@@ -8,7 +8,7 @@
 import pytest
 from support.network import HandClock, quiet
 
-from flintridge.config.node_config import LONGEST_MB
+from flintridge.config.node_config import MAX_VALUE_MB
 from flintridge.config.platform_config import node_config
 from flintridge.node import Node
 from flintridge.runtime.worker_processes import LOOK, WorkerProcesses
@@ -93,10 +93,10 @@
     for get, whole in (
         (lambda node: node.downstream.room, config.client_sockets),
         (lambda node: node.dispatcher.room, config.server_sockets),
-        (lambda node: node.core.memory_budget.total, config.held_bytes),
+        (lambda node: node.core.memory_budget.total, config.memory_budget_bytes),
     ):
         assert sum(map(get, nodes)) <= whole and get(nodes[0]) >= whole // 2
-    assert nodes[0].core.memory_budget.total >= LONGEST_MB * 1024 * 1024
+    assert nodes[0].core.memory_budget.total >= MAX_VALUE_MB * 1024 * 1024
     nodes[1]._siblings.close()
     clock.go(LOOK)
     assert nodes[0].downstream.room == config.client_sockets
--- a/tests/support/configuration.py
+++ b/tests/support/configuration.py
@@ -1,6 +1,6 @@
 """Configurations in the node's own format."""
 
-from flintridge.config.build import read_own
+from flintridge.config.node_file import parse_node_file
 from support.paths import ROOT
 
 EXAMPLE = (ROOT / "examples" / "node.toml").read_text()
@@ -15,4 +15,4 @@
 
 
 def read(text: str, env=None):
-    return read_own("n.toml", text.encode(), env or {})
+    return parse_node_file("n.toml", text.encode(), env or {})
--- a/tests/test_lab_budgets.py
+++ b/tests/test_lab_budgets.py
@@ -5,7 +5,7 @@
 import msgspec
 import pytest
 
-from flintridge.config.faults import ConfigFaults
+from flintridge.config.faults import ConfigFaultsError
 from flintridge.config.node_config import BudgetsConfig
 from flintridge.lab import records as r
 from flintridge.lab.backend.virtual import VirtualPeers
@@ -111,7 +111,7 @@
     within = [line for line in lines if '"tenant":"within"' in line]
     assert within and all(any(node in line for node in west) for line in within)
     assert any('"node":"n0"' in line for line in lines)
-    with pytest.raises(ConfigFaults, match=r"tenants\[1\].zone: there is no zone 'moon'"):
+    with pytest.raises(ConfigFaultsError, match=r"tenants\[1\].zone: there is no zone 'moon'"):
         load("uneven", ["tenants[1].zone='moon'"])
 
 
@@ -135,10 +135,10 @@
     if said is None:
         assert load("uneven", changes).budgets == Budgets(tenants=True)
         changes, said = changes[1:], "budgets: parts are lent to nodes that are heard"
-    with pytest.raises(ConfigFaults) as raised:
+    with pytest.raises(ConfigFaultsError) as raised:
         load("uneven", changes)
     assert said in str(raised.value)
-    with pytest.raises(ConfigFaults, match=r"budgets\.tenants: no tenant has a quota_per_s"):
+    with pytest.raises(ConfigFaultsError, match=r"budgets\.tenants: no tenant has a quota_per_s"):
         load("uneven", ["peers={}", "budgets={tenants=true}", "tenants=[]"])
 
 
