--- /dev/null
+++ b/tests/config/test_decoding.py
@@ -0,0 +1,107 @@
+"""Decoding: every fault at once, and nothing but faults for whatever comes in."""
+
+import tomllib
+
+import msgspec
+from hypothesis import given
+from hypothesis import strategies as st
+from support.configuration import NODE, fault_lines
+from support.malformed_files import PROPERTY, any_value, malformed
+
+from flintridge.config.decoding import decode, decode_values
+from flintridge.config.faults import ConfigFaultsError
+from flintridge.config.model import NodeFile
+from flintridge.config.node_file_validation import validate_node_file
+from flintridge.lab.scenario.load import dump, load
+from flintridge.lab.scenario.model import Scenario
+
+SCENARIO = tomllib.loads(dump(load("catastrophe"), whole=True))
+
+
+def test_decode_when_a_file_has_many_faults_then_reports_each_with_path_value_and_what_is_allowed():
+    text = """
+        listen = "here:1"
+        seed = "xyz"
+        kindz = 3
+        [[classes]]
+        name = "read"
+        aim_ms = 5000
+        deadline_ms = 100
+        [[classes]]
+        name = "read"
+        aim_ms = -4
+        deadline_ms = 1
+        effect = "sfae"
+        window_ms = 3
+        [[classes]]
+        aim_ms = true
+        [machine]
+        sockets = 8.5
+        [rules]
+        cold_s = 9
+        """
+    assert fault_lines(decode, "n.toml", text.encode(), NodeFile, validate_node_file) == [
+        "n.toml: kindz: 3: unknown name: did you mean kinds?",
+        "n.toml: seed: 'xyz': must be text matching ^[0-9a-fA-F]{1,32}$(?!\\n)",
+        "n.toml: machine.sockets: 8.5: must be a whole number >= 32 and <= 1000000",
+        "n.toml: classes[1].aim_ms: -4: must be > 0 and <= 86400000",
+        "n.toml: classes[1].effect: 'sfae': must be one of 'keyed', 'safe', 'unsafe'",
+        "n.toml: classes[2].name: is missing: it must be text of 1 to 64 characters matching"
+        " ^[A-Za-z0-9._-]+$(?!\\n)",
+        "n.toml: classes[2].aim_ms: true: must be a number > 0 and <= 86400000",
+        "n.toml: listen: 'here:1': must be a numeric address with a port, as 10.0.0.4:11211",
+        "n.toml: origin_kind: is missing: it must be named in kinds, which is empty",
+        "n.toml: rules.cold_s: 9: says that servers start cold,"
+        " but a cold_share of 1 that they can do all at once",
+        "n.toml: classes[0].aim_ms: 5000: must be at most the deadline_ms of 100",
+        "n.toml: classes[1].name: 'read': is the name of classes[0] too",
+    ]
+
+
+def is_valid_for_msgspec(values, target) -> bool:
+    try:
+        msgspec.convert(values, target)
+    except msgspec.ValidationError:
+        return False
+    return True
+
+
+def is_valid_for_decoding(values, target, validate_fields=None) -> bool:
+    """Whether it decodes; if not, each fault must have its reason and a line of its own."""
+    try:
+        decode_values("f.toml", values, target, validate_fields)
+    except ConfigFaultsError as error:
+        refused = error
+    else:
+        return True
+    assert refused.faults
+    assert all(fault.reason for fault in refused.faults)
+    assert len(str(refused).splitlines()) == len(refused.faults)
+    assert "Traceback" not in str(refused)
+    return False
+
+
+@PROPERTY
+@given(malformed(NODE) | any_value)
+def test_decode_when_a_configuration_is_malformed_then_refuses_what_msgspec_refuses(values):
+    decodes = is_valid_for_decoding(values, NodeFile)
+    assert is_valid_for_msgspec(values, NodeFile) or not decodes
+    decodes_with_fields = is_valid_for_decoding(values, NodeFile, validate_node_file)
+    assert decodes or not decodes_with_fields
+
+
+@PROPERTY
+@given(malformed(SCENARIO) | any_value)
+def test_decode_when_a_scenario_is_malformed_then_refuses_exactly_what_msgspec_refuses(values):
+    decodes = is_valid_for_decoding(values, Scenario)
+    converts = is_valid_for_msgspec(values, Scenario)
+    text = repr(values)
+    assert converts or not decodes
+    # Beyond msgspec: numbers that are not finite, and halves of surrogate pairs.
+    assert decodes or not converts or "nan" in text or "inf" in text or "\\ud" in text
+
+
+@PROPERTY
+@given(st.binary(max_size=60), st.sampled_from(["a.toml", "a.json"]))
+def test_decode_when_given_any_bytes_then_reports_faults(text, file):
+    assert fault_lines(decode, file, text, NodeFile)
--- a/tests/support/configuration.py
+++ b/tests/support/configuration.py
@@ -1,9 +1,29 @@
-"""Configurations in the node's own format."""
+"""Configurations in the node's own format, and the faults of files."""
 
+import json
+import tomllib
+
+import pytest
+
+from flintridge.config.faults import ConfigFaultsError
 from flintridge.config.node_file import parse_node_file
 from support.paths import ROOT
 
 EXAMPLE = (ROOT / "examples" / "node.toml").read_text()
+NODE = tomllib.loads(EXAMPLE)
+PLATFORM = json.loads((ROOT / "examples" / "config.json").read_text())
+PLATFORM["known"]["members"] = [
+    {
+        "id": "s1",
+        "host_port": "127.0.0.1:7",
+        "phase": "in_service",
+        "up_since_ms": 0,
+        "size": 1.0,
+        "flavor": "box",
+        "locality": "here",
+        "cell": 3,
+    }
+]
 PLAIN = "\n".join(line for line in EXAMPLE.splitlines() if not line.startswith("#"))
 THREE = PLAIN.replace('name = "n1"', 'name = "n1"\nfleet_size = 3')
 PEERS = """
@@ -15,4 +35,12 @@
 
 
 def read(text: str, env=None):
+    """The configuration that a text in the node's own format leads to."""
     return parse_node_file("n.toml", text.encode(), env or {})
+
+
+def fault_lines(call, *args) -> list[str]:
+    """The lines of the faults that a call reports; it must report some."""
+    with pytest.raises(ConfigFaultsError) as caught:
+        call(*args)
+    return str(caught.value).splitlines()
