--- a/flintridge/downstream/admin_api.py
+++ b/flintridge/downstream/admin_api.py
@@ -6,7 +6,7 @@
 import asyncio
 
 from flintridge.config.address import Address
-from flintridge.config.node_config import CONSOLE_PLACES
+from flintridge.config.node_config import ADMIN_CONNECTIONS_MAX
 from flintridge.core.admin_routes import Routes
 from flintridge.downstream.admin_exchange import AdminExchange
 from flintridge.downstream.lingering_close import close_lingering
@@ -28,7 +28,7 @@
         clock: Clock,
         log: EventLog,
         counters: Counters,
-        connection_limit: int = CONSOLE_PLACES,
+        connection_limit: int = ADMIN_CONNECTIONS_MAX,
     ) -> None:
         """Prepare it; `listen` opens it.
 
--- a/tests/test_compatibility.py
+++ b/tests/test_compatibility.py
@@ -72,7 +72,7 @@
     )
     source, chunk = received.source, received.chunk
     assert list(source) == fixture["source"]
-    replica = Replica(("n2", 9), ReplicaLimits(), 0.0, offset=fixture["offset_ms"])
+    replica = Replica(("n2", 9), ReplicaLimits(), 0.0, time_of_day_offset=fixture["offset_ms"])
     request = replica.next_request(source)
     assert replication_messages.encode_request(request).hex() == fixture["request"]
     assert replica.apply_chunk(fixture["as_of_ms"], source, chunk)
@@ -81,6 +81,7 @@
     for key, entry in replica.entries.items():
         versions = fixture["versions"][f"{key[0]}/{key[1]}"]
         bodies = [
-            (version.body.hex(), version.by, version.why, version.deleted) for version in entry.versions
+            (version.body.hex(), version.author, version.reason, version.deleted)
+            for version in entry.versions
         ]
         assert bodies == [(one["body"], one["by"], one["why"], one["deleted"]) for one in versions]
