--- a/examples/toy_server.py
+++ b/examples/toy_server.py
@@ -9,8 +9,9 @@
 import orjson
 
 from flintridge.api import RequestClass, Settings, Tenant
+from flintridge.codec.memcache.command_parser import CommandParser
+from flintridge.codec.memcache.commands import NoOp
 from flintridge.core.request import Request
-from flintridge.net.memcache import CommandParser, Hello
 
 HOST = "127.0.0.1"
 DISCOVERY, ORIGIN, BOXES = 8500, 8600, (8701, 8702)
@@ -42,7 +43,7 @@
                 if isinstance(command, Request):
                     writer.write(self.look_up(port, command))
                 else:
-                    writer.write(b"MN\r\n" if isinstance(command, Hello) else b"CLIENT_ERROR bad\r\n")
+                    writer.write(b"MN\r\n" if isinstance(command, NoOp) else b"CLIENT_ERROR bad\r\n")
         writer.close()
 
     def look_up(self, port: int, command: Request) -> bytes:
--- /dev/null
+++ b/flintridge/codec/http/exchange.py
@@ -0,0 +1,137 @@
+"""One HTTP/1.1 request and its response: a state machine over h11 that is fed bytes, with bounded memory."""
+
+from collections.abc import Callable
+from dataclasses import dataclass
+
+import h11
+
+from flintridge.codec.errors import MalformedError
+from flintridge.codec.long_value import LONG_VALUE_BYTES, LongValueReader
+from flintridge.errors import FlintridgeError
+
+RESPONSE_START = b"HTTP/1."
+MAX_HEAD_BYTES = 16 * 1024
+
+
+class HttpResponseError(FlintridgeError, h11.RemoteProtocolError):
+    """The response is no HTTP/1, or breaks a limit of ours."""
+
+
+@dataclass(slots=True, frozen=True)
+class HttpResponse:
+    """A complete response.
+
+    Attributes:
+        head: Its status and headers.
+        body: Empty where the body was streamed.
+    """
+
+    head: h11.Response
+    body: bytes
+
+
+def header_value(head: h11.Response, name: bytes) -> bytes | None:
+    """The value of a response's first header of this name, which is in lower case; None if it has none."""
+    return next((value for key, value in head.headers if key == name), None)
+
+
+class HttpExchange:
+    """One request and its response.
+
+    Attributes:
+        reusable: Whether the connection may carry another exchange.
+        streamed_value: The long value that has begun to come, if any.
+    """
+
+    def __init__(
+        self,
+        method: bytes,
+        target: bytes,
+        headers: list[tuple[bytes, bytes]],
+        body: bytes | bytearray = b"",
+        max_body_bytes: int = LONG_VALUE_BYTES,
+        stream_body: Callable[[h11.Response], LongValueReader | None] | None = None,
+    ) -> None:
+        """Prepare a request.
+
+        Args:
+            method: Of the request.
+            target: Of the request, quoted.
+            headers: Of the request.
+            body: Of the request.
+            max_body_bytes: A response's body may have so many.
+            stream_body: Called with a response's head; gives the reader if its body is a long value, to which
+                `max_body_bytes` does not apply.
+        """
+        self._request = h11.Request(method=method, target=target, headers=headers)
+        self._request_body = body
+        self._max_body_bytes = max_body_bytes
+        self._stream_body = stream_body
+        self._connection = h11.Connection(h11.CLIENT, max_incomplete_event_size=MAX_HEAD_BYTES)
+        self._start = b""  # the response's first bytes
+        self._head: h11.Response | None = None
+        self._body_chunks: list[bytes] = []
+        self._body_bytes = 0
+        self.streamed_value: LongValueReader | None = None
+        self.reusable = False
+
+    def encode_request(self) -> list[bytes | bytearray]:
+        """The request's bytes, in pieces."""
+        send = self._connection.send_with_data_passthrough
+        pieces: list[bytes | bytearray] = list(send(self._request) or ())
+        if self._request_body:
+            body = h11.Data(data=self._request_body)  # type: ignore[arg-type]  # passed through as it is
+            pieces += send(body) or ()
+        pieces += send(h11.EndOfMessage()) or ()
+        return pieces
+
+    def feed(self, data: bytes) -> HttpResponse | None:
+        """Take bytes of the response; none where the other side ended its sending.
+
+        Returns:
+            The response once it is complete.
+
+        Raises:
+            h11.RemoteProtocolError: They are malformed, or more than the limits allow.
+        """
+        self._check_start(data)
+        self._connection.receive_data(data)
+        while True:
+            event = self._connection.next_event()
+            if event is h11.NEED_DATA or isinstance(event, h11.ConnectionClosed):
+                return None
+            if isinstance(event, h11.Response):
+                self._head = event
+                if self._stream_body is not None:
+                    self.streamed_value = self._stream_body(event)
+            elif isinstance(event, h11.Data):
+                self._take_body(bytes(event.data))
+            elif isinstance(event, h11.EndOfMessage):
+                return self._complete()
+
+    def _check_start(self, data: bytes) -> None:
+        """Guards against noise, in which h11 would wait for the end of a head."""
+        if len(self._start) >= len(RESPONSE_START):
+            return
+        self._start += data[: len(RESPONSE_START) - len(self._start)]
+        if not RESPONSE_START.startswith(self._start):
+            raise HttpResponseError("not HTTP/1")
+
+    def _take_body(self, chunk: bytes) -> None:
+        if self.streamed_value is not None:
+            try:
+                self.streamed_value.feed(chunk, b"")
+            except MalformedError as error:
+                raise HttpResponseError(str(error)) from error
+            return
+        self._body_bytes += len(chunk)
+        if self._body_bytes > self._max_body_bytes:
+            raise HttpResponseError("body too large")
+        self._body_chunks.append(chunk)
+
+    def _complete(self) -> HttpResponse:
+        both_done = set(self._connection.states.values()) == {h11.DONE}
+        trailing_bytes, closed = self._connection.trailing_data
+        self.reusable = both_done and not trailing_bytes and not closed
+        assert self._head is not None
+        return HttpResponse(self._head, b"".join(self._body_chunks))
--- /dev/null
+++ b/flintridge/codec/http/origin.py
@@ -0,0 +1,125 @@
+"""Exchanges with the origin over HTTP: a forwarded request or a health check, and the response to it."""
+
+from urllib.parse import quote
+
+import h11
+
+from flintridge.api import Outcome
+from flintridge.codec.http.exchange import HttpExchange, HttpResponse, header_value
+from flintridge.codec.load_report import parse_load_report
+from flintridge.codec.long_value import LONG_VALUE_BYTES, MAX_VALUE_BYTES, LongValueReader
+from flintridge.codec.memcache.syntax import is_token
+from flintridge.core.request import Request
+from flintridge.core.response import AttemptResult, Response
+
+UNQUOTED_IN_TARGET = "!$&'()*+,;=:@/-._~"
+STATUS_OK = 200
+STATUS_UNAVAILABLE = 503
+STATUS_GATEWAY_TIMEOUT = 504
+
+
+class _SingleResponseExchange:
+    """An exchange over HTTP. After a malformed response the request may have been executed."""
+
+    def __init__(self, http: HttpExchange) -> None:
+        self._http = http
+        self.names_request = False  # HTTP itself ties no response to its request
+
+    @property
+    def reusable(self) -> bool:
+        """As in `Exchange`."""
+        return self._http.reusable
+
+    @property
+    def streamed_value(self) -> LongValueReader | None:
+        """As in `Exchange`."""
+        return self._http.streamed_value
+
+    def encode_request(self) -> list[bytes | bytearray]:
+        """As in `Exchange`."""
+        return self._http.encode_request()
+
+    def feed(self, data: bytes) -> AttemptResult | None:
+        """As in `Exchange`."""
+        try:
+            response = self._http.feed(data)
+        except h11.RemoteProtocolError:
+            return AttemptResult(Outcome.ERROR, malformed=True)
+        return self._result(response) if response is not None else None
+
+    def end(self) -> AttemptResult | None:
+        """As in `Exchange`. A body without a length ends with the connection; anything else is incomplete."""
+        try:
+            response = self._http.feed(b"")
+        except h11.RemoteProtocolError:
+            return None
+        return self._result(response) if response is not None else None
+
+    def _result(self, response: HttpResponse) -> AttemptResult:
+        raise NotImplementedError
+
+
+class OriginExchange(_SingleResponseExchange):
+    """A read or a write at the origin."""
+
+    def __init__(self, request: Request, host: str, timeout_ms: float) -> None:
+        """Prepare the request.
+
+        Args:
+            request: What is forwarded.
+            host: Of the origin, with its port.
+            timeout_ms: What remains of the client's timeout, which the origin is told, in milliseconds.
+        """
+        options = b"".join(request.options_with_timeout(timeout_ms))
+        headers = [(b"Host", host.encode()), (b"Req-Id", request.id), (b"Req-Extra", options)]
+        if request.value is not None:
+            headers.append((b"Content-Length", b"%d" % len(request.value)))
+        target = b"/" + quote(request.key, safe=UNQUOTED_IN_TARGET).encode()
+        self._id = request.id
+        self._write = request.write
+        method = b"PUT" if self._write else b"GET"
+        stream_body = None if self._write else self._long_value
+        super().__init__(HttpExchange(method, target, headers, request.value or b"", stream_body=stream_body))
+
+    def _long_value(self, head: h11.Response) -> LongValueReader | None:
+        """The reader of a long value: its length is named, and all else is as it has to be."""
+        if head.status_code != STATUS_OK or header_value(head, b"req-id") not in (None, self._id):
+            return None
+        length = header_value(head, b"content-length") or b""
+        if not length.isdigit() or not LONG_VALUE_BYTES < int(length) <= MAX_VALUE_BYTES:
+            return None
+        load = parse_load_report(header_value(head, b"srv-load") or b"")
+        return LongValueReader(int(length), AttemptResult(Outcome.OK, load=load))
+
+    def _result(self, response: HttpResponse) -> AttemptResult:
+        if self.streamed_value is not None:
+            return self.streamed_value.result
+        head = response.head
+        load = parse_load_report(header_value(head, b"srv-load") or b"")
+        response_id = header_value(head, b"req-id")
+        self.names_request = response_id == self._id
+        if response_id not in (None, self._id):
+            return AttemptResult(Outcome.ERROR, malformed=True)
+        if head.status_code == STATUS_OK:
+            if self._write and not (response.body and is_token(response.body)):
+                # No receipt that could be forwarded in a line.
+                return AttemptResult(Outcome.ERROR, malformed=True)
+            return AttemptResult(Outcome.OK, Response(response.body, receipt=self._write), load=load)
+        # Only what the origin says itself proves that it was never executed: a bare 503 may come from
+        # anything in between.
+        may_decline = head.status_code in (STATUS_UNAVAILABLE, STATUS_GATEWAY_TIMEOUT)
+        declined = may_decline and header_value(head, b"srv-declined") == b"1"
+        return AttemptResult(Outcome.FULL if declined else Outcome.ERROR, load=load)
+
+
+class OriginHealthCheck(_SingleResponseExchange):
+    """Asks the origin for its load report."""
+
+    def __init__(self, host: str) -> None:
+        """Prepare the request; `host` is the origin's, with its port."""
+        super().__init__(HttpExchange(b"GET", b"/-/load", [(b"Host", host.encode())]))
+
+    def _result(self, response: HttpResponse) -> AttemptResult:
+        load = parse_load_report(header_value(response.head, b"srv-load") or response.body)
+        ok = response.head.status_code == STATUS_OK
+        return AttemptResult(Outcome.OK if ok else Outcome.ERROR, load=load)
--- /dev/null
+++ b/flintridge/codec/memcache/encoder.py
@@ -0,0 +1,34 @@
+"""Encoder for the responses to memcache clients; most give lists of pieces for one gathered write."""
+
+import math
+
+from flintridge.codec.memcache.syntax import CRLF
+from flintridge.core.response import Response
+
+FAILED_RESPONSE = b"SERVER_ERROR failed\r\n"
+NO_OP_RESPONSE = b"MN\r\n"
+STARTING_RESPONSE = b"SERVER_ERROR starting\r\n"  # to a no-op, while the node is not ready yet
+DRAINING_RESPONSE = b"SERVER_ERROR draining\r\n"  # to a no-op, once the node drains
+
+
+def encode_response(request_id: bytes, response: Response) -> list[bytes]:
+    """A server's response to a read or a write."""
+    if response.receipt:
+        return [b"HD O", request_id, b" c", response.body, CRLF]
+    return [b"VA %d O" % len(response.body), request_id, CRLF, response.body, CRLF]
+
+
+def encode_stream_head(request_id: bytes, length: int) -> bytes:
+    """What precedes a value of `length` bytes that is streamed in chunks; CRLF has to follow the value."""
+    return b"VA %d O%b\r\n" % (length, request_id)
+
+
+def encode_rejection(retry_after_ms: float) -> list[bytes]:
+    """The rejection of a request; `retry_after_ms` 0 names no time."""
+    retry_after = math.ceil(retry_after_ms)
+    return [b"SERVER_ERROR busy %d\r\n" % retry_after if retry_after > 0 else b"SERVER_ERROR busy\r\n"]
+
+
+def encode_client_error(reason: str) -> list[bytes]:
+    """The response to a command that is invalid."""
+    return [b"CLIENT_ERROR %b\r\n" % reason.encode()]
--- a/flintridge/discovery/client.py
+++ b/flintridge/discovery/client.py
@@ -2,7 +2,7 @@
 
 import asyncio
 
-from flintridge.net.origin import HttpExchange
+from flintridge.codec.http.exchange import HttpExchange
 from flintridge.runtime.streams import CountingReader, holds_bytes, open_stream, spent
 from flintridge.settings import Address
 
@@ -27,22 +27,21 @@
         """
         reader, writer = await self._connection()
         host = f"{self._address.host}:{self._address.port}".encode()
-        exchange = HttpExchange(b"GET", target.encode(), [(b"Host", host)], limit=MAX_LIST_BYTES)
+        exchange = HttpExchange(b"GET", target.encode(), [(b"Host", host)], max_body_bytes=MAX_LIST_BYTES)
         writer.writelines(exchange.encode_request())
         await writer.drain()
         while True:
             data = await reader.read(READ_BYTES)
-            found = exchange.feed(data)
-            if found is not None:
+            response = exchange.feed(data)
+            if response is not None:
                 break
             if not data:
                 raise ConnectionResetError("discovery ended the connection")
         if not exchange.reusable:
             self.close()
-        response, body = found
-        if response.status_code != 200:
-            raise ValueError(f"discovery answered {response.status_code}")
-        return body
+        if response.head.status_code != 200:
+            raise ValueError(f"discovery answered {response.head.status_code}")
+        return response.body
 
     async def _connection(self) -> tuple[CountingReader, asyncio.StreamWriter]:
         if self._streams is not None:
--- a/flintridge/lab/defects/planted.py
+++ b/flintridge/lab/defects/planted.py
@@ -9,15 +9,15 @@
 from typing import Any
 
 from flintridge import api
+from flintridge.codec.memcache.encoder import encode_response
 from flintridge.core.request import Request, UpstreamAttempt
 from flintridge.core.response import Responder, Response
 from flintridge.lab.defects.wrapping import Alter, every, put, wrap_replies
-from flintridge.net import memcache
-from flintridge.net.delivery import UpstreamConnection
 from flintridge.net.sender import PendingResponse
 from flintridge.node import Node
 from flintridge.policy.balancer import Balancer, ConcurrencyLimiter, OpenRequest, Server
 from flintridge.runtime.clock import sleep, to_ns
+from flintridge.upstream.connection import UpstreamConnection
 
 OFTEN = 10  # each tenth request is hit
 CLIENT_WAIT_MS = 1000.0  # of a client that names no time
@@ -110,7 +110,7 @@
             self.reply.respond(response)
             slot = self.reply
             if isinstance(slot, PendingResponse) and not slot.connection._writer.is_closing():
-                slot.connection._writer.writelines(memcache.served_parts(slot.id, response))
+                slot.connection._writer.writelines(encode_response(slot.id, response))
 
     wrap_replies(node, lambda _, reply: Twice(reply) if hit() else reply)
 
@@ -217,7 +217,7 @@
     def always(request: OpenRequest) -> float:
         return math.inf if request.cls.effect is effect else repeat_by(request)
 
-    put(balancer, "repeat_by", always)  # else the delivery would not write it
+    put(balancer, "repeat_by", always)  # else the dispatcher would not write it
     put(balancer, "patience", impatient)
     put(balancer, "may_send", regardless)
 
@@ -353,8 +353,8 @@
     """Connections to servers are neither used again nor closed, and no longer counted."""
     lost: list[UpstreamConnection] = []
 
-    def forget(server: str, link: UpstreamConnection, named: bool = True) -> None:
-        lost.append(link)
-        node.dispatcher._open -= 1
+    def forget(server: str, connection: UpstreamConnection, names_request: bool = True) -> None:
+        lost.append(connection)
+        node.dispatcher.pool.open_count -= 1
 
-    put(node.dispatcher, "_keep", forget)
+    put(node.dispatcher.pool, "release", forget)
--- a/flintridge/net/sender.py
+++ b/flintridge/net/sender.py
@@ -5,11 +5,20 @@
 from collections.abc import Callable, Coroutine
 
 from flintridge.api import Settings
+from flintridge.codec.memcache import encoder
+from flintridge.codec.memcache.command_parser import CommandParser
+from flintridge.codec.memcache.commands import (
+    Command,
+    InvalidCommand,
+    LongValueAnnounced,
+    LongValueSkipped,
+    NoOp,
+)
+from flintridge.codec.memcache.syntax import CRLF
 from flintridge.core.lifecycle import IdInUseError, RequestLifecycle, bytes_to_reserve
 from flintridge.core.request import Request
 from flintridge.core.response import DownstreamClosedError, Response
 from flintridge.discovery.endpoint_list import EndpointList
-from flintridge.net import memcache
 from flintridge.net.parting import PARTING, PARTING_BYTES, all_read, let_go, part
 from flintridge.net.places import EvictionOrder
 from flintridge.runtime.clock import Clock, DeadlineExceededError, Timer, sleep, to_ms
@@ -61,13 +70,13 @@
         return self.passage
 
     def respond(self, response: Response) -> None:
-        self.fill(memcache.served_parts(self.id, response))
+        self.fill(encoder.encode_response(self.id, response))
 
     def reject(self, retry_after_ms: float) -> None:
-        self.fill(memcache.defer_parts(retry_after_ms))
+        self.fill(encoder.encode_rejection(retry_after_ms))
 
     def fail(self) -> None:
-        self.fill([memcache.FAILED])
+        self.fill([encoder.FAILED_RESPONSE])
 
     def fill(self, parts: list[bytes]) -> None:
         self.parts = parts
@@ -79,7 +88,7 @@
 
     def __init__(self, slot: PendingResponse, length: int) -> None:
         self._slot = slot
-        self._head = memcache.passage_head(slot.id, length)
+        self._head = encoder.encode_stream_head(slot.id, length)
         self._turn = asyncio.Event()
 
     def turn(self) -> None:
@@ -100,7 +109,7 @@
 
     def end(self) -> None:
         self._slot.passage = None
-        self._slot.fill([memcache.EOL])
+        self._slot.fill([CRLF])
 
     def abort(self) -> None:
         """The end of the value is never written: what came is fewer bytes than its head said."""
@@ -122,7 +131,7 @@
         self._writer = writer
         assert isinstance(writer.transport, asyncio.Transport)
         self._transport = writer.transport
-        self._parser = memcache.CommandParser(side.settings)
+        self._parser = CommandParser(side.settings)
         self._slots: deque[PendingResponse] = deque()
         self._moved = asyncio.Event()  # a slot became free
         self.used_at = side.clock.now()
@@ -187,11 +196,11 @@
                 self.close()
             return
         # A long value may come slowly, but it holds memory: it must go on coming.
-        long = self._parser.in_value
+        long = self._parser.in_long_value
         since = self.used_at if long else self.begun_at
         if now - since >= UNFINISHED or (long and now - self.begun_at >= LONGEST_VALUE):
             self._side.counters.add("connections_unfinished")
-            self._writer.writelines(memcache.bad_command_parts("command not finished in time"))
+            self._writer.writelines(encoder.encode_client_error("command not finished in time"))
             self.close()
 
     @property
@@ -248,23 +257,23 @@
         nothing at all, OSError where the connection has ended."""
         await all_read(self._side.clock, self._writer)
 
-    async def _take_all(self, commands: deque[memcache.Command]) -> bool:
+    async def _take_all(self, commands: deque[Command]) -> bool:
         """Whether the connection goes on."""
         while commands and not self._gone:  # of a client that has left nothing more is taken
             command = commands.popleft()
-            if isinstance(command, memcache.Announced):
+            if isinstance(command, LongValueAnnounced):
                 # Nothing is read while it waits: the client's own buffers hold it up.
                 count = bytes_to_reserve(command.length)
                 kept = await self._side.core.memory_budget.reserve(count, ROOM_TIME)
                 self._kept = count if kept else 0
                 self._used()
-                commands.extend(self._parser.admit(kept))
+                commands.extend(self._parser.admit_long_value(kept))
             elif not self._take(command):
                 return False
             await self._room()
         return True
 
-    def _take(self, command: Request | memcache.Hello | memcache.BadCommand | memcache.PassedOver) -> bool:
+    def _take(self, command: Request | NoOp | InvalidCommand | LongValueSkipped) -> bool:
         """Whether the connection goes on."""
         # Room was kept for one long value at a time, and this command is what became of it.
         kept, self._kept = self._kept, 0
@@ -274,11 +283,13 @@
             self._side.core.memory_budget.release(kept)
             self._slots[-1].uid = None
             self._bad += 1
-            self._slots[-1].fill(memcache.bad_command_parts("id in use"))
+            self._slots[-1].fill(encoder.encode_client_error("id in use"))
         return self._bad < BAD_COMMANDS
 
     def _carry_out(
-        self, command: Request | memcache.Hello | memcache.BadCommand | memcache.PassedOver, kept: int
+        self,
+        command: Request | NoOp | InvalidCommand | LongValueSkipped,
+        kept: int,
     ) -> bool:
         slot = PendingResponse(self, command.id if isinstance(command, Request) else b"")
         self._slots.append(slot)
@@ -288,15 +299,15 @@
             self.asked = True
             return True
         self._side.core.memory_budget.release(kept)
-        if isinstance(command, memcache.Hello):
+        if isinstance(command, NoOp):
             slot.fill([self._side.hello])
-        elif isinstance(command, memcache.PassedOver):
+        elif isinstance(command, LongValueSkipped):
             self._side.counters.add("values_without_room")
-            slot.fill(memcache.defer_parts(0.0))
+            slot.fill(encoder.encode_rejection(0.0))
         else:
             self._side.counters.add("bad_commands")
             self._bad += 1
-            slot.fill(memcache.bad_command_parts(command.reason))
+            slot.fill(encoder.encode_client_error(command.reason))
             return not command.fatal and self._bad < BAD_COMMANDS
         return True
 
@@ -335,7 +346,7 @@
         client whose connection had served sends its next one again."""
         # One that is parted from was told its error, and nothing more may be written to it.
         if not self.asked and not self._ending and not self.closing:
-            self._writer.writelines(memcache.defer_parts(0.0))
+            self._writer.writelines(encoder.encode_rejection(0.0))
         self.close()
 
     # Its end
@@ -444,7 +455,7 @@
         # A dict, not a set: it is walked in the order of arrival, and two nodes given the same do the same.
         self._connections: dict[ClientConnection, None] = {}
         self.places: EvictionOrder[ClientConnection] = EvictionOrder()
-        self.blank = memcache.CommandParser(settings)  # of all that read no command any more
+        self.blank = CommandParser(settings)  # of all that read no command any more
         self._partings = 0
         self._beyond: dict[ClientConnection, None] = {}  # made place, and are still parted from
         self._tasks: dict[asyncio.Task[None], None] = {}
@@ -461,8 +472,8 @@
     def hello(self) -> bytes:
         """The answer to `mn`."""
         if not self.drain.welcoming:
-            return memcache.NO_MORE
-        return memcache.HELLO if self.serving else memcache.NOT_YET
+            return encoder.DRAINING_RESPONSE
+        return encoder.NO_OP_RESPONSE if self.serving else encoder.STARTING_RESPONSE
 
     @property
     def connections(self) -> int:
@@ -510,7 +521,7 @@
         may come again if it was refused. Nothing of it is read, so it never ran.
         """
         self.counters.add("connections_turned_away")
-        writer.writelines(memcache.defer_parts(0.0))
+        writer.writelines(encoder.encode_rejection(0.0))
         if self._partings < PARTINGS:
             self._partings += 1
             self._bound_partings()
--- a/flintridge/node.py
+++ b/flintridge/node.py
@@ -17,7 +17,6 @@
 from flintridge.discovery.endpoint_list import EndpointList, configured_endpoints
 from flintridge.discovery.overrides import EndpointOverrides
 from flintridge.discovery.watcher import DiscoveryWatcher, watch_wait_ms
-from flintridge.net.delivery import Dispatcher
 from flintridge.net.sender import Downstream
 from flintridge.policy.balancer import QUOTA_SLACK, Balancer
 from flintridge.runtime.clock import Clock
@@ -26,6 +25,7 @@
 from flintridge.shutdown import GracefulShutdown, ServiceState
 from flintridge.telemetry.counters import Counters
 from flintridge.telemetry.log import EventLog
+from flintridge.upstream.dispatcher import Dispatcher
 
 if TYPE_CHECKING:
     from flintridge.fronts.console import Routes, Said
@@ -213,7 +213,7 @@
         count = 1 if self._siblings is None else self._siblings.count
         config = self.config
         self.core.memory_budget.resize(max(int(LONGEST_MB * 1024 * 1024), config.held_bytes // count))
-        self.dispatcher.room = config.server_sockets // count
+        self.dispatcher.pool.max_connections = config.server_sockets // count
         self.downstream.room = config.client_sockets // count
         if self.leases is not None:
             self.leases.processes(count)
--- /dev/null
+++ b/flintridge/upstream/connection.py
@@ -0,0 +1,152 @@
+"""One connection to a server, and an exchange over it."""
+
+import asyncio
+import math
+from collections.abc import Callable
+from dataclasses import dataclass
+
+from flintridge.core.exchange import Exchange
+from flintridge.core.response import AttemptResult
+from flintridge.runtime.clock import Clock, within
+from flintridge.runtime.streams import READ, CountingReader, open_stream, spent
+from flintridge.settings import Address
+
+WRITE_CHUNK_BYTES = 64 * 1024  # of a long value, handed to the transport at a time
+
+
+class UpstreamReader(CountingReader):
+    """Notifies of anything that arrives while no request is out.
+
+    Guards the next request on a reused connection against being answered by bytes that are there already: a
+    duplicate of the response before, noise behind it, or the end of the connection.
+
+    Attributes:
+        on_unexpected_data: Called with each arrival; set while nothing may arrive.
+    """
+
+    def __init__(self, loop: asyncio.AbstractEventLoop) -> None:
+        super().__init__(loop, limit=READ // 2)
+        self.on_unexpected_data: Callable[[], None] | None = None
+
+    def feed_data(self, data: bytes) -> None:  # type: ignore[override]  # as in the base
+        """As in the base."""
+        super().feed_data(data)
+        if self.on_unexpected_data is not None:
+            self.on_unexpected_data()
+
+    def feed_eof(self) -> None:
+        """As in the base."""
+        super().feed_eof()
+        if self.on_unexpected_data is not None:
+            self.on_unexpected_data()
+
+
+@dataclass(slots=True, eq=False)
+class UpstreamConnection:
+    """A connection to a server, for one exchange at a time. Instants are milliseconds of the node's clock.
+
+    Attributes:
+        address: Where it leads.
+        reader: What arrives.
+        writer: What is sent.
+        idle_since: When its last exchange ended.
+        quarantined_until: It is not used again before.
+        request_written: Whether the request of its last exchange was written completely.
+        idle_before_use_ms: How long it was idle before the exchange that it carries; 0: it is new.
+        bytes_read_before_use: How many bytes had been read until that exchange.
+    """
+
+    address: Address
+    reader: UpstreamReader
+    writer: asyncio.StreamWriter
+    idle_since: float = 0.0
+    quarantined_until: float = 0.0
+    request_written: bool = False
+    idle_before_use_ms: float = 0.0
+    bytes_read_before_use: int = 0
+
+    @property
+    def nothing_received(self) -> bool:
+        """Whether no byte of the response was read."""
+        return self.reader.taken == self.bytes_read_before_use
+
+    @property
+    def unusable(self) -> bool:
+        """Whether it has ended, or holds bytes that belong to no request."""
+        return spent(self.reader, self.writer)
+
+    async def perform(
+        self, exchange: Exchange, clock: Clock, write_deadline: float = math.inf
+    ) -> AttemptResult | None:
+        """Send a request and receive the response to it.
+
+        Args:
+            exchange: The request and its response.
+            clock: Tells when the deadline is.
+            write_deadline: The request has to be written completely by this instant.
+
+        Returns:
+            The result; None if a long value has begun, which is then `exchange.streamed_value`.
+
+        Raises:
+            OSError: The connection broke.
+            DeadlineExceededError: The request was not written in time.
+        """
+        self.request_written = False
+        if write_deadline < math.inf:
+            await within(clock, write_deadline - clock.now(), self._write(exchange))
+        else:
+            await self._write(exchange)
+        self.request_written = True
+        while True:
+            result = await self.receive(exchange)
+            if result is not None or exchange.streamed_value is not None:
+                return result
+
+    async def _write(self, exchange: Exchange) -> None:
+        pieces: list[bytes | bytearray] = []
+        for piece in exchange.encode_request():
+            if len(piece) <= WRITE_CHUNK_BYTES:
+                pieces.append(piece)
+                continue
+            # A long value goes in chunks: the transport would copy all that the server has not read.
+            self.writer.writelines(pieces)
+            pieces = []
+            for start in range(0, len(piece), WRITE_CHUNK_BYTES):
+                self.writer.write(memoryview(piece)[start : start + WRITE_CHUNK_BYTES])
+                await self.writer.drain()
+        self.writer.writelines(pieces)
+        try:
+            await self.writer.drain()  # with no high-water mark: returns when all is written
+        except asyncio.CancelledError:
+            # Guards against a timeout in the very step in which the last byte went out, of which this task
+            # was to hear next: the request may be executed, and must not count as never sent.
+            transport = self.writer.transport
+            self.request_written = not transport.is_closing() and not transport.get_write_buffer_size()
+            raise
+
+    async def receive(self, exchange: Exchange) -> AttemptResult | None:
+        """Read once and feed it to the exchange.
+
+        Returns:
+            The result, if this completes it.
+
+        Raises:
+            OSError: The connection ended too early.
+        """
+        data = await self.reader.read(READ)
+        result = exchange.feed(data) if data else exchange.end()
+        if result is None and not data:
+            raise ConnectionResetError("the server ended the connection")
+        return result
+
+
+async def open_connection(address: Address) -> UpstreamConnection:
+    """Connect to a server.
+
+    Raises:
+        OSError: There is no connection.
+    """
+    reader = UpstreamReader(asyncio.get_running_loop())
+    writer = await open_stream(reader, address.host, address.port)
+    return UpstreamConnection(address, reader, writer)
--- a/tests/codec/test_parsers.py
+++ b/tests/codec/test_parsers.py
@@ -7,11 +7,14 @@
 from support.network import FIXED, SETTINGS, HandClock, make_request
 
 from flintridge.api import Outcome
+from flintridge.codec.http.exchange import HttpExchange
+from flintridge.codec.http.origin import OriginExchange, OriginHealthCheck
+from flintridge.codec.memcache.command_parser import CommandParser
+from flintridge.codec.memcache.commands import InvalidCommand, NoOp
+from flintridge.codec.memcache.encoder import encode_rejection, encode_response
+from flintridge.codec.memcache.exchange import CacheExchange, CacheHealthCheck
 from flintridge.core.response import Response
 from flintridge.discovery.endpoint_list import EndpointList
-from flintridge.net import memcache
-from flintridge.net.memcache import BadCommand, CacheExchange, CacheProbe, CommandParser, Hello
-from flintridge.net.origin import HttpExchange, OriginExchange, OriginProbe
 
 READ = b"mg key7 v Oa1 Pc=read,t=acme,d=480,h=12000,size=18\r\n"
 
@@ -27,13 +30,13 @@
     return [data[a:b] for a, b in zip([0, *places], [*places, len(data)], strict=True)]
 
 
-def commands(parts: list[bytes]) -> list:
+def parse_commands(pieces: list[bytes]) -> list:
     parser = CommandParser(SETTINGS)
-    return [command for part in parts for command in parser.feed(part)]
+    return [command for piece in pieces for command in parser.feed(piece)]
 
 
-def answered(exchange, parts: list[bytes]):
-    return next((a for part in parts if (a := exchange.feed(part)) is not None), None)
+def feed_all(exchange, pieces: list[bytes]):
+    return next((a for piece in pieces if (a := exchange.feed(piece)) is not None), None)
 
 
 CUTS = st.lists(st.integers(0, 400), max_size=12)
@@ -51,23 +54,23 @@
 
 @FIXED
 @given(CUTS)
-def test_cut_commands_parse_as_whole(cuts):
-    assert commands(cut(STREAM, cuts)) == commands([STREAM])
+def test_commands_when_cut_anywhere_parse_the_same(cuts):
+    assert parse_commands(cut(STREAM, cuts)) == parse_commands([STREAM])
 
 
 @FIXED
 @given(CUTS)
-def test_cut_answers_parse_as_whole(cuts):
+def test_responses_when_cut_anywhere_parse_the_same(cuts):
     for make, text in (
         (lambda: CacheExchange(make_request(), 100.0), VALUE),
-        (CacheProbe, STATS),
+        (CacheHealthCheck, STATS),
         (lambda: OriginExchange(make_request(), "o:1", 100.0), HTTP),
     ):
         whole, parted = make(), make()
         assert whole.encode_request() == parted.encode_request()
-        expected = answered(whole, [text])
+        expected = feed_all(whole, [text])
         assert expected is not None and expected.outcome is Outcome.OK
-        assert answered(parted, [p for p in cut(text, cuts) if p]) == expected
+        assert feed_all(parted, [p for p in cut(text, cuts) if p]) == expected
         assert parted.reusable and whole.reusable
 
 
@@ -81,35 +84,35 @@
 
 @FIXED
 @given(st.lists(PIECES, max_size=12))
-def test_garbage_crashes_no_parser(pieces):
-    for command in commands(pieces):
-        assert not isinstance(command, BadCommand) or command.reason.isprintable()
+def test_parsers_when_fed_garbage_do_not_crash(pieces):
+    for command in parse_commands(pieces):
+        assert not isinstance(command, InvalidCommand) or command.reason.isprintable()
     exchanges = [
         CacheExchange(make_request(), 1.0),
-        CacheProbe(),
+        CacheHealthCheck(),
         OriginExchange(make_request(), "o:1", 100.0),
-        OriginProbe("o"),
+        OriginHealthCheck("o"),
     ]
     for exchange in exchanges:
         exchange.encode_request()
-        answered(exchange, [p for p in pieces if p])
+        feed_all(exchange, [p for p in pieces if p])
         exchange.end()
-    transports = EndpointList((), (), SETTINGS, HandClock())
+    endpoints = EndpointList((), (), SETTINGS, HandClock())
     for piece in pieces:
         with pytest.raises(ValueError, match="list"):
-            transports.parse(piece)
+            endpoints.parse(piece)
 
 
-def test_commands_mean_what_they_say():
-    read, write, hello, *_ = commands([STREAM])
+def test_command_when_valid_becomes_a_request_or_a_no_op():
+    read, write, no_op, *_ = parse_commands([STREAM])
     assert (read.id, read.key, read.timeout_ms, read.work_us, read.size) == (b"a1", b"key7", 480, 12000, 18)
     assert (read.class_index, read.write, read.retry) == (0, False, False)
     assert (write.class_index, write.value, write.retry) == (1, b"he\r\nllo", True)
-    assert isinstance(hello, Hello)
+    assert isinstance(no_op, NoOp)
 
 
 @pytest.mark.parametrize(
-    ("text", "reason", "goes_on"),
+    ("text", "reason", "framing_holds"),
     [
         (b"fly\r\n", "unknown command", True),
         (b"mg " + b"k" * 251 + b" v Oa\r\n", "bad key", True),
@@ -129,66 +132,67 @@
         (b"m" * 2100, "line too long", False),
     ],
 )
-def test_bad_commands_are_told_and_the_next_is_taken_where_framing_holds(text, reason, goes_on):
-    bad, *rest = commands([text, READ])
-    assert bad == BadCommand(reason, fatal=not goes_on)
-    assert rest == (commands([READ]) if goes_on else [])
+def test_command_when_invalid_is_reported_and_skipped_if_the_framing_holds(text, reason, framing_holds):
+    bad, *rest = parse_commands([text, READ])
+    assert bad == InvalidCommand(reason, fatal=not framing_holds)
+    assert rest == (parse_commands([READ]) if framing_holds else [])
 
 
-def test_a_command_is_passed_on_as_it_came_but_for_the_time_left():
-    (read,), (write,) = commands([READ]), commands([WRITE])
+def test_command_when_forwarded_differs_only_in_the_remaining_time():
+    (read,), (write,) = parse_commands([READ]), parse_commands([WRITE])
     assert b"".join(CacheExchange(read, 123.9).encode_request()) == READ.replace(b"d=480", b"d=123")
     assert b"".join(CacheExchange(write, 0.2).encode_request()) == WRITE.replace(b"d=900", b"d=1")
 
 
-def test_clients_get_answers_in_client_form():
-    assert b"".join(memcache.served_parts(b"a1", Response(b"va\r\n", False))) == b"VA 4 Oa1\r\nva\r\n\r\n"
-    assert b"".join(memcache.served_parts(b"a1", Response(b"77", True))) == b"HD Oa1 c77\r\n"
-    assert b"".join(memcache.defer_parts(0)) == b"SERVER_ERROR busy\r\n"
-    assert b"".join(memcache.defer_parts(80.2)) == b"SERVER_ERROR busy 81\r\n"
+def test_encoder_when_given_responses_and_rejections_writes_the_clients_protocol():
+    assert b"".join(encode_response(b"a1", Response(b"va\r\n", False))) == b"VA 4 Oa1\r\nva\r\n\r\n"
+    assert b"".join(encode_response(b"a1", Response(b"77", True))) == b"HD Oa1 c77\r\n"
+    assert b"".join(encode_rejection(0)) == b"SERVER_ERROR busy\r\n"
+    assert b"".join(encode_rejection(80.2)) == b"SERVER_ERROR busy 81\r\n"
 
 
 @pytest.mark.parametrize(
-    ("line", "outcome", "note"),
+    ("line", "outcome", "cache_status"),
     [
         (b"EN Oa1\r\n", Outcome.MISS, None),
         (b"EN Oa1 h0 Z\r\n", Outcome.MISS, 3),
         (b"VA 0 Oa1 h1\r\n\r\n", Outcome.OK, 1),
         (b"SERVER_ERROR failed\r\n", Outcome.ERROR, None),
         (b"SERVER_ERROR busy\r\n", Outcome.FULL, None),
-        (b"VA 0 Oother\r\n\r\n", Outcome.ERROR, None),  # an answer to another command is never passed on
+        (b"VA 0 Oother\r\n\r\n", Outcome.ERROR, None),  # a response to another command is never passed on
         (b"HD Oa1 c7\r\n", Outcome.ERROR, None),
         (b"VA 4194305 Oa1\r\n", Outcome.ERROR, None),
         (b"VA 2 Oa1\r\nabcd", Outcome.ERROR, None),
         (b"VA 2 Oa1 " + b"x" * 3000, Outcome.ERROR, None),
         (b"VA 3000000000 Oa1\r\n", Outcome.ERROR, None),
         (b"\x93", Outcome.ERROR, None),  # noise is not waited upon to its end
-        (b"VA 2 Oa1 h1 L\xff=,qps=\r\nok\r\n", Outcome.OK, 1),  # an unreadable report spoils no answer
+        # A load report that cannot be read does not invalidate the response.
+        (b"VA 2 Oa1 h1 L\xff=,qps=\r\nok\r\n", Outcome.OK, 1),
     ],
 )
-def test_what_a_cache_server_answers(line, outcome, note):
-    answer = CacheExchange(make_request(), 1.0).feed(line)
-    assert (answer.outcome, answer.cache_status) == (outcome, note)
+def test_cache_response_when_parsed_has_its_outcome_and_cache_status(line, outcome, cache_status):
+    result = CacheExchange(make_request(), 1.0).feed(line)
+    assert (result.outcome, result.cache_status) == (outcome, cache_status)
 
 
-def test_more_than_the_answer_makes_a_connection_unfit_for_another():
+def test_cache_response_when_more_follows_makes_the_connection_not_reusable():
     exchange = CacheExchange(make_request(), 1.0)
     assert exchange.feed(b"EN Oa1\r\nEN").outcome is Outcome.MISS and not exchange.reusable
 
 
-def test_only_what_cannot_be_read_counts_as_spoilt_and_answers_ahead_of_the_origins_are_passed_over():
+def test_response_when_it_cannot_be_read_is_malformed_and_informational_ones_are_skipped():
     for text in (b"VA 0 Oother\r\n\r\n", b"VA x Oa1\r\n", b"%"):
         assert CacheExchange(make_request(), 1.0).feed(text).malformed
     assert not CacheExchange(make_request(), 1.0).feed(b"SERVER_ERROR failed\r\n").malformed
     early = b"HTTP/1.1 103 Early\r\n\r\n" * 2
-    for text, spoilt in (
+    for text, malformed in (
         (early + HTTP, False),
         (HTTP.replace(b"Srv-Load", b"Req-Id"), True),
         (b"?\r\n", True),
     ):
         exchange = OriginExchange(make_request(), "o:1", 100.0)
         exchange.encode_request()
-        assert exchange.feed(text).malformed is spoilt
+        assert exchange.feed(text).malformed is malformed
 
 
 @pytest.mark.parametrize(
@@ -203,20 +207,20 @@
         (b"200 OK\r\nContent-Length: x", Outcome.ERROR),
     ],
 )
-def test_what_the_origin_answers(head, outcome):
+def test_origin_response_when_parsed_has_its_outcome(head, outcome):
     exchange = OriginExchange(make_request(value=b"v"), "o:1", 123.9)
     assert b"".join(exchange.encode_request()) == (
         b"PUT /key7 HTTP/1.1\r\nHost: o:1\r\nReq-Id: a1\r\nReq-Extra: c=read,t=acme,d=123,k=5c0f\r\n"
         b"Content-Length: 1\r\n\r\nv"
     )
-    answer = exchange.feed(b"HTTP/1.1 " + head + b"\r\n\r\nok")
-    assert (answer and answer.outcome) == outcome
+    result = exchange.feed(b"HTTP/1.1 " + head + b"\r\n\r\nok")
+    assert (result and result.outcome) == outcome
     if outcome is Outcome.OK:
-        assert answer.response == Response(b"ok", receipt=True)
+        assert result.response == Response(b"ok", receipt=True)
 
 
-def test_a_body_is_bounded():
-    exchange = HttpExchange(b"GET", b"/", [(b"Host", b"o")], limit=3)
+def test_http_body_when_over_the_limit_is_an_error():
+    exchange = HttpExchange(b"GET", b"/", [(b"Host", b"o")], max_body_bytes=3)
     exchange.encode_request()
     with pytest.raises(h11.RemoteProtocolError):
         exchange.feed(b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nabcd")
--- a/tests/downstream/test_connection_termination.py
+++ b/tests/downstream/test_connection_termination.py
@@ -19,7 +19,7 @@
 )
 from support.network import SETTINGS, Peer, until
 from support.node import Alone, whole
-from support.upstream_termination import Bench
+from support.upstream import UpstreamHarness
 
 from flintridge import api
 from flintridge.core.response import Response
@@ -272,7 +272,7 @@
             if answer is None:
                 core.submit = crossing
             else:
-                alone.node.dispatcher._report = crossing
+                alone.node.dispatcher._report_end = crossing
             await until(lambda: alone.node.counters["clients_disconnected"] == 1)
             await until(lambda: not alone.node.downstream._connections)
             await turns()
@@ -363,11 +363,11 @@
             await s.client()
             (connection,) = s.side._connections
             seen(connection._transport)
-            bench = Bench(peer.port)
-            await bench.carry()
+            harness = UpstreamHarness(peer.port)
+            await harness.start()
             await until(lambda: peer.got)
-            seen(next(iter(bench.links)).writer.transport)
-            await bench.delivery.close()
+            seen(next(iter(harness.connections)).writer.transport)
+            await harness.dispatcher.close()
             early = socket.create_connection(("127.0.0.1", s.port))  # accepted as the listener closes
             s.side._listening.close()
             await until(lambda: s.counters["connections_accepted"] == 2)
--- a/tests/downstream/test_downstream_streaming.py
+++ b/tests/downstream/test_downstream_streaming.py
@@ -8,10 +8,10 @@
 from support.network import SETTINGS, HandClock, quiet, until
 from support.upstream import READ
 
+from flintridge.codec.memcache.encoder import FAILED_RESPONSE
 from flintridge.core.lifecycle import RequestLifecycle
 from flintridge.discovery.endpoint_list import EndpointList
 from flintridge.lab import virtual
-from flintridge.net import memcache
 from flintridge.net.parting import SLOW_READER
 from flintridge.net.sender import ROOM_TIME, UNFINISHED, Downstream
 from flintridge.settings import Address
@@ -147,6 +147,6 @@
             assert await second.readline() == b"CLIENT_ERROR id in use\r\n"
             assert front.core.memory_budget.reserved == LENGTH
             front.core._fail_overdue("a1")
-            assert await first.readline() == memcache.FAILED
+            assert await first.readline() == FAILED_RESPONSE
 
     virtual.run(test())
--- a/tests/runtime/test_worker_processes.py
+++ b/tests/runtime/test_worker_processes.py
@@ -91,7 +91,7 @@
     assert [node._siblings.place_of_other() for node in nodes] == [1, 0]
     for get, whole in (
         (lambda node: node.downstream.room, config.client_sockets),
-        (lambda node: node.dispatcher.room, config.server_sockets),
+        (lambda node: node.dispatcher.pool.max_connections, config.server_sockets),
         (lambda node: node.core.memory_budget.total, config.held_bytes),
     ):
         assert sum(map(get, nodes)) <= whole and get(nodes[0]) >= whole // 2
--- a/tests/support/long_values.py
+++ b/tests/support/long_values.py
@@ -2,9 +2,9 @@
 
 from hypothesis import strategies as st
 
-from flintridge.net.memcache import LONG
+from flintridge.codec.long_value import LONG_VALUE_BYTES
 
-LENGTH = LONG + 5000
+LENGTH = LONG_VALUE_BYTES + 5000
 
 
 VALUE = bytes(97 + i * 7 % 26 for i in range(LENGTH))
--- a/tests/support/upstream.py
+++ b/tests/support/upstream.py
@@ -4,8 +4,11 @@
 
 from flintridge.api import Outcome
 from flintridge.core.request import UpstreamAttempt
+from flintridge.core.response import AttemptResult
 from flintridge.discovery.endpoint_list import EndpointList
-from flintridge.net.delivery import Dispatcher
+from flintridge.upstream import connection_pool
+from flintridge.upstream.connection import UpstreamConnection
+from flintridge.upstream.dispatcher import Dispatcher
 from support.network import SETTINGS, HandClock, make_request, quiet, until
 
 READ = b"mg key7 v O%b Pc=read,t=acme,d=480\r\n"
@@ -14,28 +17,99 @@
 VALUE = b"VA 2 Oa1\r\nok\r\n"
 
 
-class Bench:
-    """A Delivery towards one peer."""
+class UpstreamHarness:
+    """A Dispatcher towards one server, whose results it keeps.
 
-    def __init__(self, port: int, room: int = 8, flavor: str = "m2", settings=SETTINGS) -> None:
+    With `monkeypatch`, connections come up only once `allow_connect` is set.
+    """
+
+    def __init__(
+        self,
+        port: int,
+        *,
+        max_connections: int = 8,
+        flavor: str = "m2",
+        settings=SETTINGS,
+        start_stream=lambda *_: None,
+        monkeypatch=None,
+    ) -> None:
         self.clock = HandClock()
-        self.transports = EndpointList((), ("m2", "origin"), settings, self.clock)
+        self.endpoints = EndpointList((), ("m2", "origin"), settings, self.clock)
         entry = {"id": "s1", "host_port": f"127.0.0.1:{port}", "flavor": flavor, "phase": "in_service"}
-        self.transports.apply({"revision": 1, "complete": True, "members": [entry]})
-        self.ended: list = []
+        self.endpoints.apply({"revision": 1, "complete": True, "members": [entry]})
+        self.results: list[AttemptResult] = []
         log, self.counters = quiet()
-        report = lambda attempt, answer: self.ended.append(answer.outcome)  # noqa: E731
-        self.delivery = Dispatcher(self.transports, settings, self.clock, room, report, log, self.counters)
+        self.dispatcher = Dispatcher(
+            self.endpoints,
+            settings,
+            self.clock,
+            max_connections,
+            lambda _, result: self.results.append(result),
+            log,
+            self.counters,
+            start_stream,
+        )
+        self.connections: dict[UpstreamConnection, None] = {}
+        self._record_connections()
+        self.allow_connect = asyncio.Event()
+        self.connects_started = 0
+        if monkeypatch is not None:
+            self._delay_connects(monkeypatch)
+
+    def _record_connections(self) -> None:
+        connect = self.dispatcher.pool.connect
+
+        async def recorded(address, timeout_ms):
+            connection = await connect(address, timeout_ms)
+            self.connections[connection] = None
+            return connection
+
+        self.dispatcher.pool.connect = recorded
+
+    def _delay_connects(self, monkeypatch) -> None:
+        open_connection = connection_pool.open_connection
+
+        async def delayed(address):
+            self.connects_started += 1
+            await self.allow_connect.wait()
+            return await open_connection(address)
+
+        monkeypatch.setattr(connection_pool, "open_connection", delayed)
+
+    @property
+    def outcomes(self) -> list[Outcome]:
+        return [result.outcome for result in self.results]
 
-    async def carry(self, value=None, wait: float = 400.0) -> UpstreamAttempt:
+    def make_attempt(self, request_id: str = "a1", value=None, wait: float = 400.0, **limits):
+        """An attempt that may take `wait` ms; `limits` are further instants, in ms from now."""
         now = self.clock.now()
-        attempt = UpstreamAttempt("a1", 0, "s1", make_request(value=value), now, now + wait)
-        self.delivery.start(attempt)
+        instants = {name: now + after for name, after in limits.items()}
+        request = make_request(request_id, value=value)
+        return UpstreamAttempt(request_id, 0, "s1", request, now, now + wait, **instants)
+
+    async def start(self, **changes) -> UpstreamAttempt:
+        attempt = self.make_attempt(**changes)
+        self.dispatcher.start(attempt)
         await asyncio.sleep(0)
         return attempt
 
+    async def result(self, **changes) -> AttemptResult:
+        count = len(self.results)
+        await self.start(**changes)
+        await until(lambda: len(self.results) > count)
+        return self.results[-1]
+
     async def outcome(self, **changes) -> Outcome:
-        count = len(self.ended)
-        await self.carry(**changes)
-        await until(lambda: len(self.ended) > count)
-        return self.ended[-1]
+        return (await self.result(**changes)).outcome
+
+
+def disconnect_client(_harness, attempt) -> None:
+    attempt.request_ended = True  # as the core says of the attempts of a request that has ended
+
+
+def pass_write_deadline(harness, _attempt) -> None:
+    harness.clock.go(201)
+
+
+def http_response(body: bytes) -> bytes:
+    return b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%b" % (len(body), body)
--- a/tests/test_lab_load.py
+++ b/tests/test_lab_load.py
@@ -9,6 +9,7 @@
 from hypothesis import strategies as st
 from support.network import FIXED, SETTINGS
 
+from flintridge.codec.memcache.command_parser import CommandParser
 from flintridge.core.request import Request
 from flintridge.lab.backend.virtual import VirtualFabric
 from flintridge.lab.load import trace
@@ -24,7 +25,6 @@
 from flintridge.lab.seeds import Seeds
 from flintridge.lab.truth import Truth
 from flintridge.lab.virtual import FixedLink, Network, run
-from flintridge.net.memcache import CommandParser
 
 DAY = Scenario(length_s=4, warmup_s=1, load=model.Load(rate_per_s=200, shape="bursty", swing=0.8, period_s=2))
 
--- a/tests/upstream/test_upstream_streaming.py
+++ b/tests/upstream/test_upstream_streaming.py
@@ -4,68 +4,66 @@
 
 import pytest
 from support.long_values import ANSWER, LENGTH
-from support.network import SETTINGS, Passing, Peer, quiet, until
-from support.upstream import Bench
+from support.network import Passing, Peer, until
+from support.upstream import UpstreamHarness
 
 from flintridge.lab import virtual
-from flintridge.net.delivery import SERVER_SILENT, Dispatcher
 from flintridge.runtime.streams import READ as READ_AT_A_TIME
+from flintridge.upstream.streaming import SERVER_STALL_MS
 
 
-def long_bench(port: int):
-    bench = Bench(port)
-    bench.passing = Passing(0)
-    bench.begun = []
+class StreamingHarness(UpstreamHarness):
+    """As the base; long values are streamed to `streamed`."""
 
-    def begins(attempt, long):
-        bench.begun.append(long.length)
-        return bench.passing
+    def __init__(self, port: int) -> None:
+        super().__init__(port, start_stream=self._start_stream)
+        self.streamed = Passing(0)
+        self.started_lengths: list[int] = []
 
-    bench.delivery = Dispatcher(
-        bench.transports, SETTINGS, bench.clock, 8, bench.delivery._report, *quiet(), begins
-    )
-    return bench
+    def _start_stream(self, _attempt, value):
+        self.started_lengths.append(value.length)
+        return self.streamed
 
 
-def test_a_server_is_read_no_faster_than_the_client_reads():
+def test_long_value_when_the_client_reads_slowly_is_read_no_faster_from_the_server():
     async def test():
         length = 2 << 20
         big = b"VA %d Oa1\r\n" % length + b"x" * length + b"\r\n"
         async with Peer(lambda _: big) as peer:
-            bench = long_bench(peer.port)
-            bench.passing.open.clear()
-            await bench.carry()
-            await until(lambda: bench.begun)
+            harness = StreamingHarness(peer.port)
+            harness.streamed.open.clear()
+            await harness.start()
+            await until(lambda: harness.started_lengths)
             await asyncio.sleep(1)  # of virtual time
             (writer,) = peer.writers
-            left = writer.transport.get_write_buffer_size()
-            assert left > length - 512 * 1024 and bench.passing.pieces == []
-            assert bench.passing.ended is None
-            bench.passing.open.set()
-            await until(lambda: bench.passing.ended == "whole")
-            assert sum(map(len, bench.passing.pieces)) == length
-            assert max(map(len, bench.passing.pieces)) <= READ_AT_A_TIME
-            await bench.delivery.close()
+            unread_bytes = writer.transport.get_write_buffer_size()
+            assert unread_bytes > length - 512 * 1024 and harness.streamed.pieces == []
+            assert harness.streamed.ended is None
+            harness.streamed.open.set()
+            await until(lambda: harness.streamed.ended == "whole")
+            assert sum(map(len, harness.streamed.pieces)) == length
+            assert max(map(len, harness.streamed.pieces)) <= READ_AT_A_TIME
+            await harness.dispatcher.close()
 
     virtual.run(test())
 
 
 @pytest.mark.parametrize("how", ["end", "bad end", "silence"])
-def test_a_value_that_breaks_on_its_way_is_cut_and_not_sent_for_again(how):
+def test_long_value_when_it_breaks_on_its_way_is_aborted_and_not_retried(how):
     async def test():
         text = {"end": ANSWER[:-3000], "bad end": ANSWER[:-2] + b"XY", "silence": ANSWER[:-9]}[how]
         async with Peer(lambda _: text) as peer:
-            bench = long_bench(peer.port)
-            await bench.carry()
-            await until(lambda: bench.passing.pieces)
+            harness = StreamingHarness(peer.port)
+            await harness.start()
+            await until(lambda: harness.streamed.pieces)
             if how == "end":
                 peer.writers[0].close()
             if how == "silence":
                 await asyncio.sleep(0.1)
-                assert bench.passing.ended is None
-                bench.clock.go(SERVER_SILENT)
-            await until(lambda: bench.passing.ended == "cut")
-            assert sum(map(len, bench.passing.pieces)) < LENGTH and peer.connections == 1
-            await bench.delivery.close()
+                assert harness.streamed.ended is None
+                harness.clock.go(SERVER_STALL_MS)
+            await until(lambda: harness.streamed.ended == "cut")
+            assert sum(map(len, harness.streamed.pieces)) < LENGTH and peer.connections == 1
+            await harness.dispatcher.close()
 
     virtual.run(test())
