--- a/tests/codec/test_long_values.py
+++ b/tests/codec/test_long_values.py
@@ -44,20 +44,25 @@
             out += sum(map(len, exchange.streamed_value.take_chunks()))
         # All that came is let out, but for the last byte until the end was seen.
         assert out == max(0, min(fed - head, LENGTH - (0 if result else 1)))
-    assert result is not None and result.outcome is Outcome.OK and exchange.reusable
+    assert result is not None
+    assert result.outcome is Outcome.OK
+    assert exchange.reusable
 
 
 @FIXED
 @given(CUTS, st.sampled_from([b"XY", b"\rX", b"\n\r", b"xxxxxx"]))
 def test_long_value_when_its_terminator_is_malformed_withholds_the_last_byte(cuts, end):
     out, result = feed_all(CacheExchange(make_request(), 100.0), pieces_of(ANSWER[:-2] + end, cuts)[:])
-    assert result is not None and result.malformed and result.outcome is Outcome.ERROR
+    assert result is not None
+    assert result.malformed
+    assert result.outcome is Outcome.ERROR
     assert b"".join(out) == VALUE[:-1]
 
 
 def test_long_value_when_more_follows_is_served_on_a_connection_that_is_not_reusable():
     exchange = CacheExchange(make_request(), 100.0)
-    assert exchange.feed(ANSWER + b"VA 2").outcome is Outcome.OK and not exchange.reusable
+    assert exchange.feed(ANSWER + b"VA 2").outcome is Outcome.OK
+    assert not exchange.reusable
 
 
 def test_exchange_when_a_long_value_arrives_retains_only_what_it_was_just_fed():
@@ -81,7 +86,9 @@
 def test_origin_response_when_it_is_no_valid_long_value_is_not_streamed(head):
     exchange = OriginExchange(make_request(), "o:1", 100.0)
     result = exchange.feed(head + b"x" * 70000)
-    assert exchange.streamed_value is None and result is not None and result.outcome is Outcome.ERROR
+    assert exchange.streamed_value is None
+    assert result is not None
+    assert result.outcome is Outcome.ERROR
 
 
 @FIXED
@@ -93,14 +100,14 @@
         while todo:
             command = todo.pop(0)
             if isinstance(command, LongValueAnnounced):
-                assert command.length == LENGTH and not todo
+                assert command.length == LENGTH
+                assert not todo
                 announced += 1
                 todo = parser.admit_long_value(admitted)
             else:
                 found.append(command)
-    assert announced == 2 and [type(c).__name__ for c in found] == [
-        "Request" if admitted else "LongValueSkipped", "NoOp"
-    ] * 2  # fmt: skip
+    assert announced == 2
+    assert [type(c).__name__ for c in found] == ["Request" if admitted else "LongValueSkipped", "NoOp"] * 2
     assert not admitted or all(c.value == VALUE for c in found if isinstance(c, Request))
     assert parser.idle
 
--- a/tests/upstream/test_attempt_termination.py
+++ b/tests/upstream/test_attempt_termination.py
@@ -42,7 +42,8 @@
             assert harness.results == [AttemptResult(Outcome.WITHDRAWN)]
             assert harness.counters["attempts_expired_unsent"] == 1
             await turns()
-            assert peer.connections == 1 and peer.got == []
+            assert peer.connections == 1
+            assert peer.got == []
             assert (await harness.result()).outcome is Outcome.OK  # the connection is as good as new
             assert peer.connections == 1
             await harness.dispatcher.close()
@@ -200,7 +201,9 @@
             expected = Outcome.TIMEOUT if what == "answer" else Outcome.CONNECT_FAILED
             assert harness.outcomes == [expected]
             pool = harness.dispatcher.pool
-            assert pool.open_count == 0 and not pool._idle and not harness.dispatcher._tasks
+            assert pool.open_count == 0
+            assert not pool._idle
+            assert not harness.dispatcher._tasks
             await harness.dispatcher.close()
 
     play(test)
@@ -262,7 +265,8 @@
             await until(lambda: harness.counters["connections_unexpected_data"] == 1)
             harness.clock.go(QUARANTINE_MS)
             answers.append(second)
-            assert (await harness.result(value=b"z")).response == expected[1] and peer.connections == 2
+            assert (await harness.result(value=b"z")).response == expected[1]
+            assert peer.connections == 2
             await harness.dispatcher.close()
 
     play(test)
--- a/tests/upstream/test_dispatcher.py
+++ b/tests/upstream/test_dispatcher.py
@@ -78,15 +78,19 @@
         async with Peer(lambda _: VALUE) as peer:
             harness = UpstreamHarness(peer.port, settings=settings)
             for expected in (1, 1):
-                assert await harness.outcome() is Outcome.OK and peer.connections == expected
+                assert await harness.outcome() is Outcome.OK
+                assert peer.connections == expected
             harness.clock.go(4000)  # four fifths of what the server allows: it may close at any moment
-            assert await harness.outcome() is Outcome.OK and peer.connections == 2
+            assert await harness.outcome() is Outcome.OK
+            assert peer.connections == 2
             peer.writers[1].close()
             await asyncio.sleep(0.01)
             harness.clock.go(SWEEP_INTERVAL_MS)
-            assert await harness.outcome() is Outcome.OK and peer.connections == 3
+            assert await harness.outcome() is Outcome.OK
+            assert peer.connections == 3
             harness.dispatcher.close_idle_connections("s1")
-            assert await harness.outcome() is Outcome.OK and peer.connections == 4
+            assert await harness.outcome() is Outcome.OK
+            assert peer.connections == 4
             await harness.dispatcher.close()
 
     play(test)
@@ -103,7 +107,8 @@
                 assert harness.dispatcher.pool._idle
                 peer.writers[0].write(VALUE)
             await until(lambda: not harness.dispatcher.pool._idle and harness.dispatcher.pool.open_count == 0)
-            assert await harness.outcome() is Outcome.OK and peer.connections == 2
+            assert await harness.outcome() is Outcome.OK
+            assert peer.connections == 2
             await harness.dispatcher.close()
 
     play(test)
@@ -136,9 +141,11 @@
                 harness.clock.go(1500)
             assert peer.connections == 3
             # Closed before it is as old.
-            assert await harness.outcome() is Outcome.OK and peer.connections == 4
+            assert await harness.outcome() is Outcome.OK
+            assert peer.connections == 4
             harness.clock.go(1000)
-            assert await harness.outcome() is Outcome.OK and peer.connections == 4
+            assert await harness.outcome() is Outcome.OK
+            assert peer.connections == 4
             await harness.dispatcher.close()
 
     play(test)
@@ -148,7 +155,8 @@
     async def test():
         async with Peer(lambda _: VALUE) as peer:
             harness = UpstreamHarness(peer.port)
-            assert await harness.outcome() is Outcome.OK and len(harness.dispatcher.pool._idle) == 1
+            assert await harness.outcome() is Outcome.OK
+            assert len(harness.dispatcher.pool._idle) == 1
             peer.writers[0].close()
             await until(lambda: not harness.dispatcher.pool._idle and harness.dispatcher.pool.open_count == 0)
             harness.endpoints.apply({"revision": 2, "complete": True, "members": []})
@@ -167,11 +175,13 @@
                 assert await harness.outcome() is Outcome.OK
                 # A duplicate of a response that names no request would show by then.
                 harness.clock.go(QUARANTINE_MS)
-            assert peer.connections == 1 and peer.got[0].startswith(b"GET /key7 HTTP/1.1\r\n")
+            assert peer.connections == 1
+            assert peer.got[0].startswith(b"GET /key7 HTTP/1.1\r\n")
             loads: list = []
             harness.dispatcher.check_health("s1", loads.append)
             await until(lambda: loads)
-            assert peer.got[-1].startswith(b"GET /-/load ") and loads[0].outcome is Outcome.OK
+            assert peer.got[-1].startswith(b"GET /-/load ")
+            assert loads[0].outcome is Outcome.OK
             await harness.dispatcher.close()
 
     play(test)
--- a/tests/upstream/test_upstream_streaming.py
+++ b/tests/upstream/test_upstream_streaming.py
@@ -37,7 +37,8 @@
             await asyncio.sleep(1)  # of virtual time
             (writer,) = peer.writers
             unread_bytes = writer.transport.get_write_buffer_size()
-            assert unread_bytes > length - 512 * 1024 and harness.streamed.pieces == []
+            assert unread_bytes > length - 512 * 1024
+            assert harness.streamed.pieces == []
             assert harness.streamed.ended is None
             harness.streamed.open.set()
             await until(lambda: harness.streamed.ended == "whole")
@@ -63,7 +64,8 @@
                 assert harness.streamed.ended is None
                 harness.clock.go(SERVER_STALL_MS)
             await until(lambda: harness.streamed.ended == "cut")
-            assert sum(map(len, harness.streamed.pieces)) < LENGTH and peer.connections == 1
+            assert sum(map(len, harness.streamed.pieces)) < LENGTH
+            assert peer.connections == 1
             await harness.dispatcher.close()
 
     virtual.run(test())
