--- a/flintridge/codec/memcache/exchange.py
+++ b/flintridge/codec/memcache/exchange.py
@@ -38,7 +38,12 @@
     """
 
     def __init__(self, request: Request, timeout_ms: float) -> None:
-        """Args: `timeout_ms` is what remains of the client's timeout, in milliseconds."""
+        """Prepare the command.
+
+        Args:
+            request: What is forwarded.
+            timeout_ms: What remains of the client's timeout, which the server is told, in milliseconds.
+        """
         self._request = request
         self._timeout_ms = timeout_ms
         self._parser = ResponseParser()
--- a/flintridge/upstream/connection_pool.py
+++ b/flintridge/upstream/connection_pool.py
@@ -164,7 +164,7 @@
         self._idle.setdefault(server, deque()).append(connection)
 
     def close_connection(self, connection: UpstreamConnection) -> None:
-        """Close a connection that is not idle."""
+        """Close a connection that is not among the idle ones."""
         self.open_count -= 1
         connection.reader.on_unexpected_data = None
         if connection.writer.transport.get_write_buffer_size():
--- a/flintridge/upstream/idle_timeout.py
+++ b/flintridge/upstream/idle_timeout.py
@@ -60,7 +60,11 @@
     """
 
     def __init__(self, server_timeout_ms: float) -> None:
-        """Args: `server_timeout_ms` after which servers close idle connections, by the settings."""
+        """Begin with the configured timeout.
+
+        Args:
+            server_timeout_ms: After which servers close idle connections, by the settings.
+        """
         self._configured_ms = CONFIGURED_FRACTION * server_timeout_ms
         self.current_ms = self._configured_ms
         self._reuses: deque[Reuse] = deque(maxlen=MAX_OBSERVATIONS)
