--- a/flintridge/downstream/connection.py
+++ b/flintridge/downstream/connection.py
@@ -3,6 +3,15 @@
 import asyncio
 from collections import deque
 
+from flintridge.codec.memcache.command_parser import CommandParser
+from flintridge.codec.memcache.commands import (
+    Command,
+    InvalidCommand,
+    LongValueAnnounced,
+    LongValueSkipped,
+    NoOp,
+)
+from flintridge.codec.memcache.encoder import encode_client_error, encode_rejection
 from flintridge.core.lifecycle import IdInUseError, bytes_to_reserve
 from flintridge.core.request import Request
 from flintridge.downstream.connection_owner import ConnectionOwner
@@ -13,7 +22,6 @@
     wait_until_read,
 )
 from flintridge.downstream.pipeline import PendingResponse, ResponsePipeline
-from flintridge.net import memcache
 from flintridge.runtime.clock import DeadlineExceededError, Timer
 from flintridge.runtime.streams import CountingReader, bound_reads, other_side_ended
 
@@ -28,7 +36,7 @@
 IDLE_TIMEOUT_MS = 2_000.0  # a connection with nothing pending is closed after this
 MAX_BAD_COMMANDS = 4  # on one connection; it is closed upon the last of them
 
-ExecutableCommand = Request | memcache.Hello | memcache.BadCommand | memcache.PassedOver
+ExecutableCommand = Request | NoOp | InvalidCommand | LongValueSkipped
 
 
 class ClientConnection:
@@ -62,7 +70,7 @@
         self._writer = writer
         assert isinstance(writer.transport, asyncio.Transport)
         self._transport = writer.transport
-        self._parser = memcache.CommandParser(owner.settings)
+        self._parser = CommandParser(owner.settings)
         self._pipeline = ResponsePipeline()
         self.last_used_at = owner.clock.now()
         # Of the command that is not whole yet; before the first one, of the connection.
@@ -142,11 +150,11 @@
                 self.close()
         elif self._command_timed_out(now):
             self._owner.counters.add("connections_command_timeout")
-            self._writer.writelines(memcache.bad_command_parts("command not finished in time"))
+            self._writer.writelines(encode_client_error("command not finished in time"))
             self.close()
 
     def _command_timed_out(self, now: float) -> bool:
-        if not self._parser.in_value:
+        if not self._parser.in_long_value:
             return now - self._command_started_at >= COMMAND_TIMEOUT_MS
         # A long value may come slowly, but it holds memory: it must go on coming.
         if now - self.last_used_at >= COMMAND_TIMEOUT_MS:
@@ -161,7 +169,7 @@
         """
         # One that closes after an error has had that, and nothing more may be written to it.
         if not self.has_requested and not self._close_when_answered and not self.closing:
-            self._writer.writelines(memcache.defer_parts(0.0))
+            self._writer.writelines(encode_rejection(0.0))
         self.close()
 
     # Commands
@@ -209,15 +217,15 @@
             self.stop_reading()
         self._owner.close_if_draining(self)
 
-    async def _process_commands(self, commands: deque[memcache.Command]) -> bool:
+    async def _process_commands(self, commands: deque[Command]) -> bool:
         """Whether the connection goes on."""
         while commands and not self._closed:  # of a client that has left nothing more is processed
             command = commands.popleft()
-            if isinstance(command, memcache.Announced):
+            if isinstance(command, LongValueAnnounced):
                 # Nothing is read while it waits: the client's own buffers hold it up.
                 granted = await self._reserve_memory(bytes_to_reserve(command.length))
                 self._touch()
-                commands.extend(self._parser.admit(granted))
+                commands.extend(self._parser.admit_long_value(granted))
             elif not self._process(command):
                 return False
             # Asked after each one, not after each read: a single read can hold hundreds of commands, whose
@@ -259,12 +267,12 @@
             self.has_requested = True
             return True
         self._owner.core.memory_budget.release(reserved_bytes)
-        if isinstance(command, memcache.Hello):
+        if isinstance(command, NoOp):
             pending.complete([self._owner.hello_response])
             return True
-        if isinstance(command, memcache.PassedOver):
+        if isinstance(command, LongValueSkipped):
             self._owner.counters.add("values_rejected_for_memory")
-            pending.complete(memcache.defer_parts(0.0))
+            pending.complete(encode_rejection(0.0))
             return True
         self._owner.counters.add("bad_commands")
         goes_on = self._respond_to_bad_command(pending, command.reason)
@@ -273,7 +281,7 @@
     def _respond_to_bad_command(self, pending: PendingResponse, reason: str) -> bool:
         """Whether the connection goes on."""
         self._bad_commands += 1
-        pending.complete(memcache.bad_command_parts(reason))
+        pending.complete(encode_client_error(reason))
         return self._bad_commands < MAX_BAD_COMMANDS
 
     async def _finish(self) -> None:
--- a/flintridge/downstream/connection_owner.py
+++ b/flintridge/downstream/connection_owner.py
@@ -4,9 +4,9 @@
 from typing import Protocol
 
 from flintridge.api import Settings
+from flintridge.codec.memcache.command_parser import CommandParser
 from flintridge.core.lifecycle import RequestLifecycle
 from flintridge.downstream.eviction import C, EvictionOrder
-from flintridge.net import memcache
 from flintridge.runtime.clock import Clock
 from flintridge.telemetry.counters import Counters
 
@@ -28,7 +28,7 @@
     clock: Clock
     counters: Counters
     eviction_order: EvictionOrder[C]
-    empty_parser: memcache.CommandParser
+    empty_parser: CommandParser
 
     @property
     def reading_stopped(self) -> bool:
--- a/flintridge/downstream/listener.py
+++ b/flintridge/downstream/listener.py
@@ -4,13 +4,19 @@
 from collections.abc import Callable, Coroutine
 
 from flintridge.api import Settings
+from flintridge.codec.memcache.command_parser import CommandParser
+from flintridge.codec.memcache.encoder import (
+    DRAINING_RESPONSE,
+    NO_OP_RESPONSE,
+    STARTING_RESPONSE,
+    encode_rejection,
+)
 from flintridge.config.address import Address
 from flintridge.core.lifecycle import RequestLifecycle
 from flintridge.discovery.endpoint_list import EndpointList
 from flintridge.downstream.connection import ClientConnection
 from flintridge.downstream.eviction import EvictionOrder
 from flintridge.downstream.lingering_close import abort_connection, close_lingering
-from flintridge.net import memcache
 from flintridge.runtime.clock import Clock, sleep, to_ms
 from flintridge.runtime.listener import Listener, open_listener
 from flintridge.runtime.streams import CountingReader
@@ -79,7 +85,7 @@
         self.shutdown = shutdown or GracefulShutdown()
         self.connection_limit = connection_limit
         self.eviction_order: EvictionOrder[ClientConnection] = EvictionOrder()
-        self.empty_parser = memcache.CommandParser(settings)
+        self.empty_parser = CommandParser(settings)
         self.is_ready: Callable[[], bool] = lambda: True
         self._endpoints = endpoints
         self._log = log
@@ -104,8 +110,8 @@
     def hello_response(self) -> bytes:
         """The response to `mn`."""
         if not self.shutdown.welcoming:
-            return memcache.NO_MORE
-        return memcache.HELLO if self.serving else memcache.NOT_YET
+            return DRAINING_RESPONSE
+        return NO_OP_RESPONSE if self.serving else STARTING_RESPONSE
 
     @property
     def connection_count(self) -> int:
@@ -164,7 +170,7 @@
         may come again if it was rejected. Nothing of it is read, so it was never executed.
         """
         self.counters.add("connections_rejected")
-        writer.writelines(memcache.defer_parts(0.0))
+        writer.writelines(encode_rejection(0.0))
         if self._rejected_lingering >= MAX_LINGERING_BEYOND_LIMIT:
             abort_connection(writer)
             return
--- a/flintridge/downstream/pipeline.py
+++ b/flintridge/downstream/pipeline.py
@@ -4,9 +4,15 @@
 from collections import deque
 from typing import Protocol
 
+from flintridge.codec.memcache.encoder import (
+    FAILED_RESPONSE,
+    encode_rejection,
+    encode_response,
+    encode_stream_head,
+)
+from flintridge.codec.memcache.syntax import CRLF
 from flintridge.core.response import Response
 from flintridge.downstream.streaming import ClientStream
-from flintridge.net import memcache
 
 MAX_PIPELINED_COMMANDS = 16  # that may await their responses; the connection is read no further meanwhile
 
@@ -59,21 +65,21 @@
     def start_stream(self, length: int) -> ClientStream:
         """Respond with a long value of `length` bytes, in chunks."""
         self.open_request_id = None
-        self.stream = ClientStream(self, memcache.passage_head(self.id, length))
+        self.stream = ClientStream(self, encode_stream_head(self.id, length))
         self.connection.flush()
         return self.stream
 
     def respond(self, response: Response) -> None:
         """Respond as a server did."""
-        self.complete(memcache.served_parts(self.id, response))
+        self.complete(encode_response(self.id, response))
 
     def reject(self, retry_after_ms: float) -> None:
         """Reject the request: not executed; come again after `retry_after_ms` (0: not said)."""
-        self.complete(memcache.defer_parts(retry_after_ms))
+        self.complete(encode_rejection(retry_after_ms))
 
     def fail(self) -> None:
         """Fail the request, with nothing said about whether it was executed."""
-        self.complete([memcache.FAILED])
+        self.complete([FAILED_RESPONSE])
 
     def complete(self, buffers: list[bytes]) -> None:
         """Set the whole response, or the end of a streamed one; it is written in its turn."""
@@ -98,7 +104,7 @@
     def complete_stream(self) -> None:
         """Write the end of the value."""
         self.stream = None
-        self.complete([memcache.EOL])
+        self.complete([CRLF])
 
     def abort_stream(self) -> None:
         """The end of the value is never written: what came is fewer bytes than its head announced."""
--- a/flintridge/lab/experiment/worker.py
+++ b/flintridge/lab/experiment/worker.py
@@ -16,7 +16,7 @@
 from pathlib import Path
 from typing import Any
 
-NODE_PARTS = ("api", "policy", "node.py", "config", "net")
+NODE_PARTS = ("api", "policy", "node.py", "config", "upstream")
 
 
 class NoTree(Exception):
--- a/flintridge/node.py
+++ b/flintridge/node.py
@@ -19,13 +19,13 @@
 from flintridge.discovery.overrides import EndpointOverrides
 from flintridge.discovery.watcher import DiscoveryWatcher, watch_wait_ms
 from flintridge.downstream.listener import Downstream
-from flintridge.net.delivery import Dispatcher
 from flintridge.policy.balancer import QUOTA_SLACK, Balancer
 from flintridge.runtime.clock import Clock
 from flintridge.runtime.worker_processes import WorkerProcesses
 from flintridge.shutdown import GracefulShutdown, ServiceState
 from flintridge.telemetry.counters import Counters
 from flintridge.telemetry.log import EventLog
+from flintridge.upstream.dispatcher import Dispatcher
 
 if TYPE_CHECKING:
     from flintridge.core.admin_routes import AdminResponse, Routes
@@ -222,7 +222,7 @@
         self.core.memory_budget.resize(
             max(int(MAX_VALUE_MB * 1024 * 1024), config.memory_budget_bytes // count)
         )
-        self.dispatcher.room = config.server_sockets // count
+        self.dispatcher.pool.max_connections = config.server_sockets // count
         self.downstream.connection_limit = config.client_sockets // count
         if self.leases is not None:
             self.leases.processes(count)
--- a/tests/downstream/test_connection_termination.py
+++ b/tests/downstream/test_connection_termination.py
@@ -18,7 +18,7 @@
 from support.downstream_termination import gone_with_a_reset, read_until_end
 from support.network import SETTINGS, Peer, until
 from support.node import Alone, whole
-from support.upstream_termination import Bench
+from support.upstream import UpstreamHarness
 
 from flintridge import api
 from flintridge.core.response import Response
@@ -288,7 +288,7 @@
             if response is None:
                 core.submit = crossing
             else:
-                alone.node.dispatcher._report = crossing
+                alone.node.dispatcher._report_end = crossing
             await until(lambda: alone.node.counters["clients_disconnected"] == 1)
             await until(lambda: not alone.node.downstream._connections)
             await run_loop_turns()
@@ -381,11 +381,11 @@
             await harness.socket_client()
             (connection,) = harness.downstream._connections
             record_delay(connection._transport)
-            bench = Bench(peer.port)
-            await bench.carry()
+            upstream = UpstreamHarness(peer.port)
+            await upstream.start()
             await until(lambda: peer.got)
-            record_delay(next(iter(bench.links)).writer.transport)
-            await bench.delivery.close()
+            record_delay(next(iter(upstream.connections)).writer.transport)
+            await upstream.dispatcher.close()
             queued = socket.create_connection(("127.0.0.1", harness.port))  # accepted as the listener closes
             harness.downstream._listener.close()
             await until(lambda: harness.counters["connections_accepted"] == 2)
--- a/tests/downstream/test_downstream_streaming.py
+++ b/tests/downstream/test_downstream_streaming.py
@@ -9,10 +9,10 @@
 from support.network import until
 from support.upstream import READ
 
+from flintridge.codec.memcache.encoder import FAILED_RESPONSE
 from flintridge.downstream.connection import COMMAND_TIMEOUT_MS, MEMORY_WAIT_MS
 from flintridge.downstream.lingering_close import SLOW_READER_TIMEOUT_MS
 from flintridge.lab import virtual
-from flintridge.net import memcache
 
 
 class StreamingHarness(DownstreamHarness):
@@ -133,6 +133,6 @@
             assert await second.readline() == b"CLIENT_ERROR id in use\r\n"
             assert harness.core.memory_budget.reserved == LENGTH
             harness.core._fail_overdue("a1")
-            assert await first.readline() == memcache.FAILED
+            assert await first.readline() == FAILED_RESPONSE
 
     virtual.run(test())
