--- a/flintridge/__main__.py
+++ b/flintridge/__main__.py
@@ -17,13 +17,13 @@
 import os
 
 from flintridge.node import Node
-from flintridge.runtime.clock import SystemClock, TurnSelector
+from flintridge.runtime.clock import ArrivalTrackingSelector, SystemClock
 from flintridge.runtime.listener import ListenError
 from flintridge.settings import ConfigError, NodeConfig, load_config
 from flintridge.telemetry.log import Log
 
 
-async def run(config: NodeConfig, log: Log, turns: TurnSelector | None = None) -> None:
+async def run(config: NodeConfig, log: Log, turns: ArrivalTrackingSelector | None = None) -> None:
     loop = asyncio.get_running_loop()
     loop.set_exception_handler(lambda _, said: _unhandled(log, said))
     ending = asyncio.Event()
@@ -32,7 +32,7 @@
         loop.add_signal_handler(number, ending.set)
     # What is signalled until the loop goes on is carried out by the handler that stands then.
     loop.add_signal_handler(signal.SIGHUP, early.append, signal.SIGHUP)
-    node = Node(config, SystemClock(loop, turns=turns), log, shared=os.environ.get("TMPDIR") or "/tmp")
+    node = Node(config, SystemClock(loop, selector=turns), log, shared=os.environ.get("TMPDIR") or "/tmp")
     loop.add_signal_handler(signal.SIGHUP, _reload, node)
     loop.add_signal_handler(signal.SIGUSR1, node.tell_counters)
     await node.start()
@@ -43,7 +43,7 @@
     await node.leave()
 
 
-async def _whole_life(config: NodeConfig, log: Log, turns: TurnSelector) -> None:
+async def _whole_life(config: NodeConfig, log: Log, turns: ArrivalTrackingSelector) -> None:
     await run(config, log, turns)
     _mind_no_more(asyncio.get_running_loop())
 
@@ -91,7 +91,7 @@
         return _refused(error)
     log = Log(config.name, level=config.log_level, repeats_per_s=config.log_repeats_per_s)
     try:
-        turns = TurnSelector()
+        turns = ArrivalTrackingSelector()
         with (
             contextlib.suppress(KeyboardInterrupt),
             asyncio.Runner(loop_factory=lambda: asyncio.SelectorEventLoop(turns)) as runner,
--- a/flintridge/core/lifecycle.py
+++ b/flintridge/core/lifecycle.py
@@ -15,7 +15,7 @@
 from flintridge.core.request import Request, UpstreamAttempt
 from flintridge.core.response import AttemptResult, Responder, StreamedResponse, StreamedValue
 from flintridge.errors import FlintridgeError
-from flintridge.runtime.clock import NS, Clock, to_ms, to_ns
+from flintridge.runtime.clock import NS_PER_MS, Clock, to_ms, to_ns
 from flintridge.telemetry.counters import Counters
 from flintridge.telemetry.log import EventLog
 
@@ -120,7 +120,7 @@
         if request.timeout_ms is not None:
             client_timeout = min(client_timeout, request.timeout_ms)
         margin = min(RESPONSE_MARGIN_MS, client_timeout / 10)
-        deadline = min(self._clock.arrived_since() + client_timeout - margin, self.answer_by)
+        deadline = min(self._clock.earliest_arrival() + client_timeout - margin, self.answer_by)
         timer = self._clock.call_at(deadline + margin / 2, self._deadline_passed, request_id)
         self._open[request_id] = OpenRequest(request, responder, deadline, timer, reserved_bytes)
         if self.on_new_request is not None and not request.retry:
@@ -294,8 +294,8 @@
             entry.request,
             now,
             deadline,
-            begin_by=send.begin_by / NS,
-            written_by=send.written_by / NS,
+            begin_by=send.begin_by / NS_PER_MS,
+            written_by=send.written_by / NS_PER_MS,
             check_client=entry.responder.check_client,
         )
         entry.attempts.append(attempt)
--- a/flintridge/discovery/client.py
+++ b/flintridge/discovery/client.py
@@ -3,7 +3,7 @@
 import asyncio
 
 from flintridge.net.origin import HttpExchange
-from flintridge.runtime.streams import CountingReader, holds_bytes, open_stream, spent
+from flintridge.runtime.streams import TrackingReader, has_pending_input, is_reusable, open_connection
 from flintridge.settings import Address
 
 MAX_LIST_BYTES = 4 * 1024 * 1024
@@ -15,7 +15,7 @@
 
     def __init__(self, address: Address) -> None:
         self._address = address
-        self._streams: tuple[CountingReader, asyncio.StreamWriter] | None = None
+        self._streams: tuple[TrackingReader, asyncio.StreamWriter] | None = None
 
     async def get(self, target: str) -> bytes:
         """The body of discovery's response.
@@ -44,15 +44,15 @@
             raise ValueError(f"discovery answered {response.status_code}")
         return body
 
-    async def _connection(self) -> tuple[CountingReader, asyncio.StreamWriter]:
+    async def _connection(self) -> tuple[TrackingReader, asyncio.StreamWriter]:
         if self._streams is not None:
             reader, writer = self._streams
             # Guards against an old list, read as this call's response: it would undo what came since.
-            if spent(reader, writer) or holds_bytes(writer.transport):
+            if not is_reusable(reader, writer) or has_pending_input(writer.transport):
                 self.close()
         if self._streams is None:
-            reader = CountingReader(asyncio.get_running_loop())
-            writer = await open_stream(reader, self._address.host, self._address.port)
+            reader = TrackingReader(asyncio.get_running_loop())
+            writer = await open_connection(reader, self._address.host, self._address.port)
             self._streams = reader, writer
         return self._streams
 
--- a/flintridge/discovery/watcher.py
+++ b/flintridge/discovery/watcher.py
@@ -8,7 +8,7 @@
 from flintridge.api import EndpointUpdate, Settings, UpdateKind
 from flintridge.discovery.client import DiscoveryClient
 from flintridge.discovery.endpoint_list import EndpointList
-from flintridge.runtime.clock import Clock, DeadlineExceededError, sleep, to_ms, within
+from flintridge.runtime.clock import Clock, DeadlineExceededError, sleep, to_ms, with_timeout
 from flintridge.settings import Address
 from flintridge.telemetry.counters import Counters
 from flintridge.telemetry.log import EventLog
@@ -133,14 +133,14 @@
     async def _full_list(self, client: DiscoveryClient) -> bytes:
         """The full list, for which discovery need not wait; how long it took is counted."""
         began = self._clock.now()
-        text = await within(self._clock, LIST_TIME_MS, client.get(LIST_PATH))
+        text = await with_timeout(self._clock, LIST_TIME_MS, client.get(LIST_PATH))
         self._counters.observe("list_ms", self._clock.now() - began)
         return text
 
     async def _changes(self, client: DiscoveryClient) -> bytes:
         """What changed since the revision that is known, once anything has."""
         target = f"{LIST_PATH}?after={self._endpoints.revision}&wait_ms={self._wait_ms:.0f}"
-        return await within(self._clock, self._wait_ms + RESPONSE_TIME_MS, client.get(target))
+        return await with_timeout(self._clock, self._wait_ms + RESPONSE_TIME_MS, client.get(target))
 
     async def _watch(self) -> None:
         client = DiscoveryClient(self.discovery)
--- a/flintridge/leases/driver.py
+++ b/flintridge/leases/driver.py
@@ -19,7 +19,7 @@
 from flintridge.leases.demand import RecentPeak, RequestRate
 from flintridge.leases.lease_manager import COLD, FLOORS, PART, REPEATS, Account, FleetLimit, LeaseManager
 from flintridge.membership.driver import MembershipDriver
-from flintridge.runtime.clock import NS, Clock, Timer, to_ms
+from flintridge.runtime.clock import NS_PER_MS, Clock, Timer, to_ms
 from flintridge.runtime.worker_processes import LOOK
 from flintridge.settings import BudgetsConfig
 from flintridge.telemetry.counters import Counters
@@ -182,7 +182,7 @@
         held = self._holdings(lambda name: ledger.usable(name, now))
         if until != float("inf"):
             after = self._holdings(lambda name: ledger.after(name, now))
-            held = replace(held, valid_until=int(until * NS), fallback=after)
+            held = replace(held, valid_until=int(until * NS_PER_MS), fallback=after)
         if held != self._held:
             self._held = held
             self._core.notify(held)
--- a/flintridge/membership/driver.py
+++ b/flintridge/membership/driver.py
@@ -15,7 +15,7 @@
 from flintridge.membership.member_table import Heard, Incarnation
 from flintridge.membership.messages import MAGIC, VERSION, Dropped, Entry, Wire
 from flintridge.membership.state_exchange import NONCE, Ask, Exchange, Hello, Piece, Refusal
-from flintridge.runtime.clock import Clock, DeadlineExceededError, Timer, sleep, within
+from flintridge.runtime.clock import Clock, DeadlineExceededError, Timer, sleep, with_timeout
 from flintridge.runtime.listener import ListenError
 from flintridge.settings import Address, PeersConfig
 from flintridge.telemetry.counters import Counters
@@ -263,7 +263,7 @@
         DeadlineExceededError, Dropped (what came is no answer) or Refused. KeyError for a name that is not
         configured."""
         address = self._addresses[peer]
-        return await within(self._clock, CALL_TIME, self._ask(address, topic, about))
+        return await with_timeout(self._clock, CALL_TIME, self._ask(address, topic, about))
 
     async def _ask(self, address: Address, topic: str, about: bytes) -> list[bytes]:
         reader, writer = await asyncio.open_connection(address.host, address.port)
@@ -303,7 +303,7 @@
         assert task is not None
         self._tasks[task] = None
         try:
-            await within(self._clock, CALL_TIME, self._serve(reader, writer))
+            await with_timeout(self._clock, CALL_TIME, self._serve(reader, writer))
             self._counters.add("peers_exchanges_served")
         except Dropped as dropped:
             self._counters.add(f"peers_exchanges_{dropped.reason}")
--- a/flintridge/net/console.py
+++ b/flintridge/net/console.py
@@ -4,7 +4,7 @@
 
 from flintridge.fronts.console import AdminExchange, Routes
 from flintridge.net.parting import part
-from flintridge.runtime.clock import Clock, DeadlineExceededError, within
+from flintridge.runtime.clock import Clock, DeadlineExceededError, with_timeout
 from flintridge.runtime.listener import Listener, open_listener
 from flintridge.settings import CONSOLE_PLACES, Address
 from flintridge.telemetry.counters import Counters
@@ -47,7 +47,7 @@
         exchange = AdminExchange(self._routes)
         try:
             try:
-                parts = await within(self._clock, CALL_TIME, self._answer(exchange, reader))
+                parts = await with_timeout(self._clock, CALL_TIME, self._answer(exchange, reader))
             except DeadlineExceededError:
                 self._counters.add("console_late")
                 parts = exchange.late()
--- a/flintridge/net/delivery.py
+++ b/flintridge/net/delivery.py
@@ -17,8 +17,14 @@
 from flintridge.discovery.endpoint_list import EndpointAddress, EndpointList
 from flintridge.net.memcache import CacheExchange, CacheProbe
 from flintridge.net.origin import OriginExchange, OriginProbe
-from flintridge.runtime.clock import Clock, DeadlineExceededError, to_ms, within
-from flintridge.runtime.streams import READ, CountingReader, holds_bytes, open_stream, spent
+from flintridge.runtime.clock import Clock, DeadlineExceededError, to_ms, with_timeout
+from flintridge.runtime.streams import (
+    READ_MAX_BYTES,
+    TrackingReader,
+    has_pending_input,
+    is_reusable,
+    open_connection,
+)
 from flintridge.settings import Address
 from flintridge.telemetry.counters import Counters
 from flintridge.telemetry.log import EventLog
@@ -44,7 +50,7 @@
     """An attempt that may not be written any more; nothing of it was."""
 
 
-class LinkReader(CountingReader):
+class LinkReader(TrackingReader):
     """Tells of anything that arrives while nothing was asked.
 
     Guards the next question on a kept connection against being answered by bytes that lie there already: a
@@ -52,7 +58,7 @@
     """
 
     def __init__(self, loop: asyncio.AbstractEventLoop) -> None:
-        super().__init__(loop, limit=READ // 2)
+        super().__init__(loop, limit=READ_MAX_BYTES // 2)
         self.unasked: Callable[[], None] | None = None  # set while nothing may arrive
 
     def feed_data(self, data: bytes) -> None:  # type: ignore[override]  # as in the base
@@ -83,12 +89,12 @@
 
     @property
     def unanswered(self) -> bool:
-        return self.reader.taken == self.before
+        return self.reader.read_bytes == self.before
 
     @property
     def broken(self) -> bool:
         """Whether it has ended, or holds bytes that belong to no question."""
-        return spent(self.reader, self.writer)
+        return not is_reusable(self.reader, self.writer)
 
     async def ask(
         self, exchange: Exchange, clock: Clock, written_by: float = math.inf
@@ -97,7 +103,7 @@
         connection breaks, DeadlineExceededError where the question is not written whole by then."""
         self.asked = False
         if written_by < math.inf:
-            await within(clock, written_by - clock.now(), self._write(exchange))
+            await with_timeout(clock, written_by - clock.now(), self._write(exchange))
         else:
             await self._write(exchange)
         self.asked = True
@@ -130,7 +136,7 @@
 
     async def more(self, exchange: Exchange) -> AttemptResult | None:
         """Read on. Raises OSError where the connection ends too early."""
-        data = await self.reader.read(READ)
+        data = await self.reader.read(READ_MAX_BYTES)
         answer = exchange.feed(data) if data else exchange.end()
         if answer is None and not data:
             raise ConnectionResetError("the server ended the connection")
@@ -139,7 +145,7 @@
 
 async def _open(address: Address) -> tuple[LinkReader, asyncio.StreamWriter]:
     reader = LinkReader(asyncio.get_running_loop())
-    return reader, await open_stream(reader, address.host, address.port)
+    return reader, await open_connection(reader, address.host, address.port)
 
 
 class Dispatcher:
@@ -217,7 +223,7 @@
                 raise Withheld
             exchange = self._exchange(attempt, transport)
             ask = link.ask(exchange, self._clock, attempt.written_by)
-            got = await within(self._clock, attempt.deadline - now, ask)
+            got = await with_timeout(self._clock, attempt.deadline - now, ask)
             self._note_age(link.aged, False)
             if exchange.streamed_value is None or (
                 got is not None and got.response is None and got.malformed
@@ -279,7 +285,7 @@
                 if answer is not None:
                     whole = answer.outcome is Outcome.OK
                     break
-                answer = await within(self._clock, SERVER_SILENT, link.more(exchange))
+                answer = await with_timeout(self._clock, SERVER_SILENT, link.more(exchange))
         except DownstreamClosedError:
             self._counters.add("passages_left")
         except (OSError, DeadlineExceededError) as error:
@@ -306,7 +312,7 @@
             link = self._take(server, transport) or await self._connect(transport.address, self._connect_time)
             host = f"{transport.address.host}:{transport.address.port}"
             probe: Exchange = OriginProbe(host) if transport.origin else CacheProbe()
-            got = await within(self._clock, PROBE_TIME, link.ask(probe, self._clock))
+            got = await with_timeout(self._clock, PROBE_TIME, link.ask(probe, self._clock))
             assert got is not None  # a report is no long value
             answer = got
             if probe.reusable:
@@ -338,12 +344,12 @@
             link.reader.unasked = None
             if link.broken or idle >= self._idle_time or link.address != transport.address:
                 self._close(link)
-            elif holds_bytes(link.writer.transport):  # in this moment: the event loop has not seen them yet
+            elif has_pending_input(link.writer.transport):  # the event loop has not seen them yet
                 self._counters.add("connections_unasked")
                 self._close(link)
             else:
                 found = link
-                link.aged, link.before = idle, link.reader.taken
+                link.aged, link.before = idle, link.reader.read_bytes
         links.extend(reversed(resting))
         if not links:
             self._idle.pop(server, None)
@@ -395,7 +401,7 @@
             raise NoDescriptorError
         self._open += 1
         try:
-            reader, writer = await within(self._clock, limit, _open(address))
+            reader, writer = await with_timeout(self._clock, limit, _open(address))
         except BaseException:
             self._open -= 1
             self._counters.add("connections_failed")
--- a/flintridge/net/parting.py
+++ b/flintridge/net/parting.py
@@ -2,8 +2,8 @@
 
 import asyncio
 
-from flintridge.runtime.clock import Clock, DeadlineExceededError, within
-from flintridge.runtime.streams import read_past
+from flintridge.runtime.clock import Clock, DeadlineExceededError, with_timeout
+from flintridge.runtime.streams import discard_input
 
 # So long, and so much, is read past on a connection that is closed. Guards its last answers: closed with
 # input unread it would be reset, and what the other side has not read yet lost.
@@ -22,7 +22,7 @@
             raise ConnectionResetError("the connection was closed")
         unread = transport.get_write_buffer_size()
         try:
-            await within(clock, SLOW_READER, writer.drain())
+            await with_timeout(clock, SLOW_READER, writer.drain())
             return
         except DeadlineExceededError:
             if transport.get_write_buffer_size() >= unread:
@@ -37,7 +37,7 @@
         await all_read(clock, writer)
         if writer.can_write_eof():
             writer.write_eof()
-        await within(clock, PARTING, _read_past(reader))
+        await with_timeout(clock, PARTING, _read_past(reader))
     except DeadlineExceededError:
         pass  # it goes on sending, or reads nothing
     except OSError as error:
@@ -54,5 +54,5 @@
 
 def let_go(writer: asyncio.StreamWriter) -> None:
     """Close it now, where no time is left to part in order; what lies there unread is read past first."""
-    read_past(writer.transport, PARTING_BYTES)
+    discard_input(writer.transport, PARTING_BYTES)
     writer.close()
--- a/flintridge/net/sender.py
+++ b/flintridge/net/sender.py
@@ -14,7 +14,7 @@
 from flintridge.net.places import EvictionOrder
 from flintridge.runtime.clock import Clock, DeadlineExceededError, Timer, sleep, to_ms
 from flintridge.runtime.listener import Listener, open_listener
-from flintridge.runtime.streams import CountingReader, bound_reads, other_side_ended
+from flintridge.runtime.streams import TrackingReader, limit_read_size, peer_has_closed
 from flintridge.settings import Address
 from flintridge.shutdown import GracefulShutdown
 from flintridge.telemetry.counters import Counters
@@ -116,7 +116,7 @@
     after it never sent on: its client has no answer and sees the end, and sends it again elsewhere.
     """
 
-    def __init__(self, side: "Downstream", reader: CountingReader, writer: asyncio.StreamWriter) -> None:
+    def __init__(self, side: "Downstream", reader: TrackingReader, writer: asyncio.StreamWriter) -> None:
         self._side = side
         self._reader = reader
         self._writer = writer
@@ -138,13 +138,13 @@
         self._taking = False  # commands that were read are being taken: there may be more of them
         self._kept = 0  # bytes of room for the long value that is coming
         self._transport.set_write_buffer_limits(high=AHEAD)
-        bound_reads(self._transport)
-        reader.ended = self._end
+        limit_read_size(self._transport)
+        reader.on_end = self._end
 
     @property
     def idle(self) -> bool:
         """Between requests: nothing is owed and nothing more has arrived, as far as was read."""
-        return not self.owed and self._parser.idle and not self._reader.unread
+        return not self.owed and self._parser.idle and not self._reader.has_unread
 
     @property
     def owed(self) -> bool:
@@ -153,7 +153,7 @@
 
     def cease(self) -> None:
         """Read nothing more but what is half here; it closes after the answers that are owed."""
-        if self._parser.idle and not self._taking and not self._reader.unread and not self._shut:
+        if self._parser.idle and not self._taking and not self._reader.has_unread and not self._shut:
             self._transport.pause_reading()
 
     def read_on(self) -> None:
@@ -164,7 +164,7 @@
     def look(self) -> None:
         """Guards what waits here, or is about to be sent on, against a client whose end the system holds:
         behind bytes that nobody reads now, or in a turn of the event loop that is still to come."""
-        if not self._gone and other_side_ended(self._transport):
+        if not self._gone and peer_has_closed(self._transport):
             self._side.counters.add("clients_left_unread")
             self._end()
 
@@ -179,7 +179,7 @@
         Guards the descriptors against clients that say nothing, by the hundred, or keep what they never
         use again. A client whose request crosses this sends it once more, on a new connection.
         """
-        if self.owed or self._reader.unread or self._ending or self.closing:
+        if self.owed or self._reader.has_unread or self._ending or self.closing:
             return
         if self._parser.idle:
             if now - self.used_at >= UNUSED:
@@ -395,12 +395,12 @@
             return
         self._gone = True
         # Guards memory: the two would hold one another until the collector comes, seldom on a long day.
-        self._reader.ended = None
+        self._reader.on_end = None
         if self._cut_off is not None:
             self._cut_off.cancel()
         self._drop()
         self._moved.set()
-        if self._reader.over:
+        if self._reader.exhausted:
             self._writer.close()
         else:
             self.cut_short()
@@ -482,7 +482,7 @@
             await self._turn_away(reader, writer)
             return
         self.counters.add("connections_accepted")
-        assert isinstance(reader, CountingReader)
+        assert isinstance(reader, TrackingReader)
         connection = ClientConnection(self, reader, writer)
         self._connections[connection] = None
         self.places.used(connection)
--- a/flintridge/runtime/clock.py
+++ b/flintridge/runtime/clock.py
@@ -1,4 +1,4 @@
-"""The one clock of a node: float milliseconds, and the one conversion to the module's integer nanoseconds."""
+"""The clock of a node: milliseconds as floats, timers, and time limits on what is awaited."""
 
 import asyncio
 import selectors
@@ -6,105 +6,152 @@
 from collections.abc import Awaitable, Callable
 from typing import Protocol, TypeVar
 
-NS = 1_000_000
+from flintridge.errors import FlintridgeError
+
+NS_PER_MS = 1_000_000
+WAITED_MIN_S = 0.001  # a call of the selector that took less found what had been there before
+
 T = TypeVar("T")
 
 
 def to_ns(ms: float) -> int:
-    return round(ms * NS)
+    """Milliseconds as the policy's whole nanoseconds."""
+    return round(ms * NS_PER_MS)
 
 
 def to_ms(ns: int) -> float:
-    return ns / NS
+    """The policy's nanoseconds as milliseconds."""
+    return ns / NS_PER_MS
 
 
 class Timer(Protocol):
-    def cancel(self) -> None: ...
+    """A call that was scheduled."""
+
+    def cancel(self) -> None:
+        """Drop the call; nothing happens where it was made already."""
 
 
 class Clock(Protocol):
+    """What the parts of a node need to know of time."""
+
     def now(self) -> float:
         """Milliseconds from an arbitrary origin, moving forward only."""
 
     def from_unix(self, unix_ms: float) -> float:
         """An instant in Unix time on this clock; the same instant always gives the same figure."""
 
-    def call_at(self, at: float, call: Callable[..., None], *args: object) -> Timer: ...
+    def call_at(self, at: float, call: Callable[..., None], *args: object) -> Timer:
+        """Call `call(*args)` at the instant `at` of this clock."""
+
+    def earliest_arrival(self) -> float:
+        """No byte that is read in this iteration of the event loop had arrived before this instant."""
 
-    def arrived_since(self) -> float:
-        """No byte that is read in this turn of the event loop had come before this instant."""
 
+class ArrivalTrackingSelector(selectors.DefaultSelector):
+    """Notes how long the input that an iteration of its event loop reads may have waited.
 
-class TurnSelector(selectors.DefaultSelector):
-    """Notes how long what a turn of its event loop reads may have lain there.
+    Guards what is reckoned from the arrival of a request: under load an iteration takes some tenths of a
+    second, and a request that came at its begin is read in the next one.
 
-    Guards what is reckoned from the arrival of a request: in a crowd a turn takes some tenths of a second,
-    and a request that came at its begin is read in the next one.
+    Attributes:
+        earliest_arrival_s: No input of this iteration had arrived before; seconds, as the loop's time.
     """
 
     def __init__(self) -> None:
         super().__init__()
-        self.since = self._looked = time.monotonic()  # seconds, as the loop's time
+        self._last_select_s = time.monotonic()
+        self.earliest_arrival_s = self._last_select_s
 
     def select(self, timeout: float | None = None) -> list[tuple[selectors.SelectorKey, int]]:
-        called = time.monotonic()
-        found = super().select(timeout)
-        looked = time.monotonic()
-        # What was waited for came just now; what was there at once, at some time since the look before.
-        self.since = looked if looked - called >= 0.001 else self._looked
-        self._looked = looked
-        return found
+        """As the base does it, and note the time."""
+        called_s = time.monotonic()
+        ready = super().select(timeout)
+        returned_s = time.monotonic()
+        if returned_s - called_s >= WAITED_MIN_S:
+            self.earliest_arrival_s = returned_s
+        else:  # it was there at once: it came at some time since the call before
+            self.earliest_arrival_s = self._last_select_s
+        self._last_select_s = returned_s
+        return ready
 
 
 class SystemClock:
-    """The event loop's clock; `unix_ms` is the Unix time at this moment, by default the system's, and `turns`
-    the loop's selector where that notes its turns."""
+    """The event loop's clock."""
 
     def __init__(
         self,
         loop: asyncio.AbstractEventLoop,
         unix_ms: float | None = None,
-        turns: TurnSelector | None = None,
+        selector: ArrivalTrackingSelector | None = None,
     ) -> None:
+        """Fix the difference to Unix time.
+
+        Args:
+            loop: Gives the time and runs the timers.
+            unix_ms: The Unix time at this moment in milliseconds; None: the system's.
+            selector: The loop's, where that notes arrivals.
+        """
         self._loop = loop
-        self._turns = turns
-        # Fixed at the start: a restart is told by a changed instant, so a stepped system clock
+        self._selector = selector
+        # Fixed at the start: a restart is recognized by a changed instant, so a stepped system clock
         # must not move the instants that were converted before.
-        self._unix_origin = (time.time() * 1000 if unix_ms is None else unix_ms) - self.now()
+        unix_now_ms = time.time() * 1000 if unix_ms is None else unix_ms
+        self._unix_origin_ms = unix_now_ms - self.now()
 
     def now(self) -> float:
+        """Milliseconds of the loop's time."""
         return self._loop.time() * 1000
 
     def from_unix(self, unix_ms: float) -> float:
-        return unix_ms - self._unix_origin
+        """An instant in Unix time on this clock, whatever became of the system's clock since the start."""
+        return unix_ms - self._unix_origin_ms
 
     def call_at(self, at: float, call: Callable[..., None], *args: object) -> Timer:
+        """Call `call(*args)` at the instant `at` of this clock."""
         return self._loop.call_at(at / 1000, call, *args)
 
-    def arrived_since(self) -> float:
-        return self.now() if self._turns is None else self._turns.since * 1000
+    def earliest_arrival(self) -> float:
+        """No byte read in this iteration had arrived before; now, where the selector notes nothing."""
+        if self._selector is None:
+            return self.now()
+        return self._selector.earliest_arrival_s * 1000
 
 
-class DeadlineExceededError(Exception):
-    """What was waited for did not come within its limit."""
+class DeadlineExceededError(FlintridgeError):
+    """What was awaited did not come within its time limit.
 
+    It is no OSError: callers tell a connection that broke from a peer that is slow.
+    """
+
+
+async def with_timeout(clock: Clock, timeout_ms: float, awaitable: Awaitable[T]) -> T:
+    """Await something for a limited time.
 
-async def within(clock: Clock, limit: float, awaited: Awaitable[T]) -> T:
-    """The result of `awaited`, or DeadlineExceededError after `limit` milliseconds of this clock."""
+    Args:
+        clock: Measures the time; this is why `asyncio.timeout` doesn't do, which knows the loop's only.
+        timeout_ms: From now on; zero or less: it may do what it can without another iteration of the loop.
+        awaitable: Is cancelled when the time has passed.
+
+    Returns:
+        What `awaitable` returned.
+
+    Raises:
+        DeadlineExceededError: The time passed first.
+    """
     task = asyncio.current_task()
     assert task is not None
-    late = False
+    expired = False
 
     def expire() -> None:
-        nonlocal late
-        late = True
+        nonlocal expired
+        expired = True
         task.cancel()
 
-    timer = clock.call_at(clock.now() + limit, expire)
+    timer = clock.call_at(clock.now() + timeout_ms, expire)
     try:
-        return await awaited
+        return await awaitable
     except asyncio.CancelledError:
-        if late and not task.uncancel():  # else whoever started this task gave it up as well
+        if expired and not task.uncancel():  # else whoever started this task cancelled it as well
             raise DeadlineExceededError from None
         raise
     finally:
@@ -112,6 +159,7 @@
 
 
 async def sleep(clock: Clock, ms: float) -> None:
+    """Wait for so many milliseconds of `clock`."""
     woken = asyncio.Event()
     timer = clock.call_at(clock.now() + ms, woken.set)
     try:
--- a/flintridge/runtime/listener.py
+++ b/flintridge/runtime/listener.py
@@ -8,7 +8,7 @@
 from array import array
 from collections.abc import Awaitable, Callable
 
-from flintridge.runtime.streams import CountingReader
+from flintridge.runtime.streams import TrackingReader
 from flintridge.settings import Address
 
 # In one go asyncio accepts as many as it is told to let wait, before any of them can be turned away. Guards
@@ -108,7 +108,7 @@
 
 def _protocol(loop: asyncio.AbstractEventLoop, accepted: Accepted) -> asyncio.StreamReaderProtocol:
     """As asyncio.start_server makes it, with a reader of our own."""
-    return asyncio.StreamReaderProtocol(CountingReader(loop), accepted, loop=loop)
+    return asyncio.StreamReaderProtocol(TrackingReader(loop), accepted, loop=loop)
 
 
 async def open_listener(accepted: Accepted, address: Address, shared: bool) -> Listener:
--- a/tests/core/test_attempt_limits.py
+++ b/tests/core/test_attempt_limits.py
@@ -7,7 +7,7 @@
 from flintridge import api
 from flintridge.core.lifecycle import RequestLifecycle
 from flintridge.core.request import UpstreamAttempt
-from flintridge.runtime.clock import NS
+from flintridge.runtime.clock import NS_PER_MS
 
 
 def test_the_core_hands_the_limits_on_and_ends_what_its_client_left():
@@ -15,7 +15,7 @@
         class Sends:
             def handle(self, now, event):
                 if isinstance(event, api.RequestReceived):
-                    return [api.Send(event.id, "s1", 0, now + 100 * NS, now + 200 * NS)]
+                    return [api.Send(event.id, "s1", 0, now + 100 * NS_PER_MS, now + 200 * NS_PER_MS)]
                 return []
 
         started: list[UpstreamAttempt] = []
--- a/tests/discovery/test_watch_termination.py
+++ b/tests/discovery/test_watch_termination.py
@@ -12,7 +12,7 @@
 from flintridge.api import EndpointState
 from flintridge.discovery.watcher import LIST_TIME_MS
 from flintridge.lab import virtual
-from flintridge.runtime.clock import NS
+from flintridge.runtime.clock import NS_PER_MS
 
 SILENCE = 6_000.0  # what a silent watch misses counts as told so long after it fell silent
 
@@ -22,7 +22,7 @@
     """Found by the brink days: asked anew together, three of six nodes had the list 0.1 s after the grace."""
 
     async def test():
-        rules = api.Rules(drain_grace_ns=grace * NS)
+        rules = api.Rules(drain_grace_ns=grace * NS_PER_MS)
         settings = api.Settings(rules=rules, discovery=api.DiscoveryMode.POLLED)
         async with Peer(lambda _: b"") as discovery:
             alone = Alone(discovery, whole(1, s1="in_service"), settings)
@@ -100,7 +100,7 @@
     async def heard_after(seed: int) -> float:
         back = False
         settings = api.Settings(
-            rules=api.Rules(drain_grace_ns=grace * NS), discovery=api.DiscoveryMode.POLLED
+            rules=api.Rules(drain_grace_ns=grace * NS_PER_MS), discovery=api.DiscoveryMode.POLLED
         )
         async with Peer(lambda _: http(whole(2, s1="terminating")) if back else b"") as discovery:
             alone = Alone(discovery, whole(1, s1="in_service"), settings, seed=seed)
--- a/tests/downstream/test_connection_termination.py
+++ b/tests/downstream/test_connection_termination.py
@@ -95,12 +95,12 @@
             size = 16 << 20  # more than any buffer of the system takes
             s.core._mark_answered("r0", request := s.core._open["r0"])
             request.responder.respond(Response(b"x" * size, receipt=False))
-            read = connection._reader.fed
+            read = connection._reader.received_bytes
             s.clock.go(UNUSED + 250)
             assert connection._transport.get_write_buffer_size()
             client.sendall(READ % b"r1")
             await turns()
-            assert connection._reader.fed == read and not connection._writer.is_closing()
+            assert connection._reader.received_bytes == read and not connection._writer.is_closing()
             said = await rest(client)
             assert len(said) == len(b"VA %d Or0\r\n" % size) + size + 2 and said.endswith(b"x\r\n")
             await turns()
--- a/tests/support/network.py
+++ b/tests/support/network.py
@@ -10,20 +10,23 @@
 from flintridge import api
 from flintridge.core.request import Request
 from flintridge.core.response import Response
-from flintridge.runtime.clock import NS
+from flintridge.runtime.clock import NS_PER_MS
 from flintridge.telemetry.counters import Counters
 from flintridge.telemetry.log import Log
 
 FIXED = hypothesis_settings(derandomize=True, deadline=None, database=None, max_examples=150)
 SETTINGS = api.Settings(
     classes=(
-        api.RequestClass(name="read", deadline_ns=2000 * NS),
+        api.RequestClass(name="read", deadline_ns=2000 * NS_PER_MS),
         api.RequestClass(
-            name="put", deadline_ns=3000 * NS, effect=api.Effect.KEYED, deduplication_window_ns=2500 * NS
+            name="put",
+            deadline_ns=3000 * NS_PER_MS,
+            effect=api.Effect.KEYED,
+            deduplication_window_ns=2500 * NS_PER_MS,
         ),
     ),
     tenants=(api.Tenant(name="acme"),),
-    limits=api.Limits(max_attempts=3, cancel=True, retry_after=True, max_retry_after_ns=2000 * NS),
+    limits=api.Limits(max_attempts=3, cancel=True, retry_after=True, max_retry_after_ns=2000 * NS_PER_MS),
     mode=api.CacheMode.ASIDE,
     origin_kind=1,
     discovery=api.DiscoveryMode.POLLED,
@@ -42,7 +45,7 @@
     def now(self) -> float:
         return self.at
 
-    def arrived_since(self) -> float:
+    def earliest_arrival(self) -> float:
         return self.at - self.behind
 
     def from_unix(self, unix_ms: float) -> float:
--- a/tests/upstream/test_attempt_termination.py
+++ b/tests/upstream/test_attempt_termination.py
@@ -272,7 +272,7 @@
             await loop.sock_recv(one, 4096)
             one.send(head)
             (link,) = bench.links
-            await until(lambda link=link: link.reader.taken == len(head))
+            await until(lambda link=link: link.reader.read_bytes == len(head))
             if orderly:
                 one.close()
             else:
--- a/tests/upstream/test_upstream_streaming.py
+++ b/tests/upstream/test_upstream_streaming.py
@@ -9,7 +9,7 @@
 
 from flintridge.lab import virtual
 from flintridge.net.delivery import SERVER_SILENT, Dispatcher
-from flintridge.runtime.streams import READ as READ_AT_A_TIME
+from flintridge.runtime.streams import READ_MAX_BYTES
 
 
 def long_bench(port: int):
@@ -44,7 +44,7 @@
             bench.passing.open.set()
             await until(lambda: bench.passing.ended == "whole")
             assert sum(map(len, bench.passing.pieces)) == length
-            assert max(map(len, bench.passing.pieces)) <= READ_AT_A_TIME
+            assert max(map(len, bench.passing.pieces)) <= READ_MAX_BYTES
             await bench.delivery.close()
 
     virtual.run(test())
