--- a/flintridge/leases/driver.py
+++ b/flintridge/leases/driver.py
@@ -20,13 +20,13 @@
 from flintridge.leases.lease_manager import COLD, FLOORS, PART, REPEATS, Account, FleetLimit, LeaseManager
 from flintridge.membership.driver import MembershipDriver
 from flintridge.runtime.clock import NS_PER_MS, Clock, Timer, to_ms
-from flintridge.runtime.worker_processes import LOOK
+from flintridge.runtime.worker_processes import COUNT_INTERVAL_MS
 from flintridge.settings import BudgetsConfig
 from flintridge.telemetry.counters import Counters
 from flintridge.telemetry.log import EventLog
 
 TICK = 50.0
-NOTICE = 4 * LOOK  # in which an older process of this node has noticed that another lives
+NOTICE = 4 * COUNT_INTERVAL_MS  # in which an older process of this node has noticed that another lives
 PLACES = {False: "cache places", True: "origin places"}  # by whether at the origin
 AT_REPEATS = -1  # where the decisions look for what is held of repeats
 
--- a/flintridge/net/sender.py
+++ b/flintridge/net/sender.py
@@ -454,13 +454,13 @@
     @property
     def serving(self) -> bool:
         """Whether this process can serve: it listens, knows servers in service, and is `ready`."""
-        listening = self._listening is not None and self._listening.open
+        listening = self._listening is not None and self._listening.is_open
         return listening and self._transports.any_ready and self.ready()
 
     @property
     def hello(self) -> bytes:
         """The answer to `mn`."""
-        if not self.drain.welcoming:
+        if not self.drain.accepts_clients:
             return memcache.NO_MORE
         return memcache.HELLO if self.serving else memcache.NOT_YET
 
@@ -470,7 +470,7 @@
 
     @property
     def ceasing(self) -> bool:
-        return not self.drain.welcoming and self.drain.ceasing(self.clock.now())
+        return not self.drain.accepts_clients and self.drain.stops_reading(self.clock.now())
 
     async def listen(self, address: Address) -> int:
         """Open the listener; the port. Raises ListenError."""
@@ -553,7 +553,11 @@
 
     def between_requests(self, connection: ClientConnection) -> None:
         """Close it if the service is ending: between requests, or if its first one does not come."""
-        if self.drain.welcoming or not connection.idle or not self.drain.parting(now := self.clock.now()):
+        if (
+            self.drain.accepts_clients
+            or not connection.idle
+            or not self.drain.closes_idle_connections(now := self.clock.now())
+        ):
             return
         if connection.heard:
             connection.close()
@@ -564,11 +568,11 @@
 
     def step_aside(self, place: int) -> bool:
         """New connections to the process of this node in that place; whether the kernel took it."""
-        return self._listening is not None and self._listening.open and self._listening.step_aside(place)
+        return self._listening is not None and self._listening.is_open and self._listening.divert_to(place)
 
     def ending(self) -> None:
         """The service was told to end: carry out what falls due, when it does."""
-        for at in self.drain.due(self.clock.now()):
+        for at in self.drain.deadlines(self.clock.now()):
             self.clock.call_at(at, self._part)
 
     def resumed(self) -> None:
@@ -584,12 +588,12 @@
         self._emptied()
 
     def _emptied(self) -> None:
-        if not self._connections and self.drain.emptied(self.clock.now()):
+        if not self._connections and self.drain.connections_closed(self.clock.now()):
             self._log.event("drained")
 
     async def leave(self) -> None:
         """After SIGTERM: serve on for a while, then close each connection between requests; answer all."""
-        self.drain.leave(self.clock.now())
+        self.drain.terminate(self.clock.now())
         # What comes later than SERVING must have its answer before the process may be killed, which is as
         # long after SERVING as any class waits.
         longest = max((to_ms(cls.deadline_ns) for cls in self.settings.classes), default=LONGEST_WAIT)
@@ -605,7 +609,7 @@
             self._part()
             if self.core.idle and not any(c.owed for c in self._connections):
                 # Guards those that were accepted last: their first request is on its way, or half here.
-                attaching = self._listening is not None and self._listening.attaching
+                attaching = self._listening is not None and self._listening.has_handovers
                 coming = attaching or any(not c.closing for c in self._connections)
                 if not coming or self.clock.now() >= until:
                     break
--- a/flintridge/node.py
+++ b/flintridge/node.py
@@ -149,10 +149,10 @@
         self.downstream.ready = self._ready
         self._closed = False
         listen = config.listen
-        self._siblings: WorkerProcesses | None = None
+        self._worker_processes: WorkerProcesses | None = None
         if shared is not None and listen.port:
             folder = os.path.join(shared, f"flintridge-{listen.host.replace(':', '_')}-{listen.port}")
-            self._siblings = WorkerProcesses(folder, clock, log, lambda _: self._deal_out())
+            self._worker_processes = WorkerProcesses(folder, clock, log, lambda _: self._deal_out())
 
     async def start(self) -> int:
         """Take the known list in and open the console and the listener; the listener's port.
@@ -168,8 +168,8 @@
             self.log.event("console", host=self.config.console.host, port=port)
         if self.membership is not None:
             await self.membership.start()
-        if self._siblings is not None:
-            self._siblings.start()
+        if self._worker_processes is not None:
+            self._worker_processes.start()
         if self.leases is not None:
             self.leases.start()  # before the first request: a process that just began holds its floor alone
         if self.replication is not None:
@@ -210,7 +210,7 @@
 
         Nothing that is open is closed for it. What is beyond makes place as others come.
         """
-        count = 1 if self._siblings is None else self._siblings.count
+        count = 1 if self._worker_processes is None else self._worker_processes.count
         config = self.config
         self.core.memory_budget.resize(max(int(LONGEST_MB * 1024 * 1024), config.held_bytes // count))
         self.dispatcher.room = config.server_sockets // count
@@ -238,14 +238,14 @@
 
     @property
     def state(self) -> str:
-        """`starting`, or as in `drain.State`."""
+        """`starting`, or as in `shutdown.ServiceState`."""
         if self.shutdown.state is ServiceState.SERVING and not self.downstream.serving:
             return "starting"
         return self.shutdown.state.value
 
     def _health(self) -> Said:
         # A drained process can serve: it is only told not to. One that leaves ends soon.
-        able = self.downstream.serving and self.shutdown.state is not ServiceState.LEAVING
+        able = self.downstream.serving and self.shutdown.state is not ServiceState.TERMINATING
         said = {
             "state": self.state,
             "connections": self.downstream.connections,
@@ -259,12 +259,12 @@
 
     def _resume(self) -> Said:
         self.resume()
-        return 409 if self.shutdown.state is ServiceState.LEAVING else 200, {"state": self.state}
+        return 409 if self.shutdown.state is ServiceState.TERMINATING else 200, {"state": self.state}
 
     def quiesce(self) -> bool:
         """Drain: `mn` is told no, connections end between requests, the process runs on. False: it was told
         before."""
-        if not self.shutdown.quiesce(self.clock.now()):
+        if not self.shutdown.start_drain(self.clock.now()):
             return False
         self.counters.add("drains")
         self.log.event("draining", connections=self.downstream.connections)
@@ -273,7 +273,7 @@
 
     def resume(self) -> bool:
         """End the drain. False where there was none, or the process leaves."""
-        if not self.shutdown.resume(self.clock.now()):
+        if not self.shutdown.resume():
             return False
         self.counters.add("resumes")
         self.downstream.resumed()
@@ -282,7 +282,7 @@
 
     async def leave(self) -> None:
         """Serve on for 0.7 s, answer all that was taken, then close."""
-        other = None if self._siblings is None else self._siblings.place_of_other()
+        other = None if self._worker_processes is None else self._worker_processes.index_of_other()
         stepped_aside = other is not None and self.downstream.step_aside(other)
         self.log.event("leaving", stepped_aside=stepped_aside)
         if self.leases is not None:
@@ -314,8 +314,8 @@
         self.downstream.close()
         if self.admin_api is not None:
             self.admin_api.close()
-        if self._siblings is not None:
-            self._siblings.close()
+        if self._worker_processes is not None:
+            self._worker_processes.close()
         if self.leases is not None:
             self.leases.close()
         if self.replication is not None:
--- a/flintridge/runtime/listener.py
+++ b/flintridge/runtime/listener.py
@@ -1,4 +1,4 @@
-"""Listeners: opened alone or shared with another process on the same address, and closed without a loss."""
+"""Listening sockets: alone or shared with another process on an address, closed without a loss."""
 
 import asyncio
 import contextlib
@@ -8,129 +8,165 @@
 from array import array
 from collections.abc import Awaitable, Callable
 
+from flintridge.errors import FlintridgeError
 from flintridge.runtime.streams import TrackingReader
 from flintridge.settings import Address
 
-# In one go asyncio accepts as many as it is told to let wait, before any of them can be turned away. Guards
-# the spare descriptors against a burst: out of them it accepts nothing for a second, and says so as an error.
-ACCEPTS = 4
-QUEUED = 512  # what may really wait, in the kernel
+# In one go asyncio accepts as many as its `backlog` says, before any of them can be rejected. Guards the
+# spare descriptors against a burst: out of them it accepts nothing for a second, and logs that as an error.
+ACCEPTS_PER_ITERATION = 4
+KERNEL_BACKLOG = 512  # connections that may really wait to be accepted
 
 # Of Linux, for listeners that share an address (SO_REUSEPORT); the socket module does not name them.
-ATTACH_CHOICE, DETACH_CHOICE = 51, 68
-RETURN = 0x06  # the classic BPF instruction that returns a constant
+SO_ATTACH_REUSEPORT_CBPF = 51
+SO_DETACH_REUSEPORT_BPF = 68
+BPF_RETURN_CONSTANT = 0x06  # BPF_RET | BPF_K of classic BPF
 
-Accepted = Callable[[asyncio.StreamReader, asyncio.StreamWriter], Awaitable[None]]
+ConnectionHandler = Callable[[asyncio.StreamReader, asyncio.StreamWriter], Awaitable[None]]
 
 
-class ListenError(OSError):
+class ListenError(FlintridgeError, OSError):
     """A listener that could not be opened; its text is one line for the operator."""
 
 
 class Listener:
-    """An open listener."""
+    """An open listener.
 
-    def __init__(self, server: asyncio.Server, accepted: Accepted) -> None:
+    Attributes:
+        port: On which it listens.
+    """
+
+    def __init__(self, server: asyncio.Server, on_connection: ConnectionHandler) -> None:
+        """`on_connection` is what `server` calls with each connection, too."""
         self._server = server
-        self._accepted = accepted
-        self._attaching: dict[asyncio.Task[None], None] = {}  # the loop itself holds tasks weakly only
+        self._on_connection = on_connection
+        # The event loop holds tasks weakly only.
+        self._handover_tasks: dict[asyncio.Task[None], None] = {}
         self.port: int = server.sockets[0].getsockname()[1]
 
     @property
-    def open(self) -> bool:
+    def is_open(self) -> bool:
+        """Whether it still accepts connections."""
         return self._server.is_serving()
 
     @property
-    def attaching(self) -> bool:
-        """Whether connections were accepted that nobody has been told of yet."""
-        return bool(self._attaching)
+    def has_handovers(self) -> bool:
+        """Whether connections were accepted at the close that `on_connection` was not called with yet."""
+        return bool(self._handover_tasks)
+
+    def divert_to(self, index: int) -> bool:
+        """Have the kernel give new connections to another listener that shares the address.
 
-    def step_aside(self, place: int) -> bool:
-        """Have the kernel give new connections to the listener that shares the address in `place`, counted
-        from 0 in the order in which they began to listen. False where it does not: nothing is changed then.
+        Guards the connections that would come between the last accept and the close, which are reset.
 
-        Guards the connections that would come between the last accept and the close, which are reset. Where
-        there is no listener in that place the kernel deals out as before.
+        Args:
+            index: Which one, counted from 0 in the order in which they began to listen. Where there is none
+                the kernel spreads connections as before.
+
+        Returns:
+            False where the kernel does not do it: nothing is changed then.
         """
-        code = array("Q", struct.pack("=HBBI", RETURN, 0, 0, place))
+        code = array("Q", struct.pack("=HBBI", BPF_RETURN_CONSTANT, 0, 0, index))
         program = struct.pack("@HP", len(code), code.buffer_info()[0])
         try:
-            for same in self._copies():
-                with same:
-                    same.setsockopt(socket.SOL_SOCKET, ATTACH_CHOICE, program)
+            for duplicate in _duplicate_sockets(self._server):
+                with duplicate:
+                    duplicate.setsockopt(socket.SOL_SOCKET, SO_ATTACH_REUSEPORT_CBPF, program)
         except OSError:
             return False
         return True
 
-    def _copies(self) -> list[socket.socket]:
-        numbers = [listener.fileno() for listener in self._server.sockets]
-        return [socket.socket(fileno=os.dup(number)) for number in numbers if number >= 0]
-
     def close(self) -> None:
         """Accept what waits, then close in the same step.
 
         Guards the connections that clients have made and the program has not seen: the kernel resets them
         when their listener closes, though another process listens on the same address.
         """
-        if self.open:
-            copies = self._copies()
-            self._server.close()
-            for same in copies:
-                while (one := _accept(same)) is not None:
-                    self._hand_over(one)
-                same.close()
-
-    def _hand_over(self, one: socket.socket) -> None:
-        """As asyncio's server does it with a connection that it accepted."""
+        if not self.is_open:
+            return
+        duplicates = _duplicate_sockets(self._server)
+        self._server.close()
+        for duplicate in duplicates:
+            with duplicate:
+                while (connection := _accept(duplicate)) is not None:
+                    self._hand_over(connection)
+
+    def _hand_over(self, connection: socket.socket) -> None:
+        """Start a connection as asyncio's server does it with one that it accepted."""
         loop = asyncio.get_running_loop()
-        protocol = _protocol(loop, self._accepted)
+        protocol = _stream_protocol(loop, self._on_connection)
 
         async def attach() -> None:
             with contextlib.suppress(OSError):  # it ended meanwhile
-                await loop.connect_accepted_socket(lambda: protocol, one)
+                await loop.connect_accepted_socket(lambda: protocol, connection)
 
         task = loop.create_task(attach())
-        self._attaching[task] = None
-        task.add_done_callback(self._attaching.pop)
+        self._handover_tasks[task] = None
+        task.add_done_callback(self._handover_tasks.pop)
 
 
-def _accept(listener: socket.socket) -> socket.socket | None:
-    while True:
-        try:
-            one, _ = listener.accept()
-        except ConnectionAbortedError:
-            continue  # it ended while it waited
-        except OSError:  # none is left, or no descriptor for it: nothing more can be done for those
-            return None
-        one.setblocking(False)
-        return one
-
+async def open_listener(on_connection: ConnectionHandler, address: Address, shared: bool) -> Listener:
+    """Listen on an address.
 
-def _protocol(loop: asyncio.AbstractEventLoop, accepted: Accepted) -> asyncio.StreamReaderProtocol:
-    """As asyncio.start_server makes it, with a reader of our own."""
-    return asyncio.StreamReaderProtocol(TrackingReader(loop), accepted, loop=loop)
+    Args:
+        on_connection: Called with each connection; its reader is a TrackingReader.
+        address: Where to listen; port 0: any free one.
+        shared: Whether another process of the same user may listen there as well.
 
+    Returns:
+        The open listener.
 
-async def open_listener(accepted: Accepted, address: Address, shared: bool) -> Listener:
-    """`shared`: another process of the same user may listen there as well. Raises ListenError."""
+    Raises:
+        ListenError: The address can't be had.
+    """
+    loop = asyncio.get_running_loop()
     try:
-        loop = asyncio.get_running_loop()
         server = await loop.create_server(
-            lambda: _protocol(loop, accepted),
+            lambda: _stream_protocol(loop, on_connection),
             address.host,
             address.port,
-            backlog=ACCEPTS,
+            backlog=ACCEPTS_PER_ITERATION,
             reuse_port=shared or None,
         )
     except OSError as error:
         reason = os.strerror(error.errno) if error.errno else str(error)
         raise ListenError(f"{address.host}:{address.port}: {reason}") from error
-    for listener in server.sockets:
-        if (number := listener.fileno()) >= 0:
-            with socket.socket(fileno=os.dup(number)) as same:
-                same.listen(QUEUED)
-                if shared:
-                    # What a process that has left by now chose for the others holds no longer.
-                    with contextlib.suppress(OSError):
-                        same.setsockopt(socket.SOL_SOCKET, DETACH_CHOICE, 0)
-    return Listener(server, accepted)
+    for duplicate in _duplicate_sockets(server):
+        with duplicate:
+            _prepare(duplicate, shared)
+    return Listener(server, on_connection)
+
+
+def _duplicate_sockets(server: asyncio.Server) -> list[socket.socket]:
+    """A server's listening sockets under descriptors of their own: asyncio's own can't accept."""
+    descriptors = [sock.fileno() for sock in server.sockets]
+    return [socket.socket(fileno=os.dup(descriptor)) for descriptor in descriptors if descriptor >= 0]
+
+
+def _prepare(listening: socket.socket, shared: bool) -> None:
+    """Set what asyncio does not: the kernel's own backlog, and who gets connections at a shared address."""
+    listening.listen(KERNEL_BACKLOG)
+    if shared:
+        # What a process that has ended by now diverted to others holds no longer.
+        with contextlib.suppress(OSError):
+            listening.setsockopt(socket.SOL_SOCKET, SO_DETACH_REUSEPORT_BPF, 0)
+
+
+def _accept(listening: socket.socket) -> socket.socket | None:
+    """The next connection that waits; None: there is none, or no descriptor for it."""
+    while True:
+        try:
+            connection, _ = listening.accept()
+        except ConnectionAbortedError:
+            continue  # it ended while it waited
+        except OSError:  # nothing more can be done for those that still wait
+            return None
+        connection.setblocking(False)
+        return connection
+
+
+def _stream_protocol(
+    loop: asyncio.AbstractEventLoop, on_connection: ConnectionHandler
+) -> asyncio.StreamReaderProtocol:
+    """As asyncio.start_server makes it, with a reader of our own."""
+    return asyncio.StreamReaderProtocol(TrackingReader(loop), on_connection, loop=loop)
--- a/flintridge/shutdown.py
+++ b/flintridge/shutdown.py
@@ -1,84 +1,115 @@
-"""The drain of a node: one state machine for the operators' calls and for SIGTERM, with the time passed in.
+"""The graceful shutdown of a node, as a state machine for the operators' calls and for SIGTERM.
 
-    serving --quiesce--> draining --no client connection is left--> drained
-       ^                    |                                          |
-       +------resume--------+------------------resume------------------+
-    any of them --leave--> leaving, for good
+    SERVING --start_drain--> DRAINING --no client connection is open--> DRAINED
+       ^                        |                                          |
+       +---------resume---------+------------------resume------------------+
+    any of them --terminate--> TERMINATING, for good
 
-It closes nothing: it says what is due, and the sender side does it.
+It closes nothing and reads no clock: it says what is due at a time that is passed in, and the client side
+does it.
 """
 
 from enum import Enum
 
-LINGER = 400.0  # after the call, until which new connections keep coming and idle ones stay open
-CEASE = 1500.0  # after the call, from when on connections are read no further
+IDLE_CLOSE_DELAY_MS = 400.0
+"""After the call: until then new connections keep coming, and idle ones stay open."""
+
+STOP_READING_DELAY_MS = 1500.0
+"""After the call: from then on no connection is read any further."""
 
 
 class ServiceState(Enum):
+    """What a node does about the end of its service; the values are the admin API's."""
+
     SERVING = "serving"
     DRAINING = "draining"
+    """Client connections are being ended; the process runs on."""
     DRAINED = "drained"
-    LEAVING = "leaving"
+    """No client connection was open any more; what comes all the same is served."""
+    TERMINATING = "leaving"
+    """The process is about to end."""
 
 
 class GracefulShutdown:
-    """What a node does about the end of its service. Times are float milliseconds of the node's clock."""
+    """What is due of a node's drain or termination. Times are float milliseconds of the node's clock.
+
+    Attributes:
+        state: Where the node is.
+    """
 
-    __slots__ = ("_since", "state")
+    __slots__ = ("_ended_at", "state")
 
     def __init__(self) -> None:
         self.state = ServiceState.SERVING
-        self._since = 0.0  # of the call that ended the service
+        self._ended_at = 0.0  # the time of the call that ended the service
 
     @property
-    def welcoming(self) -> bool:
-        """Whether more clients may come: what `mn` is told."""
+    def accepts_clients(self) -> bool:
+        """Whether more clients may come, as the response to `mn` says."""
         return self.state is ServiceState.SERVING
 
-    def quiesce(self, now: float) -> bool:
-        """End the service but not the process. False where that had been asked before: nothing changes."""
+    def start_drain(self, now: float) -> bool:
+        """End the service but not the process.
+
+        Returns:
+            Whether anything changed; it doesn't where this had been asked before.
+        """
         if self.state is not ServiceState.SERVING:
             return False
-        self.state, self._since = ServiceState.DRAINING, now
+        self.state = ServiceState.DRAINING
+        self._ended_at = now
         return True
 
-    def resume(self, now: float) -> bool:
-        """Serve again. False where nothing was to end; a node that leaves does not come back."""
+    def resume(self) -> bool:
+        """Serve again.
+
+        Returns:
+            Whether anything changed; it doesn't without a drain, nor once the node terminates.
+        """
         if self.state not in (ServiceState.DRAINING, ServiceState.DRAINED):
             return False
         self.state = ServiceState.SERVING
         return True
 
-    def leave(self, now: float) -> bool:
-        """The process is to end. A drain that went on goes on from where it was: nothing opens again."""
-        if self.state is ServiceState.LEAVING:
+    def terminate(self, now: float) -> bool:
+        """The process is to end. A drain that was under way goes on from where it was: nothing opens again.
+
+        Returns:
+            Whether anything changed; it doesn't where this had been asked before.
+        """
+        if self.state is ServiceState.TERMINATING:
             return False
         if self.state is ServiceState.SERVING:
-            self._since = now
-        self.state = ServiceState.LEAVING
+            self._ended_at = now
+        self.state = ServiceState.TERMINATING
         return True
 
-    def emptied(self, now: float) -> bool:
-        """No client connection is open any more; True where this completes the drain."""
-        if self.state is not ServiceState.DRAINING or now < self._since + LINGER:
+    def connections_closed(self, now: float) -> bool:
+        """No client connection is open any more.
+
+        Returns:
+            Whether this completes the drain.
+        """
+        if self.state is not ServiceState.DRAINING or not self.closes_idle_connections(now):
             return False
         self.state = ServiceState.DRAINED
         return True
 
-    def parting(self, now: float) -> bool:
+    def closes_idle_connections(self, now: float) -> bool:
         """Whether connections are closed between requests."""
-        return self.state is not ServiceState.SERVING and now >= self._since + LINGER
+        return self.state is not ServiceState.SERVING and now >= self._ended_at + IDLE_CLOSE_DELAY_MS
 
-    def ceasing(self, now: float) -> bool:
+    def stops_reading(self, now: float) -> bool:
         """Whether connections are read no further, even those that always have the next command written.
 
         Guards the end of a drain against clients that are never between requests: what they wrote but was not
         read they send again elsewhere.
         """
-        return self.state is not ServiceState.SERVING and now >= self._since + CEASE
+        return self.state is not ServiceState.SERVING and now >= self._ended_at + STOP_READING_DELAY_MS
 
-    def due(self, now: float) -> list[float]:
+    def deadlines(self, now: float) -> list[float]:
         """The instants still to come at which something falls due."""
         if self.state is ServiceState.SERVING:
             return []
-        return [at for at in (self._since + LINGER, self._since + CEASE) if at > now]
+        delays = (IDLE_CLOSE_DELAY_MS, STOP_READING_DELAY_MS)
+        return [self._ended_at + delay for delay in delays if self._ended_at + delay > now]
--- a/tests/downstream/test_admin_api.py
+++ b/tests/downstream/test_admin_api.py
@@ -248,7 +248,7 @@
                 await programs[1].start()
                 seen = len(answers)
                 await until(lambda: len(answers) > seen + 100)
-                while (await programs[0].event("processes"))["count"] != 2:
+                while (await programs[0].event("worker_processes"))["count"] != 2:
                     pass
                 programs[0].process.send_signal(signal.SIGTERM)
                 assert (await programs[0].event("leaving"))["stepped_aside"] is True
@@ -351,13 +351,13 @@
             return dict(took)
 
         first = await open_listener(taker("first"), Address("127.0.0.1", 0), shared=True)
-        assert first.step_aside(1) and await connect(8) == {"first": 8, "second": 0}  # there is no other
+        assert first.divert_to(1) and await connect(8) == {"first": 8, "second": 0}  # there is no other
         second = await open_listener(taker("second"), Address("127.0.0.1", first.port), shared=True)
         dealt = await connect(64)  # the new one ended what had been chosen
         assert dealt["first"] and dealt["second"]
-        assert first.step_aside(1) and await connect(16) == {"first": 0, "second": 16}
-        assert second.step_aside(0) and await connect(16) == {"first": 16, "second": 0}
-        assert first.step_aside(1)
+        assert first.divert_to(1) and await connect(16) == {"first": 0, "second": 16}
+        assert second.divert_to(0) and await connect(16) == {"first": 16, "second": 0}
+        assert first.divert_to(1)
         first.close()
         assert await connect(8) == {"first": 0, "second": 8}
         second.close()
--- a/tests/downstream/test_connection.py
+++ b/tests/downstream/test_connection.py
@@ -18,7 +18,7 @@
     UNREAD,
     UNUSED,
 )
-from flintridge.shutdown import LINGER
+from flintridge.shutdown import IDLE_CLOSE_DELAY_MS
 
 
 async def half_a_command(s) -> bytes:
@@ -103,7 +103,7 @@
 def test_leaving_closes_no_connection_while_commands_that_came_together_are_taken(play):
     async def test():
         async with Side() as s:
-            s.side.drain.quiesce(s.clock.now() - LINGER)
+            s.side.drain.start_drain(s.clock.now() - IDLE_CLOSE_DELAY_MS)
             reader, _ = await s.client(b"mn\r\n", READ % b"r1", b"mn\r\n", READ % b"r2")
             await until(lambda: s.counters["requests"] == 2)
             for uid in ("r1", "r2"):
@@ -122,7 +122,7 @@
             await until(lambda: s.counters["requests"] == 1)
             leaving = asyncio.ensure_future(s.side.leave())
             await asyncio.sleep(0)
-            s.clock.go(LINGER - 1)
+            s.clock.go(IDLE_CLOSE_DELAY_MS - 1)
             assert not idle.at_eof()
             s.clock.go(1)
             assert await idle.read() == BUSY  # its first request may be on its way
@@ -132,8 +132,8 @@
             await until(lambda: s.counters["clients_disconnected"] == 1)
             unused, _ = await s.client()  # came late and asks for nothing
             await until(lambda: s.counters["connections_accepted"] == 4)
-            s.clock.go(SERVING - LINGER)
-            await until(lambda: not s.side._listening.open)
+            s.clock.go(SERVING - IDLE_CLOSE_DELAY_MS)
+            await until(lambda: not s.side._listening.is_open)
             assert not leaving.done()
             assert await unused.read() == BUSY and not leaving.done()
             s.core._fail_overdue("r1")
@@ -264,7 +264,7 @@
             leaving = asyncio.ensure_future(s.side.leave())
             await asyncio.sleep(0)
             s.clock.go(SERVING)
-            await until(lambda: not s.side._listening.open)
+            await until(lambda: not s.side._listening.is_open)
             assert not leaving.done() and not half._eof  # it may still become whole
             s.clock.go(LAST_COMMANDS - SERVING)
             await until(lambda: s.clock.go(20) or leaving.done())
--- a/tests/downstream/test_connection_termination.py
+++ b/tests/downstream/test_connection_termination.py
@@ -25,7 +25,7 @@
 from flintridge.core.response import Response
 from flintridge.net.parting import PARTING
 from flintridge.net.sender import PARTINGS, PIPELINED, SERVING, SWEEP, UNUSED
-from flintridge.shutdown import CEASE, LINGER
+from flintridge.shutdown import IDLE_CLOSE_DELAY_MS, STOP_READING_DELAY_MS
 
 
 def test_what_is_read_after_the_shutdown_is_not_taken_and_resets_nothing():
@@ -61,11 +61,11 @@
             feed = connection._reader.feed_data
             if ends == "drain":
                 connection.heard = True
-                s.side.drain.quiesce(s.clock.now())
+                s.side.drain.start_drain(s.clock.now())
 
             def crossing(data: bytes) -> None:
                 feed(data)
-                s.clock.go(UNUSED + 250 if ends == "unused" else LINGER + 250)
+                s.clock.go(UNUSED + 250 if ends == "unused" else IDLE_CLOSE_DELAY_MS + 250)
 
             connection._reader.feed_data = crossing
             writer.write(READ % b"r1")
@@ -118,7 +118,7 @@
             await until(lambda: s.requests == 1)
             leaving = asyncio.ensure_future(s.side.leave())
             await turns(1)
-            s.clock.go(CEASE)
+            s.clock.go(STOP_READING_DELAY_MS)
             await turns()
             client.sendall(READ % b"r1" + READ % b"r2")  # always the next one written
             await turns()
@@ -137,13 +137,13 @@
             _, writer = await asyncio.open_connection("127.0.0.1", s.port)
             writer.write(PATIENT % b"r0")
             await until(lambda: s.requests == 1)
-            s.side.drain.quiesce(s.clock.now())
+            s.side.drain.start_drain(s.clock.now())
             s.side.ending()
-            s.clock.go(CEASE)
+            s.clock.go(STOP_READING_DELAY_MS)
             writer.write(READ % b"r1")
             await turns()
             assert s.requests == 1
-            s.side.drain.resume(s.clock.now())
+            s.side.drain.resume()
             s.side.resumed()
             await until(lambda: s.requests == 2)
             writer.close()
@@ -334,7 +334,7 @@
             began = s.clock.now()
             leaving = asyncio.ensure_future(s.side.leave())
             await turns(1)
-            s.clock.go(LINGER)
+            s.clock.go(IDLE_CLOSE_DELAY_MS)
             reader, writer = await asyncio.open_connection("127.0.0.1", s.port)
             writer.write(b"ms key7 2 Oa1 Pc=put,t=acme,d=3000\r\n")  # the rest comes late
             await until(lambda: any(not c._parser.idle for c in s.side._connections))
@@ -342,7 +342,7 @@
             await turns()
             writer.write(b"hi\r\n")
             await until(lambda: s.requests == 1)
-            assert s.clock.now() == began + LINGER + SERVING
+            assert s.clock.now() == began + IDLE_CLOSE_DELAY_MS + SERVING
             s.clock.go(SERVING + 3_000 - 1 - (s.clock.now() - began))
             assert await reader.read() == FAILED  # by the net: nobody decides anything here
             writer.close()
--- a/tests/runtime/test_worker_processes.py
+++ b/tests/runtime/test_worker_processes.py
@@ -1,4 +1,4 @@
-"""Who is of one node: by locks that end with their processes, among what dead ones left."""
+"""The count of a node's processes, by locks that end with them, among the files that dead ones left."""
 
 import os
 import signal
@@ -9,72 +9,75 @@
 from support.network import HandClock, quiet
 
 from flintridge.node import Node
-from flintridge.runtime.worker_processes import LOOK, WorkerProcesses
+from flintridge.runtime.worker_processes import COUNT_INTERVAL_MS, WorkerProcesses
 from flintridge.settings import LONGEST_MB, node_config
 
-HOLDER = """
+LOCKING_PROGRAM = """
 import sys
 sys.path.insert(0, "tests")
 from support.network import HandClock, quiet
 from flintridge.runtime.worker_processes import WorkerProcesses
 WorkerProcesses(sys.argv[1], HandClock(), quiet()[0], print).start()
-print("held", flush=True)
+print("locked", flush=True)
 sys.stdin.read()
 """
 
 
-def another(folder) -> subprocess.Popen:
+def start_another_process(folder) -> subprocess.Popen:
     process = subprocess.Popen(
-        [sys.executable, "-c", HOLDER, str(folder)], stdin=subprocess.PIPE, stdout=subprocess.PIPE
+        [sys.executable, "-c", LOCKING_PROGRAM, str(folder)], stdin=subprocess.PIPE, stdout=subprocess.PIPE
     )
-    while process.stdout.readline() != b"held\n":
+    while process.stdout.readline() != b"locked\n":
         pass
     return process
 
 
-def siblings(folder):
-    clock, told = HandClock(), []
-    one = WorkerProcesses(str(folder), clock, quiet()[0], told.append)
-    one.start()
-    return one, clock, told
+def start_counting(folder):
+    clock = HandClock()
+    counts = []
+    processes = WorkerProcesses(str(folder), clock, quiet()[0], counts.append)
+    processes.start()
+    return processes, clock, counts
 
 
 @pytest.mark.parametrize("end", [signal.SIGKILL, None])
-def test_a_process_counts_until_it_ends_however_that_is(tmp_path, end):
-    one, clock, told = siblings(tmp_path / "node")
-    assert one.count == 1 and told == []
-    process = another(tmp_path / "node")
-    clock.go(LOOK)
-    assert told == [2]
+def test_count_when_another_process_starts_and_ends_then_follows_however_it_ended(tmp_path, end):
+    processes, clock, counts = start_counting(tmp_path / "node")
+    assert processes.count == 1 and counts == []
+    other = start_another_process(tmp_path / "node")
+    clock.go(COUNT_INTERVAL_MS)
+    assert counts == [2]
     if end is None:
-        process.stdin.close()
+        other.stdin.close()
     else:
-        process.send_signal(end)
-    process.wait()
-    clock.go(LOOK)
-    assert told == [2, 1] and one.place_of_other() is None and len(list((tmp_path / "node").iterdir())) == 1
-    one.close()
+        other.send_signal(end)
+    other.wait()
+    clock.go(COUNT_INTERVAL_MS)
+    assert counts == [2, 1]
+    assert processes.index_of_other() is None
+    assert len(list((tmp_path / "node").iterdir())) == 1
+    processes.close()
     assert list((tmp_path / "node").iterdir()) == []
 
 
-def test_what_dead_processes_left_counts_for_nothing(tmp_path):
+def test_count_when_dead_processes_left_files_then_ignores_and_removes_them(tmp_path):
     for name in ("7-0", f"{os.getpid()}-0", "notes.txt"):
-        (tmp_path / name).write_text("left")
-    one, clock, told = siblings(tmp_path)
-    clock.go(4 * LOOK)
-    assert one.count == 1 and told == [] and len(list(tmp_path.iterdir())) == 1
-    one.close()
+        (tmp_path / name).write_text("left behind")
+    processes, clock, counts = start_counting(tmp_path)
+    clock.go(4 * COUNT_INTERVAL_MS)
+    assert processes.count == 1 and counts == [] and len(list(tmp_path.iterdir())) == 1
+    processes.close()
 
 
-def test_a_folder_that_cannot_be_used_ends_no_start(tmp_path):
+def test_start_when_the_folder_cannot_be_used_then_counts_this_process_alone(tmp_path):
     (tmp_path / "file").write_text("")
-    one, clock, told = siblings(tmp_path / "file" / "node")
-    clock.go(LOOK)
-    assert one.count == 1 and told == []
-    one.close()
+    processes, clock, counts = start_counting(tmp_path / "file" / "node")
+    clock.go(COUNT_INTERVAL_MS)
+    assert processes.count == 1 and counts == []
+    processes.close()
 
 
-def test_two_processes_together_hold_what_the_node_may(tmp_path):
+def test_limits_when_two_processes_run_then_are_shared_by_both(tmp_path):
     config = node_config(
         {
             "settings": {}, "listen": "127.0.0.1:7", "discovery": "127.0.0.1:8",
@@ -85,18 +88,18 @@
     clock, (log, _) = HandClock(), quiet()
     nodes = [Node(config, clock, log, shared=str(tmp_path)) for _ in range(2)]
     for node in nodes:
-        node._siblings.start()
-    clock.go(LOOK)
-    os.utime(nodes[0]._siblings._path, ns=(1, 1))  # files of one moment may bear the same time
-    assert [node._siblings.place_of_other() for node in nodes] == [1, 0]
-    for get, whole in (
+        node._worker_processes.start()
+    clock.go(COUNT_INTERVAL_MS)
+    os.utime(nodes[0]._worker_processes._lock_path, ns=(1, 1))  # files of one moment may bear the same time
+    assert [node._worker_processes.index_of_other() for node in nodes] == [1, 0]
+    for limit_of, limit in (
         (lambda node: node.downstream.room, config.client_sockets),
         (lambda node: node.dispatcher.room, config.server_sockets),
         (lambda node: node.core.memory_budget.total, config.held_bytes),
     ):
-        assert sum(map(get, nodes)) <= whole and get(nodes[0]) >= whole // 2
+        assert sum(map(limit_of, nodes)) <= limit and limit_of(nodes[0]) >= limit // 2
     assert nodes[0].core.memory_budget.total >= LONGEST_MB * 1024 * 1024
-    nodes[1]._siblings.close()
-    clock.go(LOOK)
+    nodes[1]._worker_processes.close()
+    clock.go(COUNT_INTERVAL_MS)
     assert nodes[0].downstream.room == config.client_sockets
-    nodes[0]._siblings.close()
+    nodes[0]._worker_processes.close()
--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -1,4 +1,4 @@
-"""The drain: its states by event, and what it makes of connections whatever comes in whichever order."""
+"""Graceful shutdown: its states by call, and what becomes of connections in whichever order calls come."""
 
 import asyncio
 
@@ -14,217 +14,226 @@
 from flintridge.net.parting import PARTING
 from flintridge.net.sender import FIRST_WORD, Downstream
 from flintridge.settings import Address
-from flintridge.shutdown import CEASE, LINGER, GracefulShutdown, ServiceState
+from flintridge.shutdown import IDLE_CLOSE_DELAY_MS, STOP_READING_DELAY_MS, GracefulShutdown, ServiceState
 
 BUSY = b"SERVER_ERROR busy\r\n"
 CALLS = {
-    "quiesce": lambda drain, now: drain.quiesce(now),
-    "resume": lambda drain, now: drain.resume(now),
-    "leave": lambda drain, now: drain.leave(now),
-    "emptied": lambda drain, now: drain.emptied(now),
+    "start_drain": lambda shutdown, now: shutdown.start_drain(now),
+    "resume": lambda shutdown, _: shutdown.resume(),
+    "terminate": lambda shutdown, now: shutdown.terminate(now),
+    "connections_closed": lambda shutdown, now: shutdown.connections_closed(now),
 }
 
 
-def drain_in(state: ServiceState) -> GracefulShutdown:
-    drain = GracefulShutdown()
+def shutdown_in(state: ServiceState) -> GracefulShutdown:
+    shutdown = GracefulShutdown()
     if state is not ServiceState.SERVING:
-        drain.quiesce(0.0)
+        shutdown.start_drain(0.0)
     if state is ServiceState.DRAINED:
-        drain.emptied(LINGER)
-    if state is ServiceState.LEAVING:
-        drain.leave(0.0)
-    assert drain.state is state
-    return drain
+        shutdown.connections_closed(IDLE_CLOSE_DELAY_MS)
+    if state is ServiceState.TERMINATING:
+        shutdown.terminate(0.0)
+    assert shutdown.state is state
+    return shutdown
 
 
 @pytest.mark.parametrize(
-    ("state", "call", "then"),
+    ("state", "call", "next_state"),
     [
-        ("serving", "quiesce", "draining"),
+        ("serving", "start_drain", "draining"),
         ("serving", "resume", "serving"),
-        ("serving", "leave", "leaving"),
-        ("serving", "emptied", "serving"),
-        ("draining", "quiesce", "draining"),
+        ("serving", "terminate", "leaving"),
+        ("serving", "connections_closed", "serving"),
+        ("draining", "start_drain", "draining"),
         ("draining", "resume", "serving"),
-        ("draining", "leave", "leaving"),
-        ("draining", "emptied", "drained"),
-        ("drained", "quiesce", "drained"),
+        ("draining", "terminate", "leaving"),
+        ("draining", "connections_closed", "drained"),
+        ("drained", "start_drain", "drained"),
         ("drained", "resume", "serving"),
-        ("drained", "leave", "leaving"),
-        ("drained", "emptied", "drained"),
-        ("leaving", "quiesce", "leaving"),
+        ("drained", "terminate", "leaving"),
+        ("drained", "connections_closed", "drained"),
+        ("leaving", "start_drain", "leaving"),
         ("leaving", "resume", "leaving"),
-        ("leaving", "leave", "leaving"),
-        ("leaving", "emptied", "leaving"),
+        ("leaving", "terminate", "leaving"),
+        ("leaving", "connections_closed", "leaving"),
     ],
 )
-def test_each_call_in_each_state(state, call, then):
-    drain = drain_in(ServiceState(state))
-    changed = CALLS[call](drain, 1000.0)
-    assert drain.state.value == then and changed == (state != then)
-    assert drain.welcoming == (then == "serving")
+def test_state_when_each_call_comes_in_each_state_then_is_the_next_one(state, call, next_state):
+    shutdown = shutdown_in(ServiceState(state))
+    changed = CALLS[call](shutdown, 1000.0)
+    assert shutdown.state.value == next_state
+    assert changed == (state != next_state)
+    assert shutdown.accepts_clients == (next_state == "serving")
 
 
 @FIXED
 @given(st.lists(st.tuples(st.sampled_from(sorted(CALLS)), st.floats(0, 900)), max_size=30))
-def test_the_times_of_a_drain_count_from_the_call_that_ended_the_service(calls):
-    drain, now, since = GracefulShutdown(), 0.0, None
+def test_deadlines_when_calls_come_in_any_order_then_count_from_the_one_that_ended_the_service(calls):
+    shutdown = GracefulShutdown()
+    now = 0.0
+    ended_at = None
     for call, pause in calls:
         now += pause
-        before = drain.state
-        CALLS[call](drain, now)
-        if before is ServiceState.SERVING and drain.state is not ServiceState.SERVING:
-            since = now
-        if drain.state is ServiceState.SERVING:
-            since = None
-        assert drain.parting(now) == (since is not None and now >= since + LINGER)
-        assert drain.ceasing(now) == (since is not None and now >= since + CEASE)
-        assert all(at > now for at in drain.due(now))
-        assert before is not ServiceState.LEAVING or drain.state is ServiceState.LEAVING
-
-
-class Side:
-    """A sender side in virtual time, whose requests the test answers."""
-
-    def __init__(self, room: int = 64) -> None:
+        state_before = shutdown.state
+        CALLS[call](shutdown, now)
+        if state_before is ServiceState.SERVING and shutdown.state is not ServiceState.SERVING:
+            ended_at = now
+        if shutdown.state is ServiceState.SERVING:
+            ended_at = None
+        idle_close_due = ended_at is not None and now >= ended_at + IDLE_CLOSE_DELAY_MS
+        stop_reading_due = ended_at is not None and now >= ended_at + STOP_READING_DELAY_MS
+        assert shutdown.closes_idle_connections(now) == idle_close_due
+        assert shutdown.stops_reading(now) == stop_reading_due
+        assert all(at > now for at in shutdown.deadlines(now))
+        assert state_before is not ServiceState.TERMINATING or shutdown.state is ServiceState.TERMINATING
+
+
+class DownstreamHarness:
+    """A client side in virtual time, whose requests the test answers."""
+
+    def __init__(self, max_connections: int = 64) -> None:
         self.clock = HandClock()
         log, self.counters = quiet()
         self.core = RequestLifecycle(Held(), SETTINGS, self.clock, 1 << 20, log, self.counters)
-        transports = EndpointList((), (), SETTINGS, self.clock)
+        endpoints = EndpointList((), (), SETTINGS, self.clock)
         entry = {"id": "s1", "host_port": "127.0.0.1:1", "phase": "in_service"}
-        transports.apply({"revision": 1, "complete": True, "members": [entry]})
-        self.drain = GracefulShutdown()
-        self.side = Downstream(
-            self.core, SETTINGS, transports, self.clock, room, log, self.counters, self.drain
+        endpoints.apply({"revision": 1, "complete": True, "members": [entry]})
+        self.shutdown = GracefulShutdown()
+        self.downstream = Downstream(
+            self.core, SETTINGS, endpoints, self.clock, max_connections, log, self.counters, self.shutdown
         )
 
-    async def start(self) -> "Side":
-        self.port = await self.side.listen(Address("127.0.0.1", 0))
+    async def start(self) -> "DownstreamHarness":
+        self.port = await self.downstream.listen(Address("127.0.0.1", 0))
         return self
 
-    async def client(self, *parts: bytes):
+    async def client(self, *commands: bytes):
         reader, writer = await asyncio.open_connection("127.0.0.1", self.port)
-        writer.writelines(parts)
+        writer.writelines(commands)
         await settle()
         return reader, writer
 
-    def quiesce(self) -> None:
-        self.drain.quiesce(self.clock.now())
-        self.side.ending()
+    def start_drain(self) -> None:
+        self.shutdown.start_drain(self.clock.now())
+        self.downstream.ending()
 
-    def answer(self, uid: str) -> None:
-        self.core._fail_overdue(uid)
+    def terminate(self) -> None:
+        self.shutdown.terminate(self.clock.now())
+        self.downstream.ending()
+
+    def answer(self, request_id: str) -> None:
+        self.core._fail_overdue(request_id)
 
 
 async def settle() -> None:
     await asyncio.sleep(0.02)  # of virtual time
 
 
-def test_mn_says_no_at_once_and_connections_end_after_their_last_answers():
+def test_drain_when_started_then_mn_says_no_and_connections_end_after_their_last_responses():
     async def test():
-        s = await Side().start()
-        asked, asker = await s.client(b"mn\r\n")
-        assert await asked.readline() == b"MN\r\n"
-        busy, _ = await s.client(READ % b"r1")
-        s.quiesce()
-        asker.write(b"mn\r\n")
-        assert await asked.readline() != b"MN\r\n"
-        s.clock.go(LINGER - 1)
-        late, late_writer = await s.client(READ % b"r2")  # the front still deals some out
+        node = await DownstreamHarness().start()
+        probing, probing_writer = await node.client(b"mn\r\n")
+        assert await probing.readline() == b"MN\r\n"
+        busy, _ = await node.client(READ % b"r1")
+        node.start_drain()
+        probing_writer.write(b"mn\r\n")
+        assert await probing.readline() != b"MN\r\n"
+        node.clock.go(IDLE_CLOSE_DELAY_MS - 1)
+        late, late_writer = await node.client(READ % b"r2")  # load balancers still send some
         await settle()
-        assert not asked.at_eof()
-        s.clock.go(1)
-        assert await asked.read() == b""
-        s.answer("r1")
+        assert not probing.at_eof()
+        node.clock.go(1)
+        assert await probing.read() == b""
+        node.answer("r1")
         assert await busy.read() == b"SERVER_ERROR failed\r\n"
-        s.answer("r2")
+        node.answer("r2")
         assert await late.read() == b"SERVER_ERROR failed\r\n"
         late_writer.close()
         await settle()
-        assert s.drain.state is ServiceState.DRAINING  # two have not closed their half
-        s.clock.go(PARTING)
-        await until(lambda: s.drain.state is ServiceState.DRAINED)
-        visitor, _ = await s.client(READ % b"r3")  # answered, not dropped
-        s.answer("r3")
+        assert node.shutdown.state is ServiceState.DRAINING  # two have not closed their half
+        node.clock.go(PARTING)
+        await until(lambda: node.shutdown.state is ServiceState.DRAINED)
+        visitor, _ = await node.client(READ % b"r3")  # answered, not dropped
+        node.answer("r3")
         assert await visitor.read() == b"SERVER_ERROR failed\r\n"
-        silent, _ = await s.client()
-        s.clock.go(FIRST_WORD + 250)
+        silent, _ = await node.client()
+        node.clock.go(FIRST_WORD + 250)
         assert await silent.read() == BUSY
 
     virtual.run(test())
 
 
-def test_a_connection_that_always_has_the_next_command_written_is_read_no_further():
+def test_drain_when_a_client_always_has_the_next_command_written_then_stops_reading_it():
     async def test():
-        s = await Side().start()
-        reader, writer = await s.client(READ % b"r0")
-        s.quiesce()
+        node = await DownstreamHarness().start()
+        reader, writer = await node.client(READ % b"r0")
+        node.start_drain()
         for i in range(1, 4):
-            s.clock.go(LINGER)
+            node.clock.go(IDLE_CLOSE_DELAY_MS)
             writer.write(READ % b"r%d" % i)  # before the answer to the one before
             await settle()
-            s.answer(f"r{i - 1}")
+            node.answer(f"r{i - 1}")
             await settle()
-        assert s.counters["requests"] == 4
-        s.clock.go(CEASE)
+        assert node.counters["requests"] == 4
+        node.clock.go(STOP_READING_DELAY_MS)
         writer.write(READ % b"r9")
         await settle()
-        s.answer("r3")
+        node.answer("r3")
         assert await reader.read() == b"SERVER_ERROR failed\r\n" * 4
-        assert s.counters["requests"] == 4  # r9 was not taken: its client sends it again elsewhere
+        assert node.counters["requests"] == 4  # r9 was not accepted: its client sends it again elsewhere
 
     virtual.run(test())
 
 
-STEPS = st.sampled_from(["quiesce", "resume", "leave", "ask", "ask_more", "answer", "pass", "mn"])
+STEPS = st.sampled_from(["start_drain", "resume", "terminate", "connect", "send", "respond", "wait", "mn"])
 
 
 @FIXED
 @given(st.lists(STEPS, min_size=3, max_size=40))
-def test_whatever_the_order_each_request_taken_has_one_answer(steps):
+def test_requests_when_drains_and_commands_come_in_any_order_then_each_has_one_response(steps):
     async def test():
-        s = await Side().start()
-        clients, taken, answered = [], [], 0
+        node = await DownstreamHarness().start()
+        clients = []
+        accepted = []
+        answered = 0
         for number, step in enumerate(steps):
-            if step == "quiesce":
-                s.quiesce()
+            if step == "start_drain":
+                node.start_drain()
             elif step == "resume":
-                s.drain.resume(s.clock.now())
-            elif step == "leave":
-                s.drain.leave(s.clock.now())
-                s.side.ending()
-            elif step == "ask" or (step == "ask_more" and not clients):
-                reader, writer = await s.client(READ % b"q%d" % number)
+                node.shutdown.resume()
+            elif step == "terminate":
+                node.terminate()
+            elif step == "connect" or (step == "send" and not clients):
+                reader, writer = await node.client(READ % b"q%d" % number)
                 clients.append((reader, writer))
-                taken.append(f"q{number}")
-            elif step == "ask_more" and clients[number % len(clients)][0]._eof:
+                accepted.append(f"q{number}")
+            elif step == "send" and clients[number % len(clients)][0]._eof:
                 continue  # it was closed, and its client knows
-            elif step == "ask_more":
+            elif step == "send":
                 clients[number % len(clients)][1].write(READ % b"q%d" % number)
-                before = s.counters["requests"]
+                before = node.counters["requests"]
                 await settle()
-                if s.counters["requests"] > before:
-                    taken.append(f"q{number}")
-            elif step == "answer" and answered < len(taken):
-                s.answer(taken[answered])
+                if node.counters["requests"] > before:
+                    accepted.append(f"q{number}")
+            elif step == "respond" and answered < len(accepted):
+                node.answer(accepted[answered])
                 answered += 1
             elif step == "mn":
-                reader, writer = await s.client(b"mn\r\n")
-                said = await reader.readline()
-                assert (said == b"MN\r\n") == (s.drain.state is ServiceState.SERVING)
+                reader, writer = await node.client(b"mn\r\n")
+                line = await reader.readline()
+                assert (line == b"MN\r\n") == (node.shutdown.state is ServiceState.SERVING)
                 writer.close()
-            elif step == "pass":
-                s.clock.go(300)
+            elif step == "wait":
+                node.clock.go(300)
             await settle()
-        for uid in taken[answered:]:
-            s.answer(uid)
-        s.drain.leave(s.clock.now())
-        s.side.ending()
-        s.clock.go(CEASE)
-        said = b""
+        for request_id in accepted[answered:]:
+            node.answer(request_id)
+        node.terminate()
+        node.clock.go(STOP_READING_DELAY_MS)
+        responses = b""
         for reader, _ in clients:
-            said += await reader.read()
-        assert said.replace(BUSY, b"") == b"SERVER_ERROR failed\r\n" * len(taken)
-        assert s.counters["requests"] == len(taken)
+            responses += await reader.read()
+        assert responses.replace(BUSY, b"") == b"SERVER_ERROR failed\r\n" * len(accepted)
+        assert node.counters["requests"] == len(accepted)
 
     virtual.run(test())
