--- a/flintridge/telemetry/__init__.py
+++ b/flintridge/telemetry/__init__.py
@@ -1,1 +1,1 @@
-"""What a node tells of itself, behind `net.log.EventLog` and `net.counters.Counters`."""
+"""What a node reports of itself: log events (`log.EventLog`) and metrics (`counters.Counters`)."""
--- a/flintridge/telemetry/histogram.py
+++ b/flintridge/telemetry/histogram.py
@@ -1,13 +1,21 @@
-"""Counts of figures in buckets that grow evenly: any size of figure, within 4.5% of it, in little memory."""
+"""A histogram with buckets in geometric progression: figures of any size, within 4.5%, in little memory."""
 
 import math
 
-STEPS = 8  # buckets to a doubling
-LEAST = 2.0**-20  # what is less counts as this
+BUCKETS_PER_DOUBLING = 8
+SMALLEST_VALUE = 2.0**-20  # what is less counts as this
+
+QUANTILES = {"p50": 0.5, "p90": 0.9, "p99": 0.99, "p999": 0.999}
 
 
 class Histogram:
-    """Figures of zero or more, in whatever unit the name of the histogram carries."""
+    """Figures of zero or more, in whatever unit the name of the histogram carries.
+
+    Attributes:
+        count: How many figures there are.
+        total: Their sum.
+        max: The largest; 0 where there are none.
+    """
 
     __slots__ = ("_buckets", "count", "max", "total")
 
@@ -18,25 +26,30 @@
         self.max = 0.0
 
     def observe(self, value: float) -> None:
-        """Raises ValueError for what is no figure of zero or more; nothing is counted then."""
+        """Add a figure.
+
+        Raises:
+            ValueError: It is not zero or more, or not finite; nothing is counted then.
+        """
         if not 0 <= value < math.inf:
             raise ValueError(f"{value!r} is not a figure of zero or more")
-        bucket = math.ceil(math.log2(max(value, LEAST)) * STEPS)
+        bucket = math.ceil(math.log2(max(value, SMALLEST_VALUE)) * BUCKETS_PER_DOUBLING)
         self._buckets[bucket] = self._buckets.get(bucket, 0) + 1
         self.count += 1
         self.total += value
         self.max = max(self.max, value)
 
-    def quantile(self, part: float) -> float:
-        """The figure that such a part (0 to 1) of all does not exceed; 0 where there are none."""
-        left = max(1, math.ceil(part * self.count))
+    def quantile(self, fraction: float) -> float:
+        """The figure that such a fraction (0 to 1) of all does not exceed; 0 where there are none."""
+        remaining = max(1, math.ceil(fraction * self.count))
         for bucket in sorted(self._buckets):
-            left -= self._buckets[bucket]
-            if left <= 0:
-                return min(self.max, 2 ** ((bucket - 0.5) / STEPS))
+            remaining -= self._buckets[bucket]
+            if remaining <= 0:
+                middle_of_bucket = 2 ** ((bucket - 0.5) / BUCKETS_PER_DOUBLING)
+                return min(self.max, middle_of_bucket)
         return 0.0
 
     def snapshot(self) -> dict[str, float]:
+        """`count`, `total`, `max`, `p50`, `p90`, `p99` and `p999`."""
         figures = {"count": self.count, "total": self.total, "max": self.max}
-        parts = {"p50": 0.5, "p90": 0.9, "p99": 0.99, "p999": 0.999}
-        return figures | {name: self.quantile(part) for name, part in parts.items()}
+        return figures | {name: self.quantile(fraction) for name, fraction in QUANTILES.items()}
--- a/flintridge/telemetry/writer.py
+++ b/flintridge/telemetry/writer.py
@@ -1,4 +1,4 @@
-"""Records as JSON lines, written by a thread of its own: a blocked pipe must not hold the node up."""
+"""Writes log records as JSON lines, in a thread of its own: a blocked pipe must not block the node."""
 
 import logging
 import queue
@@ -8,74 +8,90 @@
 
 import orjson
 
-WAKE = b""  # no line: the thread looks again how long it may wait
+POLL_INTERVAL_S = 1.0
 
+_WAKE_UP = b""  # no line: the thread asks again whether it polls
 
-def line(record: logging.LogRecord) -> bytes:
-    """The record as one JSON line. The level is told where it is not `info`."""
-    head: dict[str, object] = {"node": record.name, "event": record.msg}
+
+def encode_line(record: logging.LogRecord) -> bytes:
+    """A record as one JSON line. The level is in it where it is not `info`."""
+    line: dict[str, object] = {"node": record.name, "event": record.msg}
     if record.levelno != logging.INFO:
-        head["level"] = record.levelname.lower()
+        line["level"] = record.levelname.lower()
     fields: dict[str, object] = record.__dict__.get("fields", {})
     try:
-        return orjson.dumps({**head, **fields}, default=str, option=orjson.OPT_NON_STR_KEYS) + b"\n"
+        return orjson.dumps({**line, **fields}, default=str, option=orjson.OPT_NON_STR_KEYS) + b"\n"
     except (TypeError, ValueError) as error:
-        # Guards the node against fields that no JSON holds: numbers beyond 64 bits, half characters.
-        return orjson.dumps({**head, "unprintable": str(error)}) + b"\n"
+        # Guards the node against fields that no JSON holds: numbers beyond 64 bits, lone surrogates.
+        return orjson.dumps({**line, "unserializable": str(error)}) + b"\n"
 
 
-class ThreadWriter(logging.Handler):
-    """Never blocks whoever logs: beyond `waiting` lines, more are dropped and counted.
+class ThreadedWriter(logging.Handler):
+    """Queues lines for a thread that writes them, and never blocks the caller: a full queue drops them.
 
-    `idle` is called in the thread once a second while `watched` says so.
+    Attributes:
+        dropped_lines: How many were dropped.
     """
 
     def __init__(
-        self, sink: BinaryIO, waiting: int, watched: Callable[[], bool], idle: Callable[[], None]
+        self,
+        sink: BinaryIO,
+        queue_max_lines: int,
+        should_poll: Callable[[], bool],
+        on_poll: Callable[[], None],
     ) -> None:
+        """Start the thread.
+
+        Args:
+            sink: Where the lines go; the thread alone writes to it.
+            queue_max_lines: How many may wait to be written.
+            should_poll: Asked in the thread whether it is to call `on_poll` while there is nothing to write.
+            on_poll: Called in the thread, POLL_INTERVAL_S after the last line and again.
+        """
         super().__init__()
         self._sink = sink
-        self._watched = watched
-        self._idle = idle
-        self._lines: queue.Queue[bytes | None] = queue.Queue(waiting)
-        self.dropped = 0
-        self._thread = threading.Thread(target=self._write, daemon=True)
+        self._should_poll = should_poll
+        self._on_poll = on_poll
+        self._queue: queue.Queue[bytes | None] = queue.Queue(queue_max_lines)  # None: the thread ends
+        self.dropped_lines = 0
+        self._thread = threading.Thread(target=self._write_lines, daemon=True)
         self._thread.start()
 
     def emit(self, record: logging.LogRecord) -> None:
-        self._put(line(record))
+        """Queue a record's line."""
+        self._enqueue(encode_line(record))
 
-    def wake(self) -> None:
-        """Have the thread look at `watched` anew; of no matter where it is busy anyway."""
-        if self._lines.empty():
-            self._put(WAKE)
+    def wake_up(self) -> None:
+        """Have the thread ask `should_poll` again, as it does by itself after each line."""
+        if self._queue.empty():
+            self._enqueue(_WAKE_UP)
 
-    def finish(self, wait_s: float) -> None:
-        """Write out what waits, for at most so many seconds."""
+    def finish(self, timeout_s: float) -> None:
+        """Write out what waits. It takes at most so many seconds to queue the end, and as many to write."""
         try:
-            self._lines.put(None, timeout=wait_s)
+            self._queue.put(None, timeout=timeout_s)
         except queue.Full:
             return
-        self._thread.join(wait_s)
+        self._thread.join(timeout_s)
 
-    def _put(self, text: bytes) -> None:
+    def _enqueue(self, line: bytes) -> None:
         try:
-            self._lines.put_nowait(text)
+            self._queue.put_nowait(line)
         except queue.Full:
-            self.dropped += 1
+            self.dropped_lines += 1
 
-    def _write(self) -> None:
+    def _write_lines(self) -> None:
         while True:
             try:
-                text = self._lines.get(timeout=1.0 if self._watched() else None)
+                line = self._queue.get(timeout=POLL_INTERVAL_S if self._should_poll() else None)
             except queue.Empty:
-                self._idle()
+                self._on_poll()
                 continue
-            if text is None:
+            if line is None:
                 return
             try:
-                self._sink.write(text)
-                if self._lines.empty():
+                self._sink.write(line)
+                if self._queue.empty():
                     self._sink.flush()
             except (OSError, ValueError):  # nobody reads the log any more; there is nowhere to say so
                 return
--- a/tests/telemetry/test_log_writer.py
+++ b/tests/telemetry/test_log_writer.py
@@ -1,25 +1,27 @@
-"""The log's writer."""
+"""The thread that writes the log."""
 
 import io
 import threading
 
 import orjson
 
-from flintridge.telemetry.log import WAITING, Log
+from flintridge.telemetry.log import QUEUE_MAX_LINES, Log
 
 
-def test_a_blocked_log_drops_lines_and_holds_nothing_up():
-    class Stuck(io.BytesIO):
+def test_log_when_its_sink_blocks_then_drops_lines_and_blocks_nobody():
+    class BlockedSink(io.BytesIO):
         def write(self, data):
-            free.wait()
+            unblocked.wait()
             return super().write(data)
 
-    free, sink = threading.Event(), Stuck()
+    unblocked = threading.Event()
+    sink = BlockedSink()
     log = Log("n1", sink)
-    for i in range(WAITING + 10):
+    for i in range(QUEUE_MAX_LINES + 10):
         log.event("line", number=i)
-    assert log.dropped >= 9  # the writer holds one or none
-    free.set()
-    log.close(wait_s=30)
+    assert log.dropped_lines >= 9  # the writer has taken one or none
+    unblocked.set()
+    log.close(timeout_s=30)
     lines = [orjson.loads(line) for line in sink.getvalue().splitlines()]
-    assert lines[0] == {"node": "n1", "event": "line", "number": 0} and len(lines) >= WAITING
+    assert lines[0] == {"node": "n1", "event": "line", "number": 0}
+    assert len(lines) >= QUEUE_MAX_LINES
--- a/tests/telemetry/test_telemetry.py
+++ b/tests/telemetry/test_telemetry.py
@@ -1,4 +1,4 @@
-"""Event lines and metrics: nothing of them may raise into a node, hold it up, or flood whoever reads."""
+"""Log events and metrics: nothing of them may raise into a node, block it, or flood whoever reads."""
 
 import io
 import logging
@@ -12,32 +12,35 @@
 from flintridge.telemetry.counters import Counters
 from flintridge.telemetry.histogram import Histogram
 from flintridge.telemetry.log import Log
-from flintridge.telemetry.sampling import Sampler
+from flintridge.telemetry.sampling import EventSampler
 
 
 def lines_of(sink: io.BytesIO) -> list[dict]:
     return [orjson.loads(line) for line in sink.getvalue().splitlines()]
 
 
-def test_fields_that_no_json_holds_make_a_line_all_the_same():
-    class Odd:
+def test_event_when_no_json_holds_its_fields_then_is_a_line_all_the_same():
+    class Unprintable:
         def __str__(self):
-            raise ValueError("odd")
+            raise ValueError("unprintable")
 
-    log = Log("n1", sink := io.BytesIO())
-    for value in (2**70, "\ud800", Odd()):
+    sink = io.BytesIO()
+    log = Log("n1", sink)
+    for value in (2**70, "\ud800", Unprintable()):
         log.event("bad", value=value)
     log.event("good", value={1: {2}})
     log.close(30)
     *bad, good = lines_of(sink)
-    assert all(line["event"] == "bad" and line["unprintable"] for line in bad) and len(bad) == 3
+    assert len(bad) == 3
+    assert all(line["event"] == "bad" and line["unserializable"] for line in bad)
     assert good == {"node": "n1", "event": "good", "value": {"1": "{2}"}}
 
 
-def test_levels_and_context():
-    log = Log("n1", sink := io.BytesIO(), level="info")
+def test_event_when_its_log_is_bound_then_carries_context_and_level():
+    sink = io.BytesIO()
+    log = Log("n1", sink, level="info")
     request = log.bind(id="a1", server="s1")
-    request.debug("left_out")
+    request.debug("below_the_level")
     request.bind(attempt=2, server="s2").event("sent", server="s3", level=5)
     request.warning("slow")
     request.error("broke", ValueError("why"))
@@ -50,53 +53,67 @@
     assert plain == {"node": "n1", "event": "plain"}
 
 
-def test_repeats_beyond_the_bound_are_counted_and_told_once_their_second_is_over():
-    now, told, began = [10.2], [], []
-    sampler = Sampler(2, lambda *held: told.append(held), lambda: began.append(now[0]), lambda: now[0])
+def test_sampler_when_events_repeat_then_reports_the_suppressed_once_their_second_is_over():
+    now_s = [10.2]
+    reports = []
+    first_suppressed_s = []
+    sampler = EventSampler(
+        2,
+        lambda event, count: reports.append((event, count)),
+        lambda: first_suppressed_s.append(now_s[0]),
+        lambda: now_s[0],
+    )
 
     def passes(event):
         return sampler.filter(logging.makeLogRecord({"msg": event}))
 
     assert [passes("a") for _ in range(5)] == [True, True, False, False, False]
-    assert passes("b") and passes("repeated") and sampler.holding and told == [] and began == [10.2]
-    now[0] = 10.9
+    assert passes("b") and passes("events_suppressed") and sampler.has_suppressed
+    assert reports == [] and first_suppressed_s == [10.2]
+    now_s[0] = 10.9
     sampler.flush()
-    assert told == [] and not passes("a")
-    now[0] = 11.0
-    assert passes("b") and told == [("a", 4)] and not sampler.holding
+    assert reports == [] and not passes("a")
+    now_s[0] = 11.0
+    assert passes("b") and reports == [("a", 4)] and not sampler.has_suppressed
     assert passes("a") and passes("a") and not passes("a")
     sampler.flush(at_once=True)
-    assert told == [("a", 4), ("a", 1)]
+    assert reports == [("a", 4), ("a", 1)]
 
 
-def test_what_is_held_back_is_told_at_the_end_at_the_latest():
-    log = Log("n1", sink := io.BytesIO(), repeats_per_s=3)
+def test_log_when_closed_then_has_reported_all_suppressed_events():
+    sink = io.BytesIO()
+    log = Log("n1", sink, repeats_per_s=3)
     for i in range(100):
         log.event("again", number=i)
     log.close(30)
     lines = lines_of(sink)
-    repeats = [line for line in lines if line["event"] == "repeated"]
-    assert sum(line["count"] for line in repeats) + len(lines) - len(repeats) == 100
-    assert {"of": "again", "level": "warning"}.items() <= repeats[-1].items() and len(lines) < 50
+    summaries = [line for line in lines if line["event"] == "events_suppressed"]
+    written = len(lines) - len(summaries)
+    assert written + sum(line["count"] for line in summaries) == 100
+    assert {"suppressed": "again", "level": "warning"}.items() <= summaries[-1].items()
+    assert len(lines) < 50
 
 
 @settings(derandomize=True, deadline=None, database=None)
 @given(st.lists(st.floats(0, 1e12), min_size=1), st.sampled_from([0.0, 0.5, 0.9, 0.99, 1.0]))
-def test_quantiles_are_within_their_bucket(figures, part):
+def test_quantile_when_asked_for_any_fraction_then_is_within_its_bucket(figures, fraction):
     histogram = Histogram()
     for figure in figures:
         histogram.observe(figure)
-    exact = sorted(figures)[max(1, math.ceil(part * len(figures))) - 1]
-    assert histogram.quantile(part) == pytest.approx(exact, rel=0.0451, abs=2e-6)
-    assert histogram.snapshot()["max"] == max(figures) and histogram.count == len(figures)
+    exact = sorted(figures)[max(1, math.ceil(fraction * len(figures))) - 1]
+    assert histogram.quantile(fraction) == pytest.approx(exact, rel=0.0451, abs=2e-6)
+    assert histogram.snapshot()["max"] == max(figures)
+    assert histogram.count == len(figures)
 
 
-def test_counters_and_histograms_by_name():
+def test_counters_when_added_to_then_report_counts_and_histograms_by_name():
     counters = Counters()
-    counters.add("taken")
-    for wrong in (-1, math.nan, math.inf):
+    counters.add("requests")
+    for invalid in (-1, math.nan, math.inf):
         with pytest.raises(ValueError, match="not a figure"):
-            counters.observe("list_ms", wrong)
+            counters.observe("list_ms", invalid)
     counters.observe("list_ms", 8)
-    assert counters.snapshot() == {"taken": 1} and counters["none"] == 0
-    assert counters.histograms()["list_ms"]["count"] == 1 and Histogram().quantile(0.5) == 0
+    assert counters.snapshot() == {"requests": 1}
+    assert counters["none"] == 0
+    assert counters.histograms()["list_ms"]["count"] == 1
+    assert Histogram().quantile(0.5) == 0
