--- a/flintridge/__main__.py
+++ b/flintridge/__main__.py
@@ -1,14 +1,14 @@
-"""The daemon: reads its configuration, starts one node, and minds the signals."""
+"""The node's program: reads its configuration, runs one node, and handles signals."""
 
 import signal
 import sys
 
-early: list[int] = []  # signals to read the configuration again that came before a node could
+early_reloads: list[int] = []  # SIGHUPs that came before there was a node to reload
 if __name__ == "__main__":
     # Guards the start: a SIGHUP that comes while modules are imported and the configuration is read would end
     # the program, and one that comes after it was read must not be lost.
-    signal.signal(signal.SIGHUP, lambda number, _: early.append(number))
-    # One that is told to end before it serves has taken nothing: that is an end as good as any. It must not
+    signal.signal(signal.SIGHUP, lambda number, _: early_reloads.append(number))
+    # A process that is told to end before it serves has accepted nothing: that is a clean exit. It must not
     # wait for the configuration either.
     signal.signal(signal.SIGTERM, lambda *_: sys.exit(0))
 
@@ -22,89 +22,116 @@
 from flintridge.settings import ConfigError, NodeConfig, load_config
 from flintridge.telemetry.log import Log
 
+EXIT_OK = 0
+EXIT_NOT_LISTENING = 1
+EXIT_BAD_CONFIG = 2
 
-async def run(config: NodeConfig, log: Log, turns: ArrivalTrackingSelector | None = None) -> None:
+TERMINATION_SIGNALS = (signal.SIGTERM, signal.SIGINT)
+HANDLED_SIGNALS = (*TERMINATION_SIGNALS, signal.SIGHUP, signal.SIGUSR1)
+
+
+async def run(config: NodeConfig, log: Log, selector: ArrivalTrackingSelector | None = None) -> None:
+    """Run one node until SIGTERM or SIGINT has ended it gracefully.
+
+    Args:
+        config: The node's.
+        log: Takes its events.
+        selector: The event loop's, where that notes arrivals.
+
+    Raises:
+        ConfigError: The configured endpoint list is malformed.
+        ListenError: A listener could not be opened.
+    """
     loop = asyncio.get_running_loop()
-    loop.set_exception_handler(lambda _, said: _unhandled(log, said))
-    ending = asyncio.Event()
-    # From here on the loop minds what comes: the node starts, serves as it must, and leaves.
-    for number in (signal.SIGTERM, signal.SIGINT):
-        loop.add_signal_handler(number, ending.set)
-    # What is signalled until the loop goes on is carried out by the handler that stands then.
-    loop.add_signal_handler(signal.SIGHUP, early.append, signal.SIGHUP)
-    node = Node(config, SystemClock(loop, selector=turns), log, shared=os.environ.get("TMPDIR") or "/tmp")
+    loop.set_exception_handler(lambda _, context: _log_unhandled(log, context))
+    termination = asyncio.Event()
+    # From here on the loop handles what comes: the node starts, serves as it must, and terminates.
+    for number in TERMINATION_SIGNALS:
+        loop.add_signal_handler(number, termination.set)
+    # What is signalled until the loop goes on is carried out by the handler that is set then.
+    loop.add_signal_handler(signal.SIGHUP, early_reloads.append, signal.SIGHUP)
+    clock = SystemClock(loop, selector=selector)
+    node = Node(config, clock, log, shared=os.environ.get("TMPDIR") or "/tmp")
     loop.add_signal_handler(signal.SIGHUP, _reload, node)
     loop.add_signal_handler(signal.SIGUSR1, node.tell_counters)
     await node.start()
-    if early:
+    if early_reloads:
         log.event("reload_early")
         _reload(node)
-    await ending.wait()
+    await termination.wait()
     await node.leave()
 
 
-async def _whole_life(config: NodeConfig, log: Log, turns: ArrivalTrackingSelector) -> None:
-    await run(config, log, turns)
-    _mind_no_more(asyncio.get_running_loop())
+def main() -> int:
+    """Run the program; the exit code."""
+    try:
+        config = load_config()
+    except ConfigError as error:
+        return _exit_for(error)
+    log = Log(config.name, level=config.log_level, repeats_per_s=config.log_repeats_per_s)
+    try:
+        _run_in_event_loop(config, log)
+    except (ConfigError, ListenError) as error:
+        return _exit_for(error)
+    finally:
+        log.close()
+    return EXIT_OK
+
+
+def _run_in_event_loop(config: NodeConfig, log: Log) -> None:
+    selector = ArrivalTrackingSelector()
+    with (
+        contextlib.suppress(KeyboardInterrupt),
+        asyncio.Runner(loop_factory=lambda: asyncio.SelectorEventLoop(selector)) as runner,
+    ):
+        runner.run(_run_and_ignore_signals(config, log, selector))
+
 
+async def _run_and_ignore_signals(config: NodeConfig, log: Log, selector: ArrivalTrackingSelector) -> None:
+    await run(config, log, selector)
+    _ignore_signals(asyncio.get_running_loop())
 
-def _mind_no_more(loop: asyncio.AbstractEventLoop) -> None:
-    """Of a process that does nothing more.
 
-    Guards a good end, and the last lines of the log, against a signal that comes behind it: a loop that
-    closes leaves each of its signals to the system's default, which ends the process like one killed."""
-    minded = (signal.SIGTERM, signal.SIGINT, signal.SIGHUP, signal.SIGUSR1)
-    signal.pthread_sigmask(signal.SIG_BLOCK, minded)
-    for number in minded:
+def _ignore_signals(loop: asyncio.AbstractEventLoop) -> None:
+    """Ignore whatever comes once the node has terminated.
+
+    Guards the exit code, and the last lines of the log, against a late signal: a loop that closes leaves each
+    of its signals to the system's default, which ends the process like one killed.
+    """
+    signal.pthread_sigmask(signal.SIG_BLOCK, HANDLED_SIGNALS)
+    for number in HANDLED_SIGNALS:
         loop.remove_signal_handler(number)
         signal.signal(number, signal.SIG_IGN)
 
 
 def _reload(node: Node) -> None:
-    """It never raises: a node in service must not end, nor lose a request, by a file that is bad."""
+    """Read the configuration again.
+
+    It never raises: a node in service must not end, nor lose a request, by a file that is bad.
+    """
     try:
-        new = load_config()
+        config = load_config()
     except ConfigError as error:
         node.refuse_reload(error)
     else:
-        node.reload(new)
+        node.reload(config)
 
 
-def _unhandled(log: Log, said: dict[str, object]) -> None:
-    error = said.get("exception")
+def _log_unhandled(log: Log, context: dict[str, object]) -> None:
+    """Log what the event loop reports of an exception that nobody caught."""
+    error = context.get("exception")
+    message = str(context.get("message"))
     if isinstance(error, BaseException):
-        log.error("unhandled", error, message=str(said.get("message")))
+        log.error("unhandled", error, message=message)
     else:
-        log.event("unhandled", message=str(said.get("message")))
+        log.event("unhandled", message=message)
 
 
-def _refused(error: ConfigError) -> int:
+def _exit_for(error: ConfigError | ListenError) -> int:
+    """Tell the operator why the program ends; the exit code."""
     for line in str(error).splitlines():
         print(f"flintridge: {line}", file=sys.stderr)
-    return 2
-
-
-def main() -> int:
-    try:
-        config = load_config()
-    except ConfigError as error:
-        return _refused(error)
-    log = Log(config.name, level=config.log_level, repeats_per_s=config.log_repeats_per_s)
-    try:
-        turns = ArrivalTrackingSelector()
-        with (
-            contextlib.suppress(KeyboardInterrupt),
-            asyncio.Runner(loop_factory=lambda: asyncio.SelectorEventLoop(turns)) as runner,
-        ):
-            runner.run(_whole_life(config, log, turns))
-    except ConfigError as error:
-        return _refused(error)
-    except ListenError as error:
-        print(f"flintridge: {error}", file=sys.stderr)
-        return 1
-    finally:
-        log.close()
-    return 0
+    return EXIT_BAD_CONFIG if isinstance(error, ConfigError) else EXIT_NOT_LISTENING
 
 
 if __name__ == "__main__":
--- a/tests/test_simulator_adapter.py
+++ b/tests/test_simulator_adapter.py
@@ -1,4 +1,4 @@
-"""The adapter: codec round trips, bad input, determinism."""
+"""The simulator adapter: its codec, malformed input, determinism."""
 
 import json
 import os
@@ -8,7 +8,10 @@
 import pytest
 from support.paths import ROOT
 
-from flintridge import api, simulator_adapter
+from flintridge import api
+from flintridge.settings import settings_from
+from flintridge.simulator_adapter import PolicyHost
+from flintridge.simulator_codec import decode_event, encode_action
 
 CONFIG = {
     "discovery": "on_request",
@@ -22,7 +25,7 @@
 }
 
 
-def run(text: str, hash_seed: str = "0") -> subprocess.CompletedProcess:
+def run_adapter(text: str, hash_seed: str = "0") -> subprocess.CompletedProcess:
     return subprocess.run(
         [sys.executable, "-m", "flintridge.simulator_adapter"],
         input=text,
@@ -34,7 +37,7 @@
     )
 
 
-def day(instances: list[int]) -> str:
+def scenario(instances: list[int]) -> str:
     lines = ["CLOCK 5000000000", "YOUR_TURN", "", "CLOCK 6000000000"]
     for i in instances:
         lines.append(f"PROVISION {i} {i + 7} {json.dumps(CONFIG)}")
@@ -52,8 +55,12 @@
     return "\n".join(lines) + "\n"
 
 
-def test_the_wire_is_spoken_and_the_end_of_input_ends_it():
-    done = run(day([0]))
+def action_lines(output: str) -> list[str]:
+    return [line for line in output.split("\n") if line and line != "YIELD"]
+
+
+def test_adapter_when_given_batches_then_replies_to_each_and_ends_with_the_input():
+    done = run_adapter(scenario([0]))
     assert done.returncode == 0 and done.stderr == ""
     replies = done.stdout.split("YIELD\n")
     assert replies[0] == ""
@@ -61,13 +68,13 @@
     assert replies[2].startswith("TRANSMIT 0 id-0-0 10.0.0.")
 
 
-def test_same_actions_across_hash_seeds_and_processes():
-    both = run(day([0, 1]), "1").stdout
-    assert both == run(day([0, 1]), "2").stdout
+def test_actions_when_hash_seed_and_process_differ_then_are_the_same():
+    both = run_adapter(scenario([0, 1]), "1").stdout
+    assert both == run_adapter(scenario([0, 1]), "2").stdout
     for i in (0, 1):
-        alone = [x for x in run(day([i]), "3").stdout.split("\n") if x != "YIELD"]
-        together = [x for x in both.split("\n") if x != "YIELD" and (not x or x.split(" ")[1] == str(i))]
-        assert [x for x in alone if x] == [x for x in together if x]
+        alone = action_lines(run_adapter(scenario([i]), "3").stdout)
+        together = [line for line in action_lines(both) if line.split(" ")[1] == str(i)]
+        assert alone == together
 
 
 @pytest.mark.parametrize(
@@ -82,47 +89,48 @@
         "BELL zero 1",
     ],
 )
-def test_malformed_input_is_named_and_ends_the_adapter(line):
-    done = run(f"CLOCK 1\n{line}\nYOUR_TURN\n")
+def test_adapter_when_a_line_is_malformed_then_names_it_and_ends(line):
+    done = run_adapter(f"CLOCK 1\n{line}\nYOUR_TURN\n")
     assert done.returncode != 0
     assert line[:15] in done.stderr
     assert "Traceback" not in done.stderr
 
 
-def test_input_outside_a_batch_is_malformed():
-    assert "CLOCK" in run("QUERY 0 x\n").stderr
-    assert run("CLOCK 1\nBELL 0 1\n").returncode != 0
+def test_adapter_when_input_is_outside_a_batch_then_names_it_and_ends():
+    assert "CLOCK" in run_adapter("QUERY 0 x\n").stderr
+    assert run_adapter("CLOCK 1\nBELL 0 1\n").returncode != 0
 
 
-def test_a_broken_module_is_reported_as_a_panic(monkeypatch):
-    host = simulator_adapter.Host()
-    host.batch(1, iter([f"PROVISION 0 1 {json.dumps(CONFIG)}"]))
+def test_host_when_a_policy_breaks_then_reports_a_panic(monkeypatch):
+    host = PolicyHost()
+    host.handle_batch(1, iter([f"PROVISION 0 1 {json.dumps(CONFIG)}"]))
     monkeypatch.setattr(host.instances[0], "handle", lambda now, event: 1 // 0)
-    assert host.batch(2, iter(["BELL 0 1"])) == [
+    assert host.handle_batch(2, iter(["BELL 0 1"])) == [
         "PANIC 0 ZeroDivisionError: integer division or modulo by zero"
     ]
 
 
-def test_events_become_api_events():
+def test_decode_event_when_given_each_event_then_returns_the_policys():
     none = iter(())
-    decode = simulator_adapter.decode_event
-    assert decode("QUERY 0 u 1 9 1 - 2 0 - -", none) == api.RequestReceived("u", 9, 0, None, True, 2, True)
-    assert decode("VERDICT 0 u 1 0 s:1 5 2 M util:0.5,new_field:2", none) == api.AttemptEnded(
+    assert decode_event("QUERY 0 u 1 9 1 - 2 0 - -", none) == api.RequestReceived(
+        "u", 9, 0, None, True, 2, True
+    )
+    assert decode_event("VERDICT 0 u 1 0 s:1 5 2 M util:0.5,new_field:2", none) == api.AttemptEnded(
         "u", 2, "s:1", api.Outcome.MISS, 5, False, 1, {"util": 0.5, "new_field": 2.0}
     )
-    assert decode("FIRST 0 u 1 5 s:1", none) == api.StreamStarted("u", 1, "s:1", 5)
-    assert decode("CANCELLED_BY_CLIENT 0 u", none) == api.ClientDisconnected("u")
-    assert decode("CHECK_RESULT 0 s:1 S 7 queue:3", none) == api.HealthCheckEnded(
+    assert decode_event("FIRST 0 u 1 5 s:1", none) == api.StreamStarted("u", 1, "s:1", 5)
+    assert decode_event("CANCELLED_BY_CLIENT 0 u", none) == api.ClientDisconnected("u")
+    assert decode_event("CHECK_RESULT 0 s:1 S 7 queue:3", none) == api.HealthCheckEnded(
         "s:1", api.Outcome.OK, 7, {"queue": 3.0}
     )
-    assert decode("INBOX 0 1 6869", none) == api.PeerMessage(1, b"hi")
-    assert decode("BELL 0 77", none) == api.TimerFired(77)
-    assert decode("FLEET 0 patch 3 1", iter(["M LAME s:1 1.5 4 1 - 2"])) == api.EndpointUpdate(
+    assert decode_event("INBOX 0 1 6869", none) == api.PeerMessage(1, b"hi")
+    assert decode_event("BELL 0 77", none) == api.TimerFired(77)
+    assert decode_event("FLEET 0 patch 3 1", iter(["M LAME s:1 1.5 4 1 - 2"])) == api.EndpointUpdate(
         api.UpdateKind.DELTA, 3, (api.Endpoint("s:1", api.EndpointState.DRAINING, 1.5, 4, 1, 0, 2),)
     )
 
 
-def test_actions_become_lines():
+def test_encode_action_when_given_each_action_then_returns_its_line():
     lines = {
         api.Send("u", "s:1", 5): "TRANSMIT 3 u s:1 5",
         api.Cancel("u", 1): "RETRACT 3 u 1",
@@ -136,13 +144,13 @@
         api.SendToPeer(None, b"hi"): "WRITE_PEER 3 * 6869",
         api.Log("two\nlines"): "SAY_LOG 3 two lines",
     }
-    assert {a: simulator_adapter.encode_action(3, a) for a in lines} == lines
+    assert {action: encode_action(3, action) for action in lines} == lines
 
 
-def test_absent_settings_take_the_documented_defaults():
-    assert simulator_adapter.settings_from({}) == api.Settings()
-    known = simulator_adapter.settings_from(CONFIG)
-    assert known.limits.max_attempts == 4 and known.origin_kind == 2
+def test_settings_when_absent_then_take_the_documented_defaults():
+    assert settings_from({}) == api.Settings()
+    settings = settings_from(CONFIG)
+    assert settings.limits.max_attempts == 4 and settings.origin_kind == 2
 
 
 @pytest.mark.parametrize(
@@ -156,20 +164,20 @@
         (lambda: api.Rules(slow_start_fraction=float("nan")), "slow_start_fraction"),
     ],
 )
-def test_invalid_settings_name_the_field(make, name):
+def test_settings_when_invalid_then_the_error_names_the_field(make, name):
     with pytest.raises(ValueError, match=name):
         make()
 
 
-def test_the_goal_of_later_sites_is_taken_and_a_bad_value_is_named():
+def test_goal_when_a_site_sets_it_then_is_read_and_an_invalid_value_is_named():
     goal = {"whole": 0.35, "tail": 0.2, "tailSlack": 0.02, "availability": 0.3, "fullAtNines": 3}
-    taken = simulator_adapter.settings_from(CONFIG | {"goal": goal}).goal
-    assert (taken.whole, taken.tail, taken.tail_slack) == (0.35, 0.2, 0.02)
-    assert (taken.availability, taken.full_at_nines) == (0.3, 3)
-    assert simulator_adapter.settings_from(CONFIG).goal == api.Goal()
+    parsed = settings_from(CONFIG | {"goal": goal}).goal
+    assert (parsed.whole, parsed.tail, parsed.tail_slack) == (0.35, 0.2, 0.02)
+    assert (parsed.availability, parsed.full_at_nines) == (0.3, 3)
+    assert settings_from(CONFIG).goal == api.Goal()
     for key, field in (("tailSlack", "tail_slack"), ("fullAtNines", "full_at_nines")):
         with pytest.raises(ValueError, match=field):
-            simulator_adapter.settings_from(CONFIG | {"goal": {key: -1}})
+            settings_from(CONFIG | {"goal": {key: -1}})
     config = json.dumps(CONFIG | {"goal": {"tailSlack": "few"}})
-    done = run(f"CLOCK 5\nPROVISION 0 7 {config}\nYOUR_TURN\n")
+    done = run_adapter(f"CLOCK 5\nPROVISION 0 7 {config}\nYOUR_TURN\n")
     assert done.returncode == 1 and "tail_slack" in done.stderr
