--- a/tests/support/program.py
+++ b/tests/support/program.py
@@ -1,11 +1,13 @@
-"""The real program, started as it is deployed."""
+"""The real program, started as it is deployed, and responses of the servers that it talks to."""
 
 import asyncio
+import contextlib
 import json
 import os
 import resource
 import subprocess
 import sys
+from collections.abc import AsyncIterator
 
 from support.network import Peer
 from support.paths import ROOT
@@ -22,22 +24,27 @@
 }
 
 
-def id_of(command: bytes) -> bytes:
+def request_id(command: bytes) -> bytes:
+    """The id in a memcache command."""
     return command.split(b" O")[1].split()[0]
 
 
 def cache(command: bytes) -> bytes:
-    """Holds the key `kept` and no other."""
-    held = command.startswith(b"mg kept ")
-    return b"VA 4 O%b h1\r\nmenu\r\n" % id_of(command) if held else b"EN O%b h0\r\n" % id_of(command)
+    """The response of a cache server that has a value for the key `kept` and no other."""
+    if command.startswith(b"mg kept "):
+        return b"VA 4 O%b h1\r\nmenu\r\n" % request_id(command)
+    return b"EN O%b h0\r\n" % request_id(command)
 
 
 def origin(request: bytes) -> bytes:
+    """The response of an origin server."""
     body = b"r77" if request.startswith(b"PUT ") else b"fresh\r\n"
     return b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%b" % (len(body), body)
 
 
 class Program:
+    """A node's program with a configuration of its own."""
+
     def __init__(self, tmp_path, peers: dict[str, Peer], discovery: Peer) -> None:
         members = [
             {"id": name, "host_port": f"127.0.0.1:{peer.port}", "flavor": name, "phase": "in_service"}
@@ -55,18 +62,38 @@
         }
         self.config.write_text(json.dumps(config))
 
-    async def start(self, files: int | None = None, text: str | None = None) -> int:
-        """`files`: the descriptors that it may hold. `text`: a program that runs it, in place of itself."""
+    async def start(self, max_descriptors: int | None = None, text: str | None = None) -> int:
+        """Start it and wait until it serves; the port of its listener.
+
+        `max_descriptors`: how many it may have open. `text`: a program that runs it, in place of itself.
+        """
         program = ("-m", "flintridge") if text is None else ("-c", text)
-        limit = files and (lambda: resource.setrlimit(resource.RLIMIT_NOFILE, (files, files)))
+        limits = (max_descriptors, max_descriptors)
+        set_limits = max_descriptors and (lambda: resource.setrlimit(resource.RLIMIT_NOFILE, limits))
         self.process = await asyncio.create_subprocess_exec(
-            sys.executable, *program, cwd=ROOT, stdout=subprocess.PIPE, preexec_fn=limit,
+            sys.executable, *program, cwd=ROOT, stdout=subprocess.PIPE, preexec_fn=set_limits,
             env={**os.environ, "PROXY_CONFIG": str(self.config)},
         )  # fmt: skip
         return (await self.event("serving"))["port"]
 
+    @contextlib.asynccontextmanager
+    async def running(self, max_descriptors: int | None = None) -> AsyncIterator[int]:
+        """As `start`; the process is killed where it still runs at the end."""
+        port = await self.start(max_descriptors)
+        try:
+            yield port
+        finally:
+            self.kill()
+
+    def kill(self) -> None:
+        """Kill the process where it runs."""
+        if self.process.returncode is None:
+            self.process.kill()
+
     async def event(self, name: str) -> dict:
+        """Read the log up to the next event of that name; its fields."""
         async for line in self.process.stdout:
-            if (event := json.loads(line))["event"] == name:
+            event = json.loads(line)
+            if event["event"] == name:
                 return event
         raise AssertionError(f"the program ended without {name!r}")
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -14,12 +14,15 @@
 from support.program import Program, cache, origin
 
 
-def test_reads_misses_and_writes_pass_through_and_sigterm_ends_it_well(tmp_path):
+def test_program_when_reads_misses_and_writes_come_then_serves_them_and_exits_cleanly_at_sigterm(tmp_path):
     async def test():
-        async with Peer(cache) as box, Peer(origin) as main, Peer(lambda _: b"") as discovery:
-            program = Program(tmp_path, {"box": box, "origin": main}, discovery)
-            port = await program.start()
-            try:
+        async with (
+            Peer(cache) as cache_server,
+            Peer(origin) as origin_server,
+            Peer(lambda _: b"") as discovery,
+        ):
+            program = Program(tmp_path, {"box": cache_server, "origin": origin_server}, discovery)
+            async with program.running() as port:
                 reader, writer = await asyncio.open_connection("127.0.0.1", port)
                 writer.write(b"mn\r\nmg kept v Oa1 Pc=read,d=9000\r\nmg other v Oa2 Pc=read,d=9000\r\n")
                 writer.write(b"ms kept 2 Oa3 Pc=put,d=9000,k=5c\r\nhi\r\nnonsense\r\n")
@@ -28,8 +31,10 @@
                     b"CLIENT_ERROR unknown command\r\n"
                 )
                 assert await reader.readexactly(len(expected)) == expected
-                told = re.search(rb"Req-Id: a2\r\nReq-Extra: c=read,d=(\d+)\r\n", b"".join(main.got))
-                assert told is not None and 0 < int(told[1]) < 9000  # what is left
+                timeout = re.search(
+                    rb"Req-Id: a2\r\nReq-Extra: c=read,d=(\d+)\r\n", b"".join(origin_server.got)
+                )
+                assert timeout is not None and 0 < int(timeout[1]) < 9000  # what remains of the client's
                 assert discovery.got[0].startswith(b"GET /api/targets?after=41&wait_ms=")
                 program.process.send_signal(signal.SIGUSR1)
                 counters = await program.event("counters")
@@ -38,108 +43,94 @@
                 assert await reader.read() == b""
                 assert (await program.event("counters"))["bad_commands"] == 1
                 assert await program.process.wait() == 0
-            finally:
-                if program.process.returncode is None:
-                    program.process.kill()
 
     asyncio.run(test())
 
 
-def test_requests_under_way_at_sigterm_are_answered(tmp_path):
+def test_requests_when_in_flight_at_sigterm_then_have_their_responses(tmp_path):
     async def test():
-        async with Peer(lambda _: b"") as box, Peer(lambda _: b"") as discovery:
-            program = Program(tmp_path, {"box": box}, discovery)
-            port = await program.start()
-            try:
+        async with Peer(lambda _: b"") as cache_server, Peer(lambda _: b"") as discovery:
+            program = Program(tmp_path, {"box": cache_server}, discovery)
+            async with program.running() as port:
                 reader, writer = await asyncio.open_connection("127.0.0.1", port)
                 writer.write(b"mg kept v Oa1 Pc=read,d=9000\r\n")
-                while not box.got:
+                while not cache_server.got:
                     await asyncio.sleep(0.001)
                 program.process.send_signal(signal.SIGTERM)
                 await program.event("leaving")
-                box.writers[0].write(cache(box.got[0]))
+                cache_server.writers[0].write(cache(cache_server.got[0]))
                 assert await reader.read() == b"VA 4 Oa1\r\nmenu\r\n"
                 assert await program.process.wait() == 0
-            finally:
-                if program.process.returncode is None:
-                    program.process.kill()
 
     asyncio.run(test())
 
 
-def test_a_burst_of_connections_does_not_use_up_the_descriptors(tmp_path):
-    """Guards against a second without any accept: more were taken in one go than could be turned away."""
+def test_connections_when_a_burst_comes_then_do_not_exhaust_the_descriptors(tmp_path):
+    """Guards against a second without any accept: more were accepted in one go than could be rejected."""
 
     async def test():
-        async with Peer(cache) as box, Peer(lambda _: b"") as discovery:
-            program = Program(tmp_path, {"box": box}, discovery)
+        async with Peer(cache) as cache_server, Peer(lambda _: b"") as discovery:
+            program = Program(tmp_path, {"box": cache_server}, discovery)
             config = json.loads(program.config.read_text())
             program.config.write_text(json.dumps(config | {"limits": {"sockets": 128}}))
-            port = await program.start(files=128)
-            try:
+            async with program.running(max_descriptors=128) as port:
                 program.process.send_signal(signal.SIGSTOP)  # they all wait when it goes on
-                asked = b"mg kept v Oa%d Pc=read,d=9000\r\n"
+                command = b"mg kept v Oa%d Pc=read,d=9000\r\n"
                 burst = [await asyncio.open_connection("127.0.0.1", port) for _ in range(300)]
                 for i, (_, writer) in enumerate(burst):
-                    writer.write(asked % i)
+                    writer.write(command % i)
                 program.process.send_signal(signal.SIGCONT)
-                answers = [await reader.readline() for reader, _ in burst]
-                assert sum(line.startswith((b"VA 4 Oa", b"SERVER_ERROR busy")) for line in answers) >= 295
+                responses = [await reader.readline() for reader, _ in burst]
+                assert sum(line.startswith((b"VA 4 Oa", b"SERVER_ERROR busy")) for line in responses) >= 295
                 program.process.send_signal(signal.SIGTERM)
                 log = (await program.process.stdout.read()).splitlines()
                 events = [json.loads(line)["event"] for line in log]
                 assert "left" in events and "unhandled" not in events
                 assert await program.process.wait() == 0
-            finally:
-                if program.process.returncode is None:
-                    program.process.kill()
 
     asyncio.run(test())
 
 
-def test_sighup_reads_the_configuration_again_and_a_bad_one_changes_nothing(tmp_path):
+def test_sighup_when_the_configuration_changed_then_applies_it_unless_it_is_bad(tmp_path):
     async def test():
         async with (
-            Peer(cache) as box,
-            Peer(lambda _: b"") as asked,
-            Peer(lambda _: b"") as first,
-            Peer(lambda _: b"") as then,
+            Peer(cache) as cache_server,
+            Peer(lambda _: b"") as origin_server,
+            Peer(lambda _: b"") as first_discovery,
+            Peer(lambda _: b"") as next_discovery,
         ):
-            program = Program(tmp_path, {"box": box, "origin": asked}, first)
-            port = await program.start()
-            try:
+            program = Program(tmp_path, {"box": cache_server, "origin": origin_server}, first_discovery)
+            async with program.running() as port:
                 reader, writer = await asyncio.open_connection("127.0.0.1", port)
-                writer.write(b"mg other v Oa1 Pc=read,d=9000\r\n")  # held at the origin throughout
-                while not asked.got:
+                writer.write(b"mg other v Oa1 Pc=read,d=9000\r\n")  # the origin responds at the end only
+                while not origin_server.got:
                     await asyncio.sleep(0.001)
-                good = program.config.read_text()
-                program.config.write_text(good[:-9])
+                valid_text = program.config.read_text()
+                program.config.write_text(valid_text[:-9])
                 program.process.send_signal(signal.SIGHUP)
                 assert "JSON" in (await program.event("reload_refused"))["error"]
-                changed = json.loads(good) | {"discovery": f"127.0.0.1:{then.port}", "name": "n2"}
-                program.config.write_text(json.dumps(changed))
+                changes = {"discovery": f"127.0.0.1:{next_discovery.port}", "name": "n2"}
+                program.config.write_text(json.dumps(json.loads(valid_text) | changes))
                 program.process.send_signal(signal.SIGHUP)
-                said = await program.event("reloaded")
-                assert (said["changed"], said["until_restart"]) == (["discovery"], ["name"])
-                while not then.got:
+                reloaded = await program.event("reloaded")
+                assert (reloaded["changed"], reloaded["until_restart"]) == (["discovery"], ["name"])
+                while not next_discovery.got:
                     await asyncio.sleep(0.001)
-                assert then.got[0].startswith(b"GET /api/targets HTTP")
+                assert next_discovery.got[0].startswith(b"GET /api/targets HTTP")
                 program.process.send_signal(signal.SIGHUP)  # with nothing new in the file
                 assert (await program.event("reloaded"))["changed"] == []
-                asked.writers[0].write(origin(asked.got[0]))
+                origin_server.writers[0].write(origin(origin_server.got[0]))
                 assert await reader.readexactly(19) == b"VA 7 Oa1\r\nfresh\r\n\r\n"
-                assert len(asked.got) == 1 and (first.connections, then.connections) == (1, 1)
+                assert len(origin_server.got) == 1
+                assert (first_discovery.connections, next_discovery.connections) == (1, 1)
                 program.process.send_signal(signal.SIGTERM)
                 assert await program.process.wait() == 0
-            finally:
-                if program.process.returncode is None:
-                    program.process.kill()
 
     asyncio.run(test())
 
 
 @pytest.mark.parametrize(
-    ("text", "said"),
+    ("text", "message"),
     [
         (None, "PROXY_CONFIG"),
         ("{", "not JSON"),
@@ -149,7 +140,7 @@
         ('{"settings": {}, "listen": "127.0.0.1:0", "discovery": "127.0.0.1:1", "known": 5}', "known"),
     ],
 )
-def test_a_wrong_configuration_is_one_clear_line(tmp_path, text, said):
+def test_program_when_its_configuration_is_bad_then_says_so_in_one_line(tmp_path, text, message):
     path = tmp_path / "config.json"
     env = {k: v for k, v in os.environ.items() if not k.startswith("PROXY_")}
     if text is not None:
@@ -158,5 +149,5 @@
     done = subprocess.run(
         [sys.executable, "-m", "flintridge"], cwd=ROOT, env=env, capture_output=True, text=True
     )
-    assert done.returncode == 2 and said in done.stderr
+    assert done.returncode == 2 and message in done.stderr
     assert done.stderr.startswith("flintridge: ") and done.stderr.count("\n") == 1
--- a/tests/test_program_signals.py
+++ b/tests/test_program_signals.py
@@ -10,12 +10,12 @@
 from support.program import Program, cache
 
 
-def test_sighup_and_sigterm_while_a_process_starts_lose_nothing(tmp_path):
+def test_sighup_when_the_process_is_starting_then_is_carried_out_once_it_serves(tmp_path):
     """The configuration is a pipe that nobody has written to yet: the program waits for it, for certain."""
 
     async def test():
-        async with Peer(cache) as box, Peer(lambda _: b"") as discovery:
-            program = Program(tmp_path, {"box": box}, discovery)
+        async with Peer(cache) as cache_server, Peer(lambda _: b"") as discovery:
+            program = Program(tmp_path, {"box": cache_server}, discovery)
             text = program.config.read_bytes()
             program.config.unlink()
             os.mkfifo(program.config)
@@ -38,18 +38,17 @@
                 assert await reader.read() == b"menu\r\n"
                 assert await program.process.wait() == 0
             finally:
-                if program.process.returncode is None:
-                    program.process.kill()
+                program.kill()
 
     asyncio.run(test())
 
 
-def test_sigterm_before_a_process_serves_is_an_end_as_good_as_any(tmp_path):
+def test_sigterm_when_the_process_does_not_serve_yet_then_exits_cleanly(tmp_path):
     """The configuration is a pipe to which nobody writes: it must not wait for that either."""
 
     async def test():
-        async with Peer(cache) as box, Peer(lambda _: b"") as discovery:
-            program = Program(tmp_path, {"box": box}, discovery)
+        async with Peer(cache) as cache_server, Peer(lambda _: b"") as discovery:
+            program = Program(tmp_path, {"box": cache_server}, discovery)
             program.config.unlink()
             os.mkfifo(program.config)
             starting = asyncio.ensure_future(program.start())
@@ -64,18 +63,18 @@
     asyncio.run(test())
 
 
-@pytest.mark.parametrize("late", [signal.SIGTERM, signal.SIGHUP, signal.SIGUSR1, signal.SIGINT])
-def test_a_signal_behind_the_end_changes_nothing(tmp_path, late):
+@pytest.mark.parametrize("late_signal", [signal.SIGTERM, signal.SIGHUP, signal.SIGUSR1, signal.SIGINT])
+def test_signal_when_the_node_has_terminated_then_changes_nothing(tmp_path, late_signal):
     """It comes as the loop has closed and the log is written out: the last thing that the program does."""
 
     async def test():
-        async with Peer(cache) as box, Peer(lambda _: b"") as discovery:
-            program = Program(tmp_path, {"box": box}, discovery)
+        async with Peer(cache) as cache_server, Peer(lambda _: b"") as discovery:
+            program = Program(tmp_path, {"box": cache_server}, discovery)
             text = (
                 "import os, runpy, signal\n"
                 "from flintridge.telemetry.log import Log\n"
                 "close = Log.close\n"
-                f"Log.close = lambda log: (os.kill(os.getpid(), {int(late)}), close(log))\n"
+                f"Log.close = lambda log: (os.kill(os.getpid(), {int(late_signal)}), close(log))\n"
                 "runpy.run_module('flintridge', run_name='__main__')\n"
             )
             await program.start(text=text)
@@ -88,21 +87,20 @@
     asyncio.run(test())
 
 
-def test_a_request_and_sigterm_that_reach_a_process_together(tmp_path):
-    """Both wait while it is stopped, on a resting connection and in the listener's queue."""
+def test_request_when_it_arrives_with_sigterm_then_has_its_response(tmp_path):
+    """Both wait while it is stopped, on an idle connection and in the listener's queue."""
 
     async def test():
-        async with Peer(cache) as box, Peer(lambda _: b"") as discovery:
-            program = Program(tmp_path, {"box": box}, discovery)
-            port = await program.start()
-            try:
+        async with Peer(cache) as cache_server, Peer(lambda _: b"") as discovery:
+            program = Program(tmp_path, {"box": cache_server}, discovery)
+            async with program.running() as port:
                 reader, writer = await asyncio.open_connection("127.0.0.1", port)
                 writer.write(b"mn\r\n")
                 assert await reader.readline() == b"MN\r\n"
                 program.process.send_signal(signal.SIGSTOP)
                 queued, queued_writer = await asyncio.open_connection("127.0.0.1", port)
-                for number, one in enumerate((writer, queued_writer)):
-                    one.write(b"mg kept v Oa%d Pc=read,d=9000\r\n" % number)
+                for number, client in enumerate((writer, queued_writer)):
+                    client.write(b"mg kept v Oa%d Pc=read,d=9000\r\n" % number)
                 program.process.send_signal(signal.SIGTERM)
                 program.process.send_signal(signal.SIGCONT)
                 assert await reader.read() == b"VA 4 Oa0\r\nmenu\r\n"
@@ -110,8 +108,5 @@
                 writer.close()
                 queued_writer.close()
                 assert await program.process.wait() == 0
-            finally:
-                if program.process.returncode is None:
-                    program.process.kill()
 
     asyncio.run(test())
--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -89,7 +89,7 @@
 
 
 class DownstreamHarness:
-    """A client side in virtual time, whose requests the test answers."""
+    """A client side in virtual time, whose requests the test responds to."""
 
     def __init__(self, max_connections: int = 64) -> None:
         self.clock = HandClock()
@@ -121,7 +121,7 @@
         self.shutdown.terminate(self.clock.now())
         self.downstream.ending()
 
-    def answer(self, request_id: str) -> None:
+    def respond(self, request_id: str) -> None:
         self.core._fail_overdue(request_id)
 
 
@@ -144,21 +144,21 @@
         assert not probing.at_eof()
         node.clock.go(1)
         assert await probing.read() == b""
-        node.answer("r1")
+        node.respond("r1")
         assert await busy.read() == b"SERVER_ERROR failed\r\n"
-        node.answer("r2")
+        node.respond("r2")
         assert await late.read() == b"SERVER_ERROR failed\r\n"
         late_writer.close()
         await settle()
         assert node.shutdown.state is ServiceState.DRAINING  # two have not closed their half
         node.clock.go(PARTING)
         await until(lambda: node.shutdown.state is ServiceState.DRAINED)
-        visitor, _ = await node.client(READ % b"r3")  # answered, not dropped
-        node.answer("r3")
-        assert await visitor.read() == b"SERVER_ERROR failed\r\n"
-        silent, _ = await node.client()
+        late_client, _ = await node.client(READ % b"r3")  # it is served, not dropped
+        node.respond("r3")
+        assert await late_client.read() == b"SERVER_ERROR failed\r\n"
+        unused, _ = await node.client()
         node.clock.go(FIRST_WORD + 250)
-        assert await silent.read() == BUSY
+        assert await unused.read() == BUSY
 
     virtual.run(test())
 
@@ -170,15 +170,15 @@
         node.start_drain()
         for i in range(1, 4):
             node.clock.go(IDLE_CLOSE_DELAY_MS)
-            writer.write(READ % b"r%d" % i)  # before the answer to the one before
+            writer.write(READ % b"r%d" % i)  # before the response to the one before
             await settle()
-            node.answer(f"r{i - 1}")
+            node.respond(f"r{i - 1}")
             await settle()
         assert node.counters["requests"] == 4
         node.clock.go(STOP_READING_DELAY_MS)
         writer.write(READ % b"r9")
         await settle()
-        node.answer("r3")
+        node.respond("r3")
         assert await reader.read() == b"SERVER_ERROR failed\r\n" * 4
         assert node.counters["requests"] == 4  # r9 was not accepted: its client sends it again elsewhere
 
@@ -195,7 +195,7 @@
         node = await DownstreamHarness().start()
         clients = []
         accepted = []
-        answered = 0
+        responded = 0
         for number, step in enumerate(steps):
             if step == "start_drain":
                 node.start_drain()
@@ -215,9 +215,9 @@
                 await settle()
                 if node.counters["requests"] > before:
                     accepted.append(f"q{number}")
-            elif step == "respond" and answered < len(accepted):
-                node.answer(accepted[answered])
-                answered += 1
+            elif step == "respond" and responded < len(accepted):
+                node.respond(accepted[responded])
+                responded += 1
             elif step == "mn":
                 reader, writer = await node.client(b"mn\r\n")
                 line = await reader.readline()
@@ -226,8 +226,8 @@
             elif step == "wait":
                 node.clock.go(300)
             await settle()
-        for request_id in accepted[answered:]:
-            node.answer(request_id)
+        for request_id in accepted[responded:]:
+            node.respond(request_id)
         node.terminate()
         node.clock.go(STOP_READING_DELAY_MS)
         responses = b""
