--- a/flintridge/runtime/worker_processes.py
+++ b/flintridge/runtime/worker_processes.py
@@ -62,13 +62,13 @@
         if self._lock_path is None or self.count != 2:
             return None
         try:
-            own_start = os.fstat(self._lock_descriptor).st_mtime_ns
-            (other_start,) = [os.stat(path).st_mtime_ns for path in self._other_paths()]
+            started_ns = os.fstat(self._lock_descriptor).st_mtime_ns
+            (other_started_ns,) = [os.stat(path).st_mtime_ns for path in self._other_paths()]
         except (OSError, ValueError):  # it ended just now, or a third one began
             return None
-        if own_start == other_start:
+        if started_ns == other_started_ns:
             return None
-        return 1 if own_start < other_start else 0
+        return 1 if started_ns < other_started_ns else 0
 
     def close(self) -> None:
         """Be counted no longer, and stop counting."""
--- a/flintridge/shutdown.py
+++ b/flintridge/shutdown.py
@@ -37,11 +37,11 @@
         state: Where the node is.
     """
 
-    __slots__ = ("_ended_at", "state")
+    __slots__ = ("_shutdown_at", "state")
 
     def __init__(self) -> None:
         self.state = ServiceState.SERVING
-        self._ended_at = 0.0  # the time of the call that ended the service
+        self._shutdown_at = 0.0  # the time of the call that began it
 
     @property
     def accepts_clients(self) -> bool:
@@ -57,7 +57,7 @@
         if self.state is not ServiceState.SERVING:
             return False
         self.state = ServiceState.DRAINING
-        self._ended_at = now
+        self._shutdown_at = now
         return True
 
     def resume(self) -> bool:
@@ -80,7 +80,7 @@
         if self.state is ServiceState.TERMINATING:
             return False
         if self.state is ServiceState.SERVING:
-            self._ended_at = now
+            self._shutdown_at = now
         self.state = ServiceState.TERMINATING
         return True
 
@@ -97,7 +97,7 @@
 
     def closes_idle_connections(self, now: float) -> bool:
         """Whether connections are closed between requests."""
-        return self.state is not ServiceState.SERVING and now >= self._ended_at + IDLE_CLOSE_DELAY_MS
+        return self.state is not ServiceState.SERVING and now >= self._shutdown_at + IDLE_CLOSE_DELAY_MS
 
     def stops_reading(self, now: float) -> bool:
         """Whether connections are read no further, even those that always have the next command written.
@@ -105,11 +105,11 @@
         Guards the end of a drain against clients that are never between requests: what they wrote but was not
         read they send again elsewhere.
         """
-        return self.state is not ServiceState.SERVING and now >= self._ended_at + STOP_READING_DELAY_MS
+        return self.state is not ServiceState.SERVING and now >= self._shutdown_at + STOP_READING_DELAY_MS
 
     def deadlines(self, now: float) -> list[float]:
         """The instants still to come at which something falls due."""
         if self.state is ServiceState.SERVING:
             return []
         delays = (IDLE_CLOSE_DELAY_MS, STOP_READING_DELAY_MS)
-        return [self._ended_at + delay for delay in delays if self._ended_at + delay > now]
+        return [self._shutdown_at + delay for delay in delays if self._shutdown_at + delay > now]
--- a/tests/runtime/test_clock.py
+++ b/tests/runtime/test_clock.py
@@ -1,6 +1,12 @@
-"""The clock: how long the input that an iteration of the event loop reads may have waited."""
+"""The clock: how long input may have waited, and time limits."""
 
-from flintridge.runtime.clock import ArrivalTrackingSelector
+import asyncio
+
+import pytest
+from support.network import HandClock
+
+from flintridge.errors import FlintridgeError
+from flintridge.runtime.clock import ArrivalTrackingSelector, DeadlineExceededError, with_timeout
 
 
 def test_earliest_arrival_when_input_was_there_at_once_then_is_the_previous_select(monkeypatch):
@@ -13,3 +19,44 @@
         earliest.append(selector.earliest_arrival_s)
     assert earliest == [1.0, 2.0, 2.9, 2.9]
     selector.close()
+
+
+def test_with_timeout_when_the_result_comes_in_time_then_returns_it():
+    clock = HandClock()
+
+    async def respond() -> str:
+        await asyncio.sleep(0)
+        return "done"
+
+    assert asyncio.run(with_timeout(clock, 10.0, respond())) == "done"
+    assert [call for _, _, call, _ in clock.due] == [None]  # its timer is cancelled
+
+
+def test_with_timeout_when_the_time_passes_first_then_raises_no_oserror():
+    async def test():
+        clock = HandClock()
+        waiting = asyncio.ensure_future(with_timeout(clock, 10.0, asyncio.Event().wait()))
+        await asyncio.sleep(0)
+        clock.go(9.0)
+        await asyncio.sleep(0)
+        assert not waiting.done()
+        clock.go(1.0)
+        with pytest.raises(DeadlineExceededError) as raised:
+            await waiting
+        assert isinstance(raised.value, FlintridgeError)
+        assert not isinstance(raised.value, OSError)
+
+    asyncio.run(test())
+
+
+def test_with_timeout_when_its_task_is_cancelled_too_then_lets_the_cancellation_through():
+    async def test():
+        clock = HandClock()
+        waiting = asyncio.ensure_future(with_timeout(clock, 10.0, asyncio.Event().wait()))
+        await asyncio.sleep(0)
+        clock.go(10.0)
+        waiting.cancel()
+        with pytest.raises(asyncio.CancelledError):
+            await waiting
+
+    asyncio.run(test())
--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -68,20 +68,20 @@
 
 @FIXED
 @given(st.lists(st.tuples(st.sampled_from(sorted(CALLS)), st.floats(0, 900)), max_size=30))
-def test_deadlines_when_calls_come_in_any_order_then_count_from_the_one_that_ended_the_service(calls):
+def test_deadlines_when_calls_come_in_any_order_then_count_from_the_one_that_began_it(calls):
     shutdown = GracefulShutdown()
     now = 0.0
-    ended_at = None
+    shutdown_at = None
     for call, pause in calls:
         now += pause
         state_before = shutdown.state
         CALLS[call](shutdown, now)
         if state_before is ServiceState.SERVING and shutdown.state is not ServiceState.SERVING:
-            ended_at = now
+            shutdown_at = now
         if shutdown.state is ServiceState.SERVING:
-            ended_at = None
-        idle_close_due = ended_at is not None and now >= ended_at + IDLE_CLOSE_DELAY_MS
-        stop_reading_due = ended_at is not None and now >= ended_at + STOP_READING_DELAY_MS
+            shutdown_at = None
+        idle_close_due = shutdown_at is not None and now >= shutdown_at + IDLE_CLOSE_DELAY_MS
+        stop_reading_due = shutdown_at is not None and now >= shutdown_at + STOP_READING_DELAY_MS
         assert shutdown.closes_idle_connections(now) == idle_close_due
         assert shutdown.stops_reading(now) == stop_reading_due
         assert all(at > now for at in shutdown.deadlines(now))
