--- a/tests/runtime/test_streams.py
+++ b/tests/runtime/test_streams.py
@@ -3,6 +3,7 @@
 import asyncio
 
 import pytest
+from support.network import until
 
 from flintridge.runtime.streams import (
     READ_MAX_BYTES,
@@ -37,12 +38,6 @@
         await self._server.wait_closed()
 
 
-async def until(condition) -> None:
-    async with asyncio.timeout(10):
-        while not condition():
-            await asyncio.sleep(0)
-
-
 def test_reader_when_bytes_arrive_then_counts_them_and_those_that_are_read():
     async def test():
         async with Connection() as connection:
--- a/tests/runtime/test_worker_processes.py
+++ b/tests/runtime/test_worker_processes.py
@@ -43,7 +43,8 @@
 @pytest.mark.parametrize("end", [signal.SIGKILL, None])
 def test_count_when_another_process_starts_and_ends_then_follows_however_it_ended(tmp_path, end):
     processes, clock, counts = start_counting(tmp_path / "node")
-    assert processes.count == 1 and counts == []
+    assert processes.count == 1
+    assert counts == []
     other = start_another_process(tmp_path / "node")
     clock.go(COUNT_INTERVAL_MS)
     assert counts == [2]
@@ -65,7 +66,9 @@
         (tmp_path / name).write_text("left behind")
     processes, clock, counts = start_counting(tmp_path)
     clock.go(4 * COUNT_INTERVAL_MS)
-    assert processes.count == 1 and counts == [] and len(list(tmp_path.iterdir())) == 1
+    assert processes.count == 1
+    assert counts == []
+    assert len(list(tmp_path.iterdir())) == 1
     processes.close()
 
 
@@ -73,7 +76,8 @@
     (tmp_path / "file").write_text("")
     processes, clock, counts = start_counting(tmp_path / "file" / "node")
     clock.go(COUNT_INTERVAL_MS)
-    assert processes.count == 1 and counts == []
+    assert processes.count == 1
+    assert counts == []
     processes.close()
 
 
@@ -97,7 +101,8 @@
         (lambda node: node.dispatcher.room, config.server_sockets),
         (lambda node: node.core.memory_budget.total, config.held_bytes),
     ):
-        assert sum(map(limit_of, nodes)) <= limit and limit_of(nodes[0]) >= limit // 2
+        assert sum(map(limit_of, nodes)) <= limit
+        assert limit_of(nodes[0]) >= limit // 2
     assert nodes[0].core.memory_budget.total >= LONGEST_MB * 1024 * 1024
     nodes[1]._worker_processes.close()
     clock.go(COUNT_INTERVAL_MS)
--- a/tests/telemetry/test_telemetry.py
+++ b/tests/telemetry/test_telemetry.py
@@ -49,7 +49,8 @@
     sent, slow, broke, plain = lines_of(sink)
     assert sent == {"node": "n1", "event": "sent", "id": "a1", "server": "s3", "attempt": 2, "level": 5}
     assert slow == {"node": "n1", "event": "slow", "level": "warning", "id": "a1", "server": "s1"}
-    assert (broke["level"], broke["error"]) == ("error", "ValueError('why')") and "why" in broke["trace"]
+    assert (broke["level"], broke["error"]) == ("error", "ValueError('why')")
+    assert "why" in broke["trace"]
     assert plain == {"node": "n1", "event": "plain"}
 
 
@@ -68,14 +69,22 @@
         return sampler.filter(logging.makeLogRecord({"msg": event}))
 
     assert [passes("a") for _ in range(5)] == [True, True, False, False, False]
-    assert passes("b") and passes("events_suppressed") and sampler.has_suppressed
-    assert reports == [] and first_suppressed_s == [10.2]
+    assert passes("b")
+    assert passes("events_suppressed")
+    assert sampler.has_suppressed
+    assert reports == []
+    assert first_suppressed_s == [10.2]
     now_s[0] = 10.9
     sampler.flush()
-    assert reports == [] and not passes("a")
+    assert reports == []
+    assert not passes("a")
     now_s[0] = 11.0
-    assert passes("b") and reports == [("a", 4)] and not sampler.has_suppressed
-    assert passes("a") and passes("a") and not passes("a")
+    assert passes("b")
+    assert reports == [("a", 4)]
+    assert not sampler.has_suppressed
+    assert passes("a")
+    assert passes("a")
+    assert not passes("a")
     sampler.flush(at_once=True)
     assert reports == [("a", 4), ("a", 1)]
 
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -9,7 +9,7 @@
 import sys
 
 import pytest
-from support.network import Peer
+from support.network import Peer, until
 from support.paths import ROOT
 from support.program import Program, cache, origin
 
@@ -34,7 +34,8 @@
                 timeout = re.search(
                     rb"Req-Id: a2\r\nReq-Extra: c=read,d=(\d+)\r\n", b"".join(origin_server.got)
                 )
-                assert timeout is not None and 0 < int(timeout[1]) < 9000  # what remains of the client's
+                assert timeout is not None
+                assert 0 < int(timeout[1]) < 9000  # what remains of the client's
                 assert discovery.got[0].startswith(b"GET /api/targets?after=41&wait_ms=")
                 program.process.send_signal(signal.SIGUSR1)
                 counters = await program.event("counters")
@@ -54,8 +55,7 @@
             async with program.running() as port:
                 reader, writer = await asyncio.open_connection("127.0.0.1", port)
                 writer.write(b"mg kept v Oa1 Pc=read,d=9000\r\n")
-                while not cache_server.got:
-                    await asyncio.sleep(0.001)
+                await until(lambda: cache_server.got)
                 program.process.send_signal(signal.SIGTERM)
                 await program.event("leaving")
                 cache_server.writers[0].write(cache(cache_server.got[0]))
@@ -85,7 +85,8 @@
                 program.process.send_signal(signal.SIGTERM)
                 log = (await program.process.stdout.read()).splitlines()
                 events = [json.loads(line)["event"] for line in log]
-                assert "left" in events and "unhandled" not in events
+                assert "left" in events
+                assert "unhandled" not in events
                 assert await program.process.wait() == 0
 
     asyncio.run(test())
@@ -103,8 +104,7 @@
             async with program.running() as port:
                 reader, writer = await asyncio.open_connection("127.0.0.1", port)
                 writer.write(b"mg other v Oa1 Pc=read,d=9000\r\n")  # the origin responds at the end only
-                while not origin_server.got:
-                    await asyncio.sleep(0.001)
+                await until(lambda: origin_server.got)
                 valid_text = program.config.read_text()
                 program.config.write_text(valid_text[:-9])
                 program.process.send_signal(signal.SIGHUP)
@@ -114,8 +114,7 @@
                 program.process.send_signal(signal.SIGHUP)
                 reloaded = await program.event("reloaded")
                 assert (reloaded["changed"], reloaded["until_restart"]) == (["discovery"], ["name"])
-                while not next_discovery.got:
-                    await asyncio.sleep(0.001)
+                await until(lambda: next_discovery.got)
                 assert next_discovery.got[0].startswith(b"GET /api/targets HTTP")
                 program.process.send_signal(signal.SIGHUP)  # with nothing new in the file
                 assert (await program.event("reloaded"))["changed"] == []
@@ -149,5 +148,7 @@
     done = subprocess.run(
         [sys.executable, "-m", "flintridge"], cwd=ROOT, env=env, capture_output=True, text=True
     )
-    assert done.returncode == 2 and message in done.stderr
-    assert done.stderr.startswith("flintridge: ") and done.stderr.count("\n") == 1
+    assert done.returncode == 2
+    assert message in done.stderr
+    assert done.stderr.startswith("flintridge: ")
+    assert done.stderr.count("\n") == 1
--- a/tests/test_program_signals.py
+++ b/tests/test_program_signals.py
@@ -82,7 +82,8 @@
             events = [
                 json.loads(line)["event"] for line in (await program.process.stdout.read()).splitlines()
             ]
-            assert events[-1] == "left" and await program.process.wait() == 0
+            assert events[-1] == "left"
+            assert await program.process.wait() == 0
 
     asyncio.run(test())
 
--- a/tests/test_simulator_adapter.py
+++ b/tests/test_simulator_adapter.py
@@ -61,7 +61,8 @@
 
 def test_adapter_when_given_batches_then_replies_to_each_and_ends_with_the_input():
     done = run_adapter(scenario([0]))
-    assert done.returncode == 0 and done.stderr == ""
+    assert done.returncode == 0
+    assert done.stderr == ""
     replies = done.stdout.split("YIELD\n")
     assert replies[0] == ""
     assert replies[1] == "WATCH 0 1\n"
@@ -150,7 +151,8 @@
 def test_settings_when_absent_then_take_the_documented_defaults():
     assert settings_from({}) == api.Settings()
     settings = settings_from(CONFIG)
-    assert settings.limits.max_attempts == 4 and settings.origin_kind == 2
+    assert settings.limits.max_attempts == 4
+    assert settings.origin_kind == 2
 
 
 @pytest.mark.parametrize(
@@ -180,4 +182,5 @@
             settings_from(CONFIG | {"goal": {key: -1}})
     config = json.dumps(CONFIG | {"goal": {"tailSlack": "few"}})
     done = run_adapter(f"CLOCK 5\nPROVISION 0 7 {config}\nYOUR_TURN\n")
-    assert done.returncode == 1 and "tail_slack" in done.stderr
+    assert done.returncode == 1
+    assert "tail_slack" in done.stderr
