--- a/flintridge/discovery/watcher.py
+++ b/flintridge/discovery/watcher.py
@@ -9,7 +9,7 @@
 from flintridge.config.address import Address
 from flintridge.discovery.client import DiscoveryClient
 from flintridge.discovery.endpoint_list import EndpointList
-from flintridge.runtime.clock import Clock, DeadlineExceededError, sleep, to_ms, within
+from flintridge.runtime.clock import Clock, DeadlineExceededError, sleep, to_ms, with_timeout
 from flintridge.telemetry.counters import Counters
 from flintridge.telemetry.log import EventLog
 
@@ -18,7 +18,7 @@
 RESPONSE_TIME_MS = 2_000.0  # for a response, beyond the time that the call may wait
 LIST_TIME_MS = 3_000.0  # for a call that does not wait
 WATCH_INTERVAL_MS = (
-    100.0  # between the starts of two watch calls; the next must come within 200 ms of a response
+    100.0  # between the starts of two watch calls; the next must come with_timeout 200 ms of a response
 )
 LIST_PATH = "/api/targets"
 
@@ -30,7 +30,7 @@
 
     A connection that falls silent says nothing, and what it misses counts as notified 6 s later. Up to half a
     second of that was gone when the last call began, since its response may have been on the way; the call is
-    given up RESPONSE_TIME_MS after its wait, the next one follows within half a second and may take
+    given up RESPONSE_TIME_MS after its wait, the next one follows with_timeout half a second and may take
     LIST_TIME_MS. Guards against a first attempt after the grace: with 4 s for all, three of six nodes that
     polled anew together were too late.
     """
@@ -133,14 +133,14 @@
     async def _full_list(self, client: DiscoveryClient) -> bytes:
         """The full list, for which discovery need not wait; how long it took is counted."""
         began = self._clock.now()
-        text = await within(self._clock, LIST_TIME_MS, client.get(LIST_PATH))
+        text = await with_timeout(self._clock, LIST_TIME_MS, client.get(LIST_PATH))
         self._counters.observe("list_ms", self._clock.now() - began)
         return text
 
     async def _changes(self, client: DiscoveryClient) -> bytes:
         """What changed since the revision that is known, once anything has."""
         target = f"{LIST_PATH}?after={self._endpoints.revision}&wait_ms={self._wait_ms:.0f}"
-        return await within(self._clock, self._wait_ms + RESPONSE_TIME_MS, client.get(target))
+        return await with_timeout(self._clock, self._wait_ms + RESPONSE_TIME_MS, client.get(target))
 
     async def _watch(self) -> None:
         client = DiscoveryClient(self.discovery)
--- a/flintridge/downstream/admin_api.py
+++ b/flintridge/downstream/admin_api.py
@@ -10,7 +10,7 @@
 from flintridge.core.admin_routes import Routes
 from flintridge.downstream.admin_exchange import AdminExchange
 from flintridge.downstream.lingering_close import close_lingering
-from flintridge.runtime.clock import Clock, DeadlineExceededError, within
+from flintridge.runtime.clock import Clock, DeadlineExceededError, with_timeout
 from flintridge.runtime.listener import Listener, open_listener
 from flintridge.telemetry.counters import Counters
 from flintridge.telemetry.log import EventLog
@@ -85,7 +85,7 @@
     async def _exchange(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         exchange = AdminExchange(self._routes)
         try:
-            buffers = await within(self._clock, CALL_TIMEOUT_MS, self._read_call(exchange, reader))
+            buffers = await with_timeout(self._clock, CALL_TIMEOUT_MS, self._read_call(exchange, reader))
         except DeadlineExceededError:
             self._counters.add("admin_api_timeouts")
             buffers = exchange.time_out()
--- a/flintridge/downstream/connection.py
+++ b/flintridge/downstream/connection.py
@@ -23,7 +23,7 @@
 )
 from flintridge.downstream.pipeline import PendingResponse, ResponsePipeline
 from flintridge.runtime.clock import DeadlineExceededError, Timer
-from flintridge.runtime.streams import CountingReader, bound_reads, other_side_ended
+from flintridge.runtime.streams import TrackingReader, limit_read_size, peer_has_closed
 
 # Bytes of responses that a client has yet to read; it is read no further beyond this.
 MAX_UNREAD_RESPONSE_BYTES = 128 * 1024
@@ -55,7 +55,7 @@
     def __init__(
         self,
         owner: ConnectionOwner["ClientConnection"],
-        reader: CountingReader,
+        reader: TrackingReader,
         writer: asyncio.StreamWriter,
     ) -> None:
         """Take over an accepted connection; `serve` runs it.
@@ -86,15 +86,15 @@
         self._processing = False  # commands that were read are being processed: there may be more of them
         self._reserved_bytes = 0  # of memory, for the long value that is coming
         self._transport.set_write_buffer_limits(high=WRITE_AHEAD_BYTES)
-        bound_reads(self._transport)
-        reader.ended = self._on_closed
+        limit_read_size(self._transport)
+        reader.on_end = self._on_closed
 
     # What it is at
 
     @property
     def idle(self) -> bool:
         """Between requests: nothing is pending and nothing more has arrived, as far as was read."""
-        return not self.has_pending and self._parser.idle and not self._reader.unread
+        return not self.has_pending and self._parser.idle and not self._reader.has_unread
 
     @property
     def has_pending(self) -> bool:
@@ -115,7 +115,7 @@
 
     def stop_reading(self) -> None:
         """Read nothing more but the rest of half a command; it closes after the pending responses."""
-        if self._parser.idle and not self._processing and not self._reader.unread and not self._shut_down:
+        if self._parser.idle and not self._processing and not self._reader.has_unread and not self._shut_down:
             self._transport.pause_reading()
 
     def resume_reading(self) -> None:
@@ -129,7 +129,7 @@
         Guards what is pending, or is about to be sent on, against a client whose end the system holds: behind
         bytes that nobody reads now, or in a turn of the event loop that is still to come.
         """
-        if not self._closed and other_side_ended(self._transport):
+        if not self._closed and peer_has_closed(self._transport):
             self._owner.counters.add("disconnects_behind_unread_input")
             self._on_closed()
 
@@ -142,7 +142,7 @@
         Args:
             now: The clock's time.
         """
-        if self.has_pending or self._reader.unread or self._close_when_answered or self.closing:
+        if self.has_pending or self._reader.has_unread or self._close_when_answered or self.closing:
             return
         if self._parser.idle:
             if now - self.last_used_at >= IDLE_TIMEOUT_MS:
@@ -377,12 +377,12 @@
             return
         self._closed = True
         # Guards memory: the two would hold one another until the collector comes, seldom on a long day.
-        self._reader.ended = None
+        self._reader.on_end = None
         if self._lingering_timer is not None:
             self._lingering_timer.cancel()
         self._abandon_pending()
         self._pipeline.notify_waiting()
-        if self._reader.over:
+        if self._reader.exhausted:
             self._writer.close()
         else:
             self.abort()
--- a/flintridge/downstream/lingering_close.py
+++ b/flintridge/downstream/lingering_close.py
@@ -3,8 +3,8 @@
 import asyncio
 
 from flintridge.errors import FlintridgeError
-from flintridge.runtime.clock import Clock, DeadlineExceededError, within
-from flintridge.runtime.streams import read_past
+from flintridge.runtime.clock import Clock, DeadlineExceededError, with_timeout
+from flintridge.runtime.streams import discard_input
 
 # So long, and so much, is discarded of the input of a connection that is closed. Guards its last responses:
 # closed with input unread it would be reset, and what the other side has not read yet lost.
@@ -31,7 +31,7 @@
             raise ConnectionClosedError("the connection was closed")
         unread_bytes = transport.get_write_buffer_size()
         try:
-            await within(clock, SLOW_READER_TIMEOUT_MS, writer.drain())
+            await with_timeout(clock, SLOW_READER_TIMEOUT_MS, writer.drain())
             return
         except DeadlineExceededError:
             if transport.get_write_buffer_size() >= unread_bytes:
@@ -41,7 +41,7 @@
 async def close_lingering(clock: Clock, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
     """Close a connection in order.
 
-    All that was written goes out, then the sending half is shut, then input is discarded within bounds.
+    All that was written goes out, then the sending half is shut, then input is discarded with_timeout bounds.
     Raises nothing for what the other side does: it is the end of this connection either way.
     """
     writer.transport.set_write_buffer_limits(high=0)  # `drain` waits until all is written
@@ -49,7 +49,7 @@
         await wait_until_read(clock, writer)
         if writer.can_write_eof():
             writer.write_eof()
-        await within(clock, LINGERING_CLOSE_MS, _discard_input(reader))
+        await with_timeout(clock, LINGERING_CLOSE_MS, _discard_input(reader))
     except DeadlineExceededError:
         pass  # it goes on sending, or reads nothing
     except OSError as error:
@@ -69,5 +69,5 @@
 
 def abort_connection(writer: asyncio.StreamWriter) -> None:
     """Close a connection now, with no time for a lingering close; what lies unread is discarded first."""
-    read_past(writer.transport, LINGERING_CLOSE_MAX_BYTES)
+    discard_input(writer.transport, LINGERING_CLOSE_MAX_BYTES)
     writer.close()
--- a/flintridge/downstream/listener.py
+++ b/flintridge/downstream/listener.py
@@ -19,7 +19,7 @@
 from flintridge.downstream.lingering_close import abort_connection, close_lingering
 from flintridge.runtime.clock import Clock, sleep, to_ms
 from flintridge.runtime.listener import Listener, open_listener
-from flintridge.runtime.streams import CountingReader
+from flintridge.runtime.streams import TrackingReader
 from flintridge.shutdown import GracefulShutdown
 from flintridge.telemetry.counters import Counters
 from flintridge.telemetry.log import EventLog
@@ -102,14 +102,14 @@
     @property
     def serving(self) -> bool:
         """Whether this process can serve: it listens, knows endpoints that are ready, and `is_ready`."""
-        if self._listener is None or not self._listener.open:
+        if self._listener is None or not self._listener.is_open:
             return False
         return self._endpoints.any_ready and self.is_ready()
 
     @property
     def hello_response(self) -> bytes:
         """The response to `mn`."""
-        if not self.shutdown.welcoming:
+        if not self.shutdown.accepts_clients:
             return DRAINING_RESPONSE
         return NO_OP_RESPONSE if self.serving else STARTING_RESPONSE
 
@@ -121,7 +121,7 @@
     @property
     def reading_stopped(self) -> bool:
         """Whether connections are read no further, as the node drains."""
-        return not self.shutdown.welcoming and self.shutdown.ceasing(self.clock.now())
+        return not self.shutdown.accepts_clients and self.shutdown.stops_reading(self.clock.now())
 
     # Connections
 
@@ -142,7 +142,7 @@
             await self._reject(reader, writer)
             return
         self.counters.add("connections_accepted")
-        assert isinstance(reader, CountingReader)
+        assert isinstance(reader, TrackingReader)
         connection = ClientConnection(self, reader, writer)
         self._connections[connection] = None
         self.eviction_order.touch(connection)
@@ -220,10 +220,10 @@
 
     def close_if_draining(self, connection: ClientConnection) -> None:
         """If the node drains, close a connection between requests, or whose first command does not come."""
-        if self.shutdown.welcoming or not connection.idle:
+        if self.shutdown.accepts_clients or not connection.idle:
             return
         now = self.clock.now()
-        if not self.shutdown.parting(now):
+        if not self.shutdown.closes_idle_connections(now):
             return
         if connection.has_sent_command:
             connection.close()
@@ -239,13 +239,13 @@
         Returns:
             Whether the kernel does so.
         """
-        if self._listener is None or not self._listener.open:
+        if self._listener is None or not self._listener.is_open:
             return False
-        return self._listener.step_aside(position)
+        return self._listener.divert_to(position)
 
     def start_drain(self) -> None:
         """The end of the service was asked for: schedule what falls due."""
-        for due_at in self.shutdown.due(self.clock.now()):
+        for due_at in self.shutdown.deadlines(self.clock.now()):
             self.clock.call_at(due_at, self._advance_drain)
 
     def cancel_drain(self) -> None:
@@ -261,14 +261,14 @@
         self._note_if_drained()
 
     def _note_if_drained(self) -> None:
-        if not self._connections and self.shutdown.emptied(self.clock.now()):
+        if not self._connections and self.shutdown.connections_closed(self.clock.now()):
             self._log.event("drained")
 
     # The end of the process
 
     async def leave(self) -> None:
         """After SIGTERM: serve on for a while, then close each connection between requests; answer all."""
-        self.shutdown.leave(self.clock.now())
+        self.shutdown.terminate(self.clock.now())
         self.core.answer_by = self._last_response_at()
         self.start_drain()
         await sleep(self.clock, SHUTDOWN_ACCEPT_MS)
@@ -305,7 +305,7 @@
             await sleep(self.clock, SHUTDOWN_POLL_MS)
 
     def _requests_may_come(self) -> bool:
-        if self._listener is not None and self._listener.attaching:
+        if self._listener is not None and self._listener.has_handovers:
             return True
         return any(not connection.closing for connection in self._connections)
 
--- a/flintridge/leases/driver.py
+++ b/flintridge/leases/driver.py
@@ -20,13 +20,13 @@
 from flintridge.leases.demand import RecentPeak, RequestRate
 from flintridge.leases.lease_manager import COLD, FLOORS, PART, REPEATS, Account, FleetLimit, LeaseManager
 from flintridge.membership.driver import MembershipDriver
-from flintridge.runtime.clock import NS, Clock, Timer, to_ms
-from flintridge.runtime.worker_processes import LOOK
+from flintridge.runtime.clock import NS_PER_MS, Clock, Timer, to_ms
+from flintridge.runtime.worker_processes import COUNT_INTERVAL_MS
 from flintridge.telemetry.counters import Counters
 from flintridge.telemetry.log import EventLog
 
 TICK = 50.0
-NOTICE = 4 * LOOK  # in which an older process of this node has noticed that another lives
+NOTICE = 4 * COUNT_INTERVAL_MS  # in which an older process of this node has noticed that another lives
 PLACES = {False: "cache places", True: "origin places"}  # by whether at the origin
 AT_REPEATS = -1  # where the decisions look for what is held of repeats
 
@@ -182,7 +182,7 @@
         held = self._holdings(lambda name: ledger.usable(name, now))
         if until != float("inf"):
             after = self._holdings(lambda name: ledger.after(name, now))
-            held = replace(held, valid_until=int(until * NS), fallback=after)
+            held = replace(held, valid_until=int(until * NS_PER_MS), fallback=after)
         if held != self._held:
             self._held = held
             self._core.notify(held)
--- a/flintridge/upstream/connection.py
+++ b/flintridge/upstream/connection.py
@@ -8,13 +8,14 @@
 from flintridge.config.address import Address
 from flintridge.core.exchange import Exchange
 from flintridge.core.response import AttemptResult
-from flintridge.runtime.clock import Clock, within
-from flintridge.runtime.streams import READ, CountingReader, open_stream, spent
+from flintridge.runtime.clock import Clock, with_timeout
+from flintridge.runtime.streams import READ_MAX_BYTES, TrackingReader, is_reusable
+from flintridge.runtime.streams import open_connection as open_tracked_connection
 
 WRITE_CHUNK_BYTES = 64 * 1024  # of a long value, handed to the transport at a time
 
 
-class UpstreamReader(CountingReader):
+class UpstreamReader(TrackingReader):
     """Notifies of anything that arrives while no request is out.
 
     Guards the next request on a reused connection against being answered by bytes that are there already: a
@@ -25,7 +26,7 @@
     """
 
     def __init__(self, loop: asyncio.AbstractEventLoop) -> None:
-        super().__init__(loop, limit=READ // 2)
+        super().__init__(loop, limit=READ_MAX_BYTES // 2)
         self.on_unexpected_data: Callable[[], None] | None = None
 
     def feed_data(self, data: bytes) -> None:  # type: ignore[override]  # as in the base
@@ -68,12 +69,12 @@
     @property
     def nothing_received(self) -> bool:
         """Whether no byte of the response was read."""
-        return self.reader.taken == self.bytes_read_before_use
+        return self.reader.read_bytes == self.bytes_read_before_use
 
     @property
     def unusable(self) -> bool:
         """Whether it has ended, or holds bytes that belong to no request."""
-        return spent(self.reader, self.writer)
+        return not is_reusable(self.reader, self.writer)
 
     async def perform(
         self, exchange: Exchange, clock: Clock, write_deadline: float = math.inf
@@ -94,7 +95,7 @@
         """
         self.request_written = False
         if write_deadline < math.inf:
-            await within(clock, write_deadline - clock.now(), self._write(exchange))
+            await with_timeout(clock, write_deadline - clock.now(), self._write(exchange))
         else:
             await self._write(exchange)
         self.request_written = True
@@ -134,7 +135,7 @@
         Raises:
             OSError: The connection ended too early.
         """
-        data = await self.reader.read(READ)
+        data = await self.reader.read(READ_MAX_BYTES)
         result = exchange.feed(data) if data else exchange.end()
         if result is None and not data:
             raise ConnectionResetError("the server ended the connection")
@@ -148,5 +149,5 @@
         OSError: There is no connection.
     """
     reader = UpstreamReader(asyncio.get_running_loop())
-    writer = await open_stream(reader, address.host, address.port)
+    writer = await open_tracked_connection(reader, address.host, address.port)
     return UpstreamConnection(address, reader, writer)
--- a/flintridge/upstream/connection_pool.py
+++ b/flintridge/upstream/connection_pool.py
@@ -9,8 +9,8 @@
 
 from flintridge.config.address import Address
 from flintridge.errors import FlintridgeError
-from flintridge.runtime.clock import Clock, within
-from flintridge.runtime.streams import holds_bytes
+from flintridge.runtime.clock import Clock, with_timeout
+from flintridge.runtime.streams import has_pending_input
 from flintridge.telemetry.counters import Counters
 from flintridge.upstream.connection import UpstreamConnection, open_connection
 from flintridge.upstream.idle_timeout import IdleTimeout
@@ -113,13 +113,13 @@
             connection.reader.on_unexpected_data = None
             if verdict is IdleVerdict.CLOSE:
                 self.close_connection(connection)
-            elif holds_bytes(connection.writer.transport):  # which the event loop has not seen yet
+            elif has_pending_input(connection.writer.transport):  # which the event loop has not seen yet
                 self._counters.add("connections_unexpected_data")
                 self.close_connection(connection)
             else:
                 found = connection
                 connection.idle_before_use_ms = now - connection.idle_since
-                connection.bytes_read_before_use = connection.reader.taken
+                connection.bytes_read_before_use = connection.reader.read_bytes
         connections.extend(reversed(quarantined))
         if not connections:
             del self._idle[server]
@@ -137,7 +137,7 @@
             raise ConnectionLimitError
         self.open_count += 1
         try:
-            connection = await within(self._clock, timeout_ms, open_connection(address))
+            connection = await with_timeout(self._clock, timeout_ms, open_connection(address))
         except BaseException:
             self.open_count -= 1
             self._counters.add("connections_failed")
--- a/flintridge/upstream/dispatcher.py
+++ b/flintridge/upstream/dispatcher.py
@@ -17,7 +17,7 @@
 from flintridge.core.response import AttemptResult, StreamedResponse, StreamedValue
 from flintridge.discovery.endpoint_list import EndpointAddress, EndpointList
 from flintridge.errors import FlintridgeError
-from flintridge.runtime.clock import Clock, DeadlineExceededError, to_ms, within
+from flintridge.runtime.clock import Clock, DeadlineExceededError, to_ms, with_timeout
 from flintridge.telemetry.counters import Counters
 from flintridge.telemetry.log import EventLog
 from flintridge.upstream.connection import UpstreamConnection
@@ -195,7 +195,7 @@
             raise AttemptWithdrawnError
         exchange = self._exchange(attempt, endpoint)
         performing = connection.perform(exchange, self._clock, attempt.written_by)
-        result = await within(self._clock, attempt.deadline - now, performing)
+        result = await with_timeout(self._clock, attempt.deadline - now, performing)
         self.pool.idle_timeout.note_reuse(self._clock.now(), connection.idle_before_use_ms, lost=False)
         value = exchange.streamed_value
         if value is None or _is_malformed(result):
@@ -262,7 +262,7 @@
         progress.connection = connection
         exchange: Exchange = OriginHealthCheck(_host(endpoint)) if endpoint.origin else CacheHealthCheck()
         performing = connection.perform(exchange, self._clock)
-        result = await within(self._clock, HEALTH_CHECK_TIMEOUT_MS, performing)
+        result = await with_timeout(self._clock, HEALTH_CHECK_TIMEOUT_MS, performing)
         assert result is not None  # a load report is no long value
         progress.result = result
         if exchange.reusable:
--- a/flintridge/upstream/streaming.py
+++ b/flintridge/upstream/streaming.py
@@ -4,12 +4,12 @@
 from flintridge.core.exchange import Exchange
 from flintridge.core.request import UpstreamAttempt
 from flintridge.core.response import AttemptResult, DownstreamClosedError, StreamedResponse, StreamedValue
-from flintridge.runtime.clock import Clock, DeadlineExceededError, within
+from flintridge.runtime.clock import Clock, DeadlineExceededError, with_timeout
 from flintridge.telemetry.counters import Counters
 from flintridge.telemetry.log import EventLog
 from flintridge.upstream.connection import UpstreamConnection
 
-# A server that sends nothing for so long within a long value has failed.
+# A server that sends nothing for so long with_timeout a long value has failed.
 SERVER_STALL_MS = 10_000.0
 
 
@@ -69,4 +69,4 @@
             response.write(value.take_chunks())
             if result is not None:
                 return result
-            result = await within(self._clock, SERVER_STALL_MS, connection.receive(exchange))
+            result = await with_timeout(self._clock, SERVER_STALL_MS, connection.receive(exchange))
--- a/tests/downstream/test_admin_api.py
+++ b/tests/downstream/test_admin_api.py
@@ -252,7 +252,7 @@
                 await programs[1].start()
                 seen = len(responses)
                 await until(lambda: len(responses) > seen + 100)
-                while (await programs[0].event("processes"))["count"] != 2:
+                while (await programs[0].event("worker_processes"))["count"] != 2:
                     pass
                 programs[0].process.send_signal(signal.SIGTERM)
                 assert (await programs[0].event("leaving"))["stepped_aside"] is True
@@ -359,15 +359,15 @@
             return dict(accepted)
 
         first = await open_listener(counting_acceptor("first"), Address("127.0.0.1", 0), shared=True)
-        assert first.step_aside(1) and await connect(8) == {"first": 8, "second": 0}  # there is no other
+        assert first.divert_to(1) and await connect(8) == {"first": 8, "second": 0}  # there is no other
         second = await open_listener(
             counting_acceptor("second"), Address("127.0.0.1", first.port), shared=True
         )
         distribution = await connect(64)  # the new one ended what had been chosen
         assert distribution["first"] and distribution["second"]
-        assert first.step_aside(1) and await connect(16) == {"first": 0, "second": 16}
-        assert second.step_aside(0) and await connect(16) == {"first": 16, "second": 0}
-        assert first.step_aside(1)
+        assert first.divert_to(1) and await connect(16) == {"first": 0, "second": 16}
+        assert second.divert_to(0) and await connect(16) == {"first": 16, "second": 0}
+        assert first.divert_to(1)
         first.close()
         assert await connect(8) == {"first": 0, "second": 8}
         second.close()
--- a/tests/downstream/test_connection.py
+++ b/tests/downstream/test_connection.py
@@ -24,7 +24,7 @@
     SHUTDOWN_COMMAND_TIMEOUT_MS,
 )
 from flintridge.downstream.pipeline import MAX_PIPELINED_COMMANDS
-from flintridge.shutdown import LINGER
+from flintridge.shutdown import IDLE_CLOSE_DELAY_MS
 
 
 async def send_half_command(harness) -> bytes:
@@ -118,7 +118,7 @@
 def test_drain_when_commands_came_together_then_all_are_answered_before_the_close(play):
     async def test():
         async with DownstreamHarness(connection_limit=2, endpoints_known=False) as harness:
-            harness.downstream.shutdown.quiesce(harness.clock.now() - LINGER)
+            harness.downstream.shutdown.start_drain(harness.clock.now() - IDLE_CLOSE_DELAY_MS)
             reader, _ = await harness.stream_client(b"mn\r\n", READ % b"r1", b"mn\r\n", READ % b"r2")
             await until(lambda: harness.request_count == 2)
             for uid in ("r1", "r2"):
@@ -137,7 +137,7 @@
             await until(lambda: harness.request_count == 1)
             shutdown = asyncio.ensure_future(harness.downstream.leave())
             await asyncio.sleep(0)
-            harness.clock.go(LINGER - 1)
+            harness.clock.go(IDLE_CLOSE_DELAY_MS - 1)
             assert not idle.at_eof()
             harness.clock.go(1)
             assert await idle.read() == BUSY  # its first request may be on its way
@@ -147,8 +147,8 @@
             await until(lambda: harness.counters["clients_disconnected"] == 1)
             unused, _ = await harness.stream_client()  # came late and asks for nothing
             await until(lambda: harness.counters["connections_accepted"] == 4)
-            harness.clock.go(SHUTDOWN_ACCEPT_MS - LINGER)
-            await until(lambda: not harness.downstream._listener.open)
+            harness.clock.go(SHUTDOWN_ACCEPT_MS - IDLE_CLOSE_DELAY_MS)
+            await until(lambda: not harness.downstream._listener.is_open)
             assert not shutdown.done()
             assert await unused.read() == BUSY and not shutdown.done()
             harness.core._fail_overdue("r1")
@@ -279,7 +279,7 @@
             shutdown = asyncio.ensure_future(harness.downstream.leave())
             await asyncio.sleep(0)
             harness.clock.go(SHUTDOWN_ACCEPT_MS)
-            await until(lambda: not harness.downstream._listener.open)
+            await until(lambda: not harness.downstream._listener.is_open)
             assert not shutdown.done() and not half._eof  # it may still become whole
             harness.clock.go(SHUTDOWN_COMMAND_TIMEOUT_MS - SHUTDOWN_ACCEPT_MS)
             await until(lambda: harness.clock.go(20) or shutdown.done())
--- a/tests/downstream/test_connection_termination.py
+++ b/tests/downstream/test_connection_termination.py
@@ -30,7 +30,7 @@
     SWEEP_INTERVAL_MS,
 )
 from flintridge.downstream.pipeline import MAX_PIPELINED_COMMANDS
-from flintridge.shutdown import CEASE, LINGER
+from flintridge.shutdown import IDLE_CLOSE_DELAY_MS, STOP_READING_DELAY_MS
 
 
 def test_lingering_close_when_a_request_crosses_it_then_discards_it_without_a_reset():
@@ -68,11 +68,13 @@
             feed = connection._reader.feed_data
             if close_cause == "drain":
                 connection.has_sent_command = True
-                harness.downstream.shutdown.quiesce(harness.clock.now())
+                harness.downstream.shutdown.start_drain(harness.clock.now())
 
             def crossing(data: bytes) -> None:
                 feed(data)
-                harness.clock.go(IDLE_TIMEOUT_MS + 250 if close_cause == "unused" else LINGER + 250)
+                harness.clock.go(
+                    IDLE_TIMEOUT_MS + 250 if close_cause == "unused" else IDLE_CLOSE_DELAY_MS + 250
+                )
 
             connection._reader.feed_data = crossing
             writer.write(READ % b"r1")
@@ -102,12 +104,12 @@
             size = 16 << 20  # more than any buffer of the system takes
             harness.core._mark_answered("r0", request := harness.core._open["r0"])
             request.responder.respond(Response(b"x" * size, receipt=False))
-            read = connection._reader.fed
+            read = connection._reader.received_bytes
             harness.clock.go(IDLE_TIMEOUT_MS + 250)
             assert connection._transport.get_write_buffer_size()
             client.sendall(READ % b"r1")
             await run_loop_turns()
-            assert connection._reader.fed == read and not connection._writer.is_closing()
+            assert connection._reader.received_bytes == read and not connection._writer.is_closing()
             received = await read_until_end(client)
             assert len(received) == len(b"VA %d Or0\r\n" % size) + size + 2 and received.endswith(b"x\r\n")
             await run_loop_turns()
@@ -125,7 +127,7 @@
             await until(lambda: harness.request_count == 1)
             shutdown = asyncio.ensure_future(harness.downstream.leave())
             await run_loop_turns(1)
-            harness.clock.go(CEASE)
+            harness.clock.go(STOP_READING_DELAY_MS)
             await run_loop_turns()
             client.sendall(READ % b"r1" + READ % b"r2")  # always the next one written
             await run_loop_turns()
@@ -144,13 +146,13 @@
             _, writer = await asyncio.open_connection("127.0.0.1", harness.port)
             writer.write(LONG_DEADLINE_READ % b"r0")
             await until(lambda: harness.request_count == 1)
-            harness.downstream.shutdown.quiesce(harness.clock.now())
+            harness.downstream.shutdown.start_drain(harness.clock.now())
             harness.downstream.start_drain()
-            harness.clock.go(CEASE)
+            harness.clock.go(STOP_READING_DELAY_MS)
             writer.write(READ % b"r1")
             await run_loop_turns()
             assert harness.request_count == 1
-            harness.downstream.shutdown.resume(harness.clock.now())
+            harness.downstream.shutdown.resume()
             harness.downstream.cancel_drain()
             await until(lambda: harness.request_count == 2)
             writer.close()
@@ -352,7 +354,7 @@
             started_at = harness.clock.now()
             shutdown = asyncio.ensure_future(harness.downstream.leave())
             await run_loop_turns(1)
-            harness.clock.go(LINGER)
+            harness.clock.go(IDLE_CLOSE_DELAY_MS)
             reader, writer = await asyncio.open_connection("127.0.0.1", harness.port)
             writer.write(b"ms key7 2 Oa1 Pc=put,t=acme,d=3000\r\n")  # the rest comes late
             await until(lambda: any(not c._parser.idle for c in harness.downstream._connections))
@@ -360,7 +362,7 @@
             await run_loop_turns()
             writer.write(b"hi\r\n")
             await until(lambda: harness.request_count == 1)
-            assert harness.clock.now() == started_at + LINGER + SHUTDOWN_ACCEPT_MS
+            assert harness.clock.now() == started_at + IDLE_CLOSE_DELAY_MS + SHUTDOWN_ACCEPT_MS
             harness.clock.go(SHUTDOWN_ACCEPT_MS + 3_000 - 1 - (harness.clock.now() - started_at))
             assert await reader.read() == FAILED  # by the net: nobody decides anything here
             writer.close()
--- a/tests/upstream/test_attempt_termination.py
+++ b/tests/upstream/test_attempt_termination.py
@@ -286,7 +286,7 @@
             await loop.sock_recv(one, 4096)
             one.send(head)
             (connection,) = harness.connections
-            await until(lambda connection=connection: connection.reader.taken == len(head))
+            await until(lambda connection=connection: connection.reader.read_bytes == len(head))
             if orderly:
                 one.close()
             else:
--- a/tests/upstream/test_upstream_streaming.py
+++ b/tests/upstream/test_upstream_streaming.py
@@ -8,7 +8,7 @@
 from support.upstream import UpstreamHarness
 
 from flintridge.lab import virtual
-from flintridge.runtime.streams import READ as READ_AT_A_TIME
+from flintridge.runtime.streams import READ_MAX_BYTES as READ_AT_A_TIME
 from flintridge.upstream.streaming import SERVER_STALL_MS
 
 
