--- a/flintridge/policy/balancer.py
+++ b/flintridge/policy/balancer.py
@@ -16,7 +16,7 @@
 
 NS_PER_S = 1000 * NS_PER_MS
 SLOW_FRACTION = 0.5  # an attempt that takes more of its latency objective counts as slow
-CALM_AFTER_NS = 5 * NS_PER_S  # since a limit last decreased: there is capacity for more than is needed
+RECOVERED_AFTER_NS = 5 * NS_PER_S  # since a limit last decreased: there is capacity for more than is needed
 MIN_FLOOR = 0.1  # of a limit: enough to notice a recovery
 LOAD_SLACK = 0.5  # a server may have this much more in flight than the average
 MIN_CAP = 2  # a node with about one attempt at a server can't tell a second one from chance
@@ -42,6 +42,8 @@
 
 @dataclass(slots=True, eq=False)
 class Server:
+    """What this node knows of one server; cache servers and origins alike."""
+
     endpoint: api.Endpoint
     number: int  # on the ring
     inflight: int = 0  # this node's attempts
@@ -62,6 +64,8 @@
 
 
 class Balancer:
+    """The decisions of one node: events in, actions out; only `handle` is called from outside."""
+
     def __init__(self, settings: api.Settings, seed: int) -> None:
         self.settings = settings
         self.random = random.Random(seed)
@@ -204,7 +208,7 @@
         if not is_known or is_strict:
             request.over_quota = not self.try_take_token(event.tenant)
         if request.over_quota and (is_strict or self.random.random() >= self.admitted_over_quota):
-            self.give_up(request)
+            self.reject_or_fail(request)
         else:
             self.enqueue(request, self.limiter_for(request.event.write))
 
@@ -219,7 +223,7 @@
             return
         latest = request.limiter.latest_start(request)
         if latest <= self.now:
-            self.give_up(request)
+            self.reject_or_fail(request)
         else:
             self.set_timer(latest, partial(self.wait, request_id))
 
@@ -227,8 +231,8 @@
         weight = request.request_class.priority_weight
         if request.over_quota:
             weight *= self.settings.over_quota_weight
-        usual_ns = max(self.caches.usual_ns(request), NS_PER_MS)
-        return weight if self.settings.weight_by_work else weight / usual_ns
+        mean_latency_ns = max(self.caches.mean_latency_ns(request), NS_PER_MS)
+        return weight if self.settings.weight_by_work else weight / mean_latency_ns
 
     def on_allocation(self, event: api.AllocationUpdate) -> None:
         self.buckets = {
@@ -268,7 +272,7 @@
             if request.limiter is not limiter:
                 continue
             if limiter.latest_start(request) < self.now:
-                self.give_up(request)
+                self.reject_or_fail(request)
             elif limiter is self.origin:
                 self.admit_at_origin(request)
             else:
@@ -289,7 +293,7 @@
         if key is not None and key in self.fetches:
             self.fetches[key].append(request)
         elif server is None:
-            self.give_up(request)
+            self.reject_or_fail(request)
         else:
             self.send(request, server)
             if key is not None and not request.done:
@@ -335,8 +339,8 @@
     def is_free(self, name: str, request: OpenRequest, average: float) -> bool:
         server = self.servers[name]
         fraction = self.fractions[name]
-        least = MIN_CAP if fraction >= UNHEALTHY * self.weight_root(server) else 1
-        cap = max(least, math.ceil((1 + LOAD_SLACK) * average * fraction))
+        minimum = MIN_CAP if fraction >= UNHEALTHY * self.weight_root(server) else 1
+        cap = max(minimum, math.ceil((1 + LOAD_SLACK) * average * fraction))
         return server.inflight < cap and self.is_within_budget(server, request)
 
     def weight_root(self, server: Server) -> float:  # it counts for its points, and for its cap
@@ -347,9 +351,9 @@
         return self.warmth(server) * self.health(server) * self.weight_root(server)
 
     def refresh_fractions(self) -> None:  # not for each request: in a large fleet that costs CPU
-        usual = self.fleet_cost
-        if usual:  # that of the server a third from the best: a lost zone must not pass for usual
-            costs = sorted(self.likely_cost(self.servers[name], usual) for name in self.ready)
+        baseline = self.fleet_cost
+        if baseline:  # that of the server a third from the best: a lost zone must not pass for usual
+            costs = sorted(self.likely_cost(self.servers[name], baseline) for name in self.ready)
             self.fleet_cost = costs[len(costs) // 3]
         self.fractions = {name: self.fraction(self.servers[name]) for name in self.ready}
         self.fraction_sum = sum(self.fractions.values())
@@ -361,30 +365,30 @@
         health = HEALTHY_COST_FACTOR * self.fleet_cost / self.likely_cost(server, self.fleet_cost)
         return min(1.0, max(MIN_HEALTH, health))
 
-    def likely_cost(self, server: Server, usual: float) -> float:  # its own, its kind's or `usual`
+    def likely_cost(self, server: Server, baseline: float) -> float:  # its own, its kind's or `baseline`
         evidence = self.evidence(server)
-        prior = PRIOR_OUTCOMES * self.kind_costs.get(server.endpoint.kind, usual)
+        prior = PRIOR_OUTCOMES * self.kind_costs.get(server.endpoint.kind, baseline)
         return (evidence * server.cost + prior) / (evidence + PRIOR_OUTCOMES)
 
     def evidence(self, server: Server) -> float:  # it fades
         return server.evidence * math.pow(0.5, (self.now - server.cost_at) / EVIDENCE_HALF_LIFE_NS)
 
     def record_cost(self, server: Server, request: OpenRequest, event: AttemptEnded, failed: bool) -> None:
-        expected_ns = request.event.work_ns or self.caches.usual_ns(request)
+        expected_ns = request.event.work_ns or self.caches.mean_latency_ns(request)
         if not expected_ns:
             return
         cost = event.latency_ns / expected_ns
-        usual = self.success_cost or cost  # not with failures: costs rose without end
-        highest = usual * HEALTHY_COST_FACTOR / MIN_HEALTH
+        baseline = self.success_cost or cost  # not with failures: costs rose without end
+        highest = baseline * HEALTHY_COST_FACTOR / MIN_HEALTH
         if failed:
             cost = highest
         elif event.malformed:
-            cost = max(cost, MALFORMED_COST_FACTOR * usual)
+            cost = max(cost, MALFORMED_COST_FACTOR * baseline)
         elif event.outcome is Outcome.RESET:
-            cost = max(cost, RESET_COST_FACTOR * usual)
+            cost = max(cost, RESET_COST_FACTOR * baseline)
         else:
             cost = min(cost, highest)
-            self.success_cost = usual + 0.03 * (cost - usual)
+            self.success_cost = baseline + 0.03 * (cost - baseline)
             kind_cost = self.kind_costs.get(server.endpoint.kind, cost)
             self.kind_costs[server.endpoint.kind] = kind_cost + 0.03 * (cost - kind_cost)
         cost = min(cost, highest)
@@ -405,8 +409,8 @@
         age_ns = self.now - server.endpoint.started_at
         if server.endpoint.started_at == 0 or age_ns >= rules.slow_start_ns:
             return 1.0
-        least = rules.slow_start_fraction
-        return least + (1 - least) * max(age_ns, 0) / rules.slow_start_ns
+        minimum = rules.slow_start_fraction
+        return minimum + (1 - minimum) * max(age_ns, 0) / rules.slow_start_ns
 
     def is_within_budget(self, server: Server, request: OpenRequest) -> bool:  # while it is warming up
         rules = self.settings.rules
@@ -451,7 +455,7 @@
         request.limiter = None
         server = self.servers[name]
         if not self.may_send(request, server):
-            self.give_up(request)
+            self.reject_or_fail(request)
             return
         idle_ns = 0 if server.inflight else self.now - server.used_at if server.used_at else None
         if idle_ns is not None and idle_ns > min(self.stale_after_ns, self.settings.limits.conn_idle_ns):
@@ -562,14 +566,14 @@
         missed = event.outcome is Outcome.MISS
         is_retry = not attempt.withdrawn and not missed
         if self.now >= request.event.deadline or (is_retry and not self.try_take_token(RETRY_BUDGET)):
-            self.give_up(request)
+            self.reject_or_fail(request)
         elif self.limiter_for(missed or self.is_last(request)) is self.origin:
             self.enqueue(request, self.origin)  # the last attempt is kept for it: another cache can only miss
         else:
             is_broken = event.malformed or event.outcome is Outcome.RESET
             is_lost = attempt.server in self.origins and event.outcome is not Outcome.FULL
-            again = (is_broken or is_lost) and attempt.server not in request.repeated_servers
-            (request.repeated_servers if again else request.failed_servers).append(attempt.server)
+            may_be_repeated = (is_broken or is_lost) and attempt.server not in request.repeated_servers
+            (request.repeated_servers if may_be_repeated else request.failed_servers).append(attempt.server)
             self.enqueue(request, self.limiter_for(request.event.write))
 
     def is_last(self, request: OpenRequest) -> bool:
@@ -601,17 +605,17 @@
         return first.cell == server.endpoint.cell
 
     def attempt_timeout_ns(self, request: OpenRequest, limiter: ConcurrencyLimiter) -> int:  # 0: none
-        is_calm = self.now > limiter.decreased_at + CALM_AFTER_NS or self.stale_after_ns < math.inf
-        if self.is_last(request) or not is_calm or not self.is_repeatable(request):
+        is_recovered = self.now > limiter.decreased_at + RECOVERED_AFTER_NS or self.stale_after_ns < math.inf
+        if self.is_last(request) or not is_recovered or not self.is_repeatable(request):
             return 0
         request_class = request.request_class
         slow_ns = (request.event.work_ns or 0) + int(request.slow_after_ns)
-        timeout_ns = max(slow_ns, int(TIMEOUT_LATENCY_FACTOR * limiter.usual_ns(request)))
+        timeout_ns = max(slow_ns, int(TIMEOUT_LATENCY_FACTOR * limiter.mean_latency_ns(request)))
         is_in_time = timeout_ns <= limiter.latest_start(request) - self.now
         is_safe = request_class.effect is Effect.SAFE or timeout_ns < request_class.deduplication_window_ns
         return timeout_ns if is_in_time and is_safe else 0
 
-    def give_up(self, request: OpenRequest) -> None:  # rejects where a repeat is harmless
+    def reject_or_fail(self, request: OpenRequest) -> None:  # rejects where a repeat is harmless
         newest = fingerprint(request.event)
         self.rejected.pop(newest, None)
         self.rejected[newest] = (request.first_arrived_at, request.over_quota)
@@ -637,8 +641,8 @@
         else:
             limiter = self.limiter_for(request.event.write or request.missed_at is not None)
             waiting = max(0, len(limiter.queue) - limiter.abandoned) + limiter.inflight
-            usual_ns = limiter.usual_ns(request, request.slow_after_ns)
-            queue_ns = usual_ns * waiting / max(limiter.limit, limiter.floor)
+            mean_latency_ns = limiter.mean_latency_ns(request, request.slow_after_ns)
+            queue_ns = mean_latency_ns * waiting / max(limiter.limit, limiter.floor)
             wait_ns = max(queue_ns, limiter.next_at - self.now)
         return int(min(max(wait_ns, NS_PER_MS), limits.max_retry_after_ns))
 
--- a/flintridge/policy/concurrency_limiter.py
+++ b/flintridge/policy/concurrency_limiter.py
@@ -78,9 +78,7 @@
         if is_bad:
             self.doubling = False
             self.decreased_at = now
-            base = min(
-                self.limit, max(self.peak_inflight, self.inflight) + 1
-            )  # it may never have been reached
+            base = min(self.limit, max(self.peak_inflight, self.inflight) + 1)  # what was reached
             self.limit = max(self.floor, base * (1 - 0.3 * self.round_slow / self.round_attempts))
         elif self.inflight + 1 >= 0.7 * self.limit:
             self.limit += self.limit if self.doubling else max(self.step, 0.05 * self.limit)
@@ -89,12 +87,12 @@
         self.peak_inflight = self.inflight
         return is_bad
 
-    def usual_ns(self, request: OpenRequest, unknown_ns: float = 0.0) -> float:
+    def mean_latency_ns(self, request: OpenRequest, unknown_ns: float = 0.0) -> float:
         return self.latencies_ns.get(request.event.class_index, unknown_ns)
 
     def record_latency(self, request: OpenRequest, latency_ns: int) -> None:
-        usual_ns = self.usual_ns(request, float(latency_ns))
-        self.latencies_ns[request.event.class_index] = usual_ns + 0.05 * (latency_ns - usual_ns)
+        mean_latency_ns = self.mean_latency_ns(request, float(latency_ns))
+        self.latencies_ns[request.event.class_index] = mean_latency_ns + 0.05 * (latency_ns - mean_latency_ns)
 
     def push(self, request: OpenRequest, priority: float, order: int) -> None:  # the newest first of equals
         request.limiter = self
@@ -109,12 +107,12 @@
 
     def latest_start(self, request: OpenRequest) -> int:  # to be in time, or rejected early
         request_class = request.request_class
-        usual_ns = min(self.usual_ns(request), request.slow_after_ns)  # a slow spell must not last
+        mean_latency_ns = min(self.mean_latency_ns(request), request.slow_after_ns)
         is_late_useful = request_class.late_weight_fraction > 0
         useful_ns = request_class.deadline_ns if is_late_useful else request_class.latency_objective_ns
-        latest = min(request.first_arrived_at + useful_ns, request.event.deadline) - int(usual_ns)
+        latest = min(request.first_arrived_at + useful_ns, request.event.deadline) - int(mean_latency_ns)
         if all(attempt.withdrawn for attempt in request.attempts):
             client_ns = request.event.deadline - request.arrived_at
-            wait_ns = max(0.0, MAX_FIRST_WAIT_FRACTION * client_ns - usual_ns)
+            wait_ns = max(0.0, MAX_FIRST_WAIT_FRACTION * client_ns - mean_latency_ns)
             latest = min(latest, request.arrived_at + int(wait_ns))
         return latest
--- a/tests/policy/test_discovery_calls.py
+++ b/tests/policy/test_discovery_calls.py
@@ -13,23 +13,23 @@
     router = Router()
     pauses = []
     for _ in range(6):
-        (timer,) = router.tell(api.EndpointUpdate(UpdateKind.FAILED))
+        (timer,) = router.notify(api.EndpointUpdate(UpdateKind.FAILED))
         assert isinstance(timer, api.SetTimer)
         pauses.append(timer.at - router.now)
         router.now = timer.at
         router.timers.clear()
-        assert router.tell(api.TimerFired(timer.token)) == [api.Watch()]
+        assert router.notify(api.TimerFired(timer.token)) == [api.Watch()]
     assert pauses[0] < S < pauses[-1] < router.settings.rules.poll_interval_ns
     assert len(router.balancer.ready) == 5  # the old list stays
 
 
 def test_a_server_absent_from_a_full_list_has_left():
     router = Router(count=5)
-    router.tell(api.EndpointUpdate(UpdateKind.FULL, 2, members(3)))
+    router.notify(api.EndpointUpdate(UpdateKind.FULL, 2, members(3)))
     assert router.balancer.ready == [m.server for m in members(3)[:-1]]
 
 
 def test_deltas_apply_on_top():
     router = Router(count=3)
-    router.tell(api.EndpointUpdate(UpdateKind.DELTA, 2, (api.Endpoint("10.0.0.7:80"),)))
+    router.notify(api.EndpointUpdate(UpdateKind.DELTA, 2, (api.Endpoint("10.0.0.7:80"),)))
     assert "10.0.0.7:80" in router.balancer.ready and len(router.balancer.ready) == 4
--- a/tests/policy/test_ordinary_path.py
+++ b/tests/policy/test_ordinary_path.py
@@ -20,33 +20,33 @@
     return list(dict.fromkeys(s for _, s in ring[at:] + ring[:at]))
 
 
-def homes(router: Router, keys: list[str]) -> dict[str, str]:
+def servers_of(router: Router, keys: list[str]) -> dict[str, str]:
     found = {}
     for key in keys:
-        uid = router.ask(key)
-        found[key] = router.server_of(uid)
-        router.end(uid, Outcome.OK)
+        request_id = router.request(key)
+        found[key] = router.server_of(request_id)
+        router.end_attempt(request_id, Outcome.OK)
     return found
 
 
 def test_a_key_goes_to_its_first_clockwise_server():
     router = Router()
     keys = [f"key{i}" for i in range(200)]
-    assert homes(router, keys) == {key: clockwise(key, CACHES)[0] for key in keys}
+    assert servers_of(router, keys) == {key: clockwise(key, CACHES)[0] for key in keys}
 
 
 def test_a_full_server_passes_the_key_on_clockwise():
     router = Router(count=5)
     order = clockwise("hot", CACHES)
-    held = dict.fromkeys(CACHES, 0)
+    in_flight = dict.fromkeys(CACHES, 0)
     for total in range(10):
         cap = max(MIN_CAP, math.ceil((1 + LOAD_SLACK) * (total + 1) / 5))
-        expected = next(s for s in order if held[s] < cap)
-        assert router.server_of(router.ask("hot")) == expected
-        held[expected] += 1
+        expected = next(s for s in order if in_flight[s] < cap)
+        assert router.server_of(router.request("hot")) == expected
+        in_flight[expected] += 1
 
 
-def test_every_ending_frees_its_slot():
+def test_every_outcome_releases_its_permit():
     for outcome in (
         Outcome.OK,
         Outcome.ERROR,
@@ -56,9 +56,9 @@
         Outcome.CANCELLED,
     ):
         router = Router()
-        uid = router.ask("k")
+        request_id = router.request("k")
         assert router.balancer.caches.inflight == 1
-        router.end(uid, outcome, final=True)
+        router.end_attempt(request_id, outcome, final=True)
         assert router.balancer.caches.inflight == 0
         assert all(s.inflight == 0 for s in router.balancer.servers.values())
 
@@ -66,102 +66,106 @@
 def test_membership_changes_move_few_keys():
     router = Router(count=10)
     keys = [f"key{i}" for i in range(300)]
-    before = homes(router, keys)
+    before = servers_of(router, keys)
     lost = "10.0.0.3:80"
-    router.tell(api.EndpointUpdate(UpdateKind.DELTA, 2, (api.Endpoint(lost, EndpointState.GONE),)))
-    after = homes(router, keys)
+    router.notify(api.EndpointUpdate(UpdateKind.DELTA, 2, (api.Endpoint(lost, EndpointState.GONE),)))
+    after = servers_of(router, keys)
     assert lost not in after.values()
     assert all(after[k] == before[k] for k in keys if before[k] != lost)
-    router.tell(api.EndpointUpdate(UpdateKind.DELTA, 3, (api.Endpoint(lost),)))
-    assert homes(router, keys) == before
+    router.notify(api.EndpointUpdate(UpdateKind.DELTA, 3, (api.Endpoint(lost),)))
+    assert servers_of(router, keys) == before
 
 
 def test_a_miss_and_a_write_go_to_the_origin():
     router = Router()
-    uid = router.ask("k")
-    router.end(uid, Outcome.MISS)
-    assert router.server_of(uid) == "10.9.9.9:80"
-    assert router.server_of(router.ask("w", cls=1, write=True)) == "10.9.9.9:80"
+    request_id = router.request("k")
+    router.end_attempt(request_id, Outcome.MISS)
+    assert router.server_of(request_id) == "10.9.9.9:80"
+    assert router.server_of(router.request("w", cls=1, write=True)) == "10.9.9.9:80"
 
 
 def test_through_mode_keeps_to_the_ring():
     router = Router(mode=api.CacheMode.THROUGH, origin_kind=-1)
-    uid = router.ask("w", cls=1, write=True)
-    assert router.server_of(uid) in [*clockwise("w", CACHES), "10.9.9.9:80"]
+    request_id = router.request("w", cls=1, write=True)
+    assert router.server_of(request_id) in [*clockwise("w", CACHES), "10.9.9.9:80"]
 
 
 def test_a_missing_key_is_spread_by_request():
     router = Router(count=10)
     used = set()
     for _ in range(60):
-        uid = router.ask(None)
-        used.add(router.server_of(uid))
-        router.end(uid, Outcome.OK)
+        request_id = router.request(None)
+        used.add(router.server_of(request_id))
+        router.end_attempt(request_id, Outcome.OK)
     assert len(used) > 5
 
 
-def test_an_empty_list_is_refused_in_time_and_without_fault():
+def test_with_an_empty_list_requests_are_rejected_in_time_and_without_fault():
     router = Router()
-    router.tell(api.EndpointUpdate(UpdateKind.FULL, 2, ()))
-    router.pass_time(2_000_000_000)
-    uid = router.ask("k")
-    router.pass_time(2_000_000_000)
-    assert isinstance(router.answers[uid], api.Reject)
+    router.notify(api.EndpointUpdate(UpdateKind.FULL, 2, ()))
+    router.advance(2_000_000_000)
+    request_id = router.request("k")
+    router.advance(2_000_000_000)
+    assert isinstance(router.final_responses[request_id], api.Reject)
 
 
 def test_a_list_without_an_origin_ends_a_miss():
     router = Router()
-    router.tell(api.EndpointUpdate(UpdateKind.DELTA, 2, (api.Endpoint("10.9.9.9:80", EndpointState.GONE),)))
-    uid = router.ask("k")
-    router.end(uid, Outcome.MISS)
-    router.pass_time(2_000_000_000)
-    assert isinstance(router.answers[uid], api.Reject)
+    router.notify(api.EndpointUpdate(UpdateKind.DELTA, 2, (api.Endpoint("10.9.9.9:80", EndpointState.GONE),)))
+    request_id = router.request("k")
+    router.end_attempt(request_id, Outcome.MISS)
+    router.advance(2_000_000_000)
+    assert isinstance(router.final_responses[request_id], api.Reject)
 
 
-def test_a_spoilt_answer_is_asked_for_again_where_the_key_is_and_ejects_nobody():
-    """Guards the origin: each spoilt answer moved keys away, or took the only origin out of reach."""
+def test_a_malformed_response_is_retried_where_the_key_is_and_ejects_nobody():
+    """Guards the origin: each malformed answer moved keys away, or took the only origin out of reach."""
     router = Router()
     for i in range(100):
-        uid = router.ask(f"w{i}")
+        request_id = router.request(f"w{i}")
         router.now += 1_000_000
-        router.end(uid, Outcome.OK)
-    home = router.server_of(router.ask("k"))
-    uid = router.ask("k")
-    assert router.server_of(uid) == home
+        router.end_attempt(request_id, Outcome.OK)
+    home = router.server_of(router.request("k"))
+    request_id = router.request("k")
+    assert router.server_of(request_id) == home
     router.now += 1_000_000
-    router.end(uid, Outcome.ERROR, malformed=True)
-    assert router.server_of(uid) == home
-    router.end(uid, Outcome.ERROR, malformed=True)
-    assert router.server_of(uid) != home  # twice is enough
-    uid = router.ask("other")
-    router.end(uid, Outcome.MISS)
-    origin = router.server_of(uid)
-    router.end(uid, Outcome.ERROR, malformed=True)  # it may be stored by now
-    router.end(uid, Outcome.MISS)
-    assert router.server_of(uid) == origin
+    router.end_attempt(request_id, Outcome.ERROR, malformed=True)
+    assert router.server_of(request_id) == home
+    router.end_attempt(request_id, Outcome.ERROR, malformed=True)
+    assert router.server_of(request_id) != home  # twice is enough
+    request_id = router.request("other")
+    router.end_attempt(request_id, Outcome.MISS)
+    origin = router.server_of(request_id)
+    router.end_attempt(request_id, Outcome.ERROR, malformed=True)  # it may be stored by now
+    router.end_attempt(request_id, Outcome.MISS)
+    assert router.server_of(request_id) == origin
     for i in range(200):
-        uid = router.ask(f"n{i}")
+        request_id = router.request(f"n{i}")
         router.now += 1_000_000
-        spoilt = i % 25 == 24
-        router.end(uid, Outcome.ERROR if spoilt else Outcome.OK, final=True, malformed=spoilt)
+        malformed = i % 25 == 24
+        router.end_attempt(
+            request_id, Outcome.ERROR if malformed else Outcome.OK, final=True, malformed=malformed
+        )
     router.balancer.refresh_fractions()
     assert min(router.balancer.fractions.values()) > 0.8
 
 
-def test_a_machine_of_larger_weight_gets_as_many_more_keys_and_holds_more():
+def test_a_machine_of_larger_weight_gets_as_many_more_keys_and_more_in_flight():
     """Guards small machines: with as many keys as large ones they turned a quarter of all away."""
     router = Router(count=0)
     weights = {f"10.0.0.{i}:80": 4.0 if i < 2 else 0.5 for i in range(6)}
     listed = tuple(api.Endpoint(s, weight=w) for s, w in weights.items())
-    router.tell(api.EndpointUpdate(UpdateKind.DELTA, 2, listed))
-    keys = homes(router, [f"key{i}" for i in range(3000)])
+    router.notify(api.EndpointUpdate(UpdateKind.DELTA, 2, listed))
+    keys = servers_of(router, [f"key{i}" for i in range(3000)])
     counts = {s: sum(home == s for home in keys.values()) for s in weights}
     large = counts["10.0.0.0:80"] + counts["10.0.0.1:80"]
     assert 0.7 < large / len(keys) < 0.9  # of 10 parts 8 are theirs
     router.balancer.caches.limit = 100.0
     for i in range(40):
-        router.ask(f"held{i}")
-    held = {s: router.balancer.servers[s].inflight for s in weights}
-    assert min(held["10.0.0.0:80"], held["10.0.0.1:80"]) > max(held[s] for s in list(weights)[2:])
-    router.tell(api.EndpointUpdate(UpdateKind.DELTA, 3, (api.Endpoint("10.0.0.9:80", weight=0.0),)))
-    router.ask("no weight said")
+        router.request(f"held{i}")
+    in_flight = {s: router.balancer.servers[s].inflight for s in weights}
+    assert min(in_flight["10.0.0.0:80"], in_flight["10.0.0.1:80"]) > max(
+        in_flight[s] for s in list(weights)[2:]
+    )
+    router.notify(api.EndpointUpdate(UpdateKind.DELTA, 3, (api.Endpoint("10.0.0.9:80", weight=0.0),)))
+    router.request("no weight said")
--- a/tests/policy/test_outlier_detection.py
+++ b/tests/policy/test_outlier_detection.py
@@ -10,13 +10,13 @@
 from flintridge.policy.balancer import HEALTHY_COST_FACTOR, MIN_HEALTH, UNHEALTHY
 
 
-def homes(router: Router, count: int = 300) -> list[str]:
+def servers_of_keys(router: Router, count: int = 300) -> list[str]:
     found = []
     for i in range(count):
-        uid = router.ask(f"home{i}")
-        found.append(router.server_of(uid))
+        request_id = router.request(f"home{i}")
+        found.append(router.server_of(request_id))
         router.now += 20 * MS
-        router.end(uid, Outcome.OK)
+        router.end_attempt(request_id, Outcome.OK)
     return found
 
 
@@ -24,25 +24,25 @@
     router = Router(count=5)
     bad = "10.0.0.2:80"
     for i in range(400):
-        uid = router.ask(f"k{i}")
-        at_bad = router.server_of(uid) == bad
+        request_id = router.request(f"k{i}")
+        at_bad = router.server_of(request_id) == bad
         router.now += (1 if at_bad else 20) * MS
-        router.end(uid, Outcome.ERROR if at_bad else Outcome.OK)
-        if uid not in router.answers:
+        router.end_attempt(request_id, Outcome.ERROR if at_bad else Outcome.OK)
+        if request_id not in router.final_responses:
             router.now += 20 * MS
-            router.end(uid, Outcome.OK)
+            router.end_attempt(request_id, Outcome.OK)
     share = router.balancer.fraction(router.balancer.servers[bad])
     assert MIN_HEALTH <= share < 0.3
-    after = homes(router, 100)
+    after = servers_of_keys(router, 100)
     assert 0 < after.count(bad) < 100 / 5 / 2  # left, not emptied: it is tried on
 
 
 def test_a_fleet_that_is_slow_as_a_whole_is_not_moved():
     router = Router(count=5)
     for i in range(300):
-        uid = router.ask(f"k{i}")
+        request_id = router.request(f"k{i}")
         router.now += (20 if i < 150 else 400) * MS
-        router.end(uid, Outcome.OK)
+        router.end_attempt(request_id, Outcome.OK)
     assert all(router.balancer.fraction(router.balancer.servers[s]) > 0.6 for s in router.balancer.ready)
 
 
@@ -51,11 +51,11 @@
     router = Router(count=6, limits=api.Limits(max_attempts=9))
     lost = {f"10.0.0.{i}:80" for i in range(3)}
     for i in range(300):
-        uid = router.ask(f"k{i}")
-        while uid not in router.answers:
-            silent = router.server_of(uid) in lost
+        request_id = router.request(f"k{i}")
+        while request_id not in router.final_responses:
+            silent = router.server_of(request_id) in lost
             router.now += (60 if silent else 20) * MS
-            router.end(uid, Outcome.RESET if silent else Outcome.OK)
+            router.end_attempt(request_id, Outcome.RESET if silent else Outcome.OK)
     for name in router.balancer.ready:
         health = router.balancer.health(router.balancer.servers[name])
         assert health < UNHEALTHY if name in lost else health == 1
@@ -66,14 +66,14 @@
     router = Router(count=5)
     for i in range(40):
         router.now += 20 * MS
-        uid = router.ask(f"k{i}")
+        request_id = router.request(f"k{i}")
         router.now += 20 * MS
-        router.end(uid, Outcome.OK)
-    bad = router.balancer.servers[router.server_of(uid := router.ask("k"))]
-    router.end(uid, Outcome.ERROR)
+        router.end_attempt(request_id, Outcome.OK)
+    bad = router.balancer.servers[router.server_of(request_id := router.request("k"))]
+    router.end_attempt(request_id, Outcome.ERROR)
     once = router.balancer.health(bad)
     router.now += 30 * S
-    router.ask("later")
+    router.request("later")
     assert once < 1 == router.balancer.health(bad)
 
 
@@ -82,9 +82,9 @@
     within seconds of full queues, and a share of a tenth for servers that were well."""
     router = Router(count=6)
     for i in range(600):
-        uid = router.ask(f"k{i}")
-        router.pass_time(10 * MS)
-        router.end(uid, Outcome.FULL if i % 3 == 0 and i > 60 else Outcome.OK, final=True)
+        request_id = router.request(f"k{i}")
+        router.advance(10 * MS)
+        router.end_attempt(request_id, Outcome.FULL if i % 3 == 0 and i > 60 else Outcome.OK, final=True)
     balancer = router.balancer
     assert balancer.fleet_cost <= HEALTHY_COST_FACTOR / MIN_HEALTH * 1.1
     balancer.refresh_fractions()
@@ -95,10 +95,10 @@
     """Guards the measure of the fleet: with idle ones as bad, one that refused all kept its keys."""
     router = Router(count=6)
     for i in range(400):
-        uid = router.ask(f"k{i}")
-        sick = router.server_of(uid) == "10.0.0.0:80"
-        router.pass_time(10 * MS)
-        router.end(uid, Outcome.FULL if sick else Outcome.OK, final=True)
+        request_id = router.request(f"k{i}")
+        unhealthy = router.server_of(request_id) == "10.0.0.0:80"
+        router.advance(10 * MS)
+        router.end_attempt(request_id, Outcome.FULL if unhealthy else Outcome.OK, final=True)
     balancer = router.balancer
     balancer.now = router.now + 60 * S  # what is known of each by itself has faded
     balancer.refresh_fractions()
--- a/tests/policy/test_rules.py
+++ b/tests/policy/test_rules.py
@@ -17,27 +17,29 @@
 def test_each_outcome_for_each_effect(outcome, cls):
     router = Router()
     effect = router.settings.classes[cls].effect
-    uid = router.ask("k", cls)
+    request_id = router.request("k", cls)
     router.now += 10 * MS
-    router.end(uid, outcome)
+    router.end_attempt(request_id, outcome)
     if effect is Effect.UNSAFE and outcome not in NEVER_EXECUTED:
-        assert router.tries[uid] == 1
-        assert isinstance(router.answers[uid], api.Fail)
+        assert router.attempts_made[request_id] == 1
+        assert isinstance(router.final_responses[request_id], api.Fail)
     else:
-        assert router.tries[uid] == 2 or isinstance(router.answers[uid], api.Reject)
+        assert router.attempts_made[request_id] == 2 or isinstance(
+            router.final_responses[request_id], api.Reject
+        )
 
 
-def test_a_keyed_repeat_stays_within_its_window():
+def test_a_keyed_retry_stays_within_its_deduplication_window():
     router = Router()
-    uid = router.ask("k", cls=1)
+    request_id = router.request("k", cls=1)
     router.now += 500 * MS  # past the window of 400 ms
-    router.end(uid, Outcome.TIMEOUT)
-    assert router.tries[uid] == 1
-    assert uid in router.answers
+    router.end_attempt(request_id, Outcome.TIMEOUT)
+    assert router.attempts_made[request_id] == 1
+    assert request_id in router.final_responses
 
 
 @pytest.mark.parametrize("group", [api.DeduplicationScope.ZONE, api.DeduplicationScope.CELL])
-def test_a_keyed_repeat_stays_within_its_group(group):
+def test_a_keyed_retry_stays_within_its_deduplication_scope(group):
     classes = (
         api.RequestClass(
             effect=Effect.KEYED, deduplication_scope=group, deduplication_window_ns=S, deadline_ns=3 * S
@@ -45,74 +47,76 @@
     )
     router = Router(classes=classes, mode=api.CacheMode.THROUGH, origin_kind=-1)
     listed = tuple(api.Endpoint(f"10.0.0.{i}:80", zone=i % 2, cell=i % 2) for i in range(6))
-    router.tell(api.EndpointUpdate(UpdateKind.FULL, 2, listed))
+    router.notify(api.EndpointUpdate(UpdateKind.FULL, 2, listed))
     side = {m.server: m.zone for m in listed}
     repeated = 0
     for i in range(40):
-        uid = router.ask(f"k{i}")
-        first = router.server_of(uid)
+        request_id = router.request(f"k{i}")
+        first = router.server_of(request_id)
         router.now += 10 * MS
-        router.end(uid, Outcome.RESET)
-        if router.tries[uid] == 2:
+        router.end_attempt(request_id, Outcome.RESET)
+        if router.attempts_made[request_id] == 2:
             repeated += 1
-            assert side[router.server_of(uid)] == side[first]
-            router.end(uid, Outcome.OK)
+            assert side[router.server_of(request_id)] == side[first]
+            router.end_attempt(request_id, Outcome.OK)
         else:
-            assert isinstance(router.answers[uid], api.Fail)  # no refusal: a client might go elsewhere
+            assert isinstance(
+                router.final_responses[request_id], api.Fail
+            )  # no rejection: a client might go elsewhere
     assert repeated
 
 
 def test_a_draining_or_gone_server_gets_nothing_new():
     router = Router(count=4)
     for state in (EndpointState.DRAINING, EndpointState.GONE):
-        target = router.server_of(router.ask("k"))
-        router.tell(api.EndpointUpdate(UpdateKind.DELTA, 2, (api.Endpoint(target, state),)))
+        target = router.server_of(router.request("k"))
+        router.notify(api.EndpointUpdate(UpdateKind.DELTA, 2, (api.Endpoint(target, state),)))
         before = len(router.sends)
         for i in range(50):
-            uid = router.ask(f"x{i}")
-            if (uid, 0) in router.out:
-                router.end(uid, Outcome.OK)
+            request_id = router.request(f"x{i}")
+            if (request_id, 0) in router.in_flight:
+                router.end_attempt(request_id, Outcome.OK)
         assert target not in {s.server for s in router.sends[before:]}
 
 
-def test_the_deadline_s_time_out_is_answered_at_once():
+def test_a_timeout_at_the_deadline_gets_its_final_response_at_once():
     router = Router()
-    uid = router.ask("k")
-    router.now = router.deadlines[uid]
-    router.end(uid, Outcome.TIMEOUT)
-    assert uid in router.answers
+    request_id = router.request("k")
+    router.now = router.deadlines[request_id]
+    router.end_attempt(request_id, Outcome.TIMEOUT)
+    assert request_id in router.final_responses
 
 
-def test_nothing_is_sent_for_a_client_that_has_gone():
+def test_nothing_is_sent_for_a_client_that_has_disconnected():
     router = Router()
-    uid = router.ask("k")
-    router.tell(api.ClientDisconnected(uid))
-    router.answers[uid] = api.Log("gone")
-    router.end(uid, Outcome.MISS, final=True)
-    assert router.tries[uid] == 1
+    request_id = router.request("k")
+    router.notify(api.ClientDisconnected(request_id))
+    router.final_responses[request_id] = api.Log("gone")
+    router.end_attempt(request_id, Outcome.MISS, final=True)
+    assert router.attempts_made[request_id] == 1
 
 
-def test_events_for_unknown_requests_are_passed_over():
+def test_events_for_unknown_requests_are_ignored():
     router = Router()
-    assert router.tell(api.ClientDisconnected("nobody")) == []
-    assert router.tell(api.AttemptEnded("nobody", 0, "10.0.0.1:80", Outcome.OK, 1, True)) == []
-    assert router.tell(api.StreamStarted("nobody", 0, "10.0.0.1:80")) == []
-    assert router.tell(api.TimerFired(12345)) == []
+    assert router.notify(api.ClientDisconnected("nobody")) == []
+    assert router.notify(api.AttemptEnded("nobody", 0, "10.0.0.1:80", Outcome.OK, 1, True)) == []
+    assert router.notify(api.StreamStarted("nobody", 0, "10.0.0.1:80")) == []
+    assert router.notify(api.TimerFired(12345)) == []
 
 
-def test_the_attempts_cap_is_kept():
+def test_the_limit_of_attempts_is_kept():
     router = Router(limits=api.Limits(max_attempts=3))
-    uid = router.ask("k")
+    request_id = router.request("k")
     for _ in range(5):
-        if uid in router.answers:
+        if request_id in router.final_responses:
             break
-        router.end(uid, Outcome.FULL)
-    assert router.tries[uid] <= 3
-    router.pass_time(2 * S)
-    assert isinstance(router.answers[uid], api.Reject)
+        router.end_attempt(request_id, Outcome.FULL)
+    assert router.attempts_made[request_id] <= 3
+    router.advance(2 * S)
+    assert isinstance(router.final_responses[request_id], api.Reject)
 
 
-def cold_work(router: Router, server: str, sends: list[tuple[int, str]], window: int) -> int:
+def most_sends_in_a_window(router: Router, server: str, sends: list[tuple[int, str]], window: int) -> int:
     times = [at for at, name in sends if name == server]
     return max((sum(1 for t in times if at <= t < at + window) for at in times), default=0)
 
@@ -121,24 +125,24 @@
     """Work that one router sends to a server that has just started, in the worst window of a burst."""
     router = Router(count=4, seed=seed)
     for _ in range(300):  # warm servers are seen to do about 25 a second each
-        uid = router.ask(f"w{router.next_id}")
-        router.pass_time(10 * MS)
-        router.end(uid, Outcome.OK)
+        request_id = router.request(f"w{router.next_id}")
+        router.advance(10 * MS)
+        router.end_attempt(request_id, Outcome.OK)
     fresh = api.Endpoint("10.0.1.1:80", started_at=router.now - 100 * MS)
-    router.tell(api.EndpointUpdate(UpdateKind.DELTA, 2, (fresh,)))
+    router.notify(api.EndpointUpdate(UpdateKind.DELTA, 2, (fresh,)))
     sends: list[tuple[int, str]] = []
     for _ in range(400):
-        uid = router.ask(f"w{router.next_id}")
-        router.pass_time(2 * MS)
-        if (uid, 0) in router.out:
-            sends.append((router.now, router.server_of(uid)))
-            if router.server_of(uid) == fresh.server or router.next_id % 2:
-                router.end(uid, Outcome.OK)
-    return cold_work(router, fresh.server, sends, S)
+        request_id = router.request(f"w{router.next_id}")
+        router.advance(2 * MS)
+        if (request_id, 0) in router.in_flight:
+            sends.append((router.now, router.server_of(request_id)))
+            if router.server_of(request_id) == fresh.server or router.next_id % 2:
+                router.end_attempt(request_id, Outcome.OK)
+    return most_sends_in_a_window(router, fresh.server, sends, S)
 
 
-def test_a_cold_server_gets_a_budget_of_work():
-    """Rule 4: without the budget, a burst that finds every other server full lands on the cold one."""
+def test_a_server_that_is_warming_up_gets_a_budget_of_work():
+    """Rule 4: without the budget, a burst that finds all others full lands on the one that warms up."""
     assert 0 < worst_of_a_burst(1) <= 3.0 * 0.4 * 25
 
 
@@ -148,7 +152,7 @@
 
 
 @pytest.mark.parametrize("seed", range(12))
-def test_random_days_keep_the_rules(seed):
+def test_random_streams_of_events_keep_the_rules(seed):
     """Rules 1 to 3 as invariants; the driver itself fails on a second answer or a send after the answer."""
     rng = random.Random(seed)
     tenants = (api.Tenant("a", 5.0), api.Tenant("b", 50.0))
@@ -156,58 +160,60 @@
     states = {m.server: EndpointState.READY for m in members(6)}
     ran: dict[str, tuple[int, str]] = {}
     effects: dict[str, Effect] = {}
-    told: dict[str, int] = {}
+    notified_at: dict[str, int] = {}
     checked = 0
 
     def check_sends() -> None:
         nonlocal checked
         for send in router.sends[checked:]:
             if states[send.server] is not EndpointState.READY:
-                assert router.now <= told[send.server] + router.settings.rules.drain_grace_ns
+                assert router.now <= notified_at[send.server] + router.settings.rules.drain_grace_ns
             if send.id in ran and effects[send.id] is not Effect.SAFE:
                 assert effects[send.id] is Effect.KEYED
                 assert router.now <= ran[send.id][0] + 400 * MS
         checked = len(router.sends)
 
     for step in range(1500):
-        router.pass_time(rng.randrange(0, 8 * MS))
+        router.advance(rng.randrange(0, 8 * MS))
         check_sends()
-        for uid in [u for u, d in router.deadlines.items() if d < router.now and u not in router.answers]:
-            late = [key for key in router.out if key[0] == uid]
+        for request_id in [
+            u for u, d in router.deadlines.items() if d < router.now and u not in router.final_responses
+        ]:
+            late = [key for key in router.in_flight if key[0] == request_id]
             assert late, "a request was neither answered nor out at its deadline"
-        for uid, attempt in list(router.out):
-            if router.deadlines[uid] <= router.now:
-                assert attempt == router.tries[uid] - 1
-                router.end(uid, Outcome.TIMEOUT)
+        for request_id, attempt in list(router.in_flight):
+            if router.deadlines[request_id] <= router.now:
+                assert attempt == router.attempts_made[request_id] - 1
+                router.end_attempt(request_id, Outcome.TIMEOUT)
         dice = rng.random()
         if dice < 0.45:
             cls = rng.choice([0, 0, 0, 1, 2])
-            uid = router.ask(f"k{rng.randrange(40)}", cls, write=cls > 0, tenant=rng.randrange(2))
-            effects[uid] = router.settings.classes[cls].effect
-        elif dice < 0.95 and router.out:
-            uid, _ = rng.choice(sorted(router.out))
-            server, sent = router.out[uid, router.tries[uid] - 1]
+            request_id = router.request(f"k{rng.randrange(40)}", cls, write=cls > 0, tenant=rng.randrange(2))
+            effects[request_id] = router.settings.classes[cls].effect
+        elif dice < 0.95 and router.in_flight:
+            request_id, _ = rng.choice(sorted(router.in_flight))
+            server, sent = router.in_flight[request_id, router.attempts_made[request_id] - 1]
             at_origin = server == "10.9.9.9:80"
             outcome = rng.choice([Outcome.OK] * 6 + FAILURES + ([] if at_origin else [Outcome.MISS] * 4))
             if outcome not in NEVER_EXECUTED:
-                ran.setdefault(uid, (sent, server))
-            router.end(uid, outcome)
+                ran.setdefault(request_id, (sent, server))
+            router.end_attempt(request_id, outcome)
         elif dice > 0.985:
             server = rng.choice(sorted(states))
             states[server] = rng.choice(list(EndpointState))
             kind = ORIGIN_KIND if server == "10.9.9.9:80" else 0
-            router.tell(
+            router.notify(
                 api.EndpointUpdate(UpdateKind.DELTA, step, (api.Endpoint(server, states[server], kind=kind),))
             )
-            told[server] = router.now
+            notified_at[server] = router.now
         check_sends()
-        for uid, answer in router.answers.items():
-            if isinstance(answer, api.Reject) and effects[uid] is Effect.UNSAFE:
-                assert uid not in ran
-    router.pass_time(4 * S)
-    for uid, _ in list(router.out):
-        router.end(uid, Outcome.TIMEOUT)
-    assert set(router.answers) == set(router.deadlines)
+        for request_id, answer in router.final_responses.items():
+            if isinstance(answer, api.Reject) and effects[request_id] is Effect.UNSAFE:
+                assert request_id not in ran
+    router.advance(4 * S)
+    for request_id, _ in list(router.in_flight):
+        router.end_attempt(request_id, Outcome.TIMEOUT)
+    assert set(router.final_responses) == set(router.deadlines)
     assert router.balancer.open_requests == {}
 
 
@@ -221,33 +227,33 @@
         router = Router(count=4, seed=seed, fleet_size=size, **changes)
         if warmed:
             for _ in range(20):  # ten a second for two windows: 2.5 a second at each warm server
-                uid = router.ask(f"w{router.next_id}")
-                router.pass_time(100 * MS)
-                router.end(uid, Outcome.OK)
+                request_id = router.request(f"w{router.next_id}")
+                router.advance(100 * MS)
+                router.end_attempt(request_id, Outcome.OK)
         start = replace(fresh, started_at=router.now)
-        router.tell(api.EndpointUpdate(UpdateKind.DELTA, 2, (start,)))
-        router.pass_time(seed * S // asked // size)
+        router.notify(api.EndpointUpdate(UpdateKind.DELTA, 2, (start,)))
+        router.advance(seed * S // asked // size)
         began = start.started_at
         for _ in range(seconds * asked):
-            uid = router.ask(key)
-            if (uid, 0) in router.out:
-                if router.server_of(uid) == fresh.server:
+            request_id = router.request(key)
+            if (request_id, 0) in router.in_flight:
+                if router.server_of(request_id) == fresh.server:
                     sent.append(router.now - began)
-                router.pass_time(5 * MS)
-                router.end(uid, Outcome.OK)
-            router.pass_time(S // asked - 5 * MS)
+                router.advance(5 * MS)
+                router.end_attempt(request_id, Outcome.OK)
+            router.advance(S // asked - 5 * MS)
     return max((sum(at <= t < at + S for t in sent) for at in sent), default=0)
 
 
 def first_server(key: str, fresh: str, started_at: int = 0) -> str:
     router = Router(count=4, tenants=(api.Tenant("a", 1e9),))  # no budget that matters
-    router.tell(api.EndpointUpdate(UpdateKind.DELTA, 2, (api.Endpoint(fresh, started_at=started_at),)))
-    return router.server_of(router.ask(key))
+    router.notify(api.EndpointUpdate(UpdateKind.DELTA, 2, (api.Endpoint(fresh, started_at=started_at),)))
+    return router.server_of(router.request(key))
 
 
-def test_a_fleet_of_small_routers_keeps_to_the_cold_budget_together():
-    """Rule 4 counts all routers. Each sent a cold server one request as if it were alone: with 200 of them a
-    key that many ask for pushed it over, though none had sent more than one."""
+def test_a_fleet_of_small_routers_keeps_to_the_slow_start_budget_together():
+    """Rule 4 counts all routers. Each sent a server that was warming up one request as if it were alone: with
+    200 of them a key that many ask for pushed it over, though none had sent more than one."""
     size = 100
     warm_server = size * 2.5  # a second, as the routers have seen
     assert 0 < worst_of_a_fleet(size, 2, warmed=True) <= 3.0 * 0.5 * warm_server
@@ -258,30 +264,30 @@
     assert worst_of_a_fleet(size, 2, warmed=False, seconds=1) <= 3.0 * 0.5 * 2 + 2
 
 
-def test_a_router_alone_is_not_kept_from_a_cold_server():
+def test_a_router_alone_is_not_kept_from_a_server_that_is_warming_up():
     """A share of less than one request must not be none, nor a fleet of one be refused."""
     assert worst_of_a_fleet(1, 20, warmed=False) >= 1
     router = Router(count=0)
-    router.tell(api.EndpointUpdate(UpdateKind.DELTA, 2, (api.Endpoint("10.0.1.1:80", started_at=START),)))
+    router.notify(api.EndpointUpdate(UpdateKind.DELTA, 2, (api.Endpoint("10.0.1.1:80", started_at=START),)))
     answered = 0
     for _ in range(30):
-        uid = router.ask("k")
-        router.pass_time(50 * MS)
-        if (uid, 0) in router.out:
-            router.end(uid, Outcome.OK)
+        request_id = router.request("k")
+        router.advance(50 * MS)
+        if (request_id, 0) in router.in_flight:
+            router.end_attempt(request_id, Outcome.OK)
             answered += 1
-        router.pass_time(200 * MS)
+        router.advance(200 * MS)
     assert answered
 
 
-def test_a_quiet_hour_does_not_make_a_cold_server_small():
+def test_a_quiet_hour_does_not_make_the_slow_start_budget_small():
     """What was seen is load; the quotas tell what can be done. By load alone replaced servers were left
     idle in a burst, while keys walked on to full ones."""
     quotas = (api.Tenant("a", 400.0),)
     assert 30 <= worst_of_a_fleet(1, 40, warmed=True, tenants=quotas) <= 3.0 * 0.5 * 100
 
 
-def test_a_heavy_key_does_not_take_a_cold_server_s_budget_many_times():
+def test_a_heavy_key_does_not_take_a_slow_start_budget_many_times():
     """Its server's first sends were drawn by the mean work: too often where all that it gets is heavier."""
     size, light, heavy, name = 200, 10 * MS, 100 * MS, "10.0.1.1:80"
     key = next(k for k in map(str, range(1000)) if first_server(k, name, START) == name)
@@ -289,9 +295,9 @@
     for seed in range(size):
         router = Router(count=4, seed=seed, fleet_size=size, tenants=(api.Tenant("a", 400.0),))
         for i in range(20):
-            router.end(router.ask(f"w{i}", work_ns=light), Outcome.OK)
-        router.tell(api.EndpointUpdate(UpdateKind.DELTA, 2, (api.Endpoint(name, started_at=START),)))
-        sent += router.server_of(router.ask(key, work_ns=heavy)) == name
+            router.end_attempt(router.request(f"w{i}", work_ns=light), Outcome.OK)
+        router.notify(api.EndpointUpdate(UpdateKind.DELTA, 2, (api.Endpoint(name, started_at=START),)))
+        sent += router.server_of(router.request(key, work_ns=heavy)) == name
     # The quotas let in 80 a second at each of five servers; the mean work is a little more than light by now.
     budget = 0.5 * 3.0 * 0.3 * 80 * 1.5 * light
     assert 0 < sent * heavy <= 2.5 * budget
--- a/tests/policy/test_server_selection.py
+++ b/tests/policy/test_server_selection.py
@@ -13,20 +13,20 @@
     """Copies in each zone cost the origin as many times the fetches; a fleet that took them in calm and
     changed to one ring in trouble missed nearly all of its keys just when the origin had no room."""
     listed = tuple(api.Endpoint(f"10.0.{z}.{i}:80", zone=z) for z in range(3) for i in range(4))
-    places: list[list[str]] = []
+    picked: list[list[str]] = []
     for zone in range(3):
         for trouble in (False, True):
             router = Router(count=1, prices=api.Prices(cross_zone=0.06), zone=zone)
-            router.tell(api.EndpointUpdate(UpdateKind.FULL, 2, listed))
+            router.notify(api.EndpointUpdate(UpdateKind.FULL, 2, listed))
             if trouble:
                 router.balancer.origin.decreased_at = router.balancer.caches.decreased_at = router.now
-            asked = []
+            servers = []
             for i in range(30):
-                asked.append(router.server_of(uid := router.ask(f"k{i}")))
-                router.end(uid, Outcome.OK)
-            places.append(asked)
-    assert all(asked == places[0] for asked in places)
-    assert len({server.split(".")[2] for server in places[0]}) == 3
+                servers.append(router.server_of(request_id := router.request(f"k{i}")))
+                router.end_attempt(request_id, Outcome.OK)
+            picked.append(servers)
+    assert all(servers == picked[0] for servers in picked)
+    assert len({server.split(".")[2] for server in picked[0]}) == 3
 
 
 def test_the_walk_ends_once_no_server_is_left_also_after_a_failure():
@@ -40,16 +40,16 @@
             return super().__getitem__(i)
 
     router = Router(count=4)
-    uid = router.ask("k")
-    held = router.balancer.open_requests[uid]
-    held.failed_servers = list(router.balancer.ready)
+    request_id = router.request("k")
+    request = router.balancer.open_requests[request_id]
+    request.failed_servers = list(router.balancer.ready)
     entries = router.balancer.ring.entries = Steps(router.balancer.ring.entries)
     lookups = 2 * len(entries).bit_length()  # of the search for the key's place
-    assert router.balancer.pick(held) is None
+    assert router.balancer.pick(request) is None
     assert entries.count <= lookups
-    held.failed_servers = held.failed_servers[:1]
+    request.failed_servers = request.failed_servers[:1]
     for server in router.balancer.servers.values():
         server.backoff_until = router.now + S
     entries.count = 0
-    assert router.balancer.pick(held) in router.balancer.ready
+    assert router.balancer.pick(request) in router.balancer.ready
     assert 0 < entries.count < len(entries) / 4
--- a/tests/policy/test_servers.py
+++ b/tests/policy/test_servers.py
@@ -12,25 +12,25 @@
 def test_nothing_of_the_module_grows_with_servers_and_requests_that_come_and_go():
     """Guards a long day: servers are replaced by others with new ids, some while attempts are out there."""
     router = Router(count=3)
-    kept = members(3)
+    listed = members(3)
     sizes = []
     for i in range(60):
         new = api.Endpoint(f"new-{i}:80")
-        router.tell(api.EndpointUpdate(UpdateKind.DELTA, 2 + i, (new,)))
+        router.notify(api.EndpointUpdate(UpdateKind.DELTA, 2 + i, (new,)))
         for j in range(12):
-            router.ask(f"k{i}-{j}")
+            router.request(f"k{i}-{j}")
         gone = [api.Endpoint(new.server, EndpointState.GONE)]
-        router.tell(
+        router.notify(
             api.EndpointUpdate(
-                *((UpdateKind.FULL, 2 + i, kept) if i % 2 else (UpdateKind.DELTA, 2 + i, gone))
+                *((UpdateKind.FULL, 2 + i, listed) if i % 2 else (UpdateKind.DELTA, 2 + i, gone))
             )
         )
-        router.pass_time(30 * MS)
-        for uid, _ in list(router.out):
-            router.end(uid, Outcome.FULL, final=True)
-        refused = router.ask("k", deadline=router.now)
-        assert refused in router.answers
-        router.pass_time(3 * S)
+        router.advance(30 * MS)
+        for request_id, _ in list(router.in_flight):
+            router.end_attempt(request_id, Outcome.FULL, final=True)
+        rejected = router.request("k", deadline=router.now)
+        assert rejected in router.final_responses
+        router.advance(3 * S)
         b = router.balancer
         sizes.append(
             [
@@ -51,13 +51,13 @@
 
 def test_a_number_that_is_free_again_stands_for_its_new_server_only():
     router = Router(count=3)
-    out = router.ask("k")
+    out = router.request("k")
     server = router.server_of(out)
-    router.tell(api.EndpointUpdate(UpdateKind.DELTA, 2, (api.Endpoint(server, EndpointState.GONE),)))
+    router.notify(api.EndpointUpdate(UpdateKind.DELTA, 2, (api.Endpoint(server, EndpointState.GONE),)))
     assert server in router.balancer.servers  # an attempt is out there
-    router.tell(api.EndpointUpdate(UpdateKind.DELTA, 3, (api.Endpoint("new:80"),)))
-    router.end(out, Outcome.RESET, final=True)
+    router.notify(api.EndpointUpdate(UpdateKind.DELTA, 3, (api.Endpoint("new:80"),)))
+    router.end_attempt(out, Outcome.RESET, final=True)
     assert server not in router.balancer.servers
-    router.tell(api.EndpointUpdate(UpdateKind.DELTA, 4, (api.Endpoint("newer:80"),)))
+    router.notify(api.EndpointUpdate(UpdateKind.DELTA, 4, (api.Endpoint("newer:80"),)))
     names = {s: router.balancer.names[known.number] for s, known in router.balancer.servers.items()}
     assert all(s == name for s, name in names.items()) and len(names) == 5
--- a/tests/policy/test_stale_connections.py
+++ b/tests/policy/test_stale_connections.py
@@ -13,10 +13,10 @@
     lost, reopened = [], 0
     for i in range(60):
         router.now += 800 * MS if i % 2 else 100 * MS
-        uid = router.ask(f"k{i % 3}")
-        idle = router.balancer.open_requests[uid].attempts[0].idle_ns
+        request_id = router.request(f"k{i % 3}")
+        idle = router.balancer.open_requests[request_id].attempts[0].idle_ns
         reopened += i >= 3 and idle is None
         lost.append((idle or 0) > 500 * MS)
         router.now += 900 * MS if lost[-1] else 20 * MS
-        router.end(uid, Outcome.TIMEOUT if lost[-1] else Outcome.OK, final=True)
+        router.end_attempt(request_id, Outcome.TIMEOUT if lost[-1] else Outcome.OK, final=True)
     assert sum(lost) <= 12 and reopened > 20  # left open, most would be lost
--- a/tests/support/policy.py
+++ b/tests/support/policy.py
@@ -51,55 +51,59 @@
         self.balancer = Balancer(self.settings, seed)
         self.now = START
         self.next_id = 0
-        self.tries: dict[str, int] = {}
-        self.out: dict[tuple[str, int], tuple[str, int]] = {}  # (request, attempt) -> server, sent at
+        self.attempts_made: dict[str, int] = {}
+        self.in_flight: dict[tuple[str, int], tuple[str, int]] = {}  # (request, attempt) -> server, sent at
         self.deadlines: dict[str, int] = {}
-        self.answers: dict[str, api.Action] = {}
+        self.final_responses: dict[str, api.Action] = {}
         self.timers: list[tuple[int, int]] = []
         self.sends: list[api.Send] = []
-        self.first = self.tell(api.EndpointUpdate(api.UpdateKind.CACHED, 1, members(count)))
+        self.first = self.notify(api.EndpointUpdate(api.UpdateKind.CACHED, 1, members(count)))
 
-    def tell(self, event: api.Event) -> list[api.Action]:
+    def notify(self, event: api.Event) -> list[api.Action]:
         actions = self.balancer.handle(self.now, event)
         for action in actions:
             if isinstance(action, api.Send):
-                assert action.id not in self.answers, "sent after the final answer"
-                attempt = self.tries.get(action.id, 0)
-                self.tries[action.id] = attempt + 1
-                self.out[action.id, attempt] = (action.server, self.now)
+                assert action.id not in self.final_responses, "sent after the final answer"
+                attempt = self.attempts_made.get(action.id, 0)
+                self.attempts_made[action.id] = attempt + 1
+                self.in_flight[action.id, attempt] = (action.server, self.now)
                 self.sends.append(action)
             elif isinstance(action, (api.Reject, api.Fail)):
-                assert action.id not in self.answers, "two final answers"
-                self.answers[action.id] = action
+                assert action.id not in self.final_responses, "two final answers"
+                self.final_responses[action.id] = action
             elif isinstance(action, api.SetTimer):
                 self.timers.append((action.at, action.token))
         return actions
 
-    def ask(self, key: str | None = "k", cls: int = 0, **changes) -> str:
+    def request(self, key: str | None = "k", cls: int = 0, **changes) -> str:
         self.next_id += 1
-        uid = f"r{self.next_id}"
+        request_id = f"r{self.next_id}"
         deadline = changes.pop("deadline", self.now + self.settings.classes[cls].deadline_ns)
-        self.deadlines[uid] = deadline
-        self.tell(api.RequestReceived(uid, deadline, cls, key, **changes))
-        return uid
+        self.deadlines[request_id] = deadline
+        self.notify(api.RequestReceived(request_id, deadline, cls, key, **changes))
+        return request_id
 
-    def server_of(self, uid: str) -> str:
-        return self.out[uid, self.tries[uid] - 1][0]
+    def server_of(self, request_id: str) -> str:
+        return self.in_flight[request_id, self.attempts_made[request_id] - 1][0]
 
-    def end(self, uid: str, outcome: Outcome, final: bool | None = None, **more) -> list[api.Action]:
-        attempt = self.tries[uid] - 1
-        server, sent = self.out.pop((uid, attempt))
-        closed = outcome is Outcome.OK or uid in self.answers if final is None else final
+    def end_attempt(
+        self, request_id: str, outcome: Outcome, final: bool | None = None, **more
+    ) -> list[api.Action]:
+        attempt = self.attempts_made[request_id] - 1
+        server, sent = self.in_flight.pop((request_id, attempt))
+        closed = outcome is Outcome.OK or request_id in self.final_responses if final is None else final
         if outcome is Outcome.OK:
-            self.answers.setdefault(uid, api.Log("served"))
-        return self.tell(api.AttemptEnded(uid, attempt, server, outcome, self.now - sent, closed, **more))
+            self.final_responses.setdefault(request_id, api.Log("served"))
+        return self.notify(
+            api.AttemptEnded(request_id, attempt, server, outcome, self.now - sent, closed, **more)
+        )
 
-    def pass_time(self, ns: int) -> None:
+    def advance(self, ns: int) -> None:
         """Move the clock on, ringing what comes due on the way."""
         until = self.now + ns
         while due := [t for t in self.timers if t[0] <= until]:
             at, token = min(due)
             self.timers.remove((at, token))
             self.now = max(self.now, at)
-            self.tell(api.TimerFired(token))
+            self.notify(api.TimerFired(token))
         self.now = until
