--- a/tests/support/node.py
+++ b/tests/support/node.py
@@ -36,7 +36,7 @@
 
     def state(self, server: str) -> EndpointState | None:
         known = self.node.core._policy.servers.get(server)
-        return known and known.member.state
+        return known and known.endpoint.state
 
     async def pass_until(self, true, limit: float) -> None:
         """Let the time of the node go on in small steps, up to `limit` ms."""
