--- a/benchmarks/peers_scale.py
+++ b/benchmarks/peers_scale.py
@@ -42,7 +42,7 @@
     names = machines.names
 
     def hear(least: int) -> bool:
-        return all(machines.machine(name).view.heard >= least for name in names)
+        return all(machines.machine(name).reachability.heard >= least for name in names)
 
     begun = machines.run(PATIENCE_MS, lambda: hear(max(2, round(0.99 * count))))
     step("begun", machines.now)
@@ -68,14 +68,14 @@
     step("missed, wrong, bytes, most, tables", missed, wrong, statistics.mean(seconds), most, tables)
     step("ages 1/2, 99%, CPU", ages[len(ages) // 2], ages[int(0.99 * len(ages))], cpu / count / steady_s)
     dead, rest = names[0], names[1:]
-    life = machines.machine(dead).table.life
+    life = machines.machine(dead).table.incarnation
     machines.kill(dead)
     death = [
         _until(machines, part, rest, lambda name: not _fresh(machines, name, dead, life))
         for part in (0.5, 0.99)
     ]
     step("death", *death)
-    life = machines.start(dead).machine.table.life
+    life = machines.start(dead).machine.table.incarnation
     back = [
         _until(machines, part, rest, lambda name: _fresh(machines, name, dead, life)) for part in (0.5, 0.99)
     ]
@@ -113,7 +113,7 @@
 
 def _fresh(machines: Machines, at: str, name: str, life: int) -> bool:
     one = machines.machine(at).table.find(name, life)
-    return one is not None and one.fresh
+    return one is not None and one.reachable
 
 
 _begun: dict[int, float] = {}
--- a/flintridge/lab/backend/virtual.py
+++ b/flintridge/lab/backend/virtual.py
@@ -312,7 +312,7 @@
             if not self.running(name) or life.node is None:
                 continue
             if life.node.membership is not None and not self._fabric.network.host(name).paused:
-                _, said = life.node.membership.said()
+                _, said = life.node.membership.admin_view()
                 self._log.add(view_of(now, name, said))
             if life.node.leases is not None:  # also of one that stands still: it may use it once it goes on
                 _, said = life.node.leases.said()
--- a/flintridge/lab/defects/hearing.py
+++ b/flintridge/lab/defects/hearing.py
@@ -11,7 +11,7 @@
 
 def _presence(node: Node) -> FailureDetector:
     assert node.membership is not None
-    return node.membership.presence
+    return node.membership.failure_detector
 
 
 def gap_ignored(node: Node) -> None:
--- a/flintridge/lab/partial/copying.py
+++ b/flintridge/lab/partial/copying.py
@@ -12,7 +12,7 @@
 
 from flintridge.lab.partial.machines import Link, Machines, Process
 from flintridge.membership.failure_detector import FailureDetector
-from flintridge.membership.member_table import Incarnation
+from flintridge.membership.member_table import Member
 from flintridge.replication.entry import Dot, Key, Writer
 from flintridge.replication.gossip import RumorSpreader
 from flintridge.replication.messages import asked, asked_of, pieces, slice_of
@@ -29,8 +29,8 @@
 
     sent = 0
 
-    def say(self, now: float, to: Incarnation, room: int) -> bytes | None:
-        word = super().say(now, to, room)
+    def payload_for(self, now: float, to: Member, room: int) -> bytes | None:
+        word = super().payload_for(now, to, room)
         self.sent += len(word or b"")
         return word
 
@@ -49,10 +49,10 @@
         super().tick(now)
         self.copy.look(now, LOOKS)
         me = self.table.me
-        fresh = [(one.name, one.life) for one in self.table if one.fresh and one.name != me]
+        fresh = [(one.name, one.incarnation) for one in self.table if one.reachable and one.name != me]
         for name, life in self.spread.waiting(now, fresh):
             if (one := self.table.find(name, life)) is not None:
-                self.tell(now, one)
+                self.send_payloads(now, one)
         if not self.asking and (source := self.spread.source(now, fresh)) is not None:
             self.asking = True
             self.fleet.ask(self, source)
@@ -91,7 +91,7 @@
         made.copy = self._make((name, life), self.limits, now, UNIX + self.now - now)
         peers = tuple(one for one in names if one != name)
         made.spread = Counted(made.copy, peers, self._topic_bytes, Random(rng.random()))
-        made.register(made.spread)
+        made.register_topic(made.spread)
         return made
 
     def keeper(self, name: str) -> Keeper:
@@ -139,7 +139,9 @@
 
     def ask(self, keeper: Keeper, source: Writer) -> None:
         asker = self._owner(keeper)
-        target = next((one for one in self.living(source[0]) if one.machine.table.life == source[1]), None)
+        target = next(
+            (one for one in self.living(source[0]) if one.machine.table.incarnation == source[1]), None
+        )
         began, root = self.now, keeper.copy.root()
 
         def over() -> None:
--- a/flintridge/lab/partial/lending.py
+++ b/flintridge/lab/partial/lending.py
@@ -30,10 +30,10 @@
         self.ledger.tick(now)
         for name, life in self.ledger.waiting():
             one = self.table.find(name, life)
-            if one is None or not one.fresh:
+            if one is None or not one.reachable:
                 self.ledger.unheard((name, life))
             else:
-                self.tell(now, one)
+                self.send_payloads(now, one)
 
 
 class Lenders(Machines):
@@ -75,7 +75,7 @@
         made.ledger = LeaseManager(
             peers, self.budgets, self._topic_bytes, now, Random(rng.random()), make=self._make
         )
-        made.register(made.ledger)
+        made.register_topic(made.ledger)
         self.need(name, self.needs.get(name, 1.0), made.ledger)
         return made
 
--- a/flintridge/lab/partial/views.py
+++ b/flintridge/lab/partial/views.py
@@ -6,7 +6,7 @@
 from flintridge.leases.allocation import LeaseGrant, LeaseRelease, LeaseRequest
 from flintridge.leases.lease_manager import LeaseManager
 from flintridge.leases.messages import decode, word_of
-from flintridge.membership.messages import Dropped, Wire
+from flintridge.membership.messages import MessageDroppedError, Wire
 
 FLEET = "lab"
 KEY = b"the lab's own key, of 32 bytes.."
@@ -53,7 +53,7 @@
     """The record of a datagram on its way, which is read as far as the fleet's key goes."""
     try:
         packet = wire.decode(data)
-    except Dropped:
+    except MessageDroppedError:
         return Datagram(t=t, source=source, target=target, size=len(data), fate=fate)
     said = [decode(fact) for name, fact in packet.facts if name == LeaseManager.name]
     words = tuple(MESSAGE_NAMES[type(word_of(*word[1:]))] for one in said if one for word in one.words)
--- a/flintridge/leases/driver.py
+++ b/flintridge/leases/driver.py
@@ -88,7 +88,7 @@
         )
         for origin, budget in self._places.items():
             self.ledger.uses(budget.name, partial(self._taken, origin))
-        peers.presence.register(self.ledger)
+        peers.failure_detector.register_topic(self.ledger)
         core.on_new_request = self._seen
         if self._places:
             core.on_attempts_changed = self._moved
@@ -167,13 +167,13 @@
             self._log.error("budgets_broke", error)
 
     def _carry(self) -> None:
-        table = self._peers.presence.table
+        table = self._peers.failure_detector.table
         for name, life in self.ledger.waiting():
             one = table.find(name, life)
-            if one is None or not one.fresh:
+            if one is None or not one.reachable:
                 self.ledger.unheard((name, life))
             else:
-                self._peers.tell(one)
+                self._peers.send_payloads(one)
 
     def _tell(self) -> None:
         """What holds now, and what will from the end of the first loan on if nothing is told before."""
@@ -213,14 +213,14 @@
     def said(self) -> tuple[int, dict[str, Any]]:
         """The answer to GET /admin/budgets; amounts in even parts but for `whole`, `even` and `used`."""
         now = self._clock.now()
-        heard = self._peers.heard
+        reachability = self._peers.reachability
         indices = {name: i for i, name in self._tenants.items()}
         return 200, {
             "name": self._peers.name,
-            "life": f"{self._peers.life:x}",
+            "life": f"{self._peers.incarnation:x}",
             "alone": self._processes == 1,
-            "heard": heard.heard,
-            "of": heard.names,
+            "heard": reachability.heard,
+            "of": reachability.names,
             "lease_ms": self.config.lease_ms,
             "floor": self.config.floor,
             "strict": self.config.strict,
--- a/flintridge/leases/lease_manager.py
+++ b/flintridge/leases/lease_manager.py
@@ -21,7 +21,7 @@
     Word,
 )
 from flintridge.leases.messages import MOST_OFFERS, MOST_WORDS, Said, decode, encode, flat, mark_of, word_of
-from flintridge.membership.member_table import Incarnation
+from flintridge.membership.member_table import Member
 
 PART = 1_000  # units of an even part
 FLOORS, COLD, REPEATS = "floors", "cold servers", "repeats"
@@ -304,9 +304,9 @@
 
     # The topic
 
-    def say(self, now: float, to: Incarnation, room: int) -> bytes | None:
+    def payload_for(self, now: float, to: Member, room: int) -> bytes | None:
         """The fact for a datagram to that life."""
-        peer = to.name, to.life
+        peer = to.name, to.incarnation
         words = self._out.get(peer, {})
         flats = [flat(mark, word) for (mark, _, _), word in words.items()][:MOST_WORDS]
         offers = [
@@ -330,7 +330,7 @@
             self._out.pop(peer, None)
         return data
 
-    def hear(self, now: float, name: str, life: int, as_of: float, data: bytes) -> None:
+    def receive_payload(self, now: float, name: str, life: int, as_of: float, data: bytes) -> None:
         """What a peer said, at `as_of` or later."""
         said = decode(data)
         if said is None or name not in self._peers:
--- a/flintridge/membership/driver.py
+++ b/flintridge/membership/driver.py
@@ -10,10 +10,11 @@
 
 import msgspec
 
+from flintridge.errors import FlintridgeError
 from flintridge.membership.byte_budget import Bucket
 from flintridge.membership.failure_detector import FailureDetector
-from flintridge.membership.member_table import Heard, Incarnation
-from flintridge.membership.messages import MAGIC, VERSION, Dropped, Entry, Wire
+from flintridge.membership.member_table import Member, Reachability
+from flintridge.membership.messages import MAGIC, VERSION, Entry, MessageDroppedError, Wire
 from flintridge.membership.state_exchange import NONCE, Ask, Exchange, Hello, Piece, Refusal
 from flintridge.runtime.clock import Clock, DeadlineExceededError, Timer, sleep, within
 from flintridge.runtime.listener import ListenError
@@ -38,7 +39,7 @@
     def __call__(self, about: bytes) -> Iterable[bytes]: ...
 
 
-class Refused(Exception):
+class ExchangeRefusedError(FlintridgeError):
     """The other side has no answer; the text says why."""
 
 
@@ -68,14 +69,14 @@
     ) -> None:
         rng = Random(entropy(16))
         self._entropy = entropy
-        self.life = rng.getrandbits(62) + 1
+        self.incarnation = rng.getrandbits(62) + 1
         self.name, self.config = name, config
         self._clock, self._log, self._counters = clock, log, counters
         self._wire = Wire(config.fleet, config.key)
         self._addresses = {peer: address for peer, address in config.known if peer != name}
-        self.presence = FailureDetector(
+        self.failure_detector = FailureDetector(
             name,
-            self.life,
+            self.incarnation,
             tuple(self._addresses),
             self._wire,
             config.bytes_per_s / 2,
@@ -99,12 +100,12 @@
         self._closed = False
 
     @property
-    def heard(self) -> Heard:
+    def reachability(self) -> Reachability:
         """What part of the fleet is heard at this moment."""
-        self.presence.glance(self._clock.now())
-        return self.presence.view
+        self.failure_detector.glance(self._clock.now())
+        return self.failure_detector.reachability
 
-    def answer(self, topic: str, asked: Asked) -> None:
+    def register_exchange(self, topic: str, asked: Asked) -> None:
         """Register what answers exchanges of a topic. Raises ValueError where one is registered."""
         if topic in self._asked:
             raise ValueError(f"topic {topic} is registered")
@@ -120,7 +121,11 @@
             except OSError as error:
                 raise ListenError(f"peers: cannot listen on {listen.host}: {error.strerror}") from error
         self._log.event(
-            "peers", address=str(listen), holds=self._holds, life=f"{self.life:x}", known=len(self._addresses)
+            "peers",
+            address=str(listen),
+            holds=self._holds,
+            life=f"{self.incarnation:x}",
+            known=len(self._addresses),
         )
         self._tick()
 
@@ -153,7 +158,7 @@
     def leave(self) -> None:
         """Tell a few that this process ends in order. Then nothing more is said."""
         if not self._closed:
-            self.presence.leave(self._clock.now())
+            self.failure_detector.leave(self._clock.now())
             self._flush()
 
     async def close(self) -> None:
@@ -177,7 +182,7 @@
         now = self._clock.now()
         self._timer = self._clock.call_at(now + TICK, self._tick)
         try:
-            self.presence.tick(now)
+            self.failure_detector.tick(now)
             self._flush()
             if not self._holds and now >= self._next_claim:
                 self._next_claim = now + REGISTER
@@ -196,15 +201,15 @@
                 self._registered(data, source)
                 return
             self._forward(data)
-            self.presence.beside = bool(self._others)
-            self.presence.received(self._clock.now(), data)
+            self.failure_detector.beside = bool(self._others)
+            self.failure_detector.received(self._clock.now(), data)
             self._flush()
         except Exception as error:
             self._counters.add("peers_errors")
             self._log.error("peers_broke", error)
 
     def _flush(self) -> None:
-        for out in self.presence.take():
+        for out in self.failure_detector.take():
             address = self._addresses[out.name]
             self._send(out.data, (address.host, address.port))
 
@@ -212,10 +217,10 @@
         if self._transport is not None and not self._transport.is_closing():
             self._transport.sendto(data, to)
 
-    def tell(self, life: Incarnation) -> None:
+    def send_payloads(self, life: Member) -> None:
         """Send that life what topics have for it, now."""
         if not self._closed:
-            self.presence.tell(self._clock.now(), life)
+            self.failure_detector.send_payloads(self._clock.now(), life)
             self._flush()
 
     # Two processes of one node
@@ -260,14 +265,14 @@
 
     async def exchange(self, peer: str, topic: str, about: bytes) -> list[bytes]:
         """Ask a peer and take its whole answer. Raises OSError (nobody there, or it broke off),
-        DeadlineExceededError, Dropped (what came is no answer) or Refused. KeyError for a name that is not
-        configured."""
+        DeadlineExceededError, MessageDroppedError (what came is no answer) or ExchangeRefusedError.
+        KeyError for a name that is not configured."""
         address = self._addresses[peer]
         return await within(self._clock, CALL_TIME, self._ask(address, topic, about))
 
     async def _ask(self, address: Address, topic: str, about: bytes) -> list[bytes]:
         reader, writer = await asyncio.open_connection(address.host, address.port)
-        exchange = Exchange(self._wire, self.name, self.life, self._entropy(NONCE), calls=True)
+        exchange = Exchange(self._wire, self.name, self.incarnation, self._entropy(NONCE), calls=True)
         pieces: list[bytes] = []
         taken = 0
         try:
@@ -279,7 +284,7 @@
                     raise ConnectionResetError("the peer ended the exchange")
                 taken += len(data)
                 if taken > MOST_TAKEN:
-                    raise Dropped("long")
+                    raise MessageDroppedError("long")
                 for frame in exchange.feed(data):
                     match frame:
                         case Hello():
@@ -289,7 +294,7 @@
                             if last:
                                 return pieces
                         case Refusal(reason):
-                            raise Refused(reason)
+                            raise ExchangeRefusedError(reason)
         finally:
             writer.close()
 
@@ -305,7 +310,7 @@
         try:
             await within(self._clock, CALL_TIME, self._serve(reader, writer))
             self._counters.add("peers_exchanges_served")
-        except Dropped as dropped:
+        except MessageDroppedError as dropped:
             self._counters.add(f"peers_exchanges_{dropped.reason}")
         except (OSError, DeadlineExceededError):
             self._counters.add("peers_exchanges_broken")
@@ -321,7 +326,7 @@
             writer.close()
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        exchange = Exchange(self._wire, self.name, self.life, self._entropy(NONCE), calls=False)
+        exchange = Exchange(self._wire, self.name, self.incarnation, self._entropy(NONCE), calls=False)
         asked: Ask | None = None
         while asked is None:
             if not (data := await reader.read(CHUNK * 16)):
@@ -356,7 +361,7 @@
     # The table itself, for one that has just begun or was stopped
 
     def _table_pieces(self, about: bytes) -> Iterator[bytes]:
-        table, encoder = self.presence.table, msgspec.msgpack.Encoder()
+        table, encoder = self.failure_detector.table, msgspec.msgpack.Encoder()
         lives = table.missing(about)
         for at in range(0, len(lives), 32):
             now = self._clock.now()  # ages as of each piece: a slow reader must not make them younger
@@ -364,27 +369,35 @@
 
     def _catch_up(self) -> None:
         """After the start and after each gap: the lives that peers hear and this node does not."""
-        if (peer := self.presence.table_from(self._clock.now())) is not None:
+        if (peer := self.failure_detector.table_from(self._clock.now())) is not None:
             self._run(self._take_table(peer))
 
     async def _take_table(self, peer: str) -> None:
         asked_at = self._clock.now()
         try:
-            pieces = await self.exchange(peer, TABLE, self.presence.table.heard_bits())
+            pieces = await self.exchange(peer, TABLE, self.failure_detector.table.heard_bits())
             entries = [
                 entry
                 for piece in pieces
                 if piece
                 for entry in msgspec.msgpack.decode(piece, type=list[Entry])
             ]
-        except (OSError, DeadlineExceededError, Dropped, Refused, msgspec.MsgspecError) as error:
+        except (
+            OSError,
+            DeadlineExceededError,
+            MessageDroppedError,
+            ExchangeRefusedError,
+            msgspec.MsgspecError,
+        ) as error:
             self._counters.add("peers_tables_failed")
             self._log.event("peers_table_failed", peer=peer, error=repr(error))
             return
         now = self._clock.now()
         for entry in entries:
             # Its words were said after the call, whenever that was answered.
-            self.presence.table.told(entry, asked_at, self.presence.doubt, now, self.presence.limit)
+            self.failure_detector.table.told(
+                entry, asked_at, self.failure_detector.doubt, now, self.failure_detector.limit
+            )
         self._counters.add("peers_tables_taken")
 
     def _run(self, work: Any) -> None:
@@ -394,11 +407,11 @@
 
     # For staff
 
-    def said(self) -> tuple[int, dict[str, Any]]:
+    def admin_view(self) -> tuple[int, dict[str, Any]]:
         """The answer to GET /admin/peers; times are milliseconds ago, null where there is none."""
-        now, presence = self._clock.now(), self.presence
+        now, presence = self._clock.now(), self.failure_detector
         presence.glance(now)
-        view = presence.view
+        view = presence.reachability
         lives = [self._said(one, now) for one in presence.table]
         named = {one["name"] for one in lives}
         lives += [
@@ -409,7 +422,7 @@
         counts = {name: presence.counts.of[name] for name in sorted(presence.counts.of)}
         return 200, {
             "name": self.name,
-            "life": f"{self.life:x}",
+            "life": f"{self.incarnation:x}",
             "fleet": self.config.fleet,
             "sealed": self.config.key is not None,
             "holds_address": self._holds,
@@ -424,24 +437,24 @@
             "counts": counts,
         }
 
-    def _said(self, one: Incarnation, now: float) -> dict[str, Any]:
+    def _said(self, one: Member, now: float) -> dict[str, Any]:
         def ago(at: float) -> int | None:
             return None if at == float("-inf") else round(now - at)
 
         return {
             "name": one.name,
-            "life": f"{one.life:x}",
-            "state": self.presence.table.standing(one, now, self.presence.limit),
+            "life": f"{one.incarnation:x}",
+            "state": self.failure_detector.table.standing(one, now, self.failure_detector.limit),
             "heard_ms_ago": ago(one.heard_at),
             "told_ms_ago": ago(one.told_at),
             "round_trip_ms": None if one.round_trip is None else round(one.round_trip, 2),
-            "incarnation": one.incarnation,
+            "incarnation": one.refutations,
             "bytes_in": one.bytes_in,
             "refused": one.refused,
         }
 
-    def tell_counters(self) -> None:
+    def publish_counters(self) -> None:
         """Presence's counts into the node's counters, which are printed with the others."""
-        for name, count in self.presence.counts.of.items():
+        for name, count in self.failure_detector.counts.of.items():
             full = f"peers_{name}"
             self._counters.add(full, count - self._counters[full])
--- a/flintridge/membership/failure_detector.py
+++ b/flintridge/membership/failure_detector.py
@@ -17,8 +17,17 @@
 from msgspec.structs import replace
 
 from flintridge.membership.byte_budget import Bucket
-from flintridge.membership.member_table import DRIFT, MOST_LIVES, Heard, Incarnation, MemberTable
-from flintridge.membership.messages import LONGEST, Dropped, Entry, Kind, Packet, State, Wire, size
+from flintridge.membership.member_table import DRIFT, MOST_LIVES, Member, MemberTable, Reachability
+from flintridge.membership.messages import (
+    LONGEST,
+    Entry,
+    Kind,
+    MessageDroppedError,
+    Packet,
+    State,
+    Wire,
+    size,
+)
 
 PERIOD = 300.0  # between two probes
 EAGER_PERIOD = 100.0  # just after the start, and after a gap
@@ -68,10 +77,10 @@
     name: str
     bytes_per_s: float
 
-    def say(self, now: float, to: Incarnation, room: int) -> bytes | None:
-        """What to tell that life now, in at most `room` bytes."""
+    def payload_for(self, now: float, to: Member, max_bytes: int, /) -> bytes | None:
+        """What to tell that life now, in at most `max_bytes`."""
 
-    def hear(self, now: float, name: str, life: int, as_of: float, data: bytes) -> None:
+    def receive_payload(self, now: float, name: str, incarnation: int, as_of: float, data: bytes, /) -> None:
         """What a peer told, at `as_of` of this node's clock or later. Never called twice for one datagram."""
 
 
@@ -165,10 +174,10 @@
         return min(float(USUAL_ENTRIES), max(4.0, bytes_per_s / BYTES_AN_ENTRY))
 
     @property
-    def view(self) -> Heard:
-        return self.table.view
+    def reachability(self) -> Reachability:
+        return self.table.reachability
 
-    def register(self, topic: Topic) -> None:
+    def register_topic(self, topic: Topic) -> None:
         """Raises ValueError for a name that is taken."""
         if topic.name in self.topics:
             raise ValueError(f"topic {topic.name} is registered")
@@ -203,9 +212,9 @@
         self._settle(now)
 
     def _settle(self, now: float) -> None:
-        before = self.table.view.heard
+        before = self.table.reachability.heard
         if self.table.look(now, self.limit):
-            view = self.table.view
+            view = self.table.reachability
             self._told("peers_heard", heard=view.heard, of=view.names, before=before)
 
     def _look(self, now: float) -> None:
@@ -227,7 +236,7 @@
         table = self.table
         if self._tables_of != table.awake_from:
             self._tables, self._table_at, self._tables_of = 0, now, table.awake_from
-        done = self._tables >= TABLES or (self._tables and self.view.heard == self.view.names)
+        done = self._tables >= TABLES or (self._tables and self.reachability.heard == self.reachability.names)
         if done or now < self._table_at or self._leaving:
             return None
         # Not those of whom only others tell: the link to them may be cut.
@@ -235,8 +244,8 @@
         if not heard:
             return None
         self._tables += 1
-        part = self.view.heard / self.view.names
-        takes = part * (1 - part) * self.view.names * TABLE_ENTRY / self._bucket.rate * 1000
+        part = self.reachability.heard / self.reachability.names
+        takes = part * (1 - part) * self.reachability.names * TABLE_ENTRY / self._bucket.rate * 1000
         self._table_at = now + max(TABLE_PERIOD, takes / TABLE_PART) * self._rng.uniform(0.75, 1.25)
         return self._rng.choice(heard)
 
@@ -248,7 +257,7 @@
             self._fill_targets()
         silent_turn = self._turn % SILENT_TURN == 0
         for heard in (not silent_turn, silent_turn):
-            if not self._targets[heard] and (heard or self.view.heard < self.view.names):
+            if not self._targets[heard] and (heard or self.reachability.heard < self.reachability.names):
                 self._fill_targets(heard)
             if self._targets[heard]:
                 name, life = self._targets[heard].pop()
@@ -263,7 +272,7 @@
         """Each heard life, or the name where none is heard; in an order of this round's own."""
         made: dict[bool, list[tuple[str, int]]] = {True: [], False: []}
         lives = [one for one in self.table.fresh_or_suspect if one.name != self.table.me]
-        made[True] = [(one.name, one.life) for one in lives]
+        made[True] = [(one.name, one.incarnation) for one in lives]
         if only is not True:
             names = {one.name for one in lives}
             made[False] = [(name, 0) for name in self.table.names if name not in names]
@@ -299,7 +308,7 @@
         fresh, wanted = self.table.fresh, min(ASKED, 1 << (probe.pings - 1))
         some = self._rng.sample(fresh, min(wanted + 2 * MOST_LIVES, len(fresh)))
         for one in [one for one in some if one.name not in (probe.name, self.table.me)][:wanted]:
-            if self._send(one.name, one.life, Kind.ASK, ref, now, about=(probe.name, probe.life)):
+            if self._send(one.name, one.incarnation, Kind.ASK, ref, now, about=(probe.name, probe.life)):
                 probe.expected += 1
 
     def _end_errands(self, now: float) -> None:
@@ -320,10 +329,10 @@
         self.counts.add("bytes_in", len(data))
         try:
             if not self._in.take(now, 1):
-                raise Dropped("flood")
+                raise MessageDroppedError("flood")
             packet = self._wire.decode(data)
             self._take_in(packet, len(data), now)
-        except Dropped as dropped:
+        except MessageDroppedError as dropped:
             self._drop(dropped.reason)
             return None
         return packet
@@ -336,16 +345,16 @@
 
     def _take_in(self, packet: Packet, size: int, now: float) -> None:
         table = self.table
-        if packet.life == table.life:
-            raise Dropped("own")
+        if packet.life == table.incarnation:
+            raise MessageDroppedError("own")
         one = table.take(packet.name, packet.life, now)
         if one is None:
-            raise Dropped("lives" if packet.name in (*table.names, table.me) else "unknown")
+            raise MessageDroppedError("lives" if packet.name in (*table.names, table.me) else "unknown")
         if one.state is State.LEFT:
-            raise Dropped("left")
+            raise MessageDroppedError("left")
         if not one.first_time(packet.serial):
             one.refused += 1
-            raise Dropped("replayed")
+            raise MessageDroppedError("replayed")
         one.bytes_in += size
         if packet.stamp > one.stamp:
             one.stamp, one.stamp_at = packet.stamp, now
@@ -361,8 +370,8 @@
                 if (known := self.topics.get(name)) is None:
                     self.counts.add("facts_unknown")
                 else:
-                    known[0].hear(now, packet.name, packet.life, as_of, fact)
-        if packet.to not in (0, table.life):
+                    known[0].receive_payload(now, packet.name, packet.life, as_of, fact)
+        if packet.to not in (0, table.incarnation):
             self._stranger(packet, now)
             return
         if self._leaving:
@@ -371,7 +380,7 @@
 
     def _proved(self, packet: Packet, now: float) -> float | None:
         """The latest instant before which it cannot have been sent; None where nothing proves one."""
-        if packet.to != self.table.life or packet.echo < 0:
+        if packet.to != self.table.incarnation or packet.echo < 0:
             return None
         as_of = self._origin + packet.echo + packet.held * (1 - DRIFT)
         return min(now, as_of)
@@ -387,7 +396,7 @@
                 self._told_once.add("own_name")
                 self._told("peers_own_name", life=f"{packet.to:x}", answered_by=packet.name)
 
-    def _answer(self, packet: Packet, one: Incarnation, now: float) -> None:
+    def _answer(self, packet: Packet, one: Member, now: float) -> None:
         match packet.kind:
             case Kind.PING:
                 self._send(packet.name, packet.life, Kind.ACK, packet.ref, now, answer=True)
@@ -434,7 +443,7 @@
 
     # What goes
 
-    def tell(self, now: float, to: Incarnation) -> bool:
+    def send_payloads(self, now: float, to: Member) -> bool:
         """Send what topics have for that life now, not with its next probe. False where nothing goes.
 
         A life of which nothing came yet believes nothing from here: it is probed, and the answer to its
@@ -443,21 +452,21 @@
         if self._leaving or to.state is State.LEFT:
             return False
         if to.stamp >= 0:
-            return self._send(to.name, to.life, Kind.FACTS, 0, now)
-        if any(probe.name == to.name and probe.life == to.life for probe in self._probes.values()):
+            return self._send(to.name, to.incarnation, Kind.FACTS, 0, now)
+        if any(probe.name == to.name and probe.life == to.incarnation for probe in self._probes.values()):
             return False
         ref = self._rng.getrandbits(62) + 1
-        if sent := self._send(to.name, to.life, Kind.PING, ref, now):
-            self._probes[ref] = Probe(to.name, to.life, now)
+        if sent := self._send(to.name, to.incarnation, Kind.PING, ref, now):
+            self._probes[ref] = Probe(to.name, to.incarnation, now)
         return sent
 
     def leave(self, now: float) -> None:
         """This life ends in order: a few are told, who pass it on. Nothing is said after it."""
         self._leaving = True
-        fresh = [one for one in self.table if one.fresh and one.name != self.table.me]
-        mine = Entry(self.table.me, self.table.life, self.table.incarnation, State.LEFT, 0)
+        fresh = [one for one in self.table if one.reachable and one.name != self.table.me]
+        mine = Entry(self.table.me, self.table.incarnation, self.table.refutations, State.LEFT, 0)
         for one in self._rng.sample(fresh, min(LEAVE_TO, len(fresh))):
-            self._send(one.name, one.life, Kind.NEWS, 0, now, extra=mine)
+            self._send(one.name, one.incarnation, Kind.NEWS, 0, now, extra=mine)
 
     def _send(
         self,
@@ -466,7 +475,7 @@
         kind: Kind,
         ref: int,
         now: float,
-        reached: Incarnation | None = None,
+        reached: Member | None = None,
         about: tuple[str, int] | None = None,
         extra: Entry | None = None,
         answer: bool = False,
@@ -483,8 +492,8 @@
         packet = Packet(
             self._wire.fleet,
             table.me,
-            table.life,
             table.incarnation,
+            table.refutations,
             self._serial,
             int(kind),
             ref,
@@ -514,14 +523,14 @@
         self._out.append(Out(name, data))
         return True
 
-    def _facts(self, to: Incarnation, now: float, room: int) -> tuple[tuple[str, bytes], ...]:
+    def _facts(self, to: Member, now: float, room: int) -> tuple[tuple[str, bytes], ...]:
         if to.stamp < 0:
             return ()  # it could not tell how old they are, and would drop them
         said = []
         for name, (topic, bucket) in self.topics.items():
             head = len(name) + 8
             own = int(min(room, bucket.room(now))) - head
-            if own > 0 and (fact := topic.say(now, to, own)) is not None:
+            if own > 0 and (fact := topic.payload_for(now, to, own)) is not None:
                 if len(fact) > own or not bucket.take(now, len(fact) + head):
                     self.counts.add("facts_long")  # a topic that takes more than it may loses its word
                     continue
--- a/flintridge/membership/member_table.py
+++ b/flintridge/membership/member_table.py
@@ -28,10 +28,10 @@
 
 
 @dataclass(slots=True, eq=False)
-class Incarnation:
+class Member:
     name: str
-    life: int
-    incarnation: int = 0
+    incarnation: int
+    refutations: int = 0
     state: State = State.ALIVE
     since: float = 0.0  # of the state
     heard_at: float = NEVER  # it is proved to have lived then, by its own bytes
@@ -44,7 +44,7 @@
     told_best: float = NEVER
     news_left: int = 0  # datagrams that shall still carry word of it
     accused: State | None = None  # what it is still to be told it was held for
-    fresh: bool = False  # as last looked
+    reachable: bool = False  # as last looked
     serial: int = -1  # highest, and which of the WINDOW below it came
     came: int = 0
     bytes_in: int = 0
@@ -67,17 +67,17 @@
         return True
 
 
-def _lives(one: Incarnation, since: float) -> bool:
+def _lives(one: Member, since: float) -> bool:
     """What makes a life fresh, where knowledge counts from `since`."""
     return one.state < State.SILENT and one.known_at >= since
 
 
-def _bit(one: Incarnation, salt: int, length: int) -> int:
-    return crc32(one.life.to_bytes(8, "big"), salt) % (8 * length)
+def _bit(one: Member, salt: int, length: int) -> int:
+    return crc32(one.incarnation.to_bytes(8, "big"), salt) % (8 * length)
 
 
 @dataclass(slots=True)
-class Heard:
+class Reachability:
     """What part of the fleet a node hears, itself included, at one moment."""
 
     names: int  # of the fleet, itself included
@@ -100,42 +100,40 @@
     """`names`: of the peers, as configured. No life of any other name is ever held."""
 
     def __init__(self, me: str, life: int, names: tuple[str, ...], now: float, rng: Random) -> None:
-        self.me, self.life, self.incarnation = me, life, 0
+        self.me, self.incarnation, self.refutations = me, life, 0
         self.names = tuple(name for name in names if name != me)
-        self._by_name: dict[str, dict[int, Incarnation]] = {name: {} for name in (*self.names, me)}
+        self._by_name: dict[str, dict[int, Member]] = {name: {} for name in (*self.names, me)}
         self._rng = rng
-        self._turns: list[Incarnation] = []  # whose words go out next
-        self._suspects: dict[Incarnation, None] = {}
+        self._turns: list[Member] = []  # whose words go out next
+        self._suspects: dict[Member, None] = {}
         self._young: dict[
-            Incarnation, int
+            Member, int
         ] = {}  # those of which something newer was learned, the latest last: left to tell
         self._proved_at = now  # the newest instant that anything proved
-        self._fresh: dict[Incarnation, None] = {}
-        self._changed: dict[
-            Incarnation, None
-        ] = {}  # what may have become fresh, or ended, since the last look
+        self._fresh: dict[Member, None] = {}
+        self._changed: dict[Member, None] = {}  # what may have become fresh, or ended, since the last look
         self._woke = False  # since then
         self._counted_from = now  # at the last look
         self._oldest = math.inf  # no fresh life was known later than this at the last look at all of them
         self._forget_at = now + REMEMBER
         self.awake_from = now  # what was known before counts no more
-        self.view = Heard(len(self.names) + 1, 1, 0, {1: now})
+        self.reachability = Reachability(len(self.names) + 1, 1, 0, {1: now})
         self.retold = max(4, math.ceil(4 * math.log10(len(self.names) + 2)))  # times that news are passed on
-        self._news: list[dict[Incarnation, None]] = [{} for _ in range(self.retold + 1)]  # by how often yet
+        self._news: list[dict[Member, None]] = [{} for _ in range(self.retold + 1)]  # by how often yet
 
     # Lives
 
-    def __iter__(self) -> Iterator[Incarnation]:
+    def __iter__(self) -> Iterator[Member]:
         for lives in self._by_name.values():
             yield from lives.values()
 
-    def of(self, name: str) -> list[Incarnation]:
+    def of(self, name: str) -> list[Member]:
         return list(self._by_name.get(name, {}).values())
 
-    def find(self, name: str, life: int) -> Incarnation | None:
+    def find(self, name: str, life: int) -> Member | None:
         return self._by_name.get(name, {}).get(life)
 
-    def take(self, name: str, life: int, now: float) -> Incarnation | None:
+    def take(self, name: str, life: int, now: float) -> Member | None:
         """That life, made where it is new. None where its name is not of the fleet, or has all the lives that
         it may: guards memory against whoever starts again and again, or makes lives up."""
         lives = self._by_name.get(name)
@@ -144,11 +142,11 @@
         if (held := lives.get(life)) is not None:
             return held
         if len(lives) >= MOST_LIVES:
-            over = [one for one in lives.values() if not one.fresh]
+            over = [one for one in lives.values() if not one.reachable]
             if not over:
                 return None
             self._drop(min(over, key=lambda one: one.known_at))
-        made = lives[life] = Incarnation(name, life, since=now)
+        made = lives[life] = Member(name, life, since=now)
         return made
 
     def forget(self, now: float) -> None:
@@ -157,11 +155,11 @@
         self._forget_at = now + REMEMBER / 16
         for lives in self._by_name.values():
             for one in [*lives.values()]:
-                if not one.fresh and now > max(one.since, one.known_at) + REMEMBER:
+                if not one.reachable and now > max(one.since, one.known_at) + REMEMBER:
                     self._drop(one)
 
-    def _drop(self, one: Incarnation) -> None:
-        del self._by_name[one.name][one.life]
+    def _drop(self, one: Member) -> None:
+        del self._by_name[one.name][one.incarnation]
         self._news[one.news_left].pop(one, None)
         self._changed.pop(one, None)
         self._suspects.pop(one, None)
@@ -169,12 +167,12 @@
 
     # Words
 
-    def speaks(self, one: Incarnation, incarnation: int, as_of: float | None, now: float) -> None:
+    def speaks(self, one: Member, incarnation: int, as_of: float | None, now: float) -> None:
         """A life's own bytes, sent at `as_of` or later; None: nobody can tell when."""
         if one.state is State.LEFT:
             return
-        if incarnation > one.incarnation:
-            one.incarnation, one.accused = incarnation, None
+        if incarnation > one.refutations:
+            one.refutations, one.accused = incarnation, None
             if one.state is not State.ALIVE:
                 self._turn(one, State.ALIVE, now)
         if as_of is None:
@@ -191,9 +189,9 @@
 
     def told(self, entry: Entry, as_of: float, doubt: float, now: float, limit: float) -> None:
         """A word of another node, sent at `as_of` or later. `doubt`: how long a suspicion lasts, in ms."""
-        if entry.life == self.life and entry.name == self.me:
-            if entry.state in (State.SUSPECT, State.SILENT) and entry.incarnation >= self.incarnation:
-                self.incarnation = entry.incarnation + 1  # it goes with every datagram from now on
+        if entry.life == self.incarnation and entry.name == self.me:
+            if entry.state in (State.SUSPECT, State.SILENT) and entry.incarnation >= self.refutations:
+                self.refutations = entry.incarnation + 1  # it goes with every datagram from now on
             return
         # Guards against a teller whose clock is slow: its ages are too short. Whoever passes them on adds the
         # same small share of the age again.
@@ -204,7 +202,7 @@
                 return  # an old word of a life that is not known any more wakes nothing
             if (one := self.take(entry.name, entry.life, now)) is None:
                 return
-            one.incarnation = entry.incarnation
+            one.refutations = entry.incarnation
             if sum(map(len, self._news)) < MOST_ENTRIES:  # to one that has just begun all is new: it is young
                 self._tell(one, self.retold)
         if one.state is State.LEFT:
@@ -214,17 +212,17 @@
             one.told_at = known_at
         if state is State.LEFT:
             self._turn(one, state, now)
-        elif entry.incarnation > one.incarnation:
-            one.incarnation, one.accused = entry.incarnation, None
+        elif entry.incarnation > one.refutations:
+            one.refutations, one.accused = entry.incarnation, None
             if state is not one.state:
                 self._turn(one, state, now)
-        elif entry.incarnation == one.incarnation and state > one.state:
+        elif entry.incarnation == one.refutations and state > one.state:
             if state is State.SILENT and one.known_at > known_at + doubt:
                 state = State.SUSPECT  # it showed life for longer than whoever gave it up knew
             if state > one.state:
                 self._turn(one, state, now)
 
-    def suspect(self, one: Incarnation, now: float) -> None:
+    def suspect(self, one: Member, now: float) -> None:
         """A probe of this node's own failed, directly and through others."""
         if one.state is State.ALIVE:
             self._turn(one, State.SUSPECT, now)
@@ -236,15 +234,15 @@
                 lived = one.known_at > one.since
                 self._turn(one, State.ALIVE if lived else State.SILENT, now, news=not lived)
 
-    def _learn(self, one: Incarnation, known_at: float) -> None:
-        if not one.fresh:
+    def _learn(self, one: Member, known_at: float) -> None:
+        if not one.reachable:
             self._changed[one] = None
         if known_at > one.told_best + NEWER:
             one.told_best = known_at
             self._young.pop(one, None)
             self._young[one] = TELL
 
-    def _turn(self, one: Incarnation, state: State, now: float, news: bool = True) -> None:
+    def _turn(self, one: Member, state: State, now: float, news: bool = True) -> None:
         one.state, one.since = state, now
         self._changed[one] = None
         if state is State.SUSPECT:
@@ -254,7 +252,7 @@
         if news:
             self._tell(one, self.retold)
 
-    def _tell(self, one: Incarnation, left: int) -> None:
+    def _tell(self, one: Member, left: int) -> None:
         """It is news for `left` datagrams more."""
         self._news[one.news_left].pop(one, None)
         one.news_left = left
@@ -263,19 +261,19 @@
 
     # What is passed on
 
-    def entry(self, one: Incarnation, now: float, state: State | None = None) -> Entry:
+    def entry(self, one: Member, now: float, state: State | None = None) -> Entry:
         age = min(now - one.known_at, float((1 << 40) - 1))
         return Entry(
-            one.name, one.life, one.incarnation, one.state if state is None else state, math.ceil(age)
+            one.name, one.incarnation, one.refutations, one.state if state is None else state, math.ceil(age)
         )
 
-    def entries(self, to: Incarnation | None, room: float, others: bool, now: float) -> list[Entry]:
+    def entries(self, to: Member | None, room: float, others: bool, now: float) -> list[Entry]:
         """For a datagram to `to`, in at most `room` bytes: what it is held for itself; and, where words of
         `others` may go, news, what is young, and lives in turn. Only what fits uses up its turn."""
-        said: dict[Incarnation, Entry] = {}
+        said: dict[Member, Entry] = {}
         left = room
 
-        def fits(one: Incarnation, keep: float, state: State | None = None) -> bool:
+        def fits(one: Member, keep: float, state: State | None = None) -> bool:
             nonlocal left
             entry = self.entry(one, now, state)
             after = left - size(entry)
@@ -288,7 +286,7 @@
             fits(to, 0.0, to.accused or to.state)
         if not others:
             return [*said.values()]
-        told: list[Incarnation] = []
+        told: list[Member] = []
         for turn in reversed(self._news):
             for one in turn:
                 if one is to:
@@ -321,7 +319,7 @@
                 self._rng.shuffle(self._turns)
             one = self._turns[-1]
             looked += 1
-            wanted = one is not to and one not in said and one.fresh and one.state < State.SILENT
+            wanted = one is not to and one not in said and one.reachable and one.state < State.SILENT
             if wanted and not fits(one, 0.0):
                 break
             self._turns.pop()
@@ -337,7 +335,7 @@
             bits[bit >> 3] |= 1 << (bit & 7)
         return salt.to_bytes(4, "big") + bits
 
-    def missing(self, bits: bytes) -> list[Incarnation]:
+    def missing(self, bits: bytes) -> list[Member]:
         """The fresh lives that are not among a peer's `heard_bits`; all, where it sent none."""
         fresh = [one for one in self._fresh if one.state < State.SILENT]
         if len(bits) <= 4:
@@ -349,22 +347,22 @@
     # What is heard
 
     @property
-    def fresh(self) -> list[Incarnation]:
+    def fresh(self) -> list[Member]:
         """As last looked."""
         return [*self._fresh]
 
     @property
-    def fresh_or_suspect(self) -> list[Incarnation]:
+    def fresh_or_suspect(self) -> list[Member]:
         return [*(self._fresh | self._suspects)]
 
     def _counts_from(self, now: float, limit: float) -> float:
         """Who is known to have lived then or later is heard."""
         return math.inf if self._proved_at < now - QUIET else max(now - limit, self.awake_from)
 
-    def is_fresh(self, one: Incarnation, now: float, limit: float) -> bool:
+    def is_fresh(self, one: Member, now: float, limit: float) -> bool:
         return _lives(one, self._counts_from(now, limit))
 
-    def standing(self, one: Incarnation, now: float, limit: float) -> str:
+    def standing(self, one: Member, now: float, limit: float) -> str:
         """For staff: heard (by its own bytes), through (by the word of others), suspect, silent or left."""
         if one.state is State.LEFT:
             return "left"
@@ -376,7 +374,7 @@
 
     def look(self, now: float, limit: float) -> bool:
         """Bring the view up to `now`; whether the number of names that are heard changed."""
-        view, since, some = self.view, self._counts_from(now, limit), False
+        view, since, some = self.reachability, self._counts_from(now, limit), False
         # What nobody told anything of can only have grown too old, and not before the oldest did.
         every = since > self._oldest or since < self._counted_from
         self._counted_from = since
@@ -386,8 +384,8 @@
             fresh = _lives(one, since)
             if fresh:
                 self._oldest = min(self._oldest, one.known_at)
-            if fresh is not one.fresh:
-                one.fresh, some = fresh, True
+            if fresh is not one.reachable:
+                one.reachable, some = fresh, True
                 if fresh:
                     self._fresh[one] = None
                     view.epoch += 1
@@ -412,6 +410,6 @@
         self.awake_from, self._woke = now, True
         self._fresh.clear()
         for one in self:
-            one.fresh = False
+            one.reachable = False
             if one.state is State.SUSPECT:
                 one.since = now  # it had no chance to answer while nobody listened
--- a/flintridge/membership/messages.py
+++ b/flintridge/membership/messages.py
@@ -13,6 +13,8 @@
 import msgspec
 from msgspec import Meta
 
+from flintridge.errors import FlintridgeError
+
 MAGIC = b"FP"
 VERSION = 1
 SEAL = 16  # bytes
@@ -27,7 +29,7 @@
 Number = Annotated[int, Meta(ge=0, le=(1 << 63) - 1)]
 
 
-class Dropped(ValueError):
+class MessageDroppedError(FlintridgeError, ValueError):
     """What came is not taken; `reason` names the counter."""
 
     def __init__(self, reason: str) -> None:
@@ -121,20 +123,20 @@
         return b"%b%c%b%b" % (MAGIC, VERSION, self.seal(body), body)
 
     def decode(self, data: bytes) -> Packet:
-        """Raises Dropped. The cheapest checks stand first: a flood of anything else costs little."""
+        """Raises MessageDroppedError. The cheapest checks stand first against floods."""
         if len(data) < self.head or not data.startswith(MAGIC):
-            raise Dropped("foreign")
+            raise MessageDroppedError("foreign")
         if data[len(MAGIC)] != VERSION:
-            raise Dropped("version")
+            raise MessageDroppedError("version")
         if len(data) > LONGEST:
-            raise Dropped("long")
+            raise MessageDroppedError("long")
         body = data[self.head :]
         if self._key is not None and not hmac.compare_digest(data[HEAD : self.head], self.seal(body)):
-            raise Dropped("unsealed")
+            raise MessageDroppedError("unsealed")
         try:
             packet = _packets.decode(body)
         except (msgspec.MsgspecError, UnicodeDecodeError, RecursionError) as error:
-            raise Dropped("malformed") from error
+            raise MessageDroppedError("malformed") from error
         if packet.fleet != self.fleet:
-            raise Dropped("fleet")
+            raise MessageDroppedError("fleet")
         return packet
--- a/flintridge/membership/state_exchange.py
+++ b/flintridge/membership/state_exchange.py
@@ -17,7 +17,7 @@
 import msgspec
 from msgspec import Meta
 
-from flintridge.membership.messages import SEAL, VERSION, Dropped, Name, Number, Wire
+from flintridge.membership.messages import SEAL, VERSION, MessageDroppedError, Name, Number, Wire
 
 MAGIC = b"FS"
 NONCE = 16
@@ -74,7 +74,7 @@
 
 class Exchange:
     """One side of one connection. `feed` gives the frames that are whole; what is to be written is taken
-    from `take`. Raises Dropped for bytes that cannot belong to it: the connection then ends."""
+    from `take`. Raises MessageDroppedError for bytes that cannot belong to it: the connection then ends."""
 
     def __init__(self, wire: Wire, name: str, life: int, nonce: bytes, calls: bool) -> None:
         """`nonce`: NONCE random bytes, never used before; `calls`: this side opened the connection."""
@@ -109,23 +109,23 @@
         self.state = At.OVER
 
     def feed(self, data: bytes) -> list[Frame]:
-        """What came, in order. Raises Dropped."""
+        """What came, in order. Raises MessageDroppedError."""
         self._data += data
         frames: list[Frame] = []
         if self.state is At.PREFACE:
             if len(self._data) < len(MAGIC) + 1:
                 return frames
             if not self._data.startswith(MAGIC):
-                raise Dropped("foreign")
+                raise MessageDroppedError("foreign")
             if self._data[len(MAGIC)] != VERSION:
-                raise Dropped("version")
+                raise MessageDroppedError("version")
             del self._data[: len(MAGIC) + 1]
             self.state = At.HELLO
         seal = len(self._wire.seal(b""))
         while len(self._data) >= LENGTH.size:
             (length,) = LENGTH.unpack_from(self._data)
             if length > LONGEST_FRAME:
-                raise Dropped("long")
+                raise MessageDroppedError("long")
             end = LENGTH.size + seal + length
             if len(self._data) < end:
                 break
@@ -139,18 +139,18 @@
 
     def _frame(self, seal: bytes, body: bytes) -> Frame:
         if seal != self._wire.seal(body, self._salted(not self._calls, self._got)):
-            raise Dropped("unsealed")
+            raise MessageDroppedError("unsealed")
         self._got += 1
         try:
             frame = _frames.decode(body)
         except (msgspec.MsgspecError, UnicodeDecodeError, RecursionError) as error:
-            raise Dropped("malformed") from error
+            raise MessageDroppedError("malformed") from error
         if not isinstance(frame, MAY_COME.get((self._calls, self.state), ())):
-            raise Dropped("out_of_turn")
+            raise MessageDroppedError("out_of_turn")
         match frame:
             case Hello(fleet, name, life, nonce):
                 if fleet != self._wire.fleet:
-                    raise Dropped("fleet")
+                    raise MessageDroppedError("fleet")
                 self.peer = name, life
                 if self._calls:
                     self._salt, self.state = self._me.nonce + nonce, At.PIECES
@@ -165,7 +165,7 @@
                 if last:
                     self.state = At.OVER
                 elif self._pieces >= MOST_PIECES:
-                    raise Dropped("long")
+                    raise MessageDroppedError("long")
             case Refusal():
                 self.state = At.OVER
         return frame
--- a/flintridge/node.py
+++ b/flintridge/node.py
@@ -231,7 +231,7 @@
             b"/admin/health": {b"GET": self._health},
             b"/admin/quiesce": {b"POST": self._quiesce},
             b"/admin/resume": {b"POST": self._resume},
-            **({} if self.membership is None else {b"/admin/peers": {b"GET": self.membership.said}}),
+            **({} if self.membership is None else {b"/admin/peers": {b"GET": self.membership.admin_view}}),
             **({} if self.leases is None else {b"/admin/budgets": {b"GET": self.leases.said}}),
             **({} if self.replication is None else self.replication.routes()),
         }
@@ -297,7 +297,7 @@
     def tell_counters(self) -> None:
         """Log what was counted, and the histograms where there are any."""
         if self.membership is not None:
-            self.membership.tell_counters()
+            self.membership.publish_counters()
         if self.leases is not None:
             self.leases.tell_counters()
         if self.replication is not None:
--- a/flintridge/replication/driver.py
+++ b/flintridge/replication/driver.py
@@ -15,9 +15,8 @@
 import msgspec
 
 from flintridge.fronts.console import Routes, Taking
-from flintridge.membership.driver import MembershipDriver
-from flintridge.membership.driver import Refused as PeerRefused
-from flintridge.membership.messages import Dropped
+from flintridge.membership.driver import ExchangeRefusedError, MembershipDriver
+from flintridge.membership.messages import MessageDroppedError
 from flintridge.replication.entry import Dot, Entry, Key, Version, Writer, counts, ordered
 from flintridge.replication.gossip import RumorSpreader
 from flintridge.replication.messages import asked, asked_of, pieces, slice_of
@@ -65,7 +64,7 @@
         self._peers, self._clock, self._log, self._counters = peers, clock, log, counters
         now = clock.now()
         limits = Limits(config.entries, config.entry_bytes, config.remember_s * 1000.0, config.wait_ms)
-        me = peers.name, peers.life
+        me = peers.name, peers.incarnation
         self.copy = Replica(me, limits, now, time.time() * 1000 - now, log.event)
         names = tuple(name for name, _ in peers.config.known if name != peers.name)
         self.spread = RumorSpreader(self.copy, names, config.bytes_per_s, Random(entropy(16)))
@@ -78,8 +77,8 @@
         self._timer: Timer | None = None
         self._asking: asyncio.Task[None] | None = None
         self._asked: Writer | None = None  # whom, while that goes on
-        peers.presence.register(self.spread)
-        peers.answer(self.spread.name, self._answer)
+        peers.failure_detector.register_topic(self.spread)
+        peers.register_exchange(self.spread.name, self._answer)
 
     def start(self) -> None:
         self._log.event("state", entries=self.config.entries, remember_s=self.config.remember_s)
@@ -112,8 +111,8 @@
             self._lay_holds(now)
             fresh = self._fresh()
             for name, life in self.spread.waiting(now, fresh):
-                if (one := self._peers.presence.table.find(name, life)) is not None:
-                    self._peers.tell(one)
+                if (one := self._peers.failure_detector.table.find(name, life)) is not None:
+                    self._peers.send_payloads(one)
             if self._asking is None or self._asking.done():
                 source = self.spread.source(now, fresh)
                 if source is not None:
@@ -126,9 +125,9 @@
         names = self._peers.config.known
         known = {name for name, _ in names}
         return [
-            (one.name, one.life)
-            for one in self._peers.presence.table
-            if one.fresh and one.name in known and one.name != self._peers.name
+            (one.name, one.incarnation)
+            for one in self._peers.failure_detector.table
+            if one.reachable and one.name in known and one.name != self._peers.name
         ]
 
     # What changes
@@ -193,7 +192,7 @@
                 parts = await self._peers.exchange(source[0], self.spread.name, asked(ask))
                 got = slice_of(parts, asked_at)
                 if got is None:
-                    raise Dropped("malformed")
+                    raise MessageDroppedError("malformed")
                 if got[0] != source:
                     raise ConnectionResetError("another process answers there")
                 self._counters.add("state_slices")
@@ -204,7 +203,7 @@
                     break
                 await sleep(clock, TICK)
             self._counters.add("state_comparisons")
-        except (OSError, DeadlineExceededError, Dropped, PeerRefused) as error:
+        except (OSError, DeadlineExceededError, MessageDroppedError, ExchangeRefusedError) as error:
             self._counters.add("state_comparisons_broken")
             self._log.event("state_broke_off", source=source[0], error=repr(error))
         finally:
@@ -223,7 +222,7 @@
         now, copy = self._clock.now(), self.copy
         said: dict[str, Any] = {
             "name": self._peers.name,
-            "life": f"{self._peers.life:x}",
+            "life": f"{self._peers.incarnation:x}",
             "standing": copy.standing.name.lower(),
             "root": f"{copy.root():016x}",
             "asking": None if self._asked is None else self._asked[0],
@@ -231,7 +230,7 @@
             "of": self.config.entries,
             "conflicts": sum(1 for _ in copy.conflicts()),
             "held": sorted(self._held),
-            "heard": self._peers.heard.heard,
+            "heard": self._peers.reachability.heard,
             "counts": {**copy.counts, **self.spread.counts},
         }
         if "digests" in asked_for:
@@ -304,7 +303,11 @@
             return 409, {"error": str(refused)}
         self.spread.wrote(version.dot)
         self._counters.add("state_writes")
-        return 200, {"name": self._peers.name, "write": version.dot[1], "life": f"{self._peers.life:x}"}
+        return 200, {
+            "name": self._peers.name,
+            "write": version.dot[1],
+            "life": f"{self._peers.incarnation:x}",
+        }
 
     def had(self, query: bytes, body: bytes) -> tuple[int, dict[str, Any]]:
         """GET /admin/state/had?write=N: how many nodes are known to have that write of this process."""
@@ -313,7 +316,7 @@
         had = self.spread.had_by(dot)
         if had is None:
             return 404, {"error": "no such write of this process, or too long ago"}
-        return 200, {"had": had, "life": f"{self._peers.life:x}"}
+        return 200, {"had": had, "life": f"{self._peers.incarnation:x}"}
 
     def tell_counters(self) -> None:
         """The copy's counts into the node's counters."""
--- a/flintridge/replication/gossip.py
+++ b/flintridge/replication/gossip.py
@@ -10,7 +10,7 @@
 from dataclasses import dataclass, field
 from random import Random
 
-from flintridge.membership.member_table import Incarnation
+from flintridge.membership.member_table import Member
 from flintridge.replication.entry import Dot, Entry, Key, Writer
 from flintridge.replication.messages import Held, Said, entry_of, flat, said, said_of
 from flintridge.replication.replica import Replica, Standing
@@ -100,9 +100,9 @@
 
     # The topic
 
-    def say(self, now: float, to: Incarnation, room: int) -> bytes | None:
+    def payload_for(self, now: float, to: Member, room: int) -> bytes | None:
         """The fact for a datagram to that life."""
-        peer = to.name, to.life
+        peer = to.name, to.incarnation
         copy = self.copy
         had = list(self._owed.get(peer, ()))[:32]
         entries: list[Held] = []
@@ -135,7 +135,7 @@
                 del self._owed[peer]
         return word
 
-    def hear(self, now: float, name: str, life: int, as_of: float, data: bytes) -> None:
+    def receive_payload(self, now: float, name: str, life: int, as_of: float, data: bytes) -> None:
         """What a peer said, at `as_of` or later."""
         word = said_of(data)
         if word is None or name not in self._peers:
--- a/tests/leases/test_lease_manager.py
+++ b/tests/leases/test_lease_manager.py
@@ -37,15 +37,15 @@
 
 
 def life(name: str) -> SimpleNamespace:
-    return SimpleNamespace(name=name, life=1)
+    return SimpleNamespace(name=name, incarnation=1)
 
 
 def pass_words(
     now: float, source: tuple[str, LeaseManager], target: tuple[str, LeaseManager], room: int = ROOM
 ) -> bytes | None:
-    data = source[1].say(now, life(target[0]), room)
+    data = source[1].payload_for(now, life(target[0]), room)
     if data is not None:
-        target[1].hear(now, source[0], 1, now, data)
+        target[1].receive_payload(now, source[0], 1, now, data)
     return data
 
 
@@ -132,13 +132,13 @@
     said = []
     for now in range(0, int(AGAIN) * (TRIES + 2), 50):
         a[1].tick(now)
-        if (data := a[1].say(now, life("b"), ROOM)) is not None:
+        if (data := a[1].payload_for(now, life("b"), ROOM)) is not None:
             said += [word_of(*one[1:]) for one in decode(data).words]
     ids = {word.id for word in said}
     assert [type(word) for word in said if word.id == min(ids)] == [LeaseRequest] * TRIES + [LeaseRelease]
     assert a[1].counts["unanswered"] == len(ids) and not a[1].accounts[QUOTA].calls
     late = encode(Said(0.0, (), (flat(a[1].accounts[QUOTA].budget.mark, LeaseGrant(1, CHUNK, 0.0)),)))
-    a[1].hear(2_000.0, "b", 1, 2_000.0, late)
+    a[1].receive_payload(2_000.0, "b", 1, 2_000.0, late)
     assert a[1].usable(QUOTA, 2_000.0) == 1.0
 
 
@@ -162,13 +162,13 @@
         one.need(QUOTA, 1.2)
         mark = one.accounts[QUOTA].budget.mark
         for name in "xyz":
-            one.hear(0.0, name, 1, 0.0, encode(Said(0.0, ((mark, 400),))))
+            one.receive_payload(0.0, name, 1, 0.0, encode(Said(0.0, ((mark, 400),))))
         one.tick(10.0)
         chosen |= {name for name, _ in one.waiting()}
     assert chosen == {"x", "y", "z"}
     old = ledger("x")
     old.need(QUOTA, 2.0)
-    old.hear(0.0, "x", 1, -10_001.0, encode(Said(0.0, ((mark, 400),))))
+    old.receive_payload(0.0, "x", 1, -10_001.0, encode(Said(0.0, ((mark, 400),))))
     old.tick(0.0)
     assert not old.waiting()
 
@@ -179,7 +179,7 @@
     one.tick(0.0)
     assert one.accounts[FLOORS].need == PART  # nobody heard: an even part
     for name, pace in (("b", 30.0), ("c", 60.0)):
-        one.hear(0.0, name, 1, 0.0, encode(Said(pace)))
+        one.receive_payload(0.0, name, 1, 0.0, encode(Said(pace)))
     one.tick(50.0)
     assert one.accounts[FLOORS].need == pytest.approx(PART * 300 / 130)
     one.tick(30_000.0)
@@ -233,7 +233,7 @@
         other.need(QUOTA, 3.0)
         mark = other.accounts[QUOTA].budget.mark
         words = (flat(mark, LeaseRequest(1, 100, 0.0)), flat(mark, LeaseGrant(2, 100, 0.0)))
-        a[1].hear(0.0, "b", 1, 0.0, encode(Said(0.0, ((mark, 500),), words)))
+        a[1].receive_payload(0.0, "b", 1, 0.0, encode(Said(0.0, ((mark, 500),), words)))
     assert a[1].counts["refused_terms"] == 4 and told == [("budgets_terms_differ", {"peer": "b"})]
     assert a[1].usable(QUOTA, 0.0) == 1.0 and not a[1].accounts[QUOTA].offers
 
@@ -254,8 +254,8 @@
 @given(st.binary(max_size=200) | st.builds(lambda said: encode(said)[:-1], st.builds(Said, st.just(1.0))))
 def test_bytes_that_are_no_words_are_counted_and_change_nothing(data):
     one = ledger("b")
-    one.hear(0.0, "b", 1, 0.0, data)
-    one.hear(0.0, "stranger", 1, 0.0, encode(Said(1.0)))
+    one.receive_payload(0.0, "b", 1, 0.0, data)
+    one.receive_payload(0.0, "stranger", 1, 0.0, encode(Said(1.0)))
     assert one.counts["malformed"] >= 1 and one.usable(QUOTA, 0.0) == 1.0
 
 
@@ -269,9 +269,9 @@
             one._word(account, ("b", 1), LeaseRequest(id, 100, 1.0), 0.0)
     assert sum(len(words) for words in one._out.values()) <= MOST_WORDS
     for room in (10, 40, 200, 1_000):
-        data = one.say(0.0, life("b"), room)
+        data = one.payload_for(0.0, life("b"), room)
         assert data is None or len(data) <= room
-    assert one.say(0.0, life("b"), 1_000) is not None
+    assert one.payload_for(0.0, life("b"), 1_000) is not None
     one.unheard(("b", 1))
     assert not one.waiting()
 
--- a/tests/membership/test_failure_detector.py
+++ b/tests/membership/test_failure_detector.py
@@ -15,7 +15,7 @@
 from flintridge.membership.byte_budget import Bucket
 from flintridge.membership.failure_detector import FailureDetector
 from flintridge.membership.member_table import MOST_LIVES, REMEMBER, MemberTable
-from flintridge.membership.messages import Dropped, Entry, Kind, Packet, State, Wire, size
+from flintridge.membership.messages import Entry, Kind, MessageDroppedError, Packet, State, Wire, size
 from flintridge.membership.state_exchange import NONCE, Ask, Exchange, Hello, Piece, Refusal
 
 KEY = b"k" * 32
@@ -32,7 +32,7 @@
 
 def all_hear(machines: Machines, names=None) -> bool:
     names = machines.names if names is None else names
-    return all(machines.machine(name).view.heard == len(machines.names) for name in names)
+    return all(machines.machine(name).reachability.heard == len(machines.names) for name in names)
 
 
 def standing(machines: Machines, at: str, name: str) -> list[str]:
@@ -96,10 +96,10 @@
     woke = machines.now
     machines.resume("n0")
     # Thirty datagrams of living peers waited: none is a sign of life after the pause's end.
-    assert machines.machine("n0").view.heard == 1 and machines.machine("n0").counts.of["gaps"] == 1
+    assert machines.machine("n0").reachability.heard == 1 and machines.machine("n0").counts.of["gaps"] == 1
     assert all(newest_claim(machines, "n0", name) < woke for name in ("n1", "n2", "n3"))
     machines.heal()
-    assert machines.run(5_000, lambda: machines.machine("n0").view.heard == 3) is not None
+    assert machines.run(5_000, lambda: machines.machine("n0").reachability.heard == 3) is not None
     assert standing(machines, "n0", "n1") != ["heard"]
 
 
@@ -151,26 +151,29 @@
     machines = fleet(7, key=KEY)
     rest = machines.names[1:]
     machines.kill("n0")
-    assert machines.run(8_000, lambda: all(machines.machine(n).view.heard == 6 for n in rest)) is not None
-    epochs = {name: machines.machine(name).view.epoch for name in rest}
+    assert (
+        machines.run(8_000, lambda: all(machines.machine(n).reachability.heard == 6 for n in rest))
+        is not None
+    )
+    epochs = {name: machines.machine(name).reachability.epoch for name in rest}
     machines.start("n0")
     assert machines.run(8_000, lambda: all_hear(machines)) is not None
-    assert all(machines.machine(name).view.epoch > epochs[name] for name in rest)
+    assert all(machines.machine(name).reachability.epoch > epochs[name] for name in rest)
 
 
 def test_one_that_is_back_within_200_ms_is_another_life():
     machines = fleet(5)
     machines.kill("n0")
     machines.run(150)
-    life = machines.start("n0").machine.table.life
+    life = machines.start("n0").machine.table.incarnation
     rest = machines.names[1:]
 
     def new_heard() -> bool:
-        return all((one := machines.machine(n).table.find("n0", life)) and one.fresh for n in rest)
+        return all((one := machines.machine(n).table.find("n0", life)) and one.reachable for n in rest)
 
     assert machines.run(5_000, new_heard) is not None
     machines.run(machines.machine("n1").limit + 3_000)
-    states = {one.life: one.fresh for one in machines.machine("n1").table.of("n0")}
+    states = {one.incarnation: one.reachable for one in machines.machine("n1").table.of("n0")}
     assert states.pop(life) and not any(states.values())
 
 
@@ -189,7 +192,7 @@
         for other in parts[i + 1 :]:
             machines.cut(part, other)
     assert (
-        machines.run(15_000, lambda: all(machines.machine(n).view.heard == 2 for n in machines.names))
+        machines.run(15_000, lambda: all(machines.machine(n).reachability.heard == 2 for n in machines.names))
         is not None
     )
     for part, other in ((parts[2], parts[0]), (parts[0], parts[1]), (parts[1], parts[2])):
@@ -205,8 +208,8 @@
     machines.cut(("n0",), machines.names[1:])
     machines.run(60_000)
     process = machines.living("n0")[0]
-    assert process.machine.view.heard == 1 and process.machine.view.hears(0.3) is None
-    assert process.machine.view.hears(0.2) is not None
+    assert process.machine.reachability.heard == 1 and process.machine.reachability.hears(0.3) is None
+    assert process.machine.reachability.hears(0.2) is not None
     assert max(process.seconds.values()) <= 8_000
 
 
@@ -224,7 +227,7 @@
         table = machines.machine(name).table
         table.suspect(table.of("n0")[0], machines.living(name)[0].clock(machines.now))
     machines.run(3_000)
-    assert accused.incarnation > 0
+    assert accused.refutations > 0
     for name in ("n1", "n2", "n3", "n4"):
         assert machines.machine(name).table.of("n0")[0].state is State.ALIVE
 
@@ -251,8 +254,8 @@
             machine, now = machines.machine(name), machines.living(name)[-1].clock(machines.now)
             table = machine.table
             table.look(now, machine.limit)
-            assert all(one.fresh is table.is_fresh(one, now, machine.limit) for one in table)
-            assert table.view.heard == 1 + len({one.name for one in table.fresh if one.name != name})
+            assert all(one.reachable is table.is_fresh(one, now, machine.limit) for one in table)
+            assert table.reachability.heard == 1 + len({one.name for one in table.fresh if one.name != name})
 
 
 def test_a_table_that_is_asked_for_leaves_out_the_lives_that_are_heard():
@@ -372,11 +375,11 @@
         for name in names:
             table.speaks(lives[name], 0, now, now)
         table.look(now, LIMIT)
-        return table.view
+        return table.reachability
 
     assert [heard(0.0).hears(share) for share in (0.0, 0.25, 0.26, 1.0)] == [0.0, 0.0, None, None]
-    assert heard(100.0, "n1").epoch == 1 and table.view.share == 0.5
-    assert heard(200.0, "n2", "n3").hears(1.0) == 200.0 and table.view.hears(0.5) == 100.0
+    assert heard(100.0, "n1").epoch == 1 and table.reachability.share == 0.5
+    assert heard(200.0, "n2", "n3").hears(1.0) == 200.0 and table.reachability.hears(0.5) == 100.0
     # n1 alone goes on: three quarters are lost, half is heard without a break.
     heard(LIMIT, "n1")
     view = heard(LIMIT + 300.0, "n1")
@@ -455,11 +458,11 @@
     def __init__(self, bytes_per_s=500.0, size=20):
         self.name, self.bytes_per_s, self.size, self.heard, self.said = "facts", bytes_per_s, size, [], 0
 
-    def say(self, now, to, room):
+    def payload_for(self, now, to, room):
         self.said += self.size <= room
         return bytes(self.size) if self.size <= room else None
 
-    def hear(self, now, name, life, as_of, data):
+    def receive_payload(self, now, name, life, as_of, data):
         self.heard.append((name, as_of, data))
 
 
@@ -467,13 +470,13 @@
     machines = Machines(3, 6, link=Link(double=0.5))
     topics = {name: Fact(size=100) for name in machines.names}
     for name, topic in topics.items():
-        machines.machine(name).register(topic)
+        machines.machine(name).register_topic(topic)
     machines.run(20_000)
     said, heard = (sum(f(t) for t in topics.values()) for f in (lambda t: t.said, lambda t: len(t.heard)))
     assert said * 0.9 <= heard <= said  # doubled on the way, taken once; at first nothing proves their time
     assert all(topic.said * 100 <= 500 * 21 for topic in topics.values())
     with pytest.raises(ValueError, match="facts is registered"):
-        machines.machine("n0").register(Fact())
+        machines.machine("n0").register_topic(Fact())
 
 
 def test_facts_of_an_unknown_topic_and_kinds_of_a_later_version_are_skipped_and_counted():
@@ -520,9 +523,11 @@
         for entry, late in order:
             table.told(entry, now - late, DOUBT, now, LIMIT)
         for one in table:
-            told = [now - late - e.age for e, late in words if (e.name, e.life) == (one.name, one.life)]
+            told = [
+                now - late - e.age for e, late in words if (e.name, e.life) == (one.name, one.incarnation)
+            ]
             assert one.known_at <= max(told)
-        ends.append({(one.name, one.life) for one in table if one.state is State.LEFT})
+        ends.append({(one.name, one.incarnation) for one in table if one.state is State.LEFT})
     assert ends[0] <= ends[1] | {(e.name, e.life) for e, _ in words}
 
 
@@ -580,7 +585,7 @@
 ])  # fmt: skip
 def test_an_exchange_of_another_fleet_is_refused(keys, fleets, reason):
     caller, called = pair(keys, fleets)
-    with pytest.raises(Dropped, match=reason):
+    with pytest.raises(MessageDroppedError, match=reason):
         passed(caller, called)
 
 
@@ -593,10 +598,10 @@
     ask = b"".join(caller.take())
     again = Exchange(Wire("fleet", KEY), "n1", 2, os.urandom(NONCE), calls=False)
     again.feed(hello)
-    with pytest.raises(Dropped, match="unsealed"):  # the called side's nonce is another one
+    with pytest.raises(MessageDroppedError, match="unsealed"):  # the called side's nonce is another one
         again.feed(ask)
     called.feed(ask)
-    with pytest.raises(Dropped):
+    with pytest.raises(MessageDroppedError):
         called.feed(ask)
 
 
@@ -609,6 +614,6 @@
     try:
         side.feed(start[:cut])
         side.feed(noise)
-    except Dropped:
+    except MessageDroppedError:
         pass
     assert len(side._data) <= 400
--- a/tests/replication/test_state.py
+++ b/tests/replication/test_state.py
@@ -56,11 +56,11 @@
 
 
 def carry(spreads, source, target, now, room=1100):
-    one = SimpleNamespace(name=target, life=1)
-    word = spreads[source].say(now, one, room)
+    one = SimpleNamespace(name=target, incarnation=1)
+    word = spreads[source].payload_for(now, one, room)
     if word is not None:
         assert len(word) <= room
-        spreads[target].hear(now, source, 1, now, word)
+        spreads[target].receive_payload(now, source, 1, now, word)
 
 
 def test_a_write_is_told_at_once_and_counted_where_it_has_come_to():
@@ -95,7 +95,9 @@
 
 def test_words_of_names_that_are_not_configured_are_not_heard():
     spreads = fleet("a", "b")
-    spreads["a"].hear(0.0, "x", 1, 0.0, spreads["b"].say(0.0, SimpleNamespace(name="a", life=1), 1100))
+    spreads["a"].receive_payload(
+        0.0, "x", 1, 0.0, spreads["b"].payload_for(0.0, SimpleNamespace(name="a", incarnation=1), 1100)
+    )
     assert spreads["a"].counts["words_bad"] == 1
 
 
