--- a/flintridge/lab/defects/membership.py
+++ b/flintridge/lab/defects/membership.py
@@ -6,8 +6,8 @@
 from flintridge.membership.failure_detector import FailureDetector
 from flintridge.membership.member import Member
 from flintridge.membership.member_table import MemberTable
-from flintridge.membership.messages import GossipEntry, MessageKind
-from flintridge.membership.probe_rotation import ANY_INCARNATION, ProbeTarget, TargetGroup
+from flintridge.membership.messages import ANY_INCARNATION, GossipEntry, MessageKind, ProcessId
+from flintridge.membership.probe_rotation import TargetGroup
 from flintridge.node import Node
 
 UNREACHABLE_PROBED_MS = 5_000  # after which `silent_never_probed` gives them up
@@ -81,7 +81,7 @@
     def tick_and_gossip(now: float) -> None:
         tick(now)
         for _ in range(DATAGRAMS_A_TICK):
-            target = ProbeTarget(next(names), ANY_INCARNATION)
+            target = ProcessId(next(names), ANY_INCARNATION)
             detector.sender.send(target, MessageKind.GOSSIP, 0, now)
 
     put(detector, "tick", tick_and_gossip)
--- a/flintridge/membership/driver.py
+++ b/flintridge/membership/driver.py
@@ -13,9 +13,8 @@
 from flintridge.membership.exchange_service import ExchangeHandler, ExchangeRefusedError, ExchangeService
 from flintridge.membership.failure_detector import FailureDetector
 from flintridge.membership.member import Member
-from flintridge.membership.messages import GossipEntry, MessageCodec, MessageDroppedError
+from flintridge.membership.messages import GossipEntry, MessageCodec, MessageDroppedError, ProcessId
 from flintridge.membership.reachability import Reachability
-from flintridge.membership.state_exchange import ProcessId
 from flintridge.runtime.clock import Clock, DeadlineExceededError, Timer
 from flintridge.settings import PeersConfig
 from flintridge.telemetry.counters import Counters
--- a/flintridge/membership/exchange_service.py
+++ b/flintridge/membership/exchange_service.py
@@ -6,12 +6,11 @@
 
 from flintridge.errors import FlintridgeError
 from flintridge.membership.byte_budget import ByteBudget
-from flintridge.membership.messages import MessageCodec, MessageDroppedError
+from flintridge.membership.messages import MessageCodec, MessageDroppedError, ProcessId
 from flintridge.membership.state_exchange import (
     NONCE_BYTES,
     Chunk,
     Hello,
-    ProcessId,
     Query,
     Refusal,
     StateExchange,
--- a/flintridge/membership/failure_detector.py
+++ b/flintridge/membership/failure_detector.py
@@ -16,6 +16,7 @@
 from flintridge.membership.member_table import MAX_CLOCK_DRIFT, MemberTable
 from flintridge.membership.message_sender import MessageSender, OutgoingDatagram
 from flintridge.membership.messages import (
+    ANY_INCARNATION,
     GossipEntry,
     MemberState,
     Message,
@@ -23,7 +24,7 @@
     MessageDroppedError,
     MessageKind,
 )
-from flintridge.membership.probe_rotation import ProbeRotation, ProbeTarget
+from flintridge.membership.probe_rotation import ProbeRotation
 from flintridge.membership.probes import PROBE_TIMEOUT_MS, Prober
 from flintridge.membership.reachability import Reachability
 from flintridge.membership.sync_schedule import SyncSchedule
@@ -215,7 +216,7 @@
             for entry in message.entries:
                 table.merge_entry(entry, sent_at, self.suspicion_ms, now, self.max_age_ms)
             self._topics.receive(message, sent_at, now)
-        if message.target_incarnation not in (0, table.incarnation):
+        if message.target_incarnation not in (ANY_INCARNATION, table.incarnation):
             self._note_expected_elsewhere(message, now)
         elif not self._leaving:
             self._respond(message, member, now)
@@ -262,8 +263,7 @@
     def _respond(self, message: Message, member: Member, now: float) -> None:
         match message.kind:
             case MessageKind.PING:
-                sender = ProbeTarget(message.name, message.incarnation)
-                self.sender.send(sender, MessageKind.ACK, message.probe_id, now, is_response=True)
+                self.sender.send(message.sender, MessageKind.ACK, message.probe_id, now, is_response=True)
             case MessageKind.ACK:
                 probed = self.prober.receive_ack(message, member, now)
                 if probed is not None and probed != message.name:
@@ -293,10 +293,9 @@
         """
         if self._leaving or to.state is MemberState.LEFT:
             return False
-        target = ProbeTarget(to.name, to.incarnation)
         if to.newest_sent_at >= 0:
-            return self.sender.send(target, MessageKind.PAYLOADS, 0, now)
-        return self.prober.probe(target, now)
+            return self.sender.send(to.process_id, MessageKind.PAYLOADS, 0, now)
+        return self.prober.probe(to.process_id, now)
 
     def leave(self, now: float) -> None:
         """This process ends in order: a few are told, who pass it on. Nothing is sent after it."""
@@ -305,8 +304,7 @@
         others = [member for member in table if member.reachable and member.name != table.local_name]
         own_entry = GossipEntry(table.local_name, table.incarnation, table.refutations, MemberState.LEFT, 0)
         for member in self._rng.sample(others, min(LEAVE_MESSAGES, len(others))):
-            target = ProbeTarget(member.name, member.incarnation)
-            self.sender.send(target, MessageKind.GOSSIP, 0, now, entries=(own_entry,))
+            self.sender.send(member.process_id, MessageKind.GOSSIP, 0, now, entries=(own_entry,))
 
 
 def _typical_entries(bytes_per_s: float) -> float:
--- a/flintridge/membership/member.py
+++ b/flintridge/membership/member.py
@@ -3,7 +3,7 @@
 import math
 from dataclasses import dataclass
 
-from flintridge.membership.messages import GossipEntry, MemberState
+from flintridge.membership.messages import GossipEntry, MemberState, ProcessId
 
 SEQUENCE_WINDOW = 256  # sequence numbers of a process that may be received out of order
 NEVER = -math.inf
@@ -38,6 +38,11 @@
     bytes_received: int = 0
     rejected: int = 0  # datagrams that were received before, or may have been
 
+    @property
+    def process_id(self) -> ProcessId:
+        """Its name and incarnation."""
+        return ProcessId(self.name, self.incarnation)
+
     @property
     def last_alive_at(self) -> float:
         """The newest instant at which it is proved to have been alive."""
--- a/flintridge/membership/message_sender.py
+++ b/flintridge/membership/message_sender.py
@@ -9,14 +9,15 @@
 from flintridge.membership.member import Member
 from flintridge.membership.member_table import MemberTable
 from flintridge.membership.messages import (
+    ANY_INCARNATION,
     MAX_DATAGRAM_BYTES,
     GossipEntry,
     Message,
     MessageCodec,
     MessageKind,
+    ProcessId,
     encoded_size,
 )
-from flintridge.membership.probe_rotation import ProbeTarget
 from flintridge.membership.topics import TopicRegistry
 
 MAX_GOSSIP_DATAGRAM_BYTES = 800  # with gossip entries; what is left of a datagram is for payloads
@@ -78,12 +79,12 @@
 
     def send(
         self,
-        to: ProbeTarget,
+        to: ProcessId,
         kind: MessageKind,
         probe_id: int,
         now: float,
         *,
-        probe_target: ProbeTarget | None = None,
+        probe_target: ProcessId | None = None,
         entries: tuple[GossipEntry, ...] = (),
         is_response: bool = False,
     ) -> bool:
@@ -104,7 +105,9 @@
         available = self.budget.available(now)
         if is_response:
             available = min(available, self._response_budget.available(now))
-        member = self._table.find(to.name, to.incarnation) if to.incarnation else None
+        member = None
+        if to.incarnation != ANY_INCARNATION:
+            member = self._table.find(to.name, to.incarnation)
         message = self._new_message(to, member, kind, probe_id, now, probe_target, entries)
         # Guards the responses that are still to be sent in this second: without them this node would seem
         # failed for having gossiped too much.
@@ -123,12 +126,12 @@
 
     def _new_message(
         self,
-        to: ProbeTarget,
+        to: ProcessId,
         member: Member | None,
         kind: MessageKind,
         probe_id: int,
         now: float,
-        probe_target: ProbeTarget | None,
+        probe_target: ProcessId | None,
         entries: tuple[GossipEntry, ...],
     ) -> Message:
         self._sequence += 1
--- a/flintridge/membership/messages.py
+++ b/flintridge/membership/messages.py
@@ -8,7 +8,7 @@
 import hashlib
 import hmac
 from enum import IntEnum
-from typing import Annotated
+from typing import Annotated, NamedTuple
 
 import msgspec
 from msgspec import Meta
@@ -29,6 +29,15 @@
 Number = Annotated[int, Meta(ge=0, le=(1 << 63) - 1)]
 Refutations = Annotated[int, Meta(ge=0, lt=1 << 32)]
 
+ANY_INCARNATION = 0  # of a name: whichever process answers
+
+
+class ProcessId(NamedTuple):
+    """A process of the fleet, or any of a name with ANY_INCARNATION."""
+
+    name: str
+    incarnation: int
+
 
 class MessageDroppedError(FlintridgeError, ValueError):
     """Received bytes are not accepted."""
@@ -86,7 +95,7 @@
     kind: Annotated[int, Meta(ge=0, lt=256)]
     probe_id: Number
     sent_at: Number
-    target_incarnation: Number = 0  # the process that is meant; 0: any of the name at this address
+    target_incarnation: Number = ANY_INCARNATION  # of the process that is meant, at this address
     # The newest `sent_at` received from the target; -1: none.
     echoed_sent_at: Annotated[int, Meta(ge=-1, le=(1 << 63) - 1)] = -1
     echo_delay: Number = 0  # milliseconds since that was received
@@ -94,6 +103,11 @@
     entries: Annotated[tuple[GossipEntry, ...], Meta(max_length=MAX_ENTRIES)] = ()
     payloads: Annotated[tuple[tuple[Name, bytes], ...], Meta(max_length=MAX_PAYLOADS)] = ()
 
+    @property
+    def sender(self) -> ProcessId:
+        """The process that sent it."""
+        return ProcessId(self.name, self.incarnation)
+
 
 _encoder = msgspec.msgpack.Encoder()
 _decoder = msgspec.msgpack.Decoder(Message)
--- a/flintridge/membership/probe_rotation.py
+++ b/flintridge/membership/probe_rotation.py
@@ -2,19 +2,11 @@
 
 from enum import Enum, auto
 from random import Random
-from typing import NamedTuple
 
 from flintridge.membership.member_table import MemberTable
+from flintridge.membership.messages import ANY_INCARNATION, ProcessId
 
 UNREACHABLE_TURN_INTERVAL = 4  # of so many probes one goes to an unreachable name
-ANY_INCARNATION = 0  # of a name: whichever answers
-
-
-class ProbeTarget(NamedTuple):
-    """Whom a probe goes to."""
-
-    name: str
-    incarnation: int
 
 
 class TargetGroup(Enum):
@@ -29,12 +21,12 @@
 
     def __init__(self, table: MemberTable, rng: Random) -> None:
         """Start without targets; the first turn draws them."""
-        self.targets: dict[TargetGroup, list[ProbeTarget]] = {group: [] for group in TargetGroup}
+        self.targets: dict[TargetGroup, list[ProcessId]] = {group: [] for group in TargetGroup}
         self._table = table
         self._rng = rng
         self._turn = 0
 
-    def next_target(self) -> ProbeTarget | None:
+    def next_target(self) -> ProcessId | None:
         """The target of the next probe, or None where there is none at all."""
         self._turn += 1
         if not any(self.targets.values()):
@@ -58,11 +50,11 @@
             if member.name != self._table.local_name
         ]
         if group is TargetGroup.REACHABLE:
-            targets = [ProbeTarget(member.name, member.incarnation) for member in members]
+            targets = [member.process_id for member in members]
         else:
             names = {member.name for member in members}
             targets = [
-                ProbeTarget(name, ANY_INCARNATION) for name in self._table.peer_names if name not in names
+                ProcessId(name, ANY_INCARNATION) for name in self._table.peer_names if name not in names
             ]
         self._rng.shuffle(targets)
         self.targets[group] = targets
--- a/flintridge/membership/probes.py
+++ b/flintridge/membership/probes.py
@@ -7,8 +7,7 @@
 from flintridge.membership.member import Member
 from flintridge.membership.member_table import MAX_INCARNATIONS, MemberTable
 from flintridge.membership.message_sender import MessageSender
-from flintridge.membership.messages import Message, MessageKind
-from flintridge.membership.probe_rotation import ProbeTarget
+from flintridge.membership.messages import ANY_INCARNATION, Message, MessageKind, ProcessId
 
 PING_TIMEOUT_MS = 200.0  # for an ack, before others are requested to ping
 PROBE_TIMEOUT_MS = 1_000.0  # for an ack by any way; then the probe has failed
@@ -25,7 +24,7 @@
 class Probe:
     """A probe of this node's own."""
 
-    target: ProbeTarget
+    target: ProcessId
     started_at: float
     pings: int = 1
     requested: int = 0  # members that were requested to ping
@@ -36,7 +35,7 @@
 class IndirectProbe:
     """A ping for another node."""
 
-    requester: ProbeTarget
+    requester: ProcessId
     probe_id: int  # of the requester's probe
     ends_at: float
 
@@ -61,7 +60,7 @@
         self._probes.clear()
         self._indirect_probes.clear()
 
-    def probe(self, target: ProbeTarget, now: float) -> bool:
+    def probe(self, target: ProcessId, now: float) -> bool:
         """Ping a target, unless a probe of it waits already; whether a ping was sent."""
         if any(probe.target == target for probe in self._probes.values()):
             return False
@@ -109,8 +108,7 @@
                 return probe.target.name
             del self._probes[message.probe_id]
             self._adjust_health(-1)
-            sender = ProbeTarget(message.name, message.incarnation)
-            self._sender.send(sender, MessageKind.ACK_RECEIPT, message.probe_id, now)
+            self._sender.send(message.sender, MessageKind.ACK_RECEIPT, message.probe_id, now)
             return probe.target.name
         indirect = self._indirect_probes.pop(message.probe_id, None)
         if indirect is not None:
@@ -135,11 +133,10 @@
             self._counters["indirect_probes_refused"] += 1
             return
         probe_id = self._new_probe_id()
-        target = ProbeTarget(*message.probe_target)
+        target = ProcessId(*message.probe_target)
         if self._sender.send(target, MessageKind.PING, probe_id, now, is_response=True):
-            requester = ProbeTarget(message.name, message.incarnation)
             ends_at = now + INDIRECT_PROBE_TIMEOUT_MS
-            self._indirect_probes[probe_id] = IndirectProbe(requester, message.probe_id, ends_at)
+            self._indirect_probes[probe_id] = IndirectProbe(message.sender, message.probe_id, ends_at)
 
     def receive_indirect_ack(self, message: Message) -> None:
         """A member that was requested to ping got an ack."""
@@ -161,7 +158,7 @@
             self._table.suspect(member, now)
 
     def _request_pings(self, probe_id: int, probe: Probe, now: float) -> None:
-        if not probe.target.incarnation:
+        if probe.target.incarnation == ANY_INCARNATION:
             return
         reachable = self._table.reachable_members
         count = min(MAX_PING_REQUESTS, 1 << (probe.pings - 1))
@@ -169,8 +166,9 @@
         sample = self._rng.sample(reachable, min(count + 2 * MAX_INCARNATIONS, len(reachable)))
         excluded = (probe.target.name, self._table.local_name)
         for member in [member for member in sample if member.name not in excluded][:count]:
-            to = ProbeTarget(member.name, member.incarnation)
-            if self._sender.send(to, MessageKind.PING_REQUEST, probe_id, now, probe_target=probe.target):
+            if self._sender.send(
+                member.process_id, MessageKind.PING_REQUEST, probe_id, now, probe_target=probe.target
+            ):
                 probe.requested += 1
 
     def _adjust_health(self, change: int) -> None:
--- a/flintridge/membership/state_exchange.py
+++ b/flintridge/membership/state_exchange.py
@@ -12,7 +12,7 @@
 
 import struct
 from enum import Enum, auto
-from typing import Annotated, NamedTuple
+from typing import Annotated
 
 import msgspec
 from msgspec import Meta
@@ -24,6 +24,7 @@
     MessageDroppedError,
     Name,
     Number,
+    ProcessId,
 )
 
 MAGIC = b"FS"
@@ -33,13 +34,6 @@
 LENGTH = struct.Struct(">I")
 
 
-class ProcessId(NamedTuple):
-    """A process of the fleet."""
-
-    name: str
-    incarnation: int
-
-
 class Hello(msgspec.Struct, array_like=True, frozen=True, tag=1):
     """The first frame of each side."""
 
