--- a/flintridge/membership/datagram_endpoint.py
+++ b/flintridge/membership/datagram_endpoint.py
@@ -72,9 +72,8 @@
         self._transport: asyncio.DatagramTransport | None = None
         self._next_claim_at = 0.0
         self._claiming = False
-        self._successors: dict[
-            Any, float
-        ] = {}  # addresses of processes of this node, and until when they count
+        # Addresses of this node's newer processes, and until when their registrations count.
+        self._successors: dict[Any, float] = {}
 
     @property
     def has_successor(self) -> bool:
--- a/tests/membership/test_failure_detector.py
+++ b/tests/membership/test_failure_detector.py
@@ -81,7 +81,7 @@
     assert all_reachable(machines, ("n0",))
 
 
-def test_gossip_when_the_sender_s_clock_is_slow_proves_nobody_alive_after_its_end():
+def test_gossip_when_the_senders_clock_is_slow_proves_nobody_alive_after_its_end():
     machines = Machines(3, 3, link=Link(jitter=0))
     machines.living("n1")[0].rate = 0.98
     machines.run(3_000)
