--- a/flintridge/discovery/watcher.py
+++ b/flintridge/discovery/watcher.py
@@ -6,10 +6,10 @@
 import h11
 
 from flintridge.api import EndpointUpdate, Settings, UpdateKind
+from flintridge.config.address import Address
 from flintridge.discovery.client import DiscoveryClient
 from flintridge.discovery.endpoint_list import EndpointList
 from flintridge.runtime.clock import Clock, DeadlineExceededError, sleep, to_ms, within
-from flintridge.settings import Address
 from flintridge.telemetry.counters import Counters
 from flintridge.telemetry.log import EventLog
 
@@ -93,10 +93,10 @@
             self._watching.cancel()
 
     def move(self, discovery: Address) -> None:
-        """Go on at another address, at once and from its full list: its revisions need not go on from the old
-        ones.
+        """Go on at another address, at once and from its full list.
 
-        Only calls to the old address end; what they would still have said is in the new full list.
+        Its revisions need not go on from the old ones. Only calls to the old address end; what they would
+        still have said is in the new full list.
         """
         self.discovery = discovery
         self._needs_full_list = True
--- a/flintridge/membership/admin_view.py
+++ b/flintridge/membership/admin_view.py
@@ -2,9 +2,9 @@
 
 from typing import Any
 
+from flintridge.config.node_config import PeersConfig
 from flintridge.membership.failure_detector import FailureDetector
 from flintridge.membership.member import NEVER, Member
-from flintridge.settings import PeersConfig
 
 
 def membership_view(
--- a/flintridge/membership/datagram_endpoint.py
+++ b/flintridge/membership/datagram_endpoint.py
@@ -10,10 +10,10 @@
 from collections.abc import Awaitable, Callable
 from typing import Any
 
+from flintridge.config.address import Address
 from flintridge.membership.messages import MAGIC, VERSION, MessageCodec
 from flintridge.runtime.clock import Clock
 from flintridge.runtime.listener import ListenError
-from flintridge.settings import Address
 from flintridge.telemetry.counters import Counters
 from flintridge.telemetry.log import EventLog
 
--- a/flintridge/membership/driver.py
+++ b/flintridge/membership/driver.py
@@ -8,15 +8,15 @@
 
 import msgspec
 
+from flintridge.config.node_config import PeersConfig
 from flintridge.membership.admin_view import membership_view
 from flintridge.membership.datagram_endpoint import DatagramEndpoint
-from flintridge.membership.exchange_service import ExchangeHandler, ExchangeRefusedError, ExchangeService
+from flintridge.membership.exchange_service import ExchangeHandler, ExchangeRejectedError, ExchangeService
 from flintridge.membership.failure_detector import FailureDetector
 from flintridge.membership.member import Member
 from flintridge.membership.messages import GossipEntry, MessageCodec, MessageDroppedError, ProcessId
 from flintridge.membership.reachability import Reachability
 from flintridge.runtime.clock import Clock, DeadlineExceededError, Timer
-from flintridge.settings import PeersConfig
 from flintridge.telemetry.counters import Counters
 from flintridge.telemetry.log import EventLog
 
@@ -142,7 +142,7 @@
             OSError: Nobody is there, or the connection broke.
             DeadlineExceededError: It took too long.
             MessageDroppedError: What was received is no answer.
-            ExchangeRefusedError: The peer has no answer.
+            ExchangeRejectedError: The peer has no answer.
         """
         return await self._exchanges.request(self._addresses[peer], topic, query)
 
@@ -231,7 +231,7 @@
             OSError,
             DeadlineExceededError,
             MessageDroppedError,
-            ExchangeRefusedError,
+            ExchangeRejectedError,
             msgspec.MsgspecError,
         ) as error:
             self._counters.add("peers_syncs_failed")
--- a/flintridge/membership/exchange_service.py
+++ b/flintridge/membership/exchange_service.py
@@ -4,6 +4,7 @@
 from collections.abc import Callable, Iterable
 from typing import Any, Protocol
 
+from flintridge.config.address import Address
 from flintridge.errors import FlintridgeError
 from flintridge.membership.byte_budget import ByteBudget
 from flintridge.membership.messages import MessageCodec, MessageDroppedError, ProcessId
@@ -12,11 +13,10 @@
     Chunk,
     Hello,
     Query,
-    Refusal,
+    Rejection,
     StateExchange,
 )
 from flintridge.runtime.clock import Clock, DeadlineExceededError, sleep, within
-from flintridge.settings import Address
 from flintridge.telemetry.counters import Counters
 from flintridge.telemetry.log import EventLog
 
@@ -35,7 +35,7 @@
         """The answer's chunks, each of a frame at most."""
 
 
-class ExchangeRefusedError(FlintridgeError):
+class ExchangeRejectedError(FlintridgeError):
     """The other side has no answer; the text says why."""
 
 
@@ -113,7 +113,7 @@
             OSError: Nobody is there, or the connection broke.
             DeadlineExceededError: It took too long.
             MessageDroppedError: What was received is no answer.
-            ExchangeRefusedError: The peer has no answer.
+            ExchangeRejectedError: The peer has no answer.
         """
         return await within(self._clock, EXCHANGE_TIMEOUT_MS, self._request(address, topic, query))
 
@@ -137,8 +137,8 @@
                             chunks.append(chunk)
                             if last:
                                 return chunks
-                        case Refusal(reason):
-                            raise ExchangeRefusedError(reason)
+                        case Rejection(reason):
+                            raise ExchangeRejectedError(reason)
         finally:
             writer.close()
 
@@ -176,7 +176,7 @@
         query = await self._receive_query(exchange, reader, writer)
         handler = self._handlers.get(query.topic)
         if handler is None:
-            exchange.send_refusal(f"unknown topic {query.topic}")
+            exchange.send_rejection(f"unknown topic {query.topic}")
         else:
             for chunk in handler(query.body):
                 exchange.send_chunk(chunk, last=False)
--- a/flintridge/membership/state_exchange.py
+++ b/flintridge/membership/state_exchange.py
@@ -3,7 +3,7 @@
     client:  FS, version, Hello          -> a fresh nonce of its own
     server:  FS, version, Hello          -> and one of the server's
     client:  Query(topic, bytes)         -> authenticated with both nonces, direction and the frame's number
-    server:  Chunk(bytes, last) ...      -> or Refusal(reason)
+    server:  Chunk(bytes, last) ...      -> or Rejection(reason)
 
 Frames are a length of four bytes, the authentication tag and MessagePack. A frame of another connection, of
 the other direction or out of its turn is refused by its tag; so is a replayed query, as the server's nonce is
@@ -57,13 +57,13 @@
     last: bool
 
 
-class Refusal(msgspec.Struct, array_like=True, frozen=True, tag=4):
+class Rejection(msgspec.Struct, array_like=True, frozen=True, tag=4):
     """The server has no answer."""
 
     reason: Annotated[str, Meta(max_length=200)]
 
 
-Frame = Hello | Query | Chunk | Refusal
+Frame = Hello | Query | Chunk | Rejection
 
 _encoder = msgspec.msgpack.Encoder()
 _decoder = msgspec.msgpack.Decoder(Frame)
@@ -82,7 +82,7 @@
 # The frames that each side (whether it is the client) accepts in each state; any other breaks the exchange.
 ACCEPTED_FRAMES: dict[tuple[bool, ExchangeState], tuple[type[Frame], ...]] = {
     (True, ExchangeState.HELLO): (Hello,),
-    (True, ExchangeState.CHUNKS): (Chunk, Refusal),
+    (True, ExchangeState.CHUNKS): (Chunk, Rejection),
     (False, ExchangeState.HELLO): (Hello,),
     (False, ExchangeState.QUERY): (Query,),
 }
@@ -133,9 +133,9 @@
         if last:
             self.state = ExchangeState.FINISHED
 
-    def send_refusal(self, reason: str) -> None:
+    def send_rejection(self, reason: str) -> None:
         """End the exchange without an answer."""
-        self._send_frame(Refusal(reason))
+        self._send_frame(Rejection(reason))
         self.state = ExchangeState.FINISHED
 
     def receive(self, data: bytes) -> list[Frame]:
@@ -201,7 +201,7 @@
                     self.state = ExchangeState.FINISHED
                 elif self._chunks_received >= MAX_CHUNKS:
                     raise MessageDroppedError("long")
-            case Refusal():
+            case Rejection():
                 self.state = ExchangeState.FINISHED
 
     def _apply_hello(self, hello: Hello) -> None:
--- a/tests/membership/test_membership_config.py
+++ b/tests/membership/test_membership_config.py
@@ -11,8 +11,11 @@
 from support.paths import ROOT
 
 from flintridge import api
-from flintridge.config.build import read_own
+from flintridge.config.address import Address
 from flintridge.config.check import check_file
+from flintridge.config.errors import ConfigError
+from flintridge.config.node_file import parse_node_file
+from flintridge.config.platform_config import node_config
 from flintridge.lab.backend.virtual import VirtualFabric
 from flintridge.lab.faults.check import check
 from flintridge.lab.partial.own import own_format
@@ -26,7 +29,6 @@
 from flintridge.lab.world.fleet import World
 from flintridge.lab.world.links import LinkTable
 from flintridge.membership.messages import MessageKind
-from flintridge.settings import Address, ConfigError, node_config
 
 EXAMPLE = (ROOT / "examples" / "node.toml").read_text()
 PEERS = """
@@ -38,7 +40,7 @@
 
 
 def read(peers: str, path="n.toml"):
-    return read_own(path, (EXAMPLE + peers).encode(), {})
+    return parse_node_file(path, (EXAMPLE + peers).encode(), {})
 
 
 def test_read_when_the_table_is_sound_gives_its_values_and_defaults():
@@ -100,7 +102,7 @@
 
 def test_import_when_a_node_has_no_peers_loads_no_fleet_package():
     code = (
-        "import sys, flintridge.__main__; from flintridge.settings import load_config;"
+        "import sys, flintridge.__main__; from flintridge.config.loader import load_config;"
         "from flintridge.node import Node;"
         "names = ('membership', 'leases', 'replication', 'peers', 'budgets', 'replica', 'msgspec');"
         "print(*(name for name in sys.modules if any(one in name for one in names)))"
@@ -126,7 +128,7 @@
         return made
 
     for config in loop.run(configs()):
-        again = read_own("n.json", json.dumps(own_format(config)).encode(), {})
+        again = parse_node_file("n.json", json.dumps(own_format(config)).encode(), {})
         for field in config.__dataclass_fields__:
             if field not in ("settings", "known"):
                 assert getattr(again, field) == getattr(config, field), field
--- a/tests/membership/test_state_exchange.py
+++ b/tests/membership/test_state_exchange.py
@@ -15,7 +15,7 @@
     Chunk,
     Hello,
     Query,
-    Refusal,
+    Rejection,
     StateExchange,
 )
 
@@ -49,13 +49,13 @@
     assert transfer(server, client, size) == [Chunk(b"one", False), Chunk(b"two", True)]
 
 
-def test_send_refusal_when_the_topic_is_unknown_ends_the_exchange():
+def test_send_rejection_when_the_topic_is_unknown_ends_the_exchange():
     client, server = exchange_pair()
     transfer(client, server), transfer(server, client)
     client.send_query("novel", b"")
     transfer(client, server)
-    server.send_refusal("unknown topic novel")
-    assert transfer(server, client) == [Refusal("unknown topic novel")]
+    server.send_rejection("unknown topic novel")
+    assert transfer(server, client) == [Rejection("unknown topic novel")]
 
 
 @pytest.mark.parametrize(("keys", "fleets", "reason"), [
