--- a/flintridge/lab/backend/virtual.py
+++ b/flintridge/lab/backend/virtual.py
@@ -21,7 +21,7 @@
 from flintridge.lab.records import Connections, Line, Log, NodeSaid
 from flintridge.lab.scenario.model import Budgets, Peers
 from flintridge.lab.virtual import VirtualLoop
-from flintridge.membership.messages import Wire
+from flintridge.membership.messages import MessageCodec
 from flintridge.node import Node
 from flintridge.runtime.clock import SystemClock
 from flintridge.telemetry.counters import Counters
@@ -139,10 +139,10 @@
 
     def recorder(self, fabric: VirtualFabric, log: Log) -> Callable[[str, str, bytes, str], None]:
         """What takes down each datagram between nodes."""
-        wire = Wire(FLEET, KEY if self.part.sealed else None)
+        codec = MessageCodec(FLEET, KEY if self.part.sealed else None)
 
         def seen(source: str, target: str, data: bytes, fate: str) -> None:
-            log.add(datagram_of(wire, fabric.clock.now(), source, target, data, fate))
+            log.add(datagram_of(codec, fabric.clock.now(), source, target, data, fate))
 
         return seen
 
@@ -315,7 +315,7 @@
             if not self.running(name) or life.node is None:
                 continue
             if life.node.membership is not None and not self._fabric.network.host(name).paused:
-                _, said = life.node.membership.said()
+                _, said = life.node.membership.admin_view()
                 self._log.add(view_of(now, name, said))
             if life.node.leases is not None:  # also of one that stands still: it may use it once it goes on
                 _, said = life.node.leases.said()
--- a/flintridge/replication/admin.py
+++ b/flintridge/replication/admin.py
@@ -130,7 +130,7 @@
         counts = {**replica.counts, **self._gossip.counts}
         return {
             "name": self._membership.name,
-            "life": f"{self._membership.life:x}",
+            "life": f"{self._membership.incarnation:x}",
             "standing": SYNC_STATE_NAMES[replica.sync_state],
             "root": f"{replica.root():016x}",
             "asking": activity.source,
@@ -138,7 +138,7 @@
             "of": replica.limits.max_entries,
             "conflicts": sum(1 for _ in replica.conflicting_keys()),
             "held": sorted(activity.taken_out),
-            "heard": self._membership.heard.heard,
+            "heard": self._membership.reachability.reachable,
             "counts": {COUNT_NAMES.get(name, name): count for name, count in counts.items()},
         }
 
@@ -191,7 +191,7 @@
         return 200, {
             "name": self._membership.name,
             "write": version.dot[1],
-            "life": f"{self._membership.life:x}",
+            "life": f"{self._membership.incarnation:x}",
         }
 
     def _write(self, call: WriteCall) -> Version:
@@ -216,7 +216,7 @@
         count = self._gossip.acknowledgements.holder_count(dot)
         if count is None:
             return 404, {"error": "no such write of this process, or too long ago"}
-        return 200, {"had": count, "life": f"{self._membership.life:x}"}
+        return 200, {"had": count, "life": f"{self._membership.incarnation:x}"}
 
 
 def _version_json(version: Version, now: float) -> dict[str, Any]:
--- a/flintridge/replication/driver.py
+++ b/flintridge/replication/driver.py
@@ -13,8 +13,8 @@
 from flintridge.config.node_config import StateConfig
 from flintridge.core.admin_routes import Routes
 from flintridge.membership.driver import MembershipDriver
-from flintridge.membership.driver import Refused as ExchangeRejectedError
-from flintridge.membership.messages import Dropped as ExchangeDroppedError
+from flintridge.membership.exchange_service import ExchangeRejectedError
+from flintridge.membership.messages import MessageDroppedError
 from flintridge.replication.admin import ReplicationActivity, StateAdminApi, decode_for_display
 from flintridge.replication.comparison import IncompatibleDigestsError, SyncState
 from flintridge.replication.entry import Entry, Key, Writer, by_precedence, is_active
@@ -80,7 +80,7 @@
         self._source: Writer | None = None  # of the comparison under way
         now = clock.now()
         self.replica = Replica(
-            (membership.name, membership.life),
+            (membership.name, membership.incarnation),
             _limits(config),
             now,
             time.time() * 1000 - now,
@@ -92,8 +92,8 @@
         self._admin_api = StateAdminApi(
             self.replica, self.gossip, membership, clock, counters, self._activity
         )
-        membership.presence.register(self.gossip)
-        membership.answer(self.gossip.name, self._respond)
+        membership.failure_detector.register_topic(self.gossip)
+        membership.register_exchange(self.gossip.name, self._respond)
 
     def start(self) -> None:
         """Begin with the timer."""
@@ -144,16 +144,16 @@
     def _reachable(self) -> list[Writer]:
         configured = {name for name, _ in self._membership.config.known}
         return [
-            (member.name, member.life)
-            for member in self._membership.presence.table
-            if member.fresh and member.name in configured and member.name != self._membership.name
+            (member.name, member.incarnation)
+            for member in self._membership.failure_detector.table
+            if member.reachable and member.name in configured and member.name != self._membership.name
         ]
 
     def _send_urgent(self, now: float, reachable: list[Writer]) -> None:
         for name, incarnation in self.gossip.urgent_targets(now, reachable):
-            member = self._membership.presence.table.find(name, incarnation)
+            member = self._membership.failure_detector.table.find(name, incarnation)
             if member is not None:
-                self._membership.tell(member)
+                self._membership.send_payloads(member)
 
     def _compare_if_due(self, now: float, reachable: list[Writer]) -> None:
         if self._comparison_task is not None and not self._comparison_task.done():
@@ -225,7 +225,7 @@
             while not await self._fetch_chunk(source):
                 await sleep(self._clock, TICK_MS)
             self._counters.add("state_comparisons")
-        except (OSError, DeadlineExceededError, ExchangeDroppedError, ExchangeRejectedError) as error:
+        except (OSError, DeadlineExceededError, MessageDroppedError, ExchangeRejectedError) as error:
             self._counters.add("state_comparisons_failed")
             self._log.event("state_comparison_failed", source=source[0], error=repr(error))
         finally:
@@ -259,7 +259,7 @@
 def _checked_chunk(frames: list[bytes], requested_at: float, source: Writer) -> ReceivedChunk:
     received = decode_chunk(frames, requested_at)
     if received is None:
-        raise ExchangeDroppedError("malformed")
+        raise MessageDroppedError("malformed")
     if received.source != source:
         raise ConnectionResetError("another process answers there")
     return received
--- a/flintridge/replication/gossip.py
+++ b/flintridge/replication/gossip.py
@@ -11,7 +11,7 @@
 
 import msgspec
 
-from flintridge.membership.member_table import Incarnation
+from flintridge.membership.member import Member
 from flintridge.replication.acknowledgements import Acknowledgements
 from flintridge.replication.anti_entropy import ComparisonScheduler
 from flintridge.replication.comparison import SyncState
@@ -94,9 +94,9 @@
         for key in old:
             del self._rumors[key]
 
-    def say(self, now: float, to: Incarnation, room: int) -> bytes | None:
+    def payload_for(self, now: float, to: Member, room: int) -> bytes | None:
         """The message for a datagram to that process, in at most `room` bytes; None where there is none."""
-        peer = to.name, to.life
+        peer = to.name, to.incarnation
         replica = self.replica
         message = GossipMessage(
             root=replica.root(),
@@ -126,7 +126,7 @@
         self.acknowledgements.mark_sent(peer, len(message.acknowledged))
         return data
 
-    def hear(self, now: float, name: str, life: int, as_of: float, data: bytes) -> None:
+    def receive_payload(self, now: float, name: str, life: int, as_of: float, data: bytes) -> None:
         """Take in a peer's message, which was sent at `as_of` or later, in milliseconds."""
         message = decode_gossip(data)
         if message is None or name not in self._peers:
--- a/tests/replication/test_admin.py
+++ b/tests/replication/test_admin.py
@@ -20,7 +20,7 @@
     """That of node a, at 100 ms; `replica` is its replica."""
     replica = make_replica("a", incarnation=255)
     gossip = RumorSpreader(replica, ("b",), 1e9, Random(1))
-    membership = SimpleNamespace(name="a", life=255, heard=SimpleNamespace(heard=1))
+    membership = SimpleNamespace(name="a", incarnation=255, reachability=SimpleNamespace(reachable=1))
     clock = SimpleNamespace(now=lambda: 100.0)
     activity = ReplicationActivity(source="b", taken_out=frozenset({"s1"}))
     made = StateAdminApi(replica, gossip, membership, clock, Counters(), lambda: activity)
--- a/tests/replication/test_gossip.py
+++ b/tests/replication/test_gossip.py
@@ -25,7 +25,7 @@
 
 
 def message_to(spreader, node, now, max_bytes=DATAGRAM_BYTES):
-    return spreader.say(now, SimpleNamespace(name=node, life=1), max_bytes)
+    return spreader.payload_for(now, SimpleNamespace(name=node, incarnation=1), max_bytes)
 
 
 def transmit(spreaders, source, target, now, max_bytes=DATAGRAM_BYTES):
@@ -33,7 +33,7 @@
     message = message_to(spreaders[source], target, now, max_bytes)
     if message is not None:
         assert len(message) <= max_bytes
-        spreaders[target].hear(now, source, 1, now, message)
+        spreaders[target].receive_payload(now, source, 1, now, message)
 
 
 def test_write_when_new_is_sent_at_once_and_its_holders_are_counted():
@@ -73,5 +73,5 @@
 
 def test_message_when_its_sender_is_not_configured_is_ignored():
     spreaders = make_spreaders("a", "b")
-    spreaders["a"].hear(0.0, "x", 1, 0.0, message_to(spreaders["b"], "a", 0.0))
+    spreaders["a"].receive_payload(0.0, "x", 1, 0.0, message_to(spreaders["b"], "a", 0.0))
     assert spreaders["a"].counts["messages_malformed"] == 1
--- a/tests/test_compatibility.py
+++ b/tests/test_compatibility.py
@@ -13,7 +13,7 @@
 from flintridge.lab.load import trace
 from flintridge.lab.scenario.load import load
 from flintridge.leases import messages as lease_messages
-from flintridge.membership.messages import Wire
+from flintridge.membership.messages import MessageCodec
 from flintridge.replication import messages as replication_messages
 from flintridge.replication.limits import ReplicaLimits
 from flintridge.replication.replica import Replica
@@ -38,11 +38,11 @@
 
 @pytest.mark.parametrize("fixture", PEER_MESSAGES["datagrams"], ids=lambda fixture: fixture["hex"][-8:])
 def test_datagrams_of_the_version_before_are_read_and_written_alike(fixture):
-    wire = Wire(PEER_MESSAGES["fleet"], PEER_MESSAGES["key"].encode())
+    codec = MessageCodec(PEER_MESSAGES["fleet"], PEER_MESSAGES["key"].encode())
     data = bytes.fromhex(fixture["hex"])
-    packet = wire.decode(data)
-    assert fields_of(packet) == fixture["packet"]
-    assert wire.encode(packet) == data
+    message = codec.decode(data)
+    assert fields_of(message) == fixture["packet"]
+    assert codec.encode(message) == data
 
 
 @pytest.mark.parametrize("fixture", PEER_MESSAGES["lease_messages"], ids=lambda fixture: fixture["hex"][-8:])
