--- a/benchmarks/budgets_cost.py
+++ b/benchmarks/budgets_cost.py
@@ -1,10 +1,10 @@
-"""What shared budgets cost: the decision module and the node's hook a request, and the ledgers a second.
+"""What shared budgets cost: the policy and the node's hook a request, and the lease managers a second.
 
     python -m benchmarks.budgets_cost
 
 All times are CPU of this process. Of the decisions: medians over ROUNDS rounds of REQUESTS requests, with and
-without in turn. The ledgers run in virtual time on the links of `flintridge/lab/partial/machines.py`, half of
-the nodes needing 1.8 parts and half 0.2; what the lab itself takes for them is in both figures.
+without in turn. Lease managers run in virtual time on the links of `flintridge/lab/partial/machines.py`, half
+of the nodes needing 1.8 parts and half 0.2; what the lab itself takes for them is in both figures.
 """
 
 import statistics
@@ -14,10 +14,9 @@
 from flintridge import api
 from flintridge.lab.partial.lending import Lenders
 from flintridge.lab.partial.machines import Machines
-from flintridge.leases.allocation import LeaseTerms
 from flintridge.leases.demand import RequestRate
 from flintridge.leases.driver import LeaseDriver
-from flintridge.leases.lease_manager import PART
+from flintridge.leases.fleet_limit import EVEN_FRACTION_UNITS, LeaseTerms
 from flintridge.policy.balancer import Balancer
 
 MS = 1_000_000
@@ -92,12 +91,13 @@
 
 
 def hook() -> None:
-    """`Core.seen`: one call a new request."""
+    """`RequestLifecycle.on_new_request`: one call a new request."""
     made: Any = LeaseDriver.__new__(LeaseDriver)
-    made._pace, made._paces = RequestRate(0.0), {tenant: RequestRate(0.0) for tenant in range(TENANTS)}
+    made._request_rate = RequestRate(0.0)
+    made._tenant_rates = {tenant: RequestRate(0.0) for tenant in range(TENANTS)}
     found = []
     for _ in range(ROUNDS):
-        seen = made._seen
+        seen = made._on_new_request
         began = time.thread_time()
         for i in range(100_000):
             seen(i % TENANTS)
@@ -121,9 +121,9 @@
     return sum(sum(one.seconds.values()) + sum(one.exchanged.values()) for one in processes)
 
 
-def ledgers(count: int) -> None:
+def lease_managers(count: int) -> None:
     alone = fleet(Machines(count, 1))
-    lenders = Quiet(count, 1, LeaseTerms(PART, 250, 4_000.0))
+    lenders = Quiet(count, 1, LeaseTerms(EVEN_FRACTION_UNITS, 250, 4_000.0))
     for i, name in enumerate(lenders.names):
         lenders.need(name, 1.8 if i % 2 else 0.2)
     both = fleet(lenders)
@@ -139,7 +139,7 @@
         module(per_s)
     hook()
     for count in COUNTS:
-        ledgers(count)
+        lease_managers(count)
 
 
 if __name__ == "__main__":
--- a/benchmarks/budgets_leaving.py
+++ b/benchmarks/budgets_leaving.py
@@ -8,7 +8,7 @@
 ways to go.
 `due` is that of `benchmarks/budgets_gain.py`, here of the requests that were due within each span of seconds.
 
-`--holdings`: ledgers alone: the sum, in even parts, that the five that stay of ten may use, over time.
+`--holdings`: lease managers alone: the sum, in even parts, that the five that stay of ten may use, over time.
 """
 
 import argparse
@@ -31,8 +31,7 @@
 from flintridge.lab.run import play
 from flintridge.lab.scenario.load import load
 from flintridge.lab.scenario.model import NodeKill, NodeRestart, Scenario
-from flintridge.leases.allocation import LeaseTerms
-from flintridge.leases.lease_manager import PART
+from flintridge.leases.fleet_limit import EVEN_FRACTION_UNITS, LeaseTerms
 
 GONE = (0, 1, 2, 3, 4)  # of zones in turn
 AT_S, LENGTH_S, WARMUP_S = 4.0, 16.0, 9.0
@@ -123,7 +122,7 @@
 
 
 def usable(how: str, stay: float, go: float, then: float) -> list[float]:
-    fleet = Lenders(10, 1, LeaseTerms(PART, 250, 4_000.0))
+    fleet = Lenders(10, 1, LeaseTerms(EVEN_FRACTION_UNITS, 250, 4_000.0))
     for i, name in enumerate(fleet.names):
         fleet.need(name, go if i in GONE else stay)
     fleet.run(20_000.0 + AFTER[0])
@@ -134,7 +133,7 @@
         if how == "killed":
             fleet.kill(name)
             continue
-        fleet.ledger(name).leave(fleet.living(name)[-1].clock(fleet.now))
+        fleet.manager(name).begin_shutdown(fleet.living(name)[-1].clock(fleet.now))
         fleet.at(fleet.now + SERVES_ON, partial(fleet.leave, name))
     for name in staying:
         fleet.need(name, then)
@@ -151,7 +150,7 @@
     parser.add_argument("--first", type=int, default=1)
     parser.add_argument("--jobs", type=int, default=2)
     parser.add_argument("--json", type=Path, help="keeps the figures; what is there is not played again")
-    parser.add_argument("--holdings", action="store_true", help="ledgers alone")
+    parser.add_argument("--holdings", action="store_true", help="lease managers alone")
     args = parser.parse_args()
     if args.holdings:
         holdings()
--- a/flintridge/lab/backend/virtual.py
+++ b/flintridge/lab/backend/virtual.py
@@ -315,7 +315,7 @@
                 _, said = life.node.membership.said()
                 self._log.add(view_of(now, name, said))
             if life.node.leases is not None:  # also of one that stands still: it may use it once it goes on
-                _, said = life.node.leases.said()
+                _, said = life.node.leases.admin_status()
                 for held in held_of(now, name, said):
                     self._log.add(held)
 
--- a/flintridge/lab/defects/lending.py
+++ b/flintridge/lab/defects/lending.py
@@ -1,124 +1,134 @@
-"""Mistakes that a holding could have, one for each clause of its rule; the explorer must find each."""
+"""Mistakes that an allocation could have, one for each clause of its rule; the explorer must find each."""
 
 from dataclasses import dataclass, replace
 
-from flintridge.leases.allocation import Allocation, Lease, LeaseGrant, LeaseRelease, LeaseRequest, Peer, Word
+from flintridge.leases.allocation import Allocation, BorrowedKey, Lease, LentKey, ProcessId
+from flintridge.leases.messages import LeaseGrant, LeaseMessage, LeaseRelease, LeaseRequest
 
 
 @dataclass(slots=True)
 class CreditBeforeDebit(Allocation):
-    """It grants without taking the loan off its own part."""
+    """It grants without taking the lease off its entitlement."""
 
-    def _lend(self, now: float, peer: Peer, ask: LeaseRequest, need: int) -> LeaseGrant | None:
-        amount = min(ask.amount, self.lendable(now, need))
-        return LeaseGrant(ask.id, amount, ask.stamp) if amount > 0 else None
+    def _grant(
+        self, now: float, borrower: ProcessId, request: LeaseRequest, demand: int
+    ) -> LeaseGrant | None:
+        amount = min(request.amount, self.lendable(now, demand))
+        return LeaseGrant(request.lease_id, amount, request.requested_at) if amount > 0 else None
 
 
 @dataclass(slots=True)
 class LeaseFromArrival(Allocation):
     """The borrower counts its lease from when the grant came in."""
 
-    def _borrow(self, now: float, lender: str, grant: LeaseGrant) -> None:
-        Allocation._borrow(self, now, lender, grant._replace(stamp=now))
+    def _accept_grant(self, now: float, lender: str, grant: LeaseGrant) -> None:
+        Allocation._accept_grant(self, now, lender, replace(grant, requested_at=now))
 
 
 @dataclass(slots=True)
 class NoMarginForDrift(Allocation):
-    """The lender counts a loan as over after the lease, whatever the borrower's clock does."""
+    """The lender counts a lease as expired after `lease_ms`, whatever the borrower's clock does."""
 
-    def _lend(self, now: float, peer: Peer, ask: LeaseRequest, need: int) -> LeaseGrant | None:
-        grant = Allocation._lend(self, now, peer, ask, need)
+    def _grant(
+        self, now: float, borrower: ProcessId, request: LeaseRequest, demand: int
+    ) -> LeaseGrant | None:
+        grant = Allocation._grant(self, now, borrower, request, demand)
         if grant is not None:
-            self.lent[peer, ask.id] = Lease(grant.amount, now + self.terms.lease)
+            self.lent[LentKey(borrower, request.lease_id)] = Lease(grant.amount, now + self.terms.lease_ms)
         return grant
 
 
 @dataclass(slots=True)
 class LoansForgotten(Allocation):
-    """A process that starts anew holds its whole part at once."""
+    """A process that starts anew has its whole entitlement at once."""
 
-    def own(self, now: float) -> int:
-        return self.terms.part
+    def entitlement(self, now: float) -> int:
+        return self.terms.even_fraction
 
 
 @dataclass(slots=True)
 class NoFloor(Allocation):
     """It lends all that it has."""
 
-    def lendable(self, now: float, need: int = 0) -> int:
-        return max(0, self.own(now) - self._out(now))
+    def lendable(self, now: float, demand: int = 0) -> int:
+        return max(0, self.entitlement(now) - self._lent_amount(now))
 
 
 @dataclass(slots=True)
 class UsedAfterGivenBack(Allocation):
-    """It goes on using what it said it gives back."""
+    """It goes on using what it said it releases."""
 
-    def give(self, now: float, lender: str, id: int) -> LeaseRelease | None:
-        return LeaseRelease(id) if (lender, id) in self.borrowed else None
+    def release(self, lender: str, lease_id: int) -> LeaseRelease | None:
+        return LeaseRelease(lease_id) if BorrowedKey(lender, lease_id) in self.borrowed else None
 
 
 @dataclass(slots=True)
 class DoubledGrantCountsTwice(Allocation):
     """Each grant that comes in is added."""
 
-    def _borrow(self, now: float, lender: str, grant: LeaseGrant) -> None:
-        known = self.borrowed.get((lender, grant.id))
-        Allocation._borrow(self, now, lender, grant)
-        if known is not None and (lender, grant.id) in self.borrowed:
-            loan = self.borrowed[lender, grant.id]
-            self.borrowed[lender, grant.id] = replace(loan, amount=known.amount + grant.amount)
+    def _accept_grant(self, now: float, lender: str, grant: LeaseGrant) -> None:
+        key = BorrowedKey(lender, grant.lease_id)
+        known = self.borrowed.get(key)
+        Allocation._accept_grant(self, now, lender, grant)
+        if known is not None and key in self.borrowed:
+            self.borrowed[key] = replace(self.borrowed[key], amount=known.amount + grant.amount)
 
 
 @dataclass(slots=True)
 class LateGrantAfterGivingBack(Allocation):
-    """A grant counts whether or not the loan is still wanted."""
+    """A grant counts whether or not the lease is still wanted."""
 
-    def _borrow(self, now: float, lender: str, grant: LeaseGrant) -> None:
-        self.asked.setdefault((lender, grant.id), grant.amount)
-        Allocation._borrow(self, now, lender, grant)
+    def _accept_grant(self, now: float, lender: str, grant: LeaseGrant) -> None:
+        self.requested.setdefault(BorrowedKey(lender, grant.lease_id), grant.amount)
+        Allocation._accept_grant(self, now, lender, grant)
 
 
 @dataclass(slots=True)
 class RenewedByAsking(Allocation):
-    """A loan goes on as soon as its renewal was asked for."""
+    """A lease goes on as soon as its renewal was requested."""
 
-    def renew(self, now: float, lender: str, id: int) -> LeaseRequest | None:
-        ask = Allocation.renew(self, now, lender, id)
-        if ask is not None:
-            self.borrowed[lender, id] = replace(self.borrowed[lender, id], until=now + self.terms.lease)
-        return ask
+    def renewal(self, now: float, lender: str, lease_id: int) -> LeaseRequest | None:
+        request = Allocation.renewal(self, now, lender, lease_id)
+        if request is not None:
+            key = BorrowedKey(lender, lease_id)
+            self.borrowed[key] = replace(self.borrowed[key], expires_at=now + self.terms.lease_ms)
+        return request
 
 
 @dataclass(slots=True)
 class RenewalNotCounted(Allocation):
     """The lender says yes to a renewal and goes by the first lease."""
 
-    def _lend(self, now: float, peer: Peer, ask: LeaseRequest, need: int) -> LeaseGrant | None:
-        before = self.lent.get((peer, ask.id))
-        grant = Allocation._lend(self, now, peer, ask, need)
-        if before is not None and now < before.until:
-            self.lent[peer, ask.id] = before
+    def _grant(
+        self, now: float, borrower: ProcessId, request: LeaseRequest, demand: int
+    ) -> LeaseGrant | None:
+        before = self.lent.get(LentKey(borrower, request.lease_id))
+        grant = Allocation._grant(self, now, borrower, request, demand)
+        if before is not None and now < before.expires_at:
+            self.lent[LentKey(borrower, request.lease_id)] = before
         return grant
 
 
 @dataclass(slots=True)
 class LeasesNotLookedAt(Allocation):
-    """What was borrowed counts until the next look, also after a pause."""
+    """What was borrowed counts until expired leases are removed, also after a pause."""
 
     def usable(self, now: float) -> int:
-        borrowed = sum(loan.amount for loan in self.borrowed.values())
-        return max(0, self.own(now) - self._out(now)) + borrowed
+        borrowed = sum(lease.amount for lease in self.borrowed.values())
+        return max(0, self.entitlement(now) - self._lent_amount(now)) + borrowed
 
 
 @dataclass(slots=True)
 class AnotherLifesLoanEnds(Allocation):
-    """What is given back ends all loans of that number."""
+    """What is released ends all leases of that number."""
 
-    def hear(self, now: float, peer: Peer, word: Word, need: int = 0) -> Word | None:
-        if isinstance(word, LeaseRelease):
-            self.lent = {key: loan for key, loan in self.lent.items() if key[1] != word.id}
+    def receive(
+        self, now: float, sender: ProcessId, message: LeaseMessage, demand: int = 0
+    ) -> LeaseMessage | None:
+        if isinstance(message, LeaseRelease):
+            self.lent = {key: lease for key, lease in self.lent.items() if key.lease_id != message.lease_id}
             return None
-        return Allocation.hear(self, now, peer, word, need)
+        return Allocation.receive(self, now, sender, message, demand)
 
 
 LENDING: tuple[type[Allocation], ...] = (
--- a/flintridge/lab/defects/sharing.py
+++ b/flintridge/lab/defects/sharing.py
@@ -9,8 +9,8 @@
 def loans_not_taken_off(node: Node) -> None:
     """The node lends and goes on using what it lent."""
     assert node.leases is not None
-    for account in node.leases.ledger.accounts.values():
-        account.holding = CreditBeforeDebit(account.budget.terms, account.holding.begun)
+    for account in node.leases.manager.accounts.values():
+        account.allocation = CreditBeforeDebit(account.limit.terms, account.allocation.started_at)
 
 
 def quota_not_taken(node: Node) -> None:
--- a/flintridge/lab/explore/leases.py
+++ b/flintridge/lab/explore/leases.py
@@ -1,4 +1,4 @@
-"""A few processes that lend one another parts of a budget, over links that lose, double and hold back.
+"""A few processes that lease one another fractions of a limit, over links that lose, double and hold back.
 
 Time goes in steps of 5 true units; each process's clock makes 4 or 6 of them, so that two run apart by as
 much as the terms allow. A lease of 10 lasts two or three steps for a borrower, three or four for its lender.
@@ -9,20 +9,13 @@
 from dataclasses import dataclass, replace
 from typing import Self
 
-from flintridge.leases.allocation import (
-    Allocation,
-    Lease,
-    LeaseGrant,
-    LeaseRelease,
-    LeaseRequest,
-    LeaseTerms,
-    Peer,
-    Word,
-)
+from flintridge.leases.allocation import Allocation, Lease, ProcessId
+from flintridge.leases.fleet_limit import LeaseTerms
+from flintridge.leases.messages import LeaseGrant, LeaseMessage, LeaseRelease, LeaseRequest
 
 STEP = 5.0
-TERMS = LeaseTerms(part=2, floor=1, lease=10.0, drift=0.2)
-LONG_AGO = 40.0  # before the start: no loan of a life before counts
+TERMS = LeaseTerms(even_fraction=2, floor=1, lease_ms=10.0, clock_drift=0.2)
+LONG_AGO = 40.0  # before the start: no lease of a previous incarnation counts
 
 
 @dataclass(slots=True, frozen=True)
@@ -31,15 +24,15 @@
     life: int
     clock: float
     speed: float  # of its clock, a step
-    holding: Allocation
+    allocation: Allocation
     paused: bool = False
 
     @property
-    def peer(self) -> Peer:
-        return self.name, self.life
+    def peer(self) -> ProcessId:
+        return ProcessId(self.name, self.life)
 
 
-Flying = tuple[str, Peer, Word]  # to whom, from whom
+Flying = tuple[str, ProcessId, LeaseMessage]  # to whom, from whom
 
 
 @dataclass(slots=True, frozen=True)
@@ -57,7 +50,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Leases:
-    """`make` builds a holding, so that a defect may be planted in each."""
+    """`make` builds an allocation, so that a defect may be planted in each."""
 
     terms: LeaseTerms
     processes: tuple[Process, ...]
@@ -96,32 +89,34 @@
             yield f"{name} is stopped", self._with(i, replace(process, paused=True), pauses=-1)
         if left.restarts:
             anew = self.make(self.terms, process.clock)
-            life = replace(process, life=process.life + 1, holding=anew, paused=False)
+            life = replace(process, life=process.life + 1, allocation=anew, paused=False)
             yield f"{name} is killed and starts anew", self._with(i, life, restarts=-1)
         if process.paused:
             return
         for other in self.processes:
             if other.name != name and left.asks:
-                holding = process.holding.copy()
-                ask = holding.ask(process.clock, other.name, self.terms.part - self.terms.floor)
-                after = self._with(i, replace(process, holding=holding), asks=-1)
+                allocation = process.allocation.copy()
+                ask = allocation.request(
+                    process.clock, other.name, self.terms.even_fraction - self.terms.floor
+                )
+                after = self._with(i, replace(process, allocation=allocation), asks=-1)
                 yield f"{name} asks {other.name}", after._send(other.name, process.peer, ask)
-        for lender, id in process.holding.asked:
-            if (lender, id) not in process.holding.borrowed and left.forgoes:
-                holding = process.holding.copy()
-                back = holding.forgo(lender, id)
-                after = self._with(i, replace(process, holding=holding), forgoes=-1)
+        for lender, id in process.allocation.requested:
+            if (lender, id) not in process.allocation.borrowed and left.forgoes:
+                allocation = process.allocation.copy()
+                back = allocation.cancel(lender, id)
+                after = self._with(i, replace(process, allocation=allocation), forgoes=-1)
                 yield f"{name} takes its call to {lender} back", after._send(lender, process.peer, back)
-        for lender, id in process.holding.borrowed:
-            holding = process.holding.copy()
-            again = holding.renew(process.clock, lender, id) if left.renews else None
+        for lender, id in process.allocation.borrowed:
+            allocation = process.allocation.copy()
+            again = allocation.renewal(process.clock, lender, id) if left.renews else None
             if again is not None:
-                after = self._with(i, replace(process, holding=holding), renews=-1)
+                after = self._with(i, replace(process, allocation=allocation), renews=-1)
                 yield f"{name} renews its loan from {lender}", after._send(lender, process.peer, again)
-            holding = process.holding.copy()
-            give = holding.give(process.clock, lender, id)
+            allocation = process.allocation.copy()
+            give = allocation.release(lender, id)
             if give is not None:
-                after = self._with(i, replace(process, holding=holding))
+                after = self._with(i, replace(process, allocation=allocation))
                 yield f"{name} gives back to {lender}", after._send(lender, process.peer, give)
 
     def _of_word(self, word: Flying) -> Iterator[tuple[str, Self]]:
@@ -130,9 +125,9 @@
         i = next(i for i, process in enumerate(self.processes) if process.name == to)
         process = self.processes[i]
         if not process.paused:
-            holding = process.holding.copy()
-            answer = holding.hear(process.clock, source, said)
-            after = self._without(word)._with(i, replace(process, holding=holding))
+            allocation = process.allocation.copy()
+            answer = allocation.receive(process.clock, source, said)
+            after = self._without(word)._with(i, replace(process, allocation=allocation))
             if answer is not None:
                 after = after._send(source[0], process.peer, answer)
             yield f"{what} arrives", after
@@ -145,11 +140,11 @@
     def _tick(self) -> Self:
         moved = []
         for process in self.processes:
-            clock, holding = process.clock + process.speed, process.holding
+            clock, allocation = process.clock + process.speed, process.allocation
             if not process.paused:
-                holding = holding.copy()
-                holding.look(clock)
-            moved.append(replace(process, clock=clock, holding=holding))
+                allocation = allocation.copy()
+                allocation.remove_expired(clock)
+            moved.append(replace(process, clock=clock, allocation=allocation))
         return replace(self, processes=tuple(moved))
 
     def _spend(self, **less: int) -> Left:
@@ -159,7 +154,7 @@
         processes = (*self.processes[:i], process, *self.processes[i + 1 :])
         return replace(self, processes=processes, left=self._spend(**less))
 
-    def _send(self, to: str, source: Peer, word: Word) -> Self:
+    def _send(self, to: str, source: ProcessId, word: LeaseMessage) -> Self:
         return replace(self, flying=tuple(sorted((*self.flying, (to, source, word)), key=repr)))
 
     def _without(self, word: Flying) -> Self:
@@ -169,8 +164,8 @@
     # What must hold
 
     def broken(self) -> str:
-        used = {process.name: process.holding.usable(process.clock) for process in self.processes}
-        budget = self.terms.part * len(self.processes)
+        used = {process.name: process.allocation.usable(process.clock) for process in self.processes}
+        budget = self.terms.even_fraction * len(self.processes)
         if sum(used.values()) > budget:
             return f"{used} may be used together, of a budget of {budget}"
         low = [name for name, amount in used.items() if amount < self.terms.floor]
@@ -195,18 +190,24 @@
         lives = {process.name: process.life for process in self.processes}
         for i in order:
             process = self.processes[i]
-            now, held = process.clock, process.holding
+            now, held = process.clock, process.allocation
             lent = sorted(
-                (called[peer[0]], lives[peer[0]] - peer[1], id, loan.amount, loan.until - now)
-                for (peer, id), loan in held.lent.items()
-                if loan.until > now
+                (
+                    called[peer.name],
+                    lives[peer.name] - peer.incarnation,
+                    id,
+                    lease.amount,
+                    lease.expires_at - now,
+                )
+                for (peer, id), lease in held.lent.items()
+                if lease.expires_at > now
             )
             borrowed = sorted(
-                _owed(called[name], id, loan, now) for (name, id), loan in held.borrowed.items()
+                _owed(called[name], id, lease, now) for (name, id), lease in held.borrowed.items()
             )
-            asked = sorted((called[name], id, amount) for (name, id), amount in held.asked.items())
-            young = max(0.0, held.begun + self.terms.lasts - now)
-            state.append((process.speed, process.paused, young, lent, borrowed, asked, held.last_id))
+            asked = sorted((called[name], id, amount) for (name, id), amount in held.requested.items())
+            young = max(0.0, held.started_at + self.terms.lender_lease_ms - now)
+            state.append((process.speed, process.paused, young, lent, borrowed, asked, held.last_lease_id))
         return state
 
     def _words(self, called: dict[str, int]) -> list[str]:
@@ -216,15 +217,17 @@
             back = by_name[name].life - life
             # A stamp counts on the clock of whoever asked; beyond a lease it is all the same how old it is.
             asker = by_name[to] if isinstance(word, LeaseGrant) else by_name[name]
-            stamp = getattr(word, "stamp", None)
-            age = None if stamp is None else min(asker.clock - stamp, 2 * self.terms.lease)
+            stamp = getattr(word, "requested_at", None)
+            age = None if stamp is None else min(asker.clock - stamp, 2 * self.terms.lease_ms)
             amount = getattr(word, "amount", 0)
-            words.append(repr((called[to], called[name], back, type(word).__name__, word.id, amount, age)))
+            words.append(
+                repr((called[to], called[name], back, type(word).__name__, word.lease_id, amount, age))
+            )
         return sorted(words)
 
 
-def _owed(name: int, id: int, loan: Lease, now: float) -> tuple[int, int, int, float]:
-    return name, id, loan.amount, max(0.0, loan.until - now)
+def _owed(name: int, id: int, lease: Lease, now: float) -> tuple[int, int, int, float]:
+    return name, id, lease.amount, max(0.0, lease.expires_at - now)
 
 
 SPEEDS = tuple(itertools.combinations_with_replacement((0.8 * STEP, 1.2 * STEP), 3))
--- a/flintridge/lab/partial/lending.py
+++ b/flintridge/lab/partial/lending.py
@@ -1,5 +1,5 @@
-"""Processes that lend one another parts of budgets, in virtual time: real peers and ledgers on the links
-of `machines`, their needs drawn, and the sum of what all may use looked at from outside.
+"""Processes that lease one another fractions of limits, in virtual time: real peers and lease managers on the
+links of `machines`, their needs drawn, and the sum of what all may use looked at from outside.
 
 A day is drawn from one seed: links that lose, delay, double, reorder and are cut, one way or both, processes
 that are stopped, killed, started anew and leave, clocks that run apart, needs that change.
@@ -11,8 +11,9 @@
 from typing import Any
 
 from flintridge.lab.partial.machines import Link, Machines
-from flintridge.leases.allocation import Allocation, LeaseTerms
-from flintridge.leases.lease_manager import FLOORS, PART, FleetLimit, LeaseManager
+from flintridge.leases.allocation import Allocation
+from flintridge.leases.fleet_limit import EVEN_FRACTION_UNITS, FLOORS, FleetLimit, LeaseTerms
+from flintridge.leases.lease_manager import LeaseManager
 from flintridge.membership.failure_detector import FailureDetector
 
 LOOK = 20.0  # ms between two looks at the sum
@@ -21,23 +22,23 @@
 
 
 class Lender(FailureDetector):
-    """A process's peers with its ledger on them, driven as `net/budgets.py` does it."""
+    """A process's peers with its lease manager on them, driven as `leases/driver.py` does it."""
 
-    ledger: LeaseManager
+    manager: LeaseManager
 
     def tick(self, now: float) -> None:
         super().tick(now)
-        self.ledger.tick(now)
-        for name, life in self.ledger.waiting():
-            one = self.table.find(name, life)
+        self.manager.tick(now)
+        for receiver in self.manager.receivers():
+            one = self.table.find(receiver.name, receiver.incarnation)
             if one is None or not one.fresh:
-                self.ledger.unheard((name, life))
+                self.manager.drop_messages(receiver)
             else:
                 self.tell(now, one)
 
 
 class Lenders(Machines):
-    """`count` processes with budgets; `need` sets what one needs."""
+    """`count` processes with fleet-wide limits; `need` sets what one needs."""
 
     def __init__(
         self,
@@ -51,12 +52,12 @@
         self.terms = terms
         self._make = make
         self._topic_bytes = bytes_per_s
-        self.budgets = tuple(
+        self.limits = tuple(
             FleetLimit(name, 100.0 * count, "requests a second", count, terms) for name in (QUOTA, FLOORS)
         )
         self.needs: dict[str, float] = {}
         self.over: list[str] = []  # what was seen over, and when
-        self.most: dict[str, float] = {}  # of each budget, the greatest sum seen
+        self.most: dict[str, float] = {}  # of each limit, the greatest sum seen
         super().__init__(count, seed, build=self._process, **given)
         self.at(0.0, self._look)
 
@@ -72,35 +73,35 @@
     ) -> FailureDetector:
         made = Lender(name, life, names, wire, bytes_per_s, now, rng)
         peers = tuple(one for one in names if one != name)
-        made.ledger = LeaseManager(
-            peers, self.budgets, self._topic_bytes, now, Random(rng.random()), make=self._make
+        made.manager = LeaseManager(
+            peers, self.limits, self._topic_bytes, now, Random(rng.random()), make_allocation=self._make
         )
-        made.register(made.ledger)
-        self.need(name, self.needs.get(name, 1.0), made.ledger)
+        made.register(made.manager)
+        self.need(name, self.needs.get(name, 1.0), made.manager)
         return made
 
-    def need(self, name: str, parts: float, ledger: LeaseManager | None = None) -> None:
-        """What a node needs of its quota, in even parts; its pace goes with it."""
+    def need(self, name: str, parts: float, manager: LeaseManager | None = None) -> None:
+        """What a node needs of its quota, in even fractions; its request rate goes with it."""
         self.needs[name] = parts
-        for one in [ledger] if ledger is not None else [self.ledger(name)] if self.living(name) else []:
-            one.need(QUOTA, parts)
-            one.pace = 100.0 * parts
+        for one in [manager] if manager is not None else [self.manager(name)] if self.living(name) else []:
+            one.set_demand(QUOTA, parts)
+            one.requests_per_s = 100.0 * parts
 
-    def ledger(self, name: str) -> LeaseManager:
+    def manager(self, name: str) -> LeaseManager:
         machine = self.machine(name)
         assert isinstance(machine, Lender)
-        return machine.ledger
+        return machine.manager
 
-    def usable(self, name: str, budget: str = QUOTA) -> float:
-        """By its newest process, in even parts, by its own clock, whether or not it is stopped."""
+    def usable(self, name: str, limit: str = QUOTA) -> float:
+        """By its newest process, in even fractions, by its own clock, whether or not it is stopped."""
         process = self.living(name)[-1]
-        return self.ledger(name).usable(budget, process.clock(self.now))
+        return self.manager(name).usable(limit, process.clock(self.now))
 
-    def whole(self, budget: str = QUOTA) -> float:
-        return sum(self.usable(name, budget) for name in self.names if self.living(name))
+    def whole(self, limit: str = QUOTA) -> float:
+        return sum(self.usable(name, limit) for name in self.names if self.living(name))
 
     def _look(self) -> None:
-        for one in self.budgets:
+        for one in self.limits:
             whole = self.whole(one.name)
             self.most[one.name] = max(self.most.get(one.name, 0.0), whole)
             if whole > len(self.names) + 1e-9:
@@ -111,7 +112,7 @@
         for process in self.living(name):
             now = process.clock(self.now)
             assert isinstance(process.machine, Lender)
-            process.machine.ledger.leave(now)
+            process.machine.manager.begin_shutdown(now)
             process.machine.tick(now)
             self._carry(process)
         super().leave(name)
@@ -143,7 +144,9 @@
         jitter=rng.choice((0.2, 20.0, 400.0)),
         double=rng.choice((0.0, 0.1)),
     )
-    terms = LeaseTerms(PART, rng.choice((100, 250, 500)), rng.choice((1_500.0, 4_000.0)), drift)
+    terms = LeaseTerms(
+        EVEN_FRACTION_UNITS, rng.choice((100, 250, 500)), rng.choice((1_500.0, 4_000.0)), drift
+    )
     fleet = Lenders(count, seed, terms, make, link=link, drift=drift)
     deeds: dict[str, int] = {}
     granted = 0
@@ -161,7 +164,7 @@
             fleet.pause(name)
             fleet.at(fleet.now + rng.choice((100.0, 1_200.0, 3_000.0, 6_000.0)), lambda: fleet.resume(name))
         elif what in ("kill", "leave") and alive and not alive[-1].paused:
-            granted += fleet.ledger(name).counts["granted"]
+            granted += fleet.manager(name).counts["granted"]
             (fleet.kill if what == "kill" else fleet.leave)(name)
             fleet.at(fleet.now + rng.choice((0.0, 200.0, 2_000.0)), lambda: start(name))
         elif what in ("cut", "one way"):
@@ -181,5 +184,5 @@
 
     fleet.at(1_000.0, deed)
     fleet.run(length_ms)
-    granted += sum(fleet.ledger(name).counts["granted"] for name in fleet.names if fleet.living(name))
+    granted += sum(fleet.manager(name).counts["granted"] for name in fleet.names if fleet.living(name))
     return DayOf(seed, fleet.over, granted, max(fleet.most.values(), default=-math.inf), deeds)
--- a/flintridge/lab/partial/views.py
+++ b/flintridge/lab/partial/views.py
@@ -3,9 +3,8 @@
 from typing import Any
 
 from flintridge.lab.records import Datagram, Held, View
-from flintridge.leases.allocation import LeaseGrant, LeaseRelease, LeaseRequest
 from flintridge.leases.lease_manager import LeaseManager
-from flintridge.leases.messages import decode, word_of
+from flintridge.leases.messages import LeaseGrant, LeaseRelease, LeaseRequest, decode
 from flintridge.membership.messages import Dropped, Wire
 
 FLEET = "lab"
@@ -55,8 +54,8 @@
         packet = wire.decode(data)
     except Dropped:
         return Datagram(t=t, source=source, target=target, size=len(data), fate=fate)
-    said = [decode(fact) for name, fact in packet.facts if name == LeaseManager.name]
-    words = tuple(MESSAGE_NAMES[type(word_of(*word[1:]))] for one in said if one for word in one.words)
+    facts = [decode(data) for name, data in packet.facts if name == LeaseManager.name]
+    words = tuple(MESSAGE_NAMES[type(one.message)] for fact in facts if fact for one in fact.messages)
     return Datagram(
         t=t, source=source, target=target, size=len(data), fate=fate, kind=packet.kind, words=words
     )
--- a/flintridge/leases/__init__.py
+++ b/flintridge/leases/__init__.py
@@ -1,5 +1,6 @@
-"""What all processes may use together, in holdings that are lent between them and never sum up to more.
+"""Fleet-wide limits that processes lease one another: the sum of what all may use never exceeds the limit.
 
-State machines without I/O. Not yet in a node: so far the rule itself, tried in all interleavings of a few
-processes by `flintridge.lab.explore`. The reasons are in docs/design/budgets.md.
+`allocation` holds the rule, `lease_manager` chooses whom to ask and what to release, `messages` encodes what
+is exchanged; none of them has I/O. `driver` gives them a clock, the peers and the policy. The reasons are in
+docs/design/leases.md.
 """
--- a/flintridge/leases/demand.py
+++ b/flintridge/leases/demand.py
@@ -1,45 +1,61 @@
-"""How many come a second, and how many are there at once: quick to rise, slow to fall."""
+"""Estimators of demand that rise quickly and fall slowly: a rate of requests, and a recent peak."""
 
 import math
 
-QUICK = 1_000.0  # ms in which half of what is newer counts
-SLOW = 4_000.0
+MIN_SAMPLE_MS = 50.0
+FAST_HALF_LIFE_MS = 1_000.0
+SLOW_HALF_LIFE_MS = 4_000.0
 
 
 class RequestRate:
-    """Times are float milliseconds, passed in.
+    """Requests a second: the greater of two exponentially weighted moving averages.
 
-    The greater of two means with memory: a node asks for more as soon as more comes, and gives back only what
-    it has not needed for a while. Guards against parts that are passed to and fro by chance alone.
+    A node asks for more as soon as more comes, and releases only what it has not needed for a while. Guards
+    against leases that are passed to and fro by chance alone. Times are float milliseconds, passed in.
     """
 
     def __init__(self, now: float) -> None:
-        self._at = now
+        """Counting begins at `now`."""
+        self._sampled_at = now
         self._count = 0
-        self._quick = self._slow = 0.0  # a second
+        self._fast_per_s = 0.0
+        self._slow_per_s = 0.0
 
     def add(self, count: int = 1) -> None:
+        """Count requests."""
         self._count += count
 
-    def look(self, now: float) -> None:
-        """To be called every 50 ms or more seldom."""
-        if (passed := now - self._at) < 50:
+    def update(self, now: float) -> None:
+        """Take a sample; does nothing if the last one is younger than MIN_SAMPLE_MS."""
+        elapsed_ms = now - self._sampled_at
+        if elapsed_ms < MIN_SAMPLE_MS:
             return
-        rate, self._count, self._at = self._count * 1000 / passed, 0, now
-        self._quick += (rate - self._quick) * (1 - math.pow(0.5, passed / QUICK))
-        self._slow += (rate - self._slow) * (1 - math.pow(0.5, passed / SLOW))
+        per_s = self._count * 1000 / elapsed_ms
+        self._count = 0
+        self._sampled_at = now
+        self._fast_per_s += (per_s - self._fast_per_s) * (1 - math.pow(0.5, elapsed_ms / FAST_HALF_LIFE_MS))
+        self._slow_per_s += (per_s - self._slow_per_s) * (1 - math.pow(0.5, elapsed_ms / SLOW_HALF_LIFE_MS))
 
     @property
     def per_s(self) -> float:
-        return max(self._quick, self._slow)
+        """The estimate."""
+        return max(self._fast_per_s, self._slow_per_s)
 
 
 class RecentPeak:
-    """The most that was there at once of late: rises at once, half of it is forgotten in SLOW."""
+    """The greatest value of late: rises at once, and halves every SLOW_HALF_LIFE_MS.
 
-    def __init__(self, now: float) -> None:
-        self._at, self.most = now, 0.0
+    Attributes:
+        value: The estimate.
+    """
 
-    def look(self, now: float, there: float) -> None:
-        self.most = max(there, self.most * math.pow(0.5, (now - self._at) / SLOW))
-        self._at = now
+    def __init__(self, now: float) -> None:
+        """Nothing was seen before `now`."""
+        self._updated_at = now
+        self.value = 0.0
+
+    def update(self, now: float, current: float) -> None:
+        """Take in the current value."""
+        decayed = self.value * math.pow(0.5, (now - self._updated_at) / SLOW_HALF_LIFE_MS)
+        self.value = max(current, decayed)
+        self._updated_at = now
--- a/flintridge/leases/driver.py
+++ b/flintridge/leases/driver.py
@@ -1,13 +1,12 @@
-"""What a node holds of its fleet's budgets: the ledger's driver, between peers and decisions.
+"""Drives the lease manager: its timer, its messages over the peers' datagrams, its updates to the policy.
 
-It judges nothing. A request is only counted here, and takes from what the module was last told that is held.
+It decides nothing. A request is only counted here, and takes from what the policy was last notified of.
 """
 
 import contextlib
 import math
 from collections.abc import Callable
 from dataclasses import replace
-from functools import partial
 from random import Random
 from typing import Any
 
@@ -15,9 +14,20 @@
 from flintridge.core.lifecycle import RequestLifecycle
 from flintridge.core.request import UpstreamAttempt
 from flintridge.discovery.endpoint_list import EndpointList, EndpointNotListedError
-from flintridge.leases.allocation import LeaseTerms
-from flintridge.leases.demand import RecentPeak, RequestRate
-from flintridge.leases.lease_manager import COLD, FLOORS, PART, REPEATS, Account, FleetLimit, LeaseManager
+from flintridge.leases.demand import RequestRate
+from flintridge.leases.fleet_limit import (
+    CACHE_PERMITS,
+    EVEN_FRACTION_UNITS,
+    FLOORS,
+    ORIGIN_PERMITS,
+    RETRIES,
+    SLOW_START,
+    FleetLimit,
+    LeaseTerms,
+)
+from flintridge.leases.lease_manager import LeaseManager
+from flintridge.leases.permits import PermitUsage
+from flintridge.leases.status import limit_status
 from flintridge.membership.driver import MembershipDriver
 from flintridge.runtime.clock import NS, Clock, Timer, to_ms
 from flintridge.runtime.worker_processes import LOOK
@@ -25,249 +35,286 @@
 from flintridge.telemetry.counters import Counters
 from flintridge.telemetry.log import EventLog
 
-TICK = 50.0
-NOTICE = 4 * LOOK  # in which an older process of this node has noticed that another lives
-PLACES = {False: "cache places", True: "origin places"}  # by whether at the origin
-AT_REPEATS = -1  # where the decisions look for what is held of repeats
+TICK_MS = 50.0
+NOTICE_MS = 4 * LOOK  # within which an older process of this node has noticed that another runs
+RETRIES_INDEX = -1  # of `AllocationUpdate.tenants`, where the policy finds its allocation of retries
+ROUNDING = 1e-9  # a permit more is whole if not more than this is missing
 
 
 class LeaseDriver:
-    """One process's part. Times are float milliseconds of `clock`."""
+    """The leases of one process, with their I/O and timers. Times are float milliseconds of `clock`.
+
+    Attributes:
+        config: The table [budgets].
+        manager: Decides on leases.
+    """
 
     def __init__(
         self,
         config: BudgetsConfig,
         settings: api.Settings,
-        even: dict[int, float],
-        peers: MembershipDriver,
-        transports: EndpointList,
+        even_quotas: dict[int, float],
+        membership: MembershipDriver,
+        endpoints: EndpointList,
         core: RequestLifecycle,
         clock: Clock,
         log: EventLog,
         counters: Counters,
         entropy: Callable[[int], bytes],
     ) -> None:
-        """`even`: what a node holds of each tenant's quota with nobody heard, in requests a second."""
+        """Register with the peers and the core; nothing is notified before `start`.
+
+        Args:
+            config: The table [budgets].
+            settings: The policy's settings.
+            even_quotas: An even fraction of each tenant's quota, in requests a second, by position.
+            membership: Exchanges datagrams with the peers.
+            endpoints: Tells which attempts go to the origin.
+            core: Reports requests and attempts, and takes updates.
+            clock: The process's clock.
+            log: The process's log.
+            counters: The process's counters.
+            entropy: Returns so many random bytes.
+        """
         self.config = config
-        self._clock, self._log, self._counters = clock, log, counters
-        self._peers, self._transports, self._core = peers, transports, core
-        terms = LeaseTerms(PART, max(1, round(config.floor * PART)), config.lease_ms)
-        nodes = self._nodes = settings.fleet_size
-        self._tenants = {
-            i: f"quota {tenant.name}"
-            for i, tenant in enumerate(settings.tenants)
-            if config.tenants and even.get(i)
-        }
-        budgets = [
-            FleetLimit(name, even[i] * nodes, "requests a second", nodes, terms)
-            for i, name in self._tenants.items()
-        ]
-        for name, on in ((FLOORS, config.floors), (COLD, config.cold)):
-            if on:
-                budgets.append(FleetLimit(name, float(nodes), "even parts", nodes, terms))
-        if config.repeats_per_s:
-            budgets.append(FleetLimit(REPEATS, config.repeats_per_s, "repeats a second", nodes, terms))
+        self._clock = clock
+        self._log = log
+        self._counters = counters
+        self._membership = membership
+        self._endpoints = endpoints
+        self._core = core
+        self._even_quotas = even_quotas
+        self._retries_per_s = config.repeats_per_s / settings.fleet_size
         now = clock.now()
-        # What is out when a loan ends stays out for as long as its client waits.
-        keep = max(to_ms(cls.deadline_ns) for cls in settings.classes)
-        places = {False: config.cache_places, True: config.origin_places}
-        self._places = {
-            origin: FleetLimit(PLACES[origin], float(count), "places", nodes, replace(terms, keep=keep))
-            for origin, count in places.items()
-            if count
-        }
-        budgets += self._places.values()
-        self._out: dict[bool, set[tuple[str, int]]] = {origin: set() for origin in self._places}
-        self._levels = {origin: RecentPeak(now) for origin in self._places}
-        self._even = even
-        self._paces = {i: RequestRate(now) for i in self._tenants}
-        self._pace = RequestRate(now)
-        names = tuple(name for name, _ in peers.config.known if name != peers.name)
-        self.ledger = LeaseManager(
-            names, tuple(budgets), config.bytes_per_s, now, Random(entropy(16)), log.event
+        self._quota_names = _quota_names(config, settings, even_quotas)
+        self._permits = _permit_usages(config, settings, now)
+        limits = [
+            *_rate_limits(config, settings, self._quota_names, even_quotas),
+            *(usage.limit for usage in self._permits.values()),
+        ]
+        self._tenant_rates = {tenant: RequestRate(now) for tenant in self._quota_names}
+        self._request_rate = RequestRate(now)
+        peers = tuple(name for name, _ in membership.config.known if name != membership.name)
+        self.manager = LeaseManager(
+            peers, tuple(limits), config.bytes_per_s, now, Random(entropy(16)), log.event
         )
-        for origin, budget in self._places.items():
-            self.ledger.uses(budget.name, partial(self._taken, origin))
-        peers.presence.register(self.ledger)
-        core.on_new_request = self._seen
-        if self._places:
-            core.on_attempts_changed = self._moved
-        self._held: api.AllocationUpdate | None = None
-        self._processes = 1
+        for usage in self._permits.values():
+            self.manager.track_usage(usage.limit.name, usage.even_fractions)
+        membership.presence.register(self.manager)
+        core.on_new_request = self._on_new_request
+        if self._permits:
+            core.on_attempts_changed = self._on_attempts_changed
+        self._last_update: api.AllocationUpdate | None = None
+        self._process_count = 1
         self._started = False
         self._timer: Timer | None = None
 
     def start(self) -> None:
-        """Tell the decisions what is held, from now on at each change."""
+        """Notify the policy of what may be used, from now on at each change."""
         self._started = True
-        names = list(self.ledger.accounts)
-        self._log.event("budgets", names=names, floor=self.config.floor, lease_ms=self.config.lease_ms)
+        names = list(self.manager.accounts)
+        self._log.event("leases_started", names=names, floor=self.config.floor, lease_ms=self.config.lease_ms)
         self._tick()
 
     def close(self) -> None:
+        """Stop the timer."""
         if self._timer is not None:
             self._timer.cancel()
 
-    def leave(self) -> None:
-        """What is borrowed goes back, and others may have this node's part beyond its floor."""
-        self.ledger.leave(self._clock.now())
-        self._carry()
+    def begin_shutdown(self) -> None:
+        """Release what is borrowed; others may borrow this node's entitlement beyond its floor."""
+        self.manager.begin_shutdown(self._clock.now())
+        self._send_messages()
 
-    def processes(self, count: int) -> None:
-        """So many processes of this node live, this one included."""
+    def process_count_changed(self, count: int) -> None:
+        """So many processes of this node run, this one included."""
         now = self._clock.now()
-        if count > 1 and self._processes == 1:
-            self.ledger.joined(now, 0.0 if self._started else NOTICE)
-        elif count == 1 and self._processes > 1:
-            self.ledger.parted(now)
-        self._processes = count
+        if count > 1 and self._process_count == 1:
+            self.manager.process_joined(now, 0.0 if self._started else NOTICE_MS)
+        elif count == 1 and self._process_count > 1:
+            self.manager.process_left(now)
+        self._process_count = count
         if self._started:
-            self._tell()
-
-    def _seen(self, tenant: int) -> None:
-        self._pace.add()
-        if (pace := self._paces.get(tenant)) is not None:
-            pace.add()
-
-    def _moved(self, attempt: UpstreamAttempt, by: int) -> None:
-        key = attempt.id, attempt.number
-        if by < 0:
-            for out in self._out.values():
-                out.discard(key)
-            return
-        with contextlib.suppress(
-            EndpointNotListedError, KeyError
-        ):  # it cannot be sent, or there is no bound on such places
-            self._out[self._transports[attempt.server].origin].add(key)
+            self._notify_policy()
 
-    def _taken(self, origin: bool) -> float:
-        """Places taken up at this instant, in even parts."""
-        budget = self._places[origin]
-        return len(self._out[origin]) * budget.nodes / budget.whole
+    def _on_new_request(self, tenant: int) -> None:
+        self._request_rate.add()
+        rate = self._tenant_rates.get(tenant)
+        if rate is not None:
+            rate.add()
+
+    def _on_attempts_changed(self, attempt: UpstreamAttempt, change: int) -> None:
+        if change < 0:
+            for usage in self._permits.values():
+                usage.end(attempt)
+            return
+        with contextlib.suppress(EndpointNotListedError):  # it cannot be sent
+            limited = self._permits.get(self._endpoints[attempt.server].origin)
+            if limited is not None:
+                limited.start(attempt)
 
     def _tick(self) -> None:
         now = self._clock.now()
-        self._timer = self._clock.call_at(now + TICK, self._tick)
+        self._timer = self._clock.call_at(now + TICK_MS, self._tick)
         try:
-            self._pace.look(now)
-            self.ledger.pace = self._pace.per_s
-            for i, pace in self._paces.items():
-                pace.look(now)
-                if not self.ledger.leaving:
-                    self.ledger.need(self._tenants[i], pace.per_s / self._even[i])
-            for origin, level in self._levels.items():
-                level.look(now, self._taken(origin))
-                if not self.ledger.leaving:
-                    self.ledger.need(PLACES[origin], level.most)
-            self.ledger.tick(now)
-            self._carry()
-            self._tell()
-        except Exception as error:  # the node must serve on whatever breaks here
-            self._counters.add("budgets_errors")
-            self._log.error("budgets_broke", error)
-
-    def _carry(self) -> None:
-        table = self._peers.presence.table
-        for name, life in self.ledger.waiting():
-            one = table.find(name, life)
-            if one is None or not one.fresh:
-                self.ledger.unheard((name, life))
+            self._report_demand(now)
+            self.manager.tick(now)
+            self._send_messages()
+            self._notify_policy()
+        except Exception as error:  # the node must serve on whatever fails here
+            self._counters.add("leases_errors")
+            self._log.error("leases_failed", error)
+
+    def _report_demand(self, now: float) -> None:
+        self._request_rate.update(now)
+        self.manager.requests_per_s = self._request_rate.per_s
+        for tenant, rate in self._tenant_rates.items():
+            rate.update(now)
+            if not self.manager.shutting_down:
+                self.manager.set_demand(self._quota_names[tenant], rate.per_s / self._even_quotas[tenant])
+        for usage in self._permits.values():
+            peak = usage.update_peak(now)
+            if not self.manager.shutting_down:
+                self.manager.set_demand(usage.limit.name, peak)
+
+    def _send_messages(self) -> None:
+        members = self._membership.presence.table
+        for receiver in self.manager.receivers():
+            member = members.find(receiver.name, receiver.incarnation)
+            if member is None or not member.fresh:
+                self.manager.drop_messages(receiver)
             else:
-                self._peers.tell(one)
-
-    def _tell(self) -> None:
-        """What holds now, and what will from the end of the first loan on if nothing is told before."""
-        now, ledger = self._clock.now(), self.ledger
-        until = ledger.until(now)
-        held = self._holdings(lambda name: ledger.usable(name, now))
-        if until != float("inf"):
-            after = self._holdings(lambda name: ledger.after(name, now))
-            held = replace(held, valid_until=int(until * NS), fallback=after)
-        if held != self._held:
-            self._held = held
-            self._core.notify(held)
-
-    def _holdings(self, amount: Callable[[str], float]) -> api.AllocationUpdate:
-        parts = {name: amount(name) for name in self.ledger.accounts}
-        tenants = {i: parts[name] for i, name in self._tenants.items()}
-        caches, origin = (
-            math.floor(parts[one.name] * one.whole / one.nodes + 1e-9) if one is not None else math.inf
-            for one in (self._places.get(False), self._places.get(True))
-        )
-        even, share = self.config.repeats_per_s / self._nodes, self.config.repeat_share
-        if even:
-            tenants[AT_REPEATS] = parts[REPEATS]
+                self._membership.tell(member)
+
+    def _notify_policy(self) -> None:
+        """Notify of a change of what may be used.
+
+        The update tells as well what holds from the first expiry on if no other update comes before.
+        """
+        now = self._clock.now()
+        manager = self.manager
+        expiry = manager.first_expiry(now)
+        update = self._update(lambda name: manager.usable(name, now))
+        if expiry != float("inf"):
+            fallback = self._update(lambda name: manager.usable_after_leases(name, now))
+            update = replace(update, valid_until=int(expiry * NS), fallback=fallback)
+        if update != self._last_update:
+            self._last_update = update
+            self._core.notify(update)
+
+    def _update(self, usable: Callable[[str], float]) -> api.AllocationUpdate:
+        """The update in which `usable` tells what may be used of a limit, in even fractions."""
+        amounts = {name: usable(name) for name in self.manager.accounts}
+        tenants = {tenant: amounts[name] for tenant, name in self._quota_names.items()}
+        if self._retries_per_s:
+            tenants[RETRIES_INDEX] = amounts[RETRIES]
         return api.AllocationUpdate(
-            tenants,
-            parts.get(FLOORS, 1.0),
-            parts.get(COLD, 1.0),
-            caches,
-            origin,
-            even,
-            share if even else 0.0,
-            self.config.strict,
+            tenants=tenants,
+            concurrency_floors=amounts.get(FLOORS, 1.0),
+            slow_start=amounts.get(SLOW_START, 1.0),
+            cache_permits=self._permit_count(amounts, origin=False),
+            origin_permits=self._permit_count(amounts, origin=True),
+            retries_per_s=self._retries_per_s,
+            retries_per_attempt=self.config.repeat_share if self._retries_per_s else 0.0,
+            strict_quotas=self.config.strict,
         )
 
+    def _permit_count(self, amounts: dict[str, float], *, origin: bool) -> float:
+        usage = self._permits.get(origin)
+        if usage is None:
+            return math.inf
+        limit = usage.limit
+        return math.floor(amounts[limit.name] * limit.total / limit.nodes + ROUNDING)
+
     # For staff
 
-    def said(self) -> tuple[int, dict[str, Any]]:
-        """The answer to GET /admin/budgets; amounts in even parts but for `whole`, `even` and `used`."""
+    def admin_status(self) -> tuple[int, dict[str, Any]]:
+        """The response to GET /admin/budgets: HTTP status and JSON object."""
         now = self._clock.now()
-        heard = self._peers.heard
-        indices = {name: i for i, name in self._tenants.items()}
+        reachable = self._membership.heard
         return 200, {
-            "name": self._peers.name,
-            "life": f"{self._peers.life:x}",
-            "alone": self._processes == 1,
-            "heard": heard.heard,
-            "of": heard.names,
+            "name": self._membership.name,
+            "life": f"{self._membership.life:x}",
+            "alone": self._process_count == 1,
+            "heard": reachable.heard,
+            "of": reachable.names,
             "lease_ms": self.config.lease_ms,
             "floor": self.config.floor,
             "strict": self.config.strict,
             "budgets": [
-                self._said(account, self._used(name, indices.get(name)), now)
-                for name, account in self.ledger.accounts.items()
+                limit_status(account, self._used(name), now)
+                for name, account in self.manager.accounts.items()
             ],
-            "counts": {name: self.ledger.counts[name] for name in sorted(self.ledger.counts)},
+            "counts": {name: self.manager.counts[name] for name in sorted(self.manager.counts)},
         }
 
-    def _used(self, name: str, tenant: int | None) -> float:
-        """Of late, in the budget's unit; of those whose need is told by traffic, requests a second."""
-        for origin, budget in self._places.items():
-            if budget.name == name:
-                return float(len(self._out[origin]))
-        return self._pace.per_s if tenant is None else self._paces[tenant].per_s
-
-    def _said(self, account: Account, used: float, now: float) -> dict[str, Any]:
-        budget, holding = account.budget, account.holding
-        return {
-            "name": budget.name,
-            "whole": round(budget.whole, 3),
-            "unit": budget.unit,
-            "even": round(budget.whole / budget.nodes, 3),
-            "own": holding.own(now) / PART,
-            "usable": holding.usable(now) / PART,
-            "need": round(account.need / PART, 3),
-            "used": round(used, 1),
-            "lent": [
-                {
-                    "to": name,
-                    "life": f"{life:x}",
-                    "amount": loan.amount / PART,
-                    "ends_in_ms": round(loan.until - now),
-                }
-                for ((name, life), _), loan in holding.lent.items()
-                if now < loan.until
-            ],
-            "borrowed": [
-                {"from": name, "amount": loan.amount / PART, "ends_in_ms": round(loan.until - now)}
-                for (name, _), loan in holding.borrowed.items()
-                if now < loan.until
-            ],
-        }
+    def _used(self, name: str) -> float:
+        """What was used of a limit of late, in its unit; requests a second where these tell its demand."""
+        for usage in self._permits.values():
+            if usage.limit.name == name:
+                return float(usage.count)
+        for tenant, quota_name in self._quota_names.items():
+            if quota_name == name:
+                return self._tenant_rates[tenant].per_s
+        return self._request_rate.per_s
+
+    def export_counters(self) -> None:
+        """Add the manager's counts to the process's counters."""
+        for name, count in self.manager.counts.items():
+            counter = f"leases_{name}"
+            self._counters.add(counter, count - self._counters[counter])
+
+
+def _quota_names(
+    config: BudgetsConfig, settings: api.Settings, even_quotas: dict[int, float]
+) -> dict[int, str]:
+    """The names of the limits of tenants' quotas, by the tenant's position."""
+    return {
+        tenant: f"quota {tenant_settings.name}"
+        for tenant, tenant_settings in enumerate(settings.tenants)
+        if config.tenants and even_quotas.get(tenant)
+    }
+
+
+def _terms(config: BudgetsConfig) -> LeaseTerms:
+    floor = max(1, round(config.floor * EVEN_FRACTION_UNITS))
+    return LeaseTerms(EVEN_FRACTION_UNITS, floor, config.lease_ms)
+
+
+def _rate_limits(
+    config: BudgetsConfig,
+    settings: api.Settings,
+    quota_names: dict[int, str],
+    even_quotas: dict[int, float],
+) -> list[FleetLimit]:
+    """The limits on what is done a second."""
+    terms = _terms(config)
+    nodes = settings.fleet_size
+    limits = [
+        FleetLimit(name, even_quotas[tenant] * nodes, "requests a second", nodes, terms)
+        for tenant, name in quota_names.items()
+    ]
+    if config.floors:
+        limits.append(FleetLimit(FLOORS, float(nodes), "even parts", nodes, terms))
+    if config.cold:
+        limits.append(FleetLimit(SLOW_START, float(nodes), "even parts", nodes, terms))
+    if config.repeats_per_s:
+        limits.append(FleetLimit(RETRIES, config.repeats_per_s, "repeats a second", nodes, terms))
+    return limits
+
 
-    def tell_counters(self) -> None:
-        """The ledger's counts into the node's counters."""
-        for name, count in self.ledger.counts.items():
-            full = f"budgets_{name}"
-            self._counters.add(full, count - self._counters[full])
+def _permit_usages(config: BudgetsConfig, settings: api.Settings, now: float) -> dict[bool, PermitUsage]:
+    """The limits on attempts in flight, by whether they are at the origin."""
+    # What is in flight when a lease expires stays in flight for as long as its client waits.
+    completion_ms = max(to_ms(request_class.deadline_ns) for request_class in settings.classes)
+    nodes = settings.fleet_size
+    usages = {}
+    for origin, name, count in (
+        (False, CACHE_PERMITS, config.cache_places),
+        (True, ORIGIN_PERMITS, config.origin_places),
+    ):
+        if count:
+            terms = replace(_terms(config), completion_ms=completion_ms)
+            limit = FleetLimit(name, float(count), "places", nodes, terms)
+            usages[origin] = PermitUsage(limit, now)
+    return usages
--- /dev/null
+++ b/flintridge/leases/outbox.py
@@ -0,0 +1,50 @@
+"""Lease messages that wait for the next datagram to their receiver."""
+
+from dataclasses import dataclass, field
+
+from flintridge.leases.allocation import ProcessId
+from flintridge.leases.messages import MAX_MESSAGES, LeaseMessage, LimitMessage
+
+_Slot = tuple[bytes, type[LeaseMessage], int]  # limit digest, kind, lease id
+
+
+@dataclass(slots=True)
+class Outbox:
+    """For each receiver the newest message of each kind, limit and lease, oldest first."""
+
+    _queued: dict[ProcessId, dict[_Slot, LimitMessage]] = field(default_factory=dict)
+
+    def add(self, receiver: ProcessId, limit_message: LimitMessage) -> None:
+        """Queue a message; the oldest is dropped where there are more than MAX_MESSAGES.
+
+        A dropped message is lost like any other: requests are repeated, leases expire.
+        """
+        queued = self._queued.setdefault(receiver, {})
+        queued[_slot(limit_message)] = limit_message
+        while len(queued) > MAX_MESSAGES:
+            queued.pop(next(iter(queued)))
+
+    def queued_for(self, receiver: ProcessId) -> list[LimitMessage]:
+        """The messages to that process, oldest first."""
+        return list(self._queued.get(receiver, {}).values())
+
+    def mark_sent(self, receiver: ProcessId, sent: list[LimitMessage]) -> None:
+        """Drop messages that are in a datagram now."""
+        queued = self._queued.get(receiver, {})
+        for limit_message in sent:
+            queued.pop(_slot(limit_message), None)
+        if not queued:
+            self._queued.pop(receiver, None)
+
+    def receivers(self) -> list[ProcessId]:
+        """Processes for which there are messages."""
+        return list(self._queued)
+
+    def drop(self, receiver: ProcessId) -> None:
+        """Drop all messages to that process."""
+        self._queued.pop(receiver, None)
+
+
+def _slot(limit_message: LimitMessage) -> _Slot:
+    message = limit_message.message
+    return limit_message.limit_digest, type(message), message.lease_id
--- a/flintridge/node.py
+++ b/flintridge/node.py
@@ -216,7 +216,7 @@
         self.dispatcher.room = config.server_sockets // count
         self.downstream.room = config.client_sockets // count
         if self.leases is not None:
-            self.leases.processes(count)
+            self.leases.process_count_changed(count)
 
     def refuse_reload(self, error: Exception) -> None:
         """A configuration that cannot be read changes nothing; it is counted and told."""
@@ -232,7 +232,7 @@
             b"/admin/quiesce": {b"POST": self._quiesce},
             b"/admin/resume": {b"POST": self._resume},
             **({} if self.membership is None else {b"/admin/peers": {b"GET": self.membership.said}}),
-            **({} if self.leases is None else {b"/admin/budgets": {b"GET": self.leases.said}}),
+            **({} if self.leases is None else {b"/admin/budgets": {b"GET": self.leases.admin_status}}),
             **({} if self.replication is None else self.replication.routes()),
         }
 
@@ -286,7 +286,7 @@
         stepped_aside = other is not None and self.downstream.step_aside(other)
         self.log.event("leaving", stepped_aside=stepped_aside)
         if self.leases is not None:
-            self.leases.leave()
+            self.leases.begin_shutdown()
         await self.downstream.leave()
         if self.membership is not None:
             self.membership.leave()
@@ -299,7 +299,7 @@
         if self.membership is not None:
             self.membership.tell_counters()
         if self.leases is not None:
-            self.leases.tell_counters()
+            self.leases.export_counters()
         if self.replication is not None:
             self.replication.tell_counters()
         self.log.event("counters", **self.counters.snapshot())
--- a/tests/leases/test_allocation.py
+++ b/tests/leases/test_allocation.py
@@ -1,27 +1,31 @@
-"""Holdings: the sum over all processes in every interleaving, planted defects, the rule clause by clause."""
+"""Allocations: the sum over all processes in every interleaving, planted defects, each clause of the rule."""
 
 import random
+from dataclasses import dataclass, replace
 
 import pytest
 
 from flintridge.lab.defects.lending import LENDING
 from flintridge.lab.explore import explore
 from flintridge.lab.explore.leases import SPEEDS, Leases, Left
-from flintridge.leases.allocation import Allocation, LeaseGrant, LeaseRelease, LeaseRequest, LeaseTerms
+from flintridge.leases.allocation import Allocation, ProcessId
+from flintridge.leases.fleet_limit import LeaseTerms, LeaseTermsError
+from flintridge.leases.messages import LeaseGrant, LeaseMessage, LeaseRelease, LeaseRequest
 
-TERMS = LeaseTerms(part=100, floor=40, lease=1000.0, drift=0.02)
-A, B = ("a", 1), ("b", 2)
-OLD = -1e9  # begun long ago
+TERMS = LeaseTerms(even_fraction=100, floor=40, lease_ms=1000.0, clock_drift=0.02)
+A = ProcessId("a", 1)
+B = ProcessId("b", 2)
+LONG_AGO = -1e9
 
 
-def pair() -> tuple[Allocation, Allocation]:
-    return Allocation(TERMS, OLD), Allocation(TERMS, OLD)
+def two_allocations() -> tuple[Allocation, Allocation]:
+    return Allocation(TERMS, LONG_AGO), Allocation(TERMS, LONG_AGO)
 
 
-def lent(amount=60, now=0.0) -> tuple[Allocation, Allocation, LeaseGrant]:
-    lender, borrower = pair()
-    grant = lender.hear(now, B, borrower.ask(now, "a", amount))
-    borrower.hear(now, A, grant)
+def granted_lease(amount=60, now=0.0) -> tuple[Allocation, Allocation, LeaseGrant]:
+    lender, borrower = two_allocations()
+    grant = lender.receive(now, B, borrower.request(now, "a", amount))
+    borrower.receive(now, A, grant)
     return lender, borrower, grant
 
 
@@ -38,15 +42,16 @@
         ((4.0, 6.0), {"asks": 1, "doubles": 1, "restarts": 1, "forgoes": 1}, 1_000),
     ],
 )
-def test_processes_never_use_more_than_the_budget_whatever_happens(speeds, left, states):
+def test_usable_sum_in_every_interleaving_never_exceeds_the_limit(speeds, left, states):
     """The longer searches are a command: benchmarks/lease_search.py."""
     found = explore(Leases.begin(speeds, Left(**NONE | left)))
-    assert found.whole and not found.broken, found.story
+    assert found.whole, found.story
+    assert not found.broken, found.story
     assert found.states > states
 
 
-# What has to happen for a defect to show; two processes, an ask and a pause do for most.
-SHOWN = {
+# What has to happen for a defect to show; two processes and a request do for most.
+EVENTS_THAT_SHOW = {
     "LoansForgotten": {"asks": 1, "restarts": 1},
     "NoFloor": {"asks": 1, "restarts": 1},
     "DoubledGrantCountsTwice": {"asks": 1, "doubles": 1},
@@ -59,11 +64,13 @@
 
 
 @pytest.mark.parametrize("defect", LENDING, ids=lambda defect: defect.__name__)
-def test_each_planted_defect_is_found_with_its_story(defect):
+def test_explorer_with_a_planted_defect_finds_it_with_its_story(defect):
     speeds = (4.0, 6.0, 6.0) if defect.__name__ == "AnotherLifesLoanEnds" else (4.0, 6.0)
-    left = Left(**NONE | SHOWN.get(defect.__name__, {"asks": 1}))
+    left = Left(**NONE | EVENTS_THAT_SHOW.get(defect.__name__, {"asks": 1}))
     found = explore(Leases.begin(speeds, left, make=defect))
-    assert defect.__doc__ and found.broken and found.story, (defect.__doc__, found.states)
+    assert defect.__doc__
+    assert found.broken, (defect.__doc__, found.states)
+    assert found.story, (defect.__doc__, found.states)
     sound = explore(Leases.begin(speeds, left), most=3 * found.states)
     assert not sound.broken
 
@@ -71,138 +78,198 @@
 # Clause by clause
 
 
-def test_a_loan_moves_what_is_beyond_the_floor_and_comes_back_at_its_end():
-    lender, borrower, grant = lent(amount=80)
-    assert grant.amount == 60 and (lender.usable(0), borrower.usable(0)) == (40, 160)
+def test_lease_when_granted_moves_units_beyond_the_floor_until_it_expires():
+    lender, borrower, grant = granted_lease(amount=80)
+    assert grant.amount == 60
+    assert (lender.usable(0), borrower.usable(0)) == (40, 160)
     assert (lender.usable(999), borrower.usable(999)) == (40, 160)
-    assert (lender.usable(1001), borrower.usable(1001)) == (40, 100)  # the borrower's ends first
-    assert lender.usable(TERMS.lasts) == 100
-    assert lender.lendable(0) == 0 and lender.hear(0.0, B, LeaseRequest(9, 5, 0.0)) is None
+    assert (lender.usable(1001), borrower.usable(1001)) == (40, 100)  # the borrower's expires first
+    assert lender.usable(TERMS.lender_lease_ms) == 100
+    assert lender.lendable(0) == 0
+    assert lender.receive(0.0, B, LeaseRequest(9, 5, 0.0)) is None
 
 
-def test_what_a_node_needs_itself_is_not_lent():
-    lender, borrower = pair()
-    assert lender.lendable(0, need=70) == 30 and lender.lendable(0, need=500) == 0
-    assert lender.hear(0.0, B, borrower.ask(0.0, "a", 60), need=70) == LeaseGrant(1, 30, 0.0)
+def test_lendable_when_the_lender_has_demand_leaves_it_out():
+    lender, borrower = two_allocations()
+    assert lender.lendable(0, demand=70) == 30
+    assert lender.lendable(0, demand=500) == 0
+    assert lender.receive(0.0, B, borrower.request(0.0, "a", 60), demand=70) == LeaseGrant(1, 30, 0.0)
 
 
-def test_a_grant_that_is_lost_stays_lent_and_a_repeated_call_gives_the_same_loan():
-    lender, borrower = pair()
-    ask = borrower.ask(0.0, "a", 60)
-    lender.hear(0.0, B, ask)
+def test_request_repeated_when_its_grant_was_lost_is_granted_the_same_lease():
+    lender, borrower = two_allocations()
+    request = borrower.request(0.0, "a", 60)
+    lender.receive(0.0, B, request)
     assert (lender.usable(10), borrower.usable(10)) == (40, 100)
-    again = lender.hear(500.0, B, ask._replace(stamp=400.0))
-    borrower.hear(600.0, A, again)
-    assert again.amount == 60 and borrower.usable(1399) == 160 and borrower.usable(1400) == 100
-    assert lender.usable(500 + TERMS.lasts - 1) == 40
-
-
-def test_a_grant_that_comes_late_unasked_or_for_what_was_given_back_counts_nothing():
-    lender, borrower, grant = lent()
-    late = Allocation(TERMS, OLD)
-    late.ask(0.0, "a", 60)
-    late.hear(1000.0, A, grant)
+    again = lender.receive(500.0, B, replace(request, requested_at=400.0))
+    borrower.receive(600.0, A, again)
+    assert again.amount == 60
+    assert borrower.usable(1399) == 160
+    assert borrower.usable(1400) == 100
+    assert lender.usable(500 + TERMS.lender_lease_ms - 1) == 40
+
+
+def test_grant_that_is_late_unrequested_or_of_a_released_lease_counts_nothing():
+    lender, borrower, grant = granted_lease()
+    late = Allocation(TERMS, LONG_AGO)
+    late.request(0.0, "a", 60)
+    late.receive(1000.0, A, grant)
     assert late.usable(1000.0) == 100
-    stranger = Allocation(TERMS, OLD)
-    stranger.hear(0.0, A, grant)
+    stranger = Allocation(TERMS, LONG_AGO)
+    stranger.receive(0.0, A, grant)
     assert stranger.usable(0.0) == 100
-    assert borrower.give(1.0, "a", 1) == LeaseRelease(1) and borrower.usable(1.0) == 100
-    borrower.hear(2.0, A, grant)
-    assert borrower.usable(2.0) == 100 and borrower.give(2.0, "a", 1) is None
-    lender.hear(3.0, B, LeaseRelease(1))
-    lender.hear(3.0, B, LeaseRelease(1))
+    assert borrower.release("a", 1) == LeaseRelease(1)
+    assert borrower.usable(1.0) == 100
+    borrower.receive(2.0, A, grant)
+    assert borrower.usable(2.0) == 100
+    assert borrower.release("a", 1) is None
+    lender.receive(3.0, B, LeaseRelease(1))
+    lender.receive(3.0, B, LeaseRelease(1))
     assert lender.usable(3.0) == 100
 
 
-def test_a_process_that_starts_anew_holds_its_floor_until_the_longest_loan_is_over():
+def test_entitlement_after_a_restart_is_the_floor_until_the_longest_lease_expired():
     lender = Allocation(TERMS, 5_000.0)
     assert (lender.usable(5_000.0), lender.lendable(5_000.0)) == (40, 0)
-    assert lender.usable(5_000.0 + TERMS.lasts) == 100
+    assert lender.usable(5_000.0 + TERMS.lender_lease_ms) == 100
 
 
-def test_two_processes_of_a_node_use_half_each_and_the_new_one_nothing_until_the_old_one_knows():
-    old, new = Allocation(TERMS, OLD), Allocation(TERMS, 0.0)
-    other = Allocation(TERMS, OLD)
-    other.hear(0.0, A, old.hear(0.0, B, other.ask(0.0, "a", 60)))
-    new.joined(0.0, notice=500.0)
+def test_usable_when_two_processes_of_a_node_run_is_half_each_and_zero_until_the_old_one_noticed():
+    old, new = Allocation(TERMS, LONG_AGO), Allocation(TERMS, 0.0)
+    other = Allocation(TERMS, LONG_AGO)
+    other.receive(0.0, A, old.receive(0.0, B, other.request(0.0, "a", 60)))
+    new.process_joined(0.0, notice_ms=500.0)
     for now in range(0, 4_000, 50):
         if now == 450:
-            old.joined(450.0)
-        parts = old.usable(now) + new.usable(now)
-        assert parts + other.usable(now) <= 200, now
+            old.process_joined(450.0)
+        node_usable = old.usable(now) + new.usable(now)
+        assert node_usable + other.usable(now) <= 200, now
     assert old.lendable(3_000) == 0
-    new.parted(4_000.0)  # the old one has ended: what it lent is not known here
-    assert new.usable(4_000.0) == 40 and new.usable(4_000.0 + TERMS.lasts) == 100
+    new.process_left(4_000.0)  # the old one has exited: what it lent is not known here
+    assert new.usable(4_000.0) == 40
+    assert new.usable(4_000.0 + TERMS.lender_lease_ms) == 100
 
 
-@pytest.mark.parametrize("seed", range(20))
-def test_random_days_of_five_processes_keep_the_sum(seed):
-    """Longer stories than the explorer's: thousands of steps, clocks that run apart by 2%."""
-    rng = random.Random(seed)
-    names = "abcde"
-    rates = {name: 1 + 0.02 * rng.uniform(-1, 1) for name in names}
-    offsets = {name: rng.uniform(0, 1e6) for name in names}
-    lives = dict.fromkeys(names, 1)
-    now = 0.0
+@dataclass(frozen=True)
+class InFlight:
+    """A message on its way."""
 
-    def clock(name):
-        return offsets[name] + now * rates[name]
+    arrives_at: float
+    receiver: str
+    sender: ProcessId
+    message: LeaseMessage
 
-    held = {name: Allocation(TERMS, OLD) for name in names}
-    stopped: dict[str, float] = {}
-    flying: list[tuple[float, str, tuple[str, int], object]] = []
-    moved = 0
 
-    def send(to, source, word):
-        for _ in range(rng.choice((0, 1, 1, 1, 1, 2))):
-            flying.append((now + rng.choice((1.0, 20.0, 300.0, 2_000.0)) * rng.random(), to, source, word))
+class RandomFleet:
+    """Five processes that lease at random, on links that lose, double and delay."""
 
+    names = "abcde"
+
+    def __init__(self, seed):
+        rng = random.Random(seed)
+        self.rng = rng
+        self.rates = {name: 1 + 0.02 * rng.uniform(-1, 1) for name in self.names}
+        self.offsets = {name: rng.uniform(0, 1e6) for name in self.names}
+        self.incarnations = dict.fromkeys(self.names, 1)
+        self.now = 0.0
+        self.allocations = {name: Allocation(TERMS, LONG_AGO) for name in self.names}
+        self.stopped_until: dict[str, float] = {}
+        self.in_flight: list[InFlight] = []
+
+    def clock(self, name):
+        """What that process's clock shows."""
+        return self.offsets[name] + self.now * self.rates[name]
+
+    def usable(self):
+        """What each process may use, stopped or not."""
+        return {name: one.usable(self.clock(name)) for name, one in self.allocations.items()}
+
+    def step(self):
+        """Time goes on, messages arrive, one process does something."""
+        self.now += self.rng.uniform(0, 20)
+        self.stopped_until = {name: until for name, until in self.stopped_until.items() if until > self.now}
+        due = [one for one in self.in_flight if one.arrives_at <= self.now]
+        for one in due:
+            if one.receiver not in self.stopped_until:
+                self.deliver(one)
+        name = self.rng.choice(self.names)
+        if name not in self.stopped_until:
+            self.act(name)
+
+    def deliver(self, one):
+        """A message arrives; its response is sent."""
+        self.in_flight.remove(one)
+        name = one.receiver
+        demand = self.rng.choice((0, 50, 90))
+        response = self.allocations[name].receive(self.clock(name), one.sender, one.message, demand=demand)
+        if response is not None:
+            self.send(one.sender.name, name, response)
+
+    def send(self, receiver, sender, message):
+        """A message leaves; it may be lost, doubled or late."""
+        process = ProcessId(sender, self.incarnations[sender])
+        for _ in range(self.rng.choice((0, 1, 1, 1, 1, 2))):
+            delay = self.rng.choice((1.0, 20.0, 300.0, 2_000.0)) * self.rng.random()
+            self.in_flight.append(InFlight(self.now + delay, receiver, process, message))
+
+    def act(self, name):
+        """A process requests, renews or releases, is stopped, or restarts."""
+        allocation = self.allocations[name]
+        now = self.clock(name)
+        allocation.remove_expired(now)
+        draw = self.rng.random()
+        if draw < 0.3:
+            lender = self.rng.choice([other for other in self.names if other != name])
+            self.send(lender, name, allocation.request(now, lender, self.rng.choice((10, 30, 60))))
+        elif draw < 0.5 and allocation.borrowed:
+            self.renew_or_release(name, now)
+        elif draw < 0.52:
+            self.stopped_until[name] = self.now + self.rng.choice((100.0, 1_500.0, 5_000.0))
+        elif draw < 0.54:
+            self.allocations[name] = Allocation(TERMS, now)
+            self.incarnations[name] += 1
+
+    def renew_or_release(self, name, now):
+        """A process renews or releases one of its leases."""
+        allocation = self.allocations[name]
+        key = self.rng.choice(list(allocation.borrowed))
+        if self.rng.random() < 0.7:
+            message = allocation.renewal(now, key.lender, key.lease_id)
+        else:
+            message = allocation.release(key.lender, key.lease_id)
+        if message is not None:
+            self.send(key.lender, name, message)
+
+
+@pytest.mark.parametrize("seed", range(20))
+def test_usable_sum_on_random_runs_of_five_processes_never_exceeds_the_limit(seed):
+    """Longer stories than the explorer's: thousands of steps, clocks that run apart by 2%."""
+    fleet = RandomFleet(seed)
+    most_usable = 0
     for _ in range(6_000):
-        now += rng.uniform(0, 20)
-        stopped = {name: until for name, until in stopped.items() if until > now}
-        due = [item for item in flying if item[0] <= now and item[1] not in stopped]
-        for item in due:
-            flying.remove(item)
-            _, to, source, word = item
-            answer = held[to].hear(clock(to), source, word, need=rng.choice((0, 50, 90)))
-            if answer is not None:
-                send(source[0], (to, lives[to]), answer)
-        name = rng.choice(names)
-        if name not in stopped:
-            one, at = held[name], clock(name)
-            one.look(at)
-            deed = rng.random()
-            if deed < 0.3:
-                other = rng.choice([n for n in names if n != name])
-                send(other, (name, lives[name]), one.ask(at, other, rng.choice((10, 30, 60))))
-            elif deed < 0.5 and one.borrowed:
-                lender, id = rng.choice(list(one.borrowed))
-                word = one.renew(at, lender, id) if rng.random() < 0.7 else one.give(at, lender, id)
-                if word is not None:
-                    send(lender, (name, lives[name]), word)
-            elif deed < 0.52:
-                stopped[name] = now + rng.choice((100.0, 1_500.0, 5_000.0))
-            elif deed < 0.54:
-                held[name], lives[name] = Allocation(TERMS, at), lives[name] + 1
-        used = {n: one.usable(clock(n)) for n, one in held.items()}
-        moved = max(moved, max(used.values()))
-        assert sum(used.values()) <= 500 and min(used.values()) >= 40, (now, used)
-    assert moved > 100  # something was lent at all
+        fleet.step()
+        usable = fleet.usable()
+        most_usable = max(most_usable, max(usable.values()))
+        assert sum(usable.values()) <= 500, (fleet.now, usable)
+        assert min(usable.values()) >= 40, (fleet.now, usable)
+    assert most_usable > 100  # something was lent at all
 
 
 @pytest.mark.parametrize(
     ("values", "reason"),
     [
-        ({"part": 10, "floor": 11}, "floor 11 must be from 0 to the part of 10"),
-        ({"part": 10, "floor": -1}, "floor -1 must be from 0"),
-        ({"part": 10, "floor": 1, "lease": 0.0}, "lease 0 must be over 0"),
-        ({"part": 10, "floor": 1, "drift": 0.5}, "drift 0.5 from 0 to under 0.5"),
+        ({"even_fraction": 10, "floor": 11}, "floor 11 must be from 0 to the even fraction of 10"),
+        ({"even_fraction": 10, "floor": -1}, "floor -1 must be from 0"),
+        ({"even_fraction": 10, "floor": 1, "lease_ms": 0.0}, "lease_ms 0 must be over 0"),
+        ({"even_fraction": 10, "floor": 1, "clock_drift": 0.5}, "clock_drift 0.5 from 0 to under 0.5"),
     ],
 )
-def test_terms_that_mean_nothing_are_refused(values, reason):
-    with pytest.raises(ValueError, match=reason):
+def test_terms_that_contradict_one_another_are_rejected(values, reason):
+    with pytest.raises(LeaseTermsError, match=reason) as caught:
         LeaseTerms(**values)
+    assert isinstance(caught.value, ValueError)
 
 
-def test_the_speeds_of_the_whole_search_are_all_mixtures_of_slow_and_fast():
-    assert len(SPEEDS) == 4 and (4.0, 4.0, 6.0) in SPEEDS
+def test_explorer_speeds_cover_all_mixtures_of_slow_and_fast_clocks():
+    assert len(SPEEDS) == 4
+    assert (4.0, 4.0, 6.0) in SPEEDS
--- a/tests/leases/test_lease_manager.py
+++ b/tests/leases/test_lease_manager.py
@@ -1,6 +1,7 @@
-"""The ledger: whom a process asks, what it gives back, and its words; then processes on links that fail."""
+"""The lease manager: whom a process asks, what it releases, its messages; then runs on links that fail."""
 
 import random
+from dataclasses import replace
 from types import SimpleNamespace
 
 import pytest
@@ -10,283 +11,341 @@
 from flintridge.lab.defects.lending import CreditBeforeDebit, LeaseFromArrival, LoansForgotten
 from flintridge.lab.partial.lending import QUOTA, Lenders, random_day
 from flintridge.lab.partial.machines import Link
-from flintridge.leases.allocation import LeaseGrant, LeaseRelease, LeaseRequest, LeaseTerms
+from flintridge.leases.allocation import ProcessId
+from flintridge.leases.borrower import MAX_LEASE_UNITS, MAX_REQUEST_ATTEMPTS, RETRY_INTERVAL_MS
 from flintridge.leases.demand import RecentPeak, RequestRate
-from flintridge.leases.lease_manager import (
-    AGAIN,
-    CHUNK,
+from flintridge.leases.fleet_limit import (
+    EVEN_FRACTION_UNITS,
     FLOORS,
-    MOST_WORDS,
-    PART,
-    TRIES,
     FleetLimit,
-    LeaseManager,
+    LeaseTerms,
+    LeaseTermsError,
+)
+from flintridge.leases.lease_manager import LeaseManager
+from flintridge.leases.messages import (
+    MAX_MESSAGES,
+    LeaseFact,
+    LeaseGrant,
+    LeaseOffer,
+    LeaseRelease,
+    LeaseRequest,
+    LimitMessage,
+    decode,
+    encode,
 )
-from flintridge.leases.messages import Said, decode, encode, flat, mark_of, word_of
 
-TERMS = LeaseTerms(PART, floor=250, lease=4_000.0)
-OLD = -1e9  # begun long ago
-ROOM = 1_000
+TERMS = LeaseTerms(EVEN_FRACTION_UNITS, floor=250, lease_ms=4_000.0)
+LONG_AGO = -1e9
+MAX_BYTES = 1_000
 
 
-def ledger(*peers: str, nodes: int = 2, terms: LeaseTerms = TERMS, seed: int = 1, names=(QUOTA,), told=None):
-    budgets = tuple(FleetLimit(name, 100.0 * nodes, "requests a second", nodes, terms) for name in names)
+def lease_manager(
+    *peers: str, nodes: int = 2, terms: LeaseTerms = TERMS, seed: int = 1, names=(QUOTA,), log_event=None
+) -> LeaseManager:
+    """A manager of limits of these names, long after its start."""
+    limits = tuple(FleetLimit(name, 100.0 * nodes, "requests a second", nodes, terms) for name in names)
     return LeaseManager(
-        peers, budgets, 2_000.0, OLD, random.Random(seed), told or (lambda event, **fields: None)
+        peers, limits, 2_000.0, LONG_AGO, random.Random(seed), log_event or (lambda event, **fields: None)
     )
 
 
-def life(name: str) -> SimpleNamespace:
+def process(name: str) -> SimpleNamespace:
+    """What the peers pass for a process of that name."""
     return SimpleNamespace(name=name, life=1)
 
 
-def pass_words(
-    now: float, source: tuple[str, LeaseManager], target: tuple[str, LeaseManager], room: int = ROOM
-) -> bytes | None:
-    data = source[1].say(now, life(target[0]), room)
+def pass_fact(
+    now: float, source: tuple[str, LeaseManager], target: tuple[str, LeaseManager], max_bytes: int = MAX_BYTES
+) -> None:
+    """What one has to say reaches the other."""
+    data = source[1].say(now, process(target[0]), max_bytes)
     if data is not None:
         target[1].hear(now, source[0], 1, now, data)
-    return data
 
 
-def talk(now: float, a: tuple[str, LeaseManager], b: tuple[str, LeaseManager], times: int = 4) -> None:
+def exchange(now: float, a: tuple[str, LeaseManager], b: tuple[str, LeaseManager], times: int = 4) -> None:
+    """Both tick, and say what they have to say, so many times."""
     for _ in range(times):
         for one in (a[1], b[1]):
             one.tick(now)
-        pass_words(now, a, b)
-        pass_words(now, b, a)
+        pass_fact(now, a, b)
+        pass_fact(now, b, a)
 
 
-def pair(need_a: float = 1.8, need_b: float = 0.2, **changes):
-    a, b = ("a", ledger("b", **changes)), ("b", ledger("a", **changes))
-    a[1].need(QUOTA, need_a)
-    b[1].need(QUOTA, need_b)
+def two_managers(demand_a: float = 1.8, demand_b: float = 0.2, **changes):
+    """Two named managers that hear one another."""
+    a = "a", lease_manager("b", **changes)
+    b = "b", lease_manager("a", **changes)
+    a[1].set_demand(QUOTA, demand_a)
+    b[1].set_demand(QUOTA, demand_b)
     return a, b
 
 
 # Whom to ask for what
 
 
-def test_a_node_that_needs_more_borrows_what_another_does_not_need():
-    a, b = pair()
+def test_usable_when_a_node_needs_more_grows_by_what_another_does_not_need():
+    a, b = two_managers()
     for now in range(0, 3_000, 50):
-        talk(now, a, b, 1)
-    assert a[1].usable(QUOTA, 3_000) == pytest.approx(1.72) and b[1].usable(QUOTA, 3_000) == pytest.approx(
-        0.28
-    )
+        exchange(now, a, b, 1)
+    assert a[1].usable(QUOTA, 3_000) == pytest.approx(1.72)
+    assert b[1].usable(QUOTA, 3_000) == pytest.approx(0.28)
     # The lender keeps what it needs, and some more: 0.2 x 1.15 + 0.05.
     assert a[1].counts["granted"] >= 3  # in chunks
 
 
-def test_loans_are_renewed_while_needed_and_given_back_when_not():
-    a, b = pair()
+def test_lease_while_needed_is_renewed_and_then_released():
+    a, b = two_managers()
     for now in range(0, 30_000, 50):
-        talk(now, a, b, 1)
-    assert a[1].usable(QUOTA, 30_000) == pytest.approx(1.72) and a[1].counts["renewed"] > 10
-    a[1].need(QUOTA, 0.5)
-    talk(30_000, a, b)
-    assert a[1].usable(QUOTA, 30_000) < 1.1 and b[1].usable(QUOTA, 30_000) > 0.9
+        exchange(now, a, b, 1)
+    assert a[1].usable(QUOTA, 30_000) == pytest.approx(1.72)
+    assert a[1].counts["renewed"] > 10
+    a[1].set_demand(QUOTA, 0.5)
+    exchange(30_000, a, b)
+    assert a[1].usable(QUOTA, 30_000) < 1.1
+    assert b[1].usable(QUOTA, 30_000) > 0.9
     assert a[1].counts["given_back"] > 0
 
 
-def test_nothing_is_kept_of_loans_that_were_given_back():
-    a, b = pair()
+def test_account_after_leases_were_released_retains_nothing_of_them():
+    a, b = two_managers()
     for now in range(0, 60_000, 50):
-        a[1].need(QUOTA, 1.8 if now // 6_000 % 2 else 0.1)
-        talk(now, a, b, 1)
+        a[1].set_demand(QUOTA, 1.8 if now // 6_000 % 2 else 0.1)
+        exchange(now, a, b, 1)
     account = a[1].accounts[QUOTA]
-    assert a[1].counts["given_back"] > 10 and a[1].counts["renewed"] > 10
-    live = set(account.holding.borrowed)
-    assert set(account.renewed) | set(account.lenders) | account.denied <= live
-    assert set(account.holding.asked) <= live | set(account.calls)
+    assert a[1].counts["given_back"] > 10
+    assert a[1].counts["renewed"] > 10
+    live = set(account.allocation.borrowed)
+    assert set(account.renewal_sent_at) | set(account.lender_incarnations) | account.unrenewable <= live
+    assert set(account.allocation.requested) <= live | set(account.pending)
 
 
-def test_a_lender_that_needs_its_part_again_has_it_when_the_loans_end():
-    a, b = pair()
+def test_lender_when_it_needs_its_entitlement_again_has_it_at_the_expiry():
+    a, b = two_managers()
     for now in range(0, 5_000, 50):
-        talk(now, a, b, 1)
-    b[1].need(QUOTA, 1.0)
-    for now in range(5_000, int(5_000 + TERMS.lasts) + 100, 50):
-        talk(now, a, b, 1)
+        exchange(now, a, b, 1)
+    b[1].set_demand(QUOTA, 1.0)
+    for now in range(5_000, int(5_000 + TERMS.lender_lease_ms) + 100, 50):
+        exchange(now, a, b, 1)
         assert a[1].usable(QUOTA, now) + b[1].usable(QUOTA, now) <= 2 + 1e-9
     assert b[1].usable(QUOTA, now) == 1.0 == a[1].usable(QUOTA, now)
-    assert b[1].counts["refused_need"] > 0 and a[1].counts["expired"] > 0
+    assert b[1].counts["refused_need"] > 0
+    assert a[1].counts["expired"] > 0
 
 
-def test_needs_that_sway_by_a_tenth_move_nothing():
-    a, b = pair(need_a=1.3, need_b=0.3)
+def test_leases_when_demand_varies_by_a_tenth_do_not_move():
+    a, b = two_managers(demand_a=1.3, demand_b=0.3)
     rng = random.Random(3)
     moved = []
     for now in range(0, 40_000, 50):
-        a[1].need(QUOTA, 1.3 * rng.uniform(0.9, 1.1))
-        b[1].need(QUOTA, 0.3 * rng.uniform(0.9, 1.1))
-        talk(now, a, b, 1)
+        a[1].set_demand(QUOTA, 1.3 * rng.uniform(0.9, 1.1))
+        b[1].set_demand(QUOTA, 0.3 * rng.uniform(0.9, 1.1))
+        exchange(now, a, b, 1)
         moved.append((a[1].counts["granted"], a[1].counts["given_back"]))
-    assert moved[200] == moved[-1] and moved[-1][0] > 0
+    assert moved[200] == moved[-1]
+    assert moved[-1][0] > 0
 
 
-def test_a_call_that_nobody_answers_is_said_again_and_then_taken_back():
-    a, b = pair()
+def test_request_when_nobody_answers_is_retried_and_then_canceled():
+    a, b = two_managers()
     b[1].tick(0.0)
-    pass_words(0.0, b, a)  # the offer
-    said = []
-    for now in range(0, int(AGAIN) * (TRIES + 2), 50):
+    pass_fact(0.0, b, a)  # the offer
+    sent = []
+    for now in range(0, int(RETRY_INTERVAL_MS) * (MAX_REQUEST_ATTEMPTS + 2), 50):
         a[1].tick(now)
-        if (data := a[1].say(now, life("b"), ROOM)) is not None:
-            said += [word_of(*one[1:]) for one in decode(data).words]
-    ids = {word.id for word in said}
-    assert [type(word) for word in said if word.id == min(ids)] == [LeaseRequest] * TRIES + [LeaseRelease]
-    assert a[1].counts["unanswered"] == len(ids) and not a[1].accounts[QUOTA].calls
-    late = encode(Said(0.0, (), (flat(a[1].accounts[QUOTA].budget.mark, LeaseGrant(1, CHUNK, 0.0)),)))
+        if (data := a[1].say(now, process("b"), MAX_BYTES)) is not None:
+            sent += [one.message for one in decode(data).messages]
+    ids = {message.lease_id for message in sent}
+    assert [type(message) for message in sent if message.lease_id == min(ids)] == [
+        *[LeaseRequest] * MAX_REQUEST_ATTEMPTS,
+        LeaseRelease,
+    ]
+    assert a[1].counts["unanswered"] == len(ids)
+    assert not a[1].accounts[QUOTA].pending
+    late = encode(
+        LeaseFact(
+            0.0,
+            (),
+            (LimitMessage(a[1].accounts[QUOTA].limit.digest, LeaseGrant(1, MAX_LEASE_UNITS, 0.0)),),
+        )
+    )
     a[1].hear(2_000.0, "b", 1, 2_000.0, late)
     assert a[1].usable(QUOTA, 2_000.0) == 1.0
 
 
-def test_a_no_is_said_and_the_offer_forgotten():
-    a, b = pair()
+def test_request_when_denied_is_closed_and_the_offer_dropped():
+    a, b = two_managers()
     b[1].tick(0.0)
-    pass_words(0.0, b, a)
+    pass_fact(0.0, b, a)
     a[1].tick(0.0)
-    b[1].need(QUOTA, 2.0)
-    pass_words(0.0, a, b)
-    pass_words(0.0, b, a)
+    b[1].set_demand(QUOTA, 2.0)
+    pass_fact(0.0, a, b)
+    pass_fact(0.0, b, a)
     account = a[1].accounts[QUOTA]
-    assert a[1].counts["denied"] >= 1 and not account.calls and not account.offers
-    assert b[1].counts["refused_need"] >= 1 and b[1].usable(QUOTA, 0.0) == 1.0
+    assert a[1].counts["denied"] >= 1
+    assert not account.pending
+    assert not account.offers
+    assert b[1].counts["refused_need"] >= 1
+    assert b[1].usable(QUOTA, 0.0) == 1.0
 
 
-def test_offers_are_taken_by_chance_and_no_longer_than_they_count():
+def test_offers_when_several_count_are_drawn_at_random_and_expire():
     chosen = set()
     for seed in range(20):
-        one = ledger("x", "y", "z", nodes=4, seed=seed)
-        one.need(QUOTA, 1.2)
-        mark = one.accounts[QUOTA].budget.mark
+        one = lease_manager("x", "y", "z", nodes=4, seed=seed)
+        one.set_demand(QUOTA, 1.2)
+        digest = one.accounts[QUOTA].limit.digest
         for name in "xyz":
-            one.hear(0.0, name, 1, 0.0, encode(Said(0.0, ((mark, 400),))))
+            one.hear(0.0, name, 1, 0.0, encode(LeaseFact(0.0, (LeaseOffer(digest, 400),))))
         one.tick(10.0)
-        chosen |= {name for name, _ in one.waiting()}
+        chosen |= {name for name, _ in one.receivers()}
     assert chosen == {"x", "y", "z"}
-    old = ledger("x")
-    old.need(QUOTA, 2.0)
-    old.hear(0.0, "x", 1, -10_001.0, encode(Said(0.0, ((mark, 400),))))
+    old = lease_manager("x")
+    old.set_demand(QUOTA, 2.0)
+    old.hear(0.0, "x", 1, -10_001.0, encode(LeaseFact(0.0, (LeaseOffer(digest, 400),))))
     old.tick(0.0)
-    assert not old.waiting()
+    assert not old.receivers()
 
 
-def test_what_is_cut_by_nodes_is_needed_by_traffic():
-    one = ledger("b", "c", nodes=3, names=(FLOORS,))
-    one.pace = 300.0
+def test_demand_of_floors_when_peers_report_rates_follows_the_own_rate():
+    one = lease_manager("b", "c", nodes=3, names=(FLOORS,))
+    one.requests_per_s = 300.0
     one.tick(0.0)
-    assert one.accounts[FLOORS].need == PART  # nobody heard: an even part
-    for name, pace in (("b", 30.0), ("c", 60.0)):
-        one.hear(0.0, name, 1, 0.0, encode(Said(pace)))
+    assert one.accounts[FLOORS].demand == EVEN_FRACTION_UNITS  # nobody heard: an even fraction
+    for name, requests_per_s in (("b", 30.0), ("c", 60.0)):
+        one.hear(0.0, name, 1, 0.0, encode(LeaseFact(requests_per_s)))
     one.tick(50.0)
-    assert one.accounts[FLOORS].need == pytest.approx(PART * 300 / 130)
+    assert one.accounts[FLOORS].demand == pytest.approx(EVEN_FRACTION_UNITS * 300 / 130)
     one.tick(30_000.0)
-    assert one.accounts[FLOORS].need == PART
+    assert one.accounts[FLOORS].demand == EVEN_FRACTION_UNITS
 
 
-# Places
+# Permits
 
 
-def test_places_that_are_taken_up_are_neither_lent_nor_given_back():
-    terms = LeaseTerms(PART, floor=250, lease=6_000.0, keep=2_500.0)
-    a, b = pair(terms=terms)
-    taken = {"a": 0.0, "b": 0.9}
+def test_permits_when_in_use_are_neither_lent_nor_released():
+    terms = LeaseTerms(EVEN_FRACTION_UNITS, floor=250, lease_ms=6_000.0, completion_ms=2_500.0)
+    a, b = two_managers(terms=terms)
+    in_use = {"a": 0.0, "b": 0.9}
     for name, one in (a, b):
-        one.uses(QUOTA, lambda name=name: taken[name])
+        one.track_usage(QUOTA, lambda name=name: in_use[name])
     for now in range(0, 1_000, 50):
-        talk(now, a, b, 1)
+        exchange(now, a, b, 1)
     assert b[1].usable(QUOTA, 1_000) >= 0.9  # it needs 0.2, but 0.9 are out
-    taken["b"] = 0.0
+    in_use["b"] = 0.0
     for now in range(1_000, 2_000, 50):
-        talk(now, a, b, 1)
+        exchange(now, a, b, 1)
     assert a[1].usable(QUOTA, 2_000) > 1.6
-    taken["a"] = 1.6
-    a[1].need(QUOTA, 0.0)
-    talk(2_000, a, b)
+    in_use["a"] = 1.6
+    a[1].set_demand(QUOTA, 0.0)
+    exchange(2_000, a, b)
     assert a[1].usable(QUOTA, 2_000) >= 1.6
-    a[1].leave(2_000)
+    a[1].begin_shutdown(2_000)
     assert a[1].usable(QUOTA, 2_000) >= 1.6
-    taken["a"] = 0.0
-    talk(2_050, a, b)
-    assert a[1].usable(QUOTA, 2_050) <= 1.0 and b[1].usable(QUOTA, 2_050) >= 1.0
+    in_use["a"] = 0.0
+    exchange(2_050, a, b)
+    assert a[1].usable(QUOTA, 2_050) <= 1.0
+    assert b[1].usable(QUOTA, 2_050) >= 1.0
 
 
-def test_a_place_is_taken_only_as_long_as_what_begins_there_ends_before_the_loan():
-    terms = LeaseTerms(PART, floor=250, lease=6_000.0, keep=2_500.0)
-    a, b = pair(terms=terms)
-    talk(0.0, a, b)
+def test_borrowed_permit_within_completion_time_of_its_expiry_is_not_usable():
+    terms = LeaseTerms(EVEN_FRACTION_UNITS, floor=250, lease_ms=6_000.0, completion_ms=2_500.0)
+    a, b = two_managers(terms=terms)
+    exchange(0.0, a, b)
     assert a[1].usable(QUOTA, 3_499.0) > 1 == a[1].usable(QUOTA, 3_500.0)
-    assert b[1].usable(QUOTA, 6_000.0) < 1 == b[1].usable(QUOTA, terms.lasts)
-    with pytest.raises(ValueError, match="keep 6000 must be from 0 to under the lease of 6000"):
-        LeaseTerms(PART, 250, 6_000.0, keep=6_000.0)
-
-
-# Words
-
-
-def test_budgets_of_another_size_are_refused_and_told_once():
-    told = []
-    a = "a", ledger("b", told=lambda event, **fields: told.append((event, fields)))
-    for other in (ledger("a", nodes=3), ledger("a", terms=LeaseTerms(PART, 250, 5_000.0))):
-        other.need(QUOTA, 3.0)
-        mark = other.accounts[QUOTA].budget.mark
-        words = (flat(mark, LeaseRequest(1, 100, 0.0)), flat(mark, LeaseGrant(2, 100, 0.0)))
-        a[1].hear(0.0, "b", 1, 0.0, encode(Said(0.0, ((mark, 500),), words)))
-    assert a[1].counts["refused_terms"] == 4 and told == [("budgets_terms_differ", {"peer": "b"})]
-    assert a[1].usable(QUOTA, 0.0) == 1.0 and not a[1].accounts[QUOTA].offers
-
-
-def test_a_mark_stands_for_name_size_parts_and_terms():
-    marks = {
-        mark_of(name, whole, nodes, terms)
+    assert b[1].usable(QUOTA, 6_000.0) < 1 == b[1].usable(QUOTA, terms.lender_lease_ms)
+    with pytest.raises(
+        LeaseTermsError, match="completion_ms 6000 must be from 0 to under the lease_ms of 6000"
+    ) as caught:
+        LeaseTerms(EVEN_FRACTION_UNITS, 250, 6_000.0, completion_ms=6_000.0)
+    assert isinstance(caught.value, ValueError)
+
+
+# Messages
+
+
+def test_messages_when_the_limits_size_differs_are_rejected_and_logged_once():
+    events = []
+    a = "a", lease_manager("b", log_event=lambda event, **fields: events.append((event, fields)))
+    for other in (
+        lease_manager("a", nodes=3),
+        lease_manager("a", terms=LeaseTerms(EVEN_FRACTION_UNITS, 250, 5_000.0)),
+    ):
+        other.set_demand(QUOTA, 3.0)
+        digest = other.accounts[QUOTA].limit.digest
+        messages = (
+            LimitMessage(digest, LeaseRequest(1, 100, 0.0)),
+            LimitMessage(digest, LeaseGrant(2, 100, 0.0)),
+        )
+        a[1].hear(0.0, "b", 1, 0.0, encode(LeaseFact(0.0, (LeaseOffer(digest, 500),), messages)))
+    assert a[1].counts["refused_terms"] == 4
+    assert events == [("lease_terms_differ", {"peer": "b"})]
+    assert a[1].usable(QUOTA, 0.0) == 1.0
+    assert not a[1].accounts[QUOTA].offers
+
+
+def test_digest_when_name_size_nodes_or_terms_differ_differs():
+    digests = {
+        FleetLimit(name, total, "requests a second", nodes, terms).digest
         for name in ("a", "b")
-        for whole in (10.0, 10.5)
+        for total in (10.0, 10.5)
         for nodes in (2, 3)
-        for terms in (TERMS, LeaseTerms(PART, 250, 4_001.0), LeaseTerms(PART, 250, keep=1.0))
+        for terms in (
+            TERMS,
+            LeaseTerms(EVEN_FRACTION_UNITS, 250, 4_001.0),
+            LeaseTerms(EVEN_FRACTION_UNITS, 250, completion_ms=1.0),
+        )
     }
-    assert len(marks) == 24
-    assert mark_of("a", 1.0, 2, TERMS) == mark_of("a", 1.0, 2, LeaseTerms(PART, 900))  # a floor is one's own
+    assert len(digests) == 24
+    limit = FleetLimit("a", 1.0, "requests a second", 2, TERMS)
+    other_floor = replace(limit, terms=LeaseTerms(EVEN_FRACTION_UNITS, 900))
+    assert limit.digest == other_floor.digest  # each process chooses its own floor
 
 
 @settings(derandomize=True, deadline=None)
-@given(st.binary(max_size=200) | st.builds(lambda said: encode(said)[:-1], st.builds(Said, st.just(1.0))))
-def test_bytes_that_are_no_words_are_counted_and_change_nothing(data):
-    one = ledger("b")
+@given(
+    st.binary(max_size=200) | st.builds(lambda fact: encode(fact)[:-1], st.builds(LeaseFact, st.just(1.0)))
+)
+def test_fact_when_malformed_is_counted_and_changes_nothing(data):
+    one = lease_manager("b")
     one.hear(0.0, "b", 1, 0.0, data)
-    one.hear(0.0, "stranger", 1, 0.0, encode(Said(1.0)))
-    assert one.counts["malformed"] >= 1 and one.usable(QUOTA, 0.0) == 1.0
+    one.hear(0.0, "stranger", 1, 0.0, encode(LeaseFact(1.0)))
+    assert one.counts["malformed"] >= 1
+    assert one.usable(QUOTA, 0.0) == 1.0
 
 
-def test_what_is_said_fits_its_room_and_is_bounded():
+def test_fact_when_much_is_queued_fits_its_size_and_the_queue_is_bounded():
     names = tuple(f"quota {i}" for i in range(100))
-    one = ledger("b", names=names)
+    one = lease_manager("b", names=names)
     for name in names:
-        one.need(name, 0.0)
+        one.set_demand(name, 0.0)
     for account in one.accounts.values():
-        for id in range(3):
-            one._word(account, ("b", 1), LeaseRequest(id, 100, 1.0), 0.0)
-    assert sum(len(words) for words in one._out.values()) <= MOST_WORDS
-    for room in (10, 40, 200, 1_000):
-        data = one.say(0.0, life("b"), room)
-        assert data is None or len(data) <= room
-    assert one.say(0.0, life("b"), 1_000) is not None
-    one.unheard(("b", 1))
-    assert not one.waiting()
-
-
-def test_a_pace_rises_quickly_and_falls_slowly():
-    pace, level = RequestRate(0.0), RecentPeak(0.0)
+        for lease_id in range(3):
+            one.receive(account, ProcessId("b", 1), LeaseRequest(lease_id, 100, 1.0), 0.0)
+    assert one.receivers() == [("b", 1)]
+    assert len(one._outbox.queued_for(ProcessId("b", 1))) <= MAX_MESSAGES
+    for max_bytes in (10, 40, 200, 1_000):
+        data = one.say(0.0, process("b"), max_bytes)
+        assert data is None or len(data) <= max_bytes
+    assert one.say(0.0, process("b"), 1_000) is not None
+    one.drop_messages(ProcessId("b", 1))
+    assert not one.receivers()
+
+
+def test_estimators_when_demand_changes_rise_quickly_and_fall_slowly():
+    rate = RequestRate(0.0)
+    peak = RecentPeak(0.0)
     for now in range(50, 3_050, 50):
-        pace.add(5)
-        pace.look(now)
-        level.look(now, 7.0)
-    risen = pace.per_s
+        rate.add(5)
+        rate.update(now)
+        peak.update(now, 7.0)
+    risen = rate.per_s
     for now in range(3_050, 6_050, 50):
-        pace.look(now)
-        level.look(now, 0.0)
-    assert 80 <= risen <= 101 and 0.2 * risen < pace.per_s < 0.7 * risen and 3 < level.most < 7
+        rate.update(now)
+        peak.update(now, 0.0)
+    assert 80 <= risen <= 101
+    assert 0.2 * risen < rate.per_s < 0.7 * risen
+    assert 3 < peak.value < 7
 
 
 # Processes on links that fail, in virtual time
@@ -304,16 +363,17 @@
 
 
 @pytest.mark.parametrize("loss", [0.0, 0.3])
-def test_ten_nodes_move_most_of_what_half_do_not_need_to_the_others(loss):
+def test_ten_nodes_when_half_are_idle_lease_most_of_that_to_the_others(loss):
     fleet = uneven(10, 1, link=Link(loss=loss, jitter=2.0))
     fleet.run(5_000)
     assert all(fleet.usable(name) <= 1.0 for name in fleet.names[1::2])
     fleet.run(15_000)
-    assert crowded(fleet) > 1.55 and not fleet.over
+    assert crowded(fleet) > 1.55
+    assert not fleet.over
     assert min(fleet.usable(name) for name in fleet.names[::2]) > 1.2  # and none of them goes without
 
 
-def test_with_every_link_dropped_from_the_start_each_holds_its_even_part():
+def test_usable_when_every_link_is_cut_from_the_start_is_the_even_fraction():
     fleet = uneven(6, 2)
     fleet.cut(fleet.names, fleet.names)
     fleet.run(5_000)
@@ -322,12 +382,12 @@
         assert {fleet.usable(name) for name in fleet.names} == {1.0}
 
 
-def test_a_third_that_is_cut_off_has_its_even_part_again_and_lends_within():
+def test_third_of_the_nodes_when_cut_off_has_its_even_fractions_and_leases_within():
     fleet = uneven(9, 3)
     fleet.run(10_000)
     third = fleet.names[:3]
     fleet.cut(third, fleet.names[3:])
-    fleet.run(2 * TERMS.lasts)
+    fleet.run(2 * TERMS.lender_lease_ms)
     for _ in range(5):
         fleet.run(1_000)
         assert sum(fleet.usable(name) for name in third) >= 3 - 1e-9
@@ -335,7 +395,7 @@
     assert not fleet.over
 
 
-def test_a_node_that_leaves_lends_its_part_and_gives_back_what_it_borrowed():
+def test_node_when_shutting_down_lends_its_entitlement_and_releases_its_leases():
     fleet = uneven(6, 4)
     fleet.run(10_000)
     before = crowded(fleet)
@@ -343,35 +403,38 @@
     fleet.run(500)
     assert crowded(fleet) >= before
     fleet.leave("n0")
-    fleet.run(TERMS.lasts)  # by then at the latest, should a word be lost
+    fleet.run(TERMS.lender_lease_ms)  # by then at the latest, should a message be lost
     assert all(peer[0] != "n0" for name in fleet.names[2:] for peer, _ in lent(fleet, name))
     assert not fleet.over
 
 
 def lent(fleet: Lenders, name: str):
-    return fleet.ledger(name).accounts[QUOTA].holding.lent
+    return fleet.manager(name).accounts[QUOTA].allocation.lent
 
 
-def test_all_restarted_at_once_hold_their_floors_and_then_begin_anew():
+def test_nodes_when_all_restart_at_once_have_their_floors_and_then_lease_again():
     fleet = uneven(6, 5)
     fleet.run(10_000)
     for name in fleet.names:
         fleet.kill(name)
         fleet.start(name)
     assert {fleet.usable(name) for name in fleet.names} == {0.25}
-    fleet.run(TERMS.lasts + 100)
-    assert fleet.whole() > 5 and not fleet.over
+    fleet.run(TERMS.lender_lease_ms + 100)
+    assert fleet.whole() > 5
+    assert not fleet.over
     fleet.run(15_000)
-    assert crowded(fleet) > 1.55 and not fleet.over
+    assert crowded(fleet) > 1.55
+    assert not fleet.over
 
 
 @pytest.mark.parametrize("seed", range(1, 5))
-def test_random_days_keep_the_sum(seed):
+def test_usable_sum_on_a_random_run_with_faults_never_exceeds_the_limit(seed):
     """Five hundred are a command: benchmarks/budget_days.py."""
     day = random_day(seed, 8, 20_000.0)
-    assert not day.over and day.granted > 0
+    assert not day.over
+    assert day.granted > 0
 
 
 @pytest.mark.parametrize("defect", [CreditBeforeDebit, LoansForgotten, LeaseFromArrival])
-def test_a_planted_defect_shows_in_the_sum_of_a_random_day(defect):
+def test_usable_sum_with_a_planted_defect_exceeds_the_limit_on_some_run(defect):
     assert any(random_day(seed, 6, 20_000.0, defect).over for seed in range(1, 9))
--- a/tests/leases/test_lease_processes.py
+++ b/tests/leases/test_lease_processes.py
@@ -1,10 +1,13 @@
-"""Real processes that lend one another parts of budgets, over relays that fail. The sum is looked at from
-outside: what arrives at the stand-in servers under strict quotas, and what consoles tell. No verdict rests on
-how long a thing took; each test waits for what it wants to see."""
+"""Real processes that lease one another fractions of limits, over relays that fail.
+
+The sum is looked at from outside: what arrives at the stand-in servers under strict quotas, and what the
+admin APIs tell. No verdict rests on how long a thing took; each test waits for what it wants to see.
+"""
 
 import asyncio
 import json
-import subprocess
+import os
+from dataclasses import dataclass
 
 import pytest
 
@@ -12,39 +15,40 @@
 from flintridge.lab.records import Asked, Attempt, Datagram
 from flintridge.lab.scenario.model import Group, Load, Nodes, Peers, RequestClass, Scenario, Tenant
 
-LEASE = 1_500.0
-LASTS = LEASE * 1.02 / 0.98
+LEASE_MS = 1_500.0
+LENDER_LEASE_MS = LEASE_MS * 1.02 / 0.98
 QUOTA = 40.0  # 60 a second over all nodes
-TABLE = {"tenants": True, "strict": True, "lease_ms": LEASE}
+TABLE = {"tenants": True, "strict": True, "lease_ms": LEASE_MS}
 NAME = "quota a"
 
 
-def world(count: int, rate: float) -> Scenario:
-    """All of the load at the first half of the nodes, which is more than all even parts of these."""
+def scenario(count: int, rate_per_s: float) -> Scenario:
+    """All of the load at the first half of the nodes, which is more than all their even fractions."""
     return Scenario(
         name="rig", zones=("a", "b"), nodes=Nodes(count=count), peers=Peers(),
-        load=Load(rate_per_s=rate, zone_skew=0.5), length_s=3600.0, warmup_s=0.0,
+        load=Load(rate_per_s=rate_per_s, zone_skew=0.5), length_s=3600.0, warmup_s=0.0,
         classes=(RequestClass(name="read", work_ms=1.0),), tenants=(Tenant(name="a", quota_per_s=QUOTA),),
         servers=(Group(kind="box", count=4),),
     )  # fmt: skip
 
 
-def run(count, work, rate=0.5, table=None, quiet=True, aim=lambda rig: None):
-    """`work(rig)` with so many nodes; what arrived keeps the quota. `aim` comes before they start."""
+def run(count, check, rate_per_s=0.5, table=None, expect_no_breaches=True, prepare=lambda rig: None):
+    """Run `check(rig)` with so many nodes, after `prepare(rig)`; what arrived keeps the quota."""
 
     async def play():
         tables = {"budgets": TABLE | (table or {})}
-        rig = Rig(count, 3, world(count, rate), tables, loaded=True)
-        aim(rig)
+        rig = Rig(count, 3, scenario(count, rate_per_s), tables, loaded=True)
+        prepare(rig)
         async with rig:
             await rig.until(rig.all_hear)
-            await work(rig)
-            assert table or over(rig, count) == []
-            assert not quiet or [breach.text for breach in rig.breaches()] == []
+            await check(rig)
+            assert table or excesses(rig, count) == []
+            assert not expect_no_breaches or [breach.text for breach in rig.breaches()] == []
             assert not rig.nodes.unexpected
             pids = [rig.nodes.pid(name) for name in rig.names]
         for pid in pids:
-            assert subprocess.run(["kill", "-0", str(pid)], capture_output=True).returncode != 0
+            with pytest.raises(ProcessLookupError):
+                os.kill(pid, 0)
 
     asyncio.run(asyncio.wait_for(play(), 150))
 
@@ -59,249 +63,292 @@
     return sorted(first.values())
 
 
-def over(rig, processes: int) -> list[tuple[float, int]]:
-    """Windows in which more arrived than the budget: 1.5 x quota x T, and a bucket (8, or a second's worth of
-    what it holds) for each process that ever was; of those of one name that followed one another as well."""
-    times, found = arrivals(rig), []
-    lives = processes + sum(1 for one in rig.nodes._lives.values() for _ in one[1:])
+@dataclass(frozen=True)
+class Excess:
+    """A window in which more arrived than the limit."""
+
+    ended_at: float
+    arrivals: int
+
+
+def excesses(rig, processes: int) -> list[Excess]:
+    """Windows in which more arrived than the limit: 1.5 x quota x T, and a bucket a process.
+
+    A bucket has 8, or a second's worth of what its process may use; it counts for each process that ever was,
+    also of those of one name that followed one another.
+    """
+    times = arrivals(rig)
+    found = []
+    incarnations = processes + sum(1 for one in rig.nodes._lives.values() for _ in one[1:])
     for seconds in (1, 2, 5, 10):
-        most = 1.5 * QUOTA * (seconds + 0.1) + 8 * lives + 1.5 * QUOTA
+        most = 1.5 * QUOTA * (seconds + 0.1) + 8 * incarnations + 1.5 * QUOTA
         begin = 0
         for end, at in enumerate(times):
             while times[begin] < at - seconds * 1000:
                 begin += 1
             if end - begin + 1 > most:
-                found.append((at, end - begin + 1))
+                found.append(Excess(at, end - begin + 1))
     return found[:3]
 
 
-async def budget(rig, node: str) -> dict:
-    said = await rig.console(node, "/admin/budgets")
-    return {} if said is None else said["budgets"][0] | {"counts": said["counts"], "alone": said["alone"]}
+async def limit_status(rig, node: str) -> dict:
+    """The first limit of a node's GET /admin/budgets; empty if the node does not respond."""
+    body = await rig.console(node, "/admin/budgets")
+    return {} if body is None else body["budgets"][0] | {"counts": body["counts"], "alone": body["alone"]}
 
 
-async def seen(rig, node: str, holds) -> dict:
-    """Wait until that holds of a node's budget as its console tells it."""
+async def status_when(rig, node: str, condition) -> dict:
+    """Wait until the condition is true of a node's limit as its admin API tells it."""
     async with asyncio.timeout(40):
-        while not ((one := await budget(rig, node)) and holds(one)):
+        status = await limit_status(rig, node)
+        while not status or not condition(status):
             await asyncio.sleep(0.05)
-    return one
+            status = await limit_status(rig, node)
+    return status
 
 
-def lending(one: dict) -> bool:
-    return bool(one["lent"])
+def lending(status: dict) -> bool:
+    """Whether a lease is granted."""
+    return bool(status["lent"])
 
 
-def borrowing(one: dict) -> bool:
-    return one["usable"] > 1.05
+def borrowing(status: dict) -> bool:
+    """Whether more than the even fraction may be used."""
+    return status["usable"] > 1.05
 
 
-def even(one: dict) -> bool:
-    return one["usable"] == 1.0 and not one["lent"] and not one["borrowed"]
+def even(status: dict) -> bool:
+    """Whether the even fraction is all there is."""
+    return status["usable"] == 1.0 and not status["lent"] and not status["borrowed"]
 
 
-def at_word(word: str, source: str, target: str | None, deed, nth: int = 1):
-    """An aim: `deed(rig)` the moment the n-th such word from one node to another (None: to any) passes the
-    relay."""
+def at_message(kind: str, source: str, target: str | None, action, nth: int = 1):
+    """Prepares `action(rig)` for the moment the n-th such message to another node (None: any) is relayed."""
 
-    def aim(rig):
-        left = [nth]
+    def prepare(rig):
+        remaining = nth
 
-        def look(record):
+        def watch(record):
+            nonlocal remaining
             same = isinstance(record, Datagram) and record.source == source
-            if same and target in (None, record.target) and word in record.words and left[0]:
-                left[0] -= 1
-                if not left[0]:
-                    deed(rig)
+            if same and target in (None, record.target) and kind in record.words and remaining:
+                remaining -= 1
+                if not remaining:
+                    action(rig)
 
-        rig.log.watch(look)
+        rig.log.watch(watch)
 
-    return aim
+    return prepare
 
 
-def test_a_crowded_node_uses_what_others_do_not_need_and_the_quota_holds():
-    async def work(rig):
-        await seen(rig, "n0", borrowing)
-        await seen(rig, "n1", lending)
+def test_crowded_node_when_others_are_idle_borrows_and_the_quota_is_kept():
+    async def check(rig):
+        await status_when(rig, "n0", borrowing)
+        await status_when(rig, "n1", lending)
         begin = rig.fabric.clock.now()
         await rig.until(lambda: rig.fabric.clock.now() > begin + 4_000)
-        # More than the even parts of the two crowded nodes come to, with their buckets.
+        # More than the even fractions of the two crowded nodes come to, with their buckets.
         assert sum(begin < at <= begin + 4_000 for at in arrivals(rig)) > 4 * 30 + 30
-        # Cut off while they borrow: within the loans' time each has its even part, and lends within its side.
+        # Cut off while they borrow: within the leases' time each has its even fraction, and leases within its
+        # side.
         rig.cut([0, 2], [1, 3])
         for name in ("n1", "n3"):
-            await seen(rig, name, even)
+            await status_when(rig, name, even)
         rig.heal()
-        await seen(rig, "n0", borrowing)
+        await status_when(rig, "n0", borrowing)
 
-    run(4, work, rate=100.0)
+    run(4, check, rate_per_s=100.0)
 
 
-def test_a_borrower_that_is_stopped_past_its_loans_end_wakes_with_its_even_part():
-    async def work(rig):
-        await seen(rig, "n0", borrowing)
+def test_borrower_when_stopped_past_its_leases_expiry_resumes_with_its_even_fraction():
+    async def check(rig):
+        await status_when(rig, "n0", borrowing)
         rig.nodes.pause("n0")
         for name in ("n1", "n3"):
-            await seen(rig, name, lambda one: not any(loan["to"] == "n0" for loan in one["lent"]))
+            await status_when(
+                rig, name, lambda status: not any(lease["to"] == "n0" for lease in status["lent"])
+            )
         rig.cut([0], [1, 2, 3])
         rig.nodes.resume("n0")  # with all that was sent to it meanwhile
-        woken = await seen(rig, "n0", lambda one: True)
-        assert woken["usable"] <= 1.0 and not woken["borrowed"]
+        woken = await status_when(rig, "n0", lambda status: True)
+        assert woken["usable"] <= 1.0
+        assert not woken["borrowed"]
 
-    run(4, work, rate=100.0)
+    run(4, check, rate_per_s=100.0)
 
 
-def test_a_grant_that_is_lost_stays_lent_until_its_end():
-    async def work(rig):
-        lent = await seen(rig, "n1", lending)
-        borrower = await budget(rig, "n0")
-        assert borrower["usable"] <= 1.0 and lent["usable"] < 1.0
-        await seen(rig, "n1", even)
+def test_grant_when_lost_stays_lent_until_its_expiry():
+    async def check(rig):
+        lent = await status_when(rig, "n1", lending)
+        borrower = await limit_status(rig, "n0")
+        assert borrower["usable"] <= 1.0
+        assert lent["usable"] < 1.0
+        await status_when(rig, "n1", even)
 
-    run(2, work, rate=80.0, aim=at_word("ask", "n0", "n1", lambda rig: rig.cut([1], [0], both=False)))
+    run(
+        2,
+        check,
+        rate_per_s=80.0,
+        prepare=at_message("ask", "n0", "n1", lambda rig: rig.cut([1], [0], both=False)),
+    )
 
 
-def test_a_lender_killed_between_its_debit_and_its_grant_and_back_with_no_memory():
-    async def work(rig):
+def test_lender_when_killed_between_debit_and_grant_restarts_with_its_floor():
+    async def check(rig):
         await rig.nodes.ended("n1")
-        assert (await budget(rig, "n0"))["usable"] <= 1.0
+        assert (await limit_status(rig, "n0"))["usable"] <= 1.0
         rig.heal()
         await rig.runner.start("n1")
-        begun = await seen(rig, "n1", lambda one: True)
+        begun = await status_when(rig, "n1", lambda status: True)
         assert begun["usable"] == begun["own"] == 0.25
-        await seen(rig, "n1", lambda one: one["own"] == 1.0)
+        await status_when(rig, "n1", lambda status: status["own"] == 1.0)
 
-    def aim(rig):
-        at_word("ask", "n0", "n1", lambda rig: rig.cut([1], [0], both=False))(rig)
-        at_word("grant", "n1", "n0", lambda rig: rig.kill("n1"))(rig)  # its debit is made, and nobody heard
+    def prepare(rig):
+        at_message("ask", "n0", "n1", lambda rig: rig.cut([1], [0], both=False))(rig)
+        # Its debit is made, and nobody received the grant.
+        at_message("grant", "n1", "n0", lambda rig: rig.kill("n1"))(rig)
 
-    run(2, work, rate=80.0, aim=aim)
+    run(2, check, rate_per_s=80.0, prepare=prepare)
 
 
-def test_a_lender_killed_after_its_grant_holds_its_floor_while_the_loan_is_out():
-    async def work(rig):
-        await seen(rig, "n0", borrowing)
+def test_lender_when_killed_after_its_grant_has_its_floor_until_the_lease_expires():
+    async def check(rig):
+        await status_when(rig, "n0", borrowing)
         rig.kill("n1")
         await rig.nodes.ended("n1")
         await rig.runner.start("n1")
-        # What the life before lent is known to its borrower alone: the sum of both is never over.
+        # What the previous incarnation lent is known to its borrower alone: the sum of both never exceeds 2.
         while True:
-            lender, borrower = await budget(rig, "n1"), await budget(rig, "n0")
+            lender = await limit_status(rig, "n1")
+            borrower = await limit_status(rig, "n0")
             if lender and borrower:
                 assert lender["usable"] + borrower["usable"] <= 2 + 1e-9, (lender, borrower)
                 if lender["own"] == 1.0:
                     break
             await asyncio.sleep(0.05)
-        await seen(rig, "n0", borrowing)
+        await status_when(rig, "n0", borrowing)
 
-    run(2, work, rate=80.0)
+    run(2, check, rate_per_s=80.0)
 
 
-@pytest.mark.parametrize("wrong", [{"double": 1.0, "jitter_ms": 100}, {"add_ms": 1.2 * LEASE}, {"loss": 0.3}])
-def test_grants_that_come_twice_late_or_seldom(wrong):
-    async def work(rig):
+@pytest.mark.parametrize(
+    "wrong", [{"double": 1.0, "jitter_ms": 100}, {"add_ms": 1.2 * LEASE_MS}, {"loss": 0.3}]
+)
+def test_grants_when_doubled_late_or_lost_never_exceed_the_limit(wrong):
+    async def check(rig):
         if "add_ms" in wrong:
-            counts = (await seen(rig, "n0", lambda one: one["counts"].get("unanswered", 0) >= 2))["counts"]
-            assert not counts.get("granted") and not counts.get("renewed")  # all were over when they came
-            assert (await budget(rig, "n0"))["usable"] <= 1.0
+            status = await status_when(rig, "n0", lambda status: status["counts"].get("unanswered", 0) >= 2)
+            counts = status["counts"]
+            # All had expired when they came.
+            assert not counts.get("granted")
+            assert not counts.get("renewed")
+            assert (await limit_status(rig, "n0"))["usable"] <= 1.0
         else:
-            await seen(rig, "n0", lambda one: one["counts"].get("renewed", 0) >= 3)
+            await status_when(rig, "n0", lambda status: status["counts"].get("renewed", 0) >= 3)
         rig.heal()
-        await seen(rig, "n0", borrowing)
+        await status_when(rig, "n0", borrowing)
 
     def late(rig):
         rig.ways([1, 2], [0], both=False, **wrong)
 
-    # At its first ask of all: whom it asks first depends on which process has its load first.
-    run(3, work, rate=100.0, aim=at_word("ask", "n0", None, late))
+    # At its first request of all: whom it asks first depends on which process has its load first.
+    run(3, check, rate_per_s=100.0, prepare=at_message("ask", "n0", None, late))
 
 
 @pytest.mark.parametrize("both", [True, False])
-def test_a_cut_in_the_middle_of_a_round_of_loans(both):
-    async def work(rig):
+def test_leases_when_cut_in_the_middle_of_a_round_expire_and_begin_again(both):
+    async def check(rig):
         for name in rig.names[1:]:
-            await seen(rig, name, lambda one: not any(loan["to"] == "n0" for loan in one["lent"]))
-        assert (await seen(rig, "n0", lambda one: not one["borrowed"]))["usable"] <= 1.0
+            await status_when(
+                rig, name, lambda status: not any(lease["to"] == "n0" for lease in status["lent"])
+            )
+        assert (await status_when(rig, "n0", lambda status: not status["borrowed"]))["usable"] <= 1.0
         rig.heal()
-        await seen(rig, "n0", borrowing)
+        await status_when(rig, "n0", borrowing)
 
     def cut(rig):
         rig.cut([0], [1, 2, 3], both=both)
 
-    run(4, work, rate=100.0, aim=at_word("grant", "n1", "n0", cut, nth=2))
+    run(4, check, rate_per_s=100.0, prepare=at_message("grant", "n1", "n0", cut, nth=2))
 
 
-def test_all_nodes_restarted_at_once_begin_with_their_floors():
-    async def work(rig):
-        await seen(rig, "n0", borrowing)
+def test_nodes_when_all_restart_at_once_begin_with_their_floors():
+    async def check(rig):
+        await status_when(rig, "n0", borrowing)
         for name in rig.names:
             rig.kill(name)
         await asyncio.gather(*(rig.nodes.ended(name) for name in rig.names))
         for name in rig.names:
             await rig.runner.start(name)
         for name in rig.names:
-            assert (await seen(rig, name, lambda one: True))["usable"] <= 1.0
+            assert (await status_when(rig, name, lambda status: True))["usable"] <= 1.0
         await rig.until(rig.all_hear)
-        await seen(rig, "n0", borrowing)
+        await status_when(rig, "n0", borrowing)
 
-    run(4, work, rate=100.0)
+    run(4, check, rate_per_s=100.0)
 
 
-def test_old_and_new_process_of_one_node_use_half_each_and_lend_nothing():
-    async def work(rig):
-        await seen(rig, "n0", lambda one: one["own"] == 1.0)
+def test_processes_of_one_node_when_both_run_use_half_each_and_lend_nothing():
+    async def check(rig):
+        await status_when(rig, "n0", lambda status: status["own"] == 1.0)
         host, _ = rig.fabric.address("listen", "n0")
         port = rig.net.console("n0")[1] + 1
         beside = await rig.nodes.start_beside("n0", f"{host}:{port}")
-        await seen(rig, "n0", lambda one: not one["alone"])
-        assert (await budget(rig, "n0"))["usable"] <= 0.5
-        await rig.until(lambda: rig.lines("budgets_together", "n0") and rig.lines("budgets_together", beside))
+        await status_when(rig, "n0", lambda status: not status["alone"])
+        assert (await limit_status(rig, "n0"))["usable"] <= 0.5
+        await rig.until(
+            lambda: rig.lines("leases_process_joined", "n0") and rig.lines("leases_process_joined", beside)
+        )
         rig.nodes.term("n0")
-        await rig.until(lambda: rig.lines("budgets_alone", beside))
+        await rig.until(lambda: rig.lines("leases_process_left", beside))
 
-    run(2, work, quiet=False)  # the judge of peers knows one process a node
+    run(2, check, expect_no_breaches=False)  # the judge of peers knows one process a node
 
 
-def test_nodes_that_differ_on_a_size_lend_one_another_nothing():
-    async def work(rig):
-        await seen(rig, "n0", borrowing)
+def test_nodes_when_a_limits_size_differs_lease_one_another_nothing():
+    async def check(rig):
+        await status_when(rig, "n0", borrowing)
         rig.net.own_tables["n1"] = {"tenants": [{"name": "a", "quota_per_s": QUOTA / 2, "share": 1.0}]}
         rig.nodes.reload("n1", rig.world.node_config("n1"))
         await rig.until(lambda: rig.lines("reloaded", "n1"))
         assert "settings" in json.loads(rig.lines("reloaded", "n1")[0].fields)["until_restart"]
-        assert (await budget(rig, "n1"))["whole"] == 1.5 * QUOTA  # as it was: a quota waits for a restart
+        status = await limit_status(rig, "n1")
+        assert status["whole"] == 1.5 * QUOTA  # as it was: a quota waits for a restart
         rig.kill("n1")
         await rig.nodes.ended("n1")
         await rig.runner.start("n1")
-        await rig.until(lambda: rig.lines("budgets_terms_differ", "n0"))
-        await seen(rig, "n0", lambda one: not one["borrowed"] and one["usable"] == 1.0)
-        assert (await seen(rig, "n1", lambda one: one["own"] == 1.0))["whole"] == 0.75 * QUOTA
+        await rig.until(lambda: rig.lines("lease_terms_differ", "n0"))
+        await status_when(rig, "n0", lambda status: not status["borrowed"] and status["usable"] == 1.0)
+        assert (await status_when(rig, "n1", lambda status: status["own"] == 1.0))["whole"] == 0.75 * QUOTA
 
-    run(2, work, rate=80.0)
+    run(2, check, rate_per_s=80.0)
 
 
-def test_a_node_that_hears_nobody_under_full_load_holds_its_even_part():
-    async def work(rig):
-        await seen(rig, "n0", borrowing)
+def test_isolated_node_under_full_load_has_its_even_fraction():
+    async def check(rig):
+        await status_when(rig, "n0", borrowing)
         rig.cut([0], [1, 2])
-        await seen(rig, "n0", even)
+        await status_when(rig, "n0", even)
         begin = rig.fabric.clock.now()
-        while rig.fabric.clock.now() < begin + 4 * LASTS:  # a minute: benchmarks/budget_silence.py
-            assert (await seen(rig, "n0", lambda one: True))["usable"] == 1.0
+        while rig.fabric.clock.now() < begin + 4 * LENDER_LEASE_MS:  # a minute: benchmarks/budget_silence.py
+            assert (await status_when(rig, "n0", lambda status: True))["usable"] == 1.0
             await asyncio.sleep(0.1)
 
-    run(3, work, rate=100.0)
+    run(3, check, rate_per_s=100.0)
 
 
-def test_places_at_the_origin_are_never_more_than_all_nodes_have():
-    async def work(rig):
-        await seen(rig, "n0", lambda one: one["name"] == "origin places" and one["own"] == 1.0)
+def test_permits_at_the_origin_under_load_never_exceed_the_limit():
+    async def check(rig):
+        await status_when(
+            rig, "n0", lambda status: status["name"] == "origin places" and status["own"] == 1.0
+        )
         begin = rig.fabric.clock.now()
         await rig.until(lambda: sum(isinstance(one, Attempt) and one.origin for one in rig.log) > 200)
-        assert rig.fabric.clock.now() > begin and most_at_origin(rig) <= 6
+        assert rig.fabric.clock.now() > begin
+        assert most_at_origin(rig) <= 6
 
     table = {"tenants": False, "strict": False, "origin_places": 6, "lease_ms": 5_000.0}
-    run(3, work, rate=80.0, table=table)
+    run(3, check, rate_per_s=80.0, table=table)
 
 
 def most_at_origin(rig) -> int:
--- a/tests/leases/test_leases_config.py
+++ b/tests/leases/test_leases_config.py
@@ -24,16 +24,16 @@
 ALL = THREE + PEERS + BUDGETS
 
 
-def test_a_sound_table_and_its_defaults():
+def test_table_when_sound_is_read_with_its_defaults():
     assert read(ALL).budgets == BudgetsConfig(tenants=True)
-    said = "floors = true\nstrict = true\nfloor = 0.5\nlease_ms = 1500\nbytes_per_s = 4000\n"
-    assert read(ALL + said).budgets == BudgetsConfig(
+    more = "floors = true\nstrict = true\nfloor = 0.5\nlease_ms = 1500\nbytes_per_s = 4000\n"
+    assert read(ALL + more).budgets == BudgetsConfig(
         tenants=True, floors=True, strict=True, floor=0.5, lease_ms=1500.0, bytes_per_s=4000.0
     )
     assert read(THREE + PEERS).budgets is None
 
 
-def test_the_example_is_sound_with_its_tables_switched_on():
+def test_example_with_its_tables_switched_on_is_sound():
     lines = EXAMPLE.replace('name = "n1"', 'name = "n1"\nfleet_size = 3').splitlines()
     begin = lines.index(next(line for line in lines if line.startswith("# [peers]")))
     end = lines.index(next(line for line in lines if line.startswith("# Each name has a part")))
@@ -43,9 +43,9 @@
     )
 
 
-def test_this_node_counts_once_whether_or_not_known_names_it():
-    known = "known = { "
-    assert read(ALL.replace(known, known + 'n1 = "127.0.0.1:7201", ')).budgets is not None
+def test_fleet_size_when_known_names_this_node_counts_it_once():
+    table = "known = { "
+    assert read(ALL.replace(table, table + 'n1 = "127.0.0.1:7201", ')).budgets is not None
 
 
 @pytest.mark.parametrize(
@@ -88,22 +88,24 @@
         (("fleet_size = 3", "fleet_size = 4"), "fleet_size: 4: must be 3, the names in peers"),
     ],
 )
-def test_each_fault_is_told_by_its_place(change, fault):
+def test_table_with_a_fault_is_rejected_with_the_place(change, fault):
     assert change[0] in ALL
     with pytest.raises(ConfigError) as caught:
         read(ALL.replace(*change))
     lines = str(caught.value).splitlines()
-    assert len(lines) == 1 and fault in lines[0] and lines[0].startswith("n.toml: "), lines
+    assert len(lines) == 1, lines
+    assert fault in lines[0], lines
+    assert lines[0].startswith("n.toml: "), lines
 
 
-def test_the_name_may_be_the_environments():
+def test_table_when_the_name_is_the_environments_is_checked_with_it():
     text = ALL.replace('name = "n1"', "", 1)
     assert read(text, {"PROXY_NAME": "n1"}).budgets is not None
     with pytest.raises(ConfigError, match=r"^n\.toml: fleet_size: 3: must be 2, .* and n2 itself"):
         read(text, {"PROXY_NAME": "n2"})
 
 
-def test_the_check_command_tells_all_faults_at_once(tmp_path):
+def test_check_command_with_several_faults_reports_all(tmp_path):
     file = tmp_path / "n1.toml"
     file.write_text(ALL)
     assert "node n1" in check_file(str(file))
@@ -119,7 +121,7 @@
     ]
 
 
-def test_the_schema_has_it_and_the_platforms_json_never():
+def test_schema_has_the_table_and_the_platforms_json_never():
     defined = msgspec.json.schema(NodeFile)["$defs"]
     table = defined["Budgets"]["properties"]
     assert (table["lease_ms"]["minimum"], table["lease_ms"]["maximum"]) == (1500, 60000)
@@ -131,31 +133,34 @@
 # The command
 
 
-def said(name="n1", usable=1.4, **more):
+def admin_status(name="n1", usable=1.4, **more):
+    """The JSON of a node's GET /admin/budgets."""
     lent = [{"to": "n2", "life": "ff", "amount": 0.25, "ends_in_ms": 3100.4}]
     quota = {
         "name": "quota acme", "whole": 150.0, "unit": "requests a second", "even": 50.0, "own": 1.0,
         "usable": usable, "need": 1.3, "used": 61.0, "lent": lent,
         "borrowed": [{"from": "n3", "amount": 0.65, "ends_in_ms": 2900}],
     }  # fmt: skip
-    answer = {
+    status = {
         "name": name, "life": f"1{name}", "alone": True, "heard": 3, "of": 3, "lease_ms": 4000,
         "floor": 0.25, "strict": False, "budgets": [quota], "counts": {"asked": 3, "refused_need": 0},
     }  # fmt: skip
-    return {**answer, **more}
+    return {**status, **more}
 
 
 @contextmanager
-def consoles(*answers):
-    """A stand-in console for each list of answers, which it gives in turn, the last for ever; the arguments
-    that name them."""
+def admin_apis(*responses):
+    """A stand-in admin API for each list of responses, which it gives in turn, the last for ever.
+
+    Yields the arguments that name them.
+    """
     servers = []
-    for one in answers:
-        left = list(one)
+    for one in responses:
+        remaining = list(one)
 
-        class Console(BaseHTTPRequestHandler):
-            def do_GET(self, left=left):
-                status, fields = left.pop(0) if len(left) > 1 else left[0]
+        class AdminApi(BaseHTTPRequestHandler):
+            def do_GET(self, remaining=remaining):
+                status, fields = remaining.pop(0) if len(remaining) > 1 else remaining[0]
                 if self.path != "/admin/budgets":
                     status, fields = 500, {"error": self.path}
                 body = json.dumps(fields).encode()
@@ -167,7 +172,7 @@
             def log_message(self, *_):
                 pass
 
-        server = ThreadingHTTPServer(("127.0.0.1", 0), Console)
+        server = ThreadingHTTPServer(("127.0.0.1", 0), AdminApi)
         servers.append((server, threading.Thread(target=server.serve_forever, args=(0.01,))))
         servers[-1][1].start()
     try:
@@ -179,14 +184,16 @@
             server.server_close()
 
 
-def ask(answers, *more):
-    with consoles(*answers) as named:
+def budgets_command(responses, *more):
+    """The result of `flintridge budgets` for nodes with these responses."""
+    with admin_apis(*responses) as named:
         return CliRunner().invoke(main, ["budgets", *named, *more], prog_name="flintridge")
 
 
-def test_staff_see_what_a_node_holds():
-    done = ask([[(200, said(alone=False))]])
-    assert done.exit_code == 0 and done.stderr == "", done.output
+def test_budgets_command_for_one_node_prints_its_limits_and_leases():
+    done = budgets_command([[(200, admin_status(alone=False))]])
+    assert done.exit_code == 0, done.output
+    assert done.stderr == "", done.output
     lines = done.stdout.splitlines()
     assert lines[0].startswith("n1 (1n1): hears 3 of 3 nodes, itself included; loans of 4000 ms, floor 0.25;")
     assert "beside another process" in lines[0]
@@ -203,15 +210,26 @@
     assert lines[5:] == ["  since the start: asked 3"]
 
 
-def test_programs_get_a_json_line_of_each():
-    done = ask([[(200, said())], [(200, said("n2", 0.5))]], "--json")
-    assert done.exit_code == 0 and done.stderr == ""
-    assert [json.loads(line) for line in done.stdout.splitlines()] == [said(), said("n2", 0.5)]
+def test_budgets_command_with_json_prints_a_line_a_node():
+    done = budgets_command([[(200, admin_status())], [(200, admin_status("n2", 0.5))]], "--json")
+    assert done.exit_code == 0
+    assert done.stderr == ""
+    assert [json.loads(line) for line in done.stdout.splitlines()] == [
+        admin_status(),
+        admin_status("n2", 0.5),
+    ]
 
 
-def test_the_fleets_sum_counts_each_process_once():
-    done = ask([[(200, said(usable=1.6))], [(200, said(usable=1.6))], [(200, said("n2", 1.4))]])
-    assert done.exit_code == 0 and done.stderr == "", done.output
+def test_budgets_command_for_several_nodes_sums_each_process_once():
+    done = budgets_command(
+        [
+            [(200, admin_status(usable=1.6))],
+            [(200, admin_status(usable=1.6))],
+            [(200, admin_status("n2", 1.4))],
+        ]
+    )
+    assert done.exit_code == 0, done.output
+    assert done.stderr == "", done.output
     together = done.stdout.splitlines()[-2:]
     assert together[0] == "together, 2 processes of 2 nodes:"
     assert together[1].startswith("  quota acme: usable 3 of 3 even parts")
@@ -219,28 +237,30 @@
 
 @pytest.mark.parametrize(("then", "code"), [(1.0, 0), (1.7, 1)])
 @pytest.mark.parametrize("more", [(), ("--json",)])
-def test_a_sum_that_is_over_counts_when_it_is_seen_twice(then, code, more):
-    second = [(200, said("n2", 1.7)), (200, said("n2", then))]
-    done = ask([[(200, said())], second], *more)
+def test_budgets_command_when_the_sum_is_over_fails_if_it_is_over_twice(then, code, more):
+    second = [(200, admin_status("n2", 1.7)), (200, admin_status("n2", then))]
+    done = budgets_command([[(200, admin_status())], second], *more)
     assert done.exit_code == code, done.output
     first, last = done.stderr.splitlines()
     assert first == "quota acme: seen over, 3.1 of 3 even parts; looking again"
     assert ("over again" if code else "a loan moved between the looks") in last
 
 
-def test_nodes_that_differ_on_a_budgets_size_are_not_summed_up():
-    done = ask([[(200, said(usable=2.0))], [(200, said("n2", 2.0, of=4))]])
+def test_budgets_command_when_sizes_differ_does_not_sum_them_up():
+    done = budgets_command([[(200, admin_status(usable=2.0))], [(200, admin_status("n2", 2.0, of=4))]])
     assert done.exit_code == 0
     assert done.stdout.count("nodes differ on its size") == 2
 
 
 @pytest.mark.parametrize(
-    ("answer", "told"),
+    ("response", "message"),
     [
         ((404, {"error": "no such thing"}), "that node shares no budgets: its configuration has no table"),
         ((503, {"error": "leaving"}), ": leaving"),
     ],
 )
-def test_consoles_without_budgets_are_told(answer, told):
-    done = ask([[answer]])
-    assert done.exit_code == 2 and told in done.stderr and done.stderr.count("\n") == 1
+def test_budgets_command_when_a_node_has_no_limits_reports_it(response, message):
+    done = budgets_command([[response]])
+    assert done.exit_code == 2
+    assert message in done.stderr
+    assert done.stderr.count("\n") == 1
