--- a/benchmarks/budget_process_days.py
+++ b/benchmarks/budget_process_days.py
@@ -89,12 +89,12 @@
     for one in whole:
         rules.update({rule: count for rule, count in one["rules"].items() if count})
         for seen in one["counters"].values():
-            counts.update({name: seen[name] for name in seen if name.startswith("budgets_")})
+            counts.update(
+                {name.removeprefix("leases_"): seen[name] for name in seen if name.startswith("leases_")}
+            )
     print(f"{len(days)} days of {NODES} processes and {LENGTH_S:g} s; not played to their end: {len(failed)}")
     print("rules broken:", ", ".join(f"{rule} {count}" for rule, count in rules.items()) or "none")
-    print(
-        "told by processes that ended in order:", ", ".join(f"{n[8:]} {c}" for n, c in sorted(counts.items()))
-    )
+    print("told by processes that ended in order:", ", ".join(f"{n} {c}" for n, c in sorted(counts.items())))
     for one in whole:
         for breach in one["breaches"]:
             print(f"  seed {one['seed']}, {breach['rule']}: {breach['text']}")
--- a/flintridge/lab/defects/lending.py
+++ b/flintridge/lab/defects/lending.py
@@ -39,7 +39,7 @@
 
 
 @dataclass(slots=True)
-class LoansForgotten(Allocation):
+class LeasesForgotten(Allocation):
     """A process that starts anew has its whole entitlement at once."""
 
     def entitlement(self, now: float) -> int:
@@ -55,7 +55,7 @@
 
 
 @dataclass(slots=True)
-class UsedAfterGivenBack(Allocation):
+class UsedAfterRelease(Allocation):
     """It goes on using what it said it releases."""
 
     def release(self, lender: str, lease_id: int) -> LeaseRelease | None:
@@ -75,7 +75,7 @@
 
 
 @dataclass(slots=True)
-class LateGrantAfterGivingBack(Allocation):
+class LateGrantAfterRelease(Allocation):
     """A grant counts whether or not the lease is still wanted."""
 
     def _accept_grant(self, now: float, lender: str, grant: LeaseGrant) -> None:
@@ -84,7 +84,7 @@
 
 
 @dataclass(slots=True)
-class RenewedByAsking(Allocation):
+class RenewedByRequest(Allocation):
     """A lease goes on as soon as its renewal was requested."""
 
     def renewal(self, now: float, lender: str, lease_id: int) -> LeaseRequest | None:
@@ -110,7 +110,7 @@
 
 
 @dataclass(slots=True)
-class LeasesNotLookedAt(Allocation):
+class ExpiryNotChecked(Allocation):
     """What was borrowed counts until expired leases are removed, also after a pause."""
 
     def usable(self, now: float) -> int:
@@ -119,7 +119,7 @@
 
 
 @dataclass(slots=True)
-class AnotherLifesLoanEnds(Allocation):
+class AnotherIncarnationsLeaseEnds(Allocation):
     """What is released ends all leases of that number."""
 
     def receive(
@@ -135,13 +135,13 @@
     CreditBeforeDebit,
     LeaseFromArrival,
     NoMarginForDrift,
-    LoansForgotten,
+    LeasesForgotten,
     NoFloor,
-    UsedAfterGivenBack,
+    UsedAfterRelease,
     DoubledGrantCountsTwice,
-    LateGrantAfterGivingBack,
-    RenewedByAsking,
+    LateGrantAfterRelease,
+    RenewedByRequest,
     RenewalNotCounted,
-    LeasesNotLookedAt,
-    AnotherLifesLoanEnds,
+    ExpiryNotChecked,
+    AnotherIncarnationsLeaseEnds,
 )
--- a/flintridge/lab/explore/leases.py
+++ b/flintridge/lab/explore/leases.py
@@ -45,7 +45,7 @@
     doubles: int = 1
     pauses: int = 1
     restarts: int = 1
-    forgoes: int = 0  # calls taken back before they are answered
+    forgoes: int = 0  # requests canceled before they are answered
 
 
 @dataclass(slots=True, frozen=True)
@@ -96,28 +96,31 @@
         for other in self.processes:
             if other.name != name and left.asks:
                 allocation = process.allocation.copy()
-                ask = allocation.request(
+                request = allocation.request(
                     process.clock, other.name, self.terms.even_fraction - self.terms.floor
                 )
                 after = self._with(i, replace(process, allocation=allocation), asks=-1)
-                yield f"{name} asks {other.name}", after._send(other.name, process.peer, ask)
+                yield f"{name} asks {other.name}", after._send(other.name, process.peer, request)
         for lender, id in process.allocation.requested:
             if (lender, id) not in process.allocation.borrowed and left.forgoes:
                 allocation = process.allocation.copy()
-                back = allocation.cancel(lender, id)
+                cancellation = allocation.cancel(lender, id)
                 after = self._with(i, replace(process, allocation=allocation), forgoes=-1)
-                yield f"{name} takes its call to {lender} back", after._send(lender, process.peer, back)
+                yield (
+                    f"{name} cancels its request to {lender}",
+                    after._send(lender, process.peer, cancellation),
+                )
         for lender, id in process.allocation.borrowed:
             allocation = process.allocation.copy()
-            again = allocation.renewal(process.clock, lender, id) if left.renews else None
-            if again is not None:
+            renewal = allocation.renewal(process.clock, lender, id) if left.renews else None
+            if renewal is not None:
                 after = self._with(i, replace(process, allocation=allocation), renews=-1)
-                yield f"{name} renews its loan from {lender}", after._send(lender, process.peer, again)
+                yield f"{name} renews its lease from {lender}", after._send(lender, process.peer, renewal)
             allocation = process.allocation.copy()
-            give = allocation.release(lender, id)
-            if give is not None:
+            release = allocation.release(lender, id)
+            if release is not None:
                 after = self._with(i, replace(process, allocation=allocation))
-                yield f"{name} gives back to {lender}", after._send(lender, process.peer, give)
+                yield f"{name} releases a lease of {lender}", after._send(lender, process.peer, release)
 
     def _of_word(self, word: Flying) -> Iterator[tuple[str, Self]]:
         to, source, said = word
@@ -165,9 +168,9 @@
 
     def broken(self) -> str:
         used = {process.name: process.allocation.usable(process.clock) for process in self.processes}
-        budget = self.terms.even_fraction * len(self.processes)
-        if sum(used.values()) > budget:
-            return f"{used} may be used together, of a budget of {budget}"
+        limit = self.terms.even_fraction * len(self.processes)
+        if sum(used.values()) > limit:
+            return f"{used} may be used together, of a limit of {limit}"
         low = [name for name, amount in used.items() if amount < self.terms.floor]
         return f"{low[0]} holds less than its floor: {used}" if low else ""
 
--- a/flintridge/lab/partial/lending.py
+++ b/flintridge/lab/partial/lending.py
@@ -80,12 +80,12 @@
         self.need(name, self.needs.get(name, 1.0), made.manager)
         return made
 
-    def need(self, name: str, parts: float, manager: LeaseManager | None = None) -> None:
+    def need(self, name: str, even_fractions: float, manager: LeaseManager | None = None) -> None:
         """What a node needs of its quota, in even fractions; its request rate goes with it."""
-        self.needs[name] = parts
+        self.needs[name] = even_fractions
         for one in [manager] if manager is not None else [self.manager(name)] if self.living(name) else []:
-            one.set_demand(QUOTA, parts)
-            one.requests_per_s = 100.0 * parts
+            one.set_demand(QUOTA, even_fractions)
+            one.requests_per_s = 100.0 * even_fractions
 
     def manager(self, name: str) -> LeaseManager:
         machine = self.machine(name)
@@ -105,7 +105,9 @@
             whole = self.whole(one.name)
             self.most[one.name] = max(self.most.get(one.name, 0.0), whole)
             if whole > len(self.names) + 1e-9:
-                self.over.append(f"at {self.now:.0f} ms {whole:g} of {len(self.names)} parts of {one.name}")
+                self.over.append(
+                    f"at {self.now:.0f} ms {whole:g} of {len(self.names)} even fractions of {one.name}"
+                )
         self.at(self.now + LOOK, self._look)
 
     def leave(self, name: str) -> None:
--- a/flintridge/lab/partial/views.py
+++ b/flintridge/lab/partial/views.py
@@ -41,8 +41,8 @@
             budget=one["name"],
             usable=float(one["usable"]),
             own=float(one["own"]),
-            lent=float(sum(loan["amount"] for loan in one["lent"])),
-            borrowed=float(sum(loan["amount"] for loan in one["borrowed"])),
+            lent=float(sum(lease["amount"] for lease in one["lent"])),
+            borrowed=float(sum(lease["amount"] for lease in one["borrowed"])),
         )
         for one in said["budgets"]
     ]
--- a/tests/leases/test_allocation.py
+++ b/tests/leases/test_allocation.py
@@ -19,10 +19,12 @@
 
 
 def two_allocations() -> tuple[Allocation, Allocation]:
+    """Two that started long ago."""
     return Allocation(TERMS, LONG_AGO), Allocation(TERMS, LONG_AGO)
 
 
 def granted_lease(amount=60, now=0.0) -> tuple[Allocation, Allocation, LeaseGrant]:
+    """The lender, the borrower and the grant of a lease."""
     lender, borrower = two_allocations()
     grant = lender.receive(now, B, borrower.request(now, "a", amount))
     borrower.receive(now, A, grant)
@@ -52,20 +54,20 @@
 
 # What has to happen for a defect to show; two processes and a request do for most.
 EVENTS_THAT_SHOW = {
-    "LoansForgotten": {"asks": 1, "restarts": 1},
+    "LeasesForgotten": {"asks": 1, "restarts": 1},
     "NoFloor": {"asks": 1, "restarts": 1},
     "DoubledGrantCountsTwice": {"asks": 1, "doubles": 1},
-    "LateGrantAfterGivingBack": {"asks": 1, "doubles": 1},
-    "RenewedByAsking": {"asks": 1, "renews": 1},
+    "LateGrantAfterRelease": {"asks": 1, "doubles": 1},
+    "RenewedByRequest": {"asks": 1, "renews": 1},
     "RenewalNotCounted": {"asks": 1, "renews": 1},
-    "LeasesNotLookedAt": {"asks": 1, "pauses": 1},
-    "AnotherLifesLoanEnds": {"asks": 2},
+    "ExpiryNotChecked": {"asks": 1, "pauses": 1},
+    "AnotherIncarnationsLeaseEnds": {"asks": 2},
 }
 
 
 @pytest.mark.parametrize("defect", LENDING, ids=lambda defect: defect.__name__)
 def test_explorer_with_a_planted_defect_finds_it_with_its_story(defect):
-    speeds = (4.0, 6.0, 6.0) if defect.__name__ == "AnotherLifesLoanEnds" else (4.0, 6.0)
+    speeds = (4.0, 6.0, 6.0) if defect.__name__ == "AnotherIncarnationsLeaseEnds" else (4.0, 6.0)
     left = Left(**NONE | EVENTS_THAT_SHOW.get(defect.__name__, {"asks": 1}))
     found = explore(Leases.begin(speeds, left, make=defect))
     assert defect.__doc__
--- a/tests/leases/test_lease_manager.py
+++ b/tests/leases/test_lease_manager.py
@@ -8,7 +8,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from flintridge.lab.defects.lending import CreditBeforeDebit, LeaseFromArrival, LoansForgotten
+from flintridge.lab.defects.lending import CreditBeforeDebit, LeaseFromArrival, LeasesForgotten
 from flintridge.lab.partial.lending import QUOTA, Lenders, random_day
 from flintridge.lab.partial.machines import Link
 from flintridge.leases.allocation import ProcessId
@@ -352,6 +352,7 @@
 
 
 def uneven(count: int, seed: int, **given) -> Lenders:
+    """Nodes of which every other needs 1.8 even fractions, and the rest 0.2."""
     fleet = Lenders(count, seed, TERMS, drift=0.01, **given)
     for i, name in enumerate(fleet.names):
         fleet.need(name, 0.2 if i % 2 else 1.8)
@@ -359,6 +360,7 @@
 
 
 def crowded(fleet: Lenders) -> float:
+    """What those that need more may use on average, in even fractions."""
     return sum(fleet.usable(name) for name in fleet.names[::2]) / len(fleet.names[::2])
 
 
@@ -409,6 +411,7 @@
 
 
 def lent(fleet: Lenders, name: str):
+    """The leases that a node has granted."""
     return fleet.manager(name).accounts[QUOTA].allocation.lent
 
 
@@ -435,6 +438,6 @@
     assert day.granted > 0
 
 
-@pytest.mark.parametrize("defect", [CreditBeforeDebit, LoansForgotten, LeaseFromArrival])
+@pytest.mark.parametrize("defect", [CreditBeforeDebit, LeasesForgotten, LeaseFromArrival])
 def test_usable_sum_with_a_planted_defect_exceeds_the_limit_on_some_run(defect):
     assert any(random_day(seed, 6, 20_000.0, defect).over for seed in range(1, 9))
--- a/tests/test_lab_budgets.py
+++ b/tests/test_lab_budgets.py
@@ -159,7 +159,7 @@
         seen = [record for record in r.read(lines) if isinstance(record, r.Held)]
     assert {one.budget for one in seen} == {"quota flood", "quota within", "quota small", "floors"}
     assert any(one.lent for one in seen) and any(one.borrowed for one in seen)
-    assert all(counts["log_budgets"] == 1 for counts in result.counters.values())
+    assert all(counts["log_leases_started"] == 1 for counts in result.counters.values())
 
 
 # The rules
