--- a/tests/leases/test_allocation.py
+++ b/tests/leases/test_allocation.py
@@ -168,6 +168,7 @@
     names = "abcde"
 
     def __init__(self, seed):
+        """Draws the clocks, and all that follows, from the seed."""
         rng = random.Random(seed)
         self.rng = rng
         self.rates = {name: 1 + 0.02 * rng.uniform(-1, 1) for name in self.names}
