--- a/flintridge/lab/partial/views.py
+++ b/flintridge/lab/partial/views.py
@@ -3,9 +3,8 @@
 from typing import Any
 
 from flintridge.lab.records import Datagram, Held, View
-from flintridge.leases.allocation import LeaseGrant, LeaseRelease, LeaseRequest
 from flintridge.leases.lease_manager import LeaseManager
-from flintridge.leases.messages import decode, word_of
+from flintridge.leases.messages import LeaseGrant, LeaseRelease, LeaseRequest, decode
 from flintridge.membership.messages import MessageCodec, MessageDroppedError
 
 FLEET = "lab"
@@ -42,8 +41,8 @@
             budget=one["name"],
             usable=float(one["usable"]),
             own=float(one["own"]),
-            lent=float(sum(loan["amount"] for loan in one["lent"])),
-            borrowed=float(sum(loan["amount"] for loan in one["borrowed"])),
+            lent=float(sum(lease["amount"] for lease in one["lent"])),
+            borrowed=float(sum(lease["amount"] for lease in one["borrowed"])),
         )
         for one in said["budgets"]
     ]
@@ -55,8 +54,8 @@
         message = codec.decode(data)
     except MessageDroppedError:
         return Datagram(t=t, source=source, target=target, size=len(data), fate=fate)
-    said = [decode(payload) for name, payload in message.payloads if name == LeaseManager.name]
-    words = tuple(MESSAGE_NAMES[type(word_of(*word[1:]))] for one in said if one for word in one.words)
+    facts = [decode(payload) for name, payload in message.payloads if name == LeaseManager.name]
+    words = tuple(MESSAGE_NAMES[type(one.message)] for fact in facts if fact for one in fact.messages)
     return Datagram(
         t=t, source=source, target=target, size=len(data), fate=fate, kind=message.kind, words=words
     )
--- a/flintridge/membership/admin_view.py
+++ b/flintridge/membership/admin_view.py
@@ -6,6 +6,17 @@
 from flintridge.membership.failure_detector import FailureDetector
 from flintridge.membership.member import NEVER, Member
 
+# Counters whose name in the JSON, which others read, is an older one.
+COUNT_FIELDS = {
+    "acks_from_wrong_member": "answers_of_another",
+    "dropped_too_many_incarnations": "dropped_lives",
+    "dropped_unauthenticated": "dropped_unsealed",
+    "indirect_probes_refused": "errands_refused",
+    "payloads_too_long": "facts_long",
+    "payloads_unknown": "facts_unknown",
+    "probes_acked_indirectly": "probes_by_others",
+}
+
 
 def membership_view(
     config: PeersConfig, detector: FailureDetector, owns_address: bool, now: float
@@ -21,11 +32,11 @@
     table = detector.table
     view = detector.reachability
     members = [_member_view(detector, member, now) for member in table]
-    knlocal_names = {member["name"] for member in members}
+    known_names = {member["name"] for member in members}
     members += [
         {"name": name, "life": None, "state": "silent"}
         for name in table.peer_names
-        if name not in knlocal_names
+        if name not in known_names
     ]
     return {
         "name": table.local_name,
@@ -41,10 +52,15 @@
         "slowness": detector.local_health_penalty,
         "bytes_per_s": config.bytes_per_s,
         "lives": sorted(members, key=lambda member: (member["name"], str(member["life"]))),
-        "counts": {name: detector.counters[name] for name in sorted(detector.counters)},
+        "counts": _counts(detector),
     }
 
 
+def _counts(detector: FailureDetector) -> dict[str, int]:
+    counts = {COUNT_FIELDS.get(name, name): count for name, count in detector.counters.items()}
+    return dict(sorted(counts.items()))
+
+
 def _member_view(detector: FailureDetector, member: Member, now: float) -> dict[str, Any]:
     round_trip = member.round_trip_ms
     return {
--- a/flintridge/node.py
+++ b/flintridge/node.py
@@ -225,7 +225,7 @@
         self.dispatcher.pool.max_connections = config.server_sockets // count
         self.downstream.connection_limit = config.client_sockets // count
         if self.leases is not None:
-            self.leases.processes(count)
+            self.leases.process_count_changed(count)
 
     def refuse_reload(self, error: Exception) -> None:
         """A configuration that cannot be read changes nothing; it is counted and told."""
@@ -241,7 +241,7 @@
             b"/admin/quiesce": {b"POST": self._quiesce},
             b"/admin/resume": {b"POST": self._resume},
             **({} if self.membership is None else {b"/admin/peers": {b"GET": self.membership.admin_view}}),
-            **({} if self.leases is None else {b"/admin/budgets": {b"GET": self.leases.said}}),
+            **({} if self.leases is None else {b"/admin/budgets": {b"GET": self.leases.admin_status}}),
             **({} if self.replication is None else self.replication.routes()),
         }
 
@@ -271,8 +271,11 @@
         return 409 if self.shutdown.state is ServiceState.TERMINATING else 200, {"state": self.state}
 
     def quiesce(self) -> bool:
-        """Drain: `mn` is told no, connections end between requests, the process runs on. False: it was told
-        before."""
+        """Drain: `mn` is told no, connections end between requests, the process runs on.
+
+        Returns:
+            False where that had been asked before.
+        """
         if not self.shutdown.start_drain(self.clock.now()):
             return False
         self.counters.add("drains")
@@ -295,7 +298,7 @@
         stepped_aside = other is not None and self.downstream.redirect_new_connections(other)
         self.log.event("leaving", stepped_aside=stepped_aside)
         if self.leases is not None:
-            self.leases.leave()
+            self.leases.begin_shutdown()
         await self.downstream.leave()
         if self.membership is not None:
             self.membership.leave()
@@ -308,7 +311,7 @@
         if self.membership is not None:
             self.membership.publish_counters()
         if self.leases is not None:
-            self.leases.tell_counters()
+            self.leases.export_counters()
         if self.replication is not None:
             self.replication.publish_counters()
         self.log.event("counters", **self.counters.snapshot())
--- a/tests/membership/test_membership_messages.py
+++ b/tests/membership/test_membership_messages.py
@@ -1,5 +1,8 @@
 """Datagrams that are dropped, skipped or counted."""
 
+from collections import Counter
+from types import SimpleNamespace
+
 import msgspec
 import pytest
 from hypothesis import given
@@ -7,6 +10,7 @@
 from support.membership import KEY, make_detector, make_message
 from support.network import FIXED
 
+from flintridge.membership.admin_view import _counts
 from flintridge.membership.failure_detector import MAX_DATAGRAMS_IN_PER_S
 from flintridge.membership.messages import MessageCodec
 
@@ -82,3 +86,10 @@
     longer = msgspec.msgpack.encode([*msgspec.to_builtins(make_message(sequence=2)), "of a later version"])
     machine.receive(311.0, b"FP\x01" + longer)
     assert machine.counters["dropped_malformed"] == 0
+
+
+def test_admin_view_when_counters_have_new_names_keeps_the_fields_that_others_read():
+    detector = SimpleNamespace(
+        counters=Counter({"dropped_unauthenticated": 2, "bytes_in": 7, "payloads_unknown": 1})
+    )
+    assert list(_counts(detector).items()) == [("bytes_in", 7), ("dropped_unsealed", 2), ("facts_unknown", 1)]
--- a/tests/test_compatibility.py
+++ b/tests/test_compatibility.py
@@ -45,12 +45,26 @@
     assert codec.encode(message) == data
 
 
+def lease_message_fields(limit_message: lease_messages.LimitMessage) -> list[object]:
+    """As the version before had them: limit, kind, lease, amount, instant of the request, usable units."""
+    digest = plain(limit_message.limit_digest)
+    match limit_message.message:
+        case lease_messages.LeaseRequest(lease_id, amount, requested_at, usable):
+            return [digest, 0, lease_id, amount, requested_at, usable]
+        case lease_messages.LeaseGrant(lease_id, amount, requested_at):
+            return [digest, 1, lease_id, amount, requested_at, 0]
+        case lease_messages.LeaseRelease(lease_id):
+            return [digest, 2, lease_id, 0, 0.0, 0]
+
+
 @pytest.mark.parametrize("fixture", PEER_MESSAGES["lease_messages"], ids=lambda fixture: fixture["hex"][-8:])
 def test_lease_messages_of_the_version_before_are_read_and_written_alike(fixture):
     data = bytes.fromhex(fixture["hex"])
-    message = lease_messages.decode(data)
-    assert fields_of(message) == fixture["message"]
-    assert lease_messages.encode(message) == data
+    fact = lease_messages.decode(data)
+    offers = [[plain(offer.limit_digest), offer.amount] for offer in fact.offers]
+    messages = [lease_message_fields(message) for message in fact.messages]
+    assert [fact.requests_per_s, offers, messages] == fixture["message"]
+    assert lease_messages.encode(fact) == data
 
 
 def test_traces_of_the_version_before_are_read_and_written_alike(tmp_path):
