--- a/flintridge/downstream/connection.py
+++ b/flintridge/downstream/connection.py
@@ -25,10 +25,8 @@
 from flintridge.runtime.clock import DeadlineExceededError, Timer
 from flintridge.runtime.streams import TrackingReader, limit_read_size, peer_has_closed
 
-# Bytes of responses that a client has yet to read; it is read no further beyond this.
-MAX_UNREAD_RESPONSE_BYTES = 128 * 1024
-# Bytes of a long value that a client has yet to read; no more are taken from the server then.
-WRITE_AHEAD_BYTES = 32 * 1024
+MAX_UNREAD_RESPONSE_BYTES = 128 * 1024  # that a client has yet to read; it is read no further beyond this
+WRITE_AHEAD_BYTES = 32 * 1024  # of a long value, unread by the client; no more is taken from the server then
 READ_BYTES = 64 * 1024
 COMMAND_TIMEOUT_MS = 2_600.0  # for half a command: a good client may take 2 s for a head
 VALUE_TIMEOUT_MS = 20_000.0  # nor may a long value take longer than this to come
