--- a/flintridge/config/platform_config.py
+++ b/flintridge/config/platform_config.py
@@ -10,6 +10,10 @@
 from flintridge.config.platform_settings import settings_from
 
 SOCKETS_MIN = 32
+# Beyond what any machine has. Guards a reload against figures that overflow when they are converted or
+# multiplied, after a part of the configuration was taken over.
+SOCKETS_MAX = 2**31 - 1
+MEMORY_MAX_MB = 1e9
 
 
 def node_config(config: Any, env: Mapping[str, str]) -> NodeConfig:
@@ -64,8 +68,12 @@
     memory_mb = float(limits.get("memory_mb", 192))
     if sockets < SOCKETS_MIN:
         raise ValueError(f"{sockets} sockets are too few")
+    if sockets > SOCKETS_MAX:
+        raise ValueError(f"{sockets} sockets are too many: at most {SOCKETS_MAX}")
     if not memory_mb > 0:
         raise ValueError(f"{memory_mb} MB of memory are too few")
+    if memory_mb > MEMORY_MAX_MB:
+        raise ValueError(f"{memory_mb} MB of memory are too many: at most {MEMORY_MAX_MB:.0f}")
     return sockets, memory_mb
 
 
@@ -74,5 +82,5 @@
     """Turn what goes wrong in reading a section into an error that names it."""
     try:
         yield
-    except (ValueError, KeyError, TypeError, AttributeError) as error:
+    except (ValueError, KeyError, TypeError, AttributeError, OverflowError) as error:
         raise ConfigError(f"{section}: {str(error) or type(error).__name__}") from error
--- a/flintridge/config/platform_model.py
+++ b/flintridge/config/platform_model.py
@@ -132,7 +132,7 @@
 class Machine(msgspec.Struct, kw_only=True, frozen=True):
     """Sockets and memory of a node."""
 
-    sockets: Annotated[int, Meta(ge=32)] = 1024
+    sockets: Annotated[int, Meta(ge=32, le=2**31 - 1)] = 1024
     memory_mb: Annotated[float, Meta(gt=0, le=1e9)] = 192.0
 
 
--- a/tests/config/test_loader.py
+++ b/tests/config/test_loader.py
@@ -15,6 +15,7 @@
 from flintridge.config.errors import ConfigError
 from flintridge.config.loader import load_config
 from flintridge.config.node_file import parse_node_file
+from flintridge.config.platform_config import node_config
 
 NODE_EXAMPLE = ROOT / "examples" / "node.toml"
 PLATFORM_EXAMPLE = ROOT / "examples" / "config.json"
@@ -66,3 +67,23 @@
         f"flintridge: {path}: classes[0].aim_s: 3: wrong unit: it is aim_ms (milliseconds)",
         f"flintridge: {path}: origin_kind: is missing: it must be named in kinds, which is empty",
     ]
+
+
+@pytest.mark.parametrize(
+    ("limits", "reason"),
+    [
+        ({"sockets": 1e300}, "limits: .* sockets are too many"),
+        ({"memory_mb": 1e308}, "limits: .* MB of memory are too many"),
+    ],
+)
+def test_load_config_when_a_limit_is_beyond_any_machine_then_names_the_section(tmp_path, limits, reason):
+    path = tmp_path / "platform.json"
+    path.write_text(json.dumps(PLATFORM | {"limits": limits}))
+    with pytest.raises(ConfigError, match=reason):
+        load(path)
+
+
+def test_load_config_when_an_integer_is_given_as_an_infinite_number_then_names_the_section():
+    config = PLATFORM | {"limits": {"sockets": float("inf")}}  # as from a caller that decoded it itself
+    with pytest.raises(ConfigError, match="limits: cannot convert float infinity to integer"):
+        node_config(config, {})
