--- a/flintridge/config/platform_validation.py
+++ b/flintridge/config/platform_validation.py
@@ -41,8 +41,7 @@
     if not all_valid(known.members):
         return
     yield from duplicate_faults(known.members, "known.members", "id")
-    valid_members = [member for member in known.members if all_valid(member)]
-    yield from member_address_faults(valid_members, "known.members")
+    yield from member_address_faults(known.members, "known.members")
     yield from missing_member_address_faults(known.members, "known.members")
 
 
--- a/flintridge/membership/state_exchange.py
+++ b/flintridge/membership/state_exchange.py
@@ -10,6 +10,7 @@
 new each time.
 """
 
+import hmac
 import struct
 from enum import Enum, auto
 from typing import Annotated
@@ -178,7 +179,8 @@
         return True
 
     def _authenticated_frame(self, tag: bytes, body: bytes) -> Frame:
-        if tag != self._codec.tag(body, self._frame_salt(not self._is_client, self._frames_received)):
+        expected_tag = self._codec.tag(body, self._frame_salt(not self._is_client, self._frames_received))
+        if not hmac.compare_digest(tag, expected_tag):
             raise MessageDroppedError("unauthenticated")
         self._frames_received += 1
         try:
--- a/tests/config/test_platform_file.py
+++ b/tests/config/test_platform_file.py
@@ -3,6 +3,7 @@
 import json
 
 import msgspec
+import pytest
 from hypothesis import given
 from support.configuration import PLATFORM
 from support.malformed_files import PROPERTY, malformed
@@ -47,3 +48,13 @@
     }
     for struct, keys in tables.items():
         assert set(keys) <= {field.encode_name for field in msgspec.structs.fields(struct)}
+
+
+def test_check_when_a_listed_server_is_malformed_then_names_the_later_one_by_its_own_position(tmp_path):
+    members = [5, {"id": "s", "phase": "in_service", "host_port": "no-port"}]
+    path = tmp_path / "platform.json"
+    path.write_text(json.dumps(PLATFORM | {"known": {"revision": 1, "complete": True, "members": members}}))
+    with pytest.raises(ConfigFaultsError) as caught:
+        check_file(str(path), {})
+    paths = [fault.path for fault in caught.value.faults]
+    assert paths == ["known.members[0]", "known.members[1].host_port"]
