--- a/flintridge/downstream/admin_api.py
+++ b/flintridge/downstream/admin_api.py
@@ -56,7 +56,9 @@
         Raises:
             ListenError: It can't be opened.
         """
-        self._listener = await open_listener(self._serve_caller, address, shared=False)
+        self._listener = await open_listener(
+            self._serve_caller, address, False, self._clock, self._log, self._counters
+        )
         return self._listener.port
 
     async def _serve_caller(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
--- a/flintridge/downstream/listener.py
+++ b/flintridge/downstream/listener.py
@@ -31,6 +31,9 @@
 
 # After SIGTERM
 SHUTDOWN_ACCEPT_MS = 700.0  # until which what arrives is served
+# From then on, for connections that wait where accept() fails. The process may be killed as early as 100 ms
+# after SHUTDOWN_ACCEPT_MS, where all deadlines are that short.
+SHUTDOWN_ACCEPT_RETRY_MS = 50.0
 SHUTDOWN_COMMAND_TIMEOUT_MS = 1_500.0  # until which commands that are half here may become whole
 SHUTDOWN_WRITE_TIMEOUT_MS = 3_000.0  # at the end, for responses that clients are still reading
 # A request that arrived while requests were accepted may take this long; then the process may be killed.
@@ -134,7 +137,9 @@
         Raises:
             ListenError: It can't be opened.
         """
-        self._listener = await open_listener(self._serve_client, address, shared=True)
+        self._listener = await open_listener(
+            self._serve_client, address, True, self.clock, self._log, self.counters
+        )
         return self._listener.port
 
     async def _serve_client(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -273,7 +278,7 @@
         self.start_drain()
         await sleep(self.clock, SHUTDOWN_ACCEPT_MS)
         if self._listener is not None:
-            self._listener.close()
+            self._listener.close(SHUTDOWN_ACCEPT_RETRY_MS)
         await self._wait_for_responses()
         for connection in list(self._connections):
             connection.close()  # what was answered is still written out, and what crosses it discarded
--- a/tests/downstream/test_admin_api.py
+++ b/tests/downstream/test_admin_api.py
@@ -358,10 +358,11 @@
                 writer.close()
             return dict(accepted)
 
-        first = await open_listener(counting_acceptor("first"), Address("127.0.0.1", 0), shared=True)
+        context = (HandClock(), *quiet())
+        first = await open_listener(counting_acceptor("first"), Address("127.0.0.1", 0), True, *context)
         assert first.divert_to(1) and await connect(8) == {"first": 8, "second": 0}  # there is no other
         second = await open_listener(
-            counting_acceptor("second"), Address("127.0.0.1", first.port), shared=True
+            counting_acceptor("second"), Address("127.0.0.1", first.port), True, *context
         )
         distribution = await connect(64)  # the new one ended what had been chosen
         assert distribution["first"] and distribution["second"]
