--- a/tests/test_lab_experiment.py
+++ b/tests/test_lab_experiment.py
@@ -13,6 +13,7 @@
 import pytest
 from hypothesis import given, settings
 from hypothesis import strategies as st
+from support.signals import restore_default_signals
 
 from flintridge.lab.experiment import output, shrink, space
 from flintridge.lab.experiment.compare import Side, as_json, compare
@@ -133,13 +134,24 @@
         f"run_jobs([job('hang {pids}')])"
     )
     environment = {**os.environ, "PYTHONPATH": f"{ROOT}:{ROOT / 'tests'}"}
-    with subprocess.Popen([sys.executable, "-c", code], env=environment, stderr=subprocess.PIPE) as pool:
+    pool = subprocess.Popen(
+        [sys.executable, "-c", code],
+        env=environment,
+        stderr=subprocess.DEVNULL,
+        preexec_fn=restore_default_signals,
+    )
+    try:
         until = time.monotonic() + 30
         while time.monotonic() < until and not (pids.exists() and len(pids.read_text().split()) == 2):
             time.sleep(0.02)
         pool.send_signal(end)
         pool.wait(20)
-    assert all(gone(int(pid)) for pid in pids.read_text().split())
+    finally:
+        pool.kill()
+        pool.wait(20)
+    started = [int(pid) for pid in pids.read_text().split()]
+    assert len(started) == 2
+    assert all(gone(pid) for pid in started)
 
 
 def test_another_tree_plays_its_own_node_under_our_lab(tmp_path):
--- a/tests/test_lab_loopback.py
+++ b/tests/test_lab_loopback.py
@@ -15,6 +15,7 @@
 from hypothesis import strategies as st
 from support.paths import ROOT
 from support.program import SETTINGS
+from support.signals import restore_default_signals
 
 from flintridge.lab.backend.loopback import play_loopback
 from flintridge.lab.backend.loopback_fabric import LoopbackFabric, precise_loop
@@ -450,9 +451,15 @@
 def test_no_node_outlives_the_lab_whatever_ends_it(number, tmp_path):
     env = {**os.environ, "TMPDIR": str(tmp_path)}
     lab = subprocess.Popen(
-        [*PYTHON, textwrap.dedent(LAB)], cwd=ROOT, env=env, stdout=subprocess.PIPE, stderr=subprocess.DEVNULL
+        [*PYTHON, textwrap.dedent(LAB)],
+        cwd=ROOT,
+        env=env,
+        stdout=subprocess.PIPE,
+        stderr=subprocess.DEVNULL,
+        preexec_fn=restore_default_signals,
     )
     try:
+        assert select.select([lab.stdout], [], [], 30)[0]
         pidfd = os.pidfd_open(int(lab.stdout.readline()))
         lab.send_signal(number)
         assert select.select([pidfd], [], [], 20)[0]  # it has ended
@@ -461,7 +468,7 @@
         assert number == signal.SIGKILL or list(tmp_path.iterdir()) == []
     finally:
         lab.kill()
-        lab.communicate()
+        lab.communicate(timeout=20)
 
 
 def test_a_day_beyond_its_wall_limit_is_ended_and_says_so_and_a_raise_leaves_nothing():
