--- a/flintridge/discovery/client.py
+++ b/flintridge/discovery/client.py
@@ -1,8 +1,13 @@
 """Calls to discovery: GETs on one connection, which is opened where there is none."""
 
 import asyncio
+from dataclasses import dataclass
+from datetime import UTC
+from email.utils import parsedate_to_datetime
 
-from flintridge.codec.http.exchange import HttpExchange
+import h11
+
+from flintridge.codec.http.exchange import HttpExchange, header_value
 from flintridge.config.address import Address
 from flintridge.runtime.streams import TrackingReader, has_pending_input, is_reusable, open_connection
 
@@ -10,6 +15,31 @@
 READ_BYTES = 64 * 1024
 
 
+@dataclass(slots=True, frozen=True)
+class DiscoveryResponse:
+    """What discovery answered.
+
+    Attributes:
+        body: Its JSON.
+        date_ms: Unix time by its `Date` header in milliseconds, of whole seconds; None where it has none.
+    """
+
+    body: bytes
+    date_ms: float | None = None
+
+
+def date_header_ms(head: h11.Response) -> float | None:
+    """Unix time by a response's `Date` header in milliseconds; None where it has none that can be read."""
+    value = header_value(head, b"date")
+    if value is None:
+        return None
+    try:
+        date = parsedate_to_datetime(value.decode("ascii"))
+        return date.replace(tzinfo=date.tzinfo or UTC).timestamp() * 1000
+    except (ValueError, OverflowError):
+        return None
+
+
 class DiscoveryClient:
     """One connection to discovery."""
 
@@ -17,8 +47,8 @@
         self._address = address
         self._streams: tuple[TrackingReader, asyncio.StreamWriter] | None = None
 
-    async def get(self, target: str) -> bytes:
-        """The body of discovery's response.
+    async def get(self, target: str) -> DiscoveryResponse:
+        """Discovery's response.
 
         Raises:
             OSError: There is no connection, or it ended.
@@ -41,7 +71,7 @@
             self.close()
         if response.head.status_code != 200:
             raise ValueError(f"discovery answered {response.head.status_code}")
-        return response.body
+        return DiscoveryResponse(response.body, date_header_ms(response.head))
 
     async def _connection(self) -> tuple[TrackingReader, asyncio.StreamWriter]:
         if self._streams is not None:
--- a/flintridge/discovery/endpoint_list.py
+++ b/flintridge/discovery/endpoint_list.py
@@ -1,6 +1,6 @@
 """The endpoint list: discovery's list of servers, how it is read, and where each server is found."""
 
-from dataclasses import dataclass
+from dataclasses import dataclass, replace
 from typing import Any
 
 import orjson
@@ -9,6 +9,7 @@
 from flintridge.config.address import Address
 from flintridge.config.errors import ConfigError
 from flintridge.config.node_config import NodeConfig
+from flintridge.discovery.server_starts import ListArrival, ServerStarts, ToldStart
 from flintridge.errors import FlintridgeError
 from flintridge.runtime.clock import Clock, to_ns
 
@@ -39,8 +40,9 @@
 
 @dataclass(slots=True, frozen=True)
 class _ListEntry:
-    endpoint: Endpoint
+    endpoint: Endpoint  # its start is not filled in yet
     address: EndpointAddress | None
+    up_since_ms: float
 
 
 class EndpointList:
@@ -48,6 +50,7 @@
 
     Attributes:
         revision: Discovery's, of what was last applied.
+        starts: When the servers started.
     """
 
     def __init__(
@@ -58,7 +61,9 @@
         self._kinds = {name: i for i, name in enumerate(kinds)}
         self._origin_kind = settings.origin_kind
         self._clock = clock
+        self.starts = ServerStarts(clock.from_unix)
         self._addresses: dict[str, EndpointAddress] = {}
+        self._listed: dict[str, Endpoint] = {}  # as they were last reported
         self._ready: set[str] = set()
 
     def __getitem__(self, server: str) -> EndpointAddress:
@@ -80,9 +85,13 @@
         """Whether any server is in service."""
         return bool(self._ready)
 
-    def parse(self, text: bytes) -> EndpointUpdate:
+    def parse(self, text: bytes, date_ms: float | None = None) -> EndpointUpdate:
         """Apply discovery's JSON.
 
+        Args:
+            text: The JSON, as it arrived just now.
+            date_ms: Unix time by the response's `Date` header, if it has one.
+
         Raises:
             MalformedListError: It cannot be read; nothing is changed.
         """
@@ -90,14 +99,20 @@
             listed = orjson.loads(text)
         except orjson.JSONDecodeError as error:
             raise MalformedListError(f"the list is not JSON: {error}") from error
-        return self.apply(listed)
+        return self.apply(listed, date_ms=date_ms)
 
-    def apply(self, listed: Any, kind: UpdateKind | None = None) -> EndpointUpdate:
+    def apply(
+        self, listed: Any, kind: UpdateKind | None = None, date_ms: float | None = None
+    ) -> EndpointUpdate:
         """Apply a list or a change of it, in discovery's form.
 
         Args:
             listed: Discovery's JSON, decoded.
             kind: What to say of it; None: as it says itself.
+            date_ms: Unix time by the response's `Date` header, if it has one.
+
+        Returns:
+            The servers that it names, and those whose starts are judged anew by what it tells.
 
         Raises:
             MalformedListError: Some of it cannot be read; nothing is changed.
@@ -112,24 +127,43 @@
             raise MalformedListError(f"malformed list: {error!r}") from error
         if complete:
             self._ready.clear()
+            self._listed.clear()
             # Guards a long day, with new ids all the time, against a growing map. An attempt that is in
             # flight has its connection already; to a server that is not listed the policy sends no more.
             self._addresses.clear()
-        for entry in entries:
-            self._apply_entry(entry)
+        arrival = ListArrival(self._clock.now(), complete, kind is not UpdateKind.CACHED, date_ms)
+        starts_changed = self.starts.take(arrival, map(_told_start, entries))
+        endpoints = [self._apply_entry(entry) for entry in entries]
+        if starts_changed:
+            endpoints += self._judged_anew()
         self.revision = revision
         kind = kind or (UpdateKind.FULL if complete else UpdateKind.DELTA)
-        return EndpointUpdate(kind, revision, tuple(entry.endpoint for entry in entries))
+        return EndpointUpdate(kind, revision, tuple(endpoints))
 
-    def _apply_entry(self, entry: _ListEntry) -> None:
+    def _apply_entry(self, entry: _ListEntry) -> Endpoint:
         server = entry.endpoint.server
+        endpoint = replace(entry.endpoint, started_at=self.starts.started_at(server))
         self._ready.discard(server)
-        if entry.endpoint.state is EndpointState.READY:
+        if endpoint.state is EndpointState.READY:
             self._ready.add(server)
-        if entry.endpoint.state is EndpointState.GONE:
+        if endpoint.state is EndpointState.GONE:
             self._addresses.pop(server, None)
-        elif entry.address is not None:
+            self._listed.pop(server, None)
+            return endpoint
+        self._listed[server] = endpoint
+        if entry.address is not None:
             self._addresses[server] = entry.address
+        return endpoint
+
+    def _judged_anew(self) -> list[Endpoint]:
+        """The listed servers whose starts differ from what was last reported."""
+        changed = []
+        for server, endpoint in self._listed.items():
+            started_at = self.starts.started_at(server)
+            if started_at != endpoint.started_at:
+                changed.append(replace(endpoint, started_at=started_at))
+        self._listed.update((endpoint.server, endpoint) for endpoint in changed)
+        return changed
 
     def _parse_entry(self, entry: dict[str, Any]) -> _ListEntry:
         server = entry["id"]
@@ -147,19 +181,22 @@
             weight=1.0 if size is None else float(size),
             cell=int(entry.get("cell") or 0),
             kind=kind,
-            started_at=self._started_at(entry.get("up_since_ms")),
             zone=self._zones.get(entry.get("locality", ""), UNKNOWN_ZONE),
         )
-        return _ListEntry(endpoint, address)
-
-    def _started_at(self, up_since_ms: Any) -> int:
-        """On the policy's clock.
+        return _ListEntry(endpoint, address, self._parse_start(entry.get("up_since_ms")))
 
-        0 is long ago, to discovery and to the policy; no start is at that instant.
-        """
+    def _parse_start(self, up_since_ms: Any) -> float:
+        """Unix time in milliseconds, 0 for long ago; raises what tells that it is no instant."""
         if not up_since_ms:
-            return 0
-        return to_ns(self._clock.from_unix(float(up_since_ms))) or 1
+            return 0.0
+        unix_ms = float(up_since_ms)
+        to_ns(self._clock.from_unix(unix_ms))
+        return unix_ms
+
+
+def _told_start(entry: _ListEntry) -> ToldStart:
+    endpoint = entry.endpoint
+    return ToldStart(endpoint.server, entry.up_since_ms, endpoint.state is EndpointState.GONE)
 
 
 def configured_endpoints(config: NodeConfig, endpoints: EndpointList) -> EndpointUpdate:
--- a/flintridge/discovery/watcher.py
+++ b/flintridge/discovery/watcher.py
@@ -7,7 +7,7 @@
 
 from flintridge.api import EndpointUpdate, Settings, UpdateKind
 from flintridge.config.address import Address
-from flintridge.discovery.client import DiscoveryClient
+from flintridge.discovery.client import DiscoveryClient, DiscoveryResponse
 from flintridge.discovery.endpoint_list import EndpointList
 from flintridge.runtime.clock import Clock, DeadlineExceededError, sleep, to_ms, with_timeout
 from flintridge.telemetry.counters import Counters
@@ -67,6 +67,7 @@
         self._needs_full_list = (
             False  # changes since a revision mean nothing: the next call takes the full list
         )
+        self._logged_correction_ms = 0.0  # of the wall clock, as it was last logged
         self._fallback: EndpointUpdate | None = None  # to go by only if discovery does not answer
 
     @property
@@ -130,14 +131,14 @@
         finally:
             client.close()
 
-    async def _full_list(self, client: DiscoveryClient) -> bytes:
+    async def _full_list(self, client: DiscoveryClient) -> DiscoveryResponse:
         """The full list, for which discovery need not wait; how long it took is counted."""
         began = self._clock.now()
-        text = await with_timeout(self._clock, LIST_TIME_MS, client.get(LIST_PATH))
+        response = await with_timeout(self._clock, LIST_TIME_MS, client.get(LIST_PATH))
         self._counters.observe("list_ms", self._clock.now() - began)
-        return text
+        return response
 
-    async def _changes(self, client: DiscoveryClient) -> bytes:
+    async def _changes(self, client: DiscoveryClient) -> DiscoveryResponse:
         """What changed since the revision that is known, once anything has."""
         target = f"{LIST_PATH}?after={self._endpoints.revision}&wait_ms={self._wait_ms:.0f}"
         return await with_timeout(self._clock, self._wait_ms + RESPONSE_TIME_MS, client.get(target))
@@ -163,8 +164,9 @@
         finally:
             client.close()
 
-    def _report(self, text: bytes) -> None:
-        update = self._endpoints.parse(text)
+    def _report(self, response: DiscoveryResponse) -> None:
+        update = self._endpoints.parse(response.body, response.date_ms)
+        self._log_correction()
         self._counters.add("endpoint_list_updates")
         if update.endpoints:
             states = {endpoint.server: endpoint.state.value for endpoint in update.endpoints}
@@ -174,6 +176,18 @@
         self._fallback = None
         self._notify(update)
 
+    def _log_correction(self) -> None:
+        starts = self._endpoints.starts
+        if starts.correction_ms == self._logged_correction_ms:
+            return
+        self._log.event(
+            "unix_origin_corrected",
+            evidence=starts.evidence.value,
+            before_ms=round(self._logged_correction_ms),
+            after_ms=round(starts.correction_ms),
+        )
+        self._logged_correction_ms = starts.correction_ms
+
     def _report_failure(self, error: Exception) -> None:
         self._counters.add("endpoint_list_failures")
         self._log.event("endpoint_list_failed", error=repr(error))
--- a/flintridge/runtime/clock.py
+++ b/flintridge/runtime/clock.py
@@ -94,7 +94,8 @@
         self._loop = loop
         self._selector = selector
         # Fixed at the start: a restart is recognized by a changed instant, so a stepped system clock
-        # must not move the instants that were converted before.
+        # must not move the instants that were converted before. It may have been stepped by now too: the
+        # endpoint list corrects what it tells by `flintridge.discovery.server_starts`.
         unix_now_ms = time.time() * 1000 if unix_ms is None else unix_ms
         self._unix_origin_ms = unix_now_ms - self.now()
 
--- a/tests/config/test_platform_file.py
+++ b/tests/config/test_platform_file.py
@@ -19,6 +19,9 @@
 
     from_unix = staticmethod(float)
 
+    def now(self) -> float:
+        return 0.0
+
 
 @PROPERTY
 @given(malformed(PLATFORM))
--- a/tests/discovery/test_endpoint_list.py
+++ b/tests/discovery/test_endpoint_list.py
@@ -1,10 +1,15 @@
 """The endpoint list: how discovery's form is read."""
 
+from itertools import count
+
 import pytest
 from support.network import SETTINGS, HandClock
 
-from flintridge.api import Endpoint, EndpointState, UpdateKind
+from flintridge.api import Endpoint, EndpointState, EndpointUpdate, UpdateKind
 from flintridge.discovery.endpoint_list import EndpointList
+from flintridge.policy.balancer import Balancer
+
+HOUR_MS = 3_600_000.0
 
 
 def listed(complete=True, **changes) -> dict:
@@ -46,3 +51,93 @@
     with pytest.raises(ValueError, match="malformed list"):
         transports.apply(listed(**changes))
     assert transports.revision == 0 and not transports.any_ready
+
+
+class WrongClock(HandClock):
+    """The clock of a node whose wall clock was `ahead_ms` ahead as it started; its instants are Unix time."""
+
+    def __init__(self, ahead_ms: float) -> None:
+        super().__init__(at=1_700_000_000_000.0)
+        self.ahead_ms = ahead_ms
+
+    def from_unix(self, unix_ms: float) -> float:
+        return unix_ms - self.ahead_ms
+
+
+class Told:
+    """Lists told to a node; each server by the age of its start in milliseconds, None where it has ended."""
+
+    def __init__(self, ahead_ms: float) -> None:
+        self.clock = WrongClock(ahead_ms)
+        self.endpoints = EndpointList((), ("m2",), SETTINGS, self.clock)
+        self.revisions = count(1)
+        self.up_since: dict[str, float] = {}
+
+    def tell(self, complete=False, kind=None, date_ms=None, **ages) -> EndpointUpdate:
+        members = []
+        for server, age in ages.items():
+            if age is not None:
+                self.up_since[server] = self.clock.now() - age
+            (entry,) = listed(id=server, flavor="m2", up_since_ms=self.up_since[server])["members"]
+            members.append(entry | ({"phase": "terminated"} if age is None else {}))
+        text = {"revision": next(self.revisions), "complete": complete, "members": members}
+        return self.endpoints.apply(text, kind, date_ms)
+
+    def ages(self, update: EndpointUpdate) -> dict[str, float]:
+        now = self.clock.now()
+        return {each.server: now - each.started_at / 1e6 for each in update.endpoints}
+
+
+def test_change_when_it_shows_that_the_clock_was_ahead_then_names_all_whose_starts_it_alters():
+    told = Told(ahead_ms=HOUR_MS)
+    assert told.ages(told.tell(True, a=1_000.0, b=2 * HOUR_MS)) == {"a": HOUR_MS + 1_000, "b": 3 * HOUR_MS}
+    told.clock.go(500.0)
+    told.tell(b=None)
+    told.clock.go(9_500.0)
+    update = told.tell(c=500.0)
+    assert (update.kind, told.ages(update)) == (UpdateKind.DELTA, {"c": 0.0, "a": 10_500.0})
+    assert [each.server for each in told.tell(c=400.0).endpoints] == ["c"]  # no other has altered again
+
+
+def test_list_when_the_clock_was_behind_then_leaves_warm_servers_warm():
+    told = Told(ahead_ms=-HOUR_MS)
+    assert told.ages(told.tell(True, a=2 * HOUR_MS, b=60_000.0, c=1_000.0)) == {
+        "a": 2 * HOUR_MS - 1_000,
+        "b": 59_000.0,
+        "c": 0.0,
+    }
+
+
+def test_first_list_when_it_has_a_date_then_is_right_at_once():
+    told = Told(ahead_ms=HOUR_MS)
+    update = told.tell(True, date_ms=told.clock.now() - 700.0, a=1_000.0, b=2 * HOUR_MS)
+    assert told.ages(update) == {"a": 300.0, "b": 2 * HOUR_MS - 700}
+
+
+def test_list_in_the_configuration_then_is_no_sign_that_others_are_new():
+    told = Told(ahead_ms=0.0)
+    told.tell(True, UpdateKind.CACHED, a=HOUR_MS)
+    told.clock.go(10_000.0)
+    assert told.ages(told.tell(b=HOUR_MS)) == {"b": HOUR_MS}
+
+
+def test_malformed_list_then_says_nothing_of_starts():
+    told = Told(ahead_ms=HOUR_MS)
+    told.tell(True, a=1_000.0)
+    told.clock.go(10_000.0)
+    with pytest.raises(ValueError, match="malformed list"):
+        told.endpoints.apply(listed(False, id="b", up_since_ms=told.clock.now(), phase="odd"))
+    assert told.endpoints.starts.correction_ms == 0.0
+
+
+def test_policy_when_a_start_is_judged_anew_then_only_forgets_the_connect_backoff():
+    told, balancer = Told(ahead_ms=HOUR_MS), Balancer(SETTINGS, 1)
+    balancer.handle(0, told.tell(True, a=1_000.0))
+    server = balancer.servers["a"]
+    server.connect_failures, server.backoff_until, server.inflight, server.cost = 3, 10**18, 2, 0.5
+    server.recent_sends.append((1, 1.0))
+    told.clock.go(10_000.0)
+    balancer.handle(0, told.tell(c=500.0))
+    assert balancer.servers["a"] is server and server.endpoint.started_at > 0
+    assert (server.connect_failures, server.inflight, server.cost, len(server.recent_sends)) == (3, 2, 0.5, 1)
+    assert server.backoff_until == 0
--- a/tests/discovery/test_watcher.py
+++ b/tests/discovery/test_watcher.py
@@ -2,17 +2,20 @@
 
 import asyncio
 
+import h11
 import orjson
+import pytest
 from support.network import SETTINGS, HandClock, Peer, quiet, until
 
 from flintridge.api import UpdateKind
 from flintridge.config.address import Address
+from flintridge.discovery.client import date_header_ms
 from flintridge.discovery.endpoint_list import EndpointList
 from flintridge.discovery.watcher import DiscoveryWatcher
 
 
-def response(status: int, body: bytes) -> bytes:
-    return b"HTTP/1.1 %d X\r\nContent-Length: %d\r\n\r\n%b" % (status, len(body), body)
+def response(status: int, body: bytes, headers: bytes = b"") -> bytes:
+    return b"HTTP/1.1 %d X\r\n%bContent-Length: %d\r\n\r\n%b" % (status, headers, len(body), body)
 
 
 def test_the_watch_goes_on_from_each_answer_and_a_failure_is_told(play):
@@ -86,3 +89,59 @@
             await watch.close()
 
     play(test)
+
+
+DATES_MS = {
+    b"Thu, 01 Jan 1970 00:00:05 GMT": 5_000.0,
+    b"Thu, 01 Jan 1970 00:00:05 -0000": 5_000.0,
+    b"Thu, 01 Jan 1970 02:00:05 +0200": 5_000.0,
+    b"": None,
+    b"soon": None,
+    b"Thu, 41 Jan 1970 00:00:05 GMT": None,
+    b"Thu, 01 Jan 99999 00:00:05 GMT": None,
+    b"\xffThu, 01 Jan 1970 00:00:05 GMT": None,
+}
+
+
+@pytest.mark.parametrize(("value", "date_ms"), DATES_MS.items())
+def test_date_header_when_read_is_unix_time_and_none_where_it_is_no_date(value, date_ms):
+    assert date_header_ms(h11.Response(status_code=200, headers=[(b"Date", value)])) == date_ms
+
+
+def test_date_header_when_there_is_none_is_none():
+    assert date_header_ms(h11.Response(status_code=200, headers=[])) is None
+
+
+class EventNames:
+    """A log that remembers the corrections of the Unix origin."""
+
+    def __init__(self) -> None:
+        self.corrections: list[dict] = []
+
+    def event(self, event: str, **fields: object) -> None:
+        if event == "unix_origin_corrected":
+            self.corrections.append(fields)
+
+    def error(self, event: str, error: BaseException, **fields: object) -> None:
+        raise error
+
+
+def test_date_of_a_list_when_the_wall_clock_differs_corrects_starts_and_is_logged_once(play):
+    async def test():
+        clock, told, log = HandClock(at=10_000.0), [], EventNames()
+        entry = {"id": "a", "host_port": "127.0.0.1:5", "phase": "in_service", "up_since_ms": 4_000}
+        text = orjson.dumps({"revision": 43, "complete": True, "members": [entry]})
+        dated = response(200, text, b"Date: Thu, 01 Jan 1970 00:00:05 GMT\r\n")
+        async with Peer(lambda _: dated) as peer:
+            endpoints = EndpointList((), (), SETTINGS, clock)
+            address = Address("127.0.0.1", peer.port)
+            watch = DiscoveryWatcher(address, endpoints, clock, told.append, log, quiet()[1])
+            for calls in (1, 2):
+                watch.fetch()
+                await until(lambda calls=calls: len(told) == calls)
+            # By Date it is 5 s of Unix time at the instant 10 s, and the server is a second old.
+            assert [update.endpoints[0].started_at for update in told] == [9_000_000_000] * 2
+            assert log.corrections == [{"evidence": "date", "before_ms": 0, "after_ms": 5_500}]
+            await watch.close()
+
+    play(test)
