--- a/flintridge/upstream/connection_pool.py
+++ b/flintridge/upstream/connection_pool.py
@@ -4,6 +4,7 @@
 """
 
 import enum
+import errno
 from collections import deque
 from collections.abc import Mapping, Sequence
 
@@ -24,6 +25,9 @@
 class ConnectionLimitError(FlintridgeError, OSError):
     """As many connections as the pool may hold are open, and none of them is idle."""
 
+    def __init__(self) -> None:
+        super().__init__(errno.EMFILE, "as many connections as allowed are open")
+
 
 class IdleVerdict(enum.Enum):
     """What to do with an idle connection when one is needed."""
@@ -118,6 +122,7 @@
                 self.close_connection(connection)
             else:
                 found = connection
+                connection.reused = True
                 connection.idle_before_use_ms = now - connection.idle_since
                 connection.bytes_read_before_use = connection.reader.read_bytes
         connections.extend(reversed(quarantined))
--- a/flintridge/upstream/dispatcher.py
+++ b/flintridge/upstream/dispatcher.py
@@ -7,6 +7,7 @@
 import asyncio
 from collections.abc import Callable, Coroutine
 from dataclasses import dataclass, field
+from functools import partial
 from typing import Any
 
 from flintridge.api import Outcome, Settings
@@ -16,13 +17,15 @@
 from flintridge.core.request import UpstreamAttempt
 from flintridge.core.response import AttemptResult, StreamedResponse, StreamedValue
 from flintridge.discovery.endpoint_list import EndpointAddress, EndpointList
-from flintridge.errors import FlintridgeError
 from flintridge.runtime.clock import Clock, DeadlineExceededError, to_ms, with_timeout
 from flintridge.telemetry.counters import Counters
 from flintridge.telemetry.log import EventLog
+from flintridge.upstream.beginning import AttemptWithdrawnError, check_may_begin
 from flintridge.upstream.connection import UpstreamConnection
 from flintridge.upstream.connection_pool import ConnectionLimitError, ConnectionPool
+from flintridge.upstream.connector import Connector, LocalFailureError
 from flintridge.upstream.idle_timeout import MIN_IDLE_MS
+from flintridge.upstream.local_failure import ROUTE_ERRNO, describe_errno, is_local_failure
 from flintridge.upstream.streaming import ValueForwarder
 
 HEALTH_CHECK_TIMEOUT_MS = 500.0
@@ -31,10 +34,6 @@
 StartStream = Callable[[UpstreamAttempt, StreamedValue], StreamedResponse | None]
 
 
-class AttemptWithdrawnError(FlintridgeError):
-    """The attempt may not be written any more; nothing of it was."""
-
-
 def _stream_nothing(_attempt: UpstreamAttempt, _value: StreamedValue) -> StreamedResponse | None:
     """No client waits for a long value."""
     return None
@@ -103,6 +102,7 @@
                 client's end, or None if nobody waits for the value any more.
         """
         self.pool = ConnectionPool(max_connections, to_ms(settings.limits.conn_idle_ns), clock, counters)
+        self._connector = Connector(self.pool, clock, counters)
         self._endpoints = endpoints
         self._connect_timeout_ms = to_ms(settings.limits.connect_timeout_ns)
         self._clock = clock
@@ -150,18 +150,19 @@
         except DeadlineExceededError:
             if progress.request_written:
                 progress.result = AttemptResult(Outcome.TIMEOUT)
+            elif progress.connection is not None and not progress.connection.request_begun:
+                progress.result = AttemptResult(Outcome.WITHDRAWN)  # this machine took none of it
         except AttemptWithdrawnError:
             self._counters.add("attempts_expired_unsent")
             progress.result = AttemptResult(Outcome.WITHDRAWN)
-            self._release(attempt.server, progress)
-        except ConnectionLimitError:
-            self._counters.add("attempts_no_descriptor")
-            # Never sent, and no sign of its server.
+            self._release_unused(attempt.server, progress)
+        except LocalFailureError as error:
+            self._note_local_failure(attempt, error.__cause__)
             progress.result = AttemptResult(Outcome.WITHDRAWN)
         except OSError as error:
             # Guards memory: the connection's reader keeps the error, and with its frames the value.
             error.with_traceback(None)
-            self._note_broken(progress)
+            self._note_broken(attempt, progress, error)
         except asyncio.CancelledError:
             progress.result = AttemptResult(Outcome.CANCELLED)
         except Exception as error:
@@ -178,24 +179,18 @@
         Raises:
             DeadlineExceededError: A deadline of the attempt or the connection timeout passed.
             AttemptWithdrawnError: What the attempt rested on no longer holds.
-            ConnectionLimitError: There is no connection for it.
+            LocalFailureError: This machine opened no connection for it.
             OSError: The connection broke, or was refused.
         """
         endpoint = self._endpoints[attempt.server]
-        connection = self.pool.take_idle(attempt.server, endpoint.address)
-        if connection is None:
-            timeout_ms = min(self._connect_timeout_ms, attempt.deadline - self._clock.now())
-            connection = await self.pool.connect(endpoint.address, timeout_ms)
+        connection = await self._connector.connect(attempt, endpoint.address, self._connect_timeout_ms)
         progress.connection = connection
+        exchange = self._exchange(attempt, endpoint)
         # The connection may have been long in coming up: what the attempt rested on has to hold still. And
         # the client may have left while the loop was held up, by a crowd of others: it has yet to be seen.
-        now = self._clock.now()
-        attempt.check_client()
-        if attempt.request_ended or now > min(attempt.begin_by, attempt.written_by):
-            raise AttemptWithdrawnError
-        exchange = self._exchange(attempt, endpoint)
-        performing = connection.perform(exchange, self._clock, attempt.written_by)
-        result = await with_timeout(self._clock, attempt.deadline - now, performing)
+        check = partial(check_may_begin, attempt, self._clock)
+        performing = connection.perform(exchange, self._clock, attempt.written_by, check)
+        result = await with_timeout(self._clock, attempt.deadline - self._clock.now(), performing)
         self.pool.idle_timeout.note_reuse(self._clock.now(), connection.idle_before_use_ms, lost=False)
         value = exchange.streamed_value
         if value is None or _is_malformed(result):
@@ -221,15 +216,49 @@
         self.pool.release(server, connection, names_request)
         progress.connection = None
 
-    def _note_broken(self, progress: _Progress) -> None:
+    def _release_unused(self, server: str, progress: _Progress) -> None:
+        """Take back the connection of an attempt that was withdrawn, unless some of it waits there."""
+        connection = progress.connection
+        if connection is not None and not connection.writer.transport.get_write_buffer_size():
+            self._release(server, progress)
+
+    def _note_local_failure(self, attempt: UpstreamAttempt, error: BaseException | None) -> None:
+        """Count and log that this machine could not send an attempt."""
+        assert isinstance(error, OSError)
+        limit_reached = isinstance(error, ConnectionLimitError)
+        self._counters.add("attempts_no_descriptor" if limit_reached else "attempts_failed_locally")
+        self._log.event(
+            "attempt_failed_locally", server=attempt.server, id=attempt.id, error=describe_errno(error)
+        )
+
+    def _note_broken(self, attempt: UpstreamAttempt, progress: _Progress, error: OSError) -> None:
         connection = progress.connection
-        if connection is None or not connection.request_written:
+        if connection is None:
+            return
+        if not connection.request_written:
+            self._note_broken_unwritten(attempt, progress, connection, error)
             return
         # An idle one that ends without a byte had ended before, unseen.
         lost = connection.nothing_received and connection.idle_before_use_ms >= MIN_IDLE_MS
         progress.result = AttemptResult(Outcome.RESET, malformed=lost)
         self.pool.idle_timeout.note_reuse(self._clock.now(), connection.idle_before_use_ms, lost)
 
+    def _note_broken_unwritten(
+        self, attempt: UpstreamAttempt, progress: _Progress, connection: UpstreamConnection, error: OSError
+    ) -> None:
+        if connection.request_begun:
+            return
+        # The stream's own error is "connection lost"; the reader has that of the system.
+        cause = connection.reader.exception() or error
+        if isinstance(cause, OSError) and is_local_failure(cause) and cause.errno != ROUTE_ERRNO:
+            self._note_local_failure(attempt, cause)
+            progress.result = AttemptResult(Outcome.WITHDRAWN)
+        elif connection.reused:
+            # It had broken while idle, unseen: no sign that the server cannot be connected to.
+            self._counters.add("attempts_on_broken_idle_connection")
+            self.pool.idle_timeout.note_reuse(self._clock.now(), connection.idle_before_use_ms, lost=True)
+            progress.result = AttemptResult(Outcome.WITHDRAWN)
+
     # Health checks
 
     async def _run_health_check(self, server: str, done: Callable[[AttemptResult], None]) -> None:
@@ -238,9 +267,11 @@
             await self._perform_health_check(server, progress)
         except DeadlineExceededError:
             progress.result = AttemptResult(Outcome.TIMEOUT)
-        except OSError:
+        except OSError as error:
             if progress.request_written:
                 progress.result = AttemptResult(Outcome.RESET)
+            elif is_local_failure(error):
+                progress.result = AttemptResult(Outcome.WITHDRAWN)
         except Exception as error:
             self._log.error("health_check_internal_error", error, server=server)
         finally:
--- a/tests/support/upstream.py
+++ b/tests/support/upstream.py
@@ -111,5 +111,13 @@
     harness.clock.go(201)
 
 
+async def pass_time(harness, ms: int) -> None:
+    """Let the clock go on by so many ms, one at a time, with some turns of the event loop after each."""
+    for _ in range(ms):
+        harness.clock.go(1)
+        for _ in range(4):
+            await asyncio.sleep(0)
+
+
 def http_response(body: bytes) -> bytes:
     return b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%b" % (len(body), body)
--- a/tests/upstream/test_dispatcher.py
+++ b/tests/upstream/test_dispatcher.py
@@ -4,7 +4,7 @@
 
 import pytest
 from support.network import Peer, until
-from support.upstream import VALUE, UpstreamHarness
+from support.upstream import VALUE, UpstreamHarness, pass_time
 
 from flintridge import api
 from flintridge.api import Outcome
@@ -120,8 +120,13 @@
             harness = UpstreamHarness(peer.port, max_connections=2)
             for _ in range(3):
                 await harness.start()
-            # No fault of its server.
-            await until(lambda: len(peer.got) == 2 and harness.outcomes == [Outcome.WITHDRAWN])
+            await until(lambda: len(peer.got) == 2)
+            await pass_time(harness, 249)  # a connection might become free
+            assert harness.outcomes == []
+            await pass_time(harness, 1)
+            await until(lambda: harness.results)
+            assert harness.outcomes == [Outcome.WITHDRAWN]  # no fault of its server
+            assert harness.counters["attempts_no_descriptor"] == 1
             assert peer.connections == 2
             await harness.dispatcher.close()
 
