--- a/flintridge/runtime/acceptor.py
+++ b/flintridge/runtime/acceptor.py
@@ -203,8 +203,11 @@
         self._finish()
 
     def _count_waiting(self) -> int:
-        """How many connections wait to be accepted."""
-        info = self.listening.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, TCP_INFO_BYTES)
+        """How many connections wait to be accepted; one where the system doesn't tell."""
+        try:
+            info = self.listening.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, TCP_INFO_BYTES)
+        except OSError:  # short of memory too, or no such option
+            return 1
         (count,) = struct.unpack_from("=I", info, TCP_INFO_UNACKED_OFFSET)
         return int(count)
 
--- a/tests/runtime/test_listener.py
+++ b/tests/runtime/test_listener.py
@@ -251,3 +251,23 @@
             assert harness.counters["connections_given_up"] == 0
 
     asyncio.run(asyncio.wait_for(test(), 60))
+
+
+def test_close_when_the_system_does_not_tell_how_many_wait_then_goes_on_as_if_one_did(monkeypatch):
+    async def test():
+        async with Opened() as opened:
+            accept = FailingAccept(monkeypatch, lasting=errno.ENOMEM)
+
+            def getsockopt(*_: object) -> bytes:
+                raise OSError(errno.ENOMEM, os.strerror(errno.ENOMEM))
+
+            with monkeypatch.context() as patched:
+                patched.setattr(socket.socket, "getsockopt", getsockopt)
+                (reader,) = await opened.close_before(1)
+                assert opened.listener.has_handovers
+            accept.lasting = None
+            opened.clock.go(CLOSE_PAUSE_MS)
+            assert await reader.read() == b"y"
+            assert not opened.listener.has_handovers
+
+    asyncio.run(asyncio.wait_for(test(), 60))
