--- a/flintridge/discovery/client.py
+++ b/flintridge/discovery/client.py
@@ -2,11 +2,10 @@
 
 import asyncio
 from dataclasses import dataclass
-from datetime import UTC
-from email.utils import parsedate_to_datetime
 
 import h11
 
+from flintridge.codec.http.date import parse_date_ms
 from flintridge.codec.http.exchange import HttpExchange, header_value
 from flintridge.config.address import Address
 from flintridge.runtime.streams import TrackingReader, has_pending_input, is_reusable, open_connection
@@ -31,13 +30,7 @@
 def date_header_ms(head: h11.Response) -> float | None:
     """Unix time by a response's `Date` header in milliseconds; None where it has none that can be read."""
     value = header_value(head, b"date")
-    if value is None:
-        return None
-    try:
-        date = parsedate_to_datetime(value.decode("ascii"))
-        return date.replace(tzinfo=date.tzinfo or UTC).timestamp() * 1000
-    except (ValueError, OverflowError):
-        return None
+    return None if value is None else parse_date_ms(value)
 
 
 class DiscoveryClient:
