--- a/flintridge/core/lifecycle.py
+++ b/flintridge/core/lifecycle.py
@@ -190,6 +190,7 @@
         entry = self._open.get(attempt.id)
         if entry is not None:
             entry.in_flight -= 1
+            entry.withdrawn += result.outcome is api.Outcome.WITHDRAWN
             if result.response is not None and not entry.answered:
                 self._counters.add("responses_served")
                 self._mark_answered(attempt.id, entry)
@@ -302,7 +303,7 @@
         entry.in_flight += 1
         if self.on_attempts_changed is not None:
             self.on_attempts_changed(attempt, +1)
-        too_many = attempt.number >= self._settings.limits.max_attempts
+        too_many = attempt.number - entry.withdrawn >= self._settings.limits.max_attempts
         if entry.answered or too_many or now >= entry.deadline:
             self.attempt_ended(attempt, AttemptResult(api.Outcome.WITHDRAWN))
         elif deadline <= now:
--- a/flintridge/core/open_request.py
+++ b/flintridge/core/open_request.py
@@ -20,6 +20,7 @@
         answered: Whether it has its final response.
         attempts: All of them, in order.
         in_flight: How many of them have not ended.
+        withdrawn: How many of them ended without being sent.
     """
 
     request: Request
@@ -30,3 +31,4 @@
     answered: bool = False
     attempts: list[UpstreamAttempt] = field(default_factory=list)
     in_flight: int = 0
+    withdrawn: int = 0
--- a/flintridge/policy/balancer.py
+++ b/flintridge/policy/balancer.py
@@ -569,15 +569,20 @@
             self.reject_or_fail(request)
         elif self.limiter_for(missed or self.is_last(request)) is self.origin:
             self.enqueue(request, self.origin)  # the last attempt is kept for it: another cache can only miss
+        elif attempt.withdrawn and attempt.server in self.origins:
+            self.enqueue(request, self.origin)
         else:
-            is_broken = event.malformed or event.outcome is Outcome.RESET
+            is_broken = event.malformed or event.outcome in (Outcome.RESET, Outcome.WITHDRAWN)
             is_lost = attempt.server in self.origins and event.outcome is not Outcome.FULL
             may_be_repeated = (is_broken or is_lost) and attempt.server not in request.repeated_servers
-            (request.repeated_servers if may_be_repeated else request.failed_servers).append(attempt.server)
+            if may_be_repeated:
+                request.repeated_servers.append(attempt.server)
+            elif not attempt.withdrawn or set(self.ready) - {attempt.server, *request.failed_servers}:
+                request.failed_servers.append(attempt.server)  # unless it is the only one, and no fault of it
             self.enqueue(request, self.limiter_for(request.event.write))
 
     def is_last(self, request: OpenRequest) -> bool:
-        return len(request.attempts) >= self.settings.limits.max_attempts - 1
+        return request.attempts_made >= self.settings.limits.max_attempts - 1
 
     def repeat_by(self, request: OpenRequest) -> float:  # until when it may be sent again
         request_class = request.request_class
@@ -595,7 +600,7 @@
 
     def may_send(self, request: OpenRequest, server: Server) -> bool:  # by rule 2, and in time
         is_late = self.now >= request.event.deadline or self.now > self.repeat_by(request)
-        if is_late or len(request.attempts) >= self.settings.limits.max_attempts:
+        if is_late or request.attempts_made >= self.settings.limits.max_attempts:
             return False
         first = request.executed_by
         if first is None or self.is_repeatable(request):
--- a/flintridge/policy/concurrency_limiter.py
+++ b/flintridge/policy/concurrency_limiter.py
@@ -8,6 +8,7 @@
 
 NS_PER_MS = 1_000_000
 MAX_SLOW_FRACTION = 0.2  # of a round's attempts, before the limit decreases
+MAX_WITHDRAWN = 32  # attempts at a request that do not count; guards against one that never ends
 MAX_FIRST_WAIT_FRACTION = 0.45  # of its client's time that a request waits for its first attempt
 
 
@@ -39,6 +40,11 @@
     executed_by: api.Endpoint | None = None
     done: bool = False
 
+    @property
+    def attempts_made(self) -> int:  # those that were withdrawn were never sent
+        withdrawn = sum(attempt.withdrawn for attempt in self.attempts)
+        return len(self.attempts) - min(withdrawn, MAX_WITHDRAWN)
+
 
 @dataclass(slots=True, eq=False)
 class ConcurrencyLimiter:
--- a/tests/policy/test_admission_queue.py
+++ b/tests/policy/test_admission_queue.py
@@ -59,8 +59,7 @@
     """Guards against rejections late in a client's time though nothing was ever written for it."""
     router = Router(count=1, limits=api.Limits(max_attempts=4, cancel=True))
     request_id = router.request(deadline=router.now + 1000 * MS)
-    router.balancer.caches.limit, router.balancer.caches.doubling = 0.5, False
-    router.balancer.caches.next_at = router.now + 5 * S  # no permit before its time is over
+    router.balancer.caches.max_permits = 0  # no permit before its time is over
     router.end_attempt(request_id, Outcome.WITHDRAWN)
     router.advance(460 * MS)
     assert isinstance(router.final_responses.get(request_id), api.Reject)
