--- a/flintridge/policy/balancer.py
+++ b/flintridge/policy/balancer.py
@@ -37,6 +37,7 @@
 CONNECT_BACKOFF_MAX_NS = 16 * CONNECT_BACKOFF_NS
 NO_RESPONSE = (Outcome.TIMEOUT, Outcome.RESET)
 NO_SIGN_OF_LOAD = (Outcome.CANCELLED, Outcome.WITHDRAWN, Outcome.CONNECT_FAILED)
+STALL_ALLOWANCE_MS = 150.0  # a node may be held up for so long between a look at the clock and a write
 STALE_EVIDENCE_NS = 20 * NS_PER_S  # connections that are dropped unseen are looked for again after this
 
 
@@ -63,6 +64,15 @@
     return event.class_index, event.tenant, event.key, event.work_ns  # what a retry has in common with it
 
 
+def less_stall(span_ns: int) -> int:
+    """How much of a drain's grace or a deduplication window a write may be decided in, in nanoseconds.
+
+    A stall right behind the last look at the clock then still ends within the span. Spans go down to 300 ms,
+    so the allowance takes no more than a half: with less of a window left no repeat would ever be sent.
+    """
+    return span_ns - min(int(STALL_ALLOWANCE_MS * NS_PER_MS), span_ns // 2)
+
+
 class Balancer:
     """The decisions of one node: events in, actions out; only `handle` is called from outside."""
 
@@ -472,7 +482,8 @@
         if limiter is self.caches and self.warmth(server) < 1:
             server.recent_sends.append((self.now, request.work))
             server.recent_work += request.work
-        begin_by = self.now + (self.settings.rules.drain_grace_ns or math.inf)  # by a drain notified now
+        grace_ns = less_stall(self.settings.rules.drain_grace_ns)  # of a drain that is notified now
+        begin_by = self.now + (grace_ns or math.inf)
         timeout_ns = self.attempt_timeout_ns(request, limiter)
         self.actions.append(api.Send(request.event.id, name, timeout_ns, begin_by, self.repeat_by(request)))
 
@@ -589,7 +600,7 @@
         if request.executed_at is None or request_class.effect is Effect.SAFE:
             return math.inf
         is_keyed = request_class.effect is Effect.KEYED
-        return request.executed_at + (request_class.deduplication_window_ns if is_keyed else -1)
+        return request.executed_at + (less_stall(request_class.deduplication_window_ns) if is_keyed else -1)
 
     def is_repeatable(self, request: OpenRequest) -> bool:  # at whichever server
         request_class = request.request_class
@@ -617,7 +628,8 @@
         slow_ns = (request.event.work_ns or 0) + int(request.slow_after_ns)
         timeout_ns = max(slow_ns, int(TIMEOUT_LATENCY_FACTOR * limiter.mean_latency_ns(request)))
         is_in_time = timeout_ns <= limiter.latest_start(request) - self.now
-        is_safe = request_class.effect is Effect.SAFE or timeout_ns < request_class.deduplication_window_ns
+        window_ns = less_stall(request_class.deduplication_window_ns)
+        is_safe = request_class.effect is Effect.SAFE or timeout_ns < window_ns
         return timeout_ns if is_in_time and is_safe else 0
 
     def reject_or_fail(self, request: OpenRequest) -> None:  # rejects where a repeat is harmless
--- a/tests/upstream/test_connection_errors.py
+++ b/tests/upstream/test_connection_errors.py
@@ -2,11 +2,10 @@
 
 import asyncio
 import errno
-import os
 
 import pytest
 from support.network import Peer, until
-from support.upstream import VALUE, UpstreamHarness, pass_time
+from support.upstream import VALUE, FaultySocket, UpstreamHarness, on_connect, pass_time
 
 from flintridge.api import Outcome
 from flintridge.core.response import AttemptResult
@@ -18,54 +17,6 @@
 errors = pytest.mark.parametrize("code", BROKEN, ids=errno.errorcode.get)
 
 
-class FaultySocket:
-    """A connection's socket, whose calls fail as the test says.
-
-    Attributes:
-        send_error: Raised by each send; 0: none.
-        recv_error: Raised by each read; 0: none.
-        max_send: So many bytes are sent at a time.
-    """
-
-    def __init__(self, transport) -> None:
-        self.sock = transport._sock
-        self.send_error = self.recv_error = 0
-        self.max_send = 1 << 30
-        self.sent = 0
-        transport._sock = self
-
-    def __getattr__(self, name: str):
-        return getattr(self.sock, name)
-
-    def send(self, data) -> int:
-        if self.send_error:
-            raise OSError(self.send_error, os.strerror(self.send_error))
-        count = self.sock.send(data[: self.max_send])
-        self.sent += count
-        return count
-
-    def recv(self, size: int) -> bytes:
-        data = self.sock.recv(size)
-        if self.recv_error:
-            raise OSError(self.recv_error, os.strerror(self.recv_error))
-        return data
-
-
-def on_connect(harness, make) -> list[FaultySocket]:
-    """Have the sockets of new connections be faulty; `make` sets how."""
-    sockets: list[FaultySocket] = []
-    connect = harness.dispatcher.pool.connect
-
-    async def connected(*where):
-        connection = await connect(*where)
-        sockets.append(FaultySocket(connection.writer.transport))
-        make(sockets[-1])
-        return connection
-
-    harness.dispatcher.pool.connect = connected
-    return sockets
-
-
 def with_harness(test, answer=lambda _: VALUE) -> None:
     async def run():
         async with Peer(answer) as peer:
