--- a/tests/runtime/test_worker_processes.py
+++ b/tests/runtime/test_worker_processes.py
@@ -1,5 +1,7 @@
 """The count of a node's processes, by locks that end with them, among the files that dead ones left."""
 
+import errno
+import fcntl
 import os
 import signal
 import subprocess
@@ -11,7 +13,8 @@
 from flintridge.config.node_config import MAX_VALUE_MB
 from flintridge.config.platform_config import node_config
 from flintridge.node import Node
-from flintridge.runtime.worker_processes import COUNT_INTERVAL_MS, WorkerProcesses
+from flintridge.runtime import worker_processes
+from flintridge.runtime.worker_processes import COUNT_INTERVAL_MS, MAX_LOCK_ATTEMPTS, WorkerProcesses
 
 LOCKING_PROGRAM = """
 import sys
@@ -33,10 +36,42 @@
     return process
 
 
-def start_counting(folder):
+class RecordingLog:
+    def __init__(self) -> None:
+        self.events = []
+
+    def event(self, event, **fields):
+        self.events.append((event, fields.get("count")))
+
+
+class FailingCall:
+    """Stands in for a system call: fails `times` times, where its first argument has `part` in it."""
+
+    def __init__(self, monkeypatch, module, name: str, code: int, times: int, part: str = "") -> None:
+        self.real = getattr(module, name)
+        self.code = code
+        self.times = times
+        self.part = part
+        monkeypatch.setattr(module, name, self)
+
+    def __call__(self, *args, **named):
+        if self.times and self.part in str(args[0]):
+            self.times -= 1
+            raise OSError(self.code, os.strerror(self.code))
+        return self.real(*args, **named)
+
+
+def hold_lock(path) -> int:
+    """As a process does; the descriptor, with which the lock ends."""
+    descriptor = os.open(path, os.O_RDWR | os.O_CREAT)
+    fcntl.flock(descriptor, fcntl.LOCK_EX)
+    return descriptor
+
+
+def start_counting(folder, log=None):
     clock = HandClock()
     counts = []
-    processes = WorkerProcesses(str(folder), clock, quiet()[0], counts.append)
+    processes = WorkerProcesses(str(folder), clock, log or quiet()[0], counts.append)
     processes.start()
     return processes, clock, counts
 
@@ -95,7 +130,6 @@
     for node in nodes:
         node._worker_processes.start()
     clock.go(COUNT_INTERVAL_MS)
-    os.utime(nodes[0]._worker_processes._lock_path, ns=(1, 1))  # files of one moment may bear the same time
     assert [node._worker_processes.index_of_other() for node in nodes] == [1, 0]
     for limit_of, limit in (
         (lambda node: node.downstream.connection_limit, config.client_sockets),
@@ -109,3 +143,160 @@
     clock.go(COUNT_INTERVAL_MS)
     assert nodes[0].downstream.connection_limit == config.client_sockets
     nodes[0]._worker_processes.close()
+
+
+@pytest.mark.parametrize("second_started_ns", [1, 2, 3])
+def test_order_when_the_wall_clock_was_stepped_between_the_starts_then_holds_all_the_same(
+    tmp_path, second_started_ns
+):
+    both = [start_counting(tmp_path) for _ in range(2)]
+    for (processes, clock, _), started_ns in zip(both, (2, second_started_ns), strict=True):
+        os.utime(processes._lock_path, ns=(started_ns, started_ns))
+        clock.go(COUNT_INTERVAL_MS)
+    assert [processes.index_of_other() for processes, _, _ in both] == [1, 0]
+    both[0][0].close()
+    later, later_clock, _ = start_counting(tmp_path)  # after one that is not the first any more
+    later_clock.go(COUNT_INTERVAL_MS)
+    assert later.index_of_other() == 0
+    assert both[1][0].index_of_other() == 1
+    later.close()
+    both[1][0].close()
+
+
+def test_order_when_two_start_at_once_then_is_not_known(tmp_path, monkeypatch):
+    first, first_clock, _ = start_counting(tmp_path)
+    with monkeypatch.context() as patched:
+        patched.setattr(os, "listdir", lambda _: [])  # as they were before the first one's file came
+        second, second_clock, _ = start_counting(tmp_path)
+    for clock in (first_clock, second_clock):
+        clock.go(COUNT_INTERVAL_MS)
+    assert (first.count, second.count) == (2, 2)
+    assert (first.index_of_other(), second.index_of_other()) == (None, None)
+    first.close()
+    second.close()
+
+
+@pytest.mark.parametrize("at_start", [True, False])
+def test_order_when_the_other_is_of_an_earlier_version_then_goes_by_who_found_whom(tmp_path, at_start):
+    if at_start:
+        descriptor = hold_lock(tmp_path / "7-0")
+    processes, clock, _ = start_counting(tmp_path)
+    if not at_start:  # the upgrade was taken back
+        descriptor = hold_lock(tmp_path / "7-0")
+    os.utime(tmp_path / "7-0", ns=(1, 1))
+    clock.go(COUNT_INTERVAL_MS)
+    assert processes.count == 2
+    assert processes.index_of_other() == (0 if at_start else 1)
+    os.close(descriptor)
+    processes.close()
+
+
+def test_order_when_the_other_holds_a_file_of_an_unknown_name_then_is_not_known(tmp_path):
+    descriptor = hold_lock(tmp_path / "of-a-later-version")
+    processes, clock, _ = start_counting(tmp_path)
+    clock.go(COUNT_INTERVAL_MS)
+    assert processes.count == 2
+    assert processes.index_of_other() is None
+    os.close(descriptor)
+    processes.close()
+
+
+@pytest.mark.parametrize("code", [errno.EIO, errno.ENOSPC, errno.EMFILE])
+@pytest.mark.parametrize(
+    ("module", "call", "part"),
+    [
+        *((os, "makedirs", ""), (os, "listdir", ""), (os, "open", ""), (fcntl, "flock", "")),
+        (os, "stat", "node/"),  # of the lock file
+    ],
+)
+def test_start_when_it_fails_once_then_is_tried_again_with_each_count(
+    tmp_path, monkeypatch, module, call, part, code
+):
+    descriptors = len(os.listdir("/proc/self/fd"))
+    with monkeypatch.context() as patched:
+        failing = FailingCall(patched, module, call, code, times=2, part=part)
+        log = RecordingLog()
+        late, clock, _ = start_counting(tmp_path / "node", log)
+        for _ in range(2):
+            if failing.times:
+                clock.go(COUNT_INTERVAL_MS)
+    assert not failing.times
+    assert log.events == [("worker_processes_unknown", None)]
+    clock.go(COUNT_INTERVAL_MS)
+    assert log.events == [("worker_processes_unknown", None), ("worker_processes", 1)]
+    other, other_clock, _ = start_counting(tmp_path / "node")
+    clock.go(COUNT_INTERVAL_MS)
+    assert (late.count, other.count) == (2, 2)
+    assert (late.index_of_other(), other.index_of_other()) == (None, None)  # it listened for a while by then
+    late.close()
+    other_clock.go(COUNT_INTERVAL_MS)
+    assert other.count == 1
+    other.close()
+    assert len(os.listdir("/proc/self/fd")) == descriptors
+
+
+def test_start_when_it_fails_then_the_others_are_counted_all_the_same(tmp_path, monkeypatch):
+    other, other_clock, _ = start_counting(tmp_path)
+    with monkeypatch.context() as patched:
+        FailingCall(patched, worker_processes, "_create_locked", errno.ENOSPC, times=1)
+        processes, clock, _ = start_counting(tmp_path)
+    assert processes.count == 2
+    assert processes.index_of_other() is None
+    clock.go(COUNT_INTERVAL_MS)
+    other_clock.go(COUNT_INTERVAL_MS)
+    assert other.count == 2
+    processes.close()
+    other.close()
+
+
+@pytest.mark.parametrize(
+    ("module", "call", "code"),
+    [
+        *((os, "open", code) for code in (errno.EMFILE, errno.ENFILE, errno.ENOMEM, errno.EIO)),
+        *((fcntl, "flock", code) for code in (errno.ENOLCK, errno.EIO)),
+        *((os, "listdir", code) for code in (errno.EMFILE, errno.ENFILE, errno.ENOMEM, errno.EIO)),
+    ],
+)
+def test_count_when_a_file_cannot_be_looked_at_then_the_last_count_holds(
+    tmp_path, monkeypatch, module, call, code
+):
+    log = RecordingLog()
+    processes, clock, counts = start_counting(tmp_path, log)
+    other, _, _ = start_counting(tmp_path)
+    clock.go(COUNT_INTERVAL_MS)
+    FailingCall(monkeypatch, module, call, code, times=3)
+    clock.go(2 * COUNT_INTERVAL_MS)
+    assert counts == [2]
+    assert log.events == [("worker_processes", 2), ("worker_processes_unknown", None)]
+    clock.go(2 * COUNT_INTERVAL_MS)
+    assert counts == [2]
+    assert log.events[2:] == [("worker_processes", 2)]
+    other.close()
+    clock.go(COUNT_INTERVAL_MS)
+    assert counts == [2, 1]
+    processes.close()
+
+
+def test_count_when_what_was_left_behind_cannot_be_removed_then_it_does_not_count(tmp_path, monkeypatch):
+    (tmp_path / "7-0").write_text("left behind")
+    (tmp_path / "folder").mkdir()
+    FailingCall(monkeypatch, os, "unlink", errno.EROFS, times=8)
+    log = RecordingLog()
+    processes, clock, counts = start_counting(tmp_path, log)
+    clock.go(COUNT_INTERVAL_MS)
+    assert (counts, log.events) == ([], [])
+    processes.close()
+    clock.go(COUNT_INTERVAL_MS)
+
+
+def test_start_when_others_always_take_the_lock_then_ends_and_is_tried_again(tmp_path, monkeypatch):
+    log = RecordingLog()
+    attempts = []
+    with monkeypatch.context() as patched:
+        patched.setattr(worker_processes, "_is_file_at", lambda *args: attempts.append(args))
+        processes, clock, _ = start_counting(tmp_path, log)
+    assert len(attempts) == MAX_LOCK_ATTEMPTS
+    clock.go(COUNT_INTERVAL_MS)
+    assert [event for event, _ in log.events] == ["worker_processes_unknown", "worker_processes"]
+    assert len(list(tmp_path.iterdir())) == 1
+    processes.close()
