--- a/tests/runtime/test_listener.py
+++ b/tests/runtime/test_listener.py
@@ -251,3 +251,24 @@
             assert harness.counters["connections_given_up"] == 0
 
     asyncio.run(asyncio.wait_for(test(), 60))
+
+
+def test_accept_when_it_can_not_be_watched_again_after_a_pause_then_pauses_once_more(monkeypatch):
+    async def test():
+        async with Opened() as opened:
+            accept = FailingAccept(monkeypatch, lasting=errno.ENOMEM)
+            reader = await opened.connect()
+            await opened.paused(1)
+            with monkeypatch.context() as patched:
+                patched.setattr(asyncio.get_running_loop(), "add_reader", fail_for_want_of_memory)
+                opened.clock.go(FIRST_PAUSE_MS)
+            assert opened.counters["accept_pauses"] == 2
+            accept.lasting = None
+            opened.clock.go(2 * FIRST_PAUSE_MS)
+            assert await reader.read() == b"y"
+
+    asyncio.run(asyncio.wait_for(test(), 60))
+
+
+def fail_for_want_of_memory(*_: object) -> None:
+    raise OSError(errno.ENOMEM, os.strerror(errno.ENOMEM))
