--- a/tests/core/test_local_failures.py
+++ b/tests/core/test_requests_when_connects_fail.py
@@ -31,6 +31,36 @@
     return Alone(discovery, known, settings, kinds=("m2", "origin"))
 
 
+class FailingConnects:
+    """Has connects fail for FAILING_MS of the node's time.
+
+    Attributes:
+        made_at: When one was let through, in ms of the node's clock.
+    """
+
+    def __init__(self, monkeypatch, node: Alone) -> None:
+        opened = connection_pool.open_connection
+        failing_until = node.clock.now() + FAILING_MS
+        self.made_at: list[float] = []
+
+        async def failing(address):
+            if node.clock.now() < failing_until:
+                raise OSError(errno.ENOBUFS, os.strerror(errno.ENOBUFS))
+            self.made_at.append(node.clock.now())
+            return await opened(address)
+
+        monkeypatch.setattr(connection_pool, "open_connection", failing)
+
+    async def pass_time(self, node: Alone, ms: int) -> None:
+        """Let the clock go on, but not while a connection comes up."""
+        for _ in range(ms):
+            if self.made_at:
+                return
+            node.clock.go(1)
+            for _ in range(4):
+                await asyncio.sleep(0)
+
+
 @pytest.mark.parametrize("connect_timeout_ms", [40, 100, 250])
 @pytest.mark.parametrize(
     ("command", "caches"),
@@ -43,31 +73,16 @@
     """Its attempts that were never sent count for nothing: not as attempts, not against any server."""
 
     async def test():
-        opened = connection_pool.open_connection
-        opening: list[float] = []
         async with (
             Peer(lambda _: b"") as discovery,
             Peer(lambda data: VALUE if data.startswith(b"m") else STORED) as server,
         ):
             node = make_node(discovery, server, caches, connect_timeout_ms)
-            failing_until = node.clock.now() + FAILING_MS
-
-            async def failing(address):
-                if node.clock.now() < failing_until:
-                    raise OSError(errno.ENOBUFS, os.strerror(errno.ENOBUFS))
-                opening.append(node.clock.now())
-                return await opened(address)
-
-            monkeypatch.setattr(connection_pool, "open_connection", failing)
+            connects = FailingConnects(monkeypatch, node)
             reader, writer = await asyncio.open_connection("127.0.0.1", await node.node.start())
             writer.write((command % b"a1").replace(b"d=480", b"d=1900"))
             await until(lambda: node.node.core.unanswered)
-            for _ in range(FAILING_MS + 60):
-                if opening:
-                    break  # the clock stands still while it comes up
-                node.clock.go(1)
-                for _ in range(4):
-                    await asyncio.sleep(0)
+            await connects.pass_time(node, FAILING_MS + 60)
             await until(lambda: node.node.core.idle)
             assert (await reader.readline()).split()[0] in (b"VA", b"HD")
             assert len(server.got) == 1
@@ -77,3 +92,22 @@
             await node.node.close()
 
     play(test)
+
+
+def test_request_when_its_client_closes_while_connects_fail_locally_is_never_sent(play, monkeypatch):
+    async def test():
+        async with Peer(lambda _: b"") as discovery, Peer(lambda _: VALUE) as server:
+            node = make_node(discovery, server, 1, 500)
+            connects = FailingConnects(monkeypatch, node)
+            _, writer = await asyncio.open_connection("127.0.0.1", await node.node.start())
+            writer.write((READ % b"a1").replace(b"d=480", b"d=1900"))
+            await until(lambda: node.node.core.unanswered)
+            await connects.pass_time(node, 20)
+            writer.close()
+            await until(lambda: node.node.core.idle)
+            await connects.pass_time(node, FAILING_MS + 60)
+            assert connects.made_at == []
+            assert server.got == []
+            await node.node.close()
+
+    play(test)
