--- a/flintridge/discovery/server_starts.py
+++ b/flintridge/discovery/server_starts.py
@@ -152,8 +152,8 @@
         if known is not None and known.up_since_ms == told.up_since_ms:
             self._listed[server] = known
             return None
-        not_before = self._last_response_at if arrival.live else -math.inf
-        new = _KnownStart(told.up_since_ms, self._from_unix(told.up_since_ms), not_before, arrival.at)
+        by_own_clock = self._from_unix(told.up_since_ms)
+        new = _KnownStart(told.up_since_ms, by_own_clock, self._last_response_at, arrival.at)
         self._listed[server] = new
         return new
 
--- a/tests/discovery/test_endpoint_list.py
+++ b/tests/discovery/test_endpoint_list.py
@@ -57,7 +57,7 @@
     """The clock of a node whose wall clock was `ahead_ms` ahead as it started; its instants are Unix time."""
 
     def __init__(self, ahead_ms: float) -> None:
-        super().__init__(at=1_700_000_000_000.0)
+        super().__init__(at=1_000_000_000.0)
         self.ahead_ms = ahead_ms
 
     def from_unix(self, unix_ms: float) -> float:
@@ -99,6 +99,16 @@
     assert [each.server for each in told.tell(c=400.0).endpoints] == ["c"]  # no other has altered again
 
 
+def test_change_when_a_correction_is_taken_back_then_names_all_that_it_had_altered():
+    told = Told(ahead_ms=0.0)
+    told.tell(True, a=5_000.0)
+    told.clock.go(10_000.0)
+    told.tell()
+    told.clock.go(10.0)
+    assert told.ages(told.tell(b=8_000.0)) == {"b": 3_000.0, "a": 10_010.0}  # told too late: the clock is blamed
+    assert told.ages(told.tell(date_ms=told.clock.now())) == {"b": 10.0, "a": 15_010.0}
+
+
 def test_list_when_the_clock_was_behind_then_leaves_warm_servers_warm():
     told = Told(ahead_ms=-HOUR_MS)
     assert told.ages(told.tell(True, a=2 * HOUR_MS, b=60_000.0, c=1_000.0)) == {
