--- a/tests/discovery/test_endpoint_list.py
+++ b/tests/discovery/test_endpoint_list.py
@@ -105,7 +105,8 @@
     told.clock.go(10_000.0)
     told.tell()
     told.clock.go(10.0)
-    assert told.ages(told.tell(b=8_000.0)) == {"b": 3_000.0, "a": 10_010.0}  # told too late: the clock is blamed
+    # Told too late: the clock is blamed.
+    assert told.ages(told.tell(b=8_000.0)) == {"b": 3_000.0, "a": 10_010.0}
     assert told.ages(told.tell(date_ms=told.clock.now())) == {"b": 10.0, "a": 15_010.0}
 
 
