--- a/flintridge/replication/limits.py
+++ b/flintridge/replication/limits.py
@@ -17,7 +17,7 @@
         max_entry_bytes: Of a write: key, author, reason and body.
         tombstone_ms: For how long tombstones and expired versions are remembered, at the least.
         sync_wait_ms: For how long a new process waits for one that has synchronized.
-        max_clock_lead_ms: By how much a stamp may be ahead of the local clock.
+        max_clock_lead_ms: By how much a stamp may be ahead of the local clock without a line in the log.
         bucket_count: All nodes must have the same.
     """
 
--- a/flintridge/replication/replica.py
+++ b/flintridge/replication/replica.py
@@ -36,6 +36,7 @@
 from flintridge.replication.value_types import WriteRejectedError
 
 STAMP_SHIFT_BITS = 16  # bits of a stamp below its milliseconds
+MAX_STAMP = 1 << 62  # of what is accepted: later ones have to fit into the 63 bits of a message
 CHUNK_BYTES = 16 * 1024  # of entries in a chunk, about; a bucket is never divided
 UNPRODUCTIVE_SOURCE_FACTOR = 6.0  # times `sync_wait_ms`: for a source that is reachable, but delivers nothing
 
@@ -166,13 +167,16 @@
         Returns:
             Whether it was accepted.
         """
-        if any(self._is_too_far_ahead(version) for version in entry.versions):
+        if any(version.stamp >= MAX_STAMP for version in entry.versions):
             # Not in part either: what its writer had seen would end what is here, and leave nothing.
-            self.counts["clock_ahead"] += 1
-            self._log_event("state_clock_ahead", type=key[0], name=key[1])
+            self._report_clock_ahead(key, accepted=False)
             return False
         local = self.entries.get(key, Entry())
         local_dots = {version.dot for version in local.versions}
+        if any(version.dot not in local_dots and self._is_ahead(version) for version in entry.versions):
+            # A clock is wrong, the writer's or this one. That is no reason to lose what an operator said: a
+            # stamp only puts concurrent versions in order.
+            self._report_clock_ahead(key, accepted=True)
         ended_dots = {
             version.dot
             for version in entry.versions
@@ -189,7 +193,11 @@
         self._put(key, self._unexpired(merged, now - self.limits.tombstone_ms))
         return True
 
-    def _is_too_far_ahead(self, version: Version) -> bool:
+    def _report_clock_ahead(self, key: Key, accepted: bool) -> None:
+        self.counts["clock_ahead"] += 1
+        self._log_event("state_clock_ahead", type=key[0], name=key[1], accepted=accepted)
+
+    def _is_ahead(self, version: Version) -> bool:
         latest = version.written_at + self.time_of_day_offset + self.limits.max_clock_lead_ms
         return (version.stamp >> STAMP_SHIFT_BITS) > latest
 
