--- a/flintridge/downstream/connection.py
+++ b/flintridge/downstream/connection.py
@@ -14,6 +14,7 @@
 from flintridge.codec.memcache.encoder import encode_client_error, encode_rejection
 from flintridge.core.lifecycle import IdInUseError, bytes_to_reserve
 from flintridge.core.request import Request
+from flintridge.downstream.command_timer import CommandTimer
 from flintridge.downstream.connection_owner import ConnectionOwner
 from flintridge.downstream.lingering_close import (
     LINGERING_CLOSE_MAX_BYTES,
@@ -22,15 +23,13 @@
     wait_until_read,
 )
 from flintridge.downstream.pipeline import PendingResponse, ResponsePipeline
+from flintridge.downstream.value_memory import ValueMemory
 from flintridge.runtime.clock import DeadlineExceededError, Timer
 from flintridge.runtime.streams import TrackingReader, limit_read_size, peer_has_closed
 
 MAX_UNREAD_RESPONSE_BYTES = 128 * 1024  # that a client has yet to read; it is read no further beyond this
 WRITE_AHEAD_BYTES = 32 * 1024  # of a long value, unread by the client; no more is taken from the server then
 READ_BYTES = 64 * 1024
-COMMAND_TIMEOUT_MS = 2_600.0  # for half a command: a good client may take 2 s for a head
-VALUE_TIMEOUT_MS = 20_000.0  # nor may a long value take longer than this to come
-MEMORY_WAIT_MS = 1_000.0  # so long a long value may wait for memory
 IDLE_TIMEOUT_MS = 2_000.0  # a connection with nothing pending is closed after this
 MAX_BAD_COMMANDS = 4  # on one connection; it is closed upon the last of them
 
@@ -71,8 +70,7 @@
         self._parser = CommandParser(owner.settings)
         self._pipeline = ResponsePipeline()
         self.last_used_at = owner.clock.now()
-        # Of the command that is not whole yet; before the first one, of the connection.
-        self._command_started_at = self.last_used_at
+        self._command_timer = CommandTimer(self.last_used_at)
         self.has_requested = False
         self.has_sent_command = False
         self._bad_commands = 0
@@ -82,7 +80,7 @@
         self._lingering_timer: Timer | None = None  # when the lingering close ends
         self._closed = False  # its client has left, or it was closed
         self._processing = False  # commands that were read are being processed: there may be more of them
-        self._reserved_bytes = 0  # of memory, for the long value that is coming
+        self._value_memory = ValueMemory(owner.core.memory_budget, owner.clock)
         self._transport.set_write_buffer_limits(high=WRITE_AHEAD_BYTES)
         limit_read_size(self._transport)
         reader.on_end = self._on_closed
@@ -92,12 +90,12 @@
     @property
     def idle(self) -> bool:
         """Between requests: nothing is pending and nothing more has arrived, as far as was read."""
-        return not self.has_pending and self._parser.idle and not self._reader.has_unread
+        return not self.has_pending and self._parser.idle
 
     @property
     def has_pending(self) -> bool:
-        """Whether a command awaits its response, or its turn to be processed."""
-        return self._processing or len(self._pipeline) > 0
+        """Whether a command awaits its response or its turn, or bytes that were read may hold one."""
+        return self._processing or len(self._pipeline) > 0 or self._reader.has_unread
 
     @property
     def blocked(self) -> bool:
@@ -140,36 +138,41 @@
         Args:
             now: The clock's time.
         """
-        if self.has_pending or self._reader.has_unread or self._close_when_answered or self.closing:
+        if self.has_pending or self._close_when_answered or self.closing:
             return
         if self._parser.idle:
             if now - self.last_used_at >= IDLE_TIMEOUT_MS:
                 self._owner.counters.add("connections_idle_timeout")
-                self.close()
-        elif self._command_timed_out(now):
+                self.evict()
+        elif self._command_timer.timed_out(now, self._parser.in_long_value):
             self._owner.counters.add("connections_command_timeout")
             self._writer.writelines(encode_client_error("command not finished in time"))
             self.close()
 
-    def _command_timed_out(self, now: float) -> bool:
-        if not self._parser.in_long_value:
-            return now - self._command_started_at >= COMMAND_TIMEOUT_MS
-        # A long value may come slowly, but it holds memory: it must go on coming.
-        if now - self.last_used_at >= COMMAND_TIMEOUT_MS:
-            return True
-        return now - self._command_started_at >= VALUE_TIMEOUT_MS
-
     def evict(self) -> None:
-        """Close it for another one.
+        """Close it, for another one or as it is of no use.
 
-        One that never requested is rejected, as its first request may be coming; a client whose connection
-        had served sends its next one again.
+        One that never requested is rejected, as its first request may be coming, and so is half a command; a
+        client whose connection had served sends its next one again.
         """
+        may_request = not self.has_requested or not self._parser.idle
         # One that closes after an error has had that, and nothing more may be written to it.
-        if not self.has_requested and not self._close_when_answered and not self.closing:
+        if may_request and not self._close_when_answered and not self.closing:
             self._writer.writelines(encode_rejection(0.0))
         self.close()
 
+    def end(self) -> None:
+        """Read nothing more at all, and close it if nothing that was read awaits its response.
+
+        Guards the requests that would come before SIGKILL, of a client that is never between commands, or
+        whose value waits for memory: they would be read and not answered any more.
+        """
+        if self.closing:
+            return
+        self._transport.pause_reading()
+        if not self.has_pending or (self._value_memory.awaited and not len(self._pipeline)):
+            self.evict()
+
     # Commands
 
     async def serve(self) -> None:
@@ -200,12 +203,11 @@
 
     async def _process_input(self, data: bytes) -> None:
         self._touch()
-        if self._parser.idle:
-            self._command_started_at = self.last_used_at
+        self._command_timer.bytes_read(self.last_used_at, self._parser.idle)
         commands = self._parser.feed(data)
         if commands:
             self.has_sent_command = True
-            self._command_started_at = self.last_used_at
+            self._command_timer.command_read(self.last_used_at)
         self._processing = True
         goes_on = await self._process_commands(deque(commands))
         self._processing = False
@@ -217,11 +219,16 @@
 
     async def _process_commands(self, commands: deque[Command]) -> bool:
         """Whether the connection goes on."""
-        while commands and not self._closed:  # of a client that has left nothing more is processed
+        # Of a client that has left, or that gets no response any more, nothing further is processed.
+        while commands and not self._closed and not self._shut_down:
             command = commands.popleft()
             if isinstance(command, LongValueAnnounced):
                 # Nothing is read while it waits: the client's own buffers hold it up.
-                granted = await self._reserve_memory(bytes_to_reserve(command.length))
+                granted = await self._value_memory.reserve(bytes_to_reserve(command.length))
+                if self._closed or self._shut_down:
+                    self._value_memory.release()
+                    break
+                self._command_timer.memory_waited(self._value_memory.wait_ms)
                 self._touch()
                 commands.extend(self._parser.admit_long_value(granted))
             elif not self._process(command):
@@ -233,16 +240,10 @@
                 await self.wait_until_read()
         return True
 
-    async def _reserve_memory(self, count: int) -> bool:
-        granted = await self._owner.core.memory_budget.reserve(count, MEMORY_WAIT_MS)
-        self._reserved_bytes = count if granted else 0
-        return granted
-
     def _process(self, command: ExecutableCommand) -> bool:
         """Whether the connection goes on."""
         # Memory is reserved for one long value at a time, and this command is what became of it.
-        reserved_bytes = self._reserved_bytes
-        self._reserved_bytes = 0
+        reserved_bytes = self._value_memory.take()
         try:
             return self._execute(command, reserved_bytes)
         except IdInUseError:
@@ -326,7 +327,7 @@
         self._shut_down = True
         self._owner.eviction_order.touch(self)
         self._parser = self._owner.empty_parser  # half a command holds memory
-        self._release_memory()
+        self._value_memory.release()
         if self._transport.get_write_buffer_size():
             self._transport.pause_reading()  # what is read before the shutdown would need a response
             self._owner.run_in_background(self._shut_down_when_written())
@@ -391,9 +392,4 @@
                 self._owner.core.client_disconnected(pending.open_request_id)
             if pending.stream is not None:
                 pending.stream.start()
-        self._release_memory()
-
-    def _release_memory(self) -> None:
-        reserved_bytes = self._reserved_bytes
-        self._reserved_bytes = 0
-        self._owner.core.memory_budget.release(reserved_bytes)
+        self._value_memory.release()
--- a/flintridge/downstream/listener.py
+++ b/flintridge/downstream/listener.py
@@ -17,10 +17,15 @@
 from flintridge.downstream.connection import ClientConnection
 from flintridge.downstream.eviction import EvictionOrder
 from flintridge.downstream.lingering_close import abort_connection, close_lingering
-from flintridge.runtime.clock import Clock, sleep, to_ms
+from flintridge.runtime.clock import Clock, sleep
 from flintridge.runtime.listener import Listener, open_listener
 from flintridge.runtime.streams import TrackingReader
-from flintridge.shutdown import GracefulShutdown
+from flintridge.shutdown import (
+    SHUTDOWN_ACCEPT_MS,
+    SHUTDOWN_COMMAND_TIMEOUT_MS,
+    GracefulShutdown,
+    ShutdownTimes,
+)
 from flintridge.telemetry.counters import Counters
 from flintridge.telemetry.log import EventLog
 
@@ -30,13 +35,9 @@
 DRAIN_FIRST_COMMAND_TIMEOUT_MS = 300.0  # of a connection that comes while others are closed
 
 # After SIGTERM
-SHUTDOWN_ACCEPT_MS = 700.0  # until which what arrives is served
-SHUTDOWN_COMMAND_TIMEOUT_MS = 1_500.0  # until which commands that are half here may become whole
 SHUTDOWN_WRITE_TIMEOUT_MS = 3_000.0  # at the end, for responses that clients are still reading
-# A request that arrived while requests were accepted may take this long; then the process may be killed.
-SHUTDOWN_MAX_RESPONSE_MS = 3_000.0
-SHUTDOWN_RESPONSE_MARGIN_MS = 50.0  # before that, for the last responses to be written
 SHUTDOWN_POLL_MS = 20.0
+SHUTDOWN_LAST_POLL_MS = 5.0  # once all responses are due
 
 
 class Downstream:
@@ -82,7 +83,8 @@
         self.settings = settings
         self.clock = clock
         self.counters = counters
-        self.shutdown = shutdown or GracefulShutdown()
+        self._shutdown_times = ShutdownTimes.of(settings)
+        self.shutdown = shutdown or GracefulShutdown(self._shutdown_times)
         self.connection_limit = connection_limit
         self.eviction_order: EvictionOrder[ClientConnection] = EvictionOrder()
         self.empty_parser = CommandParser(settings)
@@ -268,41 +270,45 @@
 
     async def leave(self) -> None:
         """After SIGTERM: serve on for a while, then close each connection between requests; answer all."""
-        self.shutdown.terminate(self.clock.now())
-        self.core.answer_by = self._last_response_at()
+        told_at = self.clock.now()
+        self.shutdown.terminate(told_at)
+        # What comes last must have its response before the process may be killed.
+        self.core.answer_by = told_at + self._shutdown_times.last_response_ms
         self.start_drain()
         await sleep(self.clock, SHUTDOWN_ACCEPT_MS)
         if self._listener is not None:
             self._listener.close()
-        await self._wait_for_responses()
-        for connection in list(self._connections):
-            connection.close()  # what was answered is still written out, and what crosses it discarded
+        await self._wait_for_responses(told_at)
         until = self.clock.now() + SHUTDOWN_WRITE_TIMEOUT_MS
         while (self._connections or self._evicted_lingering) and self.clock.now() < until:
             await sleep(self.clock, SHUTDOWN_POLL_MS)
 
-    def _last_response_at(self) -> float:
-        """When all responses are due.
+    async def _wait_for_responses(self, told_at: float) -> None:
+        """Wait until all that was taken in is answered and every connection closes.
 
-        What comes last must have its response before the process may be killed, which is as long after
-        SHUTDOWN_ACCEPT_MS as any class waits.
+        Each request's own deadline bounds this, and so does the instant at which all responses are due.
         """
-        deadlines_ms = (to_ms(request_class.deadline_ns) for request_class in self.settings.classes)
-        max_response_ms = min(SHUTDOWN_MAX_RESPONSE_MS, max(deadlines_ms, default=SHUTDOWN_MAX_RESPONSE_MS))
-        return self.clock.now() + SHUTDOWN_ACCEPT_MS + max_response_ms - SHUTDOWN_RESPONSE_MARGIN_MS
-
-    async def _wait_for_responses(self) -> None:
-        """Wait until all that was taken in is answered; each request's own deadline bounds this."""
-        until = self.clock.now() + SHUTDOWN_COMMAND_TIMEOUT_MS - SHUTDOWN_ACCEPT_MS
+        last_command_at = told_at + SHUTDOWN_COMMAND_TIMEOUT_MS
+        last_response_at = told_at + self._shutdown_times.last_response_ms
         while True:
             # Again each time: a connection that came meanwhile and stays unused must not take a request
             # that this program would end upon.
             self._advance_drain()
-            all_responded = self.core.idle and not any(client.has_pending for client in self._connections)
+            now = self.clock.now()
             # Guards those that were accepted last: their first request is on its way, or half here.
-            if all_responded and (not self._requests_may_come() or self.clock.now() >= until):
+            if now >= last_response_at or (now >= last_command_at and self._all_responded()):
+                for connection in list(self._connections):
+                    connection.end()
+            if self._all_responded() and not self._requests_may_come():
                 return
-            await sleep(self.clock, SHUTDOWN_POLL_MS)
+            due_at = [at for at in (last_command_at, last_response_at) if at > now]
+            pause_ms = SHUTDOWN_POLL_MS if due_at else SHUTDOWN_LAST_POLL_MS
+            await sleep(self.clock, min([pause_ms, *(at - now for at in due_at)]))
+
+    def _all_responded(self) -> bool:
+        return self.core.idle and not any(
+            connection.has_pending for connection in self._connections if not connection.closing
+        )
 
     def _requests_may_come(self) -> bool:
         if self._listener is not None and self._listener.has_handovers:
--- a/flintridge/node.py
+++ b/flintridge/node.py
@@ -22,7 +22,7 @@
 from flintridge.policy.balancer import QUOTA_SLACK, Balancer
 from flintridge.runtime.clock import Clock
 from flintridge.runtime.worker_processes import WorkerProcesses
-from flintridge.shutdown import GracefulShutdown, ServiceState
+from flintridge.shutdown import GracefulShutdown, ServiceState, ShutdownTimes
 from flintridge.telemetry.counters import Counters
 from flintridge.telemetry.log import EventLog
 from flintridge.upstream.dispatcher import Dispatcher
@@ -105,7 +105,7 @@
             watch_wait_ms(settings),
         )
         self.core.attach(self.dispatcher, self.discovery_watcher)
-        self.shutdown = GracefulShutdown()
+        self.shutdown = GracefulShutdown(ShutdownTimes.of(settings))
         self.downstream = Downstream(
             self.core,
             settings,
--- a/flintridge/shutdown.py
+++ b/flintridge/shutdown.py
@@ -9,13 +9,64 @@
 does it.
 """
 
+from dataclasses import dataclass
 from enum import Enum
 
+from flintridge.api import Settings
+from flintridge.runtime.clock import to_ms
+
 IDLE_CLOSE_DELAY_MS = 400.0
 """After the call: until then new connections keep coming, and idle ones stay open."""
 
 STOP_READING_DELAY_MS = 1500.0
-"""After the call: from then on no connection is read any further."""
+"""After the call, at the latest: from then on no connection is read any further."""
+
+SHUTDOWN_ACCEPT_MS = 700.0
+"""After SIGTERM: until then what arrives is served."""
+
+SHUTDOWN_COMMAND_TIMEOUT_MS = 1500.0
+"""After SIGTERM, at the latest: half a command is waited for until then, or while responses are awaited."""
+
+SHUTDOWN_MAX_RESPONSE_MS = 3000.0
+"""A request that arrived while requests were accepted may take this long; then SIGKILL may come."""
+
+SHUTDOWN_RESPONSE_MARGIN_MS = 200.0
+"""Before SIGKILL: the last responses are due, though the node be held up for 150 ms before it writes them."""
+
+SHORT_RESPONSE_MARGIN = 0.25
+"""Of the longest deadline: that margin, where deadlines are short."""
+
+LAST_REQUEST_TIME_MS = 1000.0
+"""What is read last has so much of its time, or the whole of the longest deadline, before SIGKILL."""
+
+
+@dataclass(slots=True, frozen=True)
+class ShutdownTimes:
+    """When what falls due after the call, in milliseconds; it follows the longest deadline of a deployment.
+
+    After SIGTERM the process may be killed once that deadline, 3 s at most, and SHUTDOWN_ACCEPT_MS are over.
+    Guards requests against a process that reads what it can't answer any more: with deadlines of 100 ms it is
+    killed after 0.8 s.
+
+    Attributes:
+        stop_reading_ms: No connection is read any further, but for the rest of half a command.
+        last_response_ms: All responses are due, and nothing is waited for any more.
+    """
+
+    stop_reading_ms: float = STOP_READING_DELAY_MS
+    last_response_ms: float = SHUTDOWN_ACCEPT_MS + SHUTDOWN_MAX_RESPONSE_MS - SHUTDOWN_RESPONSE_MARGIN_MS
+
+    @classmethod
+    def of(cls, settings: Settings) -> "ShutdownTimes":
+        """Those of a deployment with these settings."""
+        deadlines_ms = (to_ms(request_class.deadline_ns) for request_class in settings.classes)
+        response_ms = min(SHUTDOWN_MAX_RESPONSE_MS, max(deadlines_ms, default=SHUTDOWN_MAX_RESPONSE_MS))
+        killed_ms = SHUTDOWN_ACCEPT_MS + response_ms
+        margin_ms = min(SHUTDOWN_RESPONSE_MARGIN_MS, SHORT_RESPONSE_MARGIN * response_ms)
+        return cls(
+            stop_reading_ms=min(STOP_READING_DELAY_MS, killed_ms - min(LAST_REQUEST_TIME_MS, response_ms)),
+            last_response_ms=killed_ms - margin_ms,
+        )
 
 
 class ServiceState(Enum):
@@ -37,9 +88,11 @@
         state: Where the node is.
     """
 
-    __slots__ = ("_shutdown_at", "state")
+    __slots__ = ("_shutdown_at", "_stop_reading_ms", "state")
 
-    def __init__(self) -> None:
+    def __init__(self, times: ShutdownTimes | None = None) -> None:
+        """`times`: those of the deployment; None: those of one whose longest deadline is 3 s or more."""
+        self._stop_reading_ms = (times or ShutdownTimes()).stop_reading_ms
         self.state = ServiceState.SERVING
         self._shutdown_at = 0.0  # the time of the call that began it
 
@@ -105,11 +158,11 @@
         Guards the end of a drain against clients that are never between requests: what they wrote but was not
         read they send again elsewhere.
         """
-        return self.state is not ServiceState.SERVING and now >= self._shutdown_at + STOP_READING_DELAY_MS
+        return self.state is not ServiceState.SERVING and now >= self._shutdown_at + self._stop_reading_ms
 
     def deadlines(self, now: float) -> list[float]:
         """The instants still to come at which something falls due."""
         if self.state is ServiceState.SERVING:
             return []
-        delays = (IDLE_CLOSE_DELAY_MS, STOP_READING_DELAY_MS)
+        delays = (IDLE_CLOSE_DELAY_MS, self._stop_reading_ms)
         return [self._shutdown_at + delay for delay in delays if self._shutdown_at + delay > now]
--- a/tests/downstream/test_connection_termination.py
+++ b/tests/downstream/test_connection_termination.py
@@ -26,11 +26,10 @@
 from flintridge.downstream.lingering_close import LINGERING_CLOSE_MS
 from flintridge.downstream.listener import (
     MAX_LINGERING_BEYOND_LIMIT,
-    SHUTDOWN_ACCEPT_MS,
     SWEEP_INTERVAL_MS,
 )
 from flintridge.downstream.pipeline import MAX_PIPELINED_COMMANDS
-from flintridge.shutdown import IDLE_CLOSE_DELAY_MS, STOP_READING_DELAY_MS
+from flintridge.shutdown import IDLE_CLOSE_DELAY_MS, SHUTDOWN_ACCEPT_MS, STOP_READING_DELAY_MS
 
 
 def test_lingering_close_when_a_request_crosses_it_then_discards_it_without_a_reset():
--- a/tests/downstream/test_downstream_streaming.py
+++ b/tests/downstream/test_downstream_streaming.py
@@ -10,8 +10,9 @@
 from support.upstream import READ
 
 from flintridge.codec.memcache.encoder import FAILED_RESPONSE
-from flintridge.downstream.connection import COMMAND_TIMEOUT_MS, MEMORY_WAIT_MS
+from flintridge.downstream.command_timer import COMMAND_TIMEOUT_MS
 from flintridge.downstream.lingering_close import SLOW_READER_TIMEOUT_MS
+from flintridge.downstream.value_memory import MEMORY_WAIT_MS
 from flintridge.lab import virtual
 
 
