--- /dev/null
+++ b/tests/discovery/test_discovery_trouble.py
@@ -0,0 +1,251 @@
+"""Discovery that is down for minutes, slow, crowded or resets: what it has is known in time once it is back.
+
+A change counts as told 6 s after discovery had it and could be reached, 4 s after SIGHUP. Whole nodes, in
+virtual time, towards a scripted discovery.
+"""
+
+import asyncio
+from dataclasses import replace
+
+import pytest
+from support.network import NS_PER_MS, quiet
+from support.node import http, whole
+
+from flintridge import api
+from flintridge.api import DiscoveryMode, EndpointState
+from flintridge.config.address import Address
+from flintridge.config.node_config import NodeConfig
+from flintridge.lab import virtual
+from flintridge.node import Node
+from flintridge.runtime.clock import SystemClock
+
+TOLD_S = 6.0
+TOLD_AFTER_SIGHUP_S = 4.0
+GRACE_MS = 500.0  # of a drain: until then attempts may begin at a server that drains
+OUTAGE_S = 300.0
+
+
+class Discovery:
+    """A discovery that answers at once what is new, and in trouble as the test says."""
+
+    def __init__(self) -> None:
+        self.trouble: str | None = None
+        self.list = whole(1, s1="in_service")
+        self.changed = asyncio.Event()
+        self.calls = 0
+        self.server: asyncio.Server | None = None
+        self.port = 0
+        self.tasks: set[asyncio.Task[None]] = set()
+        self.byte_pause_s = 0.0
+
+    async def open(self) -> None:
+        self.server = await asyncio.start_server(self.serve, "127.0.0.1", self.port)
+        self.port = self.server.sockets[0].getsockname()[1]
+
+    def close(self) -> None:
+        """Refuse calls from now on, and end those that wait."""
+        self.server.close()
+        for task in list(self.tasks):
+            task.cancel()
+
+    def change(self, revision: int, **phases: str) -> None:
+        self.list = whole(revision, **phases)
+        self.changed.set()
+        self.changed = asyncio.Event()
+
+    async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        task = asyncio.current_task()
+        self.tasks.add(task)
+        try:
+            while request := await reader.readuntil(b"\r\n\r\n"):
+                self.calls += 1
+                if not await self.answer(request, writer):
+                    return
+        except (asyncio.IncompleteReadError, ConnectionError, asyncio.CancelledError):
+            pass
+        finally:
+            writer.close()
+            self.tasks.discard(task)
+
+    async def answer(self, request: bytes, writer: asyncio.StreamWriter) -> bool:
+        if self.trouble == "crowded":
+            writer.write(b"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n")
+            return True
+        if self.trouble == "resets":
+            writer.transport.abort()
+            return False
+        if self.trouble == "silent":
+            await asyncio.Event().wait()
+        if b"after=%d&" % self.list["revision"] in request:
+            wait_s = int(request.split(b"wait_ms=")[1].split(b" ")[0]) / 1000
+            try:
+                await asyncio.wait_for(self.changed.wait(), wait_s)
+            except TimeoutError:
+                if self.trouble == "silent":
+                    await asyncio.Event().wait()
+                unchanged = {"revision": self.list["revision"], "complete": False, "members": []}
+                writer.write(http(unchanged))
+                return True
+        response = http(self.list)
+        if not self.byte_pause_s:
+            writer.write(response)
+            return True
+        for byte in response:
+            writer.write(bytes([byte]))
+            await asyncio.sleep(self.byte_pause_s)
+        return True
+
+
+class Watching:
+    """One node in virtual time, its discovery, and when the node knew of a drain."""
+
+    def __init__(self, discovery: Discovery, mode: DiscoveryMode, seed: int = 1) -> None:
+        settings = api.Settings(rules=api.Rules(drain_grace_ns=int(GRACE_MS * NS_PER_MS)), discovery=mode)
+        listen, asked = Address("127.0.0.1", 0), Address("127.0.0.1", discovery.port)
+        self.config = NodeConfig("n1", listen, asked, seed, settings, known=whole(1, s1="in_service"))
+        self.loop = asyncio.get_running_loop()
+        self.node = Node(self.config, SystemClock(self.loop), *quiet())
+
+    def state(self, server: str = "s1") -> EndpointState | None:
+        known = self.node.core._policy.servers.get(server)
+        return known and known.endpoint.state
+
+    async def seconds_until_draining(self, limit_s: float = 30.0) -> float:
+        began = self.loop.time()
+        while self.state() is not EndpointState.DRAINING:
+            assert self.loop.time() < began + limit_s, "it never heard of the drain"
+            await asyncio.sleep(0.01)
+        return self.loop.time() - began
+
+
+each_mode = pytest.mark.parametrize("mode", [DiscoveryMode.POLLED, DiscoveryMode.PUSHED])
+
+
+@each_mode
+@pytest.mark.parametrize("trouble", ["down", "crowded", "resets", "silent"])
+@pytest.mark.parametrize("seed", [1, 2, 3])
+def test_change_when_discovery_was_in_trouble_for_minutes_then_is_known_in_time_after_its_return(
+    mode, trouble, seed
+):
+    async def test():
+        discovery = Discovery()
+        await discovery.open()
+        watching = Watching(discovery, mode, seed)
+        await watching.node.start()
+        await asyncio.sleep(10)
+        if trouble == "down":
+            discovery.close()
+        discovery.trouble = trouble
+        for task in list(discovery.tasks):
+            if trouble != "silent":
+                task.cancel()  # watches end as it goes down
+        discovery.list = whole(2, s1="terminating")
+        await asyncio.sleep(OUTAGE_S)
+        calls = discovery.calls
+        discovery.trouble = None
+        if trouble == "down":
+            await discovery.open()
+        assert await watching.seconds_until_draining() <= TOLD_S
+        assert calls <= OUTAGE_S * 5  # a crowded one isn't asked without pause
+        await watching.node.close()
+        discovery.close()
+
+    virtual.run(test())
+
+
+@each_mode
+@pytest.mark.parametrize("taken_s", [0.5, 1.5, 2.5])
+def test_change_when_discovery_answers_byte_by_byte_then_is_known(mode, taken_s):
+    """It takes as long as a call may at most: nothing is given up half way and begun anew for ever."""
+
+    async def test():
+        discovery = Discovery()
+        await discovery.open()
+        discovery.byte_pause_s = taken_s / len(http(whole(2, s1="terminating")))
+        watching = Watching(discovery, mode)
+        await watching.node.start()
+        await asyncio.sleep(OUTAGE_S / 10)
+        discovery.change(2, s1="terminating")
+        assert await watching.seconds_until_draining() <= TOLD_S
+        await watching.node.close()
+        discovery.close()
+
+    virtual.run(test())
+
+
+@each_mode
+def test_change_when_nothing_had_happened_for_an_hour_then_is_known_at_once(mode):
+    async def test():
+        discovery = Discovery()
+        await discovery.open()
+        watching = Watching(discovery, mode)
+        await watching.node.start()
+        await asyncio.sleep(3_600)
+        discovery.change(2, s1="terminating")
+        assert await watching.seconds_until_draining() <= 0.5
+        await watching.node.close()
+        discovery.close()
+
+    virtual.run(test())
+
+
+@each_mode
+@pytest.mark.parametrize("trouble", [None, "crowded", "silent", "resets"])
+def test_reload_when_discovery_moves_there_and_back_at_once_then_the_last_address_is_gone_by(mode, trouble):
+    """Several in one turn of the loop and within 100 ms, watch calls pending, the other in trouble or not."""
+
+    async def test():
+        first, second = Discovery(), Discovery()
+        await first.open()
+        await second.open()
+        watching = Watching(first, mode)
+        await watching.node.start()
+        await asyncio.sleep(10)
+        second.trouble = trouble
+        second.list = whole(90, s1="in_service")
+        first.list = whole(2, s1="terminating")  # as written while the watch was elsewhere
+        ports = [second.port, first.port, second.port, first.port]
+        for number, port in enumerate(ports * 3):
+            watching.node.reload(_moved(watching.config, port))
+            if number >= len(ports):
+                await asyncio.sleep(0.01 * (number % 3))
+        assert await watching.seconds_until_draining() <= TOLD_AFTER_SIGHUP_S
+        calls = first.calls, second.calls
+        await asyncio.sleep(20)
+        assert second.calls == calls[1]  # no call to the other one is left
+        assert watching.state() is EndpointState.DRAINING
+        assert first.calls - calls[0] <= 25  # one watch, not several
+        await watching.node.close()
+        first.close()
+        second.close()
+
+    virtual.run(test())
+
+
+def _moved(config: NodeConfig, port: int) -> NodeConfig:
+    return replace(config, discovery=Address("127.0.0.1", port))
+
+
+@each_mode
+@pytest.mark.parametrize("trouble", ["crowded", "resets", "silent"])
+@pytest.mark.parametrize("back_s", [0.0, 0.05, 0.6, 2.9])
+def test_reload_when_the_new_discovery_is_in_trouble_at_first_then_is_known_in_time(mode, trouble, back_s):
+    async def test():
+        first, second = Discovery(), Discovery()
+        await first.open()
+        await second.open()
+        watching = Watching(first, mode)
+        await watching.node.start()
+        await asyncio.sleep(10)
+        second.trouble = trouble
+        second.list = whole(2, s1="terminating")
+        watching.node.reload(_moved(watching.config, second.port))
+        await asyncio.sleep(back_s)
+        second.trouble = None
+        # 4 s after SIGHUP, but where discovery could not be reached then, 6 s after it could.
+        assert await watching.seconds_until_draining() + back_s <= max(TOLD_AFTER_SIGHUP_S, back_s + TOLD_S)
+        await watching.node.close()
+        first.close()
+        second.close()
+
+    virtual.run(test())
