--- a/flintridge/policy/balancer.py
+++ b/flintridge/policy/balancer.py
@@ -13,6 +13,15 @@
 from flintridge.policy.concurrency_limiter import NS_PER_MS, Attempt, ConcurrencyLimiter, OpenRequest
 from flintridge.policy.endpoint_state import Server, ServerTable
 from flintridge.policy.hash_ring import NUMBER_MASK, POINTS, place_of
+from flintridge.policy.server_fractions import (
+    HEALTHY_COST_FACTOR,
+    MIN_HEALTH,
+    ServerFractions,
+    evidence_at,
+    health_of,
+    likely_cost_at,
+)
+from flintridge.policy.slow_start import warmth_at, weight_root
 
 __all__ = ["Balancer", "Server"]
 
@@ -23,11 +32,7 @@
 LOAD_SLACK = 0.5  # a server may have this much more in flight than the average
 MIN_CAP = 2  # a node with about one attempt at a server can't tell a second one from chance
 FRACTIONS_MAX_AGE_NS = 500 * NS_PER_MS  # a server's own outcomes count at once
-MIN_HEALTH = 0.1  # what an unhealthy server keeps of its keys and cap, to be tried on
-HEALTHY_COST_FACTOR = 1.3  # up to this multiple of the fleet's cost a server is healthy
 UNHEALTHY = 0.5  # below this health a server's failures are its own
-PRIOR_OUTCOMES = 2.0  # like those of its kind, that a server is credited with before its own
-EVIDENCE_HALF_LIFE_NS = 5 * NS_PER_S
 MALFORMED_COST_FACTOR = 2.0  # of the usual cost
 RESET_COST_FACTOR = 4.0
 SLOW_START_BUDGET_FRACTION = 0.5  # of what rule 4 allows: the estimate of capacity may be that far off
@@ -59,7 +64,7 @@
         self.order = itertools.count()  # of timers, and of requests that wait
         self.watch_failures = 0
         self.origin_kind = settings.origin_kind if settings.mode is api.CacheMode.ASIDE else None
-        self.table = ServerTable(self.origin_kind)
+        self.table = ServerTable(self.origin_kind, settings.rules)
         self.servers = self.table.servers
         self.names = self.table.names
         self.ring = self.table.ring
@@ -81,8 +86,7 @@
         self.fleet_cost: float | None = None
         self.success_cost: float | None = None  # of attempts that did not fail, at whichever server
         self.kind_costs: dict[int, float] = {}  # of machines of a kind, while they are well
-        self.fractions: dict[str, float] = {}  # of keys and cap, of each ready server
-        self.fraction_sum = 0.0
+        self.fractions = ServerFractions(self.table, settings.rules)  # of keys and cap
         self.fractions_fresh_until = 0
         self.mean_work = 0.0  # of requests
         self.warm_work = 0.0  # that this node saw a warm server do in a rule window, at the most
@@ -276,67 +280,62 @@
         if self.now >= self.fractions_fresh_until:
             self.refresh_fractions()
         fractions = self.fractions
-        average = (self.caches.inflight + 1) / self.fraction_sum
+        made = fractions.made
+        average = (self.caches.inflight + 1) / self.fractions.sum
         seen = set(request.failed_servers)
         preferred = request.preferred
-        if preferred in fractions and preferred not in seen and self.is_free(preferred, request, average):
-            return preferred
+        if preferred in self.ready and preferred not in seen:
+            server = self.servers[preferred]
+            if self.is_free(server, fractions[preferred], self.weight_root(server), request, average):
+                return preferred
         backing_off: str | None = None  # the last resort
-        remaining = len(fractions) - sum(name in fractions for name in seen)
+        remaining = len(self.ready) - sum(name in self.ready for name in seen)
         for entry in self.ring.walk(place_of(request.event.key or request.event.id)):
             if not remaining:
                 break
             name = self.names[entry >> 8 & NUMBER_MASK]
-            if name in seen or name not in fractions:  # the latter is on its way off the ring
+            candidate = self.ready.get(name)
+            if candidate is None or name in seen:  # None: it is on its way off the ring
                 continue
-            server = self.servers[name]
-            if entry & 0xFF >= fractions[name] * self.weight_root(server) * POINTS:
+            fraction = made.get(name) or fractions[name]
+            root = self.weight_root(candidate)
+            if entry & 0xFF >= fraction * root * POINTS:
                 continue
             seen.add(name)
             remaining -= 1
-            if server.backoff_until > self.now:
+            if candidate.backoff_until > self.now:
                 backing_off = backing_off or name
-            elif self.is_free(name, request, average):
+            elif self.is_free(candidate, fraction, root, request, average):
                 return name
         return backing_off
 
-    def is_free(self, name: str, request: OpenRequest, average: float) -> bool:
-        server = self.servers[name]
-        fraction = self.fractions[name]
-        minimum = MIN_CAP if fraction >= UNHEALTHY * self.weight_root(server) else 1
+    def is_free(
+        self, server: Server, fraction: float, root: float, request: OpenRequest, average: float
+    ) -> bool:
+        minimum = MIN_CAP if fraction >= UNHEALTHY * root else 1
         cap = max(minimum, math.ceil((1 + LOAD_SLACK) * average * fraction))
         return server.inflight < cap and self.is_within_budget(server, request)
 
     def weight_root(self, server: Server) -> float:  # it counts for its points, and for its cap
-        weight = server.endpoint.weight
-        max_weight = self.table.max_weight
-        return math.sqrt(min(1.0, weight / max_weight)) if weight and max_weight else 1.0
+        return weight_root(server.endpoint.weight, self.table.max_weight)
 
     def fraction(self, server: Server) -> float:  # of keys and cap
         return self.warmth(server) * self.health(server) * self.weight_root(server)
 
     def refresh_fractions(self) -> None:  # not for each request: in a large fleet that costs CPU
-        baseline = self.fleet_cost
-        if baseline:  # that of the server a third from the best: a lost zone must not pass for usual
-            costs = sorted(self.likely_cost(self.servers[name], baseline) for name in self.ready)
-            self.fleet_cost = costs[len(costs) // 3]
-        self.fractions = {name: self.fraction(self.servers[name]) for name in self.ready}
-        self.fraction_sum = sum(self.fractions.values())
+        self.fleet_cost = self.fractions.refresh(self.now, self.fleet_cost, self.kind_costs)
         self.fractions_fresh_until = self.now + FRACTIONS_MAX_AGE_NS
 
     def health(self, server: Server) -> float:  # from MIN_HEALTH to 1
         if not self.fleet_cost:
             return 1.0
-        health = HEALTHY_COST_FACTOR * self.fleet_cost / self.likely_cost(server, self.fleet_cost)
-        return min(1.0, max(MIN_HEALTH, health))
+        return health_of(self.likely_cost(server, self.fleet_cost), self.fleet_cost)
 
     def likely_cost(self, server: Server, baseline: float) -> float:  # its own, its kind's or `baseline`
-        evidence = self.evidence(server)
-        prior = PRIOR_OUTCOMES * self.kind_costs.get(server.endpoint.kind, baseline)
-        return (evidence * server.cost + prior) / (evidence + PRIOR_OUTCOMES)
+        return likely_cost_at(server, self.now, self.kind_costs.get(server.endpoint.kind, baseline))
 
     def evidence(self, server: Server) -> float:  # it fades
-        return server.evidence * math.pow(0.5, (self.now - server.cost_at) / EVIDENCE_HALF_LIFE_NS)
+        return evidence_at(server, self.now)
 
     def record_cost(self, server: Server, request: OpenRequest, event: AttemptEnded, failed: bool) -> None:
         expected_ns = request.event.work_ns or self.caches.mean_latency_ns(request)
@@ -364,18 +363,12 @@
         if self.fleet_cost is None:
             self.fleet_cost = cost
         name = server.endpoint.server
-        if name in self.fractions:
-            fraction = self.fraction(server)
-            self.fraction_sum += fraction - self.fractions[name]
-            self.fractions[name] = fraction
+        if name in self.ready:
+            self.fractions.replace(name, self.fraction(server))
+        self.fractions.judge(server, self.now)
 
     def warmth(self, server: Server) -> float:  # the fraction of its capacity that it has by now
-        rules = self.settings.rules
-        age_ns = self.now - server.endpoint.started_at
-        if server.endpoint.started_at == 0 or age_ns >= rules.slow_start_ns:
-            return 1.0
-        minimum = rules.slow_start_fraction
-        return minimum + (1 - minimum) * max(age_ns, 0) / rules.slow_start_ns
+        return warmth_at(server.endpoint, self.settings.rules, self.now)
 
     def is_within_budget(self, server: Server, request: OpenRequest) -> bool:  # while it is warming up
         rules = self.settings.rules
@@ -409,7 +402,7 @@
             return
         age_ns = self.now - self.window_started_at
         if age_ns >= window_ns:
-            warm = sum(self.warmth(self.servers[name]) == 1 for name in self.ready)
+            warm = len(self.ready) - self.table.warmth_sums.warming(self.now)
             if warm and self.window_started_at:
                 self.warm_work = max(self.window_work / warm * window_ns / age_ns, 0.9 * self.warm_work)
             self.window_started_at = self.now
--- a/flintridge/policy/endpoint_state.py
+++ b/flintridge/policy/endpoint_state.py
@@ -13,11 +13,11 @@
 from flintridge import api
 from flintridge.api import EndpointState
 from flintridge.policy.hash_ring import HashRing
+from flintridge.policy.slow_start import UNITS, WarmthSums
 
 WHOLE_FLEET = 256  # servers; with fewer on the ring a change is put in at once: at most some 30 ms
 SLICE = 8  # servers put on a larger ring, or taken off it, in a call: under 2 ms
 SORTED_LATER = 4  # servers; more that come at once are sorted in when their buckets are looked at
-WEIGHT_UNITS = 1 << 64  # of 1.0: sums of weights over 0.0002 are exact, in whichever order they change
 
 
 @dataclass(slots=True, eq=False)
@@ -50,9 +50,10 @@
         origins: The names of the origins that can be asked, in order.
         max_weight: Of a cache server that was ever ready.
         mean_weight: Of those ready that have one.
+        warmth_sums: Of those ready.
     """
 
-    def __init__(self, origin_kind: int | None) -> None:
+    def __init__(self, origin_kind: int | None, rules: api.Rules) -> None:
         self.servers: dict[str, Server] = {}
         self.names: list[str] = []
         self.ring = HashRing()
@@ -60,10 +61,11 @@
         self.origins: list[str] = []
         self.max_weight = 0.0
         self.mean_weight = 1.0
+        self.warmth_sums = WarmthSums(rules)
         self._origin_kind = origin_kind
         self._free_numbers: list[int] = []
         self._due: dict[str, None] = {}  # names whose ring entries may have to come or go, the oldest first
-        self._weight_sum = 0  # in WEIGHT_UNITS, of those ready
+        self._weight_sum = 0  # in UNITS, of those ready
         self._weight_count = 0
 
     def update(self, endpoint: api.Endpoint) -> None:
@@ -100,7 +102,7 @@
                 self.ring.remove(name)
             if is_wanted and name not in self.ready:
                 self.ready[name] = server
-                self._count(server.endpoint, 1)
+                self._count(server.endpoint)
             self.forget_unused(server)
         if len(coming) > SORTED_LATER:
             self.ring.add_all(coming)
@@ -130,24 +132,32 @@
         if self._is_ready_origin(server.endpoint):
             self.origins.remove(name)
         if name in self.ready:
-            self._count(server.endpoint, -1)
+            self._discount(server.endpoint)
         server.endpoint = endpoint
         self._due[name] = None
         if self._is_ready_origin(endpoint):
             insort(self.origins, name)
         if name in self.ready and self._is_ready_cache(endpoint):
-            self._count(endpoint, 1)
+            self._count(endpoint)
         else:
             self.ready.pop(name, None)
 
-    def _count(self, endpoint: api.Endpoint, sign: int) -> None:
-        if endpoint.weight <= 0:
-            return
-        self._weight_sum += sign * int(endpoint.weight * WEIGHT_UNITS)
+    def _count(self, endpoint: api.Endpoint) -> None:
+        self.warmth_sums.add(endpoint)
+        if endpoint.weight > 0:
+            self.max_weight = max(self.max_weight, endpoint.weight)
+            self._add_weight(endpoint.weight, 1)
+
+    def _discount(self, endpoint: api.Endpoint) -> None:
+        self.warmth_sums.remove(endpoint)
+        if endpoint.weight > 0:
+            self._add_weight(endpoint.weight, -1)
+
+    def _add_weight(self, weight: float, sign: int) -> None:
+        self._weight_sum += sign * int(weight * UNITS)
         self._weight_count += sign
-        self.max_weight = max(self.max_weight, endpoint.weight)
         if self._weight_count:
-            self.mean_weight = self._weight_sum / (self._weight_count * WEIGHT_UNITS)
+            self.mean_weight = self._weight_sum / (self._weight_count * UNITS)
 
     def _is_ready_cache(self, endpoint: api.Endpoint) -> bool:
         return endpoint.state is EndpointState.READY and endpoint.kind != self._origin_kind
--- a/flintridge/policy/hash_ring.py
+++ b/flintridge/policy/hash_ring.py
@@ -87,11 +87,17 @@
             ValueError: As for `add`.
         """
         self._register(numbers)
-        if numbers:
+        if len(self._unsorted) < BUCKETS:
             self._unsorted = {index: self._unsorted.get(index, set()) for index in range(BUCKETS)}
+        if any(self._unsorted.values()):
+            for server, number in numbers.items():
+                for entry in points(server, number):
+                    self._append(entry >> BUCKET_SHIFT, entry)
+            return
+        appends = [bucket.append for bucket in self._buckets]
         for server, number in numbers.items():
             for entry in points(server, number):
-                self._append(entry >> BUCKET_SHIFT, entry)
+                appends[entry >> BUCKET_SHIFT](entry)
 
     def remove(self, server: str) -> None:
         """Give up a server.
--- /dev/null
+++ b/flintridge/policy/server_fractions.py
@@ -0,0 +1,169 @@
+"""The fraction of its keys and of its cap that each ready server has: warmth, health and weight together.
+
+Only servers that this node has used lately are looked at one by one. The others are like their kind: their
+fractions are worked out when they are asked for, and their sum from sums that changes keep up.
+"""
+
+import math
+from collections.abc import Iterator, Mapping
+from typing import NamedTuple
+
+from flintridge import api
+from flintridge.policy.endpoint_state import Server, ServerTable
+from flintridge.policy.slow_start import warmth_at, weight_root
+
+NS_PER_S = 1_000_000_000
+MIN_HEALTH = 0.1  # what an unhealthy server keeps of its keys and cap, to be tried on
+HEALTHY_COST_FACTOR = 1.3  # up to this multiple of the fleet's cost a server is healthy
+PRIOR_OUTCOMES = 2.0  # like those of its kind, that a server is credited with before its own
+EVIDENCE_HALF_LIFE_NS = 5 * NS_PER_S
+JUDGED_SERVERS = 256  # that are judged by their own outcomes however old these are
+FAINT_EVIDENCE = 0.01  # of an outcome; beyond JUDGED_SERVERS a server with less is like its kind
+
+
+def evidence_at(server: Server, now: int) -> float:
+    """How many outcomes still stand behind a server's cost; they fade."""
+    return server.evidence * math.pow(0.5, (now - server.cost_at) / EVIDENCE_HALF_LIFE_NS)
+
+
+def likely_cost_at(server: Server, now: int, kind_cost: float) -> float:
+    """A server's cost, weighed by its evidence against the cost of its kind."""
+    evidence = server.evidence * math.pow(0.5, (now - server.cost_at) / EVIDENCE_HALF_LIFE_NS)
+    return (evidence * server.cost + PRIOR_OUTCOMES * kind_cost) / (evidence + PRIOR_OUTCOMES)
+
+
+def health_of(cost: float, fleet_cost: float | None) -> float:
+    """The health of a server with this cost, from MIN_HEALTH to 1."""
+    if not fleet_cost:
+        return 1.0
+    return min(1.0, max(MIN_HEALTH, HEALTHY_COST_FACTOR * fleet_cost / cost))
+
+
+class Judged(NamedTuple):
+    """A ready server with outcomes of its own, at one instant; hundreds are made in a refresh."""
+
+    server: Server
+    cost: float  # the likely one
+
+
+class ServerFractions(Mapping[str, float]):
+    """The fractions of all ready servers, as they were at the last refresh or at an outcome since.
+
+    Attributes:
+        sum: Of all fractions.
+        made: As far as they were asked for since, or are not like their kind's.
+    """
+
+    def __init__(self, table: ServerTable, rules: api.Rules) -> None:
+        self.sum = 0.0
+        self._table = table
+        self._ready = table.ready
+        self._rules = rules
+        self._made_at = 0
+        self._kind_health: dict[int, float] = {}
+        self.made: dict[str, float] = {}
+        self._judged: dict[str, Server] = {}  # the one used longest ago first
+
+    def __getitem__(self, name: str) -> float:
+        fraction = self.made.get(name)
+        if fraction is None:
+            endpoint = self._ready[name].endpoint
+            fraction = self.made[name] = self._fraction(endpoint, self._kind_health.get(endpoint.kind, 1.0))
+        return fraction
+
+    def __iter__(self) -> Iterator[str]:
+        return iter(self._ready)
+
+    def __len__(self) -> int:
+        return len(self._ready)
+
+    def replace(self, name: str, fraction: float) -> None:
+        """Set one server's fraction until the next refresh."""
+        self.sum += fraction - self[name]
+        self.made[name] = fraction
+
+    def judge(self, server: Server, now: int) -> None:
+        """Look at a server that has had an outcome by itself from now on; of many, forget what is faint."""
+        name = server.endpoint.server
+        self._judged.pop(name, None)
+        self._judged[name] = server
+        if len(self._judged) > JUDGED_SERVERS:
+            oldest = next(iter(self._judged))
+            if evidence_at(self._judged[oldest], now) < FAINT_EVIDENCE:
+                self._judged.pop(oldest).evidence = 0.0
+
+    def refresh(self, now: int, fleet_cost: float | None, kind_costs: Mapping[int, float]) -> float | None:
+        """Work out all fractions anew.
+
+        Args:
+            now: In nanoseconds.
+            fleet_cost: The fleet's cost so far; None while nothing is known.
+            kind_costs: Of machines of a kind, as far as known.
+
+        Returns:
+            The fleet's cost: that of the server a third from the best.
+        """
+        sums = self._table.warmth_sums
+        sums.weigh_against(self._table.max_weight, (server.endpoint for server in self._ready.values()))
+        totals = sums.totals(now)
+        self._made_at = now
+        self.made.clear()
+        self._kind_health = {}
+        if not fleet_cost or not self._ready:
+            self.sum = math.fsum(totals.values())
+            return fleet_cost
+        usual = {kind: kind_costs.get(kind, fleet_cost) for kind in totals}
+        judged = self._judge_ready(now, usual)
+        new_cost = self._third_from_best(judged, usual)
+        self._kind_health = {kind: health_of(kind_costs.get(kind, new_cost), new_cost) for kind in totals}
+        self.sum = math.fsum(total * self._kind_health[kind] for kind, total in totals.items())
+        healthy_cost = HEALTHY_COST_FACTOR * new_cost
+        healthy_kinds = {
+            kind for kind, health in self._kind_health.items() if health == 1 and kind in kind_costs
+        }
+        for one in judged:
+            if one.cost > healthy_cost or one.server.endpoint.kind not in healthy_kinds:
+                self._set_apart(one, now, new_cost, kind_costs)
+        return new_cost
+
+    def _judge_ready(self, now: int, kind_costs: Mapping[int, float]) -> list[Judged]:
+        judged: list[Judged] = []
+        forgotten: list[str] = []
+        for name, server in self._judged.items():
+            if self._ready.get(name) is server:
+                judged.append(Judged(server, likely_cost_at(server, now, kind_costs[server.endpoint.kind])))
+            elif self._table.servers.get(name) is not server:
+                forgotten.append(name)
+        for name in forgotten:
+            del self._judged[name]
+        return judged
+
+    def _third_from_best(self, judged: list[Judged], kind_costs: Mapping[int, float]) -> float:
+        """The cost at a third of all ready servers' likely costs in order: most may be their kind's."""
+        others = dict(self._table.warmth_sums.sizes)
+        for one in judged:
+            others[one.server.endpoint.kind] -= 1
+        costs = [(one.cost, 1) for one in judged]
+        costs += [(kind_costs[kind], count) for kind, count in others.items() if count]
+        costs.sort()
+        left = len(self._ready) // 3
+        at = 0
+        while left >= costs[at][1]:
+            left -= costs[at][1]
+            at += 1
+        return costs[at][0]
+
+    def _set_apart(self, one: Judged, now: int, fleet_cost: float, kind_costs: Mapping[int, float]) -> None:
+        """Give a judged server its own fraction, where its health is not its kind's."""
+        endpoint = one.server.endpoint
+        cost = one.cost if endpoint.kind in kind_costs else likely_cost_at(one.server, now, fleet_cost)
+        health = health_of(cost, fleet_cost)
+        usual = self._kind_health[endpoint.kind]
+        if health != usual:
+            fraction = self._fraction(endpoint, health)
+            self.sum += fraction - self._fraction(endpoint, usual)
+            self.made[endpoint.server] = fraction
+
+    def _fraction(self, endpoint: api.Endpoint, health: float) -> float:
+        warmth = warmth_at(endpoint, self._rules, self._made_at)
+        return warmth * health * weight_root(endpoint.weight, self._table.max_weight)
--- a/tests/policy/test_endpoint_state.py
+++ b/tests/policy/test_endpoint_state.py
@@ -60,7 +60,7 @@
 @given(batches=st.lists(st.lists(endpoints, max_size=5), max_size=12))
 @plain
 def test_a_table_after_any_updates_is_that_of_the_servers_as_last_told(batches):
-    table = ServerTable(ORIGIN_KIND)
+    table = ServerTable(ORIGIN_KIND, api.Rules())
     told: dict[str, api.Endpoint] = {}
     heaviest = 0.0
     for batch in batches:
@@ -185,7 +185,7 @@
     listed = [api.Endpoint(f"s{i}", weight=0.1 + i) for i in range(60)]
     rings = []
     for seed in range(3):
-        table = ServerTable(None)
+        table = ServerTable(None, api.Rules())
         for endpoint in random.Random(seed).sample(listed, 60):
             table.update(endpoint)
         settled(table)
--- /dev/null
+++ b/tests/policy/test_server_fractions.py
@@ -0,0 +1,223 @@
+"""Fractions and choices against a plain node that looks at every server, and what a refresh looks at."""
+
+import random
+
+import pytest
+from hypothesis import given, settings
+from hypothesis import strategies as st
+from support.policy import MS, ORIGIN_KIND, Router, S, members
+from support.policy import settings as router_settings
+
+from flintridge import Balancer, api
+from flintridge.api import EndpointState, Outcome, UpdateKind
+from flintridge.policy import server_fractions
+from flintridge.policy.endpoint_state import SLICE, WHOLE_FLEET
+from flintridge.policy.hash_ring import HashRing, points
+from flintridge.policy.server_fractions import JUDGED_SERVERS
+
+plain = settings(derandomize=True, deadline=None, database=None, max_examples=60)
+
+
+class PlainRing(HashRing):
+    """One sorted list of all servers' entries, made anew whenever these change."""
+
+    made_of: tuple = ()
+    made: tuple = ()
+
+    def walk(self, place):
+        if self.made_of != tuple(self.numbers.items()):
+            self.made_of = tuple(self.numbers.items())
+            self.made = sorted(entry for server, number in self.made_of for entry in points(server, number))
+        entries = self.made
+        return iter([e for e in entries if e >= place] + [e for e in entries if e < place])
+
+
+class PlainFractions(dict):
+    """The fraction of every ready server, whether used or not."""
+
+    sum = 0.0
+
+    @property
+    def made(self):
+        return self
+
+    def replace(self, name, fraction):
+        self.sum += fraction - self[name]
+        self[name] = fraction
+
+    def judge(self, server, now):
+        pass
+
+
+class PlainBalancer(Balancer):
+    """Looks at all servers for whatever it wants to know of the fleet, as it was done before."""
+
+    def __init__(self, settings, seed):
+        super().__init__(settings, seed)
+        self.fractions = PlainFractions()
+        self.ring = self.table.ring = PlainRing()
+
+    def refresh_fractions(self):
+        baseline = self.fleet_cost
+        servers = [server for server in self.servers.values() if server.endpoint.server in self.ready]
+        if baseline:
+            costs = sorted(self.likely_cost(server, baseline) for server in servers)
+            self.fleet_cost = costs[len(costs) // 3]
+        self.fractions = PlainFractions({s.endpoint.server: self.fraction(s) for s in servers})
+        self.fractions.sum = sum(self.fractions.values())
+        self.fractions_fresh_until = self.now + server_fractions.NS_PER_S // 2
+
+    def warming(self, now):
+        return sum(self.warmth(server) < 1 for server in self.ready.values())
+
+
+OUTCOMES = [Outcome.OK] * 4 + [Outcome.ERROR, Outcome.FULL, Outcome.RESET, Outcome.CONNECT_FAILED]
+listed = st.lists(
+    st.builds(
+        api.Endpoint,
+        st.sampled_from([f"s{i}" for i in range(12)]),
+        st.sampled_from([EndpointState.READY] * 3 + [EndpointState.DRAINING, EndpointState.GONE]),
+        st.sampled_from([1.0, 1.0, 0.1, 4.0, 100.0]),
+        kind=st.sampled_from([0, 0, 0, 1, ORIGIN_KIND]),
+        started_at=st.sampled_from([0, 0, 1000 * S, 1003 * S, 1010 * S]),
+    ),
+    min_size=1,
+    max_size=12,
+)
+steps = st.lists(
+    st.one_of(
+        st.tuples(st.just("list"), st.sampled_from([UpdateKind.DELTA, UpdateKind.FULL]), listed),
+        st.tuples(st.just("requests"), st.integers(1, 12), st.integers(0, 10**6)),
+        st.tuples(st.just("pause"), st.sampled_from([1 * MS, 300 * MS, 2 * S, 40 * S]), st.none()),
+    ),
+    min_size=4,
+    max_size=25,
+)
+
+
+def play(router: Router, kind: str, first, second, version: int) -> None:
+    if kind == "list":
+        router.notify(api.EndpointUpdate(first, version, tuple(second)))
+    elif kind == "pause":
+        router.advance(first)
+    else:
+        chance = random.Random(second)
+        for _ in range(first):
+            router.request(f"k{chance.randrange(1000)}", work_ns=chance.choice([None, 20 * MS]))
+            if chance.random() < 0.7 and router.in_flight:
+                request_id, _ = chance.choice(list(router.in_flight))
+                router.advance(chance.choice([1, 5, 80]) * MS)
+                if (request_id, router.attempts_made[request_id] - 1) in router.in_flight:
+                    router.end_attempt(request_id, chance.choice(OUTCOMES))
+
+
+@given(steps=steps)
+@plain
+def test_a_node_chooses_as_one_that_looks_at_every_server(steps):
+    """The same actions for the same events and seed, in fleets of all weights, kinds, ages and states."""
+    routers = [Router(count=3), Router(count=3)]
+    routers[1].balancer = PlainBalancer(router_settings(), 1)
+    routers[1].timers.clear()
+    routers[1].notify(api.EndpointUpdate(UpdateKind.CACHED, 1, members(3)))
+    for version, (kind, first, second) in enumerate(steps, 2):
+        for router in routers:
+            play(router, kind, first, second, version)
+        lazy, looking = (router.balancer for router in routers)
+        assert routers[0].sends == routers[1].sends
+        assert routers[0].final_responses == routers[1].final_responses
+        assert lazy.fleet_cost == looking.fleet_cost
+        lazy.now = looking.now = routers[0].now
+        if not lazy.ready:
+            continue
+        lazy.refresh_fractions()
+        looking.refresh_fractions()
+        assert dict(lazy.fractions) == dict(looking.fractions)
+        assert lazy.fractions.sum == pytest.approx(looking.fractions.sum, rel=1e-12)
+
+
+@pytest.fixture
+def calls(monkeypatch):
+    """Counts by name of what is worked out for one server."""
+    counts = {"likely_cost_at": 0, "warmth_at": 0, "weight_root": 0}
+    for name in counts:
+        function = getattr(server_fractions, name)
+
+        def counted(*args, name=name, function=function):
+            counts[name] += 1
+            return function(*args)
+
+        monkeypatch.setattr(server_fractions, name, counted)
+    return counts
+
+
+def served(router: Router, key: str, outcome: Outcome = Outcome.OK) -> str:
+    request_id = router.request(key)
+    server = router.server_of(request_id)
+    router.advance(5 * MS)
+    router.end_attempt(request_id, outcome, final=True)
+    return server
+
+
+def test_a_refresh_in_a_large_fleet_looks_at_the_servers_that_were_used(calls):
+    router = Router(count=WHOLE_FLEET + 20 * SLICE)
+    router.advance(S)
+    used = {served(router, f"k{i}") for i in range(10)}
+    bad = {served(router, f"bad{i}", Outcome.ERROR) for i in range(3)}
+    router.advance(S)
+    calls.update(dict.fromkeys(calls, 0))
+    router.balancer.now = router.now
+    router.balancer.refresh_fractions()
+    assert calls["likely_cost_at"] <= len(used | bad)
+    assert calls["warmth_at"] <= 2 * len(bad) and calls["weight_root"] <= 2 * len(bad)
+    assert router.balancer.fractions.sum < len(router.balancer.ready)
+
+
+def test_a_refresh_while_the_whole_of_a_large_fleet_warms_up_looks_at_none(calls):
+    router = Router(count=1)
+    count = WHOLE_FLEET + 20 * SLICE
+    listed = tuple(api.Endpoint(f"s{i}:80", started_at=router.now) for i in range(count))
+    router.notify(api.EndpointUpdate(UpdateKind.FULL, 2, listed))
+    router.advance(S)
+    calls.update(dict.fromkeys(calls, 0))
+    router.balancer.now = router.now
+    router.balancer.refresh_fractions()
+    assert calls == dict.fromkeys(calls, 0)
+    assert router.balancer.fractions.sum == pytest.approx((0.3 + 0.7 * 0.1) * count)
+
+
+def test_what_is_known_of_many_servers_is_forgotten_once_it_is_faint():
+    """A few hundred are known however long ago they were used, as in any small fleet."""
+    router = Router(count=3 * JUDGED_SERVERS)
+    router.advance(S)
+    used = {served(router, f"k{i}") for i in range(4 * JUDGED_SERVERS)}
+    balancer = router.balancer
+    known = [s for s in balancer.servers.values() if s.evidence]
+    assert len(known) == len(used) > JUDGED_SERVERS + 50  # 5 ms each: none has faded
+    router.advance(60 * S)
+    for i in range(2 * len(used)):
+        served(router, f"k{i % 5}")
+    known = [s for s in balancer.servers.values() if s.evidence]
+    assert len(known) == JUDGED_SERVERS == len(balancer.fractions._judged)
+
+
+def test_what_is_known_of_few_servers_is_kept_however_old():
+    router = Router(count=5)
+    for i in range(40):
+        served(router, f"k{i}")
+    bad = served(router, "k", Outcome.ERROR)
+    evidence = router.balancer.servers[bad].evidence
+    router.advance(600 * S)
+    assert served(router, "other") != bad
+    assert router.balancer.servers[bad].evidence == evidence > 0
+
+
+def test_a_server_that_is_gone_is_not_judged_any_more():
+    router = Router(count=3)
+    for i in range(40):
+        served(router, f"k{i}")
+    for i in range(3):
+        gone = api.Endpoint(f"10.0.0.{i}:80", EndpointState.GONE)
+        new = api.Endpoint(f"new{i}:80")
+        router.notify(api.EndpointUpdate(UpdateKind.DELTA, 2 + i, (gone, new)))
+    served(router, "k")
+    assert len(router.balancer.fractions._judged) == 1
