--- a/flintridge/lab/load/client.py
+++ b/flintridge/lab/load/client.py
@@ -149,15 +149,20 @@
     def _place(self, new: bool) -> None:
         """Find a connection, through the front."""
         self._asked = False
-        node = self._clients.front.choose(self._drawn.zone, self._rng.random())
+        front, zone, share = self._clients.front, self._drawn.zone, self._rng.random()
         left = self._limit - self._clients.clock.now()
+        node = front.choose(zone, share) if new else front.choose_open(zone, share)
+        connection = None
+        if node is not None and not new and left >= 1:
+            connection = self._clients.pools.of(self._machine, node).take()
+            if connection is None and front.is_leaving(node):
+                node = front.choose(zone, share)  # no new connection goes to it
+                connection = None if node is None else self._clients.pools.of(self._machine, node).take()
         self._node = node or ""
         if node is None or left < 1:
             self._not_taken("no node in use" if node is None else "no time left")
-            return
-        pool = self._clients.pools.of(self._machine, node)
-        connection = None if new else pool.take()
-        if connection is None:
+        elif connection is None:
+            pool = self._clients.pools.of(self._machine, node)
             pool.open(self, min(CONNECT_MS, left), self._once)
         else:
             self.send(connection)
@@ -246,13 +251,14 @@
         self._stop_waiting()
         if not self._asked:
             self._not_taken(f"{how} before all was sent")
-        elif crossing and not self._repeated:
+            return
+        text = "in the middle of the answer" if partial else ""
+        now = self._clients.clock.now()
+        self._clients.log.add(Answered(t=now, node=self._node, uid=self.uid, kind=how, text=text))
+        if crossing and not self._repeated:
             self._repeated = True
             self._place(new=True)
         else:
-            text = "in the middle of the answer" if partial else ""
-            now = self._clients.clock.now()
-            self._clients.log.add(Answered(t=now, node=self._node, uid=self.uid, kind=how, text=text))
             self._again(harmless=False)
 
     def dropped(self) -> None:
--- a/flintridge/lab/load/driver.py
+++ b/flintridge/lab/load/driver.py
@@ -103,6 +103,7 @@
             lambda t: self.plan.drawing.draw(Slot(t, 0, 0, 0), bad),
             self._clients.write_down,
             habits.pools,
+            self._pools.next_number,
         )
         self._on_request = on_request
         self._bound_ms = max(cls.deadline_ms for cls in scenario.classes) + SLACK_MS
