--- a/flintridge/lab/judge/facts.py
+++ b/flintridge/lab/judge/facts.py
@@ -7,7 +7,7 @@
 from collections.abc import Iterable
 from dataclasses import dataclass, field
 
-from flintridge.lab.judge.lives import SERVES_ON_MS, Lives
+from flintridge.lab.judge.lives import SERVES_ON_MS, Life, Lives
 from flintridge.lab.records import (
     Answered,
     AnyRecord,
@@ -26,6 +26,7 @@
 
 FINAL = ("served", "refused", "failed", "error")  # kinds of an answer that ends a request
 NEVER_RAN = ("busy", "miss")  # outcomes that prove that a request did not run
+LONGEST_COUNTED_MS = 3000.0  # of the deadlines: SIGKILL waits for no longer one
 LOOPBACK_MS = 50.0  # in real time every limit is longer by this
 TINY_MS = 0.01  # for sums of floating point
 # Faults that touch no connection and no link to a server: during any other, a node may be trying to reach a
@@ -186,7 +187,8 @@
     def excused(self, taken: Taken, until: float) -> bool:
         """Whether its node did not live, or stood still, somewhere between the asking and `until`.
 
-        A node that ended by itself after SIGTERM is not excused for what came in time before.
+        A node that ended by itself after SIGTERM is not excused for what came in time before, nor is one that
+        had all its time after it and was killed then.
         """
         asked = taken.asked
         life = self.lives.at(asked.node, asked.t)
@@ -199,7 +201,28 @@
         end = life.end
         if end is None or (end.state == "exited" and life.term is not None and asked.t <= end.t):
             return False
-        return end.t <= until + self.slacks.limit
+        return end.t <= until + self.slacks.limit and not self.had_its_time(life)
+
+    @property
+    def patience_ms(self) -> float:
+        """From SIGTERM to the SIGKILL that may come first."""
+        longest = max(cls.deadline_ms for cls in self.scenario.classes)
+        return min(longest, LONGEST_COUNTED_MS) + SERVES_ON_MS
+
+    def had_its_time(self, life: Life) -> bool:
+        """Whether a process was killed only after all the time that it has for its end after SIGTERM."""
+        term, end = life.term, life.end
+        if term is None or end is None or end.state != "killed":
+            return False
+        return end.t >= term.t + self.patience_ms - self.slacks.limit - TINY_MS
+
+    def client_closed(self, taken: Taken) -> float | None:
+        """When a request's client closed its connection, over it or another one; None: not seen."""
+        gave_up = taken.gave_up
+        if gave_up is None:
+            return None
+        closed = gave_up.t + gave_up.stays_ms
+        return min(closed, self.conn_left.get(taken.asked.conn, closed))
 
     def zone(self, server: str, origin: bool) -> str | None:
         """A server's zone; None where none is told."""
@@ -277,7 +300,8 @@
             return
         taken = this.takens[-1]
         taken.gave_up = taken.gave_up or record
-        self.conn_left.setdefault(taken.asked.conn, record.t + record.stays_ms)
+        closed, conn = record.t + record.stays_ms, taken.asked.conn
+        self.conn_left[conn] = min(closed, self.conn_left.get(conn, closed))
 
 
 def spans_of(records: Iterable[AnyRecord]) -> list[tuple[str, float, float]]:
--- a/flintridge/lab/judge/rules/__init__.py
+++ b/flintridge/lab/judge/rules/__init__.py
@@ -2,9 +2,18 @@
 
 from flintridge.lab.judge.facts import Day
 from flintridge.lab.judge.findings import Findings
-from flintridge.lab.judge.rules import answers, budgets, contents, effects, fleet, peers, process
+from flintridge.lab.judge.rules import (
+    answers,
+    budgets,
+    contents,
+    departed,
+    effects,
+    fleet,
+    peers,
+    process,
+)
 
-PARTS = (answers, effects, contents, fleet, process, peers, budgets)
+PARTS = (answers, departed, effects, contents, fleet, process, peers, budgets)
 RULES: tuple[str, ...] = tuple(rule for part in PARTS for rule in part.RULES)
 
 
--- a/flintridge/lab/judge/rules/answers.py
+++ b/flintridge/lab/judge/rules/answers.py
@@ -7,7 +7,7 @@
 
 from flintridge.lab.judge.facts import FINAL, TINY_MS, Day, Sent, Taken, Try
 from flintridge.lab.judge.findings import Findings
-from flintridge.lab.records import Answered, AnyRecord
+from flintridge.lab.records import AnyRecord
 
 RULES = ("lost", "late", "double", "garbled", "held")
 
@@ -72,16 +72,18 @@
     """When and how a request without a final answer was lost; None where it was not the node's fault."""
     asked, first = taken.asked, taken.first
     if first is not None:
-        if first.kind not in ("closed", "reset") or day.excused(taken, first.t):
+        if first.kind not in ("closed", "reset"):
             return None  # what was garbled has a rule of its own
-        if _client_closed(day, taken, first.t) or _crossed(day, this, taken, first.t, first):
+        if day.excused(taken, first.t) and not _ended_under_attempt(day, this, taken, first.t):
+            return None
+        if _client_closed(day, taken, first.t) or _crossed(day, this, taken, first.t):
             return None
         return first.t, f"ended its connection ({first.kind}) {first.t - asked.t:.1f} ms later"
     if taken.gave_up is not None:
         return _unanswered(day, this, taken, limit)
     if taken.again_at is not None:
-        crossed = _crossed(day, this, taken, taken.again_at, None) or day.excused(taken, taken.again_at)
-        return None if crossed else (taken.again_at, "ended its connection though it had sent it on")
+        crossed = _crossed(day, this, taken, taken.again_at) or day.excused(taken, taken.again_at)
+        return None if crossed else (taken.again_at, "ended its connection after it had read it")
     over = min(limit, day.end)
     if day.end < limit or day.excused(taken, limit) or _client_closed(day, taken, over):
         return None
@@ -94,18 +96,34 @@
     return left is not None and left <= until + TINY_MS
 
 
-def _crossed(day: Day, this: Try, taken: Taken, t: float, end: Answered | None) -> bool:
+def _sent_on(this: Try, taken: Taken, until: float) -> bool:
+    """Whether its node sent the request to a server, up to `until`."""
+    asked = taken.asked
+    return any(s.record.node == asked.node and asked.t <= s.record.began <= until for s in this.sent)
+
+
+def _ended_under_attempt(day: Day, this: Try, taken: Taken, t: float) -> bool:
+    """Whether the node itself ended a connection after SIGTERM on a request that it had sent on.
+
+    What comes too long after SIGTERM need not be taken; what was taken all the same is owed its answer,
+    unless the process was killed first.
+    """
+    life = day.lives.at(taken.asked.node, taken.asked.t)
+    if life.term is None or life.paused(taken.asked.t, t):
+        return False
+    killed = life.end is not None and life.end.state != "exited" and life.end.t <= t + day.slacks.limit
+    return not killed and _sent_on(this, taken, t)
+
+
+def _crossed(day: Day, this: Try, taken: Taken, t: float) -> bool:
     """Whether the node may have closed the connection between requests, before it read this one.
 
     Guards against a node that closes on what it has read: it then had sent it on, or the end came later than
     one that was already under way.
     """
-    asked = taken.asked
-    if taken.again_at is None:
-        return False
-    if any(s.record.node == asked.node and asked.t <= s.record.began <= t for s in this.sent):
+    if taken.again_at is None or _sent_on(this, taken, t):
         return False
-    return end is None or end.t - asked.t <= day.slacks.client_round
+    return t - taken.asked.t <= day.slacks.client_round
 
 
 def _unanswered(day: Day, this: Try, taken: Taken, limit: float) -> tuple[float, str] | None:
@@ -115,8 +133,10 @@
     waited = gave_up.t - asked.t
     if gave_up.early or waited < asked.wait_ms - 1 or day.excused(taken, gave_up.t + gave_up.stays_ms):
         return None
-    if day.conn_left.get(asked.conn, gave_up.t) < gave_up.t - TINY_MS or taken.free_at > asked.t:
+    if day.conn_left.get(asked.conn, gave_up.t) < gave_up.t - TINY_MS:
         return None
+    if taken.free_at > asked.t + asked.wait_ms - min(NODE_MARGIN_MS, asked.wait_ms / 10):
+        return None  # its answer had to wait for that of another request of the same client
     closed = gave_up.t + gave_up.stays_ms
     left = min(closed, day.conn_left.get(asked.conn, closed), day.end)
     if left < limit - 1 and not _surely_silent(day, this, taken, left):
--- a/flintridge/lab/judge/rules/contents.py
+++ b/flintridge/lab/judge/rules/contents.py
@@ -7,6 +7,8 @@
 
 RULES = ("invented", "mixed", "altered", "malformed")
 
+TOLD_SLACK_MS = 150.0  # that a server may be told beyond what the client has left, whatever explains it
+
 
 def check(day: Day, findings: Findings) -> None:
     for this, taken in every(day):
@@ -75,11 +77,17 @@
 def _too_long(day: Day, taken: Taken, sent: Sent) -> float | None:
     """How much longer a server was told to work than its client would wait; None where that is explained.
 
-    A node counts from when it read the request: later than the asking by the way of the bytes, by a pause of
-    its process, or by the commands that it read first on the same connection.
+    A node counts from when it read the request: later than the asking by the way of the bytes, or by the
+    commands that it read first on the same connection. That explains no more than TOLD_SLACK_MS. Only a
+    request that came while its process stood still may have been read later without its knowing.
     """
     asked, record = taken.asked, sent.record
-    if taken.behind is not None or day.lives.at(asked.node, asked.t).paused(asked.t, record.began):
-        return None
     more = record.wait_ms - max(1.0, asked.t + asked.wait_ms - record.began)
-    return more if more > day.slacks.client_round else None
+    life, arrived = day.lives.at(asked.node, asked.t), asked.t + day.slacks.client
+    if life.paused(asked.t, arrived):
+        return None
+    explained = taken.behind is not None or life.paused(asked.t, record.began)
+    bound = TOLD_SLACK_MS + day.slacks.limit
+    if not explained:
+        bound = min(bound, day.slacks.client_round)
+    return more if more > bound else None
--- a/flintridge/lab/judge/rules/fleet.py
+++ b/flintridge/lab/judge/rules/fleet.py
@@ -14,6 +14,7 @@
 
 COLD_SLACK = 1.1  # of the budget, and
 COLD_REQUESTS = 2  # usual requests, for chance
+FEW_REQUESTS = 30.0  # that a cold server is allowed; with fewer, chance weighs more
 TOLD_PART = 2 / 3  # of the work that must come from nodes that were told
 CLOCK_MS = 100.0  # a start is told in whole milliseconds of another clock
 
@@ -133,7 +134,7 @@
         ends = [start.t for start in starts[1:]] + [math.inf]
         for start, end in zip(starts, ends, strict=True):
             if start.cold_from < 1 and start.cold_ms > 0 and start.capacity > 0:
-                until = min(end, start.t + start.cold_ms)
+                until = min(end, start.t + max(start.cold_ms, 1000 * day.scenario.rules.cold_s))
                 mine = [sent for sent in arrived if start.t <= sent.record.t < until]
                 _pushed(day, start, _fell(day, start, until), mine, told, usual, findings)
 
@@ -149,6 +150,21 @@
     return start.capacity * (start.cold_from + (1 - start.cold_from) * warm)
 
 
+def allowed_by_settings(day: Day, start: ServerSaid, t: float, usual: float) -> float:
+    """Work that a cold server may be offered in a window that ends at `t`, as the settings tell nodes of it.
+
+    N requests of mean work, as many as its capacity by the settings allows, and for chance twice the root of
+    N and 2 more; where N is under 30, three times the root and 3 more. How many nodes there are is no matter.
+    """
+    rules = day.scenario.rules
+    warm = min(1.0, (t - start.t) / (1000 * rules.cold_s)) if rules.cold_s else 1.0
+    share = rules.cold_share + (1 - rules.cold_share) * warm
+    budget = rules.fall_multiple * start.capacity * share * rules.fall_ms
+    count = budget / usual if usual else 0.0
+    times = 3 if count < FEW_REQUESTS else 2
+    return budget + (times * math.sqrt(count) + times) * usual
+
+
 def _windows(arrived: list[Sent], span: float) -> Iterator[tuple[deque[Sent], float]]:
     """The attempts of each window that ends with one of them, and the work of all in it."""
     window: deque[Sent] = deque()
@@ -172,14 +188,17 @@
 ) -> None:
     """One breach a start: more work within a window than the rule allows, most of it from nodes that knew.
 
-    A server that fell had been offered too much, and gets no more; else some is allowed beyond for chance.
+    A server that fell had been offered too much, and gets no more; else some is allowed beyond for chance:
+    the lesser of a tenth of what the machine bears with two requests, and of what the settings allow.
     """
     rules = day.scenario.rules
     for window, work in _windows(arrived, rules.fall_ms):
         now = window[-1].record.t
         budget = rules.fall_multiple * capacity(start, now) * rules.fall_ms
         last = fall is not None and window[-1] is arrived[-1]
-        if work <= COLD_SLACK * budget + COLD_REQUESTS * usual and not (last and work > budget - TINY_MS):
+        allowed = COLD_SLACK * budget + COLD_REQUESTS * usual
+        allowed = min(allowed, allowed_by_settings(day, start, now, usual))
+        if work <= allowed and not (last and work > budget - TINY_MS):
             continue
         known = sum(sent.record.work_ms for sent in window if told.knew(sent, start.t))
         if known < TOLD_PART * work:
@@ -187,7 +206,7 @@
         text = (
             f"{start.server}, started {now - start.t:.0f} ms before, was offered {work:.0f} ms of work "
             f"within {rules.fall_ms:.0f} ms ({known:.0f} ms of it by nodes that were told of its start); "
-            f"{budget:.0f} ms are allowed{'; it fell' if fall is not None else ''}"
+            f"{min(budget, allowed):.0f} ms are allowed{'; it fell' if fall is not None else ''}"
         )
         lines = [start, *(sent.record for sent in window), fall]
         findings.add("cold", now, text, lines, server=start.server)
--- a/flintridge/lab/judge/rules/process.py
+++ b/flintridge/lab/judge/rules/process.py
@@ -5,7 +5,7 @@
 
 from flintridge.lab.judge.facts import Day
 from flintridge.lab.judge.findings import Findings
-from flintridge.lab.judge.lives import SERVES_ON_MS, Life
+from flintridge.lab.judge.lives import Life
 from flintridge.lab.records import Asked, BadClient, Connections, NodeSaid
 
 RULES = ("stopped", "leak", "bad_clients", "unready", "quiesced")
@@ -46,8 +46,7 @@
     elif life.pauses or life.paused_at is not None:
         return  # what it could do in its time is not known
     else:
-        longest = max(cls.deadline_ms for cls in day.scenario.classes)
-        limit = term.t + longest + SERVES_ON_MS + LAST_MS + day.slacks.limit
+        limit = term.t + day.patience_ms + LAST_MS + day.slacks.limit
         ended = end.t if end is not None else math.inf
         if end is not None and end.state == "exited" and end.code != 0:
             found(end.t, f"ended with code {end.code} after SIGTERM")
--- a/tests/test_lab_judge.py
+++ b/tests/test_lab_judge.py
@@ -94,7 +94,14 @@
 
 UNANSWERED = [asked(), *sent(5, made=500)]
 LEFT = r.GaveUp(t=WAIT, node="n0", uid="u1")
+LEFT_EARLY = r.GaveUp(t=400, node="n0", uid="u1", early=True)
 BEFORE = [asked(0, "u0", wait=3000)]
+SHARED = [
+    asked(0, "u0"),
+    asked(),
+    r.GaveUp(t=380, node="n0", uid="u1", early=True, stays_ms=75),
+    r.GaveUp(t=390, node="n0", uid="u0", early=True),
+]
 UNSAFE = [asked(cls="pay", wait=2000.0), *sent(5, server="origin", origin=True, write=True)]
 KEYED = [asked(cls="put", wait=2000.0), *sent(5, server="origin", origin=True, write=True)]
 ZONAL = [
@@ -106,6 +113,13 @@
     *sent(5, write=True),
 ]
 RESET = answered(900, "reset")
+
+
+def told_to_wait(ms, origin=False):
+    """A request with 600 ms left to its client, sent on with so much to wait."""
+    return [asked(), *sent(400, made=880, wait_ms=ms, origin=origin), answered(930)]
+
+
 TERM = said(300, "term")
 
 
@@ -138,12 +152,35 @@
         ([asked(), answered(400, "closed"), *served(403, conn=2)], {"lost"}),
         ([asked(), *sent(0.5), answered(1.4, "closed"), *served(3, conn=2)], {"lost"}),
         ([asked(), *served(3, conn=2)], set()),
+        ([asked(), *served(403, conn=2)], {"lost"}),
+        # an attempt that begins more than 0.1 s after its client closed, whatever else was the matter
+        ([asked(), LEFT_EARLY, *sent(499.9)], set()),
+        ([asked(), LEFT_EARLY, *sent(500.1)], {"lost"}),
+        ([asked(), *sent(5, made=400, outcome="miss"), LEFT_EARLY, *sent(500.1)], {"lost"}),
+        ([asked(), *sent(5, made=400), LEFT_EARLY, *sent(500.1, origin=True)], {"lost"}),
+        ([asked(), LEFT_EARLY, answered(401, "reset"), *sent(500.1)], {"lost"}),
+        ([asked(), said(390, "paused"), LEFT_EARLY, said(800, "resumed"), *sent(801)], {"lost"}),
+        ([asked(), r.GaveUp(t=400, node="n0", uid="u1", early=True, stays_ms=75), *sent(570)], set()),
+        ([asked(), r.GaveUp(t=400, node="n0", uid="u1", early=True, stays_ms=75), *sent(580)], {"lost"}),
+        # closed over another request on it, at 390, before its own stay was over
+        ([*SHARED, *sent(489)], set()),
+        ([*SHARED, *sent(491)], {"lost"}),
         # behind another answer on the same connection, time does not count
         ([*BEFORE, *late(2900), *sent(5, "u0", made=2800), answered(2895, uid="u0")], set()),
         ([*BEFORE, *late(2900), *sent(5, "u0", made=100), answered(200, uid="u0")], {"late"}),
+        # an answer before it frees no request of its own, once it has come
+        ([*BEFORE, *UNANSWERED, LEFT, *sent(5, "u0", made=100), answered(200, uid="u0")], {"lost"}),
+        ([*BEFORE, *UNANSWERED, LEFT, *sent(5, "u0", made=900), answered(995, uid="u0")], set()),
         # SIGTERM: what came within 0.7 s is answered
         ([asked(990), TERM, answered(995, "closed"), said(1500, "exited")], {"lost"}),
         ([asked(1001), TERM, answered(1005, "closed"), said(1500, "exited")], set()),
+        # what comes later and is sent on all the same is owed its answer, unless the process is killed
+        ([asked(1001), TERM, *sent(1003), answered(1050, "closed"), said(1500, "exited")], {"lost"}),
+        ([asked(1001), TERM, *sent(1003), said(1500, "killed"), answered(1501, "reset")], set()),
+        # SIGKILL comes the longest deadline and 0.7 s after SIGTERM: until then all is answered
+        ([asked(990, wait=3000), TERM, said(4000, "killed"), answered(4001, "reset")], {"lost"}),
+        ([asked(990, wait=3000), TERM, said(3990, "killed"), answered(3991, "reset")], set()),
+        ([asked(1001, wait=3000), TERM, said(4000, "killed"), answered(4001, "reset")], set()),
         # two answers, or none that can be read
         ([*served(), answered(120)], {"double"}),
         ([*served(), answered(120, "refused")], {"double"}),
@@ -178,6 +215,13 @@
         ([asked(), *sent(400, made=450, wait_ms=650), answered(460)], {"altered"}),
         ([asked(), *sent(400, made=450, wait_ms=600, origin=True), answered(460)], set()),
         ([asked(), *sent(400, made=450, wait_ms=650, origin=True), answered(460)], {"altered"}),
+        # a request read late, behind others on its connection or after a pause: 0.15 s of slack and no more
+        ([*BEFORE, answered(900, "refused", uid="u0"), *told_to_wait(749)], set()),
+        ([*BEFORE, answered(900, "refused", uid="u0"), *told_to_wait(751)], {"altered"}),
+        ([*BEFORE, answered(900, "refused", uid="u0"), *told_to_wait(751, origin=True)], {"altered"}),
+        ([said(300, "paused"), said(350, "resumed"), *told_to_wait(749)], set()),
+        ([said(300, "paused"), said(350, "resumed"), *told_to_wait(751)], {"altered"}),
+        ([said(-50, "paused"), said(350, "resumed"), *told_to_wait(949)], set()),
         ([r.Malformed(t=1, node="n0", server="s1", text="mx")], {"malformed"}),
         # held back
         ([asked(), answered(480, "refused")], set()),
@@ -263,6 +307,22 @@
     assert broken(log, rules=rules) == ({"cold": 1} if knew and 100 * count > allowed else {})
 
 
+@pytest.mark.parametrize("nodes", [1, 5])
+@pytest.mark.parametrize(("count", "rules"), [(660, {}), (661, {"cold": 1})])
+def test_the_budget_of_a_cold_server_is_the_same_however_many_nodes_send(count, rules, nodes):
+    """Requests of 10 ms at a share of 0.3386, 246 ms after the start: 3 x 4 cores x 1.5 s
+    allow 609.5 of them, and twice the root of that and 2 more."""
+    log = [r.ServerSaid(t=0, server="s1", state="started", capacity=4.0, cold_from=0.4, cold_ms=7000.0)]
+    log += [told(1, "in_service", up_since=-0.4)]
+    log += [msgspec.structs.replace(log[1], node=f"n{i}") for i in range(1, nodes)]
+    for i in range(count):
+        uid, node = f"u{i}", f"n{i % nodes}"
+        log += [asked(200, uid, conn=i, node=node), *sent(245, uid, made=270, node=node)]
+        log[-2].work_ms = 10.0
+        log += [answered(280, uid=uid, node=node)]
+    assert broken(log, rules={"fall_multiple": 3.0, "fall_ms": 1500.0}) == rules
+
+
 def held_at(counts) -> list[r.AnyRecord]:
     samples = enumerate(counts)
     return [r.Connections(t=i * 1000.0, node="n0", server_side=n, client_side=9) for i, n in samples]
