--- a/flintridge/lab/defects/planted.py
+++ b/flintridge/lab/defects/planted.py
@@ -305,12 +305,19 @@
     _alter_requests(node, lambda request: replace(request, timeout_span=None), often=1)
 
 
-def _alter_requests(node: Node, change: Callable[[Request], Request], often: int = OFTEN) -> None:
+def retries_told_whole_time(node: Node) -> None:
+    """Further attempts at a request, at caches and at the origin, tell the client's whole time."""
+    _alter_requests(node, lambda request: replace(request, timeout_span=None), often=1, from_number=1)
+
+
+def _alter_requests(
+    node: Node, change: Callable[[Request], Request], often: int = OFTEN, from_number: int = 0
+) -> None:
     hit = every(often)
     start = node.dispatcher.start
 
     def altered(attempt: UpstreamAttempt) -> None:
-        if hit():
+        if attempt.number >= from_number and hit():
             attempt.request = change(attempt.request)
         start(attempt)
 
@@ -337,7 +344,6 @@
 def cold_budget_ignored(node: Node) -> None:
     """A server that has just started is taken for a warm one, and for the best of all."""
     balancer = balancer_of(node)
-    pick = balancer.pick
 
     def is_within_budget(server: Server, request: OpenRequest) -> bool:
         return True
@@ -345,19 +351,36 @@
     def warmth(server: Server) -> float:
         return 1.0
 
+    put(balancer, "is_within_budget", is_within_budget)
+    put(balancer, "warmth", warmth)
+    _prefer_cold(balancer, is_within_budget)
+
+
+def _prefer_cold(balancer: Balancer, may_get: Callable[[Server, OpenRequest], bool]) -> None:
+    """A cold server is picked before all others, as long as it may get more."""
+    pick = balancer.pick
+
     def eager(request: OpenRequest) -> str | None:
         cold_ns = balancer.settings.rules.slow_start_ns
         for name in balancer.ready:
-            started = balancer.servers[name].endpoint.started_at
-            if started and balancer.now - started < cold_ns and name not in request.failed_servers:
+            server = balancer.servers[name]
+            started = server.endpoint.started_at
+            is_cold = started and balancer.now - started < cold_ns and name not in request.failed_servers
+            if is_cold and may_get(server, request):
                 return name
         return pick(request)
 
-    put(balancer, "is_within_budget", is_within_budget)
-    put(balancer, "warmth", warmth)
     put(balancer, "pick", eager)
 
 
+def cold_budget_not_divided(node: Node) -> None:
+    """Each node sends a cold server at once all that it may get from the whole fleet."""
+    balancer = balancer_of(node)
+    node_work = balancer.node_work
+    put(balancer, "node_work", lambda: balancer.settings.fleet_size * node_work())
+    _prefer_cold(balancer, balancer.is_within_budget)
+
+
 def connection_leak(node: Node) -> None:
     """Connections to servers are neither used again nor closed, and no longer counted."""
     lost: list[UpstreamConnection] = []
--- a/flintridge/lab/defects/table.py
+++ b/flintridge/lab/defects/table.py
@@ -6,7 +6,7 @@
 
 import msgspec
 
-from flintridge.lab.defects import membership, planted, sharing
+from flintridge.lab.defects import endings, membership, planted, sharing
 from flintridge.lab.scenario.model import Scenario
 from flintridge.node import Node
 
@@ -96,6 +96,26 @@
     "load": {"rate_per_s": 130.0},
     "faults": [{"what": "quick_errors", "at_s": 2.0, "for_s": 8.0, "share": 0.5, "part": 0.5}],
 }
+MANY_NODES = {**COLD, "nodes": {"count": 6}, "load": {"rate_per_s": 150.0}}
+# Clients leave while their requests wait for a place.
+LEAVERS = {**OVERLOAD, "clients": {"leave_early": 0.4}}
+NEW_CONNECTIONS = {"clients": {"leave_early": 0.0, "once": 0.5}}
+LATE_RETRIES = {
+    "classes": [_class("read", deadline_ms=3000.0)],
+    "faults": [{"what": "lost_answers", "at_s": 1.0, "for_s": 10.0, "share": 0.5, "part": 0.3}],
+}
+ALL_SILENT = {"faults": [{"what": "silence", "at_s": 3.0, "for_s": 5.0, "share": 1.0}]}
+PIPELINED = {
+    **ALL_SILENT,
+    "clients": {"leave_early": 0.0, "pipeline": 8, "pools": 2},
+    "load": {"rate_per_s": 100.0},
+}
+# Connections are busy all the time, so that they stay open after SIGTERM, and clients send on.
+SENT_ON = {
+    **BUSY_RESTART,
+    "clients": {"leave_early": 0.0, "pipeline": 16, "pools": 1},
+    "load": {"rate_per_s": 110.0},
+}
 FEW_SOCKETS = {"nodes": {"sockets": 256}, "load": {"rate_per_s": 100.0}}
 
 # The nodes hear one another; few clients are needed for what they make of it.
@@ -146,6 +166,14 @@
     "value_mixed_up": _defect(planted.value_mixed_up, "mixed"),
     "dropped_at_sigterm": _defect(planted.dropped_at_sigterm, "lost", hints=BUSY_RESTART),
     "cold_budget_ignored": _defect(planted.cold_budget_ignored, "cold", hints=COLD),
+    "cold_budget_not_divided": _defect(planted.cold_budget_not_divided, "cold", hints=MANY_NODES),
+    "client_gone_ignored": _defect(endings.client_gone_ignored, "lost", hints=LEAVERS),
+    "closes_first_requests": _defect(endings.closes_first_requests, "lost", hints=NEW_CONNECTIONS),
+    "closes_what_it_read": _defect(endings.closes_what_it_read, "lost"),
+    "retries_told_whole_time": _defect(planted.retries_told_whole_time, "altered", hints=LATE_RETRIES),
+    "trouble_frees_requests": _defect(endings.trouble_frees_requests, "lost", hints=ALL_SILENT),
+    "forgets_what_is_behind": _defect(endings.forgets_what_is_behind, "lost", hints=PIPELINED),
+    "stops_too_soon_after_sigterm": _defect(endings.stops_too_soon_after_sigterm, "lost", hints=SENT_ON),
     "connection_leak": _defect(planted.connection_leak, "leak", hints=FEW_SOCKETS),
     "client_never_answered": _defect(planted.client_never_answered, "lost"),
     "retry_of_what_may_have_run": _defect(planted.retry_of_what_may_have_run, "twice", hints=UNSAFE_DAY),
