--- a/flintridge/core/lifecycle.py
+++ b/flintridge/core/lifecycle.py
@@ -79,13 +79,21 @@
 
     # Events
 
-    def submit(self, request: Request, responder: Responder, reserved_bytes: int = 0) -> str:
+    def submit(
+        self,
+        request: Request,
+        responder: Responder,
+        reserved_bytes: int = 0,
+        arrived_after: float | None = None,
+    ) -> str:
         """Take a request in.
 
         Args:
             request: As it was read.
             responder: The client's end of it.
             reserved_bytes: Of `memory_budget`, for its value already; they pass to the request.
+            arrived_after: Its last byte did not arrive before this instant, from which its client's time is
+                counted; None: it was read in this iteration of the event loop.
 
         Returns:
             Its id, for `client_disconnected`.
@@ -109,18 +117,25 @@
             self.memory_budget.release(reserved_bytes)
             responder.reject(0.0)
             return request_id
-        self._open_request(request_id, request, responder, reserved_bytes)
+        if arrived_after is None:
+            arrived_after = self._clock.earliest_arrival()
+        self._open_request(request_id, request, responder, reserved_bytes, arrived_after)
         return request_id
 
     def _open_request(
-        self, request_id: str, request: Request, responder: Responder, reserved_bytes: int
+        self,
+        request_id: str,
+        request: Request,
+        responder: Responder,
+        reserved_bytes: int,
+        arrived_after: float,
     ) -> None:
         request_class = self._settings.classes[request.class_index]
         client_timeout = to_ms(request_class.deadline_ns)
         if request.timeout_ms is not None:
             client_timeout = min(client_timeout, request.timeout_ms)
         margin = min(RESPONSE_MARGIN_MS, client_timeout / 10)
-        deadline = min(self._clock.earliest_arrival() + client_timeout - margin, self.answer_by)
+        deadline = min(arrived_after + client_timeout - margin, self.answer_by)
         timer = self._clock.call_at(deadline + margin / 2, self._deadline_passed, request_id)
         self._open[request_id] = OpenRequest(request, responder, deadline, timer, reserved_bytes)
         if self.on_new_request is not None and not request.retry:
--- a/flintridge/downstream/connection.py
+++ b/flintridge/downstream/connection.py
@@ -16,6 +16,7 @@
 from flintridge.core.request import Request
 from flintridge.downstream.command_timer import CommandTimer
 from flintridge.downstream.connection_owner import ConnectionOwner
+from flintridge.downstream.input_arrival import InputArrival
 from flintridge.downstream.lingering_close import (
     LINGERING_CLOSE_MAX_BYTES,
     LINGERING_CLOSE_MS,
@@ -71,6 +72,7 @@
         self._pipeline = ResponsePipeline()
         self.last_used_at = owner.clock.now()
         self._command_timer = CommandTimer(self.last_used_at)
+        self._input_arrival = InputArrival(owner.clock)
         self.has_requested = False
         self.has_sent_command = False
         self._bad_commands = 0
@@ -189,7 +191,9 @@
 
     async def _read_until_end(self) -> None:
         while not self._closed:
+            self._input_arrival.before_read(self._reader.has_unread, self._transport.is_reading())
             data = await self._reader.read(READ_BYTES)
+            self._input_arrival.after_read()
             if not data:
                 return
             if self._shut_down:
@@ -262,7 +266,7 @@
         self._pipeline.append(pending)
         if isinstance(command, Request):
             pending.open_request_id = command.id.decode("ascii")
-            self._owner.core.submit(command, pending, reserved_bytes)
+            self._owner.core.submit(command, pending, reserved_bytes, self._input_arrival.arrived_after)
             self.has_requested = True
             return True
         self._owner.core.memory_budget.release(reserved_bytes)
--- a/tests/discovery/test_endpoint_list.py
+++ b/tests/discovery/test_endpoint_list.py
@@ -1,5 +1,6 @@
 """The endpoint list: how discovery's form is read."""
 
+from collections import deque
 from itertools import count
 
 import pytest
@@ -146,7 +147,7 @@
     balancer.handle(0, told.tell(True, a=1_000.0))
     server = balancer.servers["a"]
     server.connect_failures, server.backoff_until, server.inflight, server.cost = 3, 10**18, 2, 0.5
-    server.recent_sends.append((1, 1.0))
+    server.recent_sends = deque([(1, 1.0)])
     told.clock.go(10_000.0)
     balancer.handle(0, told.tell(c=500.0))
     assert balancer.servers["a"] is server and server.endpoint.started_at > 0
