--- a/flintridge/policy/balancer.py
+++ b/flintridge/policy/balancer.py
@@ -314,7 +314,8 @@
             seen.add(name)
             remaining -= 1
             if candidate.backoff_until > self.now:
-                backing_off = backing_off or name
+                if backing_off is None and self.is_within_budget(candidate, request):
+                    backing_off = name
             elif self.is_free(candidate, fraction, root, request, average):
                 return name
         return backing_off
--- a/tests/policy/test_rules.py
+++ b/tests/policy/test_rules.py
@@ -146,6 +146,27 @@
     assert 0 < worst_of_a_burst(1) <= 3.0 * 0.4 * 25
 
 
+def test_a_server_that_is_warming_up_gets_no_more_as_the_last_resort():
+    """In connect backoff it is what is left where no other can be sent to; once it is up all of that arrives."""
+    router = Router(count=4)
+    for _ in range(300):  # warm servers are seen to do about 25 a second each
+        request_id = router.request(f"w{router.next_id}")
+        router.advance(10 * MS)
+        router.end_attempt(request_id, Outcome.OK)
+    fresh = api.Endpoint("10.0.1.1:80", started_at=router.now - 100 * MS)
+    gone = [replace(member, state=EndpointState.GONE) for member in members(4)[:4]]
+    router.notify(api.EndpointUpdate(UpdateKind.DELTA, 2, (*gone, fresh)))
+    router.balancer.servers[fresh.server].backoff_until = router.now + 10 * S
+    router.balancer.caches.limit = 200.0
+    sends: list[tuple[int, str]] = []
+    for _ in range(400):
+        request_id = router.request(f"w{router.next_id}")
+        router.advance(2 * MS)
+        if (request_id, 0) in router.in_flight:
+            sends.append((router.now, router.server_of(request_id)))  # it waits for its connection
+    assert 0 < most_sends_in_a_window(router, fresh.server, sends, S) <= 3.0 * 0.4 * 25
+
+
 def test_two_processes_of_one_node_keep_to_the_budget_together():
     """In an upgrade both have seen all of the node's load, and neither knows what the other sends."""
     assert worst_of_a_burst(1) + worst_of_a_burst(2) <= 3.0 * 0.4 * 25
