--- a/flintridge/core/lifecycle.py
+++ b/flintridge/core/lifecycle.py
@@ -41,7 +41,8 @@
 
     Attributes:
         memory_budget: For the values of writes.
-        answer_by: Whatever is taken in is answered by this instant, however long its client waits.
+        answer_by: Whatever is open is answered by this instant, however long its client waits; set by
+            `answer_all_by`.
         on_attempts_changed: Called with +1 where an attempt begins, with -1 where it ends.
         on_new_request: Called with the tenant of each request that is no retry.
     """
@@ -162,6 +163,22 @@
             self._mark_answered(request_id, entry)
             self._notify_policy(api.ClientDisconnected(request_id))
 
+    def answer_all_by(self, instant: float) -> None:
+        """Answer whatever is open, and whatever will be taken in, by an instant.
+
+        Guards requests whose clients wait for longer than the process lives on after SIGTERM, and what is
+        read behind them on their connections.
+
+        Args:
+            instant: Milliseconds of the node's clock.
+        """
+        self.answer_by = instant
+        for request_id, entry in self._open.items():
+            if not entry.answered and entry.deadline > instant:
+                entry.deadline = instant
+                entry.deadline_timer.cancel()
+                entry.deadline_timer = self._clock.call_at(instant, self._deadline_passed, request_id)
+
     def close(self) -> None:
         """The policy is notified of nothing any more, whatever falls due; open requests end unanswered.
 
--- a/tests/policy/test_rules.py
+++ b/tests/policy/test_rules.py
@@ -147,7 +147,7 @@
 
 
 def test_a_server_that_is_warming_up_gets_no_more_as_the_last_resort():
-    """In connect backoff it is what is left where no other can be sent to; once it is up all of that arrives."""
+    """In connect backoff it is what is left where no other can be sent to; all that arrives once it is up."""
     router = Router(count=4)
     for _ in range(300):  # warm servers are seen to do about 25 a second each
         request_id = router.request(f"w{router.next_id}")
