--- a/flintridge/policy/concurrency_limiter.py
+++ b/flintridge/policy/concurrency_limiter.py
@@ -72,14 +72,15 @@
     def record(self, now: int, slow: bool, sent_at: int) -> bool | None:  # a bad round; None: no end
         self.round_attempts += 1
         self.round_slow += slow
-        if self.round_attempts < max(8, self.inflight) or sent_at < self.round_started_at:
+        is_clear = self.round_slow >= 4 and self.peak_inflight < 8
+        if self.round_attempts < max(4 if is_clear else 8, self.inflight) or sent_at < self.round_started_at:
             return None
         is_bad = self.round_slow > MAX_SLOW_FRACTION * self.round_attempts
         if is_bad:
             self.doubling = False
             self.decreased_at = now
             base = min(self.limit, max(self.peak_inflight, self.inflight) + 1)  # what was reached
-            self.limit = max(self.floor, base * (1 - 0.3 * self.round_slow / self.round_attempts))
+            self.limit = max(self.floor, base * (1 - 0.45 * (self.round_slow / self.round_attempts) ** 2))
         elif self.inflight + 1 >= 0.7 * self.limit:
             self.limit += self.limit if self.doubling else max(self.step, 0.05 * self.limit)
         self.round_started_at = now
--- a/tests/policy/test_concurrency_limiter.py
+++ b/tests/policy/test_concurrency_limiter.py
@@ -152,3 +152,33 @@
     assert same > 80  # of 100: it has the key
     router.balancer.refresh_fractions()
     assert router.balancer.caches.decreased_at == -math.inf and min(router.balancer.fractions.values()) > 0.5
+
+
+def test_a_round_of_a_thin_node_when_half_of_it_is_slow_already_then_ends():
+    """Two attempts a second at a slow origin: a whole round took four seconds, and four of them the limit."""
+    limiter = ConcurrencyLimiter(8.0, doubling=False)
+    limiter.inflight = limiter.peak_inflight = 3
+    rounds(limiter, 0, slow=True, count=3)
+    assert limiter.decreased_at == -math.inf  # not by chance
+    rounds(limiter, 100 * MS, slow=True, count=1)
+    assert limiter.limit < 4
+
+
+def test_a_round_of_a_node_with_many_in_flight_when_its_first_are_slow_then_goes_on():
+    limiter = ConcurrencyLimiter(40.0, doubling=False)
+    limiter.inflight = limiter.peak_inflight = 30
+    now = rounds(limiter, 0, slow=True, count=6)
+    rounds(limiter, now, slow=False, count=24)
+    assert limiter.decreased_at == -math.inf
+
+
+def test_a_limit_when_a_whole_round_is_slow_then_decreases_by_more_than_by_a_few_slow_ones():
+    decreased = []
+    for slow in (3, 10):
+        limiter = ConcurrencyLimiter(10.0, doubling=False)
+        limiter.inflight = limiter.peak_inflight = 10
+        now = rounds(limiter, 0, slow=True, count=slow)
+        rounds(limiter, now, slow=False, count=10 - slow)
+        decreased.append(limiter.limit)
+    a_few, all_of_them = decreased
+    assert 9.2 < a_few < 10.0 and all_of_them < 6
