--- a/flintridge/policy/balancer.py
+++ b/flintridge/policy/balancer.py
@@ -205,7 +205,8 @@
 
     def priority(self, request: OpenRequest) -> float:  # weight for each unit of work
         weight = request.request_class.priority_weight
-        weight *= self.settings.over_quota_weight if request.over_quota else 1.0
+        if request.over_quota:
+            weight *= self.settings.over_quota_weight
         mean_latency_ns = max(self.caches.mean_latency_ns(request), NS_PER_MS)
         return weight if self.settings.weight_by_work else weight / mean_latency_ns
 
--- a/flintridge/policy/concurrency_limiter.py
+++ b/flintridge/policy/concurrency_limiter.py
@@ -8,6 +8,9 @@
 
 NS_PER_MS = 1_000_000
 MAX_SLOW_FRACTION = 0.2  # of a round's attempts, before the limit decreases
+ROUND_MIN_ATTEMPTS = 8  # fewer slow ones may be chance
+EARLY_END_SLOW_ATTEMPTS = 4  # end the round of a node that never has ROUND_MIN_ATTEMPTS in flight
+MAX_DECREASE_FRACTION = 0.45  # of the limit, by a round whose attempts are all slow
 MAX_WITHDRAWN = 32  # attempts at a request that do not count; guards against one that never ends
 MAX_FIRST_WAIT_FRACTION = 0.45  # of its client's time that a request waits for its first attempt
 
@@ -78,15 +81,15 @@
     def record(self, now: int, slow: bool, sent_at: int) -> bool | None:  # a bad round; None: no end
         self.round_attempts += 1
         self.round_slow += slow
-        is_clear = self.round_slow >= 4 and self.peak_inflight < 8
-        if self.round_attempts < max(4 if is_clear else 8, self.inflight) or sent_at < self.round_started_at:
+        if self.round_attempts < self.round_length() or sent_at < self.round_started_at:
             return None
         is_bad = self.round_slow > MAX_SLOW_FRACTION * self.round_attempts
         if is_bad:
             self.doubling = False
             self.decreased_at = now
             base = min(self.limit, max(self.peak_inflight, self.inflight) + 1)  # what was reached
-            self.limit = max(self.floor, base * (1 - 0.45 * (self.round_slow / self.round_attempts) ** 2))
+            slow_fraction = self.round_slow / self.round_attempts
+            self.limit = max(self.floor, base * (1 - MAX_DECREASE_FRACTION * slow_fraction**2))
         elif self.inflight + 1 >= 0.7 * self.limit:
             self.limit += self.limit if self.doubling else max(self.step, 0.05 * self.limit)
         self.round_started_at = now
@@ -94,6 +97,11 @@
         self.peak_inflight = self.inflight
         return is_bad
 
+    def round_length(self) -> int:  # in attempts; a thin node's round ends once it is clearly slow
+        is_thin = self.peak_inflight < ROUND_MIN_ATTEMPTS
+        is_clearly_slow = is_thin and self.round_slow >= EARLY_END_SLOW_ATTEMPTS
+        return max(EARLY_END_SLOW_ATTEMPTS if is_clearly_slow else ROUND_MIN_ATTEMPTS, self.inflight)
+
     def mean_latency_ns(self, request: OpenRequest, unknown_ns: float = 0.0) -> float:
         return self.latencies_ns.get(request.event.class_index, unknown_ns)
 
