--- a/flintridge/discovery/client.py
+++ b/flintridge/discovery/client.py
@@ -8,11 +8,18 @@
 from flintridge.codec.http.date import parse_date_ms
 from flintridge.codec.http.exchange import HttpExchange, header_value
 from flintridge.config.address import Address
+from flintridge.runtime.clock import Clock, sleep
+from flintridge.runtime.local_failure import is_local_failure
 from flintridge.runtime.streams import TrackingReader, has_pending_input, is_reusable, open_connection
 
 MAX_LIST_BYTES = 4 * 1024 * 1024
 READ_BYTES = 64 * 1024
 
+# Where this machine has no port, buffer, descriptor or route for a moment. The policy's pause after a failed
+# call is up to 2 s, and grows: a few in a row would outlast the 6 s after which a change counts as notified.
+LOCAL_FAILURE_PAUSE_MS = 20.0
+MAX_LOCAL_FAILURES = 15
+
 
 @dataclass(slots=True, frozen=True)
 class DiscoveryResponse:
@@ -36,8 +43,10 @@
 class DiscoveryClient:
     """One connection to discovery."""
 
-    def __init__(self, address: Address) -> None:
+    def __init__(self, address: Address, clock: Clock) -> None:
+        """Make a client without a connection; `clock` times the pauses between tries to connect."""
         self._address = address
+        self._clock = clock
         self._streams: tuple[TrackingReader, asyncio.StreamWriter] | None = None
 
     async def get(self, target: str) -> DiscoveryResponse:
@@ -73,11 +82,26 @@
             if not is_reusable(reader, writer) or has_pending_input(writer.transport):
                 self.close()
         if self._streams is None:
-            reader = TrackingReader(asyncio.get_running_loop())
-            writer = await open_connection(reader, self._address.host, self._address.port)
-            self._streams = reader, writer
+            self._streams = await self._connect()
         return self._streams
 
+    async def _connect(self) -> tuple[TrackingReader, asyncio.StreamWriter]:
+        """Open a connection, again after a pause while this machine fails.
+
+        Raises:
+            OSError: There is none.
+        """
+        failures = 0
+        while True:
+            reader = TrackingReader(asyncio.get_running_loop())
+            try:
+                return reader, await open_connection(reader, self._address.host, self._address.port)
+            except OSError as error:
+                failures += 1
+                if failures > MAX_LOCAL_FAILURES or not is_local_failure(error):
+                    raise
+            await sleep(self._clock, LOCAL_FAILURE_PAUSE_MS)
+
     def close(self) -> None:
         """Close the connection; the next call opens another."""
         if self._streams is not None:
--- a/flintridge/discovery/watcher.py
+++ b/flintridge/discovery/watcher.py
@@ -122,7 +122,7 @@
         await asyncio.gather(*tasks, return_exceptions=True)
 
     async def _fetch(self) -> None:
-        client = DiscoveryClient(self.discovery)
+        client = DiscoveryClient(self.discovery, self._clock)
         try:
             self._report(await self._full_list(client))
         except CALL_ERRORS as error:
@@ -144,7 +144,7 @@
         return await with_timeout(self._clock, self._wait_ms + RESPONSE_TIME_MS, client.get(target))
 
     async def _watch(self) -> None:
-        client = DiscoveryClient(self.discovery)
+        client = DiscoveryClient(self.discovery, self._clock)
         try:
             while True:
                 began = self._clock.now()
--- a/flintridge/upstream/connector.py
+++ b/flintridge/upstream/connector.py
@@ -4,11 +4,11 @@
 from flintridge.core.request import UpstreamAttempt
 from flintridge.errors import FlintridgeError
 from flintridge.runtime.clock import Clock, DeadlineExceededError, sleep
+from flintridge.runtime.local_failure import ROUTE_ERRNO, is_local_failure
 from flintridge.telemetry.counters import Counters
 from flintridge.upstream.beginning import check_may_begin
 from flintridge.upstream.connection import UpstreamConnection
 from flintridge.upstream.connection_pool import ConnectionPool
-from flintridge.upstream.local_failure import ROUTE_ERRNO, is_local_failure
 
 # Most local failures are over in a moment; one that lasts must not cost the CPU that others need.
 FIRST_PAUSE_MS = 2.0
--- a/flintridge/upstream/dispatcher.py
+++ b/flintridge/upstream/dispatcher.py
@@ -18,6 +18,7 @@
 from flintridge.core.response import AttemptResult, StreamedResponse, StreamedValue
 from flintridge.discovery.endpoint_list import EndpointAddress, EndpointList
 from flintridge.runtime.clock import Clock, DeadlineExceededError, to_ms, with_timeout
+from flintridge.runtime.local_failure import ROUTE_ERRNO, describe_errno, is_local_failure
 from flintridge.telemetry.counters import Counters
 from flintridge.telemetry.log import EventLog
 from flintridge.upstream.beginning import AttemptWithdrawnError, check_may_begin
@@ -25,7 +26,6 @@
 from flintridge.upstream.connection_pool import ConnectionLimitError, ConnectionPool
 from flintridge.upstream.connector import Connector, LocalFailureError
 from flintridge.upstream.idle_timeout import MIN_IDLE_MS
-from flintridge.upstream.local_failure import ROUTE_ERRNO, describe_errno, is_local_failure
 from flintridge.upstream.streaming import ValueForwarder
 
 HEALTH_CHECK_TIMEOUT_MS = 500.0
--- a/tests/discovery/test_watch_termination.py
+++ b/tests/discovery/test_watch_termination.py
@@ -1,15 +1,20 @@
 """How watches on discovery end, with what crosses each end forced."""
 
 import asyncio
+import errno
+import os
 import socket
 
 import pytest
 from support.downstream_termination import cross
-from support.network import Peer, until
+from support.network import HandClock, Peer, until
 from support.node import Alone, http, whole
 
 from flintridge import api
 from flintridge.api import EndpointState
+from flintridge.config.address import Address
+from flintridge.discovery import client as client_module
+from flintridge.discovery.client import LOCAL_FAILURE_PAUSE_MS, MAX_LOCAL_FAILURES, DiscoveryClient
 from flintridge.discovery.watcher import LIST_TIME_MS
 from flintridge.lab import virtual
 from flintridge.runtime.clock import NS_PER_MS
@@ -155,3 +160,51 @@
             await alone.node.close()
 
     play(test)
+
+
+@pytest.mark.parametrize("failures", [MAX_LOCAL_FAILURES, MAX_LOCAL_FAILURES + 1])
+@pytest.mark.parametrize("code", [errno.ENOBUFS, errno.EADDRNOTAVAIL, errno.ENETUNREACH])
+def test_discovery_call_when_this_machine_opens_no_connection_for_a_moment_then_is_made_soon(
+    play, monkeypatch, code, failures
+):
+    """A failed call is followed by the policy's pause, and some of these outlast the 6 s of a change."""
+    tries: list[int] = []
+    connect = client_module.open_connection
+
+    async def failing(*where):
+        tries.append(code)
+        if len(tries) <= failures:
+            raise OSError(code, os.strerror(code))
+        return await connect(*where)
+
+    async def test():
+        async with Peer(lambda _: http(whole(2, s1="terminating"))) as discovery:
+            clock = HandClock()
+            client = DiscoveryClient(Address("127.0.0.1", discovery.port), clock)
+            call = asyncio.ensure_future(client.get("/api/targets"))
+            for tried in range(1, failures + 1):
+                await until(lambda tried=tried: len(tries) == tried)
+                await until(lambda: call.done() or clock.due)
+                clock.go(LOCAL_FAILURE_PAUSE_MS)
+            if failures <= MAX_LOCAL_FAILURES:
+                assert b"terminating" in (await call).body
+            else:
+                with pytest.raises(OSError, match=os.strerror(code)):
+                    await call
+            client.close()
+
+    monkeypatch.setattr(client_module, "open_connection", failing)
+    play(test)
+
+
+def test_discovery_call_when_discovery_refuses_the_connection_then_fails_at_once(play, monkeypatch):
+    async def refused(*_):
+        raise ConnectionRefusedError(errno.ECONNREFUSED, "refused")
+
+    async def test():
+        client = DiscoveryClient(Address("127.0.0.1", 1), HandClock())
+        with pytest.raises(ConnectionRefusedError):
+            await client.get("/api/targets")
+
+    monkeypatch.setattr(client_module, "open_connection", refused)
+    play(test)
--- a/tests/upstream/test_local_failures.py
+++ b/tests/upstream/test_local_failures.py
@@ -10,8 +10,8 @@
 from support.upstream import VALUE, UpstreamHarness, pass_time
 
 from flintridge.api import Outcome
+from flintridge.runtime.local_failure import LOCAL_ERRNOS
 from flintridge.upstream import connection_pool
-from flintridge.upstream.local_failure import LOCAL_ERRNOS
 
 CONNECT_TIMEOUT_MS = 250
 
