--- a/flintridge/lab/defects/endings.py
+++ b/flintridge/lab/defects/endings.py
@@ -70,10 +70,12 @@
     """Requests on connections for which `hit` says so are never processed."""
     submit = node.core.submit
 
-    def submitted(request: Request, reply: Responder, kept: int = 0) -> str:
+    def submitted(
+        request: Request, reply: Responder, kept: int = 0, arrived_after: float | None = None
+    ) -> str:
         connection = connection_of(reply)
         if connection is None or not hit(connection):
-            return submit(request, reply, kept)
+            return submit(request, reply, kept, arrived_after)
         node.core.memory_budget.release(kept)
         node.clock.call_at(node.clock.now() + CLOSE_AFTER_MS, connection.abort)
         return request.id.decode("ascii")
--- a/flintridge/lab/defects/wrapping.py
+++ b/flintridge/lab/defects/wrapping.py
@@ -54,7 +54,7 @@
     """Have each request's reply replaced by what `alter` makes of it."""
     submit = node.core.submit
 
-    def wrapped(request: Request, reply: Responder, kept: int = 0) -> str:
-        return submit(request, alter(request, reply), kept)
+    def wrapped(request: Request, reply: Responder, kept: int = 0, arrived_after: float | None = None) -> str:
+        return submit(request, alter(request, reply), kept, arrived_after)
 
     put(node.core, "submit", wrapped)
