--- a/tests/test_wall_clock.py
+++ b/tests/test_wall_clock.py
@@ -30,7 +30,6 @@
     "lab/backend/loopback_fabric.py",
     "replication/driver.py",
     "runtime/clock.py",
-    "runtime/worker_processes.py",
 }
 
 
