--- a/flintridge/lab/backend/virtual.py
+++ b/flintridge/lab/backend/virtual.py
@@ -22,8 +22,10 @@
 from flintridge.lab.records import Connections, Line, Log, NodeSaid
 from flintridge.lab.scenario.model import Budgets, Peers
 from flintridge.lab.virtual import VirtualLoop
+from flintridge.lab.virtual.net import AcceptPauses
 from flintridge.membership.messages import MessageCodec
 from flintridge.node import Node
+from flintridge.runtime.acceptor import FIRST_PAUSE_MS, MAX_PAUSE_MS
 from flintridge.runtime.clock import SystemClock
 from flintridge.telemetry.counters import Counters
 
@@ -31,6 +33,9 @@
 LISTENING_PORT = 11211
 KEPT_EVENTS = 400  # of each node's own log
 SAMPLE_MS = 1000.0
+# The node accepts by a reader of its own where there are descriptors, which a virtual loop has none of: what
+# it does when accept() fails is modelled on that.
+NODE_PAUSES = AcceptPauses(FIRST_PAUSE_MS / 1000, MAX_PAUSE_MS / 1000, reports=False)
 NO_CONNECTIONS = 8  # descriptors of a node that are none: listener, event loop, standard streams
 
 
@@ -206,6 +211,7 @@
         if not host.alive:
             host.revive()
         host.max_connections = self._connections
+        host.accept_pauses = NODE_PAUSES
         life = self._lives[node] = Life(self._config_of(node), NodeLog(self._fabric.clock))
         life.log.told = partial(self._line, node)
         self._ended[node] = asyncio.Event()
--- a/flintridge/lab/virtual/net.py
+++ b/flintridge/lab/virtual/net.py
@@ -8,6 +8,7 @@
 from collections import deque
 from collections.abc import Callable, Coroutine, Iterable
 from contextvars import Context, ContextVar, copy_context
+from dataclasses import dataclass
 from time import perf_counter
 from typing import TYPE_CHECKING, Any, Literal, ParamSpec, Protocol, TypeVar
 
@@ -24,8 +25,8 @@
 Call = Literal["accept", "connect", "socket", "read", "write"]
 
 WILDCARDS = ("0.0.0.0", "::")
-ACCEPT_AGAIN_S = 1.0  # after it ran out of descriptors, as asyncio has it
 OUT_OF_RESOURCE = (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM)  # asyncio then rests
+MOST_DOUBLINGS = 32  # of a pause, so that the number stays small
 QUEUE = 512  # connections that a listening socket lets wait, at the least
 LISTENING_PORTS = 20_000  # the first port given to a listener that asks for none
 SOURCE_PORTS = 32_768  # the first port of connecting sockets
@@ -82,6 +83,24 @@
         return [self.pieces] * whole + [rest] * (rest > 0)
 
 
+@dataclass(slots=True, frozen=True)
+class AcceptPauses:
+    """How long a program accepts nothing after it ran short of descriptors or memory.
+
+    Attributes:
+        first_s: After the first failure; doubled with each further one in a row.
+        most_s: No pause is longer.
+        reports: Whether each failure goes to the event loop's exception handler.
+    """
+
+    first_s: float
+    most_s: float
+    reports: bool
+
+
+ASYNCIO_PAUSES = AcceptPauses(1.0, 1.0, reports=True)
+
+
 class Process:
     """What runs on a host until it dies: a host that is revived has a new one."""
 
@@ -127,7 +146,15 @@
         """None of its handles may run before then (s)."""
         self.stopped = True
         self._stalled_until = until
-        self.host.network.loop._kernel_at(until, self.go_on)
+        self.host.network.loop._kernel_at(until, self._stall_over)
+
+    def _stall_over(self) -> None:
+        """Timers come last, as in the iteration of an event loop that follows on one that took long: what has
+        arrived is read before them."""
+        if self.host.network.loop._now >= self._stalled_until:
+            in_order = sorted(self.parked, key=lambda handle: isinstance(handle, asyncio.TimerHandle))
+            self.parked = deque(in_order)
+            self.go_on()
 
     def go_on(self) -> None:
         """Run what fell due meanwhile, in its order, unless something still stops it."""
@@ -176,8 +203,9 @@
         self.busy_s = 0.0  # real seconds that its handles took
         self.silent = False  # it vanished: what is sent to it is lost
         # Connections that its process may hold, as its limit of descriptors has it; None: any number. Beyond
-        # it connecting fails, and accepting too, which asyncio then leaves for a second.
+        # it connecting fails, and accepting too, which is then left for a while.
         self.max_connections: int | None = None
+        self.accept_pauses = ASYNCIO_PAUSES  # of the program on it
         self.system: SystemCalls | None = None  # what goes wrong with its operating system
         self._ip = LOOPBACK
         self._process = Process(self)
@@ -550,6 +578,7 @@
         self.waiting: deque[StreamTransport] = deque()  # connections that the code has not accepted yet
         self.serving = False
         self._queued = self._resting = False
+        self._failures = 0  # of accepting, in a row
 
     def arrived(self, endpoint: StreamTransport) -> None:
         """A connection is there to be accepted."""
@@ -576,6 +605,7 @@
             if error is not None:
                 self._failed(error)
                 return
+            self._failures = 0
             endpoint = self.waiting.popleft()
             self.process.waiting -= 1
             endpoint.context.run(self._accept, endpoint)
@@ -583,22 +613,25 @@
             self._queue()
 
     def _failed(self, error: OSError) -> None:
-        """As asyncio has it: what waits is there still."""
+        """What waits is there still, and is tried again."""
         if error.errno in OUT_OF_RESOURCE:
             self._rest(error)
             return
-        loop = self.server._loop
-        if not isinstance(error, (InterruptedError, ConnectionAbortedError)):
+        loop, reports = self.server._loop, self.process.host.accept_pauses.reports
+        if reports and not isinstance(error, (InterruptedError, ConnectionAbortedError)):
             loop.call_exception_handler({"message": "Exception in callback accept", "exception": error})
         self._resting = True
         loop.call_later(FAILED_CALL_S, self._go_on, context=self.context)
 
     def _rest(self, error: OSError) -> None:
-        loop = self.server._loop
+        loop, pauses = self.server._loop, self.process.host.accept_pauses
         self._resting = True
-        said = {"message": "socket.accept() out of system resource", "exception": error}
-        loop.call_exception_handler(said)
-        loop.call_later(ACCEPT_AGAIN_S, self._go_on, context=self.context)
+        if pauses.reports:
+            said = {"message": "socket.accept() out of system resource", "exception": error}
+            loop.call_exception_handler(said)
+        pause_s = min(pauses.first_s * 2**self._failures, pauses.most_s)
+        self._failures = min(self._failures + 1, MOST_DOUBLINGS)
+        loop.call_later(pause_s, self._go_on, context=self.context)
 
     def _go_on(self) -> None:
         self._resting = False
