--- a/flintridge/lab/backend/virtual.py
+++ b/flintridge/lab/backend/virtual.py
@@ -7,7 +7,7 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field, replace
 from functools import partial
-from typing import Any
+from typing import Any, cast
 
 import msgspec
 import orjson
@@ -21,12 +21,12 @@
 from flintridge.lab.partial.views import FLEET, KEY, VIEW_MS, datagram_of, held_of, view_of
 from flintridge.lab.records import Connections, Line, Log, NodeSaid
 from flintridge.lab.scenario.model import Budgets, Peers
-from flintridge.lab.virtual import VirtualLoop
+from flintridge.lab.virtual import Host, VirtualLoop
 from flintridge.lab.virtual.net import AcceptPauses
 from flintridge.membership.messages import MessageCodec
 from flintridge.node import Node
 from flintridge.runtime.acceptor import FIRST_PAUSE_MS, MAX_PAUSE_MS
-from flintridge.runtime.clock import SystemClock
+from flintridge.runtime.clock import ArrivalTrackingSelector, SystemClock
 from flintridge.telemetry.counters import Counters
 
 UNIX_MS = 1_700_000_000_000.0  # the Unix time at which each virtual day begins
@@ -153,6 +153,18 @@
         return seen
 
 
+class Arrivals:
+    """Tells a virtual node what its selector would tell it of the arrival of what it reads."""
+
+    def __init__(self, host: Host) -> None:
+        self._host = host
+
+    @property
+    def earliest_arrival_s(self) -> float:
+        """As ArrivalTrackingSelector has it."""
+        return self._host.earliest_arrival_s
+
+
 @dataclass(slots=True)
 class Life:
     """One process of a node, from its start to its end."""
@@ -229,7 +241,8 @@
         code, text = 1, ""
         try:
             await asyncio.sleep(self._start_ms(name) / 1000)
-            clock = SystemClock(loop, self._wall_ms(name))
+            arrivals = cast(ArrivalTrackingSelector, Arrivals(self._fabric.network.host(name)))
+            clock = SystemClock(loop, self._wall_ms(name), arrivals)
             config = node_config(life.config, {})
             entropy = os.urandom
             if self._peers is not None:
--- a/flintridge/lab/virtual/net.py
+++ b/flintridge/lab/virtual/net.py
@@ -26,6 +26,7 @@
 
 WILDCARDS = ("0.0.0.0", "::")
 OUT_OF_RESOURCE = (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM)  # asyncio then rests
+SAME_MOMENT_S = 1e-6  # time that goes on by less stands still
 MOST_DOUBLINGS = 32  # of a pause, so that the number stays small
 QUEUE = 512  # connections that a listening socket lets wait, at the least
 LISTENING_PORTS = 20_000  # the first port given to a listener that asks for none
@@ -111,6 +112,7 @@
         self.stopped = False  # paused, held up or dead: none of its handles may run
         self.paused = False
         self._stalled_until = 0.0  # s
+        self._stalled_since = 0.0  # s
         self.dead = False
         self.parked: deque[Any] = deque()  # handles that fell due while it was paused
         # All dicts are used as sets that keep their order: addresses in memory must decide nothing.
@@ -144,10 +146,21 @@
 
     def stall(self, until: float) -> None:
         """None of its handles may run before then (s)."""
+        if not self._after_stall():  # else it read nothing between the two
+            self._stalled_since = self.host.network.loop._now
         self.stopped = True
         self._stalled_until = until
         self.host.network.loop._kernel_at(until, self._stall_over)
 
+    def _after_stall(self) -> bool:
+        """Whether what runs now was ready, or fell due, by the end of a stall."""
+        return abs(self.host.network.loop._now - self._stalled_until) < SAME_MOMENT_S
+
+    @property
+    def earliest_arrival_s(self) -> float:
+        """What is read now did not arrive before, as the selector of the program's event loop would know."""
+        return self._stalled_since if self._after_stall() else self.host.network.loop.time()
+
     def _stall_over(self) -> None:
         """Timers come last, as in the iteration of an event loop that follows on one that took long: what has
         arrived is read before them."""
@@ -231,6 +244,11 @@
     def paused(self) -> bool:
         return self._process.paused and not self._process.dead
 
+    @property
+    def earliest_arrival_s(self) -> float:
+        """What its process reads now did not arrive before (s of the loop)."""
+        return self._process.earliest_arrival_s
+
     @property
     def open_connections(self) -> int:
         """Sockets: those that connect or wait to be accepted, too."""
