--- a/flintridge/lab/backend/virtual.py
+++ b/flintridge/lab/backend/virtual.py
@@ -7,7 +7,7 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field, replace
 from functools import partial
-from typing import Any
+from typing import Any, cast
 
 import msgspec
 import orjson
@@ -17,19 +17,25 @@
 from flintridge.config.node_config import BudgetsConfig, PeersConfig
 from flintridge.config.platform_config import node_config
 from flintridge.lab.fabric import DayClock, Links, Listener
+from flintridge.lab.faults.injection import SOUND, Injector, SystemState
 from flintridge.lab.partial.views import FLEET, KEY, VIEW_MS, datagram_of, held_of, view_of
 from flintridge.lab.records import Connections, Line, Log, NodeSaid
 from flintridge.lab.scenario.model import Budgets, Peers
-from flintridge.lab.virtual import VirtualLoop
+from flintridge.lab.virtual import Host, VirtualLoop
+from flintridge.lab.virtual.net import AcceptPauses
 from flintridge.membership.messages import MessageCodec
 from flintridge.node import Node
-from flintridge.runtime.clock import SystemClock
+from flintridge.runtime.acceptor import FIRST_PAUSE_MS, MAX_PAUSE_MS
+from flintridge.runtime.clock import ArrivalTrackingSelector, SystemClock
 from flintridge.telemetry.counters import Counters
 
 UNIX_MS = 1_700_000_000_000.0  # the Unix time at which each virtual day begins
 LISTENING_PORT = 11211
 KEPT_EVENTS = 400  # of each node's own log
 SAMPLE_MS = 1000.0
+# The node accepts by a reader of its own where there are descriptors, which a virtual loop has none of: what
+# it does when accept() fails is modelled on that.
+NODE_PAUSES = AcceptPauses(FIRST_PAUSE_MS / 1000, MAX_PAUSE_MS / 1000, reports=False)
 NO_CONNECTIONS = 8  # descriptors of a node that are none: listener, event loop, standard streams
 
 
@@ -147,6 +153,18 @@
         return seen
 
 
+class Arrivals:
+    """Tells a virtual node what its selector would tell it of the arrival of what it reads."""
+
+    def __init__(self, host: Host) -> None:
+        self._host = host
+
+    @property
+    def earliest_arrival_s(self) -> float:
+        """As ArrivalTrackingSelector has it."""
+        return self._host.earliest_arrival_s
+
+
 @dataclass(slots=True)
 class Life:
     """One process of a node, from its start to its end."""
@@ -182,6 +200,7 @@
         self._connections = None if sockets is None else sockets - NO_CONNECTIONS
         self._lives: dict[str, Life] = {}
         self._ended: dict[str, asyncio.Event] = {}
+        self._injectors: dict[str, Injector] = {}  # of nodes whose systems are, or were, at fault
         self._counters: dict[str, Counter[str]] = {}
         self._histograms: dict[str, dict[str, dict[str, float]]] = {}
         self._sampler = fabric.clock.call_later(SAMPLE_MS, self._sample)
@@ -204,6 +223,7 @@
         if not host.alive:
             host.revive()
         host.max_connections = self._connections
+        host.accept_pauses = NODE_PAUSES
         life = self._lives[node] = Life(self._config_of(node), NodeLog(self._fabric.clock))
         life.log.told = partial(self._line, node)
         self._ended[node] = asyncio.Event()
@@ -221,7 +241,8 @@
         code, text = 1, ""
         try:
             await asyncio.sleep(self._start_ms(name) / 1000)
-            clock = SystemClock(loop, self._fabric.clock.unix_ms(self._fabric.clock.now()))
+            arrivals = cast(ArrivalTrackingSelector, Arrivals(self._fabric.network.host(name)))
+            clock = SystemClock(loop, self._wall_ms(name), arrivals)
             config = node_config(life.config, {})
             entropy = os.urandom
             if self._peers is not None:
@@ -291,6 +312,24 @@
     def unquiesce(self, node: str) -> None:
         self._call(node, "back", lambda served: served.resume())
 
+    def set_system(self, node: str, state: SystemState) -> None:
+        """Its calls fail as drawn; a process that starts later has the stepped clock."""
+        if node not in self._injectors:
+            drawn_seed = self._lives[node].config.get("seed") if node in self._lives else ""
+            self._injectors[node] = Injector(f"{node}/{drawn_seed}")
+        injector = self._injectors[node]
+        if state.clock_ms != injector.state.clock_ms:
+            injector.counts["injected_clock_step"] += 1
+        injector.state = state
+        quiet = msgspec.structs.replace(state, clock_ms=0.0) == SOUND
+        self._fabric.network.host(node).system = None if quiet else injector
+
+    def _wall_ms(self, node: str) -> float:
+        """Unix time as a node's machine has it."""
+        injector = self._injectors.get(node)
+        ahead = 0.0 if injector is None else injector.state.clock_ms
+        return self._fabric.clock.unix_ms(self._fabric.clock.now()) + ahead
+
     def _call(self, name: str, said: str, call: Callable[[Node], object]) -> None:
         """What a call at the console does, in the node's own process."""
         node = self._lives[name].node if self.running(name) else None
@@ -345,6 +384,8 @@
                 self._count(node)
         busy = [self._fabric.network.host(node).busy_s for node in self._lives]
         counters = {node: dict(sorted(seen.items())) for node, seen in self._counters.items()}
+        for node, injector in self._injectors.items():
+            counters.setdefault(node, {}).update(injector.counts)
         return {
             "node_cpu_s": sum(busy),
             "node_memory_mb": 0.0,
