--- a/tests/test_wall_clock.py
+++ b/tests/test_wall_clock.py
@@ -27,6 +27,7 @@
     "utcnow",
 }
 READERS = {
+    "lab/backend/faulty_node.py",
     "lab/backend/loopback_fabric.py",
     "replication/driver.py",
     "runtime/clock.py",
