--- a/flintridge/lab/judge/facts.py
+++ b/flintridge/lab/judge/facts.py
@@ -209,6 +209,10 @@
         longest = max(cls.deadline_ms for cls in self.scenario.classes)
         return min(longest, LONGEST_COUNTED_MS) + SERVES_ON_MS
 
+    def is_during(self, fault: str, start: float, end: float) -> bool:
+        """Whether a fault of this name was on somewhere between two instants."""
+        return any(name == fault and begun <= end and ended >= start for name, begun, ended in self.faults)
+
     def had_its_time(self, life: Life) -> bool:
         """Whether a process was killed only after all the time that it has for its end after SIGTERM."""
         term, end = life.term, life.end
--- a/tests/test_lab_judge.py
+++ b/tests/test_lab_judge.py
@@ -121,6 +121,8 @@
 
 
 TERM = said(300, "term")
+STALLS = r.Happened(t=-90, name="stall", begins=True)
+STALLS_END = r.Happened(t=-10, name="stall", begins=False)
 
 
 def again(t, server="origin", **more):
@@ -222,6 +224,10 @@
         ([said(300, "paused"), said(350, "resumed"), *told_to_wait(749)], set()),
         ([said(300, "paused"), said(350, "resumed"), *told_to_wait(751)], {"altered"}),
         ([said(-50, "paused"), said(350, "resumed"), *told_to_wait(949)], set()),
+        # a node that is held up between its clock and its writes
+        ([STALLS, *told_to_wait(749)], set()),
+        ([STALLS, *told_to_wait(751)], {"altered"}),
+        ([STALLS, STALLS_END, *told_to_wait(749)], {"altered"}),
         ([r.Malformed(t=1, node="n0", server="s1", text="mx")], {"malformed"}),
         # held back
         ([asked(), answered(480, "refused")], set()),
