--- a/flintridge/lab/faults/nodes.py
+++ b/flintridge/lab/faults/nodes.py
@@ -8,15 +8,14 @@
 from flintridge.lab.scenario.model import Scenario
 from flintridge.lab.world.fleet import World
 
-LONGEST_MS = 3000.0  # a node that ends has its longest deadline for it, and this at least,
-LEAVING_MS = 700.0  # and the time in which it is still sent requests,
-SPARE_MS = 300.0  # before it is killed
+LONGEST_MS = 3000.0  # a node that ends has its longest deadline for it, but no more than this,
+LEAVING_MS = 700.0  # and the time in which it is still sent requests, before it is killed
 
 
 def patience_ms(scenario: Scenario) -> float:
-    """From SIGTERM to SIGKILL."""
+    """From SIGTERM to the SIGKILL that may come first."""
     longest = max(cls.deadline_ms for cls in scenario.classes)
-    return max(longest, LONGEST_MS) + LEAVING_MS + SPARE_MS
+    return min(longest, LONGEST_MS) + LEAVING_MS
 
 
 class NodeState:
--- a/flintridge/lab/judge/rules/process.py
+++ b/flintridge/lab/judge/rules/process.py
@@ -50,6 +50,8 @@
         ended = end.t if end is not None else math.inf
         if end is not None and end.state == "exited" and end.code != 0:
             found(end.t, f"ended with code {end.code} after SIGTERM")
+        elif day.had_its_time(life):
+            found(ended, f"had not ended by itself when it was killed {ended - term.t:.0f} ms after SIGTERM")
         elif min(ended, day.end) > limit:
             found(limit, f"had not ended {limit - term.t:.0f} ms after SIGTERM")
 
--- a/tests/test_lab_judge.py
+++ b/tests/test_lab_judge.py
@@ -180,9 +180,9 @@
         ([asked(1001), TERM, *sent(1003), answered(1050, "closed"), said(1500, "exited")], {"lost"}),
         ([asked(1001), TERM, *sent(1003), said(1500, "killed"), answered(1501, "reset")], set()),
         # SIGKILL comes the longest deadline and 0.7 s after SIGTERM: until then all is answered
-        ([asked(990, wait=3000), TERM, said(4000, "killed"), answered(4001, "reset")], {"lost"}),
+        ([asked(990, wait=3000), TERM, said(4000, "killed"), answered(4001, "reset")], {"lost", "stopped"}),
         ([asked(990, wait=3000), TERM, said(3990, "killed"), answered(3991, "reset")], set()),
-        ([asked(1001, wait=3000), TERM, said(4000, "killed"), answered(4001, "reset")], set()),
+        ([asked(1001, wait=3000), TERM, said(4000, "killed"), answered(4001, "reset")], {"stopped"}),
         # two answers, or none that can be read
         ([*served(), answered(120)], {"double"}),
         ([*served(), answered(120, "refused")], {"double"}),
@@ -253,6 +253,8 @@
         ([TERM, said(900, "exited", code=1)], {"stopped"}),
         ([TERM, said(4200, "exited")], set()),
         ([TERM, said(4400, "exited")], {"stopped"}),
+        ([TERM, said(4000, "killed")], {"stopped"}),  # it had all its time
+        ([TERM, said(3990, "killed")], set()),
         ([TERM], {"stopped"}),
         ([r.BadClient(t=1, node="n0", kind="flood", got="served", took_ms=1, owed_ms=9)], {"bad_clients"}),
         ([r.BadClient(t=1, node="n0", kind="flood", got="nothing", took_ms=9, owed_ms=9)], set()),
