--- a/flintridge/lab/backend/processes.py
+++ b/flintridge/lab/backend/processes.py
@@ -287,6 +287,7 @@
         raise NotImplementedError("node_drain is played in virtual time only: no console is opened here")
 
     def set_system(self, node: str, state: SystemState) -> None:
+        """Tell a node's processes what is wrong with their operating system from now on."""
         self._faults.tell(node, state)
 
     def _line(self, node: str, event: str, line: bytes) -> None:
--- a/flintridge/lab/defects/endings.py
+++ b/flintridge/lab/defects/endings.py
@@ -17,9 +17,11 @@
 class Silent(Alter):
     """A Responder for what is never answered where no server answered it."""
 
-    def reject(self, retry_after_ms: float) -> None: ...
+    def reject(self, retry_after_ms: float) -> None:
+        """Say nothing of the rejection."""
 
-    def fail(self) -> None: ...
+    def fail(self) -> None:
+        """Say nothing of the failure."""
 
 
 def connection_of(reply: Responder) -> ClientConnection | None:
--- a/flintridge/lab/judge/rules/departed.py
+++ b/flintridge/lab/judge/rules/departed.py
@@ -10,6 +10,7 @@
 
 
 def check(day: Day, findings: Findings) -> None:
+    """Add what attempts for departed clients break."""
     for this, taken in every(day):
         _begun_after_close(day, this, taken, findings)
 
--- a/flintridge/lab/run.py
+++ b/flintridge/lab/run.py
@@ -163,6 +163,7 @@
         self._runner.unquiesce(node)
 
     def set_system(self, node: str, state: SystemState) -> None:
+        """As the runner that it announces for."""
         self._runner.set_system(node, state)
 
     def running(self, node: str) -> bool:
