--- a/flintridge/downstream/connection.py
+++ b/flintridge/downstream/connection.py
@@ -72,7 +72,7 @@
         self._pipeline = ResponsePipeline()
         self.last_used_at = owner.clock.now()
         self._command_timer = CommandTimer(self.last_used_at)
-        self._input_arrival = InputArrival(owner.clock)
+        self._input_arrival = InputArrival(owner.clock, reader.queued_since)
         self.has_requested = False
         self.has_sent_command = False
         self._bad_commands = 0
--- a/flintridge/downstream/input_arrival.py
+++ b/flintridge/downstream/input_arrival.py
@@ -16,11 +16,12 @@
 
     __slots__ = ("_caught_up_at", "_clock", "_is_late", "_was_paused", "arrived_after")
 
-    def __init__(self, clock: Clock) -> None:
+    def __init__(self, clock: Clock, queued_since: float | None = None) -> None:
+        """`queued_since`: since when bytes may have waited with their connection to be accepted."""
         self._clock = clock
-        self.arrived_after = clock.earliest_arrival()
+        self.arrived_after = clock.earliest_arrival() if queued_since is None else queued_since
         self._caught_up_at = self.arrived_after  # all that had arrived before has been read
-        self._is_late = False  # what is read next may have arrived since then
+        self._is_late = queued_since is not None  # what is read next may have arrived since then
         self._was_paused = False
 
     def before_read(self, has_unread: bool, is_reading: bool) -> None:
--- a/flintridge/runtime/acceptor.py
+++ b/flintridge/runtime/acceptor.py
@@ -13,6 +13,7 @@
 from enum import Enum, auto
 
 from flintridge.runtime.clock import Clock, Timer
+from flintridge.runtime.streams import socket_has_input
 from flintridge.telemetry.counters import Counters
 from flintridge.telemetry.log import EventLog
 
@@ -20,6 +21,9 @@
 # Guards the spare descriptors against a burst.
 ACCEPTS_PER_ITERATION = 4
 
+# Bytes that came with a connection are no older than an iteration, unless it waited for longer than this.
+MIN_QUEUED_MS = 10.0
+
 # After an iteration in which every call failed; doubled with each further one, until a call succeeds.
 FIRST_PAUSE_MS = 4.0
 MAX_PAUSE_MS = 32.0
@@ -83,7 +87,7 @@
     def __init__(
         self,
         listening: socket.socket,
-        on_accept: Callable[[socket.socket], None],
+        on_accept: Callable[[socket.socket, float | None], None],
         clock: Clock,
         log: EventLog,
         counters: Counters,
@@ -92,7 +96,8 @@
 
         Args:
             listening: A socket that listens.
-            on_accept: Called with each connection, which is non-blocking.
+            on_accept: Called with each connection, which is non-blocking, and with the instant since when
+                bytes that it has already may have waited; None: there are none, or they came just now.
             clock: Times the pauses.
             log: Takes `accept_failed` and `connections_given_up`.
             counters: Takes the counts of failed calls, of pauses and of what was given up.
@@ -105,6 +110,7 @@
         self._loop = asyncio.get_running_loop()
         self._timer: Timer | None = None
         self._pause_ms = FIRST_PAUSE_MS
+        self._queued_since: float | None = None  # no connection that waits came before; None: none waits
         self._close_by: float | None = None  # once it closes
         self._closed = False
         listening.setblocking(False)
@@ -134,6 +140,8 @@
 
     def _accept_some(self) -> None:
         """One iteration's share; the event loop calls again where more wait."""
+        if self._queued_since is None:
+            self._queued_since = self._clock.earliest_arrival()
         accepted = False
         for _ in range(ACCEPTS_PER_ITERATION):
             result = self._accept_next()
@@ -142,6 +150,8 @@
             accepted = accepted or result is AcceptResult.ACCEPTED
         if not accepted:
             self._pause()
+        elif not socket_has_input(self.listening):
+            self._queued_since = None
 
     def _accept_next(self) -> AcceptResult:
         try:
@@ -150,12 +160,25 @@
             return self._note_failure(error)
         connection.setblocking(False)
         self._pause_ms = FIRST_PAUSE_MS
-        self._on_accept(connection)
+        self._on_accept(connection, self._input_queued_since(connection))
         return AcceptResult.ACCEPTED
 
+    def _input_queued_since(self, connection: socket.socket) -> float | None:
+        """Since when bytes of a connection may have waited.
+
+        Guards servers against being told a time that the client no longer has: in a crowd, or while accept()
+        fails, a request waits here with its connection.
+        """
+        since = self._queued_since
+        if since is None or self._clock.now() - since < MIN_QUEUED_MS or not socket_has_input(connection):
+            return None
+        return since
+
     def _note_failure(self, error: OSError) -> AcceptResult:
         result = classify(error)
-        if result is AcceptResult.CONNECTION_FAILED:
+        if result is AcceptResult.NONE_WAITING:
+            self._queued_since = None
+        elif result is AcceptResult.CONNECTION_FAILED:
             self._counters.add("accept_connection_errors")
         elif result is AcceptResult.SHORTAGE:
             self._counters.add("accept_shortages")
--- a/flintridge/runtime/listener.py
+++ b/flintridge/runtime/listener.py
@@ -105,10 +105,10 @@
         for acceptor in self._acceptors:
             acceptor.close(patience_ms)
 
-    def _hand_over(self, connection: socket.socket) -> None:
+    def _hand_over(self, connection: socket.socket, queued_since: float | None) -> None:
         """Start a connection as asyncio's server does it with one that it accepted."""
         loop = asyncio.get_running_loop()
-        protocol = _stream_protocol(loop, self._on_connection)
+        protocol = _stream_protocol(loop, self._on_connection, queued_since)
 
         async def attach() -> None:
             try:
@@ -202,7 +202,9 @@
 
 
 def _stream_protocol(
-    loop: asyncio.AbstractEventLoop, on_connection: ConnectionHandler
+    loop: asyncio.AbstractEventLoop, on_connection: ConnectionHandler, queued_since: float | None = None
 ) -> asyncio.StreamReaderProtocol:
     """As asyncio.start_server makes it, with a reader of our own."""
-    return asyncio.StreamReaderProtocol(TrackingReader(loop), on_connection, loop=loop)
+    reader = TrackingReader(loop)
+    reader.queued_since = queued_since
+    return asyncio.StreamReaderProtocol(reader, on_connection, loop=loop)
--- a/flintridge/runtime/streams.py
+++ b/flintridge/runtime/streams.py
@@ -4,6 +4,7 @@
 import contextlib
 import os
 import select
+import socket
 from collections.abc import Callable
 
 READ_MAX_BYTES = 32 * 1024  # taken from a connection at a time; up to twice as many may wait on it
@@ -33,6 +34,8 @@
         read_bytes: Those of them that were read.
         on_end: Called at the end of the stream, though bytes before it are unread; and again should more
             show the end.
+        queued_since: Since when its first bytes may have waited with their connection to be accepted, in
+            milliseconds of the node's clock; None: they came later.
     """
 
     def __init__(self, loop: asyncio.AbstractEventLoop, limit: int = 64 * 1024) -> None:
@@ -41,6 +44,7 @@
         self.received_bytes = 0
         self.read_bytes = 0
         self.on_end: Callable[[], None] | None = None
+        self.queued_since: float | None = None
 
     @property
     def has_unread(self) -> bool:
@@ -138,8 +142,15 @@
 
 def _pending_events(transport: asyncio.BaseTransport, mask: int) -> int:
     descriptor = _descriptor(transport)
-    if descriptor < 0:
-        return 0
+    return 0 if descriptor < 0 else _poll(descriptor, mask)
+
+
+def socket_has_input(sock: socket.socket) -> bool:
+    """Whether a socket has something to read, or a listening one a connection to accept."""
+    return _poll(sock.fileno(), select.POLLIN) != 0
+
+
+def _poll(descriptor: int, mask: int) -> int:
     poll = select.poll()
     poll.register(descriptor, mask)
     return sum(events for _, events in poll.poll(0))
--- a/tests/downstream/test_input_arrival.py
+++ b/tests/downstream/test_input_arrival.py
@@ -60,3 +60,13 @@
         read(arrival, has_unread=True)
         clock.go(100.0)
     assert read(arrival, has_unread=True) == last_read_at
+
+
+def test_input_when_it_waited_with_its_connection_then_is_as_old_and_the_next_is_new():
+    clock = LateClock()
+    queued_since = clock.now()
+    clock.go(200.0)
+    arrival = InputArrival(clock, queued_since)
+    assert read(arrival) == queued_since
+    clock.go(100.0)
+    assert read(arrival) == clock.now()
--- a/tests/runtime/test_listener.py
+++ b/tests/runtime/test_listener.py
@@ -53,6 +53,7 @@
     async def __aenter__(self) -> "Opened":
         self.clock = HandClock()
         self.served = 0
+        self.queued_since: list[float | None] = []
         log, self.counters = quiet()
         self.clients: list[asyncio.StreamWriter] = []
         self.listener = await open_listener(self.answer, LOCALHOST, False, self.clock, log, self.counters)
@@ -63,8 +64,9 @@
         for writer in self.clients:
             writer.close()
 
-    async def answer(self, _, writer) -> None:
+    async def answer(self, reader, writer) -> None:
         self.served += 1
+        self.queued_since.append(reader.queued_since)
         writer.write(b"y")
         writer.close()
 
@@ -292,3 +294,30 @@
 
 def fail_for_want_of_memory(*_: object) -> None:
     raise OSError(errno.ENOMEM, os.strerror(errno.ENOMEM))
+
+
+def test_accept_when_a_request_waited_with_its_connection_then_says_since_when(monkeypatch):
+    """Its client's time runs while accept() fails: a server must not be told of more than is left."""
+
+    async def test():
+        async with Opened() as opened:
+            accept = FailingAccept(monkeypatch, lasting=errno.ENFILE)
+            failing_since = opened.clock.now()
+            await opened.connect()
+            opened.clients[-1].write(b"request")
+            await opened.connect()
+            for pauses in range(1, 8):
+                await opened.paused(pauses)
+                opened.clock.go(MAX_PAUSE_MS)
+            await opened.paused(8)
+            accept.lasting = None
+            opened.clock.go(MAX_PAUSE_MS)
+            await until(lambda: opened.served == 2)
+            assert opened.queued_since == [failing_since, None]  # the other's request is still to come
+            opened.clock.go(500.0)
+            await opened.connect()
+            opened.clients[-1].write(b"request")
+            await until(lambda: opened.served == 3)
+            assert opened.queued_since[-1] is None
+
+    asyncio.run(asyncio.wait_for(test(), 60))
