--- a/flintridge/lab/backend/loopback.py
+++ b/flintridge/lab/backend/loopback.py
@@ -74,8 +74,10 @@
     fabric = LoopbackFabric(LinkTable(scenario.links, seeds), lead_s(scenario) + scenario.warmup_s)
     made: list[ProcessNodes] = []
     warmup_ms = scenario.warmup_s * 1000
-    fabric.clock.call_at(-warmup_ms - SETTLE_MS, _keep_what_is_there)
-    fabric.clock.call_at(-warmup_ms, fabric.measure_anew)
+    timers = [
+        fabric.clock.call_at(-warmup_ms - SETTLE_MS, _keep_what_is_there),
+        fabric.clock.call_at(-warmup_ms, fabric.measure_anew),
+    ]
 
     def make_nodes(world: Any) -> NodeRunner:
         nodes = process_nodes(fabric, log, scenario, world)
@@ -85,6 +87,9 @@
     try:
         whole = await _within(day(scenario, seeds, log, fabric, Truth(), make_nodes), scenario.wall_limit_s)
     finally:
+        # The nodes may take until after these instants to end, and nothing is sampled any more.
+        for timer in timers:
+            timer.cancel()
         # First the connections, unseen: what the nodes do from now on is no part of the day.
         fabric.stop()
         for nodes in made:
--- a/tests/test_lab_loopback.py
+++ b/tests/test_lab_loopback.py
@@ -492,3 +492,26 @@
         play_loopback(Scenario(), 2, log, day)
     with pytest.raises(ProcessLookupError):
         os.kill(seen["nodes"].pid("n0"), 0)
+
+
+def test_lateness_when_the_nodes_end_only_after_the_warm_up_would_have_begun_is_still_reported(monkeypatch):
+    fabrics = []
+
+    class SlowToEnd(ProcessNodes):
+        async def close(self):
+            await fabrics[0].clock.sleep_until(1.0)  # past the instant at which sampling would start anew
+            await super().close()
+
+    class World:
+        def node_config(self, _node):
+            return {"settings": {}, "discovery": "127.0.0.1:1"}
+
+    async def day(scenario, seeds, log, fabric, truth, make_nodes):
+        fabrics.append(fabric)
+        await make_nodes(World()).start("n0")
+        await asyncio.sleep(3600)
+
+    monkeypatch.setattr("flintridge.lab.backend.loopback.ProcessNodes", SlowToEnd)
+    monkeypatch.setattr("flintridge.lab.backend.loopback.LEAD_S", 0.0)
+    ended, usage = play_loopback(Scenario(warmup_s=0.0, wall_limit_s=0.05), 1, Log(), day)
+    assert ended == "wall limit: 0.05 s" and usage["lateness"]["samples"] > 0
