--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -4,6 +4,7 @@
 import gc
 
 import pytest
+from support.known_failures import pytest_configure as pytest_configure
 
 from flintridge.lab import virtual
 
