--- a/tests/test_lab_load.py
+++ b/tests/test_lab_load.py
@@ -3,6 +3,7 @@
 import asyncio
 from collections import Counter
 from dataclasses import dataclass, field
+from typing import TypeVar
 
 import pytest
 from hypothesis import given
@@ -19,13 +20,24 @@
 from flintridge.lab.load.driver import Load, Plan
 from flintridge.lab.load.keys import Keys
 from flintridge.lab.load.requests import Choice, Drawn, Writer, zone_weights
-from flintridge.lab.records import Answered, Asked, BadClient, GaveUp, Log, NeverTaken, NodeSaid, token
+from flintridge.lab.records import (
+    MalformedClientEnded,
+    NodeStateChanged,
+    RecordLog,
+    RequestAbandoned,
+    RequestNotAccepted,
+    RequestSent,
+    ResponseReceived,
+    body_digest,
+)
 from flintridge.lab.scenario import model
 from flintridge.lab.scenario.model import Clients, RequestClass, Scenario, Tenant
 from flintridge.lab.seeds import Seeds
-from flintridge.lab.truth import Truth
+from flintridge.lab.truth import GroundTruth
 from flintridge.lab.virtual import FixedLink, Network, run
 
+R = TypeVar("R")
+
 DAY = Scenario(length_s=4, warmup_s=1, load=model.Load(rate_per_s=200, shape="bursty", swing=0.8, period_s=2))
 
 
@@ -119,7 +131,7 @@
     assert (read.value is not None) is write and (b",k=" in read.options) is write
     if write:
         assert b"9b1f03aa5c7e2d41" in read.value and b"menu:1a2b" in read.value
-        assert made.digest == token(read.value) and made.fact.size == len(read.value)
+        assert made.digest == body_digest(read.value) and made.fact.size == len(read.value)
 
 
 def test_a_plain_read_says_no_more_than_it_must():
@@ -133,10 +145,10 @@
 # Answers
 
 GOOD = [
-    (b"VA 5 Oa1\r\nhello\r\n", ("served", "a1", token(b"hello"), 0)),
-    (b"VA 0 Oa1\r\n\r\n", ("served", "a1", token(b""), 0)),
-    (b"VA 4 Oa1\r\n\r\n\r\n\r\n", ("served", "a1", token(b"\r\n\r\n"), 0)),
-    (b"HD Oa2 cw1.x\r\n", ("served", "a2", token(b"w1.x"), 0)),
+    (b"VA 5 Oa1\r\nhello\r\n", ("served", "a1", body_digest(b"hello"), 0)),
+    (b"VA 0 Oa1\r\n\r\n", ("served", "a1", body_digest(b""), 0)),
+    (b"VA 4 Oa1\r\n\r\n\r\n\r\n", ("served", "a1", body_digest(b"\r\n\r\n"), 0)),
+    (b"HD Oa2 cw1.x\r\n", ("served", "a2", body_digest(b"w1.x"), 0)),
     (b"SERVER_ERROR busy\r\n", ("refused", "", "", 0)),
     (b"SERVER_ERROR busy 250\r\n", ("refused", "", "", 250)),
     (b"SERVER_ERROR failed\r\n", ("failed", "", "", 0)),
@@ -160,7 +172,7 @@
         size = cuts[i % len(cuts)]
         found += reader.feed(data[:size])
         data, i = data[size:], i + 1
-    assert [(a.kind, a.uid, a.token, a.retry_after_ms) for a in found] == [told for _, told in answers]
+    assert [(a.kind, a.uid, a.body_digest, a.retry_after_ms) for a in found] == [told for _, told in answers]
     assert not reader.partial
 
 
@@ -328,7 +340,7 @@
         self.day = day or one_class()
         self.script, self.requests, self.during = script, requests, during
         self.names = [f"n{i}" for i in range(nodes)]
-        self.log, self.seed = Log(), seed
+        self.log, self.seed = RecordLog(), seed
         run(self.play(), Network(lambda a, b: FixedLink(0.5), window=window), start_s=100.0)
 
     async def play(self):
@@ -336,7 +348,7 @@
         fabric = self.fabric = VirtualFabric(loop, None, loop.time() + 2)
         self.nodes = {name: ScriptedNode(fabric, name, self.script) for name in self.names}
         zones = dict(zip(self.names, self.day.zones * 9, strict=False))
-        seeds, self.truth = Seeds(self.seed), Truth()
+        seeds, self.truth = Seeds(self.seed), GroundTruth()
         load = self.load = Load(self.day, seeds, self.log, self.truth, fabric, self.names, zones)
         for node in self.nodes.values():
             await node.listen()
@@ -362,16 +374,16 @@
         await asyncio.sleep(0.01)
         self.left = sum(fabric.network.host(f"c{i}").open_connections for i in range(8))
 
-    def of(self, kind):
+    def of(self, kind: type[R]) -> list[R]:
         return [r for r in self.log if type(r) is kind]
 
     @property
     def tale(self):
         """What was seen of tries, in short."""
         return [
-            type(r).__name__ if isinstance(r, Asked | GaveUp | NeverTaken) else r.kind
+            type(r).__name__ if isinstance(r, RequestSent | RequestAbandoned | RequestNotAccepted) else r.kind
             for r in self.log
-            if isinstance(r, Asked | GaveUp | NeverTaken | Answered)
+            if isinstance(r, RequestSent | RequestAbandoned | RequestNotAccepted | ResponseReceived)
         ]
 
 
@@ -385,12 +397,14 @@
 
 def test_time_outs_are_to_the_millisecond_and_tries_end_by_the_deadline():
     trial = Trial(lambda c: None, one_class(retries=9), requests=[0.0])
-    asked, gone = trial.of(Asked), trial.of(GaveUp)
-    assert trial.tale == ["Asked", "GaveUp"] * 2
-    assert [a.wait_ms for a in asked] == [550, int(1000 - asked[1].t)]
-    assert all(g.t - a.t == pytest.approx(a.wait_ms) for a, g in zip(asked, gone, strict=True))
-    assert gone[-1].t <= 1000 and [a.nth for a in asked] == [0, 1]
-    assert len({a.uid for a in asked}) == 2 and {a.first for a in asked} == {asked[0].uid}
+    asked, gone = trial.of(RequestSent), trial.of(RequestAbandoned)
+    assert trial.tale == ["RequestSent", "RequestAbandoned"] * 2
+    assert [a.time_left_ms for a in asked] == [550, int(1000 - asked[1].at_ms)]
+    assert all(g.at_ms - a.at_ms == pytest.approx(a.time_left_ms) for a, g in zip(asked, gone, strict=True))
+    assert gone[-1].at_ms <= 1000 and [a.attempt_number for a in asked] == [0, 1]
+    assert len({a.request_id for a in asked}) == 2 and {a.first_request_id for a in asked} == {
+        asked[0].request_id
+    }
     first, second = trial.nodes["n0"].got
     assert first.said["d"] == "550" and "r" not in first.said and second.said["r"] == "1"
     assert len(trial.nodes["n0"].ended) == 3 and trial.left == 0  # the poll's and both tries'
@@ -406,7 +420,7 @@
     assert len(trial.nodes["n0"].got) == tries
     keys = {c.said.get("k") for c in trial.nodes["n0"].got}
     assert len(keys) == 1 and (None in keys) is (effect != "keyed")
-    assert len({a.digest for a in trial.of(Asked)}) == (tries if effect != "safe" else 1)
+    assert len({a.value_digest for a in trial.of(RequestSent)}) == (tries if effect != "safe" else 1)
 
 
 def test_unsafe_ones_come_again_after_refusals_and_when_nobody_took_them():
@@ -415,7 +429,7 @@
         one_class("unsafe"),
         requests=[0.0],
     )
-    assert trial.tale == ["Asked", "refused", "Asked", "served"]
+    assert trial.tale == ["RequestSent", "refused", "RequestSent", "served"]
 
     async def die(trial):
         await trial.fabric.clock.sleep_until(-1.0)
@@ -423,9 +437,9 @@
         trial.load.front.node_killed("n0")
 
     trial = Trial(lambda c: None, one_class("unsafe"), requests=[0.0], during=die)
-    assert trial.tale == ["NeverTaken"] * 3
-    assert [n.nth for n in trial.of(NeverTaken)] == [0, 1, 2]
-    assert trial.of(NeverTaken)[0].why == "no connection: ConnectionRefusedError"
+    assert trial.tale == ["RequestNotAccepted"] * 3
+    assert [n.attempt_number for n in trial.of(RequestNotAccepted)] == [0, 1, 2]
+    assert trial.of(RequestNotAccepted)[0].reason == "no connection: ConnectionRefusedError"
 
 
 def test_advice_is_followed_by_those_who_honour_it_up_to_the_longest():
@@ -435,10 +449,10 @@
     waits = {}
     for honour in (0.0, 1.0):
         trial = Trial(busy, one_class(honour=honour, backoff="fixed", backoff_ms=50), requests=[0.0])
-        waits[honour] = trial.of(Asked)[1].t - trial.of(Answered)[0].t
+        waits[honour] = trial.of(RequestSent)[1].at_ms - trial.of(ResponseReceived)[0].at_ms
     assert waits == {0.0: pytest.approx(50), 1.0: pytest.approx(300)}
     late = Trial(lambda c: b"SERVER_ERROR busy 1500\r\n", one_class(honour=1.0), requests=[0.0])
-    assert late.tale == ["Asked", "refused"] and late.end < 10
+    assert late.tale == ["RequestSent", "refused"] and late.end < 10
 
 
 def test_a_close_that_crosses_a_request_is_no_answer_and_the_request_goes_out_again_once():
@@ -455,13 +469,18 @@
         requests=[0.0, 100.0],
         during=crossing,
     )
-    assert trial.tale == ["Asked", "served", "Asked", "closed", "Asked", "closed"]
-    assert trial.of(Answered)[1].t - trial.of(Asked)[1].t < 1  # the log tells when the close came
-    _, before, after = trial.of(Asked)
-    assert (before.uid, before.nth) == (after.uid, after.nth) and before.conn != after.conn
-    assert [c.uid for c in trial.nodes["n0"].got[1:]] == [after.uid]
+    assert trial.tale == ["RequestSent", "served", "RequestSent", "closed", "RequestSent", "closed"]
+    assert (
+        trial.of(ResponseReceived)[1].at_ms - trial.of(RequestSent)[1].at_ms < 1
+    )  # the log tells when the close came
+    _, before, after = trial.of(RequestSent)
+    assert (before.request_id, before.attempt_number) == (
+        after.request_id,
+        after.attempt_number,
+    ) and before.connection != after.connection
+    assert [c.uid for c in trial.nodes["n0"].got[1:]] == [after.request_id]
     first = Trial(lambda c: "close", one_class(retries=0), requests=[0.0])
-    assert first.tale == ["Asked", "closed"]  # on a fresh connection nothing crossed
+    assert first.tale == ["RequestSent", "closed"]  # on a fresh connection nothing crossed
 
 
 def test_a_killed_node_closed_nothing_between_requests():
@@ -476,7 +495,7 @@
         requests=[0.0, 100.0],
         during=kill,
     )
-    assert trial.tale == ["Asked", "served", "Asked", "reset"]
+    assert trial.tale == ["RequestSent", "served", "RequestSent", "reset"]
 
 
 def test_pipelined_requests_lose_their_connection_with_the_one_given_up():
@@ -484,37 +503,42 @@
         return None if c.n == 0 else b""
 
     trial = Trial(script, one_class(pipeline=3, retries=0), requests=[0.0, 100.0, 200.0, 300.0])
-    gone = trial.of(GaveUp)
-    assert [(g.early, round(g.t)) for g in gone] == [(False, 551), (True, 626), (True, 626), (False, 851)]
-    first, *middle, last = [a.conn for a in trial.of(Asked)]
+    gone = trial.of(RequestAbandoned)
+    assert [(g.left_early, round(g.at_ms)) for g in gone] == [
+        (False, 551),
+        (True, 626),
+        (True, 626),
+        (False, 851),
+    ]
+    first, *middle, last = [a.connection for a in trial.of(RequestSent)]
     assert middle == [first, first] and last != first
 
 
 def test_second_answers_are_written_down_and_end_the_connection():
     trial = Trial(lambda c: c.served + c.served, one_class(), requests=[0.0, 50.0])
-    assert trial.tale == ["Asked", "served", "served"] * 2
-    first = trial.of(Answered)[:2]
-    assert first[0].uid == first[1].uid and trial.nodes["n0"].connections == 3
+    assert trial.tale == ["RequestSent", "served", "served"] * 2
+    first = trial.of(ResponseReceived)[:2]
+    assert first[0].request_id == first[1].request_id and trial.nodes["n0"].connections == 3
     late = Trial(lambda c: c.served if c.n else (60.0, b""), one_class(), requests=[0.0])
-    assert late.tale == ["Asked", "GaveUp", "Asked", "served"]
+    assert late.tale == ["RequestSent", "RequestAbandoned", "RequestSent", "served"]
 
 
 @pytest.mark.parametrize("answer", [b"VA 2 Oother\r\nok\r\n", b"HD O%b cok\r\n", b"MN\r\n", b"EN\r\n"])
 def test_answers_that_do_not_fit_are_garbled(answer):
     trial = Trial(lambda c: answer.replace(b"%b", c.uid.encode()), one_class(retries=0), requests=[0.0, 50.0])
-    assert trial.tale == ["Asked", "garbled"] * 2 and trial.nodes["n0"].connections == 3
+    assert trial.tale == ["RequestSent", "garbled"] * 2 and trial.nodes["n0"].connections == 3
 
 
 def test_half_an_answer_is_told_from_none():
     trial = Trial(lambda c: b"VA 5 O" if c.n else c.served, one_class(retries=0), requests=[0.0])
-    assert trial.tale == ["Asked", "served"]
+    assert trial.tale == ["RequestSent", "served"]
 
     async def kill(trial):
         await trial.fabric.clock.sleep_until(20.0)
         trial.fabric.network.host("n0").kill()
 
     trial = Trial(lambda c: b"VA 5 O" + c.uid.encode(), one_class(retries=0), requests=[0.0], during=kill)
-    (end,) = trial.of(Answered)
+    (end,) = trial.of(ResponseReceived)
     assert (end.kind, end.text) == ("reset", "in the middle of the answer")
 
 
@@ -534,11 +558,13 @@
     trial = Trial(
         lambda c: b"HD O%b cok\r\n" % c.uid.encode(), day, requests=drawn, window=50, during=listen_again
     )
-    (asked,) = trial.of(Asked)
-    assert trial.tale == ["Asked", "served"] and 400 < asked.t < 420
+    (asked,) = trial.of(RequestSent)
+    assert trial.tale == ["RequestSent", "served"] and 400 < asked.at_ms < 420
 
     trial = Trial(lambda c: None, day, requests=drawn, window=50, during=_deaf_later)
-    assert trial.tale == ["NeverTaken"] and trial.of(NeverTaken)[0].why == "not sent in time"
+    assert (
+        trial.tale == ["RequestNotAccepted"] and trial.of(RequestNotAccepted)[0].reason == "not sent in time"
+    )
 
 
 async def _deaf_later(trial):
@@ -549,11 +575,13 @@
 def test_connections_are_reused_latest_first_closed_when_idle_and_kept_when_once():
     at = [0.0, 1.0, 100.0, 3000.0]
     trial = Trial(lambda c: (20.0, c.served), one_class(idle_s=1.0), requests=at)
-    conns = [a.conn for a in trial.of(Asked)]
+    conns = [a.connection for a in trial.of(RequestSent)]
     assert conns[0] != conns[1] == conns[2] and conns[3] not in conns[:3]
     assert all(1000 <= t <= 1700 for t in trial.nodes["n0"].ended[1:3])
     trial = Trial(lambda c: c.served, one_class(once=1.0, idle_s=0.5), requests=at)
-    assert len({a.conn for a in trial.of(Asked)}) == 4 and min(trial.nodes["n0"].ended[1:]) >= 3000
+    assert (
+        len({a.connection for a in trial.of(RequestSent)}) == 4 and min(trial.nodes["n0"].ended[1:]) >= 3000
+    )
 
 
 def test_the_front_waits_for_ready_nodes_and_learns_late():
@@ -581,16 +609,16 @@
         front.node_term("n0")
 
     trial = Trial(lambda c: c.served, day, nodes=2, during=during)
-    at = [a.t for a in trial.of(Asked) if a.node == "n1"]
-    missed = [n.t for n in trial.of(NeverTaken)]
+    at = [a.at_ms for a in trial.of(RequestSent) if a.node == "n1"]
+    missed = [n.at_ms for n in trial.of(RequestNotAccepted)]
     assert 1000 < min(at) < 1130 and not [t for t in at if 3000 < t < 5000]
     assert min(missed) > 3000 and 3800 < max(missed) < 4010 and len(missed) > 50
-    assert [round(r.t, -2) for r in trial.of(NodeSaid) if r.node == "n1"] == [1100, 5000]
-    asked = [a for a in trial.of(Asked) if a.node == "n0"]
-    new = [a.t for a in asked if a.conn not in {b.conn for b in asked if b.t < a.t}]
+    assert [round(r.at_ms, -2) for r in trial.of(NodeStateChanged) if r.node == "n1"] == [1100, 5000]
+    asked = [a for a in trial.of(RequestSent) if a.node == "n0"]
+    new = [a.at_ms for a in asked if a.connection not in {b.connection for b in asked if b.at_ms < a.at_ms}]
     assert max(new) < 6410  # from then on only connections that stay open are used
-    assert max(a.t for a in asked) > 7900
-    assert trial.end < 8010 and all(a.counted for a in trial.of(Asked))
+    assert max(a.at_ms for a in asked) > 7900
+    assert trial.end < 8010 and all(a.counted for a in trial.of(RequestSent))
 
 
 def test_clients_send_on_open_connections_after_sigterm_until_the_kill():
@@ -611,11 +639,11 @@
         trial.fabric.network.host("n0").kill()
 
     trial = Trial(lambda c: c.served, day, nodes=2, during=during)
-    asked = [a for a in trial.of(Asked) if a.node == "n0"]
-    late = [a for a in asked if a.t > 2410]
-    known = {a.conn for a in asked if a.t <= 2410}
-    assert len(late) > 50 and {a.conn for a in late} <= known
-    assert 3900 < max(a.t for a in late) < 4001
+    asked = [a for a in trial.of(RequestSent) if a.node == "n0"]
+    late = [a for a in asked if a.at_ms > 2410]
+    known = {a.connection for a in asked if a.at_ms <= 2410}
+    assert len(late) > 50 and {a.connection for a in late} <= known
+    assert 3900 < max(a.at_ms for a in late) < 4001
 
 
 def test_each_bad_client_has_a_connection_of_its_own():
@@ -625,8 +653,8 @@
         trial.load.bad_clients(20.0, ("used_id",), True)
 
     trial = Trial(lambda c: c.served, day, during=during)
-    good = [a.conn for a in trial.of(Asked) if not a.counted]
-    usual = {a.conn for a in trial.of(Asked) if a.counted}
+    good = [a.connection for a in trial.of(RequestSent) if not a.counted]
+    usual = {a.connection for a in trial.of(RequestSent) if a.counted}
     assert len(good) > 20 and len(set(good)) == len(good) and not usual & set(good)
 
 
@@ -643,15 +671,18 @@
 
     plain = Trial(lambda c: (300.0 if c.nth else 3.0, c.served), day)
     burst = Trial(lambda c: (300.0 if c.nth else 3.0, c.served), day, during=burst)
-    dues = [{a.due: (a.key, a.uid) for a in t.of(Asked) if not a.nth} for t in (plain, burst)]
+    dues = [
+        {a.scheduled_ms: (a.key, a.request_id) for a in t.of(RequestSent) if not a.attempt_number}
+        for t in (plain, burst)
+    ]
     assert dues[0].items() <= dues[1].items()
     extra = [due for due in dues[1] if due not in dues[0]]
     assert 300 < len(extra) < 500 and all(1100 <= due <= 2100 for due in extra)
-    assert all(a.t >= a.due for a in plain.of(Asked))
-    assert sum(g.early for g in plain.of(GaveUp)) > 5
+    assert all(a.at_ms >= a.scheduled_ms for a in plain.of(RequestSent))
+    assert sum(g.left_early for g in plain.of(RequestAbandoned)) > 5
     again = Trial(lambda c: (300.0 if c.nth else 3.0, c.served), day)
     assert again.log.digest() == plain.log.digest() != burst.log.digest()
-    facts = [a.uid for a in plain.of(Asked)]
+    facts = [a.request_id for a in plain.of(RequestSent)]
     assert all(plain.truth.get(uid) for uid in facts)
 
 
@@ -663,18 +694,18 @@
         await trial.fabric.clock.sleep_until(6000.0)
         trial.load.bad_clients(20.0, kinds, False)
 
-    deaf = Trial(lambda c: None, day, during=bad).of(BadClient)
+    deaf = Trial(lambda c: None, day, during=bad).of(MalformedClientEnded)
     assert {b.kind for b in deaf} == set(KINDS)
-    assert {b.got for b in deaf if b.kind == "silent"} == {"nothing"}
-    assert all(b.took_ms == pytest.approx(b.owed_ms) for b in deaf if b.got == "nothing")
-    assert {b.owed_ms for b in deaf if b.kind == "huge_value"} == {6000}
+    assert {b.outcome for b in deaf if b.kind == "silent"} == {"nothing"}
+    assert all(b.elapsed_ms == pytest.approx(b.limit_ms) for b in deaf if b.outcome == "nothing")
+    assert {b.limit_ms for b in deaf if b.kind == "huge_value"} == {6000}
 
     rude = Trial(lambda c: b"CLIENT_ERROR no\r\n", day, during=bad)
-    got = {b.kind: b.got for b in rude.of(BadClient)}
+    got = {b.kind: b.outcome for b in rude.of(MalformedClientEnded)}
     assert got["unknown_class"] == got["no_id"] == got["flood"] == "error"
-    served = Trial(lambda c: b"MN\r\n", day, during=bad).of(BadClient)
-    assert {b.got for b in served if b.kind == "flood"} == {"served"}
-    used = {a.uid for a in rude.of(Asked) if not a.counted}
+    served = Trial(lambda c: b"MN\r\n", day, during=bad).of(MalformedClientEnded)
+    assert {b.outcome for b in served if b.kind == "flood"} == {"served"}
+    used = {a.request_id for a in rude.of(RequestSent) if not a.counted}
     # An id whose first use was refused at once is free again; one whose first use was served is not.
     for first, got in ((lambda c: b"SERVER_ERROR busy\r\n", "anew"), (lambda c: c.served, "served")):
         seen = set()
@@ -684,10 +715,10 @@
             seen.add(c.uid)
             return c.served if again else first(c)
 
-        both = Trial(answer, day, during=lambda trial: bad(trial, ("used_id",))).of(BadClient)
-        assert {b.got for b in both} == {got}
-    assert used and all(a.kind == "error" for a in rude.of(Answered) if a.uid in used)
-    assert max(b.t for b in deaf) < 12_100
+        both = Trial(answer, day, during=lambda trial: bad(trial, ("used_id",))).of(MalformedClientEnded)
+        assert {b.outcome for b in both} == {got}
+    assert used and all(a.kind == "error" for a in rude.of(ResponseReceived) if a.request_id in used)
+    assert max(b.at_ms for b in deaf) < 12_100
 
 
 def test_unknown_kinds_are_refused():
--- a/tests/test_lab_loopback.py
+++ b/tests/test_lab_loopback.py
@@ -20,7 +20,7 @@
 from flintridge.lab.backend.loopback import play_loopback
 from flintridge.lab.backend.loopback_fabric import LoopbackFabric, precise_loop
 from flintridge.lab.backend.processes import ProcessNodes
-from flintridge.lab.records import Log, NodeSaid
+from flintridge.lab.records import NodeStateChanged, RecordLog
 from flintridge.lab.scenario.model import Scenario
 
 SHORT_S = 0.2  # of waiting for what must not come
@@ -327,13 +327,15 @@
             discovery = "{}:{}".format(*fabric.address("discovery", node))
             return {"discovery": discovery, "seed": "5", "settings": settings_of.get(node, SETTINGS)}
 
-        settings_of, log = {"n7": {"services": [{"sloNs": -4}]}}, Log()
+        settings_of, log = {"n7": {"services": [{"sloNs": -4}]}}, RecordLog()
         nodes = ProcessNodes(fabric, log, fabric.clock, config, Scenario(), **how)
         try:
             for node in ("n0", "n1"):
                 await fabric.listen("discovery", node, Discovery)
             await test(
-                fabric, nodes, lambda: [(r.node, r.state, r.code) for r in log if isinstance(r, NodeSaid)]
+                fabric,
+                nodes,
+                lambda: [(r.node, r.state, r.code) for r in log if isinstance(r, NodeStateChanged)],
             )
         finally:
             await nodes.close()
@@ -430,7 +432,7 @@
 LAB = """
     import asyncio, sys
     from flintridge.lab.backend.loopback import play_loopback
-    from flintridge.lab.records import Log
+    from flintridge.lab.records import RecordLog
     from flintridge.lab.scenario.model import Scenario
 
     class World:
@@ -443,7 +445,7 @@
         print(nodes.pid("n0"), flush=True)
         await asyncio.sleep(3600)
 
-    play_loopback(Scenario(), 1, Log(), day)
+    play_loopback(Scenario(), 1, RecordLog(), day)
 """
 
 
@@ -472,7 +474,7 @@
 
 
 def test_a_day_beyond_its_wall_limit_is_ended_and_says_so_and_a_raise_leaves_nothing():
-    log, seen = Log(), {}
+    log, seen = RecordLog(), {}
 
     class World:
         def node_config(self, _node):
@@ -487,7 +489,7 @@
 
     ended, usage = play_loopback(Scenario(wall_limit_s=1.5), 1, log, day)
     assert ended == "wall limit: 1.5 s" and usage["unexpected"] == [] and usage["lateness"]["samples"] > 0
-    assert json.dumps(usage) and [r.state for r in log if isinstance(r, NodeSaid)] == ["started"]
+    assert json.dumps(usage) and [r.state for r in log if isinstance(r, NodeStateChanged)] == ["started"]
     with pytest.raises(RuntimeError, match="a mistake"):
         play_loopback(Scenario(), 2, log, day)
     with pytest.raises(ProcessLookupError):
@@ -513,5 +515,5 @@
 
     monkeypatch.setattr("flintridge.lab.backend.loopback.ProcessNodes", SlowToEnd)
     monkeypatch.setattr("flintridge.lab.backend.loopback.LEAD_S", 0.0)
-    ended, usage = play_loopback(Scenario(warmup_s=0.0, wall_limit_s=0.05), 1, Log(), day)
+    ended, usage = play_loopback(Scenario(warmup_s=0.0, wall_limit_s=0.05), 1, RecordLog(), day)
     assert ended == "wall limit: 0.05 s" and usage["lateness"]["samples"] > 0
--- a/tests/test_lab_report.py
+++ b/tests/test_lab_report.py
@@ -16,7 +16,7 @@
 from flintridge.lab.experiment.search import Day, Search
 from flintridge.lab.experiment.sweep import parameter, sweep
 from flintridge.lab.report import html, plots, tables
-from flintridge.lab.result import Breach, Latency, Result, Window, as_json
+from flintridge.lab.result import Latency, Result, Violation, Window, as_json
 from flintridge.lab.scenario import model
 from flintridge.lab.scenario.load import load
 from flintridge.lab.scenario.model import Scenario
@@ -31,11 +31,11 @@
             t_s=float(t),
             requests=100,
             served=90 - t % 7,
-            in_aim=80 - t % 7,
-            deferred=5,
+            within_objective=80 - t % 7,
+            rejected=5,
             failed=2,
-            asked_worth=100.0,
-            got_worth=85.0 - t % 7,
+            offered_weight=100.0,
+            achieved_weight=85.0 - t % 7,
             p50=20.0,
             p99=300.0 + 10 * t,
             attempts=150,
@@ -55,8 +55,16 @@
         "rules": {"drain": 1, "lost": 0},
         "latency_ms": Latency(p50=20, p99=400, p999=1500),
         "goodput": 0.8,
-        "breaches": [
-            Breach(rule="drain", t=9100, uid="ab", node="n0", server="s-1", text=NASTY, lines=[NASTY])
+        "violations": [
+            Violation(
+                rule="drain",
+                at_ms=9100,
+                request_id="ab",
+                node="n0",
+                server="s-1",
+                text=NASTY,
+                records=[NASTY],
+            )
         ],
         "windows": windows(),
         "faults": [("crash", 5.0, 12.0), ("drain", 9.0, 9.0), (NASTY, 20.0, 99.0)],
--- a/tests/test_lab_run.py
+++ b/tests/test_lab_run.py
@@ -12,7 +12,7 @@
 
 from flintridge.lab import defects
 from flintridge.lab.defects import Defect
-from flintridge.lab.records import Connections, Log, read
+from flintridge.lab.records import ConnectionCount, RecordLog, read_records
 from flintridge.lab.run import play
 from flintridge.lab.scenario.load import load, names
 from flintridge.lab.scenario.model import NodeDrain, Scenario
@@ -49,16 +49,16 @@
 def test_a_seed_is_one_day_in_every_process_and_another_seed_another_day(tmp_path):
     events = tmp_path / "events.jsonl"
     here = play(load("calm", HARD), 4, events=events)
-    assert here.broken == 0 and here.ended == "whole", here.breaches[:3]
+    assert here.violation_count == 0 and here.end_reason == "whole", here.violations[:3]
     there = [played_elsewhere(4, hash_seed, tmp_path) for hash_seed in ("1", "77")]
     assert [run["digest"] for run in there] == [here.digest] * 2
     assert there[0]["goodput"] == there[1]["goodput"] == here.goodput
     assert played_elsewhere(5, "1", tmp_path)["digest"] != here.digest
-    log = Log()
-    for record in read(events.read_bytes().splitlines()):
+    log = RecordLog()
+    for record in read_records(events.read_bytes().splitlines()):
         log.add(record)
     assert log.digest() == here.digest and len(log) == here.records
-    assert any(isinstance(record, Connections) for record in log)
+    assert any(isinstance(record, ConnectionCount) for record in log)
 
 
 def burn(node):
@@ -85,14 +85,14 @@
     monkeypatch.setitem(defects.DEFECTS, plant.__name__, Defect(plant, frozenset({"stopped"})))
     day = load("calm", ["length_s=3", "warmup_s=1", "load.rate_per_s=20", "wall_limit_s=4"])
     result = play(day, 1, defect=plant.__name__)
-    assert result.ended.startswith("stuck: n") and result.rules["stopped"] == 1
-    assert result.breaches[0].node in result.ended
+    assert result.end_reason.startswith("stuck: n") and result.rules["stopped"] == 1
+    assert result.violations[0].node in result.end_reason
 
 
 def test_a_day_longer_than_its_limit_is_cut_short():
     day = msgspec.structs.replace(load("calm"), length_s=3600.0, wall_limit_s=1.0)
     result = play(day, 1)
-    assert "stuck" in result.ended and result.wall_s < 60
+    assert "stuck" in result.end_reason and result.wall_s < 60
 
 
 @pytest.mark.parametrize("name", sorted(names()))
--- a/tests/test_lab_system_faults.py
+++ b/tests/test_lab_system_faults.py
@@ -58,7 +58,7 @@
 
 def test_each_fault_when_played_in_virtual_time_then_is_counted_and_the_day_is_the_same_again():
     first, again = (play(day_of(*EVERY_CALL), 3) for _ in range(2))
-    assert caused(first) == CAUSED and first.ended == "whole"
+    assert caused(first) == CAUSED and first.end_reason == "whole"
     assert first.digest == again.digest
 
 
@@ -66,7 +66,7 @@
     folder = m.FolderErrors(at_s=0.5, for_s=2.0, half_written=2)
     result = play(day_of(*EVERY_CALL, folder), 3, backend="loopback")
     assert caused(result) == CAUSED | {"injected_folder", "injected_half_written"}
-    assert result.ended == "whole"
+    assert result.end_reason == "whole"
 
 
 def test_folder_errors_when_played_in_virtual_time_then_are_refused():
--- a/tests/test_lab_world.py
+++ b/tests/test_lab_world.py
@@ -3,6 +3,7 @@
 import asyncio
 import random
 from itertools import pairwise
+from typing import TypeVar
 
 import pytest
 from hypothesis import given
@@ -10,10 +11,19 @@
 from support.network import FIXED
 
 from flintridge.lab.backend.virtual import VirtualFabric
-from flintridge.lab.records import Attempt, Dropped, Log, Made, Malformed, Ran, ServerSaid, token
+from flintridge.lab.records import (
+    AttemptDropped,
+    AttemptExecuted,
+    AttemptReceived,
+    AttemptServed,
+    MalformedMessage,
+    RecordLog,
+    ServerStateChanged,
+    body_digest,
+)
 from flintridge.lab.scenario import model as m
 from flintridge.lab.seeds import Seeds
-from flintridge.lab.truth import Fact, Truth
+from flintridge.lab.truth import GroundTruth, RequestFacts
 from flintridge.lab.virtual import Network, VirtualLoop
 from flintridge.lab.world import spoil
 from flintridge.lab.world.cache import CacheModel, Job, Machine
@@ -25,6 +35,8 @@
 from flintridge.lab.world.origin_host import OriginHost
 from flintridge.lab.world.store import Store
 
+R = TypeVar("R")
+
 KIND = m.Kind(name="box", handshake_ms=0.0, miss_work=1.0)
 KEYED = m.RequestClass(name="put", effect="keyed", window_ms=2000.0, write=True)
 SCENE = m.Scenario(
@@ -423,7 +435,7 @@
     def __init__(self, loop: VirtualLoop, scene: m.Scenario, links: LinkTable, seed: int) -> None:
         seeds = Seeds(seed)
         self.fabric = VirtualFabric(loop, links, loop.time())
-        self.log, self.truth, self.objects = Log(), Truth(), Objects(scene, seeds)
+        self.log, self.truth, self.objects = RecordLog(), GroundTruth(), Objects(scene, seeds)
         parts = self.fabric, self.log, self.truth, self.objects, scene, seeds, ["n0"]
         self.servers = [CacheHost(f"s{i}", scene.kinds[0], "a", 0, 1.0, *parts) for i in range(2)]
         self.origin = OriginHost(*parts)
@@ -443,7 +455,7 @@
         """A new request and its bytes to a cache server."""
         self.number += 1
         uid, cls = f"u{self.number}", cls or ("put" if write else "read")
-        self.truth.put(uid, Fact(cls, "", key, write, work, 5, idem))
+        self.truth.put(uid, RequestFacts(cls, "", key, write, work, 5, idem))
         said = f"c={cls},d={wait}" + (f",k={idem}" if idem else "") + extra
         if write:
             return uid, f"ms {key} 5 O{uid} P{said}\r\nhello\r\n".encode()
@@ -457,11 +469,11 @@
         head = f"{method} /{key} HTTP/1.1\r\nHost: o\r\nReq-Id: {uid}\r\nReq-Extra: {said}\r\n"
         return uid, (head + ("Content-Length: 5\r\n\r\nhello" if write else "\r\n")).encode()
 
-    def seen(self, *kinds) -> list:
+    def seen(self, *kinds: type[R]) -> list[R]:
         return [record for record in self.log if isinstance(record, kinds)]
 
     def made(self) -> dict[str, str]:
-        return {record.uid: record.outcome for record in self.seen(Made)}
+        return {record.request_id: record.outcome for record in self.seen(AttemptServed)}
 
 
 def play(body, scene: m.Scenario = SCENE, seed: int = 1, **box) -> Stage:
@@ -508,20 +520,22 @@
         )
 
     stage = play(body)
-    attempts, made = stage.seen(Attempt), stage.seen(Made)
-    assert [(a.server, a.uid, a.wait_ms) for a in attempts] == [
+    attempts, made = stage.seen(AttemptReceived), stage.seen(AttemptServed)
+    assert [(a.server, a.request_id, a.time_left_ms) for a in attempts] == [
         ("s0", "u1", 1000),
         ("origin", "u1", 1000),
         ("s0", "u3", 1000),
     ]
-    assert attempts[0].t - attempts[0].began == pytest.approx(501) and attempts[2].t - attempts[
+    assert attempts[0].at_ms - attempts[0].started_ms == pytest.approx(501) and attempts[2].at_ms - attempts[
+        2
+    ].started_ms == pytest.approx(1)
+    assert [(x.outcome, x.executed) for x in made] == [("miss", False), ("value", True), ("value", True)]
+    assert made[2].body_digest == body_digest(stage.objects.body("a", 1, "s0", "u3")) and made[
         2
-    ].began == pytest.approx(1)
-    assert [(x.outcome, x.ran) for x in made] == [("miss", False), ("value", True), ("value", True)]
-    assert made[2].token == token(stage.objects.body("a", 1, "s0", "u3")) and made[2].t == pytest.approx(
-        attempts[2].t + 10
+    ].at_ms == pytest.approx(attempts[2].at_ms + 10)
+    assert [r.attempt_id for r in stage.seen(AttemptExecuted)] == [2, 3] and not stage.seen(
+        AttemptDropped, MalformedMessage
     )
-    assert [r.number for r in stage.seen(Ran)] == [2, 3] and not stage.seen(Dropped, Malformed)
 
 
 def test_answers_keep_their_order_and_a_pipeline_has_its_bound():
@@ -538,9 +552,9 @@
         )
 
     stage = play(body, cores=2, queue_per_core=500)
-    attempts, made = stage.seen(Attempt), stage.seen(Made)
-    assert [x.number for x in made] == list(range(1, 303)) and len({a.t for a in attempts}) == 1
-    assert made[0].t == made[1].t == pytest.approx(attempts[0].t + 30)
+    attempts, made = stage.seen(AttemptReceived), stage.seen(AttemptServed)
+    assert [x.attempt_id for x in made] == list(range(1, 303)) and len({a.at_ms for a in attempts}) == 1
+    assert made[0].at_ms == made[1].at_ms == pytest.approx(attempts[0].at_ms + 30)
 
 
 @pytest.mark.parametrize("end", ["close", "write_eof", "reset"])
@@ -556,8 +570,8 @@
         assert other.got == b"EN Ou3\r\n" and peer.got == b""
 
     stage = play(body)
-    assert [d.uid for d in stage.seen(Dropped)] == ["u1", "u2"]
-    assert [r.uid for r in stage.seen(Ran)] == ["u1"]  # it ran, and nobody heard
+    assert [d.request_id for d in stage.seen(AttemptDropped)] == ["u1", "u2"]
+    assert [r.request_id for r in stage.seen(AttemptExecuted)] == ["u1"]  # it ran, and nobody heard
     assert stage.made() == {"u3": "miss"}
 
 
@@ -589,9 +603,9 @@
         assert old.model.slow == 2.0 and old.model.store.has(0, "a") is False
 
     stage = play(body)
-    said = [(s.server, s.state, s.cold_ms) for s in stage.seen(ServerSaid) if s.server != "origin"]
+    said = [(s.server, s.state, s.warm_up_ms) for s in stage.seen(ServerStateChanged) if s.server != "origin"]
     assert said[2:5] == [("s0", "stopped", 0), ("s1", "gone", 0), ("s1", "started", 9000)]
-    assert [d.uid for d in stage.seen(Dropped)] == ["u1"] and not stage.seen(Ran)
+    assert [d.request_id for d in stage.seen(AttemptDropped)] == ["u1"] and not stage.seen(AttemptExecuted)
 
 
 def test_a_server_that_is_pushed_over_stays_down():
@@ -605,7 +619,7 @@
         assert peer.ended == "ConnectionResetError" and not server.up
 
     stage = play(body)  # 3 x 0.32 x 2 cores x 1500 ms: 2880
-    assert len(stage.seen(Attempt)) == 3 and stage.seen(ServerSaid)[-1].state == "fallen"
+    assert len(stage.seen(AttemptReceived)) == 3 and stage.seen(ServerStateChanged)[-1].state == "fallen"
 
 
 def test_draining_turns_away_and_handshakes_make_the_first_request_wait():
@@ -620,7 +634,7 @@
         assert peer.got == b"EN Ou1\r\nSERVER_ERROR busy\r\n"
 
     stage = play(body, handshake_ms=20.0)
-    assert stage.seen(Made)[0].t - stage.seen(Attempt)[0].t == pytest.approx(30)
+    assert stage.seen(AttemptServed)[0].at_ms - stage.seen(AttemptReceived)[0].at_ms == pytest.approx(30)
     assert stage.made()["u2"] == "busy"
 
 
@@ -645,7 +659,7 @@
             await asyncio.sleep(0.1)
 
     stage = play(body, connections=1, idle_s=1.0)
-    assert len(stage.seen(Attempt)) == 1 and not stage.seen(Dropped)
+    assert len(stage.seen(AttemptReceived)) == 1 and not stage.seen(AttemptDropped)
 
 
 @pytest.mark.parametrize(
@@ -661,8 +675,8 @@
         assert (peer.got, peer.ended) == (b"", ends)
 
     stage = play(body)
-    assert stage.made().get("u1") == outcome and len(stage.seen(Ran)) == 1
-    assert [made.lost for made in stage.seen(Made)] == [True] * (knob == "lost")
+    assert stage.made().get("u1") == outcome and len(stage.seen(AttemptExecuted)) == 1
+    assert [made.lost for made in stage.seen(AttemptServed)] == [True] * (knob == "lost")
 
 
 def test_what_is_not_passed_on_as_it_came_is_told_and_not_done():
@@ -685,7 +699,7 @@
             assert http.got.startswith(b"HTTP/1.1 400") and http.ended == "eof"
 
     stage = play(body)
-    assert len(stage.seen(Malformed)) == 9 and not stage.seen(Attempt)
+    assert len(stage.seen(MalformedMessage)) == 9 and not stage.seen(AttemptReceived)
 
 
 def test_keyed_writes_at_the_origin_and_what_it_declines():
@@ -707,10 +721,10 @@
         assert peers[0].got.count(b"200") == 2
 
     stage = play(body)
-    assert [(r.uid, r.repeat) for r in stage.seen(Ran)] == [
+    assert [(r.request_id, r.is_repeat) for r in stage.seen(AttemptExecuted)] == [
         ("u1", False), ("u2", True), ("u3", False), ("u4", False), ("u7", False),
     ]  # fmt: skip
-    assert [d.uid for d in stage.seen(Dropped)] == ["u3"]
+    assert [d.request_id for d in stage.seen(AttemptDropped)] == ["u3"]
     assert stage.made() == dict.fromkeys(("u1", "u2", "u4"), "receipt") | {
         "u5": "busy",
         "u6": "busy",
@@ -738,7 +752,11 @@
         assert peer.got.count(b"HTTP/1.1 200") == 2
 
     stage = play(body)
-    assert [s.state for s in stage.seen(ServerSaid) if s.server == "origin"] == ["started", "stopped", "back"]
+    assert [s.state for s in stage.seen(ServerStateChanged) if s.server == "origin"] == [
+        "started",
+        "stopped",
+        "back",
+    ]
 
 
 def test_the_origin_falls_and_stands_up_again():
@@ -760,8 +778,14 @@
 
     falls = m.Origin(slots=1, sigma=0.0, read_ms=100.0, fall_multiple=1.0, fall_ms=500.0, down_s=1.0)
     stage = play(body, m.Scenario(kinds=SCENE.kinds, classes=SCENE.classes, links=SCENE.links, origin=falls))
-    assert [s.state for s in stage.seen(ServerSaid) if s.server == "origin"] == ["started", "fallen", "back"]
-    assert [(r.uid, r.repeat) for r in stage.seen(Ran)] == [("u5", False)] and len(stage.seen(Dropped)) == 4
+    assert [s.state for s in stage.seen(ServerStateChanged) if s.server == "origin"] == [
+        "started",
+        "fallen",
+        "back",
+    ]
+    assert [(r.request_id, r.is_repeat) for r in stage.seen(AttemptExecuted)] == [("u5", False)] and len(
+        stage.seen(AttemptDropped)
+    ) == 4
 
 
 def test_the_same_seed_gives_the_same_log():
--- a/tests/test_pipelined_time_left.py
+++ b/tests/test_pipelined_time_left.py
@@ -20,10 +20,10 @@
 
 
 def test_time_left_when_up_to_sixteen_commands_are_out_is_told_as_the_client_has_it():
-    assert not play(day(16), SEED).broken
+    assert not play(day(16), SEED).violation_count
 
 
 def test_time_left_when_a_command_waited_behind_more_than_sixteen_is_told_as_the_client_has_it():
     """The client's time runs while its command waits, read or unread, for a place in the pipeline."""
     result = play(day(64), SEED)
-    assert not result.broken, [breach.text for breach in result.breaches]
+    assert not result.violation_count, [breach.text for breach in result.violations]
