--- a/flintridge/lab/backend/virtual.py
+++ b/flintridge/lab/backend/virtual.py
@@ -22,7 +22,7 @@
 from flintridge.lab.records import Connections, Line, Log, NodeSaid
 from flintridge.lab.scenario.model import Budgets, Peers
 from flintridge.lab.virtual import Host, VirtualLoop
-from flintridge.lab.virtual.net import AcceptPauses
+from flintridge.lab.virtual.machine import AcceptPauses
 from flintridge.membership.messages import MessageCodec
 from flintridge.node import Node
 from flintridge.runtime.acceptor import FIRST_PAUSE_MS, MAX_PAUSE_MS
@@ -322,7 +322,7 @@
             injector.counts["injected_clock_step"] += 1
         injector.state = state
         quiet = msgspec.structs.replace(state, clock_ms=0.0) == SOUND
-        self._fabric.network.host(node).system = None if quiet else injector
+        self._fabric.network.host(node).system_call_faults = None if quiet else injector
 
     def _wall_ms(self, node: str) -> float:
         """Unix time as a node's machine has it."""
--- a/flintridge/lab/run.py
+++ b/flintridge/lab/run.py
@@ -25,7 +25,7 @@
 from flintridge.lab.scenario.model import FolderErrors, NodeDrain, Scenario, Span, keeps_lines
 from flintridge.lab.seeds import Seeds
 from flintridge.lab.truth import Truth
-from flintridge.lab.virtual import Network, Stuck, VirtualLoop
+from flintridge.lab.virtual import LivelockError, Network, VirtualLoop
 from flintridge.lab.world.fleet import World
 from flintridge.lab.world.links import LinkTable
 from flintridge.node import Node
@@ -220,7 +220,7 @@
         loop.run(
             playing(scenario, seeds, log, fabric, Truth(), make_nodes), wall_limit_s=scenario.wall_limit_s
         )
-    except Stuck as stuck:
+    except LivelockError as stuck:
         ended = f"stuck: {stuck}"
         if stuck.host in {name for name in (f"n{i}" for i in range(scenario.nodes.count))}:
             log.add(NodeSaid(t=fabric.clock.now(), node=stuck.host, state="stuck", text=str(stuck)[:300]))
--- /dev/null
+++ b/flintridge/lab/virtual/scheduler.py
@@ -0,0 +1,268 @@
+"""The scheduler of virtual time: time stands still while anything can run, then jumps to the next timer."""
+
+import asyncio
+import heapq
+import itertools
+from collections import deque
+from collections.abc import Callable, Iterable
+from contextvars import Context, copy_context
+from math import inf
+from time import perf_counter
+from types import FrameType
+from typing import Any, NoReturn
+
+from flintridge.lab.virtual.errors import DeadlockError, LivelockError
+from flintridge.lab.virtual.garbage_collection import HandleCountCollector
+from flintridge.lab.virtual.handles import NetworkEvent, VirtualHandle, VirtualTimer, handle_name
+from flintridge.lab.virtual.livelock import LivelockDetector
+from flintridge.lab.virtual.process import CURRENT_PROCESS, Process
+
+TICK_S = 1e-9  # duration of a pass in which a timer ran that was due when it was set
+MIN_CANCELLED_TO_PURGE = 64  # cancelled timers that the heap may hold
+MAX_WAITING_LISTED = 20  # tasks named by a DeadlockError
+
+
+class VirtualTimeLoop(asyncio.BaseEventLoop):
+    """An event loop in virtual time that runs the handles of many processes.
+
+    Attributes:
+        now_s: The time of the network.
+        lead_s: How far the process whose handle runs is ahead of `now_s`: it was stalled in this handle.
+        running_process: Whose handle runs, if any.
+    """
+
+    _ready: deque[Any]
+    _scheduled: list[tuple[float, int, Any]]
+    _stopping: bool
+    _closed: bool
+
+    def __init__(self, lab_process: Process, max_handles_at_once: int, start_s: float) -> None:
+        """A loop whose time begins at `start_s`.
+
+        Args:
+            lab_process: Of code that runs on no host.
+            max_handles_at_once: More handles without time advancing are a livelock.
+            start_s: The first time, in s.
+        """
+        super().__init__()
+        self.now_s = start_s
+        self.lead_s = 0.0
+        self.running_process: Process | None = None
+        self._running_handle: Any = None
+        self._lab_process = lab_process
+        self._sequence = itertools.count()
+        self._cancelled_timers = 0
+        self._network_context = Context()
+        self._livelock = LivelockDetector(max_handles_at_once, start_s)
+        self._collector = HandleCountCollector()
+
+    def time(self) -> float:
+        """Virtual seconds."""
+        return self.now_s + self.lead_s
+
+    def stall_running_process(self, seconds: float) -> None:
+        """Time advances for the process whose handle runs.
+
+        What it still does in it is later by so much, and nothing else of it runs before then. To the rest of
+        the world time stands still meanwhile.
+        """
+        process = CURRENT_PROCESS.get()
+        if process is None or process.dead or seconds <= 0:
+            return
+        self.lead_s += seconds
+        process.stall(self, self.now_s + self.lead_s)
+
+    def waiting_tasks(self) -> list[str]:
+        """What never ends when nothing can run, for a DeadlockError."""
+        return []
+
+    # Scheduling
+
+    def call_soon(  # type: ignore[override]
+        self, callback: Callable[..., Any], *args: Any, context: Context | None = None
+    ) -> VirtualHandle:
+        """Run behind what is ready."""
+        if self._closed:
+            raise RuntimeError("Event loop is closed")
+        handle = VirtualHandle(callback, args, self, copy_context() if context is None else context)
+        self._ready.append(handle)
+        return handle
+
+    def call_soon_threadsafe(  # type: ignore[override]
+        self, callback: Callable[..., Any], *args: Any, context: Context | None = None
+    ) -> VirtualHandle:
+        """From another thread the time is not determined, and an idle loop is not woken: DeadlockError."""
+        return self.call_soon(callback, *args, context=context)
+
+    def call_later(  # type: ignore[override]
+        self, delay: float, callback: Callable[..., Any], *args: Any, context: Context | None = None
+    ) -> VirtualTimer:
+        """Run in `delay` seconds of the process whose handle runs."""
+        return self.call_at(self.now_s + self.lead_s + delay, callback, *args, context=context)
+
+    def call_at(  # type: ignore[override]
+        self, when: float, callback: Callable[..., Any], *args: Any, context: Context | None = None
+    ) -> VirtualTimer:
+        """Run at a time (s).
+
+        Raises:
+            ValueError: If it is NaN, which would spoil the order of the heap unseen.
+        """
+        if self._closed:
+            raise RuntimeError("Event loop is closed")
+        if when != when:
+            raise ValueError("a timer at NaN")
+        timer = VirtualTimer(when, callback, args, self, copy_context() if context is None else context)
+        heapq.heappush(self._scheduled, (when, next(self._sequence), timer))
+        return timer
+
+    def schedule_network_event(self, when_s: float, callback: Callable[..., Any], *args: Any) -> None:
+        """Run at a time, on behalf of no process; an error there ends the run."""
+        event = NetworkEvent(callback, args, self._network_context)
+        heapq.heappush(self._scheduled, (when_s, next(self._sequence), event))
+
+    def requeue(self, handles: Iterable[Any]) -> None:
+        """Run handles behind those that are ready."""
+        self._ready.extend(handles)
+
+    def requeue_one(self, handle: Any) -> None:
+        """Run a handle behind those that are ready; it may have run before."""
+        self._ready.append(handle)
+
+    def timer_cancelled(self) -> None:
+        """Guards the heap against timers that are set for long and nearly always cancelled."""
+        self._cancelled_timers += 1
+        if self._cancelled_timers <= MIN_CANCELLED_TO_PURGE:
+            return
+        if self._cancelled_timers * 2 > len(self._scheduled):
+            self._scheduled[:] = [entry for entry in self._scheduled if not entry[2]._cancelled]
+            heapq.heapify(self._scheduled)
+            self._cancelled_timers = 0
+
+    def create_task(  # type: ignore[override]
+        self, coro: Any, *, name: str | None = None, context: Context | None = None
+    ) -> "asyncio.Task[Any]":
+        """A task of the process in whose context it runs."""
+        if self._closed:
+            raise RuntimeError("Event loop is closed")
+        task: asyncio.Task[Any] = asyncio.Task(coro, loop=self, name=name, context=context)
+        process = CURRENT_PROCESS.get() if context is None else context.get(CURRENT_PROCESS)
+        (process or self._lab_process).adopt(task)
+        return task
+
+    # Running
+
+    def _run_once(self) -> None:
+        """Passes over what is ready until the loop is stopped: this is the body of run_forever."""
+        ready = self._ready
+        timers = self._scheduled
+        detector = self._livelock
+        collector = self._collector
+        try:
+            while True:
+                if timers:
+                    self._move_due_timers()
+                elif not ready:
+                    self._deadlock()
+                count = len(ready)
+                self._run_handles(count, detector.handles_due(count))
+                if collector.active:
+                    collector.handles_run(count)
+                if self._stopping:
+                    return
+        finally:
+            self.running_process = None
+            self._running_handle = None
+
+    def _move_due_timers(self) -> None:
+        """Timers that are due become ready; with nothing else ready time jumps to the first."""
+        ready = self._ready
+        timers = self._scheduled
+        if not ready:
+            self._jump()
+        elif timers[0][0] <= self.now_s:
+            # Guards what waits for a time that rounding puts just ahead of now: it would set its timer
+            # again and again, and time would never get there.
+            self.now_s += TICK_S
+        now_s = self.now_s
+        pop = heapq.heappop
+        while timers and timers[0][0] <= now_s:
+            handle = pop(timers)[2]
+            if handle._cancelled:
+                self._cancelled_timers -= 1
+            else:
+                if handle._scheduled:
+                    handle._scheduled = False
+                ready.append(handle)
+
+    def _jump(self) -> None:
+        """To the next timer that was not cancelled."""
+        timers = self._scheduled
+        while timers and timers[0][2]._cancelled:
+            heapq.heappop(timers)
+            self._cancelled_timers -= 1
+        if not timers or timers[0][0] == inf:
+            self._deadlock()
+        when_s = timers[0][0]
+        if when_s <= self.now_s:
+            self.now_s += TICK_S
+            return
+        self.now_s = when_s
+        self._livelock.time_advanced(when_s)
+
+    def _run_handles(self, count: int, near_livelock: bool) -> None:
+        """Run the first `count` handles that are ready, those of halted processes excepted."""
+        take = self._ready.popleft
+        detector = self._livelock
+        network_context = self._network_context
+        for _ in range(count):
+            handle = take()
+            if handle._cancelled:
+                continue
+            context = handle._context
+            if context is network_context:  # an error there is the lab's own, and ends the run
+                handle._callback(*handle._args)
+                continue
+            process = context.get(CURRENT_PROCESS) or self._lab_process
+            if process.halted:
+                if not process.dead:
+                    process.suspended_handles.append(handle)
+                continue
+            if near_livelock:
+                detector.note(handle, process.host.name)
+            self.running_process = process
+            self._running_handle = handle
+            started = perf_counter()
+            try:
+                context.run(handle._callback, *handle._args)
+            except (SystemExit, KeyboardInterrupt, LivelockError):
+                raise
+            except BaseException as error:
+                self._report_callback_error(handle, error)
+            self.lead_s = 0.0
+            finished = perf_counter()
+            process.host.busy_s += finished - started
+            if finished > detector.wall_deadline_s:
+                self._wall_limit_exceeded(None)
+            if detector.error is not None:  # a task keeps what was raised in it to itself
+                raise detector.error
+
+    def _report_callback_error(self, handle: Any, error: BaseException) -> None:
+        report = {
+            "message": f"Exception in callback {handle_name(handle)}",
+            "exception": error,
+            "handle": handle,
+        }
+        handle._context.run(self.call_exception_handler, report)
+
+    def _wall_limit_exceeded(self, frame: FrameType | None) -> None:
+        process = self.running_process
+        host = None if process is None else process.host.name
+        self._livelock.wall_limit_exceeded(host, self._running_handle, frame)
+
+    def _deadlock(self) -> NoReturn:
+        waiting = self.waiting_tasks()
+        listed = ", ".join(waiting[:MAX_WAITING_LISTED])
+        unlisted = len(waiting) - MAX_WAITING_LISTED
+        more = f" and {unlisted} more" if unlisted > 0 else ""
+        raise DeadlockError(f"nothing can run and no timer is set; waiting: {listed}{more}")
--- a/tests/test_lab_load.py
+++ b/tests/test_lab_load.py
@@ -446,8 +446,8 @@
 
     async def crossing(trial):
         await trial.fabric.clock.sleep_until(99.9)
-        (connection,) = trial.fabric.network.host("n0")._process.endpoints
-        connection.close()
+        (connection,) = trial.fabric.network.host("n0").process.connections
+        connection.user.close()
 
     trial = Trial(
         lambda c: c.served if c.n == 0 else "close",
@@ -524,8 +524,8 @@
         await trial.fabric.clock.sleep_until(-10.0)
         node.deaf = True
         await trial.fabric.clock.sleep_until(400.0)
-        for connection in trial.fabric.network.host("n0")._process.endpoints:
-            connection.resume_reading()
+        for connection in trial.fabric.network.host("n0").process.connections:
+            connection.user.resume_reading()
 
     day = Scenario(
         classes=(RequestClass(name="x", write=True, deadline_ms=1000),), clients=Clients(pools=1, retries=0)
--- a/tests/test_lab_system_faults.py
+++ b/tests/test_lab_system_faults.py
@@ -176,11 +176,11 @@
     """What comes back of `data`, in which pieces, and when (s)."""
     loop = asyncio.get_running_loop()
     network, began = loop.network, loop.time()
-    network.host("box").ip, network.host("box").system = "10.0.0.1", box_system
+    network.host("box").ip, network.host("box").system_call_faults = "10.0.0.1", box_system
     await network.host("box").run(loop.create_server(Echo, "10.0.0.1", 80))
 
     async def client():
-        network.host("client").system = client_system
+        network.host("client").system_call_faults = client_system
         reader, writer = await asyncio.open_connection("10.0.0.1", 80)
         writer.write(data)
         got = []
@@ -274,7 +274,7 @@
             seen["next"] = loop.time()
 
         got, _ = await echoed(b"x")
-        loop.network.host("client").system = system
+        loop.network.host("client").system_call_faults = system
         await loop.network.host("client").run(write())
         ticker.cancel()
         held_s = seen["written"] - seen["read"]
--- a/tests/test_lab_virtual.py
+++ b/tests/test_lab_virtual.py
@@ -19,7 +19,15 @@
 
 import flintridge.__main__
 from flintridge.config.loader import load_config
-from flintridge.lab.virtual import Deadlock, FixedLink, Network, Stuck, VirtualLoop, current_host, run
+from flintridge.lab.virtual import (
+    DeadlockError,
+    FixedLink,
+    LivelockError,
+    Network,
+    VirtualLoop,
+    current_host,
+    run,
+)
 
 BIG = 8 << 20  # more than any kernel takes by itself
 READER = 1 << 16
@@ -316,7 +324,7 @@
                 loop.call_at(at / 1000, reached.set_result, None)
                 await reached
 
-    run(main(), max_turns_at_once=1000)
+    run(main(), max_handles_at_once=1000)
 
 
 def test_nothing_left_to_run_is_a_deadlock_that_names_who_waits():
@@ -329,7 +337,7 @@
         network.host("b").run(asyncio.sleep(1))
         await network.host("b").run(waits())
 
-    with pytest.raises(Deadlock, match=r"lab: task .*main, a: task .*waits, b: task .*waits$"):
+    with pytest.raises(DeadlockError, match=r"lab: task .*main, a: task .*waits, b: task .*waits$"):
         run(main())
 
 
@@ -355,8 +363,8 @@
     async def main():
         await asyncio.get_running_loop().network.host("bad").run(code())
 
-    with pytest.raises(Stuck, match=r"^bad: 5000 handles .* bad: ") as stuck:
-        run(main(), max_turns_at_once=5000)
+    with pytest.raises(LivelockError, match=r"^bad: 5000 handles .* bad: ") as stuck:
+        run(main(), max_handles_at_once=5000)
     assert stuck.value.host == "bad"
 
 
@@ -387,7 +395,7 @@
         await asyncio.get_running_loop().network.host("bad").run(code())
 
     before = signal.getsignal(signal.SIGALRM)
-    with pytest.raises(Stuck, match=r"^(bad|lab): the limit of real time"):
+    with pytest.raises(LivelockError, match=r"^(bad|lab): the limit of real time"):
         run(main(), wall_limit_s=0.1)
     assert signal.getsignal(signal.SIGALRM) is before and signal.getitimer(signal.ITIMER_REAL)[0] == 0
 
@@ -398,7 +406,7 @@
     def other():
         try:
             run(spins_in_time(), wall_limit_s=0.05)
-        except Stuck as stuck:
+        except LivelockError as stuck:
             caught.append(stuck.host)
 
     thread = threading.Thread(target=other)
@@ -559,7 +567,7 @@
         asked = [world.client.run(world.ask(pair)) for pair in opened]
         assert [await ends_of(each) for each in asked[:2]] == [b"ask"] * 2
         assert [await ends_of(each) for each in asked[2:]] == ["pending"] * 2
-        assert set(said) == {errno.EMFILE} and world.server.full
+        assert set(said) == {errno.EMFILE} and world.server.out_of_descriptors
         with pytest.raises(OSError, match="Too many open files"):
             await world.server.run(asyncio.open_connection("10.0.0.1", 80))
         for _, writer in opened[:2]:
@@ -745,7 +753,7 @@
 
     got: list[bytes] = []
     network = Network(lambda a, b: Ragged(seed), window=window)
-    run(main(), network, max_turns_at_once=100_000)
+    run(main(), network, max_handles_at_once=100_000)
     assert got == [b"".join(writes)] * 2
 
 
@@ -766,7 +774,7 @@
         await until(lambda: sum(sizes) == 25)
         return sizes
 
-    assert run(main(), Network(lambda a, b: FixedLink(pieces=10))) == [10, 10, 5]
+    assert run(main(), Network(lambda a, b: FixedLink(segment_bytes=10))) == [10, 10, 5]
 
 
 # Datagrams
