--- /dev/null
+++ b/tests/lab/virtual/test_receive_queue.py
@@ -0,0 +1,39 @@
+"""The receive queue: bytes leave it in order, however they arrived and are read."""
+
+from hypothesis import given
+from hypothesis import strategies as st
+from support.network import FIXED
+
+from flintridge.lab.virtual.receive_queue import ReceiveQueue
+
+
+@FIXED
+@given(st.lists(st.binary(min_size=1, max_size=30), max_size=12), st.integers(1, 40))
+def test_take_when_called_until_empty_then_gives_all_bytes_in_order_within_the_limit(segments, limit):
+    queue = ReceiveQueue()
+    for number, data in enumerate(segments):
+        queue.append(data, float(number))
+    taken = []
+    while queue.size:
+        taken.append(queue.take(limit))
+        assert 0 < len(taken[-1].data) <= limit
+    assert b"".join(segment.data for segment in taken) == b"".join(segments)
+    assert [segment.sent_at_s for segment in taken] == sorted(segment.sent_at_s for segment in taken)
+    assert not queue.segments
+
+
+def test_take_when_a_segment_does_not_fit_whole_then_its_rest_keeps_when_it_was_sent():
+    queue = ReceiveQueue()
+    queue.append(b"abcdef", 1.0)
+    queue.append(b"gh", 2.0)
+    assert queue.take(4).data == b"abcd"
+    second = queue.take(4)
+    assert (second.data, second.sent_at_s) == (b"efgh", 1.0)
+
+
+def test_clear_when_something_is_unread_then_drops_it():
+    queue = ReceiveQueue()
+    queue.append(b"a", 1.0)
+    queue.clear()
+    assert queue.size == 0
+    assert not queue.segments
--- a/tests/test_lab_system_faults.py
+++ b/tests/test_lab_system_faults.py
@@ -1,11 +1,9 @@
 """Faults of a node's operating system: each is caused and counted, in virtual time and on loopback."""
 
-import asyncio
 import errno
 import os
 import socket
 import time
-from itertools import pairwise
 
 import msgspec
 import pytest
@@ -20,7 +18,6 @@
 from flintridge.lab.run import play
 from flintridge.lab.scenario import model as m
 from flintridge.lab.scenario.load import load
-from flintridge.lab.virtual import FixedLink, Network, VirtualLoop
 
 SHORT = ["length_s=3", "warmup_s=1", "load.rate_per_s=60", "nodes.count=2", "nodes.zones=[]"]
 EVERY_CALL = (
@@ -161,130 +158,6 @@
     assert injector.folder_error(makes=True).errno == errno.ENOSPC
 
 
-# Virtual time
-
-
-class Echo(asyncio.Protocol):
-    def connection_made(self, transport):
-        self.transport = transport
-
-    def data_received(self, data):
-        self.transport.write(data)
-
-
-async def echoed(data, box_system=None, client_system=None):
-    """What comes back of `data`, in which pieces, and when (s)."""
-    loop = asyncio.get_running_loop()
-    network, began = loop.network, loop.time()
-    network.host("box").ip, network.host("box").system_call_faults = "10.0.0.1", box_system
-    await network.host("box").run(loop.create_server(Echo, "10.0.0.1", 80))
-
-    async def client():
-        network.host("client").system_call_faults = client_system
-        reader, writer = await asyncio.open_connection("10.0.0.1", 80)
-        writer.write(data)
-        got = []
-        while sum(map(len, got)) < len(data):
-            got.append(await reader.read(1 << 16))
-            if not got[-1]:
-                break
-        return got, loop.time() - began
-
-    return await network.host("client").run(client())
-
-
-def in_virtual_time(main):
-    return VirtualLoop(Network(lambda *_: FixedLink(delay_ms=1.0))).run(main, wall_limit_s=20)
-
-
-@pytest.mark.parametrize(
-    ("state", "least_pieces"),
-    [
-        (SystemState(short_part=1.0, short_bytes=3), 30),
-        (failing("read", "EINTR", 0.5), 1),
-        (failing("write", "EINTR", 0.5), 1),
-        (failing("accept", "ECONNABORTED", 0.9), 1),
-        (failing("connect", "EINTR"), 1),
-    ],
-)
-def test_stream_when_calls_are_short_or_interrupted_then_every_byte_still_comes_in_order(state, least_pieces):
-    data, systems = bytes(range(100)), [Injector("a", state), Injector("b", state)]
-    got, _ = in_virtual_time(echoed(data, *systems))
-    assert b"".join(got) == data and len(got) >= least_pieces
-    assert sum(sum(system.counts.values()) for system in systems) > 0
-
-
-@pytest.mark.parametrize("call", ["connect", "socket"])
-def test_connecting_when_a_call_fails_then_raises_its_error(call):
-    async def main():
-        with pytest.raises(OSError, match="buffer space") as caught:
-            await echoed(b"x", None, Injector("x", failing(call, "ENOBUFS")))
-        assert caught.value.errno == errno.ENOBUFS
-
-    in_virtual_time(main())
-
-
-@pytest.mark.parametrize("call", ["read", "write"])
-def test_stream_when_its_connection_breaks_late_then_ends_with_that_error(call):
-    async def main():
-        with pytest.raises(OSError, match=r"timed out|reset") as caught:
-            # The first call of each kind fails: a write breaks at once, which the reader is told.
-            await echoed(b"x", None, Injector("x", failing(call, "ETIMEDOUT")))
-        assert caught.value.errno == errno.ETIMEDOUT
-
-    in_virtual_time(main())
-
-
-def test_accepting_when_out_of_descriptors_then_rests_and_goes_on():
-    system = Injector("q", failing("accept", "ENFILE", 0.5))
-    reports = []
-
-    async def main():
-        loop = asyncio.get_running_loop()
-        loop.set_exception_handler(lambda _, said: reports.append(said["exception"].errno))
-        return await echoed(b"x", system)
-
-    got, _ = in_virtual_time(main())
-    assert got == [b"x"]
-    assert reports == [errno.ENFILE] * system.counts["injected_accept"]
-
-
-def test_stall_when_drawn_then_time_moves_on_for_that_host_alone_before_its_bytes_leave():
-    system = Injector("x", SystemState(stall_part=1.0, stall_ms=100.0))
-
-    async def main():
-        loop = asyncio.get_running_loop()
-        ticks = []
-
-        async def tick():
-            while True:
-                ticks.append(loop.time())
-                await asyncio.sleep(0.001)
-
-        ticker = asyncio.ensure_future(tick())
-        began = loop.time()
-        seen = {}
-
-        async def write():
-            _, writer = await asyncio.open_connection("10.0.0.1", 80)
-            seen["read"] = loop.time()
-            writer.write(b"x")
-            seen["written"] = loop.time()
-            await asyncio.sleep(0)
-            seen["next"] = loop.time()
-
-        got, _ = await echoed(b"x")
-        loop.network.host("client").system_call_faults = system
-        await loop.network.host("client").run(write())
-        ticker.cancel()
-        held_s = seen["written"] - seen["read"]
-        assert 0 < held_s <= 0.1 and seen["next"] == pytest.approx(seen["written"])
-        assert max(b - a for a, b in pairwise(ticks)) < 0.0011
-        assert loop.time() - began >= held_s and got == [b"x"]
-
-    in_virtual_time(main())
-
-
 # Loopback: the calls of the process itself
 
 
