--- a/flintridge/lab/virtual/garbage_collection.py
+++ b/flintridge/lab/virtual/garbage_collection.py
@@ -19,19 +19,17 @@
 
     Attributes:
         active: Whether it collects.
+        handles_until_next: Handles that run before the next collection; whoever runs them counts it down.
     """
 
     def __init__(self) -> None:
         self.active = False
-        self._handles_remaining = HANDLES_BETWEEN_COLLECTIONS
+        self.handles_until_next = HANDLES_BETWEEN_COLLECTIONS
         self._collections = 0
 
-    def handles_run(self, count: int) -> None:
-        """`count` more handles ran."""
-        self._handles_remaining -= count
-        if self._handles_remaining > 0:
-            return
-        self._handles_remaining = HANDLES_BETWEEN_COLLECTIONS
+    def collect(self) -> None:
+        """Collect garbage, all of it in one of several times."""
+        self.handles_until_next = HANDLES_BETWEEN_COLLECTIONS
         self._collections += 1
         full = self._collections % COLLECTIONS_PER_FULL_ONE == 0
         gc.collect(ALL_GENERATIONS if full else YOUNG_GENERATIONS)
--- a/flintridge/lab/virtual/livelock.py
+++ b/flintridge/lab/virtual/livelock.py
@@ -23,30 +23,24 @@
     Attributes:
         wall_deadline_s: The value of `perf_counter` at which real time is over.
         error: What was raised, or waits to be raised by the loop.
+        handles: That ran since time advanced, or are about to; whoever runs them counts.
+        noted_from: Beyond so many of them, each is worth a `note`: the limit is near.
     """
 
     def __init__(self, max_handles: int, start_s: float) -> None:
         self.wall_deadline_s = inf
         self.error: LivelockError | None = None
         self._max_handles = max_handles
-        self._handles = 0  # since time advanced
+        self.handles = 0
+        self.noted_from = max_handles - REPORTED_HANDLES
         self._advanced_at_s = start_s
         self._last_handles: deque[str] = deque(maxlen=REPORTED_HANDLES)
 
-    def handles_due(self, count: int) -> bool:
-        """Count handles that are about to run.
-
-        Returns:
-            Whether the limit is so near that each of them is worth a `note`.
-        """
-        self._handles += count
-        return self._handles + REPORTED_HANDLES > self._max_handles
-
     def time_advanced(self, now_s: float) -> None:
         """Virtual time is `now_s`."""
         if now_s - self._advanced_at_s >= TIME_STEP_MIN_S:
             self._advanced_at_s = now_s
-            self._handles = 0
+            self.handles = 0
             self._last_handles.clear()
 
     def note(self, handle: Any, host: str) -> None:
@@ -56,7 +50,7 @@
             LivelockError: If it is one too many.
         """
         self._last_handles.append(f"{host}: {handle_name(handle)}")
-        if self._handles > self._max_handles:
+        if self.handles > self._max_handles:
             last = ", ".join(self._last_handles)
             reason = f"{self._max_handles} handles ran while time stood still; the last: {last}"
             self.error = LivelockError(host, reason)
--- a/flintridge/lab/virtual/read_side.py
+++ b/flintridge/lab/virtual/read_side.py
@@ -3,7 +3,6 @@
 from contextvars import Context
 from typing import Any
 
-from flintridge.lab.virtual.receive_queue import Segment
 from flintridge.lab.virtual.scheduler import VirtualTimeLoop
 from flintridge.lab.virtual.socket_transport import ConnectionCounter, SocketTransport
 from flintridge.lab.virtual.system_call_faults import FAILED_CALL_S
@@ -84,8 +83,7 @@
             if self._buffered:
                 self._deliver_into_buffer()
             else:
-                segment = self._receive(MAX_READ_BYTES)
-                self._protocol.data_received(segment.data)
+                self._protocol.data_received(self._receive(MAX_READ_BYTES))
         except Exception as error:
             self._fatal_error(error, "Fatal error: protocol.data_received() call failed.")
 
@@ -93,18 +91,17 @@
         buffer = memoryview(self._protocol.get_buffer(-1))
         if not len(buffer):
             raise RuntimeError("get_buffer() returned an empty buffer")
-        data = self._receive(len(buffer)).data
+        data = self._receive(len(buffer))
         buffer[: len(data)] = data
         self._protocol.buffer_updated(len(data))
 
-    def _receive(self, limit: int) -> Segment:
+    def _receive(self, limit: int) -> bytes:
         socket = self._socket
         faults = self._process.host.system_call_faults
         if faults is not None:
             limit = faults.short(min(limit, socket.received.size))
-        segment = socket.receive(limit)
-        self._sent_at_s = segment.sent_at_s
-        return segment
+        data, self._sent_at_s = socket.receive(limit)
+        return data
 
     def _deliver_end(self) -> None:
         self._read_end = True
--- a/flintridge/lab/virtual/receive_queue.py
+++ b/flintridge/lab/virtual/receive_queue.py
@@ -1,20 +1,8 @@
 """The receive queue of a connection's socket."""
 
 from collections import deque
-from dataclasses import dataclass
 
-
-@dataclass(slots=True)
-class Segment:
-    """Bytes that arrived together.
-
-    Attributes:
-        data: The bytes.
-        sent_at_s: When they were sent.
-    """
-
-    data: bytes
-    sent_at_s: float
+Segment = tuple[bytes, float]  # bytes that arrived together, and when (s) they were sent
 
 
 class ReceiveQueue:
@@ -33,7 +21,7 @@
 
     def append(self, data: bytes, sent_at_s: float) -> None:
         """Bytes arrive that were sent at `sent_at_s`."""
-        self.segments.append(Segment(data, sent_at_s))
+        self.segments.append((data, sent_at_s))
         self.size += len(data)
 
     def take(self, limit: int) -> Segment:
@@ -43,22 +31,23 @@
             The bytes, and when the first of them were sent.
         """
         segments = self.segments
-        first = segments.popleft()
-        if len(first.data) > limit:
-            segments.appendleft(Segment(first.data[limit:], first.sent_at_s))
-            first.data = first.data[:limit]
+        data, sent_at_s = segments.popleft()
+        if len(data) > limit:
+            segments.appendleft((data[limit:], sent_at_s))
+            data = data[:limit]
         elif segments:
-            first.data = self._join_following(first.data, limit)
-        self.size -= len(first.data)
-        return first
+            data = self._join_following(data, limit)
+        self.size -= len(data)
+        return data, sent_at_s
 
     def _join_following(self, data: bytes, limit: int) -> bytes:
         segments = self.segments
         joined = [data]
         size = len(data)
-        while segments and size + len(segments[0].data) <= limit:
-            joined.append(segments.popleft().data)
-            size += len(joined[-1])
+        while segments and size + len(segments[0][0]) <= limit:
+            following, _ = segments.popleft()
+            joined.append(following)
+            size += len(following)
         return b"".join(joined)
 
     def clear(self) -> None:
--- a/flintridge/lab/virtual/scheduler.py
+++ b/flintridge/lab/virtual/scheduler.py
@@ -29,6 +29,7 @@
         now_s: The time of the network.
         lead_s: How far the process whose handle runs is ahead of `now_s`: it was stalled in this handle.
         running_process: Whose handle runs, if any.
+        requeue_one: Runs a handle behind those that are ready; it may have run before.
     """
 
     _ready: deque[Any]
@@ -48,6 +49,7 @@
         self.now_s = start_s
         self.lead_s = 0.0
         self.running_process: Process | None = None
+        self.requeue_one: Callable[[Any], None] = self._ready.append
         self._running_handle: Any = None
         self._lab_process = lab_process
         self._sequence = itertools.count()
@@ -125,10 +127,6 @@
         """Run handles behind those that are ready."""
         self._ready.extend(handles)
 
-    def requeue_one(self, handle: Any) -> None:
-        """Run a handle behind those that are ready; it may have run before."""
-        self._ready.append(handle)
-
     def timer_cancelled(self) -> None:
         """Guards the heap against timers that are set for long and nearly always cancelled."""
         self._cancelled_timers += 1
@@ -156,18 +154,17 @@
         """Passes over what is ready until the loop is stopped: this is the body of run_forever."""
         ready = self._ready
         timers = self._scheduled
-        detector = self._livelock
         collector = self._collector
         try:
             while True:
-                if timers:
+                if not ready or (timers and timers[0][0] <= self.now_s):
                     self._move_due_timers()
-                elif not ready:
-                    self._deadlock()
                 count = len(ready)
-                self._run_handles(count, detector.handles_due(count))
+                self._run_handles(count)
                 if collector.active:
-                    collector.handles_run(count)
+                    collector.handles_until_next -= count
+                    if collector.handles_until_next <= 0:
+                        collector.collect()
                 if self._stopping:
                     return
         finally:
@@ -180,7 +177,7 @@
         timers = self._scheduled
         if not ready:
             self._jump()
-        elif timers[0][0] <= self.now_s:
+        else:
             # Guards what waits for a time that rounding puts just ahead of now: it would set its timer
             # again and again, and time would never get there.
             self.now_s += TICK_S
@@ -210,10 +207,12 @@
         self.now_s = when_s
         self._livelock.time_advanced(when_s)
 
-    def _run_handles(self, count: int, near_livelock: bool) -> None:
+    def _run_handles(self, count: int) -> None:
         """Run the first `count` handles that are ready, those of halted processes excepted."""
         take = self._ready.popleft
         detector = self._livelock
+        detector.handles += count
+        near_livelock = detector.handles > detector.noted_from
         network_context = self._network_context
         for _ in range(count):
             handle = take()
--- a/flintridge/lab/virtual/stream_transport.py
+++ b/flintridge/lab/virtual/stream_transport.py
@@ -6,7 +6,7 @@
 from flintridge.lab.virtual.read_side import ReadSide
 from flintridge.lab.virtual.scheduler import VirtualTimeLoop
 from flintridge.lab.virtual.socket_transport import ConnectionCounter
-from flintridge.lab.virtual.system_call_faults import FAILED_CALL_S, SystemCallFaults
+from flintridge.lab.virtual.system_call_faults import FAILED_CALL_S
 from flintridge.lab.virtual.tcp_socket import TcpSocket
 
 HIGH_WATER_BYTES = 64 * 1024  # of what is unsent, as in asyncio
@@ -51,7 +51,9 @@
             if socket.reset_error is not None:
                 self._fatal_error(socket.reset_error, WRITE_ERROR)
                 return
-            accepted_bytes = self._bytes_accepted(len(data))
+            accepted_bytes = socket.window - socket.in_flight
+            if self._process.host.system_call_faults is not None:
+                accepted_bytes = self._bytes_accepted(min(accepted_bytes, len(data)))
             if self._calls_since_loss:
                 return
             if accepted_bytes > 0:
@@ -90,7 +92,9 @@
         if socket.reset_error is not None:
             self._fatal_error(socket.reset_error, WRITE_ERROR)
             return
-        accepted_bytes = self._bytes_accepted(len(unsent))
+        accepted_bytes = socket.window - socket.in_flight
+        if self._process.host.system_call_faults is not None:
+            accepted_bytes = self._bytes_accepted(min(accepted_bytes, len(unsent)))
         if accepted_bytes <= 0 or self._calls_since_loss:
             return
         data = bytes(unsent[:accepted_bytes])
@@ -106,16 +110,10 @@
                 socket.send_fin()
 
     def _bytes_accepted(self, size: int) -> int:
-        """How much of `size` bytes one write call takes, of at most what the window has room for."""
-        socket = self._socket
-        available_window = socket.window - socket.in_flight
+        """What one faulty write call takes of `size` bytes; the rest is written a little later."""
         faults = self._process.host.system_call_faults
-        if faults is None or available_window <= 0:
-            return available_window
-        return self._bytes_accepted_with_faults(min(available_window, size), faults)
-
-    def _bytes_accepted_with_faults(self, size: int, faults: SystemCallFaults) -> int:
-        """What one write takes of `size` bytes; the rest is written a little later."""
+        if faults is None or size <= 0:
+            return size
         self._loop.stall_running_process(faults.stall_s())
         taken = 0 if self._call_fails("write") else faults.short(size)
         if taken < size and not self._calls_since_loss:
--- a/flintridge/lab/virtual/tcp_socket.py
+++ b/flintridge/lab/virtual/tcp_socket.py
@@ -9,7 +9,7 @@
 from typing import Protocol
 
 from flintridge.lab.virtual.addresses import Address
-from flintridge.lab.virtual.link import LINK_RESET, LINK_SILENT, LINK_UP, Link
+from flintridge.lab.virtual.link import LINK_RESET, LINK_SILENT, LINK_UP
 from flintridge.lab.virtual.process import Process
 from flintridge.lab.virtual.receive_queue import ReceiveQueue, Segment
 from flintridge.lab.virtual.scheduler import VirtualTimeLoop
@@ -141,19 +141,15 @@
 
     # Arrivals
 
-    def _incoming_link(self) -> Link:
+    def link_delivers(self) -> bool:
+        """Whether the link is up for what is due at this end; else the loss is accounted for."""
         peer = self.peer
         assert peer is not None
         assert peer.path is not None
-        return peer.path.link
-
-    def link_delivers(self) -> bool:
-        """Whether the link is up for what is due at this end; else the loss is accounted for."""
-        state = self._incoming_link().state
+        state = peer.path.link.state
         if state == LINK_UP:
             return True
-        assert self.peer is not None
-        self.peer._send_failed(state)
+        peer._send_failed(state)
         return False
 
     def _data_arrived(self, data: bytes, sent_at_s: float) -> None:
@@ -222,7 +218,7 @@
         """Read up to `limit` bytes; something arrived."""
         segment = self.received.take(limit)
         assert self.peer is not None
-        self.peer._read_by_peer(len(segment.data))
+        self.peer._read_by_peer(len(segment[0]))
         return segment
 
     def _read_by_peer(self, size: int) -> None:
--- a/tests/lab/virtual/test_livelock.py
+++ b/tests/lab/virtual/test_livelock.py
@@ -91,19 +91,21 @@
 
 def test_detector_when_time_advances_by_less_than_a_step_then_still_counts():
     detector = LivelockDetector(max_handles=20, start_s=1.0)
-    assert detector.handles_due(12) is False
+    detector.handles += 12
+    assert detector.handles == detector.noted_from
     detector.time_advanced(1.0 + 1e-9)
-    assert detector.handles_due(1) is True
+    detector.handles += 1
+    assert detector.handles > detector.noted_from
     detector.time_advanced(1.1)
-    assert detector.handles_due(12) is False
+    assert detector.handles == 0
 
 
 def test_detector_when_a_handle_is_one_too_many_then_raises_and_keeps_the_error():
     detector = LivelockDetector(max_handles=1, start_s=1.0)
     handle = NetworkEvent(print, (), None)
-    detector.handles_due(1)
+    detector.handles += 1
     detector.note(handle, "a")
-    detector.handles_due(1)
+    detector.handles += 1
     with pytest.raises(LivelockError, match=r"^b: 1 handles ran .*: a: print, b: print$"):
         detector.note(handle, "b")
     assert detector.error is not None
--- a/tests/lab/virtual/test_receive_queue.py
+++ b/tests/lab/virtual/test_receive_queue.py
@@ -16,9 +16,10 @@
     taken = []
     while queue.size:
         taken.append(queue.take(limit))
-        assert 0 < len(taken[-1].data) <= limit
-    assert b"".join(segment.data for segment in taken) == b"".join(segments)
-    assert [segment.sent_at_s for segment in taken] == sorted(segment.sent_at_s for segment in taken)
+        assert 0 < len(taken[-1][0]) <= limit
+    assert b"".join(data for data, _ in taken) == b"".join(segments)
+    times_s = [sent_at_s for _, sent_at_s in taken]
+    assert times_s == sorted(times_s)
     assert not queue.segments
 
 
@@ -26,9 +27,8 @@
     queue = ReceiveQueue()
     queue.append(b"abcdef", 1.0)
     queue.append(b"gh", 2.0)
-    assert queue.take(4).data == b"abcd"
-    second = queue.take(4)
-    assert (second.data, second.sent_at_s) == (b"efgh", 1.0)
+    assert queue.take(4) == (b"abcd", 1.0)
+    assert queue.take(4) == (b"efgh", 1.0)
 
 
 def test_clear_when_something_is_unread_then_drops_it():
