--- a/flintridge/lab/run.py
+++ b/flintridge/lab/run.py
@@ -25,7 +25,7 @@
 from flintridge.lab.scenario.model import FolderErrors, NodeDrain, Scenario, Span, keeps_lines
 from flintridge.lab.seeds import Seeds
 from flintridge.lab.truth import GroundTruth
-from flintridge.lab.virtual import Network, Stuck, VirtualLoop
+from flintridge.lab.virtual import LivelockError, Network, VirtualLoop
 from flintridge.lab.world.fleet import World
 from flintridge.lab.world.links import LinkTable
 from flintridge.node import Node
@@ -33,6 +33,7 @@
 BACKENDS = ("virtual", "loopback")
 LEAD_MS = 2_000.0  # before the warm-up: nodes start and get ready
 READY_MS = 30_000.0  # so long they may take
+MAX_LIVELOCK_CHARACTERS = 300  # of its message in the log
 SETTLE_MS = 1_000.0  # after the last answer, in which late bytes and late attempts would still show
 
 
@@ -221,14 +222,12 @@
             playing(scenario, seeds, log, fabric, GroundTruth(), make_nodes),
             wall_limit_s=scenario.wall_limit_s,
         )
-    except Stuck as stuck:
-        ended = f"stuck: {stuck}"
-        if stuck.host in {name for name in (f"n{i}" for i in range(scenario.nodes.count))}:
-            log.add(
-                NodeStateChanged(
-                    at_ms=fabric.clock.now(), node=stuck.host, state="stuck", text=str(stuck)[:300]
-                )
-            )
+    except LivelockError as livelock:
+        ended = f"stuck: {livelock}"
+        if livelock.host in {f"n{i}" for i in range(scenario.nodes.count)}:
+            now = fabric.clock.now()
+            text = str(livelock)[:MAX_LIVELOCK_CHARACTERS]
+            log.add(NodeStateChanged(at_ms=now, node=livelock.host, state="stuck", text=text))
     usage = made[0].usage() if made else {"node_cpu_s": 0.0, "node_memory_mb": 0.0, "counters": {}}
     return ended, usage
 
