--- a/benchmarks/budgets_cold.py
+++ b/benchmarks/budgets_cold.py
@@ -33,8 +33,9 @@
 from flintridge.lab.run import play
 from flintridge.lab.scenario.load import load
 from flintridge.lab.scenario.model import Replace, Scenario, Tenant
-from flintridge.policy import balancer
-from flintridge.policy.concurrency_limiter import OpenRequest
+from flintridge.policy.endpoint_state import Server
+from flintridge.policy.open_request import OpenRequest
+from flintridge.policy.server_selection import ServerSelection
 
 MODES = {"off": [], "cold": ["peers={}", "budgets={cold=true}"]}
 AT_S, LENGTH_S, WARMUP_S, WORK_MS = 2.0, 13.0, 9.0, 60.0
@@ -77,20 +78,21 @@
         self.met: set[str] = set()
         self.walked: set[str] = set()
         self.looks = self.dealt = 0
-        is_within_budget = balancer.Balancer.is_within_budget
+        is_within_budget = ServerSelection.is_within_budget
 
-        def counted(policy: balancer.Balancer, server: balancer.Server, request: OpenRequest) -> bool:
-            free = is_within_budget(policy, server, request)
-            if policy.warmth(server) < 1:
+        def counted(selection: ServerSelection, server: Server, request: OpenRequest, now: int) -> bool:
+            free = is_within_budget(selection, server, request, now)
+            slow_start = selection.slow_start
+            if slow_start.warmth(server.endpoint, now) < 1:
                 self.met.add(request.event.id)
                 self.looks += 1
-                self.dealt += policy.node_work() > policy.warm_work
+                self.dealt += slow_start.node_work() > slow_start.warm_work
                 if not free:
                     self.walked.add(request.event.id)
             return free
 
-        self._undo = lambda: setattr(balancer.Balancer, "is_within_budget", is_within_budget)
-        setattr(balancer.Balancer, "is_within_budget", counted)  # noqa: B010  mypy refuses an assignment
+        self._undo = lambda: setattr(ServerSelection, "is_within_budget", is_within_budget)
+        setattr(ServerSelection, "is_within_budget", counted)  # noqa: B010  mypy refuses an assignment
 
     def close(self) -> None:
         self._undo()
--- a/flintridge/lab/defects/planted.py
+++ b/flintridge/lab/defects/planted.py
@@ -16,8 +16,10 @@
 from flintridge.downstream.pipeline import PendingResponse
 from flintridge.lab.defects.wrapping import Alter, every, put, wrap_replies
 from flintridge.node import Node
+from flintridge.policy.admission_queue import AdmissionQueue
 from flintridge.policy.balancer import Balancer, Server
-from flintridge.policy.concurrency_limiter import ConcurrencyLimiter, OpenRequest
+from flintridge.policy.open_request import OpenRequest
+from flintridge.policy.slow_start import WarmUpUse, weight_root
 from flintridge.runtime.clock import sleep, to_ns
 from flintridge.upstream.connection import UpstreamConnection
 
@@ -209,26 +211,27 @@
     """The first attempt of what has this effect is awaited for `timeout_ns`, and then may_send's word on the
     effect does not count: time and number still bound the attempts."""
     balancer = balancer_of(node)
-    attempt_timeout_ns = balancer.attempt_timeout_ns
-    may_send = balancer.may_send
-    repeat_by = balancer.repeat_by
+    retries = balancer.retries
+    usual_timeout_ns = balancer.attempt_timeout.timeout_ns
+    may_send = retries.may_send
+    repeat_by = retries.repeat_by
 
-    def impatient(request: OpenRequest, limiter: ConcurrencyLimiter) -> int:
+    def impatient(request: OpenRequest, queue: AdmissionQueue, now: int) -> int:
         first = request.request_class.effect is effect and not request.attempts[1:]
-        return timeout_ns(request) if first else attempt_timeout_ns(request, limiter)
+        return timeout_ns(request) if first else usual_timeout_ns(request, queue, now)
 
-    def regardless(request: OpenRequest, server: Server) -> bool:
+    def regardless(request: OpenRequest, endpoint: api.Endpoint, now: int) -> bool:
         if request.request_class.effect is not effect:
-            return may_send(request, server)
-        in_time = balancer.now < request.event.deadline
-        return in_time and len(request.attempts) < balancer.settings.limits.max_attempts
+            return may_send(request, endpoint, now)
+        in_time = now < request.event.deadline
+        return in_time and len(request.attempts) < retries.max_attempts
 
     def always(request: OpenRequest) -> float:
         return math.inf if request.request_class.effect is effect else repeat_by(request)
 
-    put(balancer, "repeat_by", always)  # else the delivery would not write it
-    put(balancer, "attempt_timeout_ns", impatient)
-    put(balancer, "may_send", regardless)
+    put(retries, "repeat_by", always)  # else the delivery would not write it
+    put(balancer.attempt_timeout, "timeout_ns", impatient)
+    put(retries, "may_send", regardless)
 
 
 def refuses_what_may_have_run(node: Node) -> None:
@@ -247,7 +250,7 @@
     balancer = balancer_of(node)
     settings = balancer.settings
     more = replace(settings, limits=replace(settings.limits, max_attempts=1000))
-    put(balancer, "settings", more)
+    put(balancer.retries, "max_attempts", more.limits.max_attempts)
     put(node.core, "_settings", more)
 
 
@@ -345,40 +348,45 @@
     """A server that has just started is taken for a warm one, and for the best of all."""
     balancer = balancer_of(node)
 
-    def is_within_budget(server: Server, request: OpenRequest) -> bool:
+    def is_within_budget(endpoint: api.Endpoint, use: WarmUpUse, work: float, now: int) -> bool:
         return True
 
-    def warmth(server: Server) -> float:
+    def warmth(endpoint: api.Endpoint, now: int) -> float:
         return 1.0
 
-    put(balancer, "is_within_budget", is_within_budget)
-    put(balancer, "warmth", warmth)
+    def fraction(server: Server, now: int) -> float:
+        root = weight_root(server.endpoint.weight, balancer.table.max_weight)
+        return balancer.outliers.health(server, now) * root
+
+    put(balancer.slow_start, "is_within_budget", is_within_budget)
+    put(balancer.slow_start, "warmth", warmth)
+    put(balancer.outliers, "fraction", fraction)
     _prefer_cold(balancer, is_within_budget)
 
 
-def _prefer_cold(balancer: Balancer, may_get: Callable[[Server, OpenRequest], bool]) -> None:
+def _prefer_cold(balancer: Balancer, may_get: Callable[[api.Endpoint, WarmUpUse, float, int], bool]) -> None:
     """A cold server is picked before all others, as long as it may get more."""
-    pick = balancer.pick
+    pick = balancer.selection.pick
 
-    def eager(request: OpenRequest) -> str | None:
+    def eager(request: OpenRequest, now: int) -> str | None:
         cold_ns = balancer.settings.rules.slow_start_ns
         for name in balancer.ready:
             server = balancer.servers[name]
             started = server.endpoint.started_at
-            is_cold = started and balancer.now - started < cold_ns and name not in request.failed_servers
-            if is_cold and may_get(server, request):
+            is_cold = started and now - started < cold_ns and name not in request.failed_servers
+            if is_cold and may_get(server.endpoint, server.warm_up, request.work, now):
                 return name
-        return pick(request)
+        return pick(request, now)
 
-    put(balancer, "pick", eager)
+    put(balancer.selection, "pick", eager)
 
 
 def cold_budget_not_divided(node: Node) -> None:
     """Each node sends a cold server at once all that it may get from the whole fleet."""
     balancer = balancer_of(node)
-    node_work = balancer.node_work
-    put(balancer, "node_work", lambda: balancer.settings.fleet_size * node_work())
-    _prefer_cold(balancer, balancer.is_within_budget)
+    node_work = balancer.slow_start.node_work
+    put(balancer.slow_start, "node_work", lambda: balancer.settings.fleet_size * node_work())
+    _prefer_cold(balancer, balancer.slow_start.is_within_budget)
 
 
 def connection_leak(node: Node) -> None:
--- a/flintridge/lab/defects/sharing.py
+++ b/flintridge/lab/defects/sharing.py
@@ -17,4 +17,6 @@
     """The node looks whether a quota has room, and takes nothing from it."""
     module = node.core._policy
     assert isinstance(module, Balancer)
-    put(module, "try_take_token", lambda tenant: module.tokens(tenant) >= 1)
+    quotas = module.quotas
+    put(quotas, "try_take", lambda tenant, now: quotas.level(tenant, now) >= 1)
+    put(module.retries.budget, "try_take", lambda now: True)  # what is never taken from is never empty
--- a/flintridge/node.py
+++ b/flintridge/node.py
@@ -19,7 +19,8 @@
 from flintridge.discovery.overrides import EndpointOverrides
 from flintridge.discovery.watcher import DiscoveryWatcher, watch_wait_ms
 from flintridge.downstream.listener import Downstream
-from flintridge.policy.balancer import QUOTA_SLACK, Balancer
+from flintridge.policy.balancer import Balancer
+from flintridge.policy.quota import QUOTA_SLACK
 from flintridge.runtime.clock import Clock
 from flintridge.runtime.worker_processes import WorkerProcesses
 from flintridge.shutdown import GracefulShutdown, ServiceState, ShutdownTimes
--- /dev/null
+++ b/flintridge/policy/attempt_feedback.py
@@ -0,0 +1,79 @@
+"""Attempt feedback: what the end of an attempt tells each mechanism."""
+
+import random
+
+from flintridge.api import AttemptEnded, Outcome
+from flintridge.policy.concurrency_limiter import ConcurrencyLimiter, RoundResult
+from flintridge.policy.endpoint_state import Server
+from flintridge.policy.open_request import Attempt, OpenRequest
+from flintridge.policy.outlier_detection import OutlierDetection
+from flintridge.policy.quota import Quotas
+from flintridge.policy.slow_start import SlowStartBudget
+from flintridge.policy.stale_connections import StaleConnections
+
+NO_SIGN_OF_LOAD = (Outcome.CANCELLED, Outcome.WITHDRAWN, Outcome.CONNECT_FAILED)
+
+
+class AttemptFeedback:
+    """Has each mechanism take in what it can learn from an attempt, and nothing that has another cause."""
+
+    def __init__(
+        self,
+        connect_timeout_ns: int,
+        quotas: Quotas,
+        outliers: OutlierDetection,
+        slow_start: SlowStartBudget,
+        stale_connections: StaleConnections,
+        chance: random.Random,
+    ) -> None:
+        self._connect_timeout_ns = connect_timeout_ns
+        self._quotas = quotas
+        self._outliers = outliers
+        self._slow_start = slow_start
+        self._stale_connections = stale_connections
+        self._chance = chance
+
+    def record(
+        self,
+        request: OpenRequest,
+        attempt: Attempt,
+        server: Server,
+        limiter: ConcurrencyLimiter,
+        event: AttemptEnded,
+        is_cache: bool,
+        now: int,
+    ) -> None:
+        """Take in how an attempt ended.
+
+        Args:
+            request: Whose attempt it was.
+            attempt: It is no longer counted as in flight.
+            server: Where it was sent.
+            limiter: Whose permit it had.
+            event: How it ended.
+            is_cache: Whether it was at a cache server, not at the origin.
+            now: In nanoseconds.
+        """
+        outcome = event.outcome
+        is_success = outcome is Outcome.OK or outcome is Outcome.MISS
+        is_failure = not (is_success or event.malformed or outcome is Outcome.RESET)
+        is_stale = self._stale_connections.explains(outcome, attempt.idle_ns)
+        is_load = outcome not in NO_SIGN_OF_LOAD and not is_stale
+        if is_success or (is_load and not self._outliers.is_unhealthy(server, now)):
+            waited_ns = event.latency_ns - (request.event.work_ns or 0)  # a heavy request is no sign of load
+            if is_cache and attempt.idle_ns is None:
+                waited_ns -= self._connect_timeout_ns
+            is_slow = is_failure or waited_ns > request.slow_after_ns
+            result = limiter.record(now, is_slow, attempt.sent_at)
+            if result is not RoundResult.RUNNING:
+                self._quotas.record_round(result is RoundResult.BAD)
+        if is_cache:
+            self._stale_connections.record(server, outcome, attempt.idle_ns, now)
+            server.connect_backoff.record(outcome, now, self._chance)
+            if not is_stale:
+                expected_ns = request.event.work_ns or limiter.mean_latency_ns(request)
+                self._outliers.record(server, expected_ns, event, now, is_failure)
+        if outcome is Outcome.OK:
+            limiter.record_latency(request, event.latency_ns)
+            if is_cache:
+                self._slow_start.record_served(server.endpoint, request.work, now)
--- /dev/null
+++ b/flintridge/policy/attempt_timeout.py
@@ -0,0 +1,52 @@
+"""Attempt timeouts: how long a response is waited for before another server is asked."""
+
+from flintridge.api import Effect
+from flintridge.policy.admission_queue import AdmissionQueue
+from flintridge.policy.concurrency_limiter import ConcurrencyLimiter
+from flintridge.policy.open_request import OpenRequest
+from flintridge.policy.retry import RetryPolicy, less_stall
+from flintridge.policy.stale_connections import StaleConnections
+
+NS_PER_S = 1_000_000_000
+TIMEOUT_LATENCY_FACTOR = 4.0  # times the usual latency: an attempt may take as long at the least
+RECOVERED_AFTER_NS = 5 * NS_PER_S  # since a limit last decreased: there is capacity for more than is needed
+
+
+class AttemptTimeout:
+    """Decides on the timeout of each attempt."""
+
+    def __init__(self, retries: RetryPolicy, stale_connections: StaleConnections) -> None:
+        self._retries = retries
+        self._stale_connections = stale_connections
+
+    def timeout_ns(self, request: OpenRequest, queue: AdmissionQueue, now: int) -> int:
+        """How long to wait for the response to an attempt that starts now.
+
+        Args:
+            request: Whose attempt it is, counted already.
+            queue: Of the limiter whose permit it has.
+            now: In nanoseconds.
+
+        Returns:
+            In nanoseconds; 0: until the client gives up, as a repeat could do harm, add to load or be late.
+        """
+        may_be_repeated = (
+            not self._retries.is_last(request)
+            and self._has_capacity(queue.limiter, now)
+            and self._retries.is_repeatable(request, now)
+        )
+        if not may_be_repeated:
+            return 0
+        request_class = request.request_class
+        slow_ns = (request.event.work_ns or 0) + int(request.slow_after_ns)
+        timeout_ns = max(slow_ns, int(TIMEOUT_LATENCY_FACTOR * queue.limiter.mean_latency_ns(request)))
+        if timeout_ns > queue.latest_start(request) - now:
+            return 0
+        if request_class.effect is Effect.SAFE:
+            return timeout_ns
+        return timeout_ns if timeout_ns < less_stall(request_class.deduplication_window_ns) else 0
+
+    def _has_capacity(self, limiter: ConcurrencyLimiter, now: int) -> bool:
+        """Whether attempts may be repeated: not under load, unless it is connections that are lost."""
+        is_recovered = now > limiter.decreased_at + RECOVERED_AFTER_NS
+        return is_recovered or self._stale_connections.is_detected
--- a/flintridge/policy/concurrency_limiter.py
+++ b/flintridge/policy/concurrency_limiter.py
@@ -1,133 +1,138 @@
-"""Open requests, and the adaptive concurrency limiters in whose queues they wait for a permit."""
+"""Adaptive concurrency limiters: how many attempts may be in flight, by how many of them are slow."""
 
-import heapq
 import math
 from dataclasses import dataclass, field
+from enum import Enum
 
-from flintridge import api
+from flintridge.policy.open_request import OpenRequest
 
 NS_PER_MS = 1_000_000
 MAX_SLOW_FRACTION = 0.2  # of a round's attempts, before the limit decreases
 ROUND_MIN_ATTEMPTS = 8  # fewer slow ones may be chance
 EARLY_END_SLOW_ATTEMPTS = 4  # end the round of a node that never has ROUND_MIN_ATTEMPTS in flight
 MAX_DECREASE_FRACTION = 0.45  # of the limit, by a round whose attempts are all slow
-MAX_WITHDRAWN = 32  # attempts at a request that do not count; guards against one that never ends
-MAX_FIRST_WAIT_FRACTION = 0.45  # of its client's time that a request waits for its first attempt
+MIN_USED_FRACTION = 0.7  # of the limit; with fewer in flight a good round says nothing of a larger one
+INCREASE_FRACTION = 0.05  # of the limit, by a good round
+LATENCY_SMOOTHING = 0.05  # the weight of one response in the mean
+MIN_FLOOR = 0.1  # of a limit: enough to notice a recovery
+MAX_STEP = 1.0  # that a good round adds at least
 
 
-@dataclass(slots=True)
-class Attempt:
-    server: str
-    sent_at: int
-    idle_ns: int | None  # how long its connection was unused; None: it had to be opened
-    open: bool = True
-    withdrawn: bool = False
+class RoundResult(Enum):
+    """What an attempt's end means for its limiter's round."""
 
-
-@dataclass(slots=True, eq=False)
-class OpenRequest:
-    event: api.RequestReceived
-    request_class: api.RequestClass
-    slow_after_ns: float  # an attempt that takes longer counts as slow
-    work: float  # as expected, in milliseconds; 1 where nothing is known
-    first_arrived_at: int  # when its client sent it first, as far as known
-    arrived_at: int
-    over_quota: bool = False
-    limiter: "ConcurrencyLimiter | None" = None  # whose permit it waits for
-    missed_at: str | None = None  # the first server that missed: it stores what the origin answers
-    preferred: str | None = None  # the server that has just stored its key
-    attempts: list[Attempt] = field(default_factory=list)
-    failed_servers: list[str] = field(default_factory=list)
-    repeated_servers: list[str] = field(default_factory=list)  # that were asked once more
-    executed_at: int | None = None  # send of the first ended attempt that may have been executed
-    executed_by: api.Endpoint | None = None
-    done: bool = False
-
-    @property
-    def attempts_made(self) -> int:  # those that were withdrawn were never sent
-        withdrawn = sum(attempt.withdrawn for attempt in self.attempts)
-        return len(self.attempts) - min(withdrawn, MAX_WITHDRAWN)
+    RUNNING = "running"
+    """The round is not over."""
+    GOOD = "good"
+    BAD = "bad"
+    """Too many of its attempts were slow: the limit has decreased."""
 
 
 @dataclass(slots=True, eq=False)
 class ConcurrencyLimiter:
-    """Additive increase, multiplicative decrease by the fraction of a round's attempts that are slow."""
-
-    limit: float  # attempts in flight; below 1: one at a time, with a pause after each
-    floor: float = 1.0  # it never decreases below
-    max_permits: float = math.inf  # the allocation: what may be in flight whatever the limit
-    step: float = 1.0  # what a good round adds at least
+    """Additive increase, multiplicative decrease by the fraction of a round's attempts that are slow.
+
+    Attributes:
+        limit: Attempts in flight; below 1: one at a time, with a pause after each.
+        floor: It never decreases below.
+        max_permits: The allocation: what may be in flight whatever the limit.
+        step: What a good round adds at least.
+        inflight: Attempts in flight.
+        peak_inflight: The most of them in this round.
+        next_at: With a limit below 1, the next attempt may start at this instant, in nanoseconds.
+        decreased_at: When the limit last decreased; -inf: never.
+        doubling: Whether good rounds double the limit, which they do until the first bad one.
+        round_started_at: In nanoseconds.
+        round_attempts: Attempts that ended in this round.
+        round_slow: The slow ones of them.
+        latencies_ns: The usual latency of what was served, by request class.
+    """
+
+    limit: float
+    floor: float = 1.0
+    max_permits: float = math.inf
+    step: float = 1.0
     inflight: int = 0
-    peak_inflight: int = 0  # in this round
-    next_at: int = 0  # with a limit below 1, the next attempt may start then
+    peak_inflight: int = 0
+    next_at: int = 0
     decreased_at: float = -math.inf
-    doubling: bool = True  # until the first bad round
+    doubling: bool = True
     round_started_at: int = 0
     round_attempts: int = 0
     round_slow: int = 0
-    queue: list[tuple[float, int, OpenRequest]] = field(default_factory=list)  # heap
-    abandoned: int = 0  # entries of the queue whose requests are finished
-    timer_at: int = 0  # set for `next_at`
-    latencies_ns: dict[int, float] = field(default_factory=dict)  # means of what was served, by request class
+    latencies_ns: dict[int, float] = field(default_factory=dict)
+
+    def set_floor(self, attempts: float) -> None:
+        """Set this node's part of what all nodes' floors together admit, in attempts."""
+        self.floor = max(MIN_FLOOR, attempts)
+        self.step = min(MAX_STEP, self.floor)
+
+    def raise_while_doubling(self, limit: float) -> None:
+        """Start with a limit as large as this, unless a bad round has shown better."""
+        if self.doubling:
+            self.limit = max(self.limit, limit)
 
     def has_permit(self, now: int) -> bool:
+        """Whether one more attempt may start."""
         is_paused = self.inflight == 0 and now < self.next_at
         return self.inflight < min(self.max_permits, max(1.0, self.limit)) and not is_paused
 
+    def acquire(self) -> None:
+        """Count an attempt that starts."""
+        self.inflight += 1
+        if self.inflight > self.peak_inflight:
+            self.peak_inflight = self.inflight
+
     def release(self, now: int, latency_ns: int) -> None:
+        """Count an attempt that ended no more; with a limit below 1 the pause begins."""
         self.inflight -= 1
         self.next_at = now + int(latency_ns * (1 / self.limit - 1)) if self.limit < 1 else 0
 
-    def record(self, now: int, slow: bool, sent_at: int) -> bool | None:  # a bad round; None: no end
+    def record(self, now: int, slow: bool, sent_at: int) -> RoundResult:
+        """Take in an attempt that ended, and change the limit where its round is over.
+
+        Args:
+            now: In nanoseconds.
+            slow: Whether it was slow or failed.
+            sent_at: When it was sent; a round ends with an attempt that was sent in it.
+
+        Returns:
+            How the round stands.
+        """
         self.round_attempts += 1
         self.round_slow += slow
-        if self.round_attempts < self.round_length() or sent_at < self.round_started_at:
-            return None
+        if self.round_attempts < self._round_length() or sent_at < self.round_started_at:
+            return RoundResult.RUNNING
         is_bad = self.round_slow > MAX_SLOW_FRACTION * self.round_attempts
         if is_bad:
-            self.doubling = False
-            self.decreased_at = now
-            base = min(self.limit, max(self.peak_inflight, self.inflight) + 1)  # what was reached
-            slow_fraction = self.round_slow / self.round_attempts
-            self.limit = max(self.floor, base * (1 - MAX_DECREASE_FRACTION * slow_fraction**2))
-        elif self.inflight + 1 >= 0.7 * self.limit:
-            self.limit += self.limit if self.doubling else max(self.step, 0.05 * self.limit)
+            self._decrease(now)
+        elif self.inflight + 1 >= MIN_USED_FRACTION * self.limit:
+            self.limit += self.limit if self.doubling else max(self.step, INCREASE_FRACTION * self.limit)
         self.round_started_at = now
-        self.round_attempts = self.round_slow = 0
+        self.round_attempts = 0
+        self.round_slow = 0
         self.peak_inflight = self.inflight
-        return is_bad
-
-    def round_length(self) -> int:  # in attempts; a thin node's round ends once it is clearly slow
-        is_thin = self.peak_inflight < ROUND_MIN_ATTEMPTS
-        is_clearly_slow = is_thin and self.round_slow >= EARLY_END_SLOW_ATTEMPTS
-        return max(EARLY_END_SLOW_ATTEMPTS if is_clearly_slow else ROUND_MIN_ATTEMPTS, self.inflight)
+        return RoundResult.BAD if is_bad else RoundResult.GOOD
 
     def mean_latency_ns(self, request: OpenRequest, unknown_ns: float = 0.0) -> float:
+        """The usual latency of a request's class; `unknown_ns` where none was served."""
         return self.latencies_ns.get(request.event.class_index, unknown_ns)
 
     def record_latency(self, request: OpenRequest, latency_ns: int) -> None:
+        """Take in the latency of a request that was served."""
         mean_latency_ns = self.mean_latency_ns(request, float(latency_ns))
-        self.latencies_ns[request.event.class_index] = mean_latency_ns + 0.05 * (latency_ns - mean_latency_ns)
-
-    def push(self, request: OpenRequest, priority: float, order: int) -> None:  # the newest first of equals
-        request.limiter = self
-        heapq.heappush(self.queue, (-priority, -order, request))
-
-    def abandon(self) -> None:  # a finished request; entries are dropped many at once
-        self.abandoned += 1
-        if self.abandoned > 32 and self.abandoned > len(self.queue) / 2:
-            self.queue = [entry for entry in self.queue if entry[2].limiter is self and not entry[2].done]
-            heapq.heapify(self.queue)
-            self.abandoned = 0
-
-    def latest_start(self, request: OpenRequest) -> int:  # to be in time, or rejected early
-        request_class = request.request_class
-        mean_latency_ns = min(self.mean_latency_ns(request), request.slow_after_ns)
-        is_late_useful = request_class.late_weight_fraction > 0
-        useful_ns = request_class.deadline_ns if is_late_useful else request_class.latency_objective_ns
-        latest = min(request.first_arrived_at + useful_ns, request.event.deadline) - int(mean_latency_ns)
-        if all(attempt.withdrawn for attempt in request.attempts):
-            client_ns = request.event.deadline - request.arrived_at
-            wait_ns = max(0.0, MAX_FIRST_WAIT_FRACTION * client_ns - mean_latency_ns)
-            latest = min(latest, request.arrived_at + int(wait_ns))
-        return latest
+        smoothed_ns = mean_latency_ns + LATENCY_SMOOTHING * (latency_ns - mean_latency_ns)
+        self.latencies_ns[request.event.class_index] = smoothed_ns
+
+    def _decrease(self, now: int) -> None:
+        self.doubling = False
+        self.decreased_at = now
+        reached = min(self.limit, max(self.peak_inflight, self.inflight) + 1)
+        slow_fraction = self.round_slow / self.round_attempts
+        self.limit = max(self.floor, reached * (1 - MAX_DECREASE_FRACTION * slow_fraction**2))
+
+    def _round_length(self) -> int:
+        """In attempts: a thin node's round ends once it is clearly slow."""
+        is_thin = self.peak_inflight < ROUND_MIN_ATTEMPTS
+        is_clearly_slow = is_thin and self.round_slow >= EARLY_END_SLOW_ATTEMPTS
+        return max(EARLY_END_SLOW_ATTEMPTS if is_clearly_slow else ROUND_MIN_ATTEMPTS, self.inflight)
--- a/flintridge/policy/endpoint_state.py
+++ b/flintridge/policy/endpoint_state.py
@@ -6,37 +6,48 @@
 """
 
 from bisect import insort
-from collections import deque
-from dataclasses import dataclass, replace
+from dataclasses import dataclass, field, replace
 from itertools import islice
 
 from flintridge import api
-from flintridge.api import EndpointState
+from flintridge.api import EndpointState, UpdateKind
+from flintridge.policy.connect_backoff import ConnectBackoff
 from flintridge.policy.hash_ring import HashRing
-from flintridge.policy.slow_start import UNITS, WarmthSums
+from flintridge.policy.slow_start import UNITS, WarmthSums, WarmUpUse
 
 WHOLE_FLEET = 256  # servers; with fewer on the ring a change is put in at once: at most some 30 ms
 SLICE = 8  # servers put on a larger ring, or taken off it, in a call: under 2 ms
+SLICE_PAUSE_NS = 1_000_000  # between two slices
 SORTED_LATER = 4  # servers; more that come at once are sorted in when their buckets are looked at
 
 
 @dataclass(slots=True, eq=False)
 class Server:
-    """What this node knows of one server; cache servers and origins alike."""
+    """What this node knows of one server; cache servers and origins alike.
+
+    It goes when the server does, so what a mechanism knows of a server is kept here; each writes its own.
+
+    Attributes:
+        endpoint: As discovery names it.
+        number: On the ring.
+        inflight: This node's attempts there.
+        cost: Outlier detection: mean time for each unit of expected work; failures count as slow.
+        evidence: Outlier detection: outcomes behind the cost, at `cost_at`.
+        cost_at: Outlier detection: in nanoseconds.
+        used_at: Stale connections: when its connection was last in use; 0: there may be none.
+        connect_backoff: For how long it gets no requests, as it could not be connected to.
+        warm_up: What it was sent while warming up.
+    """
 
     endpoint: api.Endpoint
-    number: int  # on the ring
-    inflight: int = 0  # this node's attempts
-    cost: float = 0.0  # mean time for each unit of expected work; failures count as slow
-    evidence: float = 0.0  # outcomes behind the cost, at `cost_at`
+    number: int
+    inflight: int = 0
+    cost: float = 0.0
+    evidence: float = 0.0
     cost_at: int = 0
-    used_at: int = 0  # its connection, last; 0: there may be none
-    connect_failures: int = 0  # in a row
-    backoff_until: int = 0
-    recent_sends: deque[tuple[int, float]] | None = None  # while warming up, with their work; None: none yet
-    recent_work: float = 0.0
-    admission_draw: float = 0.0  # while warming up: of this rule window's first send, 0 to 1
-    draw_expires_at: int = 0
+    used_at: int = 0
+    connect_backoff: ConnectBackoff = field(default_factory=ConnectBackoff)
+    warm_up: WarmUpUse = field(default_factory=WarmUpUse)
 
 
 class ServerTable:
@@ -68,6 +79,15 @@
         self._weight_sum = 0  # in UNITS, of those ready
         self._weight_count = 0
 
+    def apply(self, event: api.EndpointUpdate) -> None:
+        """Take in a list or a change of it; whoever is absent from a full list is gone."""
+        listed = {endpoint.server: endpoint for endpoint in event.endpoints}
+        if event.kind is not UpdateKind.DELTA:
+            absent = [name for name in self.servers if name not in listed]
+            listed |= {name: api.Endpoint(name, EndpointState.GONE) for name in absent}
+        for endpoint in listed.values():
+            self.update(endpoint)
+
     def update(self, endpoint: api.Endpoint) -> None:
         """Take in what discovery says of one server; `settle` puts it on the ring."""
         server = self.servers.get(endpoint.server)
@@ -79,7 +99,7 @@
                 self._change(server, replace(server.endpoint, state=EndpointState.GONE, started_at=0))
         elif endpoint != server.endpoint:
             if endpoint.started_at != server.endpoint.started_at:
-                server.backoff_until = 0
+                server.connect_backoff.end()
             self._change(server, endpoint)
 
     def settle(self) -> bool:
--- /dev/null
+++ b/flintridge/policy/retry.py
@@ -0,0 +1,161 @@
+"""Retries: whether a request may be sent again, where, and until when."""
+
+import math
+from collections.abc import Collection
+from enum import Enum
+
+from flintridge import api
+from flintridge.api import AttemptEnded, DeduplicationScope, Effect, Outcome
+from flintridge.policy.open_request import Attempt, OpenRequest
+from flintridge.policy.quota import RetryBudget
+
+NS_PER_MS = 1_000_000
+STALL_ALLOWANCE_MS = 150.0  # a node may be held up for so long between a look at the clock and a write
+
+
+class AttemptEnd(Enum):
+    """How an attempt ended that did not give its request the final response."""
+
+    MISSED = "missed"
+    WITHDRAWN = "withdrawn"
+    BROKEN = "broken"
+    """Its response could not be read, or its connection broke."""
+    REJECTED = "rejected"
+    """The server had no capacity for it."""
+    FAILED = "failed"
+    """No response, or an error."""
+
+    @classmethod
+    def of(cls, event: AttemptEnded) -> "AttemptEnd":
+        """The kind of an attempt's end."""
+        outcome = event.outcome
+        if outcome is Outcome.MISS:
+            return cls.MISSED
+        if outcome is Outcome.WITHDRAWN:
+            return cls.WITHDRAWN
+        if event.malformed or outcome is Outcome.RESET:
+            return cls.BROKEN
+        return cls.REJECTED if outcome is Outcome.FULL else cls.FAILED
+
+
+class NextStep(Enum):
+    """What comes after an attempt that did not give its request the final response."""
+
+    GIVE_UP = "give up"
+    ASK_ORIGIN = "ask the origin"
+    ASK_ONCE_MORE = "ask once more"
+    """Whichever server is next on the ring: the same one may be."""
+    ASK_ANOTHER = "ask another"
+    """The server of the attempt is left out from now on."""
+    ASK_ANY = "ask any"
+    """The same one, for want of another."""
+
+
+STEPS: dict[tuple[AttemptEnd, bool], NextStep] = {  # by whether the attempt was at the origin
+    (AttemptEnd.MISSED, False): NextStep.ASK_ORIGIN,
+    (AttemptEnd.MISSED, True): NextStep.ASK_ORIGIN,
+    (AttemptEnd.WITHDRAWN, False): NextStep.ASK_ONCE_MORE,
+    (AttemptEnd.WITHDRAWN, True): NextStep.ASK_ORIGIN,
+    (AttemptEnd.BROKEN, False): NextStep.ASK_ONCE_MORE,
+    (AttemptEnd.BROKEN, True): NextStep.ASK_ONCE_MORE,
+    (AttemptEnd.REJECTED, False): NextStep.ASK_ANOTHER,
+    (AttemptEnd.REJECTED, True): NextStep.ASK_ANOTHER,
+    (AttemptEnd.FAILED, False): NextStep.ASK_ANOTHER,
+    (AttemptEnd.FAILED, True): NextStep.ASK_ONCE_MORE,  # what it answered was lost: it is stored by now
+}
+
+
+def less_stall(span_ns: int) -> int:
+    """How much of a drain's grace or a deduplication window a write may be decided in, in nanoseconds.
+
+    A stall right behind the last look at the clock then still ends within the span. Spans go down to 300 ms,
+    so the allowance takes no more than a half: with less of a window left no repeat would ever be sent.
+    """
+    return span_ns - min(int(STALL_ALLOWANCE_MS * NS_PER_MS), span_ns // 2)
+
+
+class RetryPolicy:
+    """Whether, where and until when requests are sent again.
+
+    Attributes:
+        budget: Of retries.
+        max_attempts: Of one request, its first one included.
+    """
+
+    def __init__(self, max_attempts: int, has_origin: bool) -> None:
+        self.budget = RetryBudget()
+        self.max_attempts = max_attempts
+        self._has_origin = has_origin
+
+    def next_step(
+        self,
+        request: OpenRequest,
+        attempt: Attempt,
+        event: AttemptEnded,
+        now: int,
+        ready: Collection[str],
+        origins: Collection[str],
+    ) -> NextStep:
+        """Decide what comes after an attempt, and note at the request which servers were asked.
+
+        Args:
+            request: Without attempts in flight.
+            attempt: The one that ended last.
+            event: How it ended.
+            now: In nanoseconds.
+            ready: The cache servers that can be picked.
+            origins: The origins that can be asked.
+        """
+        end = AttemptEnd.of(event)
+        is_retry = end is not AttemptEnd.WITHDRAWN and end is not AttemptEnd.MISSED
+        if now >= request.event.deadline or (is_retry and not self.budget.try_take(now)):
+            return NextStep.GIVE_UP
+        if self._has_origin and self.is_last(request):
+            return NextStep.ASK_ORIGIN  # the last attempt is kept for it: another cache can only miss
+        step = STEPS[end, attempt.server in origins]
+        if step is NextStep.ASK_ORIGIN and self._has_origin:
+            return step
+        if step is NextStep.ASK_ONCE_MORE and attempt.server not in request.repeated_servers:
+            request.repeated_servers.append(attempt.server)
+            return step
+        if end is AttemptEnd.WITHDRAWN and not set(ready) - {attempt.server, *request.failed_servers}:
+            return NextStep.ASK_ANY  # it is the only one, and no fault of it
+        request.failed_servers.append(attempt.server)
+        return NextStep.ASK_ANOTHER
+
+    def is_last(self, request: OpenRequest) -> bool:
+        """Whether the next attempt at a request is the last one."""
+        return request.attempts_made >= self.max_attempts - 1
+
+    def repeat_by(self, request: OpenRequest) -> float:
+        """The latest instant at which a request may be sent, in nanoseconds; inf: no limit."""
+        request_class = request.request_class
+        if request.executed_at is None or request_class.effect is Effect.SAFE:
+            return math.inf
+        if request_class.effect is Effect.KEYED:
+            return request.executed_at + less_stall(request_class.deduplication_window_ns)
+        return request.executed_at - 1
+
+    def is_repeatable(self, request: OpenRequest, now: int) -> bool:
+        """Whether a repeat of a request does no harm, at whichever server."""
+        request_class = request.request_class
+        if request_class.effect is Effect.KEYED:
+            is_everywhere = request_class.deduplication_scope is DeduplicationScope.ALL
+            return is_everywhere and now <= self.repeat_by(request)
+        return request_class.effect is Effect.SAFE
+
+    def may_send(self, request: OpenRequest, endpoint: api.Endpoint, now: int) -> bool:
+        """Whether a request may be sent to a server: within rule 2, the limit of attempts, and in time."""
+        is_late = now >= request.event.deadline or now > self.repeat_by(request)
+        if is_late or request.attempts_made >= self.max_attempts:
+            return False
+        first = request.executed_by
+        if first is None or self.is_repeatable(request, now):
+            return True
+        if request.request_class.deduplication_scope is DeduplicationScope.ZONE:
+            return first.zone == endpoint.zone
+        return first.cell == endpoint.cell
+
+    def may_come_again(self, request: OpenRequest, now: int) -> bool:
+        """Whether its client may send a request again without harm."""
+        return request.executed_at is None or self.is_repeatable(request, now)
--- /dev/null
+++ b/flintridge/policy/server_selection.py
@@ -0,0 +1,101 @@
+"""Server selection: the first server clockwise of a key that is below its cap of the bounded load."""
+
+import math
+
+from flintridge.policy.concurrency_limiter import ConcurrencyLimiter
+from flintridge.policy.endpoint_state import Server, ServerTable
+from flintridge.policy.hash_ring import NUMBER_MASK, POINTS, place_of
+from flintridge.policy.open_request import OpenRequest
+from flintridge.policy.outlier_detection import UNHEALTHY, OutlierDetection
+from flintridge.policy.slow_start import SlowStartBudget, weight_root
+
+LOAD_SLACK = 0.5  # a server may have this much more in flight than the average
+MIN_CAP = 2  # a node with about one attempt at a server can't tell a second one from chance
+MIN_CAP_UNHEALTHY = 1
+
+
+def cap_of(fraction: float, root: float, average: float) -> int:
+    """How many attempts a server may have in flight.
+
+    Args:
+        fraction: What it has of keys and of the cap.
+        root: Of its weight; its fraction is lower only while it is unhealthy or warming up.
+        average: In flight at a server with a fraction of 1, the new attempt included.
+    """
+    minimum = MIN_CAP if fraction >= UNHEALTHY * root else MIN_CAP_UNHEALTHY
+    return max(minimum, math.ceil((1 + LOAD_SLACK) * average * fraction))
+
+
+class ServerSelection:
+    """Picks the cache server for the next attempt at a request.
+
+    Attributes:
+        slow_start: The budget of servers that are warming up.
+    """
+
+    def __init__(
+        self,
+        table: ServerTable,
+        caches: ConcurrencyLimiter,
+        outliers: OutlierDetection,
+        slow_start: SlowStartBudget,
+    ) -> None:
+        self._table = table
+        self._caches = caches
+        self._outliers = outliers
+        self.slow_start = slow_start
+
+    def pick(self, request: OpenRequest, now: int) -> str | None:
+        """The server that has just stored the key, the first one clockwise that is free, or the last resort.
+
+        The last resort is the first one clockwise that is in connect backoff.
+
+        Args:
+            request: Servers that failed it are left out.
+            now: In nanoseconds.
+
+        Returns:
+            A name; None: no server can take it now.
+        """
+        table = self._table
+        ready = table.ready
+        if not ready:
+            return None
+        fractions = self._outliers.fresh_fractions(now)
+        made = fractions.made
+        average = (self._caches.inflight + 1) / fractions.sum
+        seen = set(request.failed_servers)
+        preferred = request.preferred
+        if preferred in ready and preferred not in seen:
+            server = ready[preferred]
+            root = weight_root(server.endpoint.weight, table.max_weight)
+            if self._is_free(server, cap_of(fractions[preferred], root, average), request, now):
+                return preferred
+        last_resort: str | None = None
+        remaining = len(ready) - sum(name in ready for name in seen)
+        for entry in table.ring.walk(place_of(request.event.key or request.event.id)):
+            if not remaining:
+                break
+            name = table.names[entry >> 8 & NUMBER_MASK]
+            candidate = ready.get(name)
+            if candidate is None or name in seen:  # None: it is on its way off the ring
+                continue
+            fraction = made.get(name) or fractions[name]
+            root = weight_root(candidate.endpoint.weight, table.max_weight)
+            if entry & 0xFF >= fraction * root * POINTS:
+                continue
+            seen.add(name)
+            remaining -= 1
+            if candidate.connect_backoff.until > now:
+                if last_resort is None and self.is_within_budget(candidate, request, now):
+                    last_resort = name
+            elif self._is_free(candidate, cap_of(fraction, root, average), request, now):
+                return name
+        return last_resort
+
+    def _is_free(self, server: Server, cap: int, request: OpenRequest, now: int) -> bool:
+        return server.inflight < cap and self.is_within_budget(server, request, now)
+
+    def is_within_budget(self, server: Server, request: OpenRequest, now: int) -> bool:
+        """Whether a server may be sent a request, with regard to its slow start."""
+        return self.slow_start.is_within_budget(server.endpoint, server.warm_up, request.work, now)
--- a/flintridge/policy/slow_start.py
+++ b/flintridge/policy/slow_start.py
@@ -1,4 +1,4 @@
-"""Slow start: how much of its capacity a server has by now, and the sum of that over a fleet.
+"""Slow start: how warm a server is, the sum of that over a fleet, and what may be sent there meanwhile.
 
 A server's warmth rises evenly from its start on, so the sum of many is worked out from the sums of their
 weight roots and of their starts, without a look at each. Servers change their phase by a heap of instants.
@@ -7,16 +7,20 @@
 import heapq
 import itertools
 import math
-from collections import Counter, defaultdict
-from collections.abc import Iterable
+import random
+from collections import Counter, defaultdict, deque
+from collections.abc import Collection, Iterable
 from dataclasses import dataclass
+from typing import NamedTuple, Protocol
 
 from flintridge import api
 
+NS_PER_S = 1_000_000_000
 UNITS = 1 << 64  # of 1.0: sums are whole numbers, exact, so no order of changes makes them differ
-SPARE_INSTANTS = (
-    64  # of servers that left before; more than those of the others besides, and the heap is made anew
-)
+SPARE_INSTANTS = 64  # of servers that left; more besides those of the others, and the heap is made anew
+SLOW_START_BUDGET_FRACTION = 0.5  # of what rule 4 allows: the estimate of capacity may be that far off
+WORK_SMOOTHING = 0.05  # the weight of one request in the mean
+WARM_WORK_FADING = 0.9  # a window: what a quiet hour leaves of what warm servers were seen to do
 
 
 def warmth_at(endpoint: api.Endpoint, rules: api.Rules, now: int) -> float:
@@ -165,3 +169,137 @@
                 sums.rising_by_start += by_start
                 warm_up.is_rising = True
                 self._push(endpoint.started_at + self._rules.slow_start_ns, warm_up)
+
+
+class SentWork(NamedTuple):
+    """An attempt that was sent to a server while it was warming up.
+
+    Attributes:
+        sent_at: In nanoseconds.
+        work: As expected, in milliseconds.
+    """
+
+    sent_at: int
+    work: float
+
+
+@dataclass(slots=True)
+class WarmUpUse:
+    """What this node has sent to a server that is warming up, within the last rule window.
+
+    Attributes:
+        sends: The oldest first; None: none yet.
+        work: Of all of them, in milliseconds.
+        draw: Of this rule window's first send, 0 to 1.
+        draw_expires_at: In nanoseconds.
+    """
+
+    sends: deque[SentWork] | None = None
+    work: float = 0.0
+    draw: float = 0.0
+    draw_expires_at: int = 0
+
+
+class ReadyServers(Protocol):
+    """What has to be known of the servers that can be picked.
+
+    Attributes:
+        mean_weight: Of those that have a weight.
+        warmth_sums: Of all.
+    """
+
+    mean_weight: float
+    warmth_sums: WarmthSums
+
+    @property
+    def ready(self) -> Collection[str]:
+        """Their names."""
+
+
+class SlowStartBudget:
+    """How much work this node sends to servers that are warming up, by what it sees warm ones do.
+
+    Attributes:
+        mean_work: Of requests, in milliseconds; 0: none came yet.
+        warm_work: The most that this node saw a warm server do in a rule window, in milliseconds; it fades.
+        allocated: What this node may send of the fleet's work there, in even parts.
+    """
+
+    def __init__(self, settings: api.Settings, servers: ReadyServers, chance: random.Random) -> None:
+        self.mean_work = 0.0
+        self.warm_work = 0.0
+        self.allocated = 1.0
+        self._rules = settings.rules
+        self._servers = servers
+        self._chance = chance
+        self._fleet_size = settings.fleet_size
+        window_ns = settings.rules.overload_window_ns
+        quotas_per_s = sum(tenant.quota_per_s for tenant in settings.tenants)
+        self._quota_requests = quotas_per_s * window_ns / NS_PER_S  # in a rule window
+        objective_ns = min((each.latency_objective_ns for each in settings.classes), default=0)
+        self._fewest_requests = window_ns / max(1, objective_ns)  # of one server; fewer would be of no use
+        self._window_started_at = 0
+        self._window_work = 0.0  # of all warm servers
+
+    def warmth(self, endpoint: api.Endpoint, now: int) -> float:
+        """The fraction of its capacity that a server has by now."""
+        return warmth_at(endpoint, self._rules, now)
+
+    def record_request(self, work: float) -> None:
+        """Take in the expected work of a request that was received, in milliseconds."""
+        self.mean_work = self.mean_work + WORK_SMOOTHING * (work - self.mean_work) if self.mean_work else work
+
+    def record_send(self, endpoint: api.Endpoint, use: WarmUpUse, work: float, now: int) -> None:
+        """Take in an attempt that is sent to a cache server."""
+        if self.warmth(endpoint, now) >= 1:
+            return
+        if use.sends is None:
+            use.sends = deque()
+        use.sends.append(SentWork(now, work))
+        use.work += work
+
+    def record_served(self, endpoint: api.Endpoint, work: float, now: int) -> None:
+        """Take in a request that a cache server served: the windows of warm ones show what they can do."""
+        window_ns = self._rules.overload_window_ns
+        if not window_ns or self.warmth(endpoint, now) < 1:
+            return
+        age_ns = now - self._window_started_at
+        if age_ns >= window_ns:
+            warm = len(self._servers.ready) - self._servers.warmth_sums.warming(now)
+            if warm and self._window_started_at:
+                seen = self._window_work / warm * window_ns / age_ns
+                self.warm_work = max(seen, WARM_WORK_FADING * self.warm_work)
+            self._window_started_at = now
+            self._window_work = 0.0
+        self._window_work += work
+
+    def is_within_budget(self, endpoint: api.Endpoint, use: WarmUpUse, work: float, now: int) -> bool:
+        """Whether a server may be sent a request; one that is warm always may.
+
+        Args:
+            endpoint: The server.
+            use: What it was sent.
+            work: Of the request, in milliseconds.
+            now: In nanoseconds.
+        """
+        rules = self._rules
+        warmth = self.warmth(endpoint, now)
+        if warmth == 1 or not rules.overload_multiple or not rules.overload_window_ns:
+            return True
+        while use.sends and use.sends[0].sent_at <= now - rules.overload_window_ns:
+            use.work -= use.sends.popleft().work
+        weight = (endpoint.weight or self._servers.mean_weight) / self._servers.mean_weight
+        budget = SLOW_START_BUDGET_FRACTION * rules.overload_multiple * warmth * self.node_work() * weight
+        if use.sends:
+            return use.work + work <= budget
+        use.work = 0.0  # less than one request is kept by chance
+        if now >= use.draw_expires_at:
+            use.draw = self._chance.random()
+            use.draw_expires_at = now + rules.overload_window_ns
+        return use.draw * max(self.mean_work, work) <= budget
+
+    def node_work(self) -> float:
+        """This node's part of what a warm server can do in a rule window, in milliseconds."""
+        requests = self._quota_requests / max(1, len(self._servers.ready)) or self._fewest_requests
+        even = requests * self.mean_work / self._fleet_size
+        return max(self.warm_work, even * self.allocated)
--- a/tests/discovery/test_endpoint_list.py
+++ b/tests/discovery/test_endpoint_list.py
@@ -9,6 +9,8 @@
 from flintridge.api import Endpoint, EndpointState, EndpointUpdate, UpdateKind
 from flintridge.discovery.endpoint_list import EndpointList
 from flintridge.policy.balancer import Balancer
+from flintridge.policy.connect_backoff import ConnectBackoff
+from flintridge.policy.slow_start import SentWork, WarmUpUse
 
 HOUR_MS = 3_600_000.0
 
@@ -146,10 +148,12 @@
     told, balancer = Told(ahead_ms=HOUR_MS), Balancer(SETTINGS, 1)
     balancer.handle(0, told.tell(True, a=1_000.0))
     server = balancer.servers["a"]
-    server.connect_failures, server.backoff_until, server.inflight, server.cost = 3, 10**18, 2, 0.5
-    server.recent_sends = deque([(1, 1.0)])
+    server.connect_backoff = ConnectBackoff(failures=3, until=10**18)
+    server.inflight, server.cost = 2, 0.5
+    server.warm_up = WarmUpUse(deque([SentWork(1, 1.0)]), work=1.0)
     told.clock.go(10_000.0)
     balancer.handle(0, told.tell(c=500.0))
     assert balancer.servers["a"] is server and server.endpoint.started_at > 0
-    assert (server.connect_failures, server.inflight, server.cost, len(server.recent_sends)) == (3, 2, 0.5, 1)
-    assert server.backoff_until == 0
+    assert (server.connect_backoff.failures, server.inflight, server.cost) == (3, 2, 0.5)
+    assert len(server.warm_up.sends) == 1 and server.warm_up.work == 1.0
+    assert server.connect_backoff.until == 0
--- a/tests/policy/test_allocations.py
+++ b/tests/policy/test_allocations.py
@@ -19,7 +19,7 @@
     """How many of a flood are admitted in so long; each is served at once."""
     served = 0
     for i in range(seconds * 200):
-        made.balancer.admitted_over_quota = (
+        made.balancer.quotas.admitted_over_quota = (
             over_quota  # at 0 what is beyond a quota is rejected, so that it shows
         )
         request_id = made.request(f"k{i}", tenant=tenant)
@@ -53,7 +53,7 @@
 def test_time_before_a_lease_counts_by_the_rate_of_before():
     """Else a node idle for long would have what its lender used meanwhile."""
     made = router()
-    made.balancer.rates_per_s[0] = 100.0  # a bucket deep enough to show
+    made.balancer.quotas.rates_per_s[0] = 100.0  # a bucket deep enough to show
     admitted(made, 2)
     made.notify(api.AllocationUpdate({0: 0.0}))
     made.advance(60 * S)
@@ -152,6 +152,6 @@
     tenants = (api.Tenant("one", 1000.0),)
     made = Router(count=4, tenants=tenants, fleet_size=20)
     made.request("k")
-    even = made.balancer.node_work()
+    even = made.balancer.slow_start.node_work()
     made.notify(api.AllocationUpdate(slow_start=5.0))
-    assert made.balancer.node_work() == pytest.approx(5 * even)
+    assert made.balancer.slow_start.node_work() == pytest.approx(5 * even)
--- a/tests/policy/test_concurrency_limiter.py
+++ b/tests/policy/test_concurrency_limiter.py
@@ -9,8 +9,8 @@
 
 from flintridge import api
 from flintridge.api import Outcome
-from flintridge.policy.balancer import UNHEALTHY
 from flintridge.policy.concurrency_limiter import ConcurrencyLimiter
+from flintridge.policy.outlier_detection import UNHEALTHY
 
 
 def rounds(limiter: ConcurrencyLimiter, now: int, slow: bool, count: int = 40) -> int:
@@ -76,7 +76,7 @@
             silent = router.server_of(request_id) == lost
             router.now += 10 * MS
             router.end_attempt(request_id, Outcome.RESET if silent else Outcome.OK)
-    assert router.balancer.health(router.balancer.servers[lost]) < UNHEALTHY
+    assert router.balancer.outliers.health(router.balancer.servers[lost], router.now) < UNHEALTHY
     limiter = router.balancer.caches
     limiter.round_attempts = limiter.round_slow = 0
     for _ in range(20):
@@ -108,7 +108,7 @@
         unhealthy = router.server_of(request_id) == "10.0.0.0:80"
         router.end_attempt(request_id, Outcome.FULL if unhealthy else Outcome.OK, final=True)
     caches = router.balancer.caches
-    assert router.balancer.fractions["10.0.0.0:80"] < UNHEALTHY
+    assert router.balancer.outliers.fractions["10.0.0.0:80"] < UNHEALTHY
     for key in (f"n{i}" for i in range(1000)):
         request_id = router.request(key)
         if router.server_of(request_id) == "10.0.0.0:80":
@@ -150,8 +150,9 @@
             router.advance(10 * MS)
             router.end_attempt(request_id, Outcome.OK)
     assert same > 80  # of 100: it has the key
-    router.balancer.refresh_fractions()
-    assert router.balancer.caches.decreased_at == -math.inf and min(router.balancer.fractions.values()) > 0.5
+    outliers = router.balancer.outliers
+    outliers.refresh(router.now)
+    assert router.balancer.caches.decreased_at == -math.inf and min(outliers.fractions.values()) > 0.5
 
 
 def test_a_round_of_a_thin_node_when_half_of_it_is_slow_already_then_ends():
--- a/tests/policy/test_endpoint_state.py
+++ b/tests/policy/test_endpoint_state.py
@@ -93,12 +93,12 @@
     router.advance(S)
     router.request("k")
     made.clear()
-    sorted_whole = list(router.balancer.ring.entries)
+    sorted_whole = list(router.balancer.table.ring.entries)
     gone = api.Endpoint("10.0.0.7:80", GONE)
     timers = len(router.timers)
     router.notify(delta(2, gone, api.Endpoint("new:80")))
     assert made == ["10.0.0.7:80", "new:80"] and len(router.timers) == timers
-    assert len(set(sorted_whole) ^ set(router.balancer.ring.entries)) == 2 * POINTS
+    assert len(set(sorted_whole) ^ set(router.balancer.table.ring.entries)) == 2 * POINTS
 
 
 def test_a_list_equal_to_the_one_held_touches_nothing(made):
@@ -122,7 +122,7 @@
         router.advance(1 * MS)
         assert len(made) - before <= SLICE
         assert len(router.timers) <= 1
-    assert len(router.balancer.ready) == len(router.balancer.ring.numbers) == count
+    assert len(router.balancer.ready) == len(router.balancer.table.ring.numbers) == count
     assert len(made) == count - 1
     assert {router.server_of(router.request(f"k{i}")) for i in range(50)} <= set(router.balancer.ready)
 
@@ -134,18 +134,18 @@
     router.advance(S)
     off = {m.server for m in members(WHOLE_FLEET + 100)} - {m.server for m in kept}
     router.notify(full(2, kept))
-    assert len(router.balancer.ready) == 100 < len(router.balancer.ring.numbers)
+    assert len(router.balancer.ready) == 100 < len(router.balancer.table.ring.numbers)
     servers = {router.server_of(router.request(f"k{i}")) for i in range(100)}
     assert servers and not servers & off
     router.advance(S)
-    assert len(router.balancer.ring.numbers) == 100 and len(router.balancer.servers) == 101
+    assert len(router.balancer.table.ring.numbers) == 100 and len(router.balancer.servers) == 101
 
 
 def test_two_thirds_that_leave_and_return_stand_where_they_stood():
     count = WHOLE_FLEET + 44
     router = Router(count=count)
     router.advance(S)
-    before = ring_by_name(router.balancer.ring, router.balancer.names)
+    before = ring_by_name(router.balancer.table.ring, router.balancer.table.names)
     for version, pause in ((2, S), (4, 3 * MS), (6, 0)):  # 0: they come back before they are off the ring
         router.notify(full(version, members(count // 3)))
         router.advance(pause)
@@ -153,8 +153,8 @@
         router.notify(full(version + 1, members(count)))
         router.advance(S)
         assert len(router.balancer.ready) == count
-        assert ring_by_name(router.balancer.ring, router.balancer.names) == before
-    assert len(router.balancer.names) <= count + 1
+        assert ring_by_name(router.balancer.table.ring, router.balancer.table.names) == before
+    assert len(router.balancer.table.names) <= count + 1
 
 
 def test_a_hundred_replaced_each_second_for_a_minute_leave_nothing_behind(made):
@@ -173,12 +173,12 @@
         router.advance(S)
         router.end_attempt(request_id, Outcome.OK)
     balancer = router.balancer
-    assert set(balancer.ready) == set(balancer.ring.numbers) == set(listed)
+    assert set(balancer.ready) == set(balancer.table.ring.numbers) == set(listed)
     assert len(made) == 60 * 200
-    assert len(balancer.servers) == 301 and len(balancer.names) <= 401
+    assert len(balancer.servers) == 301 and len(balancer.table.names) <= 401
     anew = HashRing()
-    anew.replace(balancer.ring.numbers)
-    assert list(anew.entries) == list(balancer.ring.entries)
+    anew.replace(balancer.table.ring.numbers)
+    assert list(anew.entries) == list(balancer.table.ring.entries)
 
 
 def test_lists_in_two_orders_give_one_ring():
@@ -198,7 +198,7 @@
     one = api.Endpoint("s:80", weight=2.0)
     router.notify(full(2, (one, replace(one, weight=3.0, zone=1), *members(2))))
     assert router.balancer.servers["s:80"].endpoint == replace(one, weight=3.0, zone=1)
-    assert len(router.balancer.ring.entries) == 3 * POINTS
+    assert len(router.balancer.table.ring.entries) == 3 * POINTS
     assert router.balancer.table.mean_weight == 5 / 3
 
 
@@ -223,7 +223,7 @@
     router.end_attempt(request_id, Outcome.OK)
     assert router.balancer.servers[server].inflight == 0
     assert router.balancer.table.max_weight == 4.0
-    assert len(router.balancer.ring.entries) == POINTS
+    assert len(router.balancer.table.ring.entries) == POINTS
 
 
 @pytest.mark.parametrize("count", [0, 1])
@@ -231,7 +231,7 @@
     router = Router(count=2)
     router.notify(full(2, members(count)))
     request_id = router.request("k")
-    assert len(router.balancer.ring.entries) == count * POINTS
+    assert len(router.balancer.table.ring.entries) == count * POINTS
     assert ((request_id, 0) in router.in_flight) == bool(count)
     router.notify(full(3, members(2)))
     assert len(router.balancer.ready) == 2
@@ -243,5 +243,5 @@
     router.notify(full(2, (started, *members(3)[1:])))
     for i in range(40):
         router.end_attempt(router.request(f"k{i}"), Outcome.OK)
-    held = {s for s, known in router.balancer.servers.items() if known.recent_sends is not None}
+    held = {s for s, known in router.balancer.servers.items() if known.warm_up.sends is not None}
     assert held == {started.server}
--- a/tests/policy/test_ordinary_path.py
+++ b/tests/policy/test_ordinary_path.py
@@ -7,8 +7,8 @@
 
 from flintridge import api
 from flintridge.api import EndpointState, Outcome, UpdateKind
-from flintridge.policy.balancer import LOAD_SLACK, MIN_CAP
 from flintridge.policy.hash_ring import place_of, points
+from flintridge.policy.server_selection import LOAD_SLACK, MIN_CAP
 
 CACHES = [m.server for m in members(5) if m.kind != ORIGIN_KIND]
 
@@ -146,8 +146,8 @@
         router.end_attempt(
             request_id, Outcome.ERROR if malformed else Outcome.OK, final=True, malformed=malformed
         )
-    router.balancer.refresh_fractions()
-    assert min(router.balancer.fractions.values()) > 0.8
+    router.balancer.outliers.refresh(router.now)
+    assert min(router.balancer.outliers.fractions.values()) > 0.8
 
 
 def test_a_machine_of_larger_weight_gets_as_many_more_keys_and_more_in_flight():
--- a/tests/policy/test_outlier_detection.py
+++ b/tests/policy/test_outlier_detection.py
@@ -7,7 +7,8 @@
 
 from flintridge import api
 from flintridge.api import Outcome
-from flintridge.policy.balancer import HEALTHY_COST_FACTOR, MIN_HEALTH, UNHEALTHY
+from flintridge.policy.outlier_detection import UNHEALTHY
+from flintridge.policy.server_fractions import HEALTHY_COST_FACTOR, MIN_HEALTH
 
 
 def servers_of_keys(router: Router, count: int = 300) -> list[str]:
@@ -31,7 +32,7 @@
         if request_id not in router.final_responses:
             router.now += 20 * MS
             router.end_attempt(request_id, Outcome.OK)
-    share = router.balancer.fraction(router.balancer.servers[bad])
+    share = router.balancer.outliers.fraction(router.balancer.servers[bad], router.now)
     assert MIN_HEALTH <= share < 0.3
     after = servers_of_keys(router, 100)
     assert 0 < after.count(bad) < 100 / 5 / 2  # left, not emptied: it is tried on
@@ -43,7 +44,8 @@
         request_id = router.request(f"k{i}")
         router.now += (20 if i < 150 else 400) * MS
         router.end_attempt(request_id, Outcome.OK)
-    assert all(router.balancer.fraction(router.balancer.servers[s]) > 0.6 for s in router.balancer.ready)
+    outliers = router.balancer.outliers
+    assert all(outliers.fraction(server, router.now) > 0.6 for server in router.balancer.ready.values())
 
 
 def test_a_cut_off_fraction_of_the_fleet_does_not_pass_for_usual():
@@ -57,7 +59,7 @@
             router.now += (60 if silent else 20) * MS
             router.end_attempt(request_id, Outcome.RESET if silent else Outcome.OK)
     for name in router.balancer.ready:
-        health = router.balancer.health(router.balancer.servers[name])
+        health = router.balancer.outliers.health(router.balancer.servers[name], router.now)
         assert health < UNHEALTHY if name in lost else health == 1
 
 
@@ -71,10 +73,10 @@
         router.end_attempt(request_id, Outcome.OK)
     bad = router.balancer.servers[router.server_of(request_id := router.request("k"))]
     router.end_attempt(request_id, Outcome.ERROR)
-    once = router.balancer.health(bad)
+    once = router.balancer.outliers.health(bad, router.now)
     router.now += 30 * S
     router.request("later")
-    assert once < 1 == router.balancer.health(bad)
+    assert once < 1 == router.balancer.outliers.health(bad, router.now)
 
 
 def test_failures_everywhere_do_not_make_costs_climb_without_end():
@@ -85,10 +87,10 @@
         request_id = router.request(f"k{i}")
         router.advance(10 * MS)
         router.end_attempt(request_id, Outcome.FULL if i % 3 == 0 and i > 60 else Outcome.OK, final=True)
-    balancer = router.balancer
-    assert balancer.fleet_cost <= HEALTHY_COST_FACTOR / MIN_HEALTH * 1.1
-    balancer.refresh_fractions()
-    assert min(balancer.fractions.values()) > 0.5
+    outliers = router.balancer.outliers
+    assert outliers.fleet_cost <= HEALTHY_COST_FACTOR / MIN_HEALTH * 1.1
+    outliers.refresh(router.now)
+    assert min(outliers.fractions.values()) > 0.5
 
 
 def test_one_unhealthy_machine_does_not_make_others_of_its_kind_look_unhealthy():
@@ -99,8 +101,8 @@
         unhealthy = router.server_of(request_id) == "10.0.0.0:80"
         router.advance(10 * MS)
         router.end_attempt(request_id, Outcome.FULL if unhealthy else Outcome.OK, final=True)
-    balancer = router.balancer
-    balancer.now = router.now + 60 * S  # what is known of each by itself has faded
-    balancer.refresh_fractions()
-    costs = [balancer.likely_cost(s, 1.0) for s in balancer.servers.values() if s.evidence]
+    outliers = router.balancer.outliers
+    now = router.now + 60 * S  # what is known of each by itself has faded
+    outliers.refresh(now)
+    costs = [outliers.likely_cost(s, 1.0, now) for s in router.balancer.servers.values() if s.evidence]
     assert max(costs) < 1.3, costs
--- a/tests/policy/test_retry.py
+++ b/tests/policy/test_retry.py
@@ -47,7 +47,7 @@
         pauses.append(router.now - tried_at)
     assert pauses[0] >= 500 * MS and pauses[3] >= 4 * S
     router.end_attempt(request_id, Outcome.OK)
-    assert router.balancer.servers[full].connect_failures == 0
+    assert router.balancer.servers[full].connect_backoff.failures == 0
 
 
 def test_silence_leaves_time_for_another_attempt_where_a_repeat_is_harmless():
--- a/tests/policy/test_server_fractions.py
+++ b/tests/policy/test_server_fractions.py
@@ -13,6 +13,7 @@
 from flintridge.policy import server_fractions
 from flintridge.policy.endpoint_state import SLICE, WHOLE_FLEET
 from flintridge.policy.hash_ring import HashRing, points
+from flintridge.policy.outlier_detection import OutlierDetection
 from flintridge.policy.server_fractions import JUDGED_SERVERS
 
 plain = settings(derandomize=True, deadline=None, database=None, max_examples=60)
@@ -49,26 +50,36 @@
         pass
 
 
-class PlainBalancer(Balancer):
+class PlainOutliers(OutlierDetection):
     """Looks at all servers for whatever it wants to know of the fleet, as it was done before."""
 
-    def __init__(self, settings, seed):
-        super().__init__(settings, seed)
+    def __init__(self, table, rules):
+        super().__init__(table, rules)
         self.fractions = PlainFractions()
-        self.ring = self.table.ring = PlainRing()
 
-    def refresh_fractions(self):
+    def refresh(self, now):
         baseline = self.fleet_cost
-        servers = [server for server in self.servers.values() if server.endpoint.server in self.ready]
+        servers = list(self._table.ready.values())
         if baseline:
-            costs = sorted(self.likely_cost(server, baseline) for server in servers)
+            costs = sorted(self.likely_cost(server, baseline, now) for server in servers)
             self.fleet_cost = costs[len(costs) // 3]
-        self.fractions = PlainFractions({s.endpoint.server: self.fraction(s) for s in servers})
+        self.fractions = PlainFractions({s.endpoint.server: self.fraction(s, now) for s in servers})
         self.fractions.sum = sum(self.fractions.values())
-        self.fractions_fresh_until = self.now + server_fractions.NS_PER_S // 2
+        self._fresh_until = now + server_fractions.NS_PER_S // 2
+
+
+class PlainBalancer(Balancer):
+    """A node with the plain mechanisms."""
+
+    def __init__(self, settings, seed):
+        super().__init__(settings, seed)
+        self.table.ring = PlainRing()
+        self.table.warmth_sums.warming = self.warming
+        self.outliers = PlainOutliers(self.table, settings.rules)
+        self.selection._outliers = self.feedback._outliers = self.outliers
 
     def warming(self, now):
-        return sum(self.warmth(server) < 1 for server in self.ready.values())
+        return sum(self.slow_start.warmth(server.endpoint, now) < 1 for server in self.ready.values())
 
 
 OUTCOMES = [Outcome.OK] * 4 + [Outcome.ERROR, Outcome.FULL, Outcome.RESET, Outcome.CONNECT_FAILED]
@@ -122,15 +133,15 @@
     for version, (kind, first, second) in enumerate(steps, 2):
         for router in routers:
             play(router, kind, first, second, version)
-        lazy, looking = (router.balancer for router in routers)
+        now = routers[0].now
+        lazy, looking = (router.balancer.outliers for router in routers)
         assert routers[0].sends == routers[1].sends
         assert routers[0].final_responses == routers[1].final_responses
         assert lazy.fleet_cost == looking.fleet_cost
-        lazy.now = looking.now = routers[0].now
-        if not lazy.ready:
+        if not routers[0].balancer.ready:
             continue
-        lazy.refresh_fractions()
-        looking.refresh_fractions()
+        lazy.refresh(now)
+        looking.refresh(now)
         assert dict(lazy.fractions) == dict(looking.fractions)
         assert lazy.fractions.sum == pytest.approx(looking.fractions.sum, rel=1e-12)
 
@@ -165,11 +176,10 @@
     bad = {served(router, f"bad{i}", Outcome.ERROR) for i in range(3)}
     router.advance(S)
     calls.update(dict.fromkeys(calls, 0))
-    router.balancer.now = router.now
-    router.balancer.refresh_fractions()
+    router.balancer.outliers.refresh(router.now)
     assert calls["likely_cost_at"] <= len(used | bad)
     assert calls["warmth_at"] <= 2 * len(bad) and calls["weight_root"] <= 2 * len(bad)
-    assert router.balancer.fractions.sum < len(router.balancer.ready)
+    assert router.balancer.outliers.fractions.sum < len(router.balancer.ready)
 
 
 def test_a_refresh_while_the_whole_of_a_large_fleet_warms_up_looks_at_none(calls):
@@ -179,10 +189,9 @@
     router.notify(api.EndpointUpdate(UpdateKind.FULL, 2, listed))
     router.advance(S)
     calls.update(dict.fromkeys(calls, 0))
-    router.balancer.now = router.now
-    router.balancer.refresh_fractions()
+    router.balancer.outliers.refresh(router.now)
     assert calls == dict.fromkeys(calls, 0)
-    assert router.balancer.fractions.sum == pytest.approx((0.3 + 0.7 * 0.1) * count)
+    assert router.balancer.outliers.fractions.sum == pytest.approx((0.3 + 0.7 * 0.1) * count)
 
 
 def test_what_is_known_of_many_servers_is_forgotten_once_it_is_faint():
@@ -197,7 +206,7 @@
     for i in range(2 * len(used)):
         served(router, f"k{i % 5}")
     known = [s for s in balancer.servers.values() if s.evidence]
-    assert len(known) == JUDGED_SERVERS == len(balancer.fractions._judged)
+    assert len(known) == JUDGED_SERVERS == len(balancer.outliers.fractions._judged)
 
 
 def test_what_is_known_of_few_servers_is_kept_however_old():
@@ -220,4 +229,4 @@
         new = api.Endpoint(f"new{i}:80")
         router.notify(api.EndpointUpdate(UpdateKind.DELTA, 2 + i, (gone, new)))
     served(router, "k")
-    assert len(router.balancer.fractions._judged) == 1
+    assert len(router.balancer.outliers.fractions._judged) == 1
--- a/tests/policy/test_server_selection.py
+++ b/tests/policy/test_server_selection.py
@@ -33,7 +33,7 @@
     """Guards the node's core in a zone loss: each pick then walked the whole ring, about 1 ms of CPU."""
 
     router = Router(count=4)
-    ring = router.balancer.ring
+    ring = router.balancer.table.ring
     walk = ring.walk
     walked: list[int] = []
 
@@ -47,11 +47,11 @@
     request = router.balancer.open_requests[request_id]
     request.failed_servers = list(router.balancer.ready)
     walked.clear()
-    assert router.balancer.pick(request) is None
+    assert router.balancer.selection.pick(request, router.now) is None
     assert len(walked) <= 1  # the first entry is at hand before the walk is seen to be over
     request.failed_servers = request.failed_servers[:1]
     for server in router.balancer.servers.values():
-        server.backoff_until = router.now + S
+        server.connect_backoff.until = router.now + S
     walked.clear()
-    assert router.balancer.pick(request) in router.balancer.ready
+    assert router.balancer.selection.pick(request, router.now) in router.balancer.ready
     assert 0 < len(walked) < len(ring.entries) / 4
--- a/tests/policy/test_servers.py
+++ b/tests/policy/test_servers.py
@@ -37,12 +37,12 @@
                 len(x)
                 for x in (
                     b.servers,
-                    b.names,
-                    b.ring.entries,
+                    b.table.names,
+                    b.table.ring.entries,
                     b.open_requests,
                     b.timers,
                     b.rejected,
-                    b.fractions,
+                    b.outliers.fractions,
                 )
             ]
         )
@@ -59,5 +59,5 @@
     router.end_attempt(out, Outcome.RESET, final=True)
     assert server not in router.balancer.servers
     router.notify(api.EndpointUpdate(UpdateKind.DELTA, 4, (api.Endpoint("newer:80"),)))
-    names = {s: router.balancer.names[known.number] for s, known in router.balancer.servers.items()}
+    names = {s: router.balancer.table.names[known.number] for s, known in router.balancer.servers.items()}
     assert all(s == name for s, name in names.items()) and len(names) == 5
--- a/tests/policy/test_withdrawn_attempts.py
+++ b/tests/policy/test_withdrawn_attempts.py
@@ -5,7 +5,7 @@
 
 from flintridge import api
 from flintridge.api import Outcome
-from flintridge.policy.concurrency_limiter import MAX_WITHDRAWN
+from flintridge.policy.open_request import MAX_WITHDRAWN
 
 PAUSE_NS = 10 * MS
 
@@ -29,7 +29,7 @@
     assert request_id not in router.final_responses
     assert servers[:2] == [first, first]  # its own server, once more
     assert len(set(servers)) == caches  # a lack of ports may be towards one server only
-    assert not any(server.backoff_until for server in router.balancer.servers.values())
+    assert not any(server.connect_backoff.until for server in router.balancer.servers.values())
     router.end_attempt(request_id, Outcome.MISS)
     assert router.server_of(request_id) == "10.9.9.9:80"
     withdraw(router, request_id, 4)
--- a/tests/upstream/test_stalls.py
+++ b/tests/upstream/test_stalls.py
@@ -9,7 +9,7 @@
 
 from flintridge.api import Outcome
 from flintridge.core.response import AttemptResult
-from flintridge.policy.balancer import STALL_ALLOWANCE_MS
+from flintridge.policy.retry import STALL_ALLOWANCE_MS
 
 STALL_MS = STALL_ALLOWANCE_MS
 WITHDRAWN = AttemptResult(Outcome.WITHDRAWN)
