--- a/flintridge/lab/defects/planted.py
+++ b/flintridge/lab/defects/planted.py
@@ -17,7 +17,8 @@
 from flintridge.lab.defects.wrapping import Alter, every, put, wrap_replies
 from flintridge.node import Node
 from flintridge.policy.admission_queue import AdmissionQueue
-from flintridge.policy.balancer import Balancer, Server
+from flintridge.policy.balancer import Balancer
+from flintridge.policy.endpoint_state import Server
 from flintridge.policy.open_request import OpenRequest
 from flintridge.policy.slow_start import WarmUpUse, weight_root
 from flintridge.runtime.clock import sleep, to_ns
--- a/flintridge/policy/balancer.py
+++ b/flintridge/policy/balancer.py
@@ -1,77 +1,34 @@
 """The order of events in a node's decisions: what happens on each, and which mechanism decides.
 
-Each mechanism has a module of its own, owns its state, is given the time and returns what it decided. Here
-alone that becomes actions and timers. Why each is there: docs/design/policy.md.
+Each mechanism owns its state and returns what it decided; here alone that becomes actions and timers.
 """
 
 import itertools
-import math
 import random
 from collections.abc import Callable
 from functools import partial
 
 from flintridge import api
-from flintridge.api import Outcome, UpdateKind
-from flintridge.policy.admission_queue import AdmissionQueue, AdmissionQueues, priority_of
-from flintridge.policy.attempt_feedback import AttemptFeedback
-from flintridge.policy.attempt_timeout import AttemptTimeout
-from flintridge.policy.endpoint_state import SLICE_PAUSE_NS, Server, ServerTable
+from flintridge.policy.admission_queue import AdmissionQueue, priority_of
+from flintridge.policy.endpoint_state import SLICE_PAUSE_NS
+from flintridge.policy.mechanisms import Mechanisms
 from flintridge.policy.open_request import Attempt, OpenRequest
-from flintridge.policy.outlier_detection import OutlierDetection
-from flintridge.policy.quota import Quotas
-from flintridge.policy.rejected_requests import RejectedRequests, Rejection, retry_after_ns
-from flintridge.policy.request_coalescing import RequestCoalescing
-from flintridge.policy.retry import NextStep, RetryPolicy, less_stall
-from flintridge.policy.server_selection import ServerSelection
-from flintridge.policy.slow_start import SlowStartBudget
-from flintridge.policy.stale_connections import StaleConnections
-from flintridge.policy.watch_backoff import WatchBackoff
+from flintridge.policy.rejected_requests import retry_after_ns
+from flintridge.policy.retry import NextStep
 
-__all__ = ["Balancer", "Server"]
 
-LIMIT_PER_SERVER = 2.0  # at the caches, while their limit still doubles
-
-
-class Balancer:
+class Balancer(Mechanisms):
     """The decisions of one node: events in, actions out; only `handle` is called from outside."""
 
     def __init__(self, settings: api.Settings, seed: int) -> None:
-        self.settings = settings
-        self.random = random.Random(seed)
+        super().__init__(settings, random.Random(seed))
         self.now = 0
         self.actions: list[api.Action] = []
         self.timers: dict[int, Callable[[], None]] = {}
         self.order = itertools.count()  # of timers, and of requests that wait
         self.allocation = api.AllocationUpdate()
         self.open_requests: dict[str, OpenRequest] = {}
-        origin_kind = settings.origin_kind if settings.mode is api.CacheMode.ASIDE else None
-        limits = settings.limits
-        self.watch_backoff = WatchBackoff(settings.discovery, self.random)
-        self.table = ServerTable(origin_kind, settings.rules)
-        self.servers = self.table.servers
-        self.ready = self.table.ready
         self.is_settling = False  # a timer is set to put in the rest of a long list
-        self.queues = AdmissionQueues(origin_kind)
-        self.caches = self.queues.caches.limiter
-        self.origin = self.queues.origin.limiter
-        self.quotas = Quotas(settings.tenants, settings.fleet_size, self.random)
-        self.rejected = RejectedRequests(settings.classes, limits.max_open)
-        self.outliers = OutlierDetection(self.table, settings.rules)
-        self.slow_start = SlowStartBudget(settings, self.table, self.random)
-        self.selection = ServerSelection(self.table, self.caches, self.outliers, self.slow_start)
-        self.coalescing = RequestCoalescing()
-        self.stale_connections = StaleConnections(limits.conn_idle_ns)
-        self.retries = RetryPolicy(limits.max_attempts, origin_kind is not None)
-        self.attempt_timeout = AttemptTimeout(self.retries, self.stale_connections)
-        self.feedback = AttemptFeedback(
-            limits.connect_timeout_ns,
-            self.quotas,
-            self.outliers,
-            self.slow_start,
-            self.stale_connections,
-            self.random,
-        )
-        self._begin_within_ns = less_stall(settings.rules.drain_grace_ns) or math.inf
         self._handlers: dict[type, Callable[..., None]] = {  # health checks and peers' messages are not used
             api.EndpointUpdate: self._on_endpoints,
             api.RequestReceived: self._on_request,
@@ -102,16 +59,15 @@
         return self.actions
 
     # Endpoint lists and allocations
-
     def _on_endpoints(self, event: api.EndpointUpdate) -> None:
-        if event.kind is UpdateKind.FAILED:
-            pause_ns = self.watch_backoff.record_failure()
-            self._set_timer(self.now + pause_ns, lambda: self.actions.append(api.Watch()))
+        if event.kind is api.UpdateKind.FAILED:
+            next_at = self.now + self.watch_backoff.record_failure()
+            self._set_timer(next_at, lambda: self.actions.append(api.Watch()))
             return
         self.watch_backoff.record_success()
         self.table.apply(event)
         self._settle_servers()
-        if event.kind is UpdateKind.CACHED and self.settings.discovery is api.DiscoveryMode.POLLED:
+        if event.kind is api.UpdateKind.CACHED and self.settings.discovery is api.DiscoveryMode.POLLED:
             self.actions.append(api.Watch())
 
     def _settle_servers(self) -> None:
@@ -119,7 +75,7 @@
         is_left = self.table.settle()
         self.outliers.expire()
         self.queues.apply(self.allocation, len(self.ready) / self.settings.fleet_size)
-        self.caches.raise_while_doubling(LIMIT_PER_SERVER * len(self.ready))
+        self.caches.start_with(len(self.ready))
         if is_left and not self.is_settling:
             self.is_settling = True
             self._set_timer(self.now + SLICE_PAUSE_NS, self._settle_on)
@@ -136,7 +92,6 @@
         self.queues.apply(event, len(self.ready) / self.settings.fleet_size)
 
     # A request: its quota, its wait for a permit, its attempts
-
     def _on_request(self, event: api.RequestReceived) -> None:
         if event.id in self.open_requests:
             return
@@ -186,10 +141,9 @@
 
     def _send_to_cache(self, request: OpenRequest) -> bool:
         server = self.selection.pick(request, self.now)
-        if server is None:
-            return False
-        self._send(request, server)
-        return True
+        if server is not None:
+            self._send(request, server)
+        return server is not None
 
     def _send_to_origin(self, request: OpenRequest) -> bool:
         """One fetch for each key; who finds one in flight waits for it."""
@@ -198,9 +152,8 @@
         server = next((name for name in self.table.origins if name not in request.failed_servers), None)
         if server is None:
             self._reject_or_fail(request)
-            return True
-        self._send(request, server)
-        if not request.done:
+        else:
+            self._send(request, server)
             self.coalescing.begin(request)
         return True
 
@@ -215,8 +168,7 @@
         if idle_ns is not None and idle_ns > self.stale_connections.closed_after_ns:
             self.actions.append(api.CloseIdleConnections(name))
             idle_ns = None
-        if not request.attempts:
-            self.retries.budget.record_first_attempt(now)
+        self.retries.record_send(request, now)
         request.attempts.append(Attempt(name, now, idle_ns))
         server.inflight += 1
         queue = self.queues.of_server(server)
@@ -224,12 +176,11 @@
         if queue is self.queues.caches:
             self.slow_start.record_send(server.endpoint, server.warm_up, request.work, now)
         timeout_ns = self.attempt_timeout.timeout_ns(request, queue, now)
-        begin_by = now + self._begin_within_ns  # of a drain that is notified now
+        begin_by = self.retries.begin_by(now)
         written_by = self.retries.repeat_by(request)
         self.actions.append(api.Send(request.event.id, name, timeout_ns, begin_by, written_by))
 
     # An attempt's end, and what comes next
-
     def _on_attempt_ended(self, event: api.AttemptEnded) -> None:
         request = self.open_requests.get(event.id)
         attempt = None if request is None else request.open_attempt(event.attempt)
@@ -243,20 +194,16 @@
         queue.limiter.release(self.now, event.latency_ns)
         self.feedback.record(request, attempt, server, queue.limiter, event, is_cache, self.now)
         request.record_end(attempt, event.outcome, server.endpoint)
-        if not is_cache:
-            self._end_fetch(request, event.outcome)
+        if not is_cache:  # its followers go on, to the server that has stored it or to the origin
+            stored_at = request.missed_at if event.outcome is api.Outcome.OK else None
+            for follower in self.coalescing.end(request, stored_at):
+                self._enqueue(follower, self.queues.wanted(asks_origin=stored_at is None))
         if event.final or request.done:
             self._finish(request)
         elif not request.is_in_flight:
             self._continue(request, attempt, event)
         self._admit(queue)
 
-    def _end_fetch(self, request: OpenRequest, outcome: Outcome) -> None:
-        """Let those go on that waited for a fetch: to the server that has stored it, or to the origin."""
-        stored_at = request.missed_at if outcome is Outcome.OK else None
-        for follower in self.coalescing.end(request, stored_at):
-            self._enqueue(follower, self.queues.wanted(asks_origin=stored_at is None))
-
     def _continue(self, request: OpenRequest, attempt: Attempt, event: api.AttemptEnded) -> None:
         """Go on with a request whose last attempt gave it no final response."""
         step = self.retries.next_step(request, attempt, event, self.now, self.ready, self.table.origins)
@@ -266,12 +213,10 @@
             self._enqueue(request, self.queues.wanted(step is NextStep.ASK_ORIGIN or request.event.write))
 
     # A request's end, and timers
-
     def _reject_or_fail(self, request: OpenRequest) -> None:
         """Reject a request where a repeat is harmless, else fail it."""
         event = request.event
-        rejection = Rejection(request.first_arrived_at, request.over_quota)
-        self.rejected.remember(event, rejection, self.now)
+        self.rejected.remember(request, self.now)
         if self.retries.may_come_again(request, self.now):
             queue = self.queues.wanted(event.write or request.missed_at is not None)
             wait_ns = retry_after_ns(request, self.quotas, queue, self.settings.limits, self.now)
--- a/flintridge/policy/rejected_requests.py
+++ b/flintridge/policy/rejected_requests.py
@@ -82,18 +82,12 @@
     def __len__(self) -> int:
         return len(self._rejections)
 
-    def remember(self, event: api.RequestReceived, rejection: Rejection, now: int) -> None:
-        """Remember a rejection in place of an earlier one of the same fingerprint.
-
-        Args:
-            event: The request.
-            rejection: What to remember of it.
-            now: In nanoseconds.
-        """
+    def remember(self, request: OpenRequest, now: int) -> None:
+        """Remember a request that is rejected now, in place of an earlier one of the same fingerprint."""
         rejections = self._rejections
-        newest = Fingerprint.of(event)
+        newest = Fingerprint.of(request.event)
         rejections.pop(newest, None)
-        rejections[newest] = rejection
+        rejections[newest] = Rejection(request.first_arrived_at, request.over_quota)
         for oldest in list(itertools.islice(rejections, EXPIRED_A_CALL)):
             if self._is_expired(rejections[oldest], oldest.class_index, now):
                 del rejections[oldest]
--- a/flintridge/policy/request_coalescing.py
+++ b/flintridge/policy/request_coalescing.py
@@ -26,9 +26,9 @@
         return True
 
     def begin(self, request: OpenRequest) -> None:
-        """Have the reads of this request's key follow it from now on."""
+        """Have the reads of this request's key follow it from now on, unless it ended when it was sent."""
         key = _fetched_key(request.event)
-        if key is not None:
+        if key is not None and not request.done:
             self._followers[key] = []
 
     def end(self, request: OpenRequest, stored_at: str | None) -> list[OpenRequest]:
--- a/flintridge/policy/retry.py
+++ b/flintridge/policy/retry.py
@@ -82,11 +82,17 @@
         max_attempts: Of one request, its first one included.
     """
 
-    def __init__(self, max_attempts: int, has_origin: bool) -> None:
+    def __init__(self, max_attempts: int, drain_grace_ns: int, has_origin: bool) -> None:
         self.budget = RetryBudget()
         self.max_attempts = max_attempts
+        self._begin_within_ns = less_stall(drain_grace_ns) or math.inf
         self._has_origin = has_origin
 
+    def record_send(self, request: OpenRequest, now: int) -> None:
+        """Take in that an attempt at a request is about to be sent: the first allows for some retries."""
+        if not request.attempts:
+            self.budget.record_first_attempt(now)
+
     def next_step(
         self,
         request: OpenRequest,
@@ -127,6 +133,10 @@
         """Whether the next attempt at a request is the last one."""
         return request.attempts_made >= self.max_attempts - 1
 
+    def begin_by(self, now: int) -> float:
+        """The latest instant at which an attempt may begin, should its server be notified of a drain now."""
+        return now + self._begin_within_ns
+
     def repeat_by(self, request: OpenRequest) -> float:
         """The latest instant at which a request may be sent, in nanoseconds; inf: no limit."""
         request_class = request.request_class
