--- a/flintridge/policy/open_request.py
+++ b/flintridge/policy/open_request.py
@@ -29,14 +29,12 @@
         sent_at: In nanoseconds.
         idle_ns: How long its connection was unused; None: it had to be opened.
         open: Whether it is in flight.
-        withdrawn: Whether it ended without having been sent.
     """
 
     server: str
     sent_at: int
     idle_ns: int | None
     open: bool = True
-    withdrawn: bool = False
 
 
 @dataclass(slots=True, eq=False)
@@ -55,6 +53,8 @@
         missed_at: The first server that missed: it stores what the origin answers.
         preferred: The server that has just stored its key.
         attempts: All of them, in order.
+        ended: How many of them have ended ...
+        withdrawn: ... and how many of these without having been sent.
         failed_servers: Those that it is not sent to again.
         repeated_servers: Those that were asked once more.
         executed_at: When the first ended attempt was sent that may have been executed.
@@ -73,6 +73,8 @@
     missed_at: str | None = None
     preferred: str | None = None
     attempts: list[Attempt] = field(default_factory=list)
+    ended: int = 0
+    withdrawn: int = 0
     failed_servers: list[str] = field(default_factory=list)
     repeated_servers: list[str] = field(default_factory=list)
     executed_at: int | None = None
@@ -89,20 +91,17 @@
     @property
     def attempts_made(self) -> int:
         """How many attempts count: those that were withdrawn were never sent."""
-        if not self.attempts:
-            return 0
-        withdrawn = sum(attempt.withdrawn for attempt in self.attempts)
-        return len(self.attempts) - min(withdrawn, MAX_WITHDRAWN)
+        return len(self.attempts) - min(self.withdrawn, MAX_WITHDRAWN)
 
     @property
     def is_unsent(self) -> bool:
         """Whether nothing was ever written for it."""
-        return all(attempt.withdrawn for attempt in self.attempts)
+        return self.withdrawn == len(self.attempts)
 
     @property
     def is_in_flight(self) -> bool:
         """Whether one of its attempts is."""
-        return any(attempt.open for attempt in self.attempts)
+        return self.ended < len(self.attempts)
 
     def open_attempt(self, position: int) -> Attempt | None:
         """The attempt at a position; None: there is none there, or it has ended."""
@@ -120,7 +119,9 @@
             endpoint: The server.
         """
         attempt.open = False
-        attempt.withdrawn = outcome is Outcome.WITHDRAWN
+        self.ended += 1
+        if outcome is Outcome.WITHDRAWN:
+            self.withdrawn += 1
         if outcome is Outcome.MISS and self.missed_at is None:
             self.missed_at = attempt.server
         if outcome not in NEVER_EXECUTED and self.executed_at is None:
--- a/flintridge/policy/stale_connections.py
+++ b/flintridge/policy/stale_connections.py
@@ -91,7 +91,10 @@
         if self._lost_at <= since:
             return math.inf
         recent = [outcome for outcome in self._outcomes if outcome.ended_at > since]
-        all_lost = sum(outcome.is_lost for outcome in recent)
+        all_lost = 0
+        for outcome in recent:
+            if outcome.is_lost:
+                all_lost += 1
         if all_lost < MIN_LOST:
             return math.inf
         recent.sort(key=lambda outcome: (outcome.idle_ns, outcome.is_lost), reverse=True)
