--- /dev/null
+++ b/tests/policy/test_connect_backoff.py
@@ -0,0 +1,39 @@
+"""Connect backoff: how it grows, and what ends it."""
+
+import random
+
+import pytest
+from support.policy import START, S
+
+from flintridge.api import Outcome
+from flintridge.policy.connect_backoff import CONNECT_BACKOFF_MAX_NS, ConnectBackoff
+
+
+def failed(times: int) -> ConnectBackoff:
+    backoff = ConnectBackoff()
+    for _ in range(times):
+        backoff.record(Outcome.CONNECT_FAILED, START, random.Random(times))
+    return backoff
+
+
+@pytest.mark.parametrize(("failures", "longest"), [(1, S), (2, 2 * S), (4, 8 * S), (5, 16 * S), (90, 16 * S)])
+def test_each_failure_in_a_row_doubles_the_backoff_up_to_a_limit(failures, longest):
+    backoff = failed(failures)
+    assert backoff.failures == failures
+    assert longest / 2 <= backoff.until - START <= longest <= CONNECT_BACKOFF_MAX_NS
+
+
+@pytest.mark.parametrize("outcome", [each for each in Outcome if each is not Outcome.CONNECT_FAILED])
+def test_an_outcome_ends_the_backoff_only_where_there_was_a_connection(outcome):
+    says_nothing = outcome in (Outcome.CANCELLED, Outcome.WITHDRAWN, Outcome.TIMEOUT)
+    backoff = failed(3)
+    backoff.record(outcome, START + S, random.Random(1))
+    assert (backoff.failures == 3 and backoff.until > START) if says_nothing else backoff == ConnectBackoff()
+
+
+def test_a_backoff_that_is_ended_goes_on_as_long_after_the_next_failure():
+    backoff = failed(3)
+    backoff.end()
+    assert (backoff.failures, backoff.until) == (3, 0)
+    backoff.record(Outcome.CONNECT_FAILED, START, random.Random(1))
+    assert backoff.until - START >= 4 * S
--- a/tests/policy/test_quota.py
+++ b/tests/policy/test_quota.py
@@ -3,10 +3,20 @@
 Each test fails without the code that answers its failure.
 """
 
-from support.policy import MS, Router
+import random
+
+import pytest
+from hypothesis import given, settings
+from hypothesis import strategies as st
+from support.policy import MS, Router, S
 
 from flintridge import api
 from flintridge.api import Outcome
+from flintridge.policy.quota import MIN_DEPTH_TOKENS, QUOTA_SLACK, Quotas, RetryBudget, TokenBucket
+
+plain = settings(derandomize=True, deadline=None, database=None, max_examples=100)
+rates = st.sampled_from([0.0, 0.5, 4.0, 100.0])
+pauses = st.sampled_from([0, 1 * MS, 300 * MS, 2 * S, 100 * S])
 
 
 def test_a_tenant_beyond_its_quota_waits_behind():
@@ -45,3 +55,91 @@
                 router.end_attempt(request_id, outcome)
             router.advance(100 * MS)
         assert least <= router.balancer.quotas.admitted_over_quota <= most
+
+
+@given(rate=rates, pauses=st.lists(pauses, max_size=60))
+@plain
+def test_a_bucket_gives_no_more_than_its_depth_and_what_came_in_since(rate, pauses):
+    bucket = TokenBucket.full(rate, 0)
+    depth = max(MIN_DEPTH_TOKENS, rate)
+    now, taken = 0, 0
+    for pause in pauses:
+        now += pause
+        before = bucket.level(now)
+        assert 0 <= before <= depth
+        assert bucket.try_take(now) is (before >= 1)
+        taken += before >= 1
+        assert bucket.level(now) == (before - 1 if before >= 1 else before)
+    assert taken <= depth + rate * now / S + 1e-6
+
+
+@given(rate=st.sampled_from([0.5, 4.0, 100.0]), taken=st.integers(0, 20), steps=st.integers(1, 10))
+@plain
+def test_tokens_come_in_alike_however_often_a_bucket_is_looked_at(rate, taken, steps):
+    one, often = TokenBucket.full(rate, 0), TokenBucket.full(rate, 0)
+    for _ in range(taken):
+        assert one.try_take(0) is often.try_take(0)
+    for step in range(1, steps + 1):
+        often.set_rate(rate, step * 100 * MS)
+    assert often.level(steps * 100 * MS) == pytest.approx(one.level(steps * 100 * MS))
+
+
+@given(rate=st.sampled_from([0.5, 4.0, 100.0]), taken=st.integers(0, 200))
+@plain
+def test_after_the_wait_that_a_bucket_names_there_is_a_token(rate, taken):
+    bucket = TokenBucket.full(rate, 0)
+    for _ in range(taken):
+        bucket.try_take(0)
+    wait_ns = bucket.wait_ns(0)
+    assert (wait_ns <= 0) is (bucket.level(0) >= 1)
+    assert bucket.level(int(wait_ns) + 1) >= 1 - 1e-6
+
+
+def test_a_rate_counts_from_its_change_on():
+    bucket = TokenBucket(1.0, 0.0, 0)
+    bucket.set_rate(10.0, 2 * S)
+    assert bucket.level(2 * S) == 2 and bucket.level(2 * S + 100 * MS) == 3
+
+
+def quotas(**allocation) -> Quotas:
+    made = Quotas((api.Tenant("one", 10.0), api.Tenant("free")), 5, random.Random(1))
+    made.apply(api.AllocationUpdate(**allocation), 0)
+    return made
+
+
+@pytest.mark.parametrize(
+    ("tenant", "allocated", "rate_per_s"),
+    [
+        (0, {}, QUOTA_SLACK * 2),
+        (0, {0: 2.0}, QUOTA_SLACK * 4),
+        (0, {0: 0.0}, 0),
+        (1, {1: 2.0}, 0),
+        (7, {}, 0),
+    ],
+)
+def test_a_rate_is_this_nodes_part_of_the_quota_times_its_allocation(tenant, allocated, rate_per_s):
+    made = quotas(tenants=allocated)
+    assert made.rate_per_s(tenant) == rate_per_s
+    assert (made.wait_ns(tenant, 0) is None) is (rate_per_s == 0)
+    admitted = sum(made.try_take(tenant, 0) for _ in range(50))
+    assert admitted == (8 if tenant == 0 else 50)  # without a quota all are
+
+
+@pytest.mark.parametrize(
+    ("strict", "admitted", "expected"), [(True, 1.0, 0), (False, 1.0, 9), (False, 0.0, 0)]
+)
+def test_what_is_beyond_a_quota_is_admitted_by_chance_unless_quotas_are_strict(strict, admitted, expected):
+    made = quotas(strict_quotas=strict)
+    made.admitted_over_quota = admitted
+    assert sum(made.admits_beyond() for _ in range(9)) == expected
+
+
+def test_a_retry_budget_without_a_limit_admits_all_and_one_with_a_rate_what_came_in():
+    budget = RetryBudget()
+    assert all(budget.try_take(0) for _ in range(100))
+    budget.apply(api.AllocationUpdate({-1: 2.0}, retries_per_s=2.0, retries_per_attempt=0.5), 0)
+    assert sum(budget.try_take(0) for _ in range(100)) == MIN_DEPTH_TOKENS
+    budget.record_first_attempt(0)
+    budget.record_first_attempt(0)
+    assert sum(budget.try_take(0) for _ in range(10)) == 1
+    assert sum(budget.try_take(S) for _ in range(10)) == 4
--- a/tests/policy/test_request_coalescing.py
+++ b/tests/policy/test_request_coalescing.py
@@ -3,9 +3,12 @@
 Each test fails without the code that answers its failure.
 """
 
-from support.policy import Router
+import pytest
+from support.policy import Router, open_request
 
 from flintridge.api import Outcome
+from flintridge.policy.open_request import Upstream
+from flintridge.policy.request_coalescing import RequestCoalescing
 
 
 def test_reads_of_one_key_are_coalesced_into_a_fetch():
@@ -26,3 +29,38 @@
         router.end_attempt(request_id, Outcome.MISS)
     router.end_attempt(request_ids[0], Outcome.ERROR)
     assert router.server_of(request_ids[1]) == "10.9.9.9:80"
+
+
+def waiting(key: str | None = "k", **changes):
+    return open_request(key, **({"waits_for": Upstream.ORIGIN} | changes))
+
+
+@pytest.mark.parametrize(
+    ("fetching", "coming", "follows"),
+    [
+        ({}, {}, True),
+        ({}, {"key": "other"}, False),
+        ({}, {"write": True}, False),
+        ({"write": True}, {}, False),
+        ({"done": True}, {}, False),  # it ended when it was sent
+        ({"key": None}, {"key": None}, False),
+    ],
+)
+def test_only_a_read_follows_a_fetch_and_only_one_of_its_key_that_is_in_flight(fetching, coming, follows):
+    coalescing = RequestCoalescing()
+    coalescing.begin(waiting(**fetching))
+    assert coalescing.follow(waiting(**coming)) is follows
+
+
+def test_a_fetch_that_ends_gives_back_in_order_who_still_waits_and_prefers_where_it_is_stored():
+    coalescing = RequestCoalescing()
+    fetch, first, gone, answered, last = waiting(), waiting(), waiting(), waiting(), waiting()
+    coalescing.begin(fetch)
+    for request in (first, gone, answered, last):
+        assert coalescing.follow(request)
+    gone.waits_for = None
+    answered.done = True
+    assert coalescing.end(fetch, "s1") == [first, last]
+    assert first.preferred == last.preferred == "s1" and gone.preferred is None
+    assert len(coalescing) == 0 and coalescing.end(fetch, None) == []
+    assert not coalescing.follow(first)
--- a/tests/support/policy.py
+++ b/tests/support/policy.py
@@ -2,6 +2,7 @@
 
 from flintridge import Balancer, api
 from flintridge.api import Outcome
+from flintridge.policy.open_request import Attempt, OpenRequest
 
 MS = 1_000_000
 S = 1_000 * MS
@@ -45,6 +46,35 @@
     return (*caches, api.Endpoint("10.9.9.9:80", kind=ORIGIN_KIND))
 
 
+def open_request(key: str | None = "k", now: int = START, **changes) -> OpenRequest:
+    """A request as it arrives; what `OpenRequest` has no field for is the event's or its class's."""
+    event = {"deadline": now + 2 * S, "id": "r1"}
+    request_class = {"latency_objective_ns": 500 * MS, "deadline_ns": 2 * S}
+    for name in list(changes):
+        if name in api.RequestReceived.__slots__:
+            event[name] = changes.pop(name)
+        elif name in api.RequestClass.__slots__:
+            request_class[name] = changes.pop(name)
+    received = api.RequestReceived(key=key, **event)
+    request = OpenRequest.received(received, api.RequestClass(**request_class), now)
+    for name, value in changes.items():
+        setattr(request, name, value)
+    return request
+
+
+def attempted(request: OpenRequest, server: str, outcome: Outcome, cell: int = 0) -> Attempt:
+    """An attempt at a request that has ended."""
+    attempt = Attempt(server, START, None)
+    request.attempts.append(attempt)
+    request.record_end(attempt, outcome, api.Endpoint(server, cell=cell))
+    return attempt
+
+
+def ended(outcome: Outcome, latency_ns: int = 10 * MS, **changes) -> api.AttemptEnded:
+    """The event of an attempt's end."""
+    return api.AttemptEnded("r1", 0, "s", outcome, latency_ns, False, **changes)
+
+
 class Router:
     def __init__(self, count: int = 5, seed: int = 1, **changes) -> None:
         self.settings = settings(**changes)
