--- a/tests/policy/test_admission_queue.py
+++ b/tests/policy/test_admission_queue.py
@@ -3,10 +3,24 @@
 Each test fails without the code that answers its failure.
 """
 
-from support.policy import MS, Router, S
+import itertools
+
+import pytest
+from hypothesis import given, settings
+from hypothesis import strategies as st
+from support.policy import MS, START, Router, S, attempted, open_request
 
 from flintridge import api
 from flintridge.api import Outcome
+from flintridge.policy.admission_queue import (
+    MAX_PASSED_OVER,
+    AdmissionQueue,
+    AdmissionQueues,
+    priority_of,
+)
+from flintridge.policy.concurrency_limiter import ConcurrencyLimiter
+from flintridge.policy.endpoint_state import Server
+from flintridge.policy.open_request import OpenRequest, Upstream
 
 
 def test_work_without_a_permit_is_rejected_before_its_latency_objective():
@@ -75,3 +89,125 @@
         deadline=router.now + 100 * MS
     )  # but not with less time left than half its objective
     assert isinstance(router.final_responses.get(late), api.Reject)
+
+
+plain = settings(derandomize=True, deadline=None, database=None, max_examples=100)
+
+
+def make_queue(permits: float = 1e9) -> AdmissionQueue:
+    return AdmissionQueue(Upstream.CACHES, ConcurrencyLimiter(permits))
+
+
+def admitted(queue: AdmissionQueue, now: int = START, sends=lambda request: True) -> list[OpenRequest]:
+    """Those that are sent; each has its permit for good."""
+    sent: list[OpenRequest] = []
+
+    def try_send(request: OpenRequest) -> bool:
+        if not sends(request):
+            return False
+        request.waits_for = None
+        queue.limiter.acquire()
+        sent.append(request)
+        return True
+
+    queue.admit(now, try_send, queue.abandon)
+    return sent
+
+
+@given(priorities=st.lists(st.sampled_from([0.1, 1.0, 1.0, 8.0]), max_size=80), data=st.data())
+@plain
+def test_the_order_is_that_of_priorities_and_the_newest_first_whoever_leaves(priorities, data):
+    queue = make_queue()
+    waiting = [(priority, order, open_request()) for order, priority in enumerate(priorities)]
+    for priority, order, request in waiting:
+        queue.push(request, priority, order)
+    leaving = data.draw(st.sets(st.sampled_from(range(len(waiting))))) if waiting else set()
+    for index in leaving:
+        waiting[index][2].done = True
+        queue.abandon(waiting[index][2])
+    assert queue.waiting == len(waiting) - len(leaving)
+    staying = [entry for index, entry in enumerate(waiting) if index not in leaving]
+    staying.sort(key=lambda entry: (-entry[0], -entry[1]))
+    assert admitted(queue) == [request for _, _, request in staying]
+
+
+def test_requests_without_a_free_server_wait_on_where_they_were():
+    queue = make_queue()
+    requests = [open_request() for _ in range(MAX_PASSED_OVER + 2)]
+    for order, request in enumerate(requests):
+        queue.push(request, 1.0, order)
+    newest = requests[-1]
+    assert admitted(queue, sends=lambda request: request is not newest)[0] is requests[-2]
+    queue = make_queue()
+    for order, request in enumerate(requests):
+        queue.push(request, 1.0, order)
+    offered: list[OpenRequest] = []
+    assert admitted(queue, sends=offered.append) == []
+    assert offered == requests[: -MAX_PASSED_OVER - 1 : -1]  # those behind are not tried
+    assert admitted(queue) == requests[::-1]
+
+
+def test_nobody_is_admitted_without_a_permit_and_the_end_of_a_pause_is_named_once():
+    queue = make_queue(permits=0.5)
+    first, second = open_request(), open_request()
+    queue.push(first, 1.0, 0)
+    queue.push(second, 1.0, 1)
+    assert admitted(queue) == [second]
+    queue.limiter.release(START, 100 * MS)
+    wake_ups = [queue.admit(START, pytest.fail, pytest.fail) for _ in range(2)]
+    assert wake_ups == [START + 100 * MS, None]
+    assert admitted(queue, START + 100 * MS) == [first]
+
+
+def test_who_can_no_longer_be_in_time_is_not_sent():
+    queue = make_queue()
+    request = open_request()
+    queue.push(request, 1.0, 0)
+    assert admitted(queue, queue.latest_start(request) + 1) == [] and queue.waiting == 0
+
+
+@pytest.mark.parametrize(
+    ("changes", "usual_ms", "expected_ms"),
+    [
+        ({}, 0, 500),  # its objective
+        ({"late_weight_fraction": 0.1}, 0, 900),  # 0.45 of its client's time
+        ({"late_weight_fraction": 0.1}, 100, 800),
+        ({}, 100, 400),
+        ({}, 400, 250),  # a slow spell counts up to half of the objective
+        ({"deadline": START + 1000 * MS}, 0, 450),
+        ({"first_arrived_at": START - 300 * MS}, 0, 200),  # a retry
+    ],
+)
+def test_the_latest_start_leaves_time_for_the_usual_latency(changes, usual_ms, expected_ms):
+    queue = make_queue()
+    queue.limiter.latencies_ns[0] = usual_ms * MS
+    request = open_request(**changes)
+    assert queue.latest_start(request) == START + expected_ms * MS
+    attempted(request, "s", Outcome.ERROR)  # now it may wait until the end
+    assert queue.latest_start(request) >= START + expected_ms * MS
+
+
+@pytest.mark.parametrize(
+    ("over_quota", "by_work", "usual_ms", "expected"),
+    [(False, True, 50, 4.0), (True, True, 50, 1.0), (False, False, 50, 0.08), (False, False, 0, 4.0)],
+)
+def test_priority_is_the_weight_of_a_unit_of_work(over_quota, by_work, usual_ms, expected):
+    request = open_request(priority_weight=4.0, over_quota=over_quota)
+    made = api.Settings(weight_by_work=by_work, over_quota_weight=0.25)
+    assert priority_of(request, made, usual_ms * MS) == pytest.approx(expected / (1 if by_work else MS))
+
+
+@pytest.mark.parametrize(
+    ("origin_kind", "kind", "is_origin"), [(9, 9, True), (9, 0, False), (None, 9, False), (None, 0, False)]
+)
+def test_without_an_origin_all_goes_through_the_queue_of_the_caches(origin_kind, kind, is_origin):
+    queues = AdmissionQueues(origin_kind)
+    server = api.Endpoint("s", kind=kind)
+    assert (queues.of_server(Server(server, 0)) is queues.origin) is is_origin
+    assert (queues.wanted(asks_origin=True) is queues.origin) is (origin_kind is not None)
+    assert queues.wanted(asks_origin=False) is queues.caches
+    request = open_request()
+    assert queues.waited_in(request) is None
+    for queue, order in zip((queues.caches, queues.origin), itertools.count(), strict=False):
+        queue.push(request, 1.0, order)
+        assert queues.waited_in(request) is queue
--- a/tests/policy/test_retry.py
+++ b/tests/policy/test_retry.py
@@ -3,10 +3,16 @@
 Each test fails without the code that answers its failure.
 """
 
-from support.policy import MS, Router, S
+import math
+
+import pytest
+from support.policy import MS, START, Router, S, attempted, ended, open_request
 
 from flintridge import api
-from flintridge.api import Outcome
+from flintridge.api import DeduplicationScope, Effect, Outcome
+from flintridge.policy.retry import STEPS, AttemptEnd, NextStep, RetryPolicy, less_stall
+
+ORIGIN, HOME = "origin", "s1"
 
 
 def test_a_retry_goes_on_from_its_first_arrival():
@@ -101,3 +107,128 @@
         assert router.server_of(request_id) != origin  # it may be stored by now
         router.end_attempt(request_id, Outcome.MISS)
         assert (request_id not in router.final_responses and router.server_of(request_id) == origin) is again
+
+
+@pytest.mark.parametrize(
+    ("outcome", "malformed", "expected"),
+    [
+        (Outcome.MISS, False, AttemptEnd.MISSED),
+        (Outcome.WITHDRAWN, False, AttemptEnd.WITHDRAWN),
+        (Outcome.RESET, False, AttemptEnd.BROKEN),
+        (Outcome.ERROR, True, AttemptEnd.BROKEN),
+        (Outcome.FULL, True, AttemptEnd.BROKEN),
+        (Outcome.FULL, False, AttemptEnd.REJECTED),
+        (Outcome.ERROR, False, AttemptEnd.FAILED),
+        (Outcome.TIMEOUT, False, AttemptEnd.FAILED),
+        (Outcome.CONNECT_FAILED, False, AttemptEnd.FAILED),
+        (Outcome.CANCELLED, False, AttemptEnd.FAILED),
+    ],
+)
+def test_each_outcome_is_one_kind_of_end(outcome, malformed, expected):
+    assert AttemptEnd.of(ended(outcome, malformed=malformed)) is expected
+
+
+def next_step(outcome: Outcome, server: str = HOME, now: int = START, has_origin: bool = True, **changes):
+    """What comes after the attempt of a request that has others left; and that request."""
+    policy = RetryPolicy(changes.pop("max_attempts", 9), 0, has_origin)
+    policy.budget.apply(api.AllocationUpdate(retries_per_s=0.001), START)
+    for _ in range(changes.pop("spent", 0)):
+        assert policy.budget.try_take(START)
+    ready = changes.pop("ready", (HOME, "s2"))
+    request = open_request(**changes)
+    attempt = attempted(request, server, outcome)
+    step = policy.next_step(request, attempt, ended(outcome), now, ready, (ORIGIN,) if has_origin else ())
+    return step, request
+
+
+TABLE = {  # at a cache, at the origin
+    Outcome.MISS: (NextStep.ASK_ORIGIN, NextStep.ASK_ORIGIN),
+    Outcome.WITHDRAWN: (NextStep.ASK_ONCE_MORE, NextStep.ASK_ORIGIN),
+    Outcome.RESET: (NextStep.ASK_ONCE_MORE, NextStep.ASK_ONCE_MORE),
+    Outcome.FULL: (NextStep.ASK_ANOTHER, NextStep.ASK_ANOTHER),
+    Outcome.ERROR: (NextStep.ASK_ANOTHER, NextStep.ASK_ONCE_MORE),
+    Outcome.TIMEOUT: (NextStep.ASK_ANOTHER, NextStep.ASK_ONCE_MORE),
+    Outcome.CONNECT_FAILED: (NextStep.ASK_ANOTHER, NextStep.ASK_ONCE_MORE),
+}
+
+
+@pytest.mark.parametrize("server", [HOME, ORIGIN])
+@pytest.mark.parametrize("outcome", TABLE)
+def test_what_comes_next_is_told_by_the_end_and_by_where_it_was(outcome, server):
+    assert len(STEPS) == 2 * len(AttemptEnd)
+    step, request = next_step(outcome, server)
+    assert step is TABLE[outcome][server == ORIGIN]
+    assert request.failed_servers == ([server] if step is NextStep.ASK_ANOTHER else [])
+    assert request.repeated_servers == ([server] if step is NextStep.ASK_ONCE_MORE else [])
+
+
+@pytest.mark.parametrize(
+    ("outcome", "changes", "expected"),
+    [
+        (Outcome.RESET, {"repeated_servers": [HOME]}, NextStep.ASK_ANOTHER),
+        (Outcome.WITHDRAWN, {"repeated_servers": [HOME]}, NextStep.ASK_ANOTHER),
+        (Outcome.WITHDRAWN, {"repeated_servers": [HOME], "ready": (HOME,)}, NextStep.ASK_ANY),
+        (Outcome.WITHDRAWN, {"repeated_servers": [HOME], "failed_servers": ["s2"]}, NextStep.ASK_ANY),
+        (Outcome.ERROR, {"max_attempts": 2}, NextStep.ASK_ORIGIN),
+        (Outcome.ERROR, {"max_attempts": 2, "has_origin": False}, NextStep.ASK_ANOTHER),
+        (Outcome.MISS, {"has_origin": False}, NextStep.ASK_ANOTHER),
+        (Outcome.ERROR, {"spent": 8}, NextStep.GIVE_UP),
+        (Outcome.MISS, {"spent": 8}, NextStep.ASK_ORIGIN),  # no retry
+        (Outcome.WITHDRAWN, {"spent": 8}, NextStep.ASK_ONCE_MORE),
+        (Outcome.MISS, {"now": START + 2 * S}, NextStep.GIVE_UP),
+    ],
+)
+def test_budget_deadline_last_attempt_and_what_was_asked_before_change_what_comes_next(
+    outcome, changes, expected
+):
+    assert next_step(outcome, **changes)[0] is expected
+
+
+WINDOW = 400 * MS
+
+
+@pytest.mark.parametrize(
+    ("effect", "scope", "outcome", "repeat_by", "elsewhere"),
+    [
+        (Effect.SAFE, DeduplicationScope.ALL, Outcome.ERROR, math.inf, True),
+        (Effect.KEYED, DeduplicationScope.ALL, Outcome.ERROR, START + WINDOW - 150 * MS, True),
+        (Effect.KEYED, DeduplicationScope.CELL, Outcome.ERROR, START + WINDOW - 150 * MS, False),
+        (Effect.KEYED, DeduplicationScope.CELL, Outcome.FULL, math.inf, True),  # it was not executed
+        (Effect.UNSAFE, DeduplicationScope.ALL, Outcome.ERROR, START - 1, False),
+        (Effect.UNSAFE, DeduplicationScope.ALL, Outcome.CONNECT_FAILED, math.inf, True),
+    ],
+)
+def test_a_request_that_may_have_been_executed_is_sent_again_only_where_that_does_no_harm(
+    effect, scope, outcome, repeat_by, elsewhere
+):
+    policy = RetryPolicy(4, 0, has_origin=True)
+    request = open_request(effect=effect, deduplication_scope=scope, deduplication_window_ns=WINDOW)
+    attempted(request, HOME, outcome, cell=1)
+    assert policy.repeat_by(request) == repeat_by
+    assert policy.may_send(request, api.Endpoint("s2", cell=2), START) is elsewhere
+    is_repeatable_there = elsewhere or effect is Effect.KEYED
+    assert policy.may_send(request, api.Endpoint("s2", cell=1), START) is is_repeatable_there
+    assert policy.may_come_again(request, START) is elsewhere
+    late = START + WINDOW
+    assert policy.may_send(request, api.Endpoint("s2", cell=1), late) is (repeat_by == math.inf)
+
+
+def test_attempts_end_with_their_limit_and_with_the_deadline():
+    policy = RetryPolicy(2, 0, has_origin=True)
+    request, server = open_request(), api.Endpoint("s2")
+    assert policy.may_send(request, server, START + 2 * S - 1)
+    assert not policy.may_send(request, server, START + 2 * S)
+    assert not policy.is_last(request)
+    attempted(request, HOME, Outcome.WITHDRAWN)  # it is no attempt
+    attempted(request, HOME, Outcome.ERROR)
+    assert policy.is_last(request) and policy.may_send(request, server, START)
+    attempted(request, HOME, Outcome.ERROR)
+    assert not policy.may_send(request, server, START)
+
+
+@pytest.mark.parametrize(
+    ("span", "left"), [(500 * MS, 350 * MS), (300 * MS, 150 * MS), (100 * MS, 50 * MS), (0, 0)]
+)
+def test_a_stall_of_the_node_is_allowed_for_in_up_to_half_of_a_span(span, left):
+    assert less_stall(span) == left
+    assert RetryPolicy(2, span, has_origin=False).begin_by(START) == (START + left if span else math.inf)
