--- a/tests/policy/test_concurrency_limiter.py
+++ b/tests/policy/test_concurrency_limiter.py
@@ -5,11 +5,14 @@
 
 import math
 
-from support.policy import MS, Router
+import pytest
+from hypothesis import given, settings
+from hypothesis import strategies as st
+from support.policy import MS, Router, open_request
 
 from flintridge import api
 from flintridge.api import Outcome
-from flintridge.policy.concurrency_limiter import ConcurrencyLimiter
+from flintridge.policy.concurrency_limiter import MIN_FLOOR, ConcurrencyLimiter, RoundResult
 from flintridge.policy.outlier_detection import UNHEALTHY
 
 
@@ -183,3 +186,52 @@
         decreased.append(limiter.limit)
     a_few, all_of_them = decreased
     assert 9.2 < a_few < 10.0 and all_of_them < 6
+
+
+@pytest.mark.parametrize(
+    ("slow", "inflight", "result", "limit"),
+    [
+        (0, 8, RoundResult.GOOD, 11.0),  # a step more
+        (1, 8, RoundResult.GOOD, 11.0),
+        (0, 2, RoundResult.GOOD, 10.0),  # not used: it says nothing of a larger one
+        (2, 8, RoundResult.BAD, 9 * (1 - 0.45 / 16)),
+        (8, 8, RoundResult.BAD, 9 * 0.55),
+    ],
+)
+def test_a_round_changes_the_limit_by_its_slow_fraction(slow, inflight, result, limit):
+    limiter = ConcurrencyLimiter(10.0, doubling=False, inflight=inflight, peak_inflight=8)
+    results = [limiter.record(MS, i < slow, 0) for i in range(8)]
+    assert results == [RoundResult.RUNNING] * 7 + [result]
+    assert limiter.limit == pytest.approx(limit)
+    assert limiter.decreased_at == (MS if result is RoundResult.BAD else -math.inf)
+
+
+@given(steps=st.lists(st.tuples(st.booleans(), st.integers(0, 60)), max_size=300), floor=st.floats(0, 5))
+@settings(derandomize=True, deadline=None, database=None, max_examples=60)
+def test_no_round_brings_a_limit_below_its_floor_and_permits_bound_it(steps, floor):
+    limiter = ConcurrencyLimiter(50.0, max_permits=30)
+    limiter.set_floor(floor)
+    assert limiter.floor >= MIN_FLOOR and limiter.step <= 1
+    for now, (slow, inflight) in enumerate(steps, 1):
+        limiter.inflight = inflight
+        assert not (limiter.has_permit(now) and inflight >= max(1, min(30, limiter.limit)))
+        limiter.record(now, slow, now)
+        assert limiter.limit >= limiter.floor
+
+
+def test_the_first_limit_follows_the_number_of_servers_until_a_bad_round():
+    limiter = ConcurrencyLimiter(4.0)
+    limiter.start_with(10)
+    limiter.start_with(3)
+    assert limiter.limit == 20
+    limiter.doubling = False
+    limiter.start_with(100)
+    assert limiter.limit == 20
+
+
+def test_the_usual_latency_of_each_class_follows_what_was_served():
+    limiter, one, other = ConcurrencyLimiter(4.0), open_request(), open_request(class_index=1)
+    assert limiter.mean_latency_ns(one, 7.0) == 7.0
+    for latency_ns in (100 * MS, 200 * MS):
+        limiter.record_latency(one, latency_ns)
+    assert limiter.mean_latency_ns(one) == 105 * MS and limiter.mean_latency_ns(other) == 0
--- a/tests/policy/test_outlier_detection.py
+++ b/tests/policy/test_outlier_detection.py
@@ -3,11 +3,13 @@
 Each test fails without the code that answers its failure.
 """
 
-from support.policy import MS, Router, S
+import pytest
+from support.policy import MS, START, Router, S, ended
 
 from flintridge import api
 from flintridge.api import Outcome
-from flintridge.policy.outlier_detection import UNHEALTHY
+from flintridge.policy.endpoint_state import ServerTable
+from flintridge.policy.outlier_detection import FRACTIONS_MAX_AGE_NS, UNHEALTHY, OutlierDetection
 from flintridge.policy.server_fractions import HEALTHY_COST_FACTOR, MIN_HEALTH
 
 
@@ -106,3 +108,83 @@
     outliers.refresh(now)
     costs = [outliers.likely_cost(s, 1.0, now) for s in router.balancer.servers.values() if s.evidence]
     assert max(costs) < 1.3, costs
+
+
+EXPECTED_NS = 10 * MS
+
+
+@pytest.fixture
+def outliers():
+    """Of three servers, each of which has served often at the expected cost."""
+    table = ServerTable(None, api.Rules())
+    table.apply(api.EndpointUpdate(api.UpdateKind.FULL, 1, tuple(map(api.Endpoint, "abc"))))
+    table.settle()
+    made = OutlierDetection(table, api.Rules())
+    for server in table.ready.values():
+        for _ in range(20):
+            made.record(server, EXPECTED_NS, ended(Outcome.OK), START, is_failure=False)
+    made.refresh(START)
+    return made
+
+
+def record(outliers: OutlierDetection, outcome: Outcome, latency_ms: int = 1, malformed: bool = False):
+    """One attempt at a server; what is known of it."""
+    server = outliers._table.servers["a"]
+    event = ended(outcome, latency_ms * MS, malformed=malformed)
+    is_failure = not malformed and outcome not in (Outcome.OK, Outcome.RESET)
+    outliers.record(server, EXPECTED_NS, event, START, is_failure)
+    return server
+
+
+@pytest.mark.parametrize(
+    ("outcome", "latency_ms", "malformed", "cost"),
+    [
+        (Outcome.OK, 10, False, 1.0),
+        (Outcome.OK, 30, False, 3.0),
+        (Outcome.OK, 10_000, False, 13.0),  # no outcome counts for more than a failure
+        (Outcome.ERROR, 1, False, 13.0),
+        (Outcome.FULL, 1, False, 13.0),
+        (Outcome.TIMEOUT, 1, False, 13.0),
+        (Outcome.ERROR, 1, True, 2.0),
+        (Outcome.RESET, 1, False, 4.0),
+        (Outcome.RESET, 60, False, 6.0),
+    ],
+)
+def test_an_outcome_counts_a_tenth_of_a_servers_cost_and_quick_failures_are_dear(
+    outliers, outcome, latency_ms, malformed, cost
+):
+    server = record(outliers, outcome, latency_ms, malformed)
+    assert server.cost == pytest.approx(0.9 + cost / 10)
+    assert server.evidence == 10
+
+
+@pytest.mark.parametrize(
+    "outcome", [Outcome.MISS, Outcome.CANCELLED, Outcome.WITHDRAWN, Outcome.CONNECT_FAILED]
+)
+def test_outcomes_that_say_nothing_of_a_server_change_nothing(outliers, outcome):
+    server = record(outliers, outcome)
+    assert server.cost == 1.0 and outliers.health(server, START) == 1.0
+
+
+def test_a_server_that_fails_is_unhealthy_at_once_and_tried_on_and_its_failures_are_its_own(outliers):
+    server = record(outliers, Outcome.ERROR)
+    before = outliers.fractions["a"]
+    for _ in range(60):
+        record(outliers, Outcome.ERROR)
+    assert outliers.fractions["a"] < before < outliers.fractions["b"] == 1.0
+    assert outliers.is_unhealthy(server, START)
+    assert outliers.health(server, START) == pytest.approx(MIN_HEALTH, rel=0.3)
+    outliers.refresh(START)
+    assert outliers.fleet_cost == pytest.approx(1.0)
+    assert not outliers.is_unhealthy(server, START + 60 * S)  # it fades
+
+
+def test_fractions_are_worked_out_anew_once_they_are_old_or_the_list_has_changed(outliers, monkeypatch):
+    refreshed = []
+    refresh = outliers.refresh
+    monkeypatch.setattr(outliers, "refresh", lambda now: refreshed.append(now) or refresh(now))
+    for now in (START + 1, START + FRACTIONS_MAX_AGE_NS, START + FRACTIONS_MAX_AGE_NS + 1):
+        outliers.fresh_fractions(now)
+    outliers.expire()
+    outliers.fresh_fractions(START + FRACTIONS_MAX_AGE_NS + 2)
+    assert refreshed == [START + FRACTIONS_MAX_AGE_NS, START + FRACTIONS_MAX_AGE_NS + 2]
--- a/tests/policy/test_server_selection.py
+++ b/tests/policy/test_server_selection.py
@@ -3,10 +3,21 @@
 Each test fails without the code that answers its failure.
 """
 
-from support.policy import Router, S
+import random
+
+import pytest
+from hypothesis import given, settings
+from hypothesis import strategies as st
+from support.policy import START, Router, S, open_request
 
 from flintridge import api
 from flintridge.api import Outcome, UpdateKind
+from flintridge.policy.concurrency_limiter import ConcurrencyLimiter
+from flintridge.policy.endpoint_state import ServerTable
+from flintridge.policy.hash_ring import NUMBER_MASK, place_of
+from flintridge.policy.outlier_detection import OutlierDetection
+from flintridge.policy.server_selection import LOAD_SLACK, MIN_CAP, ServerSelection, cap_of
+from flintridge.policy.slow_start import SlowStartBudget, WarmUpUse
 
 
 def test_a_key_has_one_server_in_all_zones_in_calm_and_under_load():
@@ -55,3 +66,100 @@
     walked.clear()
     assert router.balancer.selection.pick(request, router.now) in router.balancer.ready
     assert 0 < len(walked) < len(ring.entries) / 4
+
+
+plain = settings(derandomize=True, deadline=None, database=None, max_examples=60)
+RULES = api.Rules(slow_start_fraction=0.5, slow_start_ns=10 * S, overload_multiple=1e-6, overload_window_ns=S)
+
+
+class Selection:
+    """Servers that can be picked, and who picks them."""
+
+    def __init__(self, count: int, **changes) -> None:
+        self.table = ServerTable(None, RULES)
+        listed = tuple(api.Endpoint(f"s{i}", **changes) for i in range(count))
+        self.table.apply(api.EndpointUpdate(UpdateKind.FULL, 1, listed))
+        self.table.settle()
+        self.caches = ConcurrencyLimiter(1e9)
+        self.outliers = OutlierDetection(self.table, RULES)
+        slow_start = SlowStartBudget(api.Settings(rules=RULES), self.table, random.Random(1))
+        slow_start.record_request(1.0)
+        self.selection = ServerSelection(self.table, self.caches, self.outliers, slow_start)
+
+    def clockwise(self, key: str) -> list[str]:
+        entries = self.table.ring.walk(place_of(key))
+        return list(dict.fromkeys(self.table.names[entry >> 8 & NUMBER_MASK] for entry in entries))
+
+    def send(self, key: str, **changes) -> str | None:
+        server = self.selection.pick(open_request(key, **changes), START)
+        if server is not None:
+            self.table.servers[server].inflight += 1
+            self.caches.inflight += 1
+        return server
+
+
+@given(keys=st.lists(st.sampled_from("abc"), max_size=150), count=st.integers(1, 8))
+@plain
+def test_no_server_is_over_its_cap_and_each_key_has_the_first_one_below_it(keys, count):
+    made = Selection(count)
+    orders = {key: made.clockwise(key) for key in "abc"}
+    for total, key in enumerate(keys, 1):
+        inflight = {name: server.inflight for name, server in made.table.servers.items()}
+        cap = cap_of(1.0, 1.0, total / count)
+        assert made.send(key) == next(name for name in orders[key] if inflight[name] < cap)
+
+
+@given(fraction=st.floats(0, 1), root=st.floats(0.01, 1), average=st.floats(0, 1000))
+@plain
+def test_a_cap_is_at_least_two_attempts_or_one_where_a_server_is_unhealthy(fraction, root, average):
+    cap = cap_of(fraction, root, average)
+    assert cap >= (MIN_CAP if fraction >= root / 2 else 1)
+    assert cap >= (1 + LOAD_SLACK) * average * fraction
+    assert cap_of(fraction, root, 2 * average) >= cap
+
+
+@pytest.mark.parametrize(
+    ("changes", "expected"),
+    [
+        ({}, 0),
+        ({"failed_servers": [0]}, 1),
+        ({"failed_servers": [0, 1, 2]}, None),
+        ({"preferred": 2}, 2),
+        ({"preferred": 2, "failed_servers": [2]}, 0),
+        ({"backing_off": [0]}, 1),
+        ({"backing_off": [0, 1, 2]}, 0),  # the last resort
+        ({"backing_off": [0, 1], "failed_servers": [2]}, 0),
+        ({"full": [0, 1]}, 2),
+        ({"full": [0, 1, 2]}, None),
+        ({"full": [0, 1], "backing_off": [2]}, 2),
+        ({"full": [2], "preferred": 2}, 0),
+    ],
+)
+def test_who_is_picked_by_what_is_known_of_each_server_on_the_walk(changes, expected):
+    made = Selection(3)
+    order = made.clockwise("k")
+    for position in changes.get("backing_off", ()):
+        made.table.servers[order[position]].connect_backoff.until = START + 1
+    for position in changes.get("full", ()):
+        made.table.servers[order[position]].inflight = 100
+    request = open_request("k", failed_servers=[order[i] for i in changes.get("failed_servers", ())])
+    request.preferred = order[changes["preferred"]] if "preferred" in changes else None
+    found = made.selection.pick(request, START)
+    assert found == (None if expected is None else order[expected])
+
+
+def test_a_server_that_has_its_budget_while_warming_up_is_passed_over_as_the_last_resort_too():
+    made = Selection(2)
+    order = made.clockwise("k")
+    for name in order:
+        server = made.table.servers[name]
+        server.endpoint = api.Endpoint(name, started_at=START)
+        server.warm_up = WarmUpUse(draw=0.5, draw_expires_at=START + S)
+    made.table.servers[order[1]].connect_backoff.until = START + 1
+    assert made.send("k") is None
+    made.table.servers[order[1]].warm_up.draw = 0.0
+    assert made.send("k") == order[1]
+
+
+def test_nobody_is_picked_from_an_empty_list():
+    assert Selection(0).send("k") is None
--- a/tests/policy/test_slow_start.py
+++ b/tests/policy/test_slow_start.py
@@ -1,12 +1,15 @@
-"""The sums of warmth against plain sums over all servers."""
+"""Slow start: the sums of warmth against plain sums over all servers, and the budget meanwhile."""
+
+import random
 
 import pytest
 from hypothesis import given, settings
 from hypothesis import strategies as st
+from support.policy import MS, START, S
 
 from flintridge import api
 from flintridge.policy import slow_start
-from flintridge.policy.slow_start import WarmthSums, warmth_at, weight_root
+from flintridge.policy.slow_start import SlowStartBudget, WarmthSums, WarmUpUse, warmth_at, weight_root
 
 RULES = api.Rules(slow_start_fraction=0.3, slow_start_ns=100)
 
@@ -82,3 +85,100 @@
     sums.add(api.Endpoint("a", started_at=50))
     assert sums.totals(40) == {0: 1.0} and sums.warming(40) == 0
     assert warmth_at(api.Endpoint("a", started_at=50), rules, 40) == 1.0
+
+
+class Fleet:
+    """So many servers that can be picked, of which the first so many are warming up."""
+
+    mean_weight = 1.0
+
+    def __init__(self, count: int = 4, warming: int = 1) -> None:
+        self.ready = [f"s{i}" for i in range(count)]
+        self.warmth_sums = WarmthSums(api.Rules(slow_start_fraction=0.5, slow_start_ns=10 * S))
+        for i, name in enumerate(self.ready):
+            self.warmth_sums.add(api.Endpoint(name, started_at=START if i < warming else 0))
+
+
+def budget(quota_per_s: float = 40.0, fleet_size: int = 1, **rules) -> SlowStartBudget:
+    rules = {"overload_multiple": 4.0, "overload_window_ns": S} | rules
+    made = api.Settings(
+        classes=(api.RequestClass(latency_objective_ns=200 * MS),),
+        tenants=(api.Tenant(quota_per_s=quota_per_s),),
+        rules=api.Rules(slow_start_fraction=0.5, slow_start_ns=10 * S, **rules),
+        fleet_size=fleet_size,
+    )
+    return SlowStartBudget(made, Fleet(), random.Random(1))
+
+
+WARM, COLD = api.Endpoint("s1"), api.Endpoint("s0", started_at=START)
+
+
+@pytest.mark.parametrize(
+    ("quota_per_s", "fleet_size", "allocated", "warm_work", "expected"),
+    [
+        (40.0, 1, 1.0, 0.0, 100.0),  # ten requests a server and window
+        (40.0, 5, 1.0, 0.0, 20.0),
+        (40.0, 5, 3.0, 0.0, 60.0),
+        (40.0, 5, 1.0, 70.0, 70.0),  # what was seen is more
+        (0.0, 1, 1.0, 0.0, 50.0),  # without quotas one within the objective
+    ],
+)
+def test_what_a_warm_server_does_is_reckoned_from_quotas_or_seen(
+    quota_per_s, fleet_size, allocated, warm_work, expected
+):
+    made = budget(quota_per_s, fleet_size)
+    made.record_request(10.0)
+    made.allocated = allocated
+    made.warm_work = warm_work
+    assert made.node_work() == pytest.approx(expected)
+
+
+def test_a_cold_server_gets_no_more_in_any_window_than_its_part_of_what_a_warm_one_does():
+    made, use = budget(), WarmUpUse()
+    made.record_request(10.0)  # so 100 a window for a warm one; half of 4 times that by its warmth
+    now, sent = START, []
+    while now < START + 10 * S:
+        if made.is_within_budget(COLD, use, 10.0, now):
+            made.record_send(COLD, use, 10.0, now)
+            sent.append(now)
+        allowed = 200 * made.warmth(COLD, now)
+        assert 10 * sum(at > now - S for at in sent) <= allowed
+        now += 20 * MS
+    assert len(sent) > 100
+
+
+@pytest.mark.parametrize(
+    ("endpoint", "rules"), [(WARM, {}), (COLD, {"overload_multiple": 0.0}), (COLD, {"overload_window_ns": 0})]
+)
+def test_a_warm_server_and_one_that_no_rule_protects_get_all(endpoint, rules):
+    made, use = budget(**rules), WarmUpUse()
+    assert all(made.is_within_budget(endpoint, use, 1e9, START) for _ in range(10))
+    made.record_send(endpoint, use, 5.0, START)
+    assert (use.sends is None) is (endpoint is WARM)  # a list is held while it warms up only
+
+
+def test_a_part_of_less_than_one_request_is_kept_by_chance_once_a_window():
+    made = budget(quota_per_s=1.0, fleet_size=1)
+    made.record_request(10.0)  # 2.5 a window, so 2.5 for a cold one: a quarter of a request
+    uses = [WarmUpUse() for _ in range(400)]
+    first = [made.is_within_budget(COLD, use, 1.0, START) for use in uses]
+    assert 70 < sum(first) < 130
+    kept = [use for use, is_kept in zip(uses, first, strict=True) if is_kept]
+    assert all(made.is_within_budget(COLD, use, 1.0, START + S - 1) for use in kept)
+    assert sum(made.is_within_budget(COLD, use, 1.0, START + S) for use in kept) < len(kept) / 2
+    assert not any(
+        made.is_within_budget(COLD, WarmUpUse(draw=0.5, draw_expires_at=START + S), 1.0, START) for _ in uses
+    )
+
+
+def test_what_warm_servers_do_in_a_window_is_seen_and_fades():
+    made = budget()
+    made.record_served(WARM, 1.0, START)
+    for i in range(1, 7):  # three warm servers: 60 in a second and a half of a window
+        made.record_served(WARM, 10.0, START + i * 250 * MS)
+        made.record_served(COLD, 1000.0, START + i * 250 * MS)
+    assert made.warm_work == pytest.approx((1 + 3 * 10) / 3)
+    seen = made.warm_work
+    for i in range(2, 6):
+        made.record_served(WARM, 0.0, START + i * 2 * S)
+    assert made.warm_work == pytest.approx(max(0.9**4 * seen, 0.0))
