--- a/flintridge/policy/attempt_feedback.py
+++ b/flintridge/policy/attempt_feedback.py
@@ -60,10 +60,9 @@
         is_stale = self._stale_connections.explains(outcome, attempt.idle_ns)
         is_load = outcome not in NO_SIGN_OF_LOAD and not is_stale
         if is_success or (is_load and not self._outliers.is_unhealthy(server, now)):
-            waited_ns = event.latency_ns - (request.event.work_ns or 0)  # a heavy request is no sign of load
-            if is_cache and attempt.idle_ns is None:
-                waited_ns -= self._connect_timeout_ns
-            is_slow = is_failure or waited_ns > request.slow_after_ns
+            connect_ns = self._connect_timeout_ns if is_cache and attempt.idle_ns is None else 0
+            work_ns = request.event.work_ns or 0  # a heavy request is no sign of load
+            is_slow = is_failure or event.latency_ns - work_ns - connect_ns > request.slow_after_ns
             result = limiter.record(now, is_slow, attempt.sent_at)
             if result is not RoundResult.RUNNING:
                 self._quotas.record_round(result is RoundResult.BAD)
--- a/flintridge/policy/endpoint_state.py
+++ b/flintridge/policy/endpoint_state.py
@@ -15,8 +15,8 @@
 from flintridge.policy.hash_ring import HashRing
 from flintridge.policy.slow_start import UNITS, WarmthSums, WarmUpUse
 
-WHOLE_FLEET = 256  # servers; with fewer on the ring a change is put in at once: at most some 30 ms
-SLICE = 8  # servers put on a larger ring, or taken off it, in a call: under 2 ms
+WHOLE_FLEET = 256  # servers; with fewer on the ring a change is put in at once
+SLICE = 8  # servers put on a larger ring, or taken off it, in a call
 SLICE_PAUSE_NS = 1_000_000  # between two slices
 SORTED_LATER = 4  # servers; more that come at once are sorted in when their buckets are looked at
 
--- a/flintridge/policy/server_selection.py
+++ b/flintridge/policy/server_selection.py
@@ -7,6 +7,7 @@
 from flintridge.policy.hash_ring import NUMBER_MASK, POINTS, place_of
 from flintridge.policy.open_request import OpenRequest
 from flintridge.policy.outlier_detection import UNHEALTHY, OutlierDetection
+from flintridge.policy.server_fractions import ServerFractions
 from flintridge.policy.slow_start import SlowStartBudget, weight_root
 
 LOAD_SLACK = 0.5  # a server may have this much more in flight than the average
@@ -57,22 +58,37 @@
         Returns:
             A name; None: no server can take it now.
         """
-        table = self._table
-        ready = table.ready
-        if not ready:
+        if not self._table.ready:
             return None
         fractions = self._outliers.fresh_fractions(now)
-        made = fractions.made
         average = (self._caches.inflight + 1) / fractions.sum
+        if request.preferred is not None and self._takes(request.preferred, request, fractions, average, now):
+            return request.preferred
+        return self._first_clockwise(request, fractions, average, now)
+
+    def is_within_budget(self, server: Server, request: OpenRequest, now: int) -> bool:
+        """Whether a server may be sent a request, with regard to its slow start."""
+        return self.slow_start.is_within_budget(server.endpoint, server.warm_up, request.work, now)
+
+    def _takes(
+        self, name: str, request: OpenRequest, fractions: ServerFractions, average: float, now: int
+    ) -> bool:
+        """Whether a server that is preferred to all others can take a request."""
+        server = self._table.ready.get(name)
+        if server is None or name in request.failed_servers:
+            return False
+        root = weight_root(server.endpoint.weight, self._table.max_weight)
+        return self._is_free(server, cap_of(fractions[name], root, average), request, now)
+
+    def _first_clockwise(
+        self, request: OpenRequest, fractions: ServerFractions, average: float, now: int
+    ) -> str | None:
+        table = self._table
+        ready = table.ready
+        made = fractions.made
         seen = set(request.failed_servers)
-        preferred = request.preferred
-        if preferred in ready and preferred not in seen:
-            server = ready[preferred]
-            root = weight_root(server.endpoint.weight, table.max_weight)
-            if self._is_free(server, cap_of(fractions[preferred], root, average), request, now):
-                return preferred
-        last_resort: str | None = None
         remaining = len(ready) - sum(name in ready for name in seen)
+        last_resort: str | None = None
         for entry in table.ring.walk(place_of(request.event.key or request.event.id)):
             if not remaining:
                 break
@@ -95,7 +111,3 @@
 
     def _is_free(self, server: Server, cap: int, request: OpenRequest, now: int) -> bool:
         return server.inflight < cap and self.is_within_budget(server, request, now)
-
-    def is_within_budget(self, server: Server, request: OpenRequest, now: int) -> bool:
-        """Whether a server may be sent a request, with regard to its slow start."""
-        return self.slow_start.is_within_budget(server.endpoint, server.warm_up, request.work, now)
