--- a/flintridge/policy/server_fractions.py
+++ b/flintridge/policy/server_fractions.py
@@ -40,10 +40,15 @@
 
 
 class Judged(NamedTuple):
-    """A ready server with outcomes of its own, at one instant; hundreds are made in a refresh."""
+    """A ready server with outcomes of its own, at one instant; hundreds are made in a refresh.
+
+    Attributes:
+        server: The server.
+        cost: Its likely cost.
+    """
 
     server: Server
-    cost: float  # the likely one
+    cost: float
 
 
 class ServerFractions(Mapping[str, float]):
--- a/flintridge/policy/slow_start.py
+++ b/flintridge/policy/slow_start.py
@@ -41,21 +41,34 @@
 
 @dataclass(slots=True, eq=False)
 class WarmUp:
-    """A server that is not warm yet, as it counts in the sums."""
+    """A server that is not warm yet, as it counts in the sums.
+
+    Attributes:
+        endpoint: The server.
+        root: Of its weight, in UNITS.
+        is_rising: Whether its start is over.
+    """
 
     endpoint: api.Endpoint
-    root: int  # in UNITS
-    is_rising: bool = False  # its start is over
+    root: int
+    is_rising: bool = False
 
 
 @dataclass(slots=True)
 class KindSums:
-    """Of the servers of one kind; roots in UNITS."""
+    """Sums over the servers of one kind, of their weights' roots in UNITS.
+
+    Attributes:
+        warm: Of those that have all of their capacity.
+        cold: Of those whose start is still to come.
+        rising: Of those in between.
+        rising_by_start: Of these, each root times its server's start in nanoseconds.
+    """
 
     warm: int = 0
-    cold: int = 0  # of those whose start is still to come
+    cold: int = 0
     rising: int = 0
-    rising_by_start: int = 0  # each root times its server's start in nanoseconds
+    rising_by_start: int = 0
 
 
 class WarmthSums:
