--- a/flintridge/lab/defects/copies.py
+++ b/flintridge/lab/defects/copies.py
@@ -1,6 +1,6 @@
 """Defects that a replica could have; the exploration must find each."""
 
-from flintridge.replication.comparison import SnapshotChunk, SyncState
+from flintridge.replication.comparison import SnapshotChunk
 from flintridge.replication.entry import Entry, Key, Writer, merge
 from flintridge.replication.replica import Replica
 
@@ -130,7 +130,7 @@
     def apply_chunk(self, now: float, source: Writer, chunk: SnapshotChunk) -> bool:
         is_complete = super().apply_chunk(now, source, chunk)
         if chunk.source_synchronized:
-            self.sync_state = SyncState.SYNCHRONIZED
+            self.mark_synchronized()
         return is_complete
 
 
--- a/flintridge/replication/driver.py
+++ b/flintridge/replication/driver.py
@@ -131,7 +131,7 @@
         now = self._clock.now()
         self._timer = self._clock.call_at(now + TICK_MS, self._tick)
         try:
-            self.replica.time_of_day_offset = time.time() * 1000 - now
+            self.replica.stamps.time_of_day_offset = time.time() * 1000 - now
             self.replica.expire(now, EXPIRY_BUCKETS_PER_TICK)
             self._apply_holds(now)
             reachable = self._reachable()
--- a/flintridge/replication/entry_table.py
+++ b/flintridge/replication/entry_table.py
@@ -88,12 +88,12 @@
 
     def clone(self) -> Self:
         """A table of its own with the same content."""
-        other = type(self)(0)
-        other.entries = dict(self.entries)
-        other.digests = list(self.digests)
-        other._buckets = [dict(bucket) for bucket in self._buckets]
-        other._root = self._root
-        return other
+        clone = type(self)(0)
+        clone.entries = dict(self.entries)
+        clone.digests = list(self.digests)
+        clone._buckets = [dict(bucket) for bucket in self._buckets]
+        clone._root = self._root
+        return clone
 
 
 def entry_digest(key: Key, entry: Entry) -> int:
--- a/tests/replication/test_admin.py
+++ b/tests/replication/test_admin.py
@@ -56,7 +56,7 @@
     ],
 )
 def test_query_in_each_synchronization_state_has_its_public_name(api, sync_state, standing):
-    api.replica.sync_state = sync_state
+    api.replica.synchronization.state = sync_state
     assert api.query(b"", b"")[1]["standing"] == standing
 
 
--- a/tests/replication/test_replica.py
+++ b/tests/replication/test_replica.py
@@ -5,8 +5,8 @@
 
 from flintridge.replication.comparison import IncompatibleDigestsError, SyncState
 from flintridge.replication.entry import by_precedence
+from flintridge.replication.hybrid_clock import MAX_STAMP
 from flintridge.replication.limits import ReplicaLimits
-from flintridge.replication.replica import MAX_STAMP
 from flintridge.replication.value_types import WriteRejectedError, encode_body
 
 HELD = encode_body("hold", {"held": True})
@@ -194,7 +194,7 @@
         log_event=lambda event, **fields: events.append((event, fields.get("accepted"))),
     )
     a.mark_synchronized()
-    a._last_stamp = MAX_STAMP
+    a.stamps.observe(MAX_STAMP)
     a.write(0.0, KEY, b"", "", "")
     a.write(0.0, ("hold", "s2"), b"", "", "")
     pull(b, a, 1.0)
@@ -209,7 +209,7 @@
 def test_stamps_when_the_wall_clock_is_stepped_between_two_writes_keep_their_order(step_ms):
     replica = make_replica(time_of_day_offset=1e12)
     earlier = replica.write(0.0, KEY, b"", "", "")
-    replica.time_of_day_offset += step_ms
+    replica.stamps.time_of_day_offset += step_ms
     later = replica.write(1.0, ("hold", "s2"), b"", "", "")
     assert later.stamp > earlier.stamp
 
@@ -218,7 +218,7 @@
     a, b, c = (make_replica(node, time_of_day_offset=1e12) for node in "abc")
     key = ("note", "n")  # of two concurrent ones the newer is first
     older = a.write(0.0, key, b"", "", "")
-    b.time_of_day_offset -= HOUR_MS
+    b.stamps.time_of_day_offset -= HOUR_MS
     # What b hears of others, though not of that note, is what puts its own words after it.
     c.write(1_000.0, ("note", "other"), b"", "", "")
     pull(b, c, 1_000.0)
@@ -233,7 +233,7 @@
 def test_newer_word_when_its_writers_clock_was_stepped_back_an_hour_replaces_what_it_has_seen():
     a, b = (make_replica(node, time_of_day_offset=1e12) for node in "ab")
     a.write(0.0, KEY, b"", "", "")
-    b.time_of_day_offset -= HOUR_MS
+    b.stamps.time_of_day_offset -= HOUR_MS
     pull(b, a, 1.0)
     released = b.write(2.0, KEY, b"", "", "", deleted=True)
     pull(a, b, 3.0)
