--- a/flintridge/replication/admin.py
+++ b/flintridge/replication/admin.py
@@ -8,7 +8,7 @@
 
 import msgspec
 
-from flintridge.core.admin_routes import Routes, RouteWithInput
+from flintridge.core.admin_routes import AdminResponse, Routes, RouteWithInput
 from flintridge.membership.driver import MembershipDriver
 from flintridge.replication.comparison import SyncState
 from flintridge.replication.entry import Dot, Key, Version, by_precedence, is_active
@@ -16,16 +16,13 @@
 from flintridge.replication.replica import Replica
 from flintridge.replication.value_types import (
     VALUE_TYPES,
-    Body,
     WriteRejectedError,
-    decode_body,
+    decode_for_display,
     encode_body,
 )
 from flintridge.runtime.clock import Clock
 from flintridge.telemetry.counters import Counters
 
-Response = tuple[int, dict[str, Any]]  # an HTTP status and a JSON object, as the admin API takes them
-
 PAGE_ENTRIES = 100
 MAX_NAME_CHARACTERS = 200
 MAX_NUMBER_DIGITS = 18
@@ -103,7 +100,7 @@
             b"/admin/state/had": {b"GET": RouteWithInput(self.holder_count)},
         }
 
-    def query(self, query: bytes, _body: bytes) -> Response:
+    def query(self, query: bytes, _body: bytes) -> AdminResponse:
         """GET /admin/state: the replica as a whole.
 
         With `type=T[&name=N]`, `bucket=I` or `conflicts=1` also entries, PAGE_ENTRIES at a time; `after` goes
@@ -174,7 +171,7 @@
             "versions": [_version_json(version, now) for version in versions],
         }
 
-    def write(self, _query: bytes, body: bytes) -> Response:
+    def write(self, _query: bytes, body: bytes) -> AdminResponse:
         """POST /admin/state, a `WriteCall` in JSON. Written here at once; nothing waits for other nodes."""
         try:
             call = msgspec.json.decode(body, type=WriteCall)
@@ -208,7 +205,7 @@
             self._clock.now(), key, body, call.author, call.reason, lifetime_ms, call.delete
         )
 
-    def holder_count(self, query: bytes, _body: bytes) -> Response:
+    def holder_count(self, query: bytes, _body: bytes) -> AdminResponse:
         """GET /admin/state/had?write=N: how many nodes are known to have that write of this process."""
         text = dict(parse_qsl(query.decode("utf-8", "replace"))).get("write", "")
         is_number = text.isdecimal() and len(text) <= MAX_NUMBER_DIGITS
@@ -231,11 +228,3 @@
         "ends_in_ms": ends_in_ms,
         "deleted": version.deleted,
     }
-
-
-def decode_for_display(body: bytes) -> Body | None:
-    """The body of a version; None where it can't be read, as of a type of a later release."""
-    try:
-        return decode_body(body)
-    except (msgspec.MsgspecError, UnicodeDecodeError, RecursionError):
-        return None
--- a/flintridge/replication/driver.py
+++ b/flintridge/replication/driver.py
@@ -15,7 +15,7 @@
 from flintridge.membership.driver import MembershipDriver
 from flintridge.membership.exchange_service import ExchangeRejectedError
 from flintridge.membership.messages import MessageDroppedError
-from flintridge.replication.admin import ReplicationActivity, StateAdminApi, decode_for_display
+from flintridge.replication.admin import ReplicationActivity, StateAdminApi
 from flintridge.replication.comparison import IncompatibleDigestsError, SyncState
 from flintridge.replication.entry import Entry, Key, Writer, by_precedence, is_active
 from flintridge.replication.gossip import RumorSpreader
@@ -28,7 +28,7 @@
     encode_request,
 )
 from flintridge.replication.replica import CHUNK_BYTES, Replica
-from flintridge.replication.value_types import Body
+from flintridge.replication.value_types import Body, decode_for_display
 from flintridge.runtime.clock import Clock, DeadlineExceededError, Timer, sleep
 from flintridge.telemetry.counters import Counters
 from flintridge.telemetry.log import EventLog
@@ -205,8 +205,8 @@
 
     # Comparisons
 
-    def _respond(self, about: bytes) -> Iterable[bytes]:
-        request = decode_request(about)
+    def _respond(self, query: bytes) -> Iterable[bytes]:
+        request = decode_request(query)
         if request is None:
             return ()
         try:
--- a/flintridge/replication/gossip.py
+++ b/flintridge/replication/gossip.py
@@ -94,8 +94,8 @@
         for key in old:
             del self._rumors[key]
 
-    def payload_for(self, now: float, to: Member, room: int) -> bytes | None:
-        """The message for a datagram to that process, in at most `room` bytes; None where there is none."""
+    def payload_for(self, now: float, to: Member, max_bytes: int) -> bytes | None:
+        """The message for a datagram to that process, in at most `max_bytes`; None where there is none."""
         peer = to.name, to.incarnation
         replica = self.replica
         message = GossipMessage(
@@ -104,36 +104,38 @@
             acknowledged=self.acknowledgements.next_for(peer),
             write_count=replica.write_count,
         )
-        data = encode_gossip(message)
-        if len(data) > room:
+        if len(encode_gossip(message)) > max_bytes:
             return None
+        message = self._with_rumors(now, message, peer, max_bytes)
+        self.acknowledgements.mark_sent(peer, len(message.acknowledged))
+        return encode_gossip(message)
+
+    def _with_rumors(self, now: float, message: GossipMessage, peer: Writer, max_bytes: int) -> GossipMessage:
+        """The message with the rumors that are new to that process, as many as `max_bytes` have room for."""
         oversized_entries = 0
         for key, rumor in self._rumors.items():
             if oversized_entries >= MAX_OVERSIZED_ENTRIES:
                 break
-            entry = replica.entries.get(key)
+            entry = self.replica.entries.get(key)
             if entry is None or peer in rumor.sent_to or len(rumor.sent_to) >= FANOUT:
                 continue
             entries = (*message.entries, make_entry(key, entry, now))
             longer_message = msgspec.structs.replace(message, entries=entries)
-            longer_data = encode_gossip(longer_message)
-            if len(longer_data) > room:
+            if len(encode_gossip(longer_message)) > max_bytes:
                 oversized_entries += 1
                 continue  # a long one goes with the next datagram, or by comparison
             rumor.sent_to.add(peer)
             message = longer_message
-            data = longer_data
-        self.acknowledgements.mark_sent(peer, len(message.acknowledged))
-        return data
+        return message
 
-    def receive_payload(self, now: float, name: str, life: int, as_of: float, data: bytes) -> None:
+    def receive_payload(self, now: float, name: str, incarnation: int, as_of: float, data: bytes) -> None:
         """Take in a peer's message, which was sent at `as_of` or later, in milliseconds."""
         message = decode_gossip(data)
         if message is None or name not in self._peers:
             self.counts["messages_malformed"] += 1
             return
         self._now = now
-        peer = name, life
+        peer = name, incarnation
         for entry_message in message.entries:
             self._receive_rumor(now, peer, *parse_entry(entry_message, as_of))
         for count in message.acknowledged:
--- a/flintridge/replication/hybrid_clock.py
+++ b/flintridge/replication/hybrid_clock.py
@@ -23,8 +23,8 @@
 
     def next_stamp(self, now: float) -> int:
         """The stamp of a write at `now`: later than all before it and all that were observed."""
-        stamp_of_day = int(now + self.time_of_day_offset) << STAMP_SHIFT_BITS
-        self._last_stamp = max(stamp_of_day, self._last_stamp + 1)
+        wall_clock_stamp = int(now + self.time_of_day_offset) << STAMP_SHIFT_BITS
+        self._last_stamp = max(wall_clock_stamp, self._last_stamp + 1)
         return self._last_stamp
 
     def observe(self, stamp: int) -> None:
--- a/flintridge/replication/messages.py
+++ b/flintridge/replication/messages.py
@@ -6,7 +6,7 @@
 
 import math
 from dataclasses import dataclass
-from typing import Annotated
+from typing import Annotated, NamedTuple
 
 import msgspec
 from msgspec import Meta
@@ -42,15 +42,22 @@
     deleted: bool = False
 
 
+class VectorComponentMessage(NamedTuple):
+    """A component of a version vector; `age_ms` is that of the last write seen."""
+
+    node: Name
+    incarnation: Number
+    up_to: Number
+    age_ms: AgeMs
+
+
 class EntryMessage(msgspec.Struct, array_like=True, frozen=True, gc=False):
-    """An entry; a component of its version vector is a node, its incarnation, a number and an age."""
+    """An entry of a type and a name."""
 
     type_name: Name
     name: Text
     versions: Annotated[tuple[VersionMessage, ...], Meta(max_length=MAX_VERSIONS)]
-    version_vector: Annotated[
-        tuple[tuple[Name, Number, Number, AgeMs], ...], Meta(max_length=MAX_VECTOR_COMPONENTS)
-    ]
+    version_vector: Annotated[tuple[VectorComponentMessage, ...], Meta(max_length=MAX_VECTOR_COMPONENTS)]
 
 
 class GossipMessage(msgspec.Struct, array_like=True, frozen=True, gc=False):
@@ -79,6 +86,14 @@
     number: Number
 
 
+class WriteCountMessage(NamedTuple):
+    """Up to which of a process's writes all were received."""
+
+    node: Name
+    incarnation: Number
+    up_to: Number
+
+
 class ChunkHeader(msgspec.Struct, array_like=True, frozen=True, gc=False):
     """The first frame of a `SnapshotChunk`, with who sends it; the other frames are arrays of entries."""
 
@@ -88,7 +103,7 @@
     first: Bucket
     end: Bucket
     source_synchronized: bool
-    complete_up_to: Annotated[tuple[tuple[Name, Number, Number], ...], Meta(max_length=8192)]
+    complete_up_to: Annotated[tuple[WriteCountMessage, ...], Meta(max_length=8192)]
     buckets: Annotated[tuple[int, ...], Meta(max_length=4096)]
 
 
@@ -114,10 +129,7 @@
         type_name=key[0],
         name=key[1],
         versions=tuple(_make_version(version, now) for version in entry.versions),
-        version_vector=tuple(
-            (*component.writer, component.up_to, _age_ms(component.written_at, now))
-            for component in entry.version_vector
-        ),
+        version_vector=tuple(_make_vector_component(component, now) for component in entry.version_vector),
     )
 
 
@@ -137,6 +149,16 @@
     )
 
 
+def _make_vector_component(component: VectorComponent, now: float) -> VectorComponentMessage:
+    node, incarnation = component.writer
+    return VectorComponentMessage(
+        node=node,
+        incarnation=incarnation,
+        up_to=component.up_to,
+        age_ms=_age_ms(component.written_at, now),
+    )
+
+
 def _age_ms(written_at: float, now: float) -> int:
     return max(0, round(now - written_at))
 
@@ -150,8 +172,8 @@
     """
     versions = [_parse_version(version, as_of) for version in message.versions]
     vector = [
-        VectorComponent((node, incarnation), count, as_of - age_ms)
-        for node, incarnation, count, age_ms in message.version_vector
+        VectorComponent((component.node, component.incarnation), component.up_to, as_of - component.age_ms)
+        for component in message.version_vector
     ]
     in_order = tuple(sorted(versions, key=lambda version: version.dot))
     return (message.type_name, message.name), Entry(in_order, tuple(sorted(vector)))
@@ -213,7 +235,7 @@
         first=chunk.first,
         end=chunk.end,
         source_synchronized=chunk.source_synchronized,
-        complete_up_to=tuple((*writer, count) for writer, count in chunk.complete_up_to),
+        complete_up_to=tuple(WriteCountMessage(*writer, count) for writer, count in chunk.complete_up_to),
         buckets=chunk.buckets,
     )
     frames = [_encoder.encode(header)]
@@ -258,7 +280,7 @@
         end=header.end,
         source_synchronized=header.source_synchronized,
         complete_up_to=tuple(
-            ((node, incarnation), count) for node, incarnation, count in header.complete_up_to
+            ((received.node, received.incarnation), received.up_to) for received in header.complete_up_to
         ),
         entries=tuple(entries),
         buckets=header.buckets,
--- a/flintridge/replication/value_types.py
+++ b/flintridge/replication/value_types.py
@@ -173,3 +173,11 @@
         msgspec.MsgspecError: It is no map.
     """
     return msgspec.msgpack.decode(body, type=dict[str, Any])
+
+
+def decode_for_display(body: bytes) -> Body | None:
+    """The body of a version; None where it can't be read, as of a type of a later release."""
+    try:
+        return decode_body(body)
+    except (msgspec.MsgspecError, UnicodeDecodeError, RecursionError):
+        return None
