--- a/flintridge/lab/defects/lending.py
+++ b/flintridge/lab/defects/lending.py
@@ -2,7 +2,7 @@
 
 from dataclasses import dataclass, replace
 
-from flintridge.leases.allocation import Allocation, BorrowedKey, Lease, LentKey, ProcessId
+from flintridge.leases.allocation import AcquiredLeaseKey, Allocation, GrantedLeaseKey, Lease, ProcessId
 from flintridge.leases.messages import LeaseGrant, LeaseMessage, LeaseRelease, LeaseRequest
 
 
@@ -10,31 +10,29 @@
 class CreditBeforeDebit(Allocation):
     """It grants without taking the lease off its entitlement."""
 
-    def _grant(
-        self, now: float, borrower: ProcessId, request: LeaseRequest, demand: int
-    ) -> LeaseGrant | None:
-        amount = min(request.amount, self.lendable(now, demand))
+    def _grant(self, now: float, lessee: ProcessId, request: LeaseRequest, demand: int) -> LeaseGrant | None:
+        amount = min(request.amount, self.grantable(now, demand))
         return LeaseGrant(request.lease_id, amount, request.requested_at) if amount > 0 else None
 
 
 @dataclass(slots=True)
 class LeaseFromArrival(Allocation):
-    """The borrower counts its lease from when the grant came in."""
+    """The lessee counts its lease from when the grant came in."""
 
-    def _accept_grant(self, now: float, lender: str, grant: LeaseGrant) -> None:
-        Allocation._accept_grant(self, now, lender, replace(grant, requested_at=now))
+    def _accept_grant(self, now: float, grantor: str, grant: LeaseGrant) -> None:
+        Allocation._accept_grant(self, now, grantor, replace(grant, requested_at=now))
 
 
 @dataclass(slots=True)
 class NoMarginForDrift(Allocation):
-    """The lender counts a lease as expired after `lease_ms`, whatever the borrower's clock does."""
+    """The grantor counts a lease as expired after `lease_ms`, whatever the lessee's clock does."""
 
-    def _grant(
-        self, now: float, borrower: ProcessId, request: LeaseRequest, demand: int
-    ) -> LeaseGrant | None:
-        grant = Allocation._grant(self, now, borrower, request, demand)
+    def _grant(self, now: float, lessee: ProcessId, request: LeaseRequest, demand: int) -> LeaseGrant | None:
+        grant = Allocation._grant(self, now, lessee, request, demand)
         if grant is not None:
-            self.lent[LentKey(borrower, request.lease_id)] = Lease(grant.amount, now + self.terms.lease_ms)
+            self.granted[GrantedLeaseKey(lessee, request.lease_id)] = Lease(
+                grant.amount, now + self.terms.lease_ms
+            )
         return grant
 
 
@@ -50,62 +48,60 @@
 class NoFloor(Allocation):
     """It lends all that it has."""
 
-    def lendable(self, now: float, demand: int = 0) -> int:
-        return max(0, self.entitlement(now) - self._lent_amount(now))
+    def grantable(self, now: float, demand: int = 0) -> int:
+        return max(0, self.entitlement(now) - self._granted_amount(now))
 
 
 @dataclass(slots=True)
 class UsedAfterRelease(Allocation):
     """It goes on using what it said it releases."""
 
-    def release(self, lender: str, lease_id: int) -> LeaseRelease | None:
-        return LeaseRelease(lease_id) if BorrowedKey(lender, lease_id) in self.borrowed else None
+    def release(self, grantor: str, lease_id: int) -> LeaseRelease | None:
+        return LeaseRelease(lease_id) if AcquiredLeaseKey(grantor, lease_id) in self.acquired else None
 
 
 @dataclass(slots=True)
 class DoubledGrantCountsTwice(Allocation):
     """Each grant that comes in is added."""
 
-    def _accept_grant(self, now: float, lender: str, grant: LeaseGrant) -> None:
-        key = BorrowedKey(lender, grant.lease_id)
-        known = self.borrowed.get(key)
-        Allocation._accept_grant(self, now, lender, grant)
-        if known is not None and key in self.borrowed:
-            self.borrowed[key] = replace(self.borrowed[key], amount=known.amount + grant.amount)
+    def _accept_grant(self, now: float, grantor: str, grant: LeaseGrant) -> None:
+        key = AcquiredLeaseKey(grantor, grant.lease_id)
+        known = self.acquired.get(key)
+        Allocation._accept_grant(self, now, grantor, grant)
+        if known is not None and key in self.acquired:
+            self.acquired[key] = replace(self.acquired[key], amount=known.amount + grant.amount)
 
 
 @dataclass(slots=True)
 class LateGrantAfterRelease(Allocation):
     """A grant counts whether or not the lease is still wanted."""
 
-    def _accept_grant(self, now: float, lender: str, grant: LeaseGrant) -> None:
-        self.requested.setdefault(BorrowedKey(lender, grant.lease_id), grant.amount)
-        Allocation._accept_grant(self, now, lender, grant)
+    def _accept_grant(self, now: float, grantor: str, grant: LeaseGrant) -> None:
+        self.requested.setdefault(AcquiredLeaseKey(grantor, grant.lease_id), grant.amount)
+        Allocation._accept_grant(self, now, grantor, grant)
 
 
 @dataclass(slots=True)
 class RenewedByRequest(Allocation):
     """A lease goes on as soon as its renewal was requested."""
 
-    def renewal(self, now: float, lender: str, lease_id: int) -> LeaseRequest | None:
-        request = Allocation.renewal(self, now, lender, lease_id)
+    def renewal(self, now: float, grantor: str, lease_id: int) -> LeaseRequest | None:
+        request = Allocation.renewal(self, now, grantor, lease_id)
         if request is not None:
-            key = BorrowedKey(lender, lease_id)
-            self.borrowed[key] = replace(self.borrowed[key], expires_at=now + self.terms.lease_ms)
+            key = AcquiredLeaseKey(grantor, lease_id)
+            self.acquired[key] = replace(self.acquired[key], expires_at=now + self.terms.lease_ms)
         return request
 
 
 @dataclass(slots=True)
 class RenewalNotCounted(Allocation):
-    """The lender says yes to a renewal and goes by the first lease."""
+    """The grantor says yes to a renewal and goes by the first lease."""
 
-    def _grant(
-        self, now: float, borrower: ProcessId, request: LeaseRequest, demand: int
-    ) -> LeaseGrant | None:
-        before = self.lent.get(LentKey(borrower, request.lease_id))
-        grant = Allocation._grant(self, now, borrower, request, demand)
+    def _grant(self, now: float, lessee: ProcessId, request: LeaseRequest, demand: int) -> LeaseGrant | None:
+        before = self.granted.get(GrantedLeaseKey(lessee, request.lease_id))
+        grant = Allocation._grant(self, now, lessee, request, demand)
         if before is not None and now < before.expires_at:
-            self.lent[LentKey(borrower, request.lease_id)] = before
+            self.granted[GrantedLeaseKey(lessee, request.lease_id)] = before
         return grant
 
 
@@ -114,8 +110,8 @@
     """What was borrowed counts until expired leases are removed, also after a pause."""
 
     def usable(self, now: float) -> int:
-        borrowed = sum(lease.amount for lease in self.borrowed.values())
-        return max(0, self.entitlement(now) - self._lent_amount(now)) + borrowed
+        acquired = sum(lease.amount for lease in self.acquired.values())
+        return max(0, self.entitlement(now) - self._granted_amount(now)) + acquired
 
 
 @dataclass(slots=True)
@@ -126,7 +122,9 @@
         self, now: float, sender: ProcessId, message: LeaseMessage, demand: int = 0
     ) -> LeaseMessage | None:
         if isinstance(message, LeaseRelease):
-            self.lent = {key: lease for key, lease in self.lent.items() if key.lease_id != message.lease_id}
+            self.granted = {
+                key: lease for key, lease in self.granted.items() if key.lease_id != message.lease_id
+            }
             return None
         return Allocation.receive(self, now, sender, message, demand)
 
--- a/flintridge/lab/explore/leases.py
+++ b/flintridge/lab/explore/leases.py
@@ -1,7 +1,7 @@
 """A few processes that lease one another fractions of a limit, over links that lose, double and hold back.
 
 Time goes in steps of 5 true units; each process's clock makes 4 or 6 of them, so that two run apart by as
-much as the terms allow. A lease of 10 lasts two or three steps for a borrower, three or four for its lender.
+much as the terms allow. A lease of 10 lasts two or three steps for a lessee, three or four for its grantor.
 """
 
 import itertools
@@ -101,26 +101,26 @@
                 )
                 after = self._with(i, replace(process, allocation=allocation), asks=-1)
                 yield f"{name} asks {other.name}", after._send(other.name, process.peer, request)
-        for lender, id in process.allocation.requested:
-            if (lender, id) not in process.allocation.borrowed and left.forgoes:
+        for grantor, id in process.allocation.requested:
+            if (grantor, id) not in process.allocation.acquired and left.forgoes:
                 allocation = process.allocation.copy()
-                cancellation = allocation.cancel(lender, id)
+                cancellation = allocation.cancel(grantor, id)
                 after = self._with(i, replace(process, allocation=allocation), forgoes=-1)
                 yield (
-                    f"{name} cancels its request to {lender}",
-                    after._send(lender, process.peer, cancellation),
+                    f"{name} cancels its request to {grantor}",
+                    after._send(grantor, process.peer, cancellation),
                 )
-        for lender, id in process.allocation.borrowed:
+        for grantor, id in process.allocation.acquired:
             allocation = process.allocation.copy()
-            renewal = allocation.renewal(process.clock, lender, id) if left.renews else None
+            renewal = allocation.renewal(process.clock, grantor, id) if left.renews else None
             if renewal is not None:
                 after = self._with(i, replace(process, allocation=allocation), renews=-1)
-                yield f"{name} renews its lease from {lender}", after._send(lender, process.peer, renewal)
+                yield f"{name} renews its lease from {grantor}", after._send(grantor, process.peer, renewal)
             allocation = process.allocation.copy()
-            release = allocation.release(lender, id)
+            release = allocation.release(grantor, id)
             if release is not None:
                 after = self._with(i, replace(process, allocation=allocation))
-                yield f"{name} releases a lease of {lender}", after._send(lender, process.peer, release)
+                yield f"{name} releases a lease of {grantor}", after._send(grantor, process.peer, release)
 
     def _of_word(self, word: Flying) -> Iterator[tuple[str, Self]]:
         to, source, said = word
@@ -202,14 +202,14 @@
                     lease.amount,
                     lease.expires_at - now,
                 )
-                for (peer, id), lease in held.lent.items()
+                for (peer, id), lease in held.granted.items()
                 if lease.expires_at > now
             )
             borrowed = sorted(
-                _owed(called[name], id, lease, now) for (name, id), lease in held.borrowed.items()
+                _owed(called[name], id, lease, now) for (name, id), lease in held.acquired.items()
             )
             asked = sorted((called[name], id, amount) for (name, id), amount in held.requested.items())
-            young = max(0.0, held.started_at + self.terms.lender_lease_ms - now)
+            young = max(0.0, held.started_at + self.terms.grantor_lease_ms - now)
             state.append((process.speed, process.paused, young, lent, borrowed, asked, held.last_lease_id))
         return state
 
--- a/flintridge/leases/account.py
+++ b/flintridge/leases/account.py
@@ -4,7 +4,7 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
-from flintridge.leases.allocation import Allocation, BorrowedKey, ProcessId
+from flintridge.leases.allocation import AcquiredLeaseKey, Allocation, ProcessId
 from flintridge.leases.fleet_limit import EVEN_FRACTION_UNITS, FleetLimit
 
 MIN_LEASE_UNITS = 50  # less is not worth a lease's messages
@@ -16,10 +16,10 @@
 
 @dataclass(slots=True)
 class Offer:
-    """What another process can lend.
+    """What another process can grant.
 
     Attributes:
-        incarnation: The lender's.
+        incarnation: The grantor's.
         amount: Units.
         offered_at: The earliest instant at which it may have said so.
     """
@@ -34,7 +34,7 @@
     """A request that nobody has answered yet.
 
     Attributes:
-        incarnation: The lender's.
+        incarnation: The grantor's.
         amount: Units.
         sent_at: When it was last sent.
         attempts: How often it was sent.
@@ -47,7 +47,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class DeniedBorrower:
+class DeniedLessee:
     """A process that requested a lease here in vain.
 
     Attributes:
@@ -73,14 +73,14 @@
         shutting_down: Whether this process shuts down, and needs nothing more.
         demand: Units that are needed here, as last reported.
         in_use: Returns units that cannot be given away at this instant.
-        offers: What others can lend, by the lender's name.
+        offers: What others can grant, by the grantor's name.
         pending: Requests that nobody has answered.
-        lender_incarnations: Of the leases that were taken.
+        grantor_incarnations: Of the leases that were taken.
         renewal_sent_at: When the renewal of a lease was last requested.
         unrenewable: Leases whose renewal was denied.
-        denied_borrowers: Processes that lately requested a lease here in vain.
+        denied_lessees: Processes that lately requested a lease here in vain.
         handover_until: By then a lease that goes to another process has expired.
-        next_request_to_lent_out: When a lender that has lent all it can may be asked again.
+        next_request_to_exhausted: When a grantor that has nothing left to grant may be asked again.
     """
 
     limit: FleetLimit
@@ -89,13 +89,13 @@
     demand: float = EVEN_FRACTION_UNITS
     in_use: Callable[[], float] = _nothing
     offers: dict[str, Offer] = field(default_factory=dict)
-    pending: dict[BorrowedKey, PendingRequest] = field(default_factory=dict)
-    lender_incarnations: dict[BorrowedKey, int] = field(default_factory=dict)
-    renewal_sent_at: dict[BorrowedKey, float] = field(default_factory=dict)
-    unrenewable: set[BorrowedKey] = field(default_factory=set)
-    denied_borrowers: dict[ProcessId, DeniedBorrower] = field(default_factory=dict)
+    pending: dict[AcquiredLeaseKey, PendingRequest] = field(default_factory=dict)
+    grantor_incarnations: dict[AcquiredLeaseKey, int] = field(default_factory=dict)
+    renewal_sent_at: dict[AcquiredLeaseKey, float] = field(default_factory=dict)
+    unrenewable: set[AcquiredLeaseKey] = field(default_factory=set)
+    denied_lessees: dict[ProcessId, DeniedLessee] = field(default_factory=dict)
     handover_until: float = -math.inf
-    next_request_to_lent_out: float = -math.inf
+    next_request_to_exhausted: float = -math.inf
 
     @property
     def demand_or_use(self) -> float:
@@ -103,7 +103,7 @@
         return max(self.demand, self.in_use())
 
     @property
-    def lending_reserve(self) -> float:
+    def grant_reserve(self) -> float:
         """Units that a new lease must leave here."""
         target = 0.0 if self.shutting_down else REQUEST_TARGET * self.demand + MIN_LEASE_UNITS
         return max(self.in_use(), target)
@@ -114,18 +114,18 @@
         target = 0.0 if self.shutting_down else RELEASE_TARGET * self.demand + MIN_LEASE_UNITS
         return max(self.in_use(), target)
 
-    def lendable(self, now: float) -> int:
-        """Units that may be lent at this instant."""
-        return self.allocation.lendable(now, math.ceil(self.lending_reserve))
+    def grantable(self, now: float) -> int:
+        """Units that may be granted at this instant."""
+        return self.allocation.grantable(now, math.ceil(self.grant_reserve))
 
-    def forget_lease(self, key: BorrowedKey) -> int | None:
-        """Drop what is known of a borrowed lease besides the lease itself, however it ended.
+    def forget_lease(self, key: AcquiredLeaseKey) -> int | None:
+        """Drop what is known of an acquired lease besides the lease itself, however it ended.
 
         Guards against growth over a long run.
 
         Returns:
-            The lender's incarnation, if it was known.
+            The grantor's incarnation, if it was known.
         """
         self.renewal_sent_at.pop(key, None)
         self.unrenewable.discard(key)
-        return self.lender_incarnations.pop(key, None)
+        return self.grantor_incarnations.pop(key, None)
--- a/flintridge/leases/fleet_limit.py
+++ b/flintridge/leases/fleet_limit.py
@@ -25,8 +25,8 @@
 
     Attributes:
         even_fraction: Units to which each process is entitled: the limit divided by the number of nodes.
-        floor: Units of it that are never lent.
-        lease_ms: How long a lease lasts by the borrower's clock.
+        floor: Units of it that are never granted.
+        lease_ms: How long a lease lasts by the lessee's clock.
         clock_drift: Most by which a clock runs faster or slower than true time, as a fraction.
         completion_ms: For how long work that began under a lease may still go on; none begins in the last
             `completion_ms` of a lease.
@@ -61,12 +61,12 @@
 
     @property
     def usable_ms(self) -> float:
-        """For how long a lease may be used, by the borrower's clock."""
+        """For how long a lease may be used, by the lessee's clock."""
         return self.lease_ms - self.completion_ms
 
     @property
-    def lender_lease_ms(self) -> float:
-        """For how long the lender counts a lease, by its own clock.
+    def grantor_lease_ms(self) -> float:
+        """For how long the grantor counts a lease, by its own clock.
 
         After that time by any clock, the lease is over by every other clock that began no later.
         """
@@ -95,7 +95,7 @@
     def digest(self) -> bytes:
         """Four bytes that stand for the limit and its terms.
 
-        The floor is left out: how much of its own fraction a process lends is its own choice.
+        The floor is left out: how much of its own fraction a process grants is its own choice.
         """
         terms = self.terms
         text = (
--- a/flintridge/leases/lease_manager.py
+++ b/flintridge/leases/lease_manager.py
@@ -13,7 +13,6 @@
 
 from flintridge.leases.account import MIN_LEASE_UNITS, Account, Offer
 from flintridge.leases.allocation import Allocation, ProcessId
-from flintridge.leases.borrower import Borrower
 from flintridge.leases.fleet_limit import (
     EVEN_FRACTION_UNITS,
     FLOORS,
@@ -22,7 +21,8 @@
     FleetLimit,
     LeaseTerms,
 )
-from flintridge.leases.lender import Lender
+from flintridge.leases.grantor import Grantor
+from flintridge.leases.lessee import Lessee
 from flintridge.leases.messages import (
     MAX_MESSAGES,
     MAX_OFFERS,
@@ -100,8 +100,8 @@
         self._outbox = Outbox()
         self._peer_rates: dict[str, _ReportedRate] = {}
         self._peers_with_differing_terms: set[str] = set()
-        self._borrower = Borrower(rng, self._send, self.counts, log_event)
-        self._lender = Lender(self._send, self.counts)
+        self._lessee = Lessee(rng, self._send, self.counts, log_event)
+        self._grantor = Grantor(self._send, self.counts)
 
     # What may be used
 
@@ -114,7 +114,7 @@
         return self.accounts[name].allocation.usable_after_leases(now) / EVEN_FRACTION_UNITS
 
     def first_expiry(self, now: float) -> float:
-        """When the first borrowed lease expires; infinite if there is none."""
+        """When the first acquired lease expires; infinite if there is none."""
         return min(
             (account.allocation.first_expiry(now) for account in self.accounts.values()), default=math.inf
         )
@@ -140,12 +140,12 @@
         if not self.shutting_down:
             self._set_demand_by_request_rate(now)
         for account in self.accounts.values():
-            self._borrower.tick(account, now)
+            self._lessee.tick(account, now)
 
     def begin_shutdown(self, now: float) -> None:
         """This process shuts down.
 
-        What is borrowed is released as soon as nothing takes it up, and its own entitlement is lent beyond
+        What is acquired is released as soon as nothing takes it up, and its own entitlement is granted beyond
         its floor, until the leases expire.
         """
         self.shutting_down = True
@@ -153,8 +153,8 @@
             account.shutting_down = True
             account.demand = 0.0
             for key in [*account.pending]:
-                self._borrower.cancel(account, key)
-            self._borrower.release_surplus(account, now)
+                self._lessee.cancel(account, key)
+            self._lessee.release_surplus(account, now)
 
     def process_joined(self, now: float, notice_ms: float = 0.0) -> None:
         """Another process of this node runs; see `Allocation.process_joined`."""
@@ -227,23 +227,23 @@
         """Take in a message about the limit of `account`."""
         match message:
             case LeaseRequest():
-                self._lender.on_request(account, sender, message, now)
+                self._grantor.on_request(account, sender, message, now)
             case LeaseGrant():
-                self._borrower.on_grant(account, sender, message, now)
+                self._lessee.on_grant(account, sender, message, now)
             case LeaseRelease():
                 account.allocation.receive(now, sender, message)
 
     def _receive_offers(
-        self, lender: str, incarnation: int, as_of: float, offers: tuple[LeaseOffer, ...]
+        self, grantor: str, incarnation: int, as_of: float, offers: tuple[LeaseOffer, ...]
     ) -> None:
         for account in self.accounts.values():
-            account.offers.pop(lender, None)
+            account.offers.pop(grantor, None)
         for offer in offers:
             limit_account = self._accounts_by_digest.get(offer.limit_digest)
             if limit_account is None:
-                self._on_differing_terms(lender)
+                self._on_differing_terms(grantor)
             else:
-                limit_account.offers[lender] = Offer(incarnation, offer.amount, as_of)
+                limit_account.offers[grantor] = Offer(incarnation, offer.amount, as_of)
 
     def _on_differing_terms(self, peer: str) -> None:
         """Guards the sum: a fraction of a limit of another size is not the same amount."""
@@ -252,11 +252,11 @@
             self._log_event("lease_terms_differ", peer=peer)
 
     def _offers(self, now: float) -> list[LeaseOffer]:
-        """What can be lent. Who has lent all is named with what little is left: to be asked all the same."""
+        """What can be granted. Who has granted all tells what little is left: to be asked all the same."""
         offers = []
         for digest, account in self._accounts_by_digest.items():
-            amount = account.lendable(now)
-            if amount >= MIN_LEASE_UNITS or account.allocation.lent:
+            amount = account.grantable(now)
+            if amount >= MIN_LEASE_UNITS or account.allocation.granted:
                 offers.append(LeaseOffer(digest, amount))
         return offers[:MAX_OFFERS]
 
--- a/flintridge/leases/messages.py
+++ b/flintridge/leases/messages.py
@@ -7,7 +7,7 @@
 
 from dataclasses import dataclass
 from enum import IntEnum
-from typing import Annotated, assert_never
+from typing import Annotated, NamedTuple, assert_never
 
 import msgspec
 from msgspec import Meta
@@ -29,10 +29,10 @@
     """Asks for a lease; repeated with a later timestamp it renews lease `lease_id`, whose amount stays.
 
     Attributes:
-        lease_id: Numbers the lease; never used again by one incarnation of the borrower.
+        lease_id: Numbers the lease; never used again by one incarnation of the lessee.
         amount: Units that are asked for.
-        requested_at: When, in milliseconds of the borrower's clock; the grant repeats it.
-        usable: Units that the borrower may use now, by which a lender chooses who gets a lease.
+        requested_at: When, in milliseconds of the lessee's clock; the grant repeats it.
+        usable: Units that the lessee may use now, by which a grantor chooses who gets a lease.
     """
 
     lease_id: int
@@ -47,7 +47,7 @@
 
     Attributes:
         lease_id: That of the request.
-        amount: Units that are lent; 0 denies the request.
+        amount: Units that are granted; 0 denies the request.
         requested_at: That of the request.
     """
 
@@ -58,7 +58,7 @@
 
 @dataclass(slots=True, frozen=True)
 class LeaseRelease:
-    """Ends a lease: the borrower uses nothing of it any more."""
+    """Ends a lease: the lessee uses nothing of it any more."""
 
     lease_id: int
 
@@ -76,7 +76,7 @@
 
 @dataclass(slots=True, frozen=True)
 class LeaseOffer:
-    """How many units of a limit the sender can lend."""
+    """How many units of a limit the sender can grant."""
 
     limit_digest: bytes
     amount: int
@@ -88,7 +88,7 @@
 
     Attributes:
         requests_per_s: Requests a second at the sender, lately.
-        offers: What it can lend.
+        offers: What it can grant.
         messages: Its messages to the receiver.
     """
 
@@ -99,15 +99,20 @@
 
 _Digest = Annotated[bytes, Meta(min_length=4, max_length=4)]
 _Units = Annotated[int, Meta(ge=0, le=1_000_000_000)]
-_WireOffer = tuple[_Digest, _Units]
-_WireMessage = tuple[
-    _Digest,
-    Annotated[int, Meta(ge=0, le=2)],  # a MessageKind
-    Annotated[int, Meta(ge=0, lt=1 << 62)],  # lease_id
-    _Units,  # amount
-    Annotated[float, Meta(ge=0, le=1e15)],  # requested_at
-    _Units,  # usable
-]
+
+
+class _WireOffer(NamedTuple):
+    limit_digest: _Digest
+    amount: _Units
+
+
+class _WireMessage(NamedTuple):
+    limit_digest: _Digest
+    kind: Annotated[int, Meta(ge=0, le=2)]  # a MessageKind
+    lease_id: Annotated[int, Meta(ge=0, lt=1 << 62)]
+    amount: _Units
+    requested_at: Annotated[float, Meta(ge=0, le=1e15)]
+    usable: _Units
 
 
 class _WireFact(msgspec.Struct, array_like=True, frozen=True, gc=False):
@@ -127,7 +132,7 @@
     return _encoder.encode(
         _WireFact(
             fact.requests_per_s,
-            tuple((offer.limit_digest, offer.amount) for offer in fact.offers),
+            tuple(_WireOffer(offer.limit_digest, offer.amount) for offer in fact.offers),
             tuple(_to_wire(message) for message in fact.messages),
         )
     )
@@ -141,7 +146,7 @@
         return None
     return LeaseFact(
         wire.requests_per_s,
-        tuple(LeaseOffer(digest, amount) for digest, amount in wire.offers),
+        tuple(LeaseOffer(offer.limit_digest, offer.amount) for offer in wire.offers),
         tuple(_from_wire(message) for message in wire.messages),
     )
 
@@ -150,23 +155,22 @@
     digest = limit_message.limit_digest
     match limit_message.message:
         case LeaseRequest(lease_id, amount, requested_at, usable):
-            return digest, MessageKind.REQUEST, lease_id, amount, requested_at, usable
+            return _WireMessage(digest, MessageKind.REQUEST, lease_id, amount, requested_at, usable)
         case LeaseGrant(lease_id, amount, requested_at):
-            return digest, MessageKind.GRANT, lease_id, amount, requested_at, 0
+            return _WireMessage(digest, MessageKind.GRANT, lease_id, amount, requested_at, 0)
         case LeaseRelease(lease_id):
-            return digest, MessageKind.RELEASE, lease_id, 0, 0.0, 0
+            return _WireMessage(digest, MessageKind.RELEASE, lease_id, 0, 0.0, 0)
         case _ as unreachable:
             assert_never(unreachable)
 
 
 def _from_wire(wire: _WireMessage) -> LimitMessage:
-    digest, kind, lease_id, amount, requested_at, usable = wire
     message: LeaseMessage
-    match MessageKind(kind):
+    match MessageKind(wire.kind):
         case MessageKind.REQUEST:
-            message = LeaseRequest(lease_id, amount, requested_at, usable)
+            message = LeaseRequest(wire.lease_id, wire.amount, wire.requested_at, wire.usable)
         case MessageKind.GRANT:
-            message = LeaseGrant(lease_id, amount, requested_at)
+            message = LeaseGrant(wire.lease_id, wire.amount, wire.requested_at)
         case MessageKind.RELEASE:
-            message = LeaseRelease(lease_id)
-    return LimitMessage(digest, message)
+            message = LeaseRelease(wire.lease_id)
+    return LimitMessage(wire.limit_digest, message)
--- a/flintridge/leases/outbox.py
+++ b/flintridge/leases/outbox.py
@@ -1,11 +1,18 @@
 """Lease messages that wait for the next datagram to their receiver."""
 
 from dataclasses import dataclass, field
+from typing import NamedTuple
 
 from flintridge.leases.allocation import ProcessId
 from flintridge.leases.messages import MAX_MESSAGES, LeaseMessage, LimitMessage
 
-_Slot = tuple[bytes, type[LeaseMessage], int]  # limit digest, kind, lease id
+
+class _Slot(NamedTuple):
+    """What a newer message replaces the older one of."""
+
+    limit_digest: bytes
+    kind: type[LeaseMessage]
+    lease_id: int
 
 
 @dataclass(slots=True)
@@ -47,4 +54,4 @@
 
 def _slot(limit_message: LimitMessage) -> _Slot:
     message = limit_message.message
-    return limit_message.limit_digest, type(message), message.lease_id
+    return _Slot(limit_message.limit_digest, type(message), message.lease_id)
--- a/flintridge/leases/status.py
+++ b/flintridge/leases/status.py
@@ -3,6 +3,7 @@
 from typing import Any
 
 from flintridge.leases.account import Account
+from flintridge.leases.allocation import Lease
 from flintridge.leases.fleet_limit import EVEN_FRACTION_UNITS
 
 
@@ -15,7 +16,8 @@
         now: The instant, in milliseconds of the process's clock.
 
     Returns:
-        Its fields; amounts in even fractions but for `whole`, `even` and `used`, in the limit's unit.
+        Its fields, by the names that clients of the admin API read. Amounts are in even fractions, but
+        `whole`, `even` and `used` in the limit's unit.
     """
     limit = account.limit
     allocation = account.allocation
@@ -30,21 +32,23 @@
         "used": round(used, 1),
         "lent": [
             {
-                "to": key.borrower.name,
-                "life": f"{key.borrower.incarnation:x}",
-                "amount": lease.amount / EVEN_FRACTION_UNITS,
-                "ends_in_ms": round(lease.expires_at - now),
+                "to": key.lessee.name,
+                "life": f"{key.lessee.incarnation:x}",
+                **_lease_status(lease, now),
             }
-            for key, lease in allocation.lent.items()
+            for key, lease in allocation.granted.items()
             if now < lease.expires_at
         ],
         "borrowed": [
-            {
-                "from": key.lender,
-                "amount": lease.amount / EVEN_FRACTION_UNITS,
-                "ends_in_ms": round(lease.expires_at - now),
-            }
-            for key, lease in allocation.borrowed.items()
+            {"from": key.grantor, **_lease_status(lease, now)}
+            for key, lease in allocation.acquired.items()
             if now < lease.expires_at
         ],
     }
+
+
+def _lease_status(lease: Lease, now: float) -> dict[str, Any]:
+    return {
+        "amount": lease.amount / EVEN_FRACTION_UNITS,
+        "ends_in_ms": round(lease.expires_at - now),
+    }
--- a/tests/leases/test_allocation.py
+++ b/tests/leases/test_allocation.py
@@ -24,11 +24,11 @@
 
 
 def granted_lease(amount=60, now=0.0) -> tuple[Allocation, Allocation, LeaseGrant]:
-    """The lender, the borrower and the grant of a lease."""
-    lender, borrower = two_allocations()
-    grant = lender.receive(now, B, borrower.request(now, "a", amount))
-    borrower.receive(now, A, grant)
-    return lender, borrower, grant
+    """The grantor, the lessee and the grant of a lease."""
+    grantor, lessee = two_allocations()
+    grant = grantor.receive(now, B, lessee.request(now, "a", amount))
+    lessee.receive(now, A, grant)
+    return grantor, lessee, grant
 
 
 # Every interleaving
@@ -81,38 +81,38 @@
 
 
 def test_lease_when_granted_moves_units_beyond_the_floor_until_it_expires():
-    lender, borrower, grant = granted_lease(amount=80)
+    grantor, lessee, grant = granted_lease(amount=80)
     assert grant.amount == 60
-    assert (lender.usable(0), borrower.usable(0)) == (40, 160)
-    assert (lender.usable(999), borrower.usable(999)) == (40, 160)
-    assert (lender.usable(1001), borrower.usable(1001)) == (40, 100)  # the borrower's expires first
-    assert lender.usable(TERMS.lender_lease_ms) == 100
-    assert lender.lendable(0) == 0
-    assert lender.receive(0.0, B, LeaseRequest(9, 5, 0.0)) is None
+    assert (grantor.usable(0), lessee.usable(0)) == (40, 160)
+    assert (grantor.usable(999), lessee.usable(999)) == (40, 160)
+    assert (grantor.usable(1001), lessee.usable(1001)) == (40, 100)  # the lessee's expires first
+    assert grantor.usable(TERMS.grantor_lease_ms) == 100
+    assert grantor.grantable(0) == 0
+    assert grantor.receive(0.0, B, LeaseRequest(9, 5, 0.0)) is None
 
 
-def test_lendable_when_the_lender_has_demand_leaves_it_out():
-    lender, borrower = two_allocations()
-    assert lender.lendable(0, demand=70) == 30
-    assert lender.lendable(0, demand=500) == 0
-    assert lender.receive(0.0, B, borrower.request(0.0, "a", 60), demand=70) == LeaseGrant(1, 30, 0.0)
+def test_grantable_when_the_grantor_has_demand_leaves_it_out():
+    grantor, lessee = two_allocations()
+    assert grantor.grantable(0, demand=70) == 30
+    assert grantor.grantable(0, demand=500) == 0
+    assert grantor.receive(0.0, B, lessee.request(0.0, "a", 60), demand=70) == LeaseGrant(1, 30, 0.0)
 
 
 def test_request_repeated_when_its_grant_was_lost_is_granted_the_same_lease():
-    lender, borrower = two_allocations()
-    request = borrower.request(0.0, "a", 60)
-    lender.receive(0.0, B, request)
-    assert (lender.usable(10), borrower.usable(10)) == (40, 100)
-    again = lender.receive(500.0, B, replace(request, requested_at=400.0))
-    borrower.receive(600.0, A, again)
+    grantor, lessee = two_allocations()
+    request = lessee.request(0.0, "a", 60)
+    grantor.receive(0.0, B, request)
+    assert (grantor.usable(10), lessee.usable(10)) == (40, 100)
+    again = grantor.receive(500.0, B, replace(request, requested_at=400.0))
+    lessee.receive(600.0, A, again)
     assert again.amount == 60
-    assert borrower.usable(1399) == 160
-    assert borrower.usable(1400) == 100
-    assert lender.usable(500 + TERMS.lender_lease_ms - 1) == 40
+    assert lessee.usable(1399) == 160
+    assert lessee.usable(1400) == 100
+    assert grantor.usable(500 + TERMS.grantor_lease_ms - 1) == 40
 
 
 def test_grant_that_is_late_unrequested_or_of_a_released_lease_counts_nothing():
-    lender, borrower, grant = granted_lease()
+    grantor, lessee, grant = granted_lease()
     late = Allocation(TERMS, LONG_AGO)
     late.request(0.0, "a", 60)
     late.receive(1000.0, A, grant)
@@ -120,20 +120,20 @@
     stranger = Allocation(TERMS, LONG_AGO)
     stranger.receive(0.0, A, grant)
     assert stranger.usable(0.0) == 100
-    assert borrower.release("a", 1) == LeaseRelease(1)
-    assert borrower.usable(1.0) == 100
-    borrower.receive(2.0, A, grant)
-    assert borrower.usable(2.0) == 100
-    assert borrower.release("a", 1) is None
-    lender.receive(3.0, B, LeaseRelease(1))
-    lender.receive(3.0, B, LeaseRelease(1))
-    assert lender.usable(3.0) == 100
+    assert lessee.release("a", 1) == LeaseRelease(1)
+    assert lessee.usable(1.0) == 100
+    lessee.receive(2.0, A, grant)
+    assert lessee.usable(2.0) == 100
+    assert lessee.release("a", 1) is None
+    grantor.receive(3.0, B, LeaseRelease(1))
+    grantor.receive(3.0, B, LeaseRelease(1))
+    assert grantor.usable(3.0) == 100
 
 
 def test_entitlement_after_a_restart_is_the_floor_until_the_longest_lease_expired():
-    lender = Allocation(TERMS, 5_000.0)
-    assert (lender.usable(5_000.0), lender.lendable(5_000.0)) == (40, 0)
-    assert lender.usable(5_000.0 + TERMS.lender_lease_ms) == 100
+    grantor = Allocation(TERMS, 5_000.0)
+    assert (grantor.usable(5_000.0), grantor.grantable(5_000.0)) == (40, 0)
+    assert grantor.usable(5_000.0 + TERMS.grantor_lease_ms) == 100
 
 
 def test_usable_when_two_processes_of_a_node_run_is_half_each_and_zero_until_the_old_one_noticed():
@@ -146,10 +146,10 @@
             old.process_joined(450.0)
         node_usable = old.usable(now) + new.usable(now)
         assert node_usable + other.usable(now) <= 200, now
-    assert old.lendable(3_000) == 0
+    assert old.grantable(3_000) == 0
     new.process_left(4_000.0)  # the old one has exited: what it lent is not known here
     assert new.usable(4_000.0) == 40
-    assert new.usable(4_000.0 + TERMS.lender_lease_ms) == 100
+    assert new.usable(4_000.0 + TERMS.grantor_lease_ms) == 100
 
 
 @dataclass(frozen=True)
@@ -222,9 +222,9 @@
         allocation.remove_expired(now)
         draw = self.rng.random()
         if draw < 0.3:
-            lender = self.rng.choice([other for other in self.names if other != name])
-            self.send(lender, name, allocation.request(now, lender, self.rng.choice((10, 30, 60))))
-        elif draw < 0.5 and allocation.borrowed:
+            grantor = self.rng.choice([other for other in self.names if other != name])
+            self.send(grantor, name, allocation.request(now, grantor, self.rng.choice((10, 30, 60))))
+        elif draw < 0.5 and allocation.acquired:
             self.renew_or_release(name, now)
         elif draw < 0.52:
             self.stopped_until[name] = self.now + self.rng.choice((100.0, 1_500.0, 5_000.0))
@@ -235,13 +235,13 @@
     def renew_or_release(self, name, now):
         """A process renews or releases one of its leases."""
         allocation = self.allocations[name]
-        key = self.rng.choice(list(allocation.borrowed))
+        key = self.rng.choice(list(allocation.acquired))
         if self.rng.random() < 0.7:
-            message = allocation.renewal(now, key.lender, key.lease_id)
+            message = allocation.renewal(now, key.grantor, key.lease_id)
         else:
-            message = allocation.release(key.lender, key.lease_id)
+            message = allocation.release(key.grantor, key.lease_id)
         if message is not None:
-            self.send(key.lender, name, message)
+            self.send(key.grantor, name, message)
 
 
 @pytest.mark.parametrize("seed", range(20))
--- a/tests/leases/test_lease_manager.py
+++ b/tests/leases/test_lease_manager.py
@@ -12,7 +12,6 @@
 from flintridge.lab.partial.lending import QUOTA, Lenders, random_day
 from flintridge.lab.partial.machines import Link
 from flintridge.leases.allocation import ProcessId
-from flintridge.leases.borrower import MAX_LEASE_UNITS, MAX_REQUEST_ATTEMPTS, RETRY_INTERVAL_MS
 from flintridge.leases.demand import RecentPeak, RequestRate
 from flintridge.leases.fleet_limit import (
     EVEN_FRACTION_UNITS,
@@ -22,6 +21,7 @@
     LeaseTermsError,
 )
 from flintridge.leases.lease_manager import LeaseManager
+from flintridge.leases.lessee import MAX_LEASE_UNITS, MAX_REQUEST_ATTEMPTS, RETRY_INTERVAL_MS
 from flintridge.leases.messages import (
     MAX_MESSAGES,
     LeaseFact,
@@ -90,7 +90,7 @@
         exchange(now, a, b, 1)
     assert a[1].usable(QUOTA, 3_000) == pytest.approx(1.72)
     assert b[1].usable(QUOTA, 3_000) == pytest.approx(0.28)
-    # The lender keeps what it needs, and some more: 0.2 x 1.15 + 0.05.
+    # The grantor keeps what it needs, and some more: 0.2 x 1.15 + 0.05.
     assert a[1].counts["granted"] >= 3  # in chunks
 
 
@@ -115,17 +115,17 @@
     account = a[1].accounts[QUOTA]
     assert a[1].counts["given_back"] > 10
     assert a[1].counts["renewed"] > 10
-    live = set(account.allocation.borrowed)
-    assert set(account.renewal_sent_at) | set(account.lender_incarnations) | account.unrenewable <= live
+    live = set(account.allocation.acquired)
+    assert set(account.renewal_sent_at) | set(account.grantor_incarnations) | account.unrenewable <= live
     assert set(account.allocation.requested) <= live | set(account.pending)
 
 
-def test_lender_when_it_needs_its_entitlement_again_has_it_at_the_expiry():
+def test_grantor_when_it_needs_its_entitlement_again_has_it_at_the_expiry():
     a, b = two_managers()
     for now in range(0, 5_000, 50):
         exchange(now, a, b, 1)
     b[1].set_demand(QUOTA, 1.0)
-    for now in range(5_000, int(5_000 + TERMS.lender_lease_ms) + 100, 50):
+    for now in range(5_000, int(5_000 + TERMS.grantor_lease_ms) + 100, 50):
         exchange(now, a, b, 1)
         assert a[1].usable(QUOTA, now) + b[1].usable(QUOTA, now) <= 2 + 1e-9
     assert b[1].usable(QUOTA, now) == 1.0 == a[1].usable(QUOTA, now)
@@ -248,12 +248,12 @@
     assert b[1].usable(QUOTA, 2_050) >= 1.0
 
 
-def test_borrowed_permit_within_completion_time_of_its_expiry_is_not_usable():
+def test_acquired_permit_within_completion_time_of_its_expiry_is_not_usable():
     terms = LeaseTerms(EVEN_FRACTION_UNITS, floor=250, lease_ms=6_000.0, completion_ms=2_500.0)
     a, b = two_managers(terms=terms)
     exchange(0.0, a, b)
     assert a[1].usable(QUOTA, 3_499.0) > 1 == a[1].usable(QUOTA, 3_500.0)
-    assert b[1].usable(QUOTA, 6_000.0) < 1 == b[1].usable(QUOTA, terms.lender_lease_ms)
+    assert b[1].usable(QUOTA, 6_000.0) < 1 == b[1].usable(QUOTA, terms.grantor_lease_ms)
     with pytest.raises(
         LeaseTermsError, match="completion_ms 6000 must be from 0 to under the lease_ms of 6000"
     ) as caught:
@@ -389,7 +389,7 @@
     fleet.run(10_000)
     third = fleet.names[:3]
     fleet.cut(third, fleet.names[3:])
-    fleet.run(2 * TERMS.lender_lease_ms)
+    fleet.run(2 * TERMS.grantor_lease_ms)
     for _ in range(5):
         fleet.run(1_000)
         assert sum(fleet.usable(name) for name in third) >= 3 - 1e-9
@@ -405,14 +405,14 @@
     fleet.run(500)
     assert crowded(fleet) >= before
     fleet.leave("n0")
-    fleet.run(TERMS.lender_lease_ms)  # by then at the latest, should a message be lost
-    assert all(peer[0] != "n0" for name in fleet.names[2:] for peer, _ in lent(fleet, name))
+    fleet.run(TERMS.grantor_lease_ms)  # by then at the latest, should a message be lost
+    assert all(peer[0] != "n0" for name in fleet.names[2:] for peer, _ in granted_leases(fleet, name))
     assert not fleet.over
 
 
-def lent(fleet: Lenders, name: str):
+def granted_leases(fleet: Lenders, name: str):
     """The leases that a node has granted."""
-    return fleet.manager(name).accounts[QUOTA].allocation.lent
+    return fleet.manager(name).accounts[QUOTA].allocation.granted
 
 
 def test_nodes_when_all_restart_at_once_have_their_floors_and_then_lease_again():
@@ -422,7 +422,7 @@
         fleet.kill(name)
         fleet.start(name)
     assert {fleet.usable(name) for name in fleet.names} == {0.25}
-    fleet.run(TERMS.lender_lease_ms + 100)
+    fleet.run(TERMS.grantor_lease_ms + 100)
     assert fleet.whole() > 5
     assert not fleet.over
     fleet.run(15_000)
--- a/tests/leases/test_lease_processes.py
+++ b/tests/leases/test_lease_processes.py
@@ -160,7 +160,7 @@
     run(4, check, rate_per_s=100.0)
 
 
-def test_borrower_when_stopped_past_its_leases_expiry_resumes_with_its_even_fraction():
+def test_lessee_when_stopped_past_its_leases_expiry_resumes_with_its_even_fraction():
     async def check(rig):
         await status_when(rig, "n0", borrowing)
         rig.nodes.pause("n0")
@@ -180,8 +180,8 @@
 def test_grant_when_lost_stays_lent_until_its_expiry():
     async def check(rig):
         lent = await status_when(rig, "n1", lending)
-        borrower = await limit_status(rig, "n0")
-        assert borrower["usable"] <= 1.0
+        lessee = await limit_status(rig, "n0")
+        assert lessee["usable"] <= 1.0
         assert lent["usable"] < 1.0
         await status_when(rig, "n1", even)
 
@@ -193,7 +193,7 @@
     )
 
 
-def test_lender_when_killed_between_debit_and_grant_restarts_with_its_floor():
+def test_grantor_when_killed_between_debit_and_grant_restarts_with_its_floor():
     async def check(rig):
         await rig.nodes.ended("n1")
         assert (await limit_status(rig, "n0"))["usable"] <= 1.0
@@ -211,19 +211,19 @@
     run(2, check, rate_per_s=80.0, prepare=prepare)
 
 
-def test_lender_when_killed_after_its_grant_has_its_floor_until_the_lease_expires():
+def test_grantor_when_killed_after_its_grant_has_its_floor_until_the_lease_expires():
     async def check(rig):
         await status_when(rig, "n0", borrowing)
         rig.kill("n1")
         await rig.nodes.ended("n1")
         await rig.runner.start("n1")
-        # What the previous incarnation lent is known to its borrower alone: the sum of both never exceeds 2.
+        # What the previous incarnation lent is known to its lessee alone: the sum of both never exceeds 2.
         while True:
-            lender = await limit_status(rig, "n1")
-            borrower = await limit_status(rig, "n0")
-            if lender and borrower:
-                assert lender["usable"] + borrower["usable"] <= 2 + 1e-9, (lender, borrower)
-                if lender["own"] == 1.0:
+            grantor = await limit_status(rig, "n1")
+            lessee = await limit_status(rig, "n0")
+            if grantor and lessee:
+                assert grantor["usable"] + lessee["usable"] <= 2 + 1e-9, (grantor, lessee)
+                if grantor["own"] == 1.0:
                     break
             await asyncio.sleep(0.05)
         await status_when(rig, "n0", borrowing)
