--- a/flintridge/membership/admin_view.py
+++ b/flintridge/membership/admin_view.py
@@ -11,7 +11,7 @@
     "acks_from_wrong_member": "answers_of_another",
     "dropped_too_many_incarnations": "dropped_lives",
     "dropped_unauthenticated": "dropped_unsealed",
-    "indirect_probes_refused": "errands_refused",
+    "indirect_probes_rejected": "errands_refused",
     "payloads_too_long": "facts_long",
     "payloads_unknown": "facts_unknown",
     "probes_acked_indirectly": "probes_by_others",
--- a/flintridge/membership/datagram_endpoint.py
+++ b/flintridge/membership/datagram_endpoint.py
@@ -168,7 +168,7 @@
         if data == self._registration(source[1]) and same_host and is_known_or_fits:
             self._successors[source] = self._clock.now() + REGISTRATION_MS
         else:
-            self._counters.add("peers_registrations_refused")
+            self._counters.add("peers_registrations_rejected")
         return True
 
     def forward(self, data: bytes) -> None:
--- a/flintridge/membership/driver.py
+++ b/flintridge/membership/driver.py
@@ -2,32 +2,36 @@
 
 import asyncio
 import os
-from collections.abc import Callable, Coroutine, Iterator
+from collections.abc import Callable, Coroutine
 from random import Random
 from typing import Any
 
-import msgspec
-
 from flintridge.config.node_config import PeersConfig
 from flintridge.membership.admin_view import membership_view
 from flintridge.membership.datagram_endpoint import DatagramEndpoint
-from flintridge.membership.exchange_service import ExchangeHandler, ExchangeRejectedError, ExchangeService
+from flintridge.membership.exchange_service import ExchangeHandler, ExchangeService
 from flintridge.membership.failure_detector import FailureDetector
 from flintridge.membership.member import Member
-from flintridge.membership.messages import GossipEntry, MessageCodec, MessageDroppedError, ProcessId
+from flintridge.membership.member_sync import MEMBERS_TOPIC, MemberSync
+from flintridge.membership.messages import MessageCodec, ProcessId
 from flintridge.membership.reachability import Reachability
-from flintridge.runtime.clock import Clock, DeadlineExceededError, Timer
+from flintridge.runtime.clock import Clock, Timer
 from flintridge.telemetry.counters import Counters
 from flintridge.telemetry.log import EventLog
 
 TICK_MS = 50.0
 INCARNATION_BITS = 62
-MEMBERS_TOPIC = "lives"  # of the exchanges that send a node's reachable members
-ENTRIES_PER_CHUNK = 32
 
 
 class MembershipDriver:
-    """One process of a node among the fleet's. Times are float milliseconds of `clock`."""
+    """One process of a node among the fleet's. Times are float milliseconds of the clock.
+
+    Attributes:
+        name: Of this node.
+        incarnation: Of this process.
+        config: Of the node's `[peers]`.
+        failure_detector: Of this process.
+    """
 
     def __init__(
         self,
@@ -58,22 +62,17 @@
         self._addresses = {peer: address for peer, address in config.known if peer != name}
         codec = MessageCodec(config.fleet, config.key)
         bytes_per_s = config.bytes_per_s / 2  # half for datagrams, half for exchanges
+        peers = tuple(self._addresses)
         self.failure_detector = FailureDetector(
-            name,
-            self.incarnation,
-            tuple(self._addresses),
-            codec,
-            bytes_per_s,
-            clock.now(),
-            rng,
-            log.event,
+            name, self.incarnation, peers, codec, bytes_per_s, clock.now(), rng, log.event
         )
         self._tasks: dict[asyncio.Task[Any], None] = {}
         process = ProcessId(name, self.incarnation)
         self._exchanges = ExchangeService(
             process, codec, bytes_per_s, clock, log, counters, entropy, self._tasks
         )
-        self._exchanges.register(MEMBERS_TOPIC, self._serve_members)
+        self._member_sync = MemberSync(self.failure_detector, self.exchange, clock, log, counters)
+        self._exchanges.register(MEMBERS_TOPIC, self._member_sync.serve)
         self._endpoint = DatagramEndpoint(
             config.listen, codec, clock, log, counters, self._on_datagram, self._on_address_claimed
         )
@@ -200,48 +199,10 @@
         self._counters.add("peers_errors")
         self._log.error("peers_failed", error)
 
-    # Exchanges of reachable members, for a process that has just begun or was stopped
-
-    def _serve_members(self, query: bytes) -> Iterator[bytes]:
-        encoder = msgspec.msgpack.Encoder()
-        members = self.failure_detector.table.reachable_not_in(query)
-        for start in range(0, len(members), ENTRIES_PER_CHUNK):
-            now = self._clock.now()  # ages as of each chunk: a slow reader must not make them younger
-            block = members[start : start + ENTRIES_PER_CHUNK]
-            yield encoder.encode([member.gossip_entry(now) for member in block])
-
     def _sync_if_due(self) -> None:
         peer = self.failure_detector.next_sync_source(self._clock.now())
         if peer is not None:
-            self._start_task(self._sync(peer))
-
-    async def _sync(self, peer: str) -> None:
-        """Take in the members that a peer can reach and this node cannot."""
-        detector = self.failure_detector
-        requested_at = self._clock.now()
-        try:
-            chunks = await self.exchange(peer, MEMBERS_TOPIC, detector.table.reachable_filter())
-            entries = [
-                entry
-                for chunk in chunks
-                if chunk
-                for entry in msgspec.msgpack.decode(chunk, type=list[GossipEntry])
-            ]
-        except (
-            OSError,
-            DeadlineExceededError,
-            MessageDroppedError,
-            ExchangeRejectedError,
-            msgspec.MsgspecError,
-        ) as error:
-            self._counters.add("peers_syncs_failed")
-            self._log.event("peers_sync_failed", peer=peer, error=repr(error))
-            return
-        now = self._clock.now()
-        for entry in entries:
-            # It was sent after the request, whenever that was answered.
-            detector.table.merge_entry(entry, requested_at, detector.suspicion_ms, now, detector.max_age_ms)
-        self._counters.add("peers_syncs_completed")
+            self._start_task(self._member_sync.pull(peer))
 
     def _start_task(self, work: Coroutine[Any, Any, None]) -> None:
         task = asyncio.ensure_future(work)
--- a/flintridge/membership/failure_detector.py
+++ b/flintridge/membership/failure_detector.py
@@ -6,12 +6,13 @@
 replayed or lay in a buffer while the process was stopped.
 """
 
-import math
 from collections import Counter
 from collections.abc import Callable
 from random import Random
 
 from flintridge.membership.byte_budget import ByteBudget
+from flintridge.membership.detection_times import DetectionTimes
+from flintridge.membership.duplicate_name import DuplicateNameDetector
 from flintridge.membership.member import Member
 from flintridge.membership.member_table import MAX_CLOCK_DRIFT, MemberTable
 from flintridge.membership.message_sender import MessageSender, OutgoingDatagram
@@ -25,32 +26,31 @@
     MessageKind,
 )
 from flintridge.membership.probe_rotation import ProbeRotation
+from flintridge.membership.probe_schedule import ProbeSchedule
 from flintridge.membership.probes import PROBE_TIMEOUT_MS, Prober
 from flintridge.membership.reachability import Reachability
 from flintridge.membership.sync_schedule import SyncSchedule
 from flintridge.membership.topics import Topic, TopicRegistry
 
-PROBE_INTERVAL_MS = 300.0
-EAGER_PROBE_INTERVAL_MS = 100.0  # just after the start, and after a clock gap,
-EAGER_MS = 2_000.0  # for so long
-EAGER_BUDGET_FRACTION = 0.5  # of the bytes of a second that must be left for that
 UPDATE_INTERVAL_MS = 200.0  # between two updates of the reachable members
 CLOCK_GAP_MS = 1_500.0  # a clock that jumps by more: the process was stopped, or starved
-MIN_MAX_AGE_MS = 4_000.0  # evidence older than this does not count, at the least
-GOSSIP_CYCLES = 16.0  # and not before entries of all members could have been received so often
-SUSPICION_MS = 1_500.0  # times the decimal log of the fleet's size where that is over 1
-TYPICAL_ENTRIES = 24.0  # of a datagram, at the most, where bytes allow
-MIN_TYPICAL_ENTRIES = 4.0
-BYTES_PER_S_AN_ENTRY = 330.0  # bytes a second for each entry that a datagram can then have (measured)
 LEAVE_MESSAGES = 6  # of a process that ends in order
-# Acks for another process are over by then where that was one that ran here before.
-DUPLICATE_NAME_MS = 5_000.0
-MAX_EXPECTED_ELSEWHERE = 8  # other incarnations of this node's name that are remembered
 MAX_DATAGRAMS_IN_PER_S = 400  # that are examined; far more than a fleet sends to one
 
 
 class FailureDetector:
-    """One node's view of the other members."""
+    """One node's view of the other members.
+
+    Attributes:
+        table: The members.
+        counters: Of what happened, by name.
+        has_successor: Whether a newer process of this node gets its acks through this one.
+        max_age_ms: Older evidence does not count.
+        suspicion_ms: How long a suspicion lasts.
+        sender: Of its messages.
+        prober: Its probes.
+        rotation: Whom to probe next.
+    """
 
     def __init__(
         self,
@@ -77,13 +77,10 @@
         """
         self.table = MemberTable(local_name, incarnation, names, now, rng)
         self.counters: Counter[str] = Counter()
-        self.has_successor = False  # a newer process of this node gets its acks through this one
-        fleet_size = len(self.table.peer_names) + 1
-        # With gossip come the acks of one's own probes, and the receipts for one's acks.
-        entries_per_probe = 2 * _typical_entries(bytes_per_s)
-        gossip_ms = GOSSIP_CYCLES * PROBE_INTERVAL_MS * fleet_size / entries_per_probe
-        self.max_age_ms = MIN_MAX_AGE_MS + gossip_ms  # older evidence does not count
-        self.suspicion_ms = SUSPICION_MS * max(1.0, math.log10(fleet_size + 1))
+        self.has_successor = False
+        times = DetectionTimes.for_fleet(len(self.table.peer_names) + 1, bytes_per_s)
+        self.max_age_ms = times.max_age_ms
+        self.suspicion_ms = times.suspicion_ms
         self._topics = TopicRegistry(self.counters)
         self.sender = MessageSender(self.table, codec, self._topics, bytes_per_s, now, self.counters)
         self.prober = Prober(self.table, self.sender, rng, self.counters)
@@ -94,13 +91,11 @@
         self._log_event = log_event
         self._now = now
         self._datagrams_in = ByteBudget(MAX_DATAGRAMS_IN_PER_S)
-        self._next_probe_at = now + rng.uniform(0, EAGER_PROBE_INTERVAL_MS)
-        self._eager_until = now + EAGER_MS
+        self._probe_schedule = ProbeSchedule(self.sender.budget, now, rng)
+        self._duplicate_name = DuplicateNameDetector()
         self._next_update_at = now
-        self._leaving = False
+        self._has_left = False
         self._reported: set[str] = set()  # what is logged once
-        # Other incarnations of this node's name that receive acks here, and since when.
-        self._expected_elsewhere: dict[int, float] = {}
 
     @property
     def reachability(self) -> Reachability:
@@ -132,9 +127,7 @@
         self.prober.end_probes(now)
         self.prober.end_indirect_probes(now)
         self.table.end_suspicions(now, self.suspicion_ms)
-        if now >= self._next_probe_at and not self._leaving:
-            interval = self._probe_interval_ms(now) * self._rng.uniform(0.9, 1.1)
-            self._next_probe_at = max(now, self._next_probe_at + interval)
+        if not self._has_left and self._probe_schedule.is_due(now):
             target = self.rotation.next_target()
             if target is not None:
                 self.prober.probe(target, now)
@@ -150,13 +143,7 @@
 
     def next_sync_source(self, now: float) -> str | None:
         """The peer to ask now, by a state exchange, for the members that this node cannot reach, or None."""
-        return None if self._leaving else self._sync_schedule.next_source(now)
-
-    def _probe_interval_ms(self, now: float) -> float:
-        budget = self.sender.budget
-        if now < self._eager_until and budget.available(now) > EAGER_BUDGET_FRACTION * budget.per_second:
-            return EAGER_PROBE_INTERVAL_MS
-        return PROBE_INTERVAL_MS
+        return None if self._has_left else self._sync_schedule.next_source(now)
 
     def _update_reachability(self, now: float) -> None:
         before = self.reachability.reachable
@@ -175,8 +162,7 @@
         self._log_event("peers_gap", ms=round(gap))
         self.prober.clear()
         self.table.reset_after_gap(now)
-        self._eager_until = now + EAGER_MS
-        self._next_probe_at = now
+        self._probe_schedule.restart(now)
 
     # Received datagrams
 
@@ -217,8 +203,8 @@
                 table.merge_entry(entry, sent_at, self.suspicion_ms, now, self.max_age_ms)
             self._topics.receive(message, sent_at, now)
         if message.target_incarnation not in (ANY_INCARNATION, table.incarnation):
-            self._note_expected_elsewhere(message, now)
-        elif not self._leaving:
+            self._check_duplicate_name(message, now)
+        elif not self._has_left:
             self._respond(message, member, now)
 
     def _accept(self, message: Message, now: float) -> Member:
@@ -244,21 +230,15 @@
         delay = message.echo_delay * (1 - MAX_CLOCK_DRIFT)
         return min(now, self.sender.origin + message.echoed_sent_at + delay)
 
-    def _note_expected_elsewhere(self, message: Message, now: float) -> None:
-        """An ack for another process of this node's name.
-
-        Guards against two nodes that were given one name by mistake: of those only this one gets the acks,
-        and nobody is reachable from the other.
-        """
+    def _check_duplicate_name(self, message: Message, now: float) -> None:
         if self.has_successor:
-            self._expected_elsewhere.clear()
+            self._duplicate_name.clear()
             return
-        if message.kind != MessageKind.ACK or len(self._expected_elsewhere) >= MAX_EXPECTED_ELSEWHERE:
+        if message.kind != MessageKind.ACK:
             return
-        since = self._expected_elsewhere.setdefault(message.target_incarnation, now)
-        if now - since > DUPLICATE_NAME_MS:
-            life = f"{message.target_incarnation:x}"
-            self._log_once("own_name", "peers_own_name", life=life, answered_by=message.name)
+        if self._duplicate_name.receive_ack(message.target_incarnation, now):
+            incarnation = f"{message.target_incarnation:x}"
+            self._log_once("own_name", "peers_own_name", life=incarnation, answered_by=message.name)
 
     def _respond(self, message: Message, member: Member, now: float) -> None:
         match message.kind:
@@ -291,7 +271,7 @@
         Returns:
             False where nothing is sent.
         """
-        if self._leaving or to.state is MemberState.LEFT:
+        if self._has_left or to.state is MemberState.LEFT:
             return False
         if to.newest_sent_at >= 0:
             return self.sender.send(to.process_id, MessageKind.PAYLOADS, 0, now)
@@ -299,14 +279,9 @@
 
     def leave(self, now: float) -> None:
         """This process ends in order: a few are told, who pass it on. Nothing is sent after it."""
-        self._leaving = True
+        self._has_left = True
         table = self.table
-        others = [member for member in table if member.reachable and member.name != table.local_name]
-        own_entry = GossipEntry(table.local_name, table.incarnation, table.refutations, MemberState.LEFT, 0)
-        for member in self._rng.sample(others, min(LEAVE_MESSAGES, len(others))):
-            self.sender.send(member.process_id, MessageKind.GOSSIP, 0, now, entries=(own_entry,))
-
-
-def _typical_entries(bytes_per_s: float) -> float:
-    """Gossip entries of others in a datagram, as the bytes of a second allow."""
-    return min(TYPICAL_ENTRIES, max(MIN_TYPICAL_ENTRIES, bytes_per_s / BYTES_PER_S_AN_ENTRY))
+        peers = [member for member in table if member.reachable and member.name != table.local_name]
+        left_entry = GossipEntry(table.local_name, table.incarnation, table.refutations, MemberState.LEFT, 0)
+        for member in self._rng.sample(peers, min(LEAVE_MESSAGES, len(peers))):
+            self.sender.send(member.process_id, MessageKind.GOSSIP, 0, now, entries=(left_entry,))
--- a/flintridge/membership/gossip_queue.py
+++ b/flintridge/membership/gossip_queue.py
@@ -76,7 +76,7 @@
         self,
         to: Member | None,
         max_bytes: float,
-        includes_others: bool,
+        includes_third_parties: bool,
         reachable: dict[Member, None],
         now: float,
     ) -> list[GossipEntry]:
@@ -85,7 +85,7 @@
         Args:
             to: Whom it goes to, where that is known: it is told first what it is accused of.
             max_bytes: That the entries may take.
-            includes_others: Whether it may carry entries of anybody but `to`.
+            includes_third_parties: Whether it may carry entries of anybody but `to`.
             reachable: Those that have turns.
             now: For the entries' ages.
         """
@@ -94,7 +94,7 @@
             accusation = to.pending_accusation
             if accusation is not None or to.state in (MemberState.SUSPECT, MemberState.FAILED):
                 selection.try_add(to, 0.0, to.state if accusation is None else accusation)
-        if includes_others:
+        if includes_third_parties:
             self._add_changes(selection, to, (1 - CHANGES_FRACTION) * max_bytes)
             self._add_newer_evidence(selection, to, (1 - EVIDENCE_FRACTION) * max_bytes)
             self._add_turns(selection, to, reachable)
@@ -149,12 +149,12 @@
                 self._rng.shuffle(self._turns)
             member = self._turns[-1]
             examined += 1
-            if _is_wanted(member, selection, to) and not selection.try_add(member, 0.0):
+            if _may_carry(member, selection, to) and not selection.try_add(member, 0.0):
                 break
             self._turns.pop()
 
 
-def _is_wanted(member: Member, selection: _Selection, to: Member | None) -> bool:
+def _may_carry(member: Member, selection: _Selection, to: Member | None) -> bool:
     if member is to or member in selection.entries:
         return False
     return member.reachable and member.state < MemberState.FAILED
--- a/flintridge/membership/member_table.py
+++ b/flintridge/membership/member_table.py
@@ -1,28 +1,30 @@
-"""The members that one node knows, merged from evidence whose age is proved; bounded in memory.
+"""What one node knows of its members, merged from evidence whose age is proved.
 
-A member is a process: one that starts anew under its name, or runs beside another of the name in an upgrade,
-is a member of its own. Times are float milliseconds of this node's clock.
+Times are float milliseconds of this node's clock.
 """
 
-from collections.abc import Iterator
 from random import Random
 
 from flintridge.membership.gossip_queue import GossipQueue
 from flintridge.membership.member import Member
 from flintridge.membership.member_filter import SALT_BITS, encode_filter, members_not_in
+from flintridge.membership.member_registry import MemberRegistry
 from flintridge.membership.messages import MAX_ENTRIES, GossipEntry, MemberState
 from flintridge.membership.reachability import Reachability, ReachabilityTracker
 
-MAX_INCARNATIONS = 4  # of a name: old and new of an upgrade, and two that ended lately
-# An ended process is remembered for so long, so that late entries of it make it known no more.
-RETENTION_MS = 60_000.0
-EXPIRY_INTERVAL_MS = RETENTION_MS / 16
 MAX_CLOCK_DRIFT = 0.02  # fraction by which two clocks may run apart
 STATES = tuple(MemberState)  # by number: cheaper than a call of the class
 
 
-class MemberTable:
-    """Members by name and incarnation. No process of any name that is not configured is ever added."""
+class MemberTable(MemberRegistry):
+    """The members with their states, the gossip of them, and which of them are reachable.
+
+    Attributes:
+        local_name: Of this node.
+        incarnation: Of this process.
+        refutations: How often this process has refuted a suspicion; it goes with each of its messages.
+        peer_names: Of the fleet's other nodes, as configured.
+    """
 
     def __init__(
         self, local_name: str, incarnation: int, names: tuple[str, ...], now: float, rng: Random
@@ -40,60 +42,14 @@
         self.incarnation = incarnation
         self.refutations = 0
         self.peer_names = tuple(name for name in names if name != local_name)
-        self._by_name: dict[str, dict[int, Member]] = {name: {} for name in (*self.peer_names, local_name)}
+        super().__init__((*self.peer_names, local_name), now)
         self._rng = rng
         self._gossip = GossipQueue(len(self.peer_names), rng)
         self._tracker = ReachabilityTracker(local_name, len(self.peer_names), now)
         self._suspects: dict[Member, None] = {}
-        self._next_expiry_at = now + RETENTION_MS
-
-    def __iter__(self) -> Iterator[Member]:
-        """All members, by name as configured, then in the order of being added."""
-        for members in self._by_name.values():
-            yield from members.values()
-
-    def members_named(self, name: str) -> list[Member]:
-        """All known processes of a name."""
-        return list(self._by_name.get(name, {}).values())
-
-    def find(self, name: str, incarnation: int) -> Member | None:
-        """The member, or None where it is not known."""
-        return self._by_name.get(name, {}).get(incarnation)
-
-    def find_or_add(self, name: str, incarnation: int, now: float) -> Member | None:
-        """The member, added where it is new.
-
-        Returns:
-            None where its name is not configured, or has as many members as it may. Guards memory against
-            whoever starts again and again, or makes processes up.
-        """
-        members = self._by_name.get(name)
-        if members is None:
-            return None
-        known = members.get(incarnation)
-        if known is not None:
-            return known
-        if len(members) >= MAX_INCARNATIONS:
-            unreachable = [member for member in members.values() if not member.reachable]
-            if not unreachable:
-                return None
-            self._remove(min(unreachable, key=lambda member: member.last_alive_at))
-        added = Member(name, incarnation, state_since=now)
-        members[incarnation] = added
-        return added
-
-    def remove_expired(self, now: float) -> None:
-        """Forget members that ended long ago; looks at them every EXPIRY_INTERVAL_MS only."""
-        if now < self._next_expiry_at:
-            return
-        self._next_expiry_at = now + EXPIRY_INTERVAL_MS
-        for member in [*self]:
-            ended_at = max(member.state_since, member.last_alive_at)
-            if not member.reachable and now > ended_at + RETENTION_MS:
-                self._remove(member)
 
     def _remove(self, member: Member) -> None:
-        del self._by_name[member.name][member.incarnation]
+        super()._remove(member)
         self._gossip.forget(member)
         self._tracker.forget(member)
         self._suspects.pop(member, None)
@@ -235,10 +191,10 @@
         return self._gossip.max_transmissions
 
     def select_entries(
-        self, to: Member | None, max_bytes: float, includes_others: bool, now: float
+        self, to: Member | None, max_bytes: float, includes_third_parties: bool, now: float
     ) -> list[GossipEntry]:
         """The gossip entries for a message, as `GossipQueue.select` chooses them."""
-        return self._gossip.select(to, max_bytes, includes_others, self._tracker.members, now)
+        return self._gossip.select(to, max_bytes, includes_third_parties, self._tracker.members, now)
 
     def reachable_filter(self) -> bytes:
         """Which members are reachable here, for a state exchange that asks for the others."""
--- a/flintridge/membership/message_sender.py
+++ b/flintridge/membership/message_sender.py
@@ -109,15 +109,7 @@
         if to.incarnation != ANY_INCARNATION:
             member = self._table.find(to.name, to.incarnation)
         message = self._new_message(to, member, kind, probe_id, now, probe_target, entries)
-        # Guards the responses that are still to be sent in this second: without them this node would seem
-        # failed for having gossiped too much.
-        max_gossip_bytes = min(MAX_GOSSIP_DATAGRAM_BYTES, available * GOSSIP_BUDGET_FRACTION)
-        max_entries_bytes = (
-            max_gossip_bytes - self._codec.overhead_bytes - encoded_size(message) - ENTRY_COUNT_BYTES
-        )
-        selected = self._table.select_entries(member, max_entries_bytes, kind in GOSSIP_KINDS, now)
-        if selected:
-            message = replace(message, entries=(*entries, *selected))
+        message = self._with_gossip(message, member, available, now)
         max_bytes = min(MAX_DATAGRAM_BYTES, available)
         if self._topics and member is not None:
             remaining = int(max_bytes) - self._codec.overhead_bytes - encoded_size(message)
@@ -156,6 +148,18 @@
             entries,
         )
 
+    def _with_gossip(self, message: Message, to: Member | None, available: float, now: float) -> Message:
+        """The message with gossip entries after those that it has; `available` bytes may be sent."""
+        # Guards the responses that are still to be sent in this second: without them this node would seem
+        # failed for having gossiped too much.
+        max_gossip_bytes = min(MAX_GOSSIP_DATAGRAM_BYTES, available * GOSSIP_BUDGET_FRACTION)
+        max_entries_bytes = (
+            max_gossip_bytes - self._codec.overhead_bytes - encoded_size(message) - ENTRY_COUNT_BYTES
+        )
+        carries_gossip = message.kind in GOSSIP_KINDS
+        selected = self._table.select_entries(to, max_entries_bytes, carries_gossip, now)
+        return replace(message, entries=(*message.entries, *selected)) if selected else message
+
     def _enqueue(self, name: str, data: bytes, max_bytes: float, is_response: bool, now: float) -> bool:
         if len(data) > max_bytes or not self.budget.try_spend(now, len(data)):
             self._counters["unsent"] += 1
--- a/flintridge/membership/messages.py
+++ b/flintridge/membership/messages.py
@@ -113,9 +113,9 @@
 _decoder = msgspec.msgpack.Decoder(Message)
 
 
-def encoded_size(part: GossipEntry | Message) -> int:
+def encoded_size(value: GossipEntry | Message) -> int:
     """Its bytes, without header and authentication tag."""
-    return len(_encoder.encode(part))
+    return len(_encoder.encode(value))
 
 
 class MessageCodec:
--- a/flintridge/membership/probes.py
+++ b/flintridge/membership/probes.py
@@ -5,7 +5,8 @@
 from random import Random
 
 from flintridge.membership.member import Member
-from flintridge.membership.member_table import MAX_INCARNATIONS, MemberTable
+from flintridge.membership.member_registry import MAX_INCARNATIONS
+from flintridge.membership.member_table import MemberTable
 from flintridge.membership.message_sender import MessageSender
 from flintridge.membership.messages import ANY_INCARNATION, Message, MessageKind, ProcessId
 
@@ -79,8 +80,7 @@
                 del self._probes[probe_id]
                 self._fail(probe, now)
             elif waited >= PING_TIMEOUT_MS * stretch * probe.pings:
-                # Where a third of all is lost, one probe in five would accuse somebody were it pinged once,
-                # and one in seventy were others requested once (reckoned; the second one measured).
+                # Where many datagrams are lost, one ping, or one request of others, would accuse too many.
                 self._request_pings(probe_id, probe, now)
                 probe.pings += 1
                 self._sender.send(probe.target, MessageKind.PING, probe_id, now)
@@ -130,7 +130,7 @@
             or message.probe_target[0] not in self._table.peer_names
             or len(self._indirect_probes) >= MAX_INDIRECT_PROBES
         ):
-            self._counters["indirect_probes_refused"] += 1
+            self._counters["indirect_probes_rejected"] += 1
             return
         probe_id = self._new_probe_id()
         target = ProcessId(*message.probe_target)
--- a/flintridge/membership/state_exchange.py
+++ b/flintridge/membership/state_exchange.py
@@ -107,7 +107,7 @@
         self.state = ExchangeState.PREFACE
         self.peer: ProcessId | None = None  # once its Hello was received
         self._codec = codec
-        self._own_hello = Hello(codec.fleet, name, incarnation, nonce)
+        self._local_hello = Hello(codec.fleet, name, incarnation, nonce)
         self._is_client = is_client
         self._salt = b""
         self._received = bytearray()
@@ -211,16 +211,16 @@
             raise MessageDroppedError("fleet")
         self.peer = ProcessId(hello.name, hello.incarnation)
         if self._is_client:
-            self._salt = self._own_hello.nonce + hello.nonce
+            self._salt = self._local_hello.nonce + hello.nonce
             self.state = ExchangeState.CHUNKS
         else:
             self._send_hello()
-            self._salt = hello.nonce + self._own_hello.nonce
+            self._salt = hello.nonce + self._local_hello.nonce
             self.state = ExchangeState.QUERY
 
     def _send_hello(self) -> None:
         self._output.append(MAGIC + bytes([VERSION]))
-        self._send_frame(self._own_hello)
+        self._send_frame(self._local_hello)
 
     def _frame_salt(self, by_client: bool, number: int) -> bytes:
         return self._salt + b"%c%b" % (by_client, LENGTH.pack(number))
--- a/flintridge/membership/sync_schedule.py
+++ b/flintridge/membership/sync_schedule.py
@@ -60,5 +60,5 @@
     def _interval_ms(self) -> float:
         names = self._table.reachability.names
         fraction = self._table.reachability.fraction
-        answer_ms = fraction * (1 - fraction) * names * SYNC_ENTRY_BYTES / self._bytes_per_s * 1000
-        return max(SYNC_INTERVAL_MS, answer_ms / SYNC_BYTES_FRACTION)
+        response_ms = fraction * (1 - fraction) * names * SYNC_ENTRY_BYTES / self._bytes_per_s * 1000
+        return max(SYNC_INTERVAL_MS, response_ms / SYNC_BYTES_FRACTION)
--- a/tests/membership/test_member_table.py
+++ b/tests/membership/test_member_table.py
@@ -14,7 +14,8 @@
 )
 from support.network import FIXED
 
-from flintridge.membership.member_table import MAX_INCARNATIONS, RETENTION_MS, MemberTable
+from flintridge.membership.member_registry import MAX_INCARNATIONS, RETENTION_MS
+from flintridge.membership.member_table import MemberTable
 from flintridge.membership.messages import GossipEntry, MemberState, MessageCodec
 
 ENTRIES = st.builds(
