--- a/flintridge/config/fleet_validation.py
+++ b/flintridge/config/fleet_validation.py
@@ -16,6 +16,7 @@
 
 PEERS_MAX = 2000  # that one node keeps account of
 PEER_NAME = re.compile(r"[A-Za-z0-9._-]{1,64}")
+# The keys of which one must switch a limit on.
 BUDGET_SWITCHES = ("tenants", "floors", "cold", "cache_places", "origin_places", "repeats_per_s")
 # How long a lease of permits must last beyond the attempts that began under it: a process may stand still for
 # that long.
@@ -23,7 +24,7 @@
 # Of the peers' bytes, at most, for leases and for state each: half is for datagrams, and membership needs the
 # rest of that.
 PEER_BYTES_FRACTION = 0.25
-KEY_RANGES = 256  # that keys are divided into, as in flintridge/replication/replica.py
+KEY_RANGES = 256  # that keys are divided into, as in flintridge/replication/limits.py
 # One full range must go through an exchange within this: an exchange may last 10 s.
 RANGE_EXCHANGE_S = 4.0
 
@@ -79,7 +80,14 @@
         allowed = "only beside a table [peers]"
         reason = f"is allowed {allowed}: parts are lent to nodes that are heard"
         yield fault_at("budgets", UNSET, reason, allowed)
-    switches = [getattr(budgets, name) for name in BUDGET_SWITCHES]
+    switches = (
+        budgets.tenants,
+        budgets.floors,
+        budgets.slow_start,
+        budgets.cache_permits,
+        budgets.origin_permits,
+        budgets.retries_per_s,
+    )
     if all_valid(*switches) and not any(switches):
         allowed = f"one of {', '.join(BUDGET_SWITCHES)}"
         yield fault_at("budgets", UNSET, f"switches nothing on: it must name {allowed}", allowed)
@@ -93,11 +101,13 @@
 
 
 def _permits_faults(file: NodeFile, budgets: Budgets) -> Iterator[ConfigFault]:
-    for name in ("cache_places", "origin_places"):
-        permits = getattr(budgets, name)
+    for key, permits in (
+        ("cache_places", budgets.cache_permits),
+        ("origin_places", budgets.origin_permits),
+    ):
         if all_valid(permits, file.fleet_size) and 0 < permits < file.fleet_size:
             allowed = f"0, or at least the fleet_size of {file.fleet_size}: each node has one by right"
-            yield fault_at(f"budgets.{name}", permits, f"must be {allowed}", allowed)
+            yield fault_at(f"budgets.{key}", permits, f"must be {allowed}", allowed)
         if not all_valid(permits, budgets.lease_ms, file.classes) or not permits:
             continue
         if all_valid(*file.classes):
--- a/flintridge/config/model.py
+++ b/flintridge/config/model.py
@@ -1,21 +1,26 @@
 """The node's own configuration format: every name, its unit, its range and its default.
 
-Units are part of the names: `_ms` milliseconds, `_s` seconds, `_mb` megabytes, `_per_s` a second; shares are
-from 0 to 1. Classes, tenants, limits, rules, prices and goal are named as in the lab's scenarios.
+Units are part of the names: `_ms` milliseconds, `_s` seconds, `_mb` megabytes, `_per_s` a second; fractions
+are from 0 to 1. Classes, tenants, limits, rules, prices and goal are named as in the lab's scenarios.
 
-The JSON Schema that `flintridge check --schema` prints has the names of these classes and their doc comments.
+Fields have the names of `flintridge.api`; where a key of the file has another name, `rename` has it. The JSON
+Schema that `flintridge check --schema` prints has the keys, the names of these classes, and the descriptions
+that `schema_description` gives them. It is read by others, and stays as it is byte for byte.
 """
 
-from typing import Annotated, Literal
+from collections.abc import Callable
+from typing import Annotated, Literal, TypeVar
 
 import msgspec
 from msgspec import Meta
 
+StructT = TypeVar("StructT", bound=msgspec.Struct)
+
 Ms = Annotated[float, Meta(ge=0, le=86_400_000, description="milliseconds")]
 PositiveMs = Annotated[float, Meta(gt=0, le=86_400_000, description="milliseconds")]
 Seconds = Annotated[float, Meta(ge=0, le=86_400, description="seconds")]
 PositiveSeconds = Annotated[float, Meta(gt=0, le=86_400, description="seconds")]
-Share = Annotated[float, Meta(ge=0, le=1, description="a share of the whole")]
+Fraction = Annotated[float, Meta(ge=0, le=1, description="a share of the whole")]
 Amount = Annotated[float, Meta(ge=0, le=1e9)]
 Count = Annotated[int, Meta(ge=0, le=1_000_000)]
 # The last part guards against an ending newline, which `$` alone lets pass.
@@ -25,29 +30,55 @@
 ]
 
 
-class Section(msgspec.Struct, forbid_unknown_fields=True, kw_only=True, frozen=True, omit_defaults=True):
-    """A table of the file; a key that is not known is refused."""
+def schema_description(text: str | None) -> Callable[[type[StructT]], type[StructT]]:
+    """Give a class a description in the JSON Schema, in place of its doc comment; None: no description."""
+
+    def describe(table: type[StructT]) -> type[StructT]:
+        table.__doc__ = text
+        return table
+
+    return describe
+
 
+class Section(msgspec.Struct, forbid_unknown_fields=True, kw_only=True, frozen=True, omit_defaults=True):
+    """A table of the file; a key that is not known is rejected."""
+
+
+@schema_description(None)
+class RequestClass(
+    Section,
+    kw_only=True,
+    frozen=True,
+    rename={
+        "latency_objective_ms": "aim_ms",
+        "priority_weight": "worth",
+        "late_weight_fraction": "late_share",
+        "deduplication_scope": "group",
+        "deduplication_window_ms": "window_ms",
+        "objective_work_factor": "aim_stretch",
+    },
+):
+    """A class of requests: how soon they must be answered, and their priority."""
 
-class RequestClass(Section, kw_only=True, frozen=True):
-    # A class of requests: how soon they must be answered, and what they are worth.
     name: Name
-    aim_ms: PositiveMs = 1000.0  # answered within this: full worth
-    deadline_ms: PositiveMs = 2000.0  # over all tries of the client
-    worth: Amount = 1.0
-    late_share: Share = 0.0  # of the worth, for an answer between aim and deadline
-    effect: Literal["safe", "keyed", "unsafe"] = "safe"  # of a second run: none, dropped by its key, harm
-    group: Literal["all", "zone", "cell"] = "all"  # keyed: which servers drop repeats
-    window_ms: Ms = 0.0  # keyed: for so long
+    latency_objective_ms: PositiveMs = 1000.0  # a response within this earns the full weight
+    deadline_ms: PositiveMs = 2000.0  # over all attempts of the client
+    priority_weight: Amount = 1.0
+    late_weight_fraction: Fraction = 0.0  # of the weight, for a response between objective and deadline
+    effect: Literal["safe", "keyed", "unsafe"] = "safe"  # of a second execution: none, dropped by key, harm
+    deduplication_scope: Literal["all", "zone", "cell"] = "all"  # keyed: which servers drop repeats
+    deduplication_window_ms: Ms = 0.0  # keyed: for so long
     stream: bool = False
-    aim_stretch: Amount = 0.0  # the aim grows by this multiple of the request's own work
+    objective_work_factor: Amount = 0.0  # the objective grows by this multiple of the request's own work
 
 
+@schema_description(None)
 class Tenant(Section, kw_only=True, frozen=True):
-    # A tenant and its quota.
+    """A tenant and its quota."""
+
     name: Name
     quota_per_s: Amount = 0.0  # over all nodes (0: none)
-    share: Share = 0.0
+    share: Fraction = 0.0  # of all traffic
 
 
 class Machine(Section, kw_only=True, frozen=True):
@@ -57,14 +88,19 @@
     memory_mb: Annotated[float, Meta(ge=32, le=65_536, description="megabytes")] = 192.0
 
 
-class Limits(Section, kw_only=True, frozen=True):
+class Limits(
+    Section,
+    kw_only=True,
+    frozen=True,
+    rename={"hedged_requests": "second_copies", "health_checks": "probes", "peer_messages": "peers"},
+):
     """What the node may do."""
 
     max_attempts: Annotated[int, Meta(ge=1, le=100)] = 3
-    second_copies: bool = False
+    hedged_requests: bool = False
     cancel: bool = False
-    probes: bool = False
-    peers: bool = False
+    health_checks: bool = False
+    peer_messages: bool = False
     retry_after: bool = False
     max_retry_after_ms: Ms = 0.0
     max_open: Annotated[int, Meta(ge=1, le=10_000_000)] = 20_000
@@ -72,19 +108,33 @@
     conn_idle_s: PositiveSeconds = 60.0  # servers close connections that are idle for so long
 
 
-class Rules(Section, kw_only=True, frozen=True):
-    # Rules of the platform that servers and nodes keep to.
-    answer_slack_ms: Ms = 0.0
-    ask_within_s: PositiveSeconds = 10.0  # without a watch, ask for the list this often
-    drain_grace_ms: Ms = 0.0
-    cold_share: Annotated[float, Meta(gt=0, le=1)] = 1.0  # of its work that a started server can do, at least
-    cold_s: Seconds = 0.0  # and all of it after this
-    fall_multiple: Amount = 0.0  # sent more than this multiple of what it can do (0: no limit)
-    fall_ms: Ms = 0.0  # for this long, a cold server falls over
-
-
+@schema_description(None)
+class Rules(
+    Section,
+    kw_only=True,
+    frozen=True,
+    rename={
+        "poll_interval_s": "ask_within_s",
+        "slow_start_fraction": "cold_share",
+        "slow_start_s": "cold_s",
+        "overload_multiple": "fall_multiple",
+        "overload_window_ms": "fall_ms",
+    },
+):
+    """Rules of the platform that servers and nodes keep to."""
+
+    answer_slack_ms: Ms = 0.0  # by which a final response may be late
+    poll_interval_s: PositiveSeconds = 10.0  # without a watch, poll the endpoint list this often
+    drain_grace_ms: Ms = 0.0  # after a drain's notice, in which first attempts may still be sent there
+    slow_start_fraction: Annotated[float, Meta(gt=0, le=1)] = 1.0  # of a started server's capacity, at least
+    slow_start_s: Seconds = 0.0  # after which it has all of it
+    overload_multiple: Amount = 0.0  # of its capacity (0: no limit): a server that is warming up,
+    overload_window_ms: Ms = 0.0  # given more than that for so long, crashes
+
+
+@schema_description("Points of service lost, each times its share or rate.")
 class Prices(Section, kw_only=True, frozen=True):
-    """Points of service lost, each times its share or rate."""
+    """Prices of what a node does beside serving, in points of the result; each times its fraction or rate."""
 
     cross_zone: Amount = 0.0
     waste: Amount = 0.0
@@ -98,15 +148,18 @@
     discovery: Amount = 0.0
 
 
+@schema_description(
+    "Weights of the parts of the result (0: not counted), and the two bounds that are no weights."
+)
 class Goal(Section, kw_only=True, frozen=True):
-    """Weights of the parts of the result (0: not counted), and the two bounds that are no weights."""
+    """Weights of the components of the result (0: not counted), and two bounds that are no weights."""
 
     whole: Amount = 1.0
     worst_window: Amount = 0.0
     worst_class: Amount = 0.0
     worst_tenant: Amount = 0.0
     tail: Amount = 0.0
-    tail_slack: Share = 0.01
+    tail_slack: Fraction = 0.01
     availability: Amount = 0.0
     full_at_nines: Amount = 3.0
 
@@ -132,40 +185,58 @@
     members: tuple[Listed, ...] = ()
 
 
+@schema_description(None)
 class LogPart(Section, kw_only=True, frozen=True):
-    # What is logged.
+    """What is logged."""
+
     level: Literal["debug", "info", "warning", "error"] = "info"
     repeats_per_s: Annotated[int, Meta(ge=1, le=100_000)] = 50  # of one event; the rest is counted
 
 
+@schema_description("The other nodes that this one hears. Without this table it hears none.")
 class Peers(Section, kw_only=True, frozen=True):
-    """The other nodes that this one hears. Without this table it hears none."""
+    """The other nodes of the fleet. Without this table a node reaches none."""
 
     listen: Address  # for datagrams (UDP) and exchanges (TCP)
     known: dict[str, Address]  # by name, where this node reaches each; its own is left out of account
-    fleet: Name  # traffic of another one is refused
+    fleet: Name  # traffic of another one is dropped
     key_file: Annotated[str, Meta(min_length=1, max_length=4096)] | None = None  # none: loopback only
     bytes_per_s: Annotated[float, Meta(ge=4000, le=1e7, description="bytes, of all that is sent")] = 16_000.0
 
 
-class Budgets(Section, kw_only=True, frozen=True):
-    """Which budgets of the fleet nodes lend one another. Without this table each holds its even part."""
+@schema_description(
+    "Which budgets of the fleet nodes lend one another. Without this table each holds its even part."
+)
+class Budgets(
+    Section,
+    kw_only=True,
+    frozen=True,
+    rename={
+        "slow_start": "cold",
+        "cache_permits": "cache_places",
+        "origin_permits": "origin_places",
+        "retries_per_s": "repeats_per_s",
+        "retries_per_attempt": "repeat_share",
+    },
+):
+    """Which fleet-wide limits nodes lease parts of. Without this table each uses its even fraction."""
 
     tenants: bool = False  # the tenants' quotas
-    floors: bool = False  # what gates let through at the least
-    cold: bool = False  # the work that may go to a server that has just started
-    cache_places: Count = 0  # attempts that may be out at the caches, over all nodes (0: no such bound)
-    origin_places: Count = 0  # and at the origin
-    repeats_per_s: Amount = 0.0  # attempts that may follow a failed one, over all nodes (0: no such bound),
-    repeat_share: Share = 0.1  # and beside these so many for each first attempt
-    strict: bool = False  # what is beyond a quota is refused, whatever room there is
+    floors: bool = False  # what concurrency limiters admit at the least
+    slow_start: bool = False  # the work that may go to a server that is warming up
+    cache_permits: Count = 0  # attempts in flight at the caches, over all nodes (0: no such limit)
+    origin_permits: Count = 0  # and at the origin
+    retries_per_s: Amount = 0.0  # over all nodes (0: no such limit),
+    retries_per_attempt: Fraction = 0.1  # and beside these so many for each first attempt
+    strict: bool = False  # what is beyond a quota is rejected, whatever capacity is free
     floor: Annotated[float, Meta(ge=0.01, le=1, description="of a node's part, never lent")] = 0.25
     lease_ms: Annotated[float, Meta(ge=1500, le=60_000, description="milliseconds, of a loan")] = 4000.0
     bytes_per_s: Annotated[float, Meta(ge=200, le=2.5e6, description="bytes, of those of peers")] = 2000.0
 
 
+@schema_description("What operators tell one node and all hold. Without this table a node holds none of it.")
 class State(Section, kw_only=True, frozen=True):
-    """What operators tell one node and all hold. Without this table a node holds none of it."""
+    """The replica of what operators set for the fleet. Without this table a node has none."""
 
     entries: Annotated[int, Meta(ge=1, le=100_000)] = 10_000  # those of remembered deletions included
     entry_bytes: Annotated[int, Meta(ge=64, le=4096, description="bytes, of an entry")] = 512
@@ -174,23 +245,33 @@
     bytes_per_s: Annotated[float, Meta(ge=200, le=2.5e6, description="bytes, of those of peers")] = 2000.0
 
 
-class NodeFile(Section, kw_only=True, frozen=True):
+class NodeFile(
+    Section,
+    kw_only=True,
+    frozen=True,
+    rename={
+        "discovery_mode": "watch",
+        "load_reporting": "load_reports",
+        "weight_by": "worth_by",
+        "over_quota_weight": "over_share_worth",
+    },
+):
     """A node. `listen`, `discovery` and `console` may be left to PROXY_LISTEN and so on."""
 
     name: Name | None = None
     listen: Address | None = None
     discovery: Address | None = None
-    console: Address | None = None  # for operators alone; none: no console
+    console: Address | None = None  # of the admin API; none: no admin API
     seed: Annotated[str, Meta(pattern=r"^[0-9a-fA-F]{1,32}$(?!\n)", description="hexadecimal")] = "0"
     zones: tuple[Name, ...] = ()
     zone: Name | None = None  # this node's; needed where there are several
     kinds: tuple[Name, ...] = ()  # of servers
     mode: Literal["aside", "through"] = "aside"  # who fetches what is not cached: the node, or the servers
     origin_kind: Name | None = None  # aside: the kind of the origin
-    watch: Literal["on_request", "pushed"] = "on_request"
-    load_reports: Literal["none", "probe", "answers"] = "none"
-    worth_by: Literal["request", "work"] = "request"
-    over_share_worth: Share = 1.0  # of the worth, for a request beyond its tenant's quota
+    discovery_mode: Literal["on_request", "pushed"] = "on_request"
+    load_reporting: Literal["none", "probe", "answers"] = "none"
+    weight_by: Literal["request", "work"] = "request"  # what a class's weight is that of
+    over_quota_weight: Fraction = 1.0  # of the weight, for a request beyond its tenant's quota
     fleet_size: Annotated[int, Meta(ge=1, le=100_000)] = 1  # nodes like this one
     self_index: Count = 0
     machine: Machine = Machine()
--- a/flintridge/config/node_config.py
+++ b/flintridge/config/node_config.py
@@ -1,6 +1,6 @@
 """The configuration that a node is started with, and the limits that are derived from it.
 
-Fields have the names of the keys in the node's own format (`model`), where each is described with its range.
+Fields have the names of those in the node's own format (`model`), where each is described with its range.
 """
 
 from dataclasses import dataclass
@@ -19,7 +19,7 @@
 # two. The rest lets idle clients wait for their timeout without taking sockets from active ones.
 CLIENT_SOCKETS_FRACTION = 0.6
 MAX_VALUE_MB = 4.0
-BASE_MEMORY_MB = 24.0  # what a node takes with no request in flight: 14 to 17 MB were measured
+BASE_MEMORY_MB = 24.0  # what a node takes with no request in flight
 BYTES_PER_MB = 1024 * 1024
 
 
@@ -31,7 +31,7 @@
         listen: For datagrams and exchanges.
         known: Peers by name, with the address at which this node reaches each; its own entry is not used.
         fleet: The fleet's name; traffic of another fleet is dropped.
-        key: Seals the traffic; None: nothing is sealed, and all of it stays on this machine.
+        key: Authenticates the traffic; None: nothing is authenticated, and all of it stays on this machine.
         bytes_per_s: Of all that is sent to peers.
     """
 
@@ -51,24 +51,24 @@
     Attributes:
         tenants: The tenants' quotas.
         floors: What concurrency limiters admit at the least.
-        cold: The work that may go to a server that is warming up.
-        cache_places: Attempts in flight at the caches, over all nodes; 0: no such limit.
-        origin_places: Attempts in flight at the origin, over all nodes; 0: no such limit.
-        repeats_per_s: Retries over all nodes; 0: no such limit.
-        repeat_share: Retries allowed beside these for each first attempt.
+        slow_start: The work that may go to a server that is warming up.
+        cache_permits: Attempts in flight at the caches, over all nodes; 0: no such limit.
+        origin_permits: Attempts in flight at the origin, over all nodes; 0: no such limit.
+        retries_per_s: Retries over all nodes; 0: no such limit.
+        retries_per_attempt: Retries allowed beside these for each first attempt.
         strict: Reject what exceeds a quota, whatever capacity is free.
-        floor: The fraction of its allocation that a node never lends.
-        lease_ms: Length of a lease, by the borrower's clock.
+        floor: The fraction of its allocation that a node never grants to others.
+        lease_ms: Length of a lease, by the lessee's clock.
         bytes_per_s: Of lease messages; included in what [peers] allows.
     """
 
     tenants: bool = False
     floors: bool = False
-    cold: bool = False
-    cache_places: int = 0
-    origin_places: int = 0
-    repeats_per_s: float = 0.0
-    repeat_share: float = 0.1
+    slow_start: bool = False
+    cache_permits: int = 0
+    origin_permits: int = 0
+    retries_per_s: float = 0.0
+    retries_per_attempt: float = 0.1
     strict: bool = False
     floor: float = 0.25
     lease_ms: float = 4_000.0
--- a/flintridge/config/node_file.py
+++ b/flintridge/config/node_file.py
@@ -11,7 +11,7 @@
 from flintridge.config.errors import AddressError, ConfigError
 from flintridge.config.faults import UNSET, ConfigFault, ConfigFaultsError
 from flintridge.config.fleet_validation import fleet_size_faults
-from flintridge.config.model import Known, NodeFile, Peers
+from flintridge.config.model import Budgets, Known, NodeFile, Peers, State
 from flintridge.config.node_config import BudgetsConfig, NodeConfig, PeersConfig, StateConfig
 from flintridge.config.node_file_settings import policy_settings
 from flintridge.config.node_file_validation import validate_node_file
@@ -79,8 +79,8 @@
             log_repeats_per_s=node_file.log.repeats_per_s,
             console=console,
             peers=peers,
-            budgets=_budgets(node_file),
-            state=_state(node_file),
+            budgets=None if node_file.budgets is None else budgets_config(node_file.budgets),
+            state=None if node_file.state is None else state_config(node_file.state),
         )
 
     @property
@@ -151,16 +151,14 @@
         self._faults += [replace(fault, file=self._file) for fault in faults]
 
 
-def _budgets(node_file: NodeFile) -> BudgetsConfig | None:
-    if node_file.budgets is None:
-        return None
-    return BudgetsConfig(**msgspec.structs.asdict(node_file.budgets))
+def budgets_config(budgets: Budgets) -> BudgetsConfig:
+    """The configuration of a valid table [budgets]."""
+    return BudgetsConfig(**msgspec.structs.asdict(budgets))
 
 
-def _state(node_file: NodeFile) -> StateConfig | None:
-    if node_file.state is None:
-        return None
-    return StateConfig(**msgspec.structs.asdict(node_file.state))
+def state_config(state: State) -> StateConfig:
+    """The configuration of a valid table [state]."""
+    return StateConfig(**msgspec.structs.asdict(state))
 
 
 def _discovery_list(known: Known) -> dict[str, Any]:
--- a/flintridge/config/node_file_validation.py
+++ b/flintridge/config/node_file_validation.py
@@ -15,7 +15,7 @@
 from flintridge.config.fleet_validation import validate_fleet_tables
 from flintridge.config.model import Goal, Limits, NodeFile, RequestClass, Rules, Tenant
 
-SHARES_SUM_TOLERANCE = 1e-6
+TENANT_SHARES_TOLERANCE = 1e-6
 GOAL_WEIGHTS = ("whole", "worst_window", "worst_class", "worst_tenant", "tail", "availability")
 
 
@@ -37,7 +37,7 @@
         yield from _classes_faults(file.classes)
     if all_valid(file.tenants):
         yield from duplicate_faults(file.tenants, "tenants", "name")
-        yield from _shares_faults(file.tenants)
+        yield from _tenant_shares_faults(file.tenants)
     yield from validate_fleet_tables(file)
     if all_valid(file.known) and file.known is not None and all_valid(file.known.members):
         yield from duplicate_faults(file.known.members, "known.members", "id")
@@ -100,25 +100,27 @@
 
 
 def _class_faults(request_class: RequestClass, path: str) -> Iterator[ConfigFault]:
-    aim_ms = request_class.aim_ms
+    objective_ms = request_class.latency_objective_ms
     deadline_ms = request_class.deadline_ms
-    if all_valid(aim_ms, deadline_ms) and aim_ms > deadline_ms:
+    if all_valid(objective_ms, deadline_ms) and objective_ms > deadline_ms:
         allowed = f"at most the deadline_ms of {deadline_ms:g}"
-        yield fault_at(f"{path}.aim_ms", aim_ms, f"must be {allowed}", allowed)
+        yield fault_at(f"{path}.aim_ms", objective_ms, f"must be {allowed}", allowed)
     if not all_valid(request_class.effect) or request_class.effect == "keyed":
         return
     reason = f"has a meaning for effect 'keyed' only, and this class is {request_class.effect!r}"
-    if all_valid(request_class.window_ms) and request_class.window_ms > 0:
-        yield fault_at(f"{path}.window_ms", request_class.window_ms, reason, "0")
-    if all_valid(request_class.group) and request_class.group != "all":
-        yield fault_at(f"{path}.group", request_class.group, reason, "'all'")
+    window_ms = request_class.deduplication_window_ms
+    if all_valid(window_ms) and window_ms > 0:
+        yield fault_at(f"{path}.window_ms", window_ms, reason, "0")
+    scope = request_class.deduplication_scope
+    if all_valid(scope) and scope != "all":
+        yield fault_at(f"{path}.group", scope, reason, "'all'")
 
 
-def _shares_faults(tenants: Sequence[Tenant]) -> Iterator[ConfigFault]:
+def _tenant_shares_faults(tenants: Sequence[Tenant]) -> Iterator[ConfigFault]:
     if not all_valid(*tenants) or not all_valid(*(tenant.share for tenant in tenants)):
         return
     shares_sum = sum(tenant.share for tenant in tenants)
-    if shares_sum > 1 + SHARES_SUM_TOLERANCE:
+    if shares_sum > 1 + TENANT_SHARES_TOLERANCE:
         yield fault_at("tenants", f"shares of {shares_sum:g} in all", "must not be more than 1", "<= 1")
 
 
@@ -127,29 +129,33 @@
     if all_valid(limits.retry_after, maximum_ms) and maximum_ms > 0 and not limits.retry_after:
         reason = "has no meaning while retry_after is false"
         yield fault_at("limits.max_retry_after_ms", maximum_ms, reason, "0")
-    if not all_valid(limits.max_attempts, limits.second_copies):
+    if not all_valid(limits.max_attempts, limits.hedged_requests):
         return
-    if limits.second_copies and limits.max_attempts < 2:
+    if limits.hedged_requests and limits.max_attempts < 2:
         reason = "must be at least 2 while second_copies is true"
         yield fault_at("limits.max_attempts", limits.max_attempts, reason, ">= 2")
 
 
 def _rules_faults(rules: Rules) -> Iterator[ConfigFault]:
-    if all_valid(rules.cold_share, rules.cold_s):
-        if rules.cold_s > 0 and rules.cold_share == 1:
-            reason = "says that servers start cold, but a cold_share of 1 that they can do all at once"
-            yield fault_at("rules.cold_s", rules.cold_s, reason, "0, or a cold_share < 1")
-        if rules.cold_s == 0 and rules.cold_share < 1:
-            reason = "says that servers start cold, but a cold_s of 0 that they are warm at once"
-            yield fault_at("rules.cold_share", rules.cold_share, reason, "1, or a cold_s > 0")
-    if not all_valid(rules.fall_multiple, rules.fall_ms):
+    if all_valid(rules.slow_start_fraction, rules.slow_start_s):
+        yield from _slow_start_faults(rules.slow_start_fraction, rules.slow_start_s)
+    if not all_valid(rules.overload_multiple, rules.overload_window_ms):
         return
-    if rules.fall_multiple > 0 and not rules.fall_ms > 0:
+    if rules.overload_multiple > 0 and not rules.overload_window_ms > 0:
         yield _overload_fault("fall_ms", "fall_multiple")
-    if rules.fall_ms > 0 and not rules.fall_multiple > 0:
+    if rules.overload_window_ms > 0 and not rules.overload_multiple > 0:
         yield _overload_fault("fall_multiple", "fall_ms")
 
 
+def _slow_start_faults(fraction: float, duration_s: float) -> Iterator[ConfigFault]:
+    if duration_s > 0 and fraction == 1:
+        reason = "says that servers start cold, but a cold_share of 1 that they can do all at once"
+        yield fault_at("rules.cold_s", duration_s, reason, "0, or a cold_share < 1")
+    if duration_s == 0 and fraction < 1:
+        reason = "says that servers start cold, but a cold_s of 0 that they are warm at once"
+        yield fault_at("rules.cold_share", fraction, reason, "1, or a cold_s > 0")
+
+
 def _overload_fault(missing: str, present: str) -> ConfigFault:
     reason = f"must be over 0 as {present} is: a load, and how long it is borne"
     return fault_at(f"rules.{missing}", 0, reason, "> 0")
--- a/flintridge/config/platform_config.py
+++ b/flintridge/config/platform_config.py
@@ -2,6 +2,7 @@
 
 from collections.abc import Iterator, Mapping
 from contextlib import contextmanager
+from dataclasses import dataclass
 from typing import Any
 
 from flintridge.config.address import Address, optional_address
@@ -16,6 +17,23 @@
 MEMORY_MAX_MB = 1e9
 
 
+@dataclass(slots=True, frozen=True)
+class _Addresses:
+    """What a node listens on and connects to."""
+
+    listen: Address
+    discovery: Address
+    console: Address | None
+
+
+@dataclass(slots=True, frozen=True)
+class _Resources:
+    """What a node may use of its machine."""
+
+    sockets: int
+    memory_mb: float
+
+
 def node_config(config: Any, env: Mapping[str, str]) -> NodeConfig:
     """Build a node's configuration; keys that are not known are ignored.
 
@@ -35,35 +53,39 @@
         settings = settings_from(source)
         zones = tuple(map(str, source.get("zones") or ()))
         kinds = tuple(map(str, source.get("kinds") or ()))
-    with _naming_section("listen"):
-        listen = Address.parse(config.get("listen") or env.get("PROXY_LISTEN"))
-    with _naming_section("discovery"):
-        discovery = Address.parse(config.get("discovery") or env.get("PROXY_DISCOVERY"))
-    with _naming_section("console"):
-        console = optional_address(config.get("console") or env.get("PROXY_CONSOLE"))
-        if console in (listen, discovery):
-            raise ValueError(f"{console} is listen or discovery as well; it must be an address of its own")
+    addresses = _addresses(config, env)
     with _naming_section("seed"):
         seed = int(str(config.get("seed", "0")), 16)
     with _naming_section("limits"):
-        sockets, memory_mb = _limits(config.get("limits") or {})
+        resources = _resources(config.get("limits") or {})
     return NodeConfig(
         name=str(config.get("name") or env.get("PROXY_NAME") or "node"),
-        listen=listen,
-        discovery=discovery,
+        listen=addresses.listen,
+        discovery=addresses.discovery,
         seed=seed,
         settings=settings,
         zones=zones,
         kinds=kinds,
         known=config.get("known"),
-        sockets=sockets,
-        memory_mb=memory_mb,
-        console=console,
+        sockets=resources.sockets,
+        memory_mb=resources.memory_mb,
+        console=addresses.console,
     )
 
 
-def _limits(limits: dict[str, Any]) -> tuple[int, float]:
-    """The node's sockets and megabytes of memory."""
+def _addresses(config: dict[str, Any], env: Mapping[str, str]) -> _Addresses:
+    with _naming_section("listen"):
+        listen = Address.parse(config.get("listen") or env.get("PROXY_LISTEN"))
+    with _naming_section("discovery"):
+        discovery = Address.parse(config.get("discovery") or env.get("PROXY_DISCOVERY"))
+    with _naming_section("console"):
+        console = optional_address(config.get("console") or env.get("PROXY_CONSOLE"))
+        if console in (listen, discovery):
+            raise ValueError(f"{console} is listen or discovery as well; it must be an address of its own")
+    return _Addresses(listen, discovery, console)
+
+
+def _resources(limits: dict[str, Any]) -> _Resources:
     sockets = int(limits.get("sockets", 1024))
     memory_mb = float(limits.get("memory_mb", 192))
     if sockets < SOCKETS_MIN:
@@ -74,7 +96,7 @@
         raise ValueError(f"{memory_mb} MB of memory are too few")
     if memory_mb > MEMORY_MAX_MB:
         raise ValueError(f"{memory_mb} MB of memory are too many: at most {MEMORY_MAX_MB:.0f}")
-    return sockets, memory_mb
+    return _Resources(sockets, memory_mb)
 
 
 @contextmanager
--- a/flintridge/config/platform_model.py
+++ b/flintridge/config/platform_model.py
@@ -1,12 +1,13 @@
 """The platform's JSON as `flintridge check` reads it: keys that are not known are ignored, as by a node.
 
 It is stricter than a node, which starts with what it can make sense of: what passes here, a node accepts.
+Fields have the names of `flintridge.api`; where a key is not such a name in camel case, `field` has it.
 """
 
 from typing import Annotated, Literal
 
 import msgspec
-from msgspec import Meta
+from msgspec import Meta, field
 
 Ns = Annotated[float, Meta(ge=0, le=1e18, description="nanoseconds")] | None
 Amount = Annotated[float, Meta(ge=0, le=1e12)] | None
@@ -21,15 +22,15 @@
     """A class of requests."""
 
     name: str | None = None
-    slo_ns: Ns = None
-    hard_limit_ns: Ns = None
-    points: Amount = None
-    late_share: Amount = None
+    latency_objective_ns: Ns = field(default=None, name="sloNs")
+    deadline_ns: Ns = field(default=None, name="hardLimitNs")
+    priority_weight: Amount = field(default=None, name="points")
+    late_weight_fraction: Amount = field(default=None, name="lateShare")
     effect: Literal["retryable", "dedup", "fragile"] | None = None
-    group: Literal["all", "zone", "cell"] | None = None
-    window_ns: Ns = None
+    deduplication_scope: Literal["all", "zone", "cell"] | None = field(default=None, name="group")
+    deduplication_window_ns: Ns = field(default=None, name="windowNs")
     stream: Flag = None
-    aim_stretch: Amount = None
+    objective_work_factor: Amount = field(default=None, name="aimStretch")
 
 
 class Tenant(Section, kw_only=True, frozen=True):
@@ -44,22 +45,22 @@
     """Rules of the platform."""
 
     answer_slack_ns: Ns = None
-    ask_within_ns: Ns = None
+    poll_interval_ns: Ns = field(default=None, name="askWithinNs")
     drain_grace_ns: Ns = None
-    cold_share: Amount = None
-    cold_ns: Ns = None
-    fall_multiple: Amount = None
-    fall_ns: Ns = None
+    slow_start_fraction: Amount = field(default=None, name="coldShare")
+    slow_start_ns: Ns = field(default=None, name="coldNs")
+    overload_multiple: Amount = field(default=None, name="fallMultiple")
+    overload_window_ns: Ns = field(default=None, name="fallNs")
 
 
 class Permissions(Section, kw_only=True, frozen=True):
     """What a node may do."""
 
-    attempts_cap: Annotated[int, Meta(ge=1)] | None = None
-    parallel_tries: Flag = None
+    max_attempts: Annotated[int, Meta(ge=1)] | None = field(default=None, name="attemptsCap")
+    hedged_requests: Flag = field(default=None, name="parallelTries")
     cancel: Flag = None
-    probes: Flag = None
-    may_tell: Flag = None
+    health_checks: Flag = field(default=None, name="probes")
+    peer_messages: Flag = field(default=None, name="mayTell")
     retry_after: Flag = None
     max_retry_after_ns: Ns = None
     max_open: Annotated[int, Meta(ge=1)] | None = None
@@ -105,7 +106,7 @@
 class Report(Section, kw_only=True, frozen=True):
     """How servers report their load."""
 
-    how: Literal["none", "probe", "answers"] = "none"
+    mode: Literal["none", "probe", "answers"] = field(default="none", name="how")
 
 
 class Settings(Section, kw_only=True, frozen=True):
@@ -120,11 +121,11 @@
     family_info: FamilyInfo = FamilyInfo()
     report: Report = Report()
     discovery: Literal["pushed", "on_request"] = "pushed"
-    worth_by: str | None = None
+    weight_by: str | None = field(default=None, name="worthBy")
     fleet_size: Annotated[int, Meta(ge=1)] | None = None
     self_index: Annotated[int, Meta(ge=0)] | None = None
     zone: Annotated[int, Meta(ge=0)] | None = None
-    over_share_worth: Amount = None
+    over_quota_weight: Amount = field(default=None, name="overShareWorth")
     zones: tuple[str, ...] | None = None
     kinds: tuple[str, ...] | None = None
 
--- a/flintridge/config/platform_validation.py
+++ b/flintridge/config/platform_validation.py
@@ -67,13 +67,13 @@
 
 
 def _service_faults(service: Service, path: str) -> Iterator[ConfigFault]:
-    slo_ns = service.slo_ns
-    hard_limit_ns = service.hard_limit_ns
-    if not all_valid(slo_ns, hard_limit_ns) or slo_ns is None or hard_limit_ns is None:
+    objective_ns = service.latency_objective_ns
+    deadline_ns = service.deadline_ns
+    if not all_valid(objective_ns, deadline_ns) or objective_ns is None or deadline_ns is None:
         return
-    if slo_ns > hard_limit_ns:
-        allowed = f"at most the hardLimitNs of {hard_limit_ns:.0f}"
-        yield fault_at(f"{path}.sloNs", slo_ns, f"must be {allowed}", allowed)
+    if objective_ns > deadline_ns:
+        allowed = f"at most the hardLimitNs of {deadline_ns:.0f}"
+        yield fault_at(f"{path}.sloNs", objective_ns, f"must be {allowed}", allowed)
 
 
 def _position_faults(path: str, position: Any, names: Sized | None, names_path: str) -> Iterator[ConfigFault]:
--- a/flintridge/config/syntax.py
+++ b/flintridge/config/syntax.py
@@ -59,14 +59,14 @@
 
 
 def parse_json(text: bytes) -> Any:
-    """Parse JSON. A name that an object has twice is refused: one of the two values would be lost.
+    """Parse JSON. A name that an object has twice is rejected: one of the two values would be lost.
 
     Raises:
         ConfigSyntaxError: It is not JSON in UTF-8, or an object has a name twice.
     """
     decoded = _decode_utf8(text)
     try:
-        return json.loads(decoded, object_pairs_hook=_unique_names, parse_constant=_refuse_constant)
+        return json.loads(decoded, object_pairs_hook=_unique_names, parse_constant=_reject_constant)
     except json.JSONDecodeError as error:
         raise ConfigSyntaxError(_position(error.lineno, error.colno), f"not JSON: {error.msg}") from error
     except (ValueError, RecursionError) as error:
@@ -106,5 +106,5 @@
     return values
 
 
-def _refuse_constant(name: str) -> Any:
+def _reject_constant(name: str) -> Any:
     raise ValueError(f"{name} is not a value")
--- a/flintridge/config/units.py
+++ b/flintridge/config/units.py
@@ -66,7 +66,7 @@
 
 
 def unknown_name_reason(name: str, allowed: Sequence[str]) -> str:
-    """Why a name is refused, and which of the allowed ones was probably meant."""
+    """Why a name is rejected, and which of the allowed ones was probably meant."""
     stem, unit = split_unit(name)
     for candidate in allowed:
         candidate_stem, candidate_unit = split_unit(candidate)
--- a/flintridge/lab/backend/virtual.py
+++ b/flintridge/lab/backend/virtual.py
@@ -14,7 +14,9 @@
 
 from flintridge.config.address import Address
 from flintridge.config.errors import ConfigError
+from flintridge.config.model import Budgets as NodeBudgets
 from flintridge.config.node_config import BudgetsConfig, PeersConfig
+from flintridge.config.node_file import budgets_config
 from flintridge.config.platform_config import node_config
 from flintridge.lab.fabric import DayClock, Links, Listener
 from flintridge.lab.faults.injection import SOUND, Injector, SystemState
@@ -136,7 +138,9 @@
 
     def shared(self) -> BudgetsConfig | None:
         """What of it is for `NodeConfig.budgets`."""
-        return None if self.budgets is None else BudgetsConfig(**msgspec.structs.asdict(self.budgets))
+        if self.budgets is None:
+            return None
+        return budgets_config(msgspec.convert(msgspec.to_builtins(self.budgets), NodeBudgets))
 
     def config(self, fabric: VirtualFabric, node: str) -> PeersConfig:
         known = tuple((name, Address(*fabric.address("peers", name))) for name in self.names)
--- a/flintridge/leases/configured_limits.py
+++ b/flintridge/leases/configured_limits.py
@@ -88,10 +88,10 @@
     ]
     if config.floors:
         limits.append(FleetLimit(FLOORS, float(nodes), "even parts", nodes, terms))
-    if config.cold:
+    if config.slow_start:
         limits.append(FleetLimit(SLOW_START, float(nodes), "even parts", nodes, terms))
-    if config.repeats_per_s:
-        limits.append(FleetLimit(RETRIES, config.repeats_per_s, "repeats a second", nodes, terms))
+    if config.retries_per_s:
+        limits.append(FleetLimit(RETRIES, config.retries_per_s, "repeats a second", nodes, terms))
     return tuple(limits)
 
 
@@ -102,8 +102,8 @@
     nodes = settings.fleet_size
     usages = {}
     for origin, name, count in (
-        (False, CACHE_PERMITS, config.cache_places),
-        (True, ORIGIN_PERMITS, config.origin_places),
+        (False, CACHE_PERMITS, config.cache_permits),
+        (True, ORIGIN_PERMITS, config.origin_permits),
     ):
         if count:
             terms = replace(_terms(config), completion_ms=completion_ms)
--- a/flintridge/leases/driver.py
+++ b/flintridge/leases/driver.py
@@ -71,7 +71,7 @@
         self._counters = counters
         self._membership = membership
         self._core = core
-        self._retries_per_s = config.repeats_per_s / settings.fleet_size
+        self._retries_per_s = config.retries_per_s / settings.fleet_size
         now = clock.now()
         limits = configured_limits(config, settings, even_quotas, now)
         self._quota_names = limits.quota_names
@@ -172,7 +172,7 @@
             cache_permits=self._permit_count(amounts, origin=False),
             origin_permits=self._permit_count(amounts, origin=True),
             retries_per_s=self._retries_per_s,
-            retries_per_attempt=self.config.repeat_share if self._retries_per_s else 0.0,
+            retries_per_attempt=self.config.retries_per_attempt if self._retries_per_s else 0.0,
             strict_quotas=self.config.strict,
         )
 
