--- a/flintridge/discovery/client.py
+++ b/flintridge/discovery/client.py
@@ -34,6 +34,14 @@
     date_ms: float | None = None
 
 
+@dataclass(slots=True, frozen=True)
+class _Streams:
+    """Both directions of an open connection."""
+
+    reader: TrackingReader
+    writer: asyncio.StreamWriter
+
+
 def date_header_ms(head: h11.Response) -> float | None:
     """Unix time by a response's `Date` header in milliseconds; None where it has none that can be read."""
     value = header_value(head, b"date")
@@ -44,10 +52,10 @@
     """One connection to discovery."""
 
     def __init__(self, address: Address, clock: Clock) -> None:
-        """Make a client without a connection; `clock` times the pauses between tries to connect."""
+        """Make a client without a connection; `clock` times the pauses between attempts to connect."""
         self._address = address
         self._clock = clock
-        self._streams: tuple[TrackingReader, asyncio.StreamWriter] | None = None
+        self._streams: _Streams | None = None
 
     async def get(self, target: str) -> DiscoveryResponse:
         """Discovery's response.
@@ -57,13 +65,13 @@
             ValueError: Discovery answered with an error.
             h11.RemoteProtocolError: What it sent is no HTTP.
         """
-        reader, writer = await self._connection()
+        streams = await self._connection()
         host = f"{self._address.host}:{self._address.port}".encode()
         exchange = HttpExchange(b"GET", target.encode(), [(b"Host", host)], max_body_bytes=MAX_LIST_BYTES)
-        writer.writelines(exchange.encode_request())
-        await writer.drain()
+        streams.writer.writelines(exchange.encode_request())
+        await streams.writer.drain()
         while True:
-            data = await reader.read(READ_BYTES)
+            data = await streams.reader.read(READ_BYTES)
             response = exchange.feed(data)
             if response is not None:
                 break
@@ -75,9 +83,10 @@
             raise ValueError(f"discovery answered {response.head.status_code}")
         return DiscoveryResponse(response.body, date_header_ms(response.head))
 
-    async def _connection(self) -> tuple[TrackingReader, asyncio.StreamWriter]:
+    async def _connection(self) -> _Streams:
         if self._streams is not None:
-            reader, writer = self._streams
+            reader = self._streams.reader
+            writer = self._streams.writer
             # Guards against an old list, read as this call's response: it would undo what came since.
             if not is_reusable(reader, writer) or has_pending_input(writer.transport):
                 self.close()
@@ -85,7 +94,7 @@
             self._streams = await self._connect()
         return self._streams
 
-    async def _connect(self) -> tuple[TrackingReader, asyncio.StreamWriter]:
+    async def _connect(self) -> _Streams:
         """Open a connection, again after a pause while this machine fails.
 
         Raises:
@@ -95,7 +104,8 @@
         while True:
             reader = TrackingReader(asyncio.get_running_loop())
             try:
-                return reader, await open_connection(reader, self._address.host, self._address.port)
+                writer = await open_connection(reader, self._address.host, self._address.port)
+                return _Streams(reader, writer)
             except OSError as error:
                 failures += 1
                 if failures > MAX_LOCAL_FAILURES or not is_local_failure(error):
@@ -105,5 +115,5 @@
     def close(self) -> None:
         """Close the connection; the next call opens another."""
         if self._streams is not None:
-            self._streams[1].close()
+            self._streams.writer.close()
             self._streams = None
--- a/flintridge/discovery/endpoint_list.py
+++ b/flintridge/discovery/endpoint_list.py
@@ -9,7 +9,7 @@
 from flintridge.config.address import Address
 from flintridge.config.errors import ConfigError
 from flintridge.config.node_config import NodeConfig
-from flintridge.discovery.server_starts import ListArrival, ServerStarts, ToldStart
+from flintridge.discovery.server_starts import ListArrival, ReportedStart, ServerStarts
 from flintridge.errors import FlintridgeError
 from flintridge.runtime.clock import Clock, to_ns
 
@@ -56,6 +56,14 @@
     def __init__(
         self, zones: tuple[str, ...], kinds: tuple[str, ...], settings: Settings, clock: Clock
     ) -> None:
+        """Create an empty list.
+
+        Args:
+            zones: Names by position, as the policy counts them.
+            kinds: Names of the kinds of servers by position.
+            settings: Have the origin's kind.
+            clock: The process's clock.
+        """
         self.revision = 0
         self._zones = {name: i for i, name in enumerate(zones)}
         self._kinds = {name: i for i, name in enumerate(kinds)}
@@ -112,7 +120,7 @@
             date_ms: Unix time by the response's `Date` header, if it has one.
 
         Returns:
-            The servers that it names, and those whose starts are judged anew by what it tells.
+            The servers that it names, and those whose starts are corrected by what it reports.
 
         Raises:
             MalformedListError: Some of it cannot be read; nothing is changed.
@@ -132,10 +140,10 @@
             # flight has its connection already; to a server that is not listed the policy sends no more.
             self._addresses.clear()
         arrival = ListArrival(self._clock.now(), complete, kind is not UpdateKind.CACHED, date_ms)
-        starts_changed = self.starts.take(arrival, map(_told_start, entries))
+        starts_changed = self.starts.take(arrival, map(_reported_start, entries))
         endpoints = [self._apply_entry(entry) for entry in entries]
         if starts_changed:
-            endpoints += self._judged_anew()
+            endpoints += self._corrected_starts()
         self.revision = revision
         kind = kind or (UpdateKind.FULL if complete else UpdateKind.DELTA)
         return EndpointUpdate(kind, revision, tuple(endpoints))
@@ -155,7 +163,7 @@
             self._addresses[server] = entry.address
         return endpoint
 
-    def _judged_anew(self) -> list[Endpoint]:
+    def _corrected_starts(self) -> list[Endpoint]:
         """The listed servers whose starts differ from what was last reported."""
         changed = []
         for server, endpoint in self._listed.items():
@@ -186,7 +194,7 @@
         return _ListEntry(endpoint, address, self._parse_start(entry.get("up_since_ms")))
 
     def _parse_start(self, up_since_ms: Any) -> float:
-        """Unix time in milliseconds, 0 for long ago; raises what tells that it is no instant."""
+        """Unix time in milliseconds, 0 for long ago; raises where it is no instant."""
         if not up_since_ms:
             return 0.0
         unix_ms = float(up_since_ms)
@@ -194,9 +202,9 @@
         return unix_ms
 
 
-def _told_start(entry: _ListEntry) -> ToldStart:
+def _reported_start(entry: _ListEntry) -> ReportedStart:
     endpoint = entry.endpoint
-    return ToldStart(endpoint.server, entry.up_since_ms, endpoint.state is EndpointState.GONE)
+    return ReportedStart(endpoint.server, entry.up_since_ms, endpoint.state is EndpointState.GONE)
 
 
 def configured_endpoints(config: NodeConfig, endpoints: EndpointList) -> EndpointUpdate:
--- a/flintridge/discovery/server_starts.py
+++ b/flintridge/discovery/server_starts.py
@@ -1,9 +1,9 @@
 """When servers started, on the node's own clock, while its idea of Unix time may be wrong.
 
-Lists tell starts in Unix time. The node's wall clock is read once, at its start, and may have been stepped by
-then. What lists tell, and when they arrive, bounds how wrong it was: no server starts after the arrival of
-the list that tells its start, and one that a running watch tells of for the first time started after the last
-response that did not tell of it. `docs/design/time.md` has the rules and the bounds of what is believed.
+Lists have starts in Unix time. The node's wall clock is read once, at its start, and may have been stepped by
+then. What lists report, and when they arrive, bounds how wrong it was: no server starts after the arrival of
+the list that reports its start, and one that a running watch reports for the first time started after the
+last response that did not report it. `docs/design/time.md` has the rules and the bounds of what is believed.
 
 Without I/O; times are float milliseconds of the node's clock where nothing else is said.
 """
@@ -16,8 +16,8 @@
 
 from flintridge.runtime.clock import to_ns
 
-# A start may be told so long after it, while responses arrive that do not tell it yet: discovery notices it
-# late, and responses are under way for a while. What is within this delay is believed as it is told.
+# A start may be reported so long after it, while responses arrive that do not report it yet: discovery
+# notices it late, and responses are under way for a while. What is within this delay is believed as reported.
 MAX_LISTING_DELAY_MS = 3_000.0
 # A start may lie so far after its list's arrival without being evidence: machines' clocks differ a little.
 CLOCK_SKEW_MS = 250.0
@@ -32,14 +32,14 @@
 class OriginEvidence(Enum):
     """What an estimate of the Unix origin rests on."""
 
-    OWN_CLOCK = "own_clock"
+    LOCAL_CLOCK = "own_clock"
     SERVER_STARTS = "server_starts"
     DATE = "date"
 
 
 @dataclass(slots=True, frozen=True)
-class ToldStart:
-    """What a list says of one server's start.
+class ReportedStart:
+    """A server's start as a list reports it.
 
     Attributes:
         server: Its id.
@@ -71,41 +71,41 @@
 
 @dataclass(slots=True, frozen=True)
 class _KnownStart:
-    """A start of a server as it was first told.
+    """A start of a server as it was first reported.
 
     Attributes:
-        up_since_ms: As it was told.
-        by_own_clock: The instant, if the own wall clock was right.
-        not_before: The arrival of the last response that did not tell it; -inf where there is none.
-        told_at: The arrival of the first list that told it.
+        up_since_ms: As it was reported.
+        by_local_clock: The instant, if the local wall clock was right.
+        not_before: The arrival of the last response that did not report it; -inf where there is none.
+        reported_at: The arrival of the first list that reported it.
     """
 
     up_since_ms: float
-    by_own_clock: float
+    by_local_clock: float
     not_before: float
-    told_at: float
+    reported_at: float
 
 
 class ServerStarts:
     """The starts of the servers that are listed, and of some that left lately.
 
     Attributes:
-        correction_ms: What to add to instants by the own wall clock: positive where that was ahead.
+        correction_ms: What to add to instants by the local wall clock: positive where that was ahead.
         evidence: What the correction rests on.
     """
 
     def __init__(self, from_unix: Callable[[float], float]) -> None:
-        """`from_unix` converts Unix time in milliseconds by the own wall clock."""
+        """`from_unix` converts Unix time in milliseconds by the local wall clock."""
         self.correction_ms = 0.0
-        self.evidence = OriginEvidence.OWN_CLOCK
+        self.evidence = OriginEvidence.LOCAL_CLOCK
         self._from_unix = from_unix
         self._listed: dict[str, _KnownStart] = {}
         self._departed: OrderedDict[str, _KnownStart] = OrderedDict()
         self._last_response_at = -math.inf
-        self._latest_correction = math.inf  # with a greater one, a server had started after it was told
+        self._latest_correction = math.inf  # with a greater one, a server had started after it was reported
         self._date_correction: float | None = None
 
-    def take(self, arrival: ListArrival, told: Iterable[ToldStart]) -> bool:
+    def take(self, arrival: ListArrival, reported: Iterable[ReportedStart]) -> bool:
         """Take in what a list says.
 
         Returns:
@@ -117,7 +117,7 @@
         previous = self._listed
         if arrival.complete:
             self._listed = {}
-        new_starts = [self._remember(each, arrival, previous) for each in told]
+        new_starts = [self._remember(start, arrival, previous) for start in reported]
         if arrival.complete:
             for server, known in previous.items():
                 if server not in self._listed:
@@ -139,21 +139,21 @@
         return to_ns(self._instant(known)) or 1  # no start is at the instant that stands for long ago
 
     def _remember(
-        self, told: ToldStart, arrival: ListArrival, previous: dict[str, _KnownStart]
+        self, reported: ReportedStart, arrival: ListArrival, previous: dict[str, _KnownStart]
     ) -> _KnownStart | None:
         """List a server's start; the start if it was not known."""
-        server = told.server
+        server = reported.server
         known = self._listed.pop(server, None) or previous.get(server) or self._departed.get(server)
-        if told.gone or not told.up_since_ms:
+        if reported.gone or not reported.up_since_ms:
             if known is not None:
                 self._depart(server, known)
             return None
         self._departed.pop(server, None)
-        if known is not None and known.up_since_ms == told.up_since_ms:
+        if known is not None and known.up_since_ms == reported.up_since_ms:
             self._listed[server] = known
             return None
-        by_own_clock = self._from_unix(told.up_since_ms)
-        new = _KnownStart(told.up_since_ms, by_own_clock, self._last_response_at, arrival.at)
+        by_local_clock = self._from_unix(reported.up_since_ms)
+        new = _KnownStart(reported.up_since_ms, by_local_clock, self._last_response_at, arrival.at)
         self._listed[server] = new
         return new
 
@@ -164,11 +164,11 @@
             self._departed.popitem(last=False)
 
     def _instant(self, known: _KnownStart) -> float:
-        start = known.by_own_clock + self.correction_ms
+        start = known.by_local_clock + self.correction_ms
         if start < known.not_before - MAX_LISTING_DELAY_MS:
             return known.not_before
-        if start > known.told_at + CLOCK_SKEW_MS:
-            return known.told_at
+        if start > known.reported_at + CLOCK_SKEW_MS:
+            return known.reported_at
         return start
 
     # The Unix origin
@@ -178,7 +178,7 @@
 
         `Date` is never later than the arrival, so the greatest correction by it makes no server older than it
         is. Of responses that were under way for different times the quickest counts. What differs from the
-        first by more than a response takes is a step of discovery's clock, and no evidence about the own one.
+        first by more than a response takes is a step of discovery's clock, and says nothing of the local one.
         """
         correction = arrived_at - self._from_unix(date_ms)
         known = self._date_correction
@@ -190,13 +190,13 @@
             self._correct(correction, OriginEvidence.DATE)
 
     def _weigh(self, new_starts: list[_KnownStart]) -> None:
-        """Correct the origin by starts that were told for the first time.
+        """Correct the origin by starts that were reported for the first time.
 
-        It is always corrected so that the newest of all servers started as it was told, which makes no server
-        older than it is.
+        It is always corrected so that the newest of all servers started as it was reported, which makes no
+        server older than it is.
         """
         for known in new_starts:
-            latest = known.told_at - known.by_own_clock
+            latest = known.reported_at - known.by_local_clock
             if latest >= -MAX_CORRECTION_MS:
                 self._latest_correction = min(self._latest_correction, latest)
         is_behind = self.correction_ms > self._latest_correction + CLOCK_SKEW_MS
@@ -206,13 +206,13 @@
     def _shows_clock_ahead(self, known: _KnownStart) -> bool:
         """Whether a server started before it can have, and would not by the greatest correction.
 
-        If it would, it is older than another one that was told before: it was told late, and the clock may be
+        If it would, it is older than another one reported before: it was reported late, and the clock may be
         right.
         """
         earliest = known.not_before - MAX_LISTING_DELAY_MS
         latest_correction = self._latest_correction
         return (
-            known.by_own_clock + self.correction_ms < earliest <= known.by_own_clock + latest_correction
+            known.by_local_clock + self.correction_ms < earliest <= known.by_local_clock + latest_correction
             and latest_correction <= MAX_CORRECTION_MS
         )
 
--- a/flintridge/discovery/watcher.py
+++ b/flintridge/discovery/watcher.py
@@ -17,9 +17,8 @@
 MIN_WATCH_WAIT_MS = 1_000.0
 RESPONSE_TIME_MS = 2_000.0  # for a response, beyond the time that the call may wait
 LIST_TIME_MS = 3_000.0  # for a call that does not wait
-WATCH_INTERVAL_MS = (
-    100.0  # between the starts of two watch calls; the next must come with_timeout 200 ms of a response
-)
+# Between the starts of two watch calls; the next must come within 200 ms of a response.
+WATCH_INTERVAL_MS = 100.0
 LIST_PATH = "/api/targets"
 
 CALL_ERRORS = (OSError, ValueError, DeadlineExceededError, h11.RemoteProtocolError)
@@ -30,9 +29,8 @@
 
     A connection that falls silent says nothing, and what it misses counts as notified 6 s later. Up to half a
     second of that was gone when the last call began, since its response may have been on the way; the call is
-    given up RESPONSE_TIME_MS after its wait, the next one follows with_timeout half a second and may take
-    LIST_TIME_MS. Guards against a first attempt after the grace: with 4 s for all, three of six nodes that
-    polled anew together were too late.
+    given up RESPONSE_TIME_MS after its wait, the next one follows within half a second and may take
+    LIST_TIME_MS. Guards against a first attempt after the grace, where several nodes poll anew together.
     """
     return min(MAX_WATCH_WAIT_MS, max(MIN_WATCH_WAIT_MS, to_ms(settings.rules.drain_grace_ns)))
 
@@ -64,9 +62,8 @@
         self._counters = counters
         self._watching: asyncio.Task[None] | None = None
         self._fetching: asyncio.Task[None] | None = None
-        self._needs_full_list = (
-            False  # changes since a revision mean nothing: the next call takes the full list
-        )
+        # Changes since a revision mean nothing: the next call takes the full list.
+        self._needs_full_list = False
         self._logged_correction_ms = 0.0  # of the wall clock, as it was last logged
         self._fallback: EndpointUpdate | None = None  # to go by only if discovery does not answer
 
@@ -133,9 +130,9 @@
 
     async def _full_list(self, client: DiscoveryClient) -> DiscoveryResponse:
         """The full list, for which discovery need not wait; how long it took is counted."""
-        began = self._clock.now()
+        started_at = self._clock.now()
         response = await with_timeout(self._clock, LIST_TIME_MS, client.get(LIST_PATH))
-        self._counters.observe("list_ms", self._clock.now() - began)
+        self._counters.observe("list_ms", self._clock.now() - started_at)
         return response
 
     async def _changes(self, client: DiscoveryClient) -> DiscoveryResponse:
@@ -147,14 +144,14 @@
         client = DiscoveryClient(self.discovery, self._clock)
         try:
             while True:
-                began = self._clock.now()
+                started_at = self._clock.now()
                 poll = self._full_list if self._needs_full_list else self._changes
                 self._report(await poll(client))
                 self._needs_full_list = False
                 # Guards discovery against a list that answers at once, time after time.
-                pause = began + WATCH_INTERVAL_MS - self._clock.now()
-                if pause > 0:
-                    await sleep(self._clock, pause)
+                pause_ms = started_at + WATCH_INTERVAL_MS - self._clock.now()
+                if pause_ms > 0:
+                    await sleep(self._clock, pause_ms)
         except CALL_ERRORS as error:
             # Guards against a call that ran out of time in the moment of a move: its failure is none any
             # more, and the policy would ask for a second watch.
--- a/flintridge/membership/exchange_service.py
+++ b/flintridge/membership/exchange_service.py
@@ -207,7 +207,7 @@
             await self._write_paced(writer, data)
 
     async def _write_paced(self, writer: asyncio.StreamWriter, data: bytes) -> None:
-        """Write with_timeout the budget, and as fast as the other side reads."""
+        """Write within the budget, and as fast as the other side reads."""
         for start in range(0, len(data), WRITE_BYTES):
             block = data[start : start + WRITE_BYTES]
             # Guards the start of a small budget: a block over it would wait for ever.
--- a/tests/discovery/test_server_starts.py
+++ b/tests/discovery/test_server_starts.py
@@ -12,8 +12,8 @@
     MAX_LISTING_DELAY_MS,
     ListArrival,
     OriginEvidence,
+    ReportedStart,
     ServerStarts,
-    ToldStart,
 )
 from flintridge.runtime.clock import to_ns
 
@@ -24,7 +24,7 @@
 class Node:
     """The starts as a node believes them whose wall clock was `ahead_ms` ahead as it started, at instant 0.
 
-    Instants are milliseconds since then; what is told of a server is when it really started.
+    Instants are milliseconds since then; what is reported of a server is when it really started.
     """
 
     def __init__(self, ahead_ms: float = 0.0) -> None:
@@ -37,11 +37,11 @@
         return self.take(ListArrival(at, False, True, None if date is None else UNIX_MS + date), started)
 
     def gone(self, at: float, server: str) -> bool:
-        return self.starts.take(ListArrival(at, False), [ToldStart(server, 1.0, gone=True)])
+        return self.starts.take(ListArrival(at, False), [ReportedStart(server, 1.0, gone=True)])
 
     def take(self, arrival: ListArrival, started: dict[str, float]) -> bool:
         return self.starts.take(
-            arrival, [ToldStart(server, UNIX_MS + instant) for server, instant in started.items()]
+            arrival, [ReportedStart(server, UNIX_MS + instant) for server, instant in started.items()]
         )
 
     def start(self, server: str) -> float:
@@ -56,19 +56,21 @@
         return unix_ms - 1_699_999_999_876.543
 
     starts = ServerStarts(from_unix)
-    told = {"a": 1_699_999_000_000.0, "b": 1_700_000_002_001.0, "c": 1_700_000_003_500.0}
+    reported = {"a": 1_699_999_000_000.0, "b": 1_700_000_002_001.0, "c": 1_700_000_003_500.0}
     for at, server in ((500.0, "a"), (4_000.0, "b"), (5_000.0, "c")):
-        assert not starts.take(ListArrival(at, False), [ToldStart(server, told[server])])
-    again = [ToldStart(name, told[name]) for name in reversed(told)]
+        assert not starts.take(ListArrival(at, False), [ReportedStart(server, reported[server])])
+    again = [ReportedStart(name, reported[name]) for name in reversed(reported)]
     assert not starts.take(ListArrival(9_000.0, True), again)
-    assert [starts.started_at(name) for name in told] == [to_ns(from_unix(told[name])) for name in told]
-    assert (starts.correction_ms, starts.evidence) == (0.0, OriginEvidence.OWN_CLOCK)
+    assert [starts.started_at(name) for name in reported] == [
+        to_ns(from_unix(reported[name])) for name in reported
+    ]
+    assert (starts.correction_ms, starts.evidence) == (0.0, OriginEvidence.LOCAL_CLOCK)
 
 
-def test_start_when_long_ago_or_gone_or_never_told_is_zero():
+def test_start_when_long_ago_or_gone_or_never_reported_is_zero():
     node = Node()
-    node.starts.take(ListArrival(0.0, True), [ToldStart("old", 0.0)])
-    node.starts.take(ListArrival(60_000.0, False), [ToldStart("later", 0.0)])
+    node.starts.take(ListArrival(0.0, True), [ReportedStart("old", 0.0)])
+    node.starts.take(ListArrival(60_000.0, False), [ReportedStart("later", 0.0)])
     node.change(60_001.0, ended=60_000.0)
     node.gone(60_002.0, "ended")
     assert [node.start(name) for name in ("old", "later", "ended", "unknown")] == [0.0] * 4
@@ -91,7 +93,7 @@
     assert [node.start(name) for name in "abc"] == [-2 * HOUR_MS + 1_000, -59_000, 10_000]
 
 
-def test_starts_when_a_server_is_told_quicker_than_all_before_are_judged_anew():
+def test_starts_when_a_server_is_reported_quicker_than_all_before_are_judged_anew():
     node = Node(ahead_ms=-HOUR_MS)
     node.full(100_000.0, a=0.0)
     assert node.start("a") == 100_000
@@ -132,14 +134,14 @@
     assert node.start("a") == 300_000
 
 
-def test_start_when_first_told_by_the_first_response_of_the_process_may_be_any():
+def test_start_when_first_reported_by_the_first_response_of_the_process_may_be_any():
     node = Node()
     node.full(0.0, live=False, a=-HOUR_MS)  # the configuration's, from an earlier time
     assert not node.change(50_000.0, b=-HOUR_MS, a=-30_000.0)
     assert (node.start("a"), node.start("b")) == (-30_000, -HOUR_MS)
 
 
-def test_start_when_told_late_within_the_listing_delay_is_believed():
+def test_start_when_reported_late_within_the_listing_delay_is_believed():
     node = Node()
     node.full(0.0, a=-500.0)
     node.change(10_000.0)
@@ -147,7 +149,7 @@
     assert node.start("b") == 10_000.0 - MAX_LISTING_DELAY_MS
 
 
-def test_start_when_told_later_than_the_listing_delay_after_quick_ones_is_new_and_moves_no_other():
+def test_start_when_reported_later_than_the_listing_delay_after_quick_ones_is_new_and_moves_no_other():
     node = Node()
     node.full(0.0, a=-500.0)  # so an error of the clock of more than 500 ms has been excluded
     node.change(10_000.0)
@@ -272,15 +274,15 @@
         self.longest_gap = max(self.longest_gap, at - self.arrived)
         self.arrived = self.now = at
         date = at // 1_000 * 1_000 if self.with_date else None
-        told = {server: self.true[server] for server in servers}
+        reported = {server: self.true[server] for server in servers}
         tell = self.node.full if complete else self.node.change
-        self.corrections += tell(at, date, **told)
+        self.corrections += tell(at, date, **reported)
 
     def restart(self, server: str, pause: float, delay: float, complete: bool) -> None:
         self.true[server] = self.now + pause
         self.listed.add(server)
-        told = "".join(sorted(self.listed)) if complete else server
-        self.tell(self.now + pause + delay, complete, told)
+        reported = "".join(sorted(self.listed)) if complete else server
+        self.tell(self.now + pause + delay, complete, reported)
 
     def age_errors(self) -> list[float]:
         """By how much each listed server is believed to be older than it is."""
@@ -304,7 +306,7 @@
 @given(AHEAD_MS, FIRST_AGES_MS, STEPS)
 def test_no_server_is_believed_older_than_it_is_by_more_than_the_bound(ahead_ms, ages_ms, steps):
     day = play(ahead_ms, ages_ms, steps)
-    # Each server that restarted is told by a running watch: by no more than what may pass unnoticed.
+    # Each server that restarted is reported by a running watch: by no more than what may pass unnoticed.
     bound = MAX_LISTING_DELAY_MS + day.longest_gap
     restarted = {server for server, *_ in steps} & day.listed
     errors = {server: day.true[server] - day.node.start(server) for server in restarted}
@@ -315,12 +317,12 @@
 
 @FIXED
 @given(AHEAD_MS, FIRST_AGES_MS, STEPS)
-def test_no_server_is_cold_for_longer_than_from_when_it_was_told(ahead_ms, ages_ms, steps):
+def test_no_server_is_cold_for_longer_than_from_when_it_was_reported(ahead_ms, ages_ms, steps):
     day = play(ahead_ms, ages_ms, steps)
-    # A start is never believed to lie after the list that told it, but for the skew of clocks.
+    # A start is never believed to lie after the list that reported it, but for the skew of clocks.
     for server in day.listed:
         known = day.node.starts._listed[server]
-        assert day.node.start(server) <= known.told_at + CLOCK_SKEW_MS + ROUNDING_MS
+        assert day.node.start(server) <= known.reported_at + CLOCK_SKEW_MS + ROUNDING_MS
     if ahead_ms < -CLOCK_SKEW_MS and day.listed:
         # A clock that is behind: all ages are off by no more than the least delay of a start.
         least_delay = min([min(ages_ms), *(step[2] for step in steps)])
