--- a/flintridge/leases/demand_meter.py
+++ b/flintridge/leases/demand_meter.py
@@ -24,7 +24,7 @@
         Args:
             limits: The limits that are leased.
             even_quotas: An even fraction of each tenant's quota, in requests a second, by position.
-            endpoints: Tells which attempts go to the origin.
+            endpoints: Which servers are the origin.
             now: The time.
         """
         self._quota_names = limits.quota_names
@@ -66,7 +66,7 @@
                 manager.set_demand(usage.limit.name, peak)
 
     def used(self, name: str) -> float:
-        """What was used of a limit of late, in its unit; requests a second where these tell its demand."""
+        """What was used of a limit of late, in its unit; requests a second where these show its demand."""
         for usage in self._permits.values():
             if usage.limit.name == name:
                 return float(usage.count)
--- a/flintridge/leases/driver.py
+++ b/flintridge/leases/driver.py
@@ -58,7 +58,7 @@
             settings: The policy's settings.
             even_quotas: An even fraction of each tenant's quota, in requests a second, by position.
             membership: Exchanges datagrams with the peers.
-            endpoints: Tells which attempts go to the origin.
+            endpoints: Which servers are the origin.
             core: Reports requests and attempts, and takes updates.
             clock: The process's clock.
             log: The process's log.
@@ -146,7 +146,7 @@
     def _notify_policy(self) -> None:
         """Notify of a change of what may be used.
 
-        The update tells as well what holds from the first expiry on if no other update comes before.
+        The update also has what holds from the first expiry on, if no other update comes before.
         """
         now = self._clock.now()
         manager = self.manager
@@ -160,7 +160,7 @@
             self._core.notify(update)
 
     def _update(self, usable: Callable[[str], float]) -> api.AllocationUpdate:
-        """The update in which `usable` tells what may be used of a limit, in even fractions."""
+        """The update in which `usable` gives what may be used of a limit, in even fractions."""
         amounts = {name: usable(name) for name in self.manager.accounts}
         tenants = {tenant: amounts[name] for tenant, name in self._quota_names.items()}
         if self._retries_per_s:
@@ -183,7 +183,7 @@
         limit = usage.limit
         return math.floor(amounts[limit.name] * limit.total / limit.nodes + ROUNDING)
 
-    # For staff
+    # The admin API and counters
 
     def admin_status(self) -> tuple[int, dict[str, Any]]:
         """The response to GET /admin/budgets: HTTP status and JSON object."""
--- a/flintridge/leases/fleet_limit.py
+++ b/flintridge/leases/fleet_limit.py
@@ -80,7 +80,7 @@
     Attributes:
         name: Its name, the same at all nodes.
         total: What all nodes together may use, in `unit`.
-        unit: For staff, such as "requests a second".
+        unit: For operators, such as "requests a second".
         nodes: The number of even fractions into which it is divided.
         terms: The terms of its leases.
     """
--- a/flintridge/leases/lease_manager.py
+++ b/flintridge/leases/lease_manager.py
@@ -1,4 +1,4 @@
-"""One process's leases of all fleet-wide limits: what it needs, whom it asks, what it may use.
+"""One process's leases of all fleet-wide limits: what it needs, from whom it requests it, what it may use.
 
 A state machine without I/O over the allocations, which keep the limits whatever this one does: it only
 chooses. Its messages are one topic of the peers' datagrams; nothing waits for a response. Times are float
@@ -39,8 +39,8 @@
 from flintridge.leases.outbox import Outbox
 from flintridge.membership.member import Member
 
-# Limits of which a node needs as much as its request rate is to the mean of all that are heard.
-NEEDED_BY_REQUEST_RATE = (FLOORS, SLOW_START, RETRIES)
+# Limits of which a node needs as much as its request rate is to the mean of all that are reachable.
+LIMITS_BY_REQUEST_RATE = (FLOORS, SLOW_START, RETRIES)
 REQUEST_RATE_MAX_AGE_MS = 20_000.0
 
 
@@ -86,7 +86,7 @@
             bytes_per_s: What the topic may send.
             now: The instant.
             rng: Draws whom to ask.
-            log_event: Called with an event's name and fields, for what staff should see.
+            log_event: Called with an event's name and fields, for what operators should see.
             make_allocation: Makes the allocation of a limit from its terms and the instant.
         """
         self.bytes_per_s = bytes_per_s
@@ -127,7 +127,7 @@
         account.demand = min(even_fractions, account.limit.nodes) * EVEN_FRACTION_UNITS
 
     def track_usage(self, name: str, in_use: Callable[[], float]) -> None:
-        """Let `in_use` tell how much of that limit, in even fractions, is taken up at an instant.
+        """Let `in_use` say how much of that limit, in even fractions, is taken up at an instant.
 
         For permits, which come free only when what was begun with them has ended.
         """
@@ -175,7 +175,7 @@
             if now < rate.reported_at + REQUEST_RATE_MAX_AGE_MS
         ]
         mean = (sum(rates) + self.requests_per_s) / (len(rates) + 1)
-        for name in NEEDED_BY_REQUEST_RATE:
+        for name in LIMITS_BY_REQUEST_RATE:
             if name in self.accounts:
                 self.set_demand(name, self.requests_per_s / mean if rates and mean > 0 else 1.0)
 
@@ -186,7 +186,7 @@
         return self._outbox.receivers()
 
     def drop_messages(self, peer: ProcessId) -> None:
-        """Drop the messages to a process that is not heard (any more), as a datagram would be lost."""
+        """Drop the messages to a process that is not reachable (any more), as a datagram would be lost."""
         self._outbox.drop(peer)
 
     def payload_for(self, now: float, to: Member, max_bytes: int) -> bytes | None:
@@ -194,7 +194,7 @@
         peer = ProcessId(to.name, to.incarnation)
         messages = self._outbox.queued_for(peer)[:MAX_MESSAGES]
         offers = self._offers(now)
-        reports_rate = any(name in self.accounts for name in NEEDED_BY_REQUEST_RATE)
+        reports_rate = any(name in self.accounts for name in LIMITS_BY_REQUEST_RATE)
         if not messages and not offers and not reports_rate:
             return None
         data = self._encode(offers, messages)
@@ -252,7 +252,7 @@
             self._log_event("lease_terms_differ", peer=peer)
 
     def _offers(self, now: float) -> list[LeaseOffer]:
-        """What can be granted. Who has granted all tells what little is left: to be asked all the same."""
+        """What can be granted. Who has granted all offers what little is left, to be asked all the same."""
         offers = []
         for digest, account in self._accounts_by_digest.items():
             amount = account.grantable(now)
--- a/flintridge/leases/status.py
+++ b/flintridge/leases/status.py
@@ -1,4 +1,4 @@
-"""What GET /admin/budgets tells of one limit."""
+"""The status of one limit, as GET /admin/budgets shows it."""
 
 from typing import Any
 
--- a/flintridge/membership/driver.py
+++ b/flintridge/membership/driver.py
@@ -110,7 +110,7 @@
         self._tick()
 
     def leave(self) -> None:
-        """Tell a few peers that this process ends in order. Then no more datagrams are sent."""
+        """Notify a few peers that this process ends in order. Then no more datagrams are sent."""
         if not self._closed:
             self.failure_detector.leave(self._clock.now())
             self._send_datagrams()
--- a/flintridge/membership/failure_detector.py
+++ b/flintridge/membership/failure_detector.py
@@ -278,7 +278,7 @@
         return self.prober.probe(to.process_id, now)
 
     def leave(self, now: float) -> None:
-        """This process ends in order: a few are told, who pass it on. Nothing is sent after it."""
+        """This process ends in order: a few peers are notified, who pass it on. Nothing is sent after it."""
         self._has_left = True
         table = self.table
         peers = [member for member in table if member.reachable and member.name != table.local_name]
--- a/flintridge/membership/gossip_queue.py
+++ b/flintridge/membership/gossip_queue.py
@@ -35,7 +35,7 @@
 
 
 class GossipQueue:
-    """Orders what a node tells others of members. Only entries that fit use up their turn."""
+    """Orders the gossip on members. Only entries that fit use up their turn."""
 
     def __init__(self, peer_count: int, rng: Random) -> None:
         """Create a queue in which nothing waits.
@@ -83,7 +83,7 @@
         """The entries for one message, which count as sent.
 
         Args:
-            to: Whom it goes to, where that is known: it is told first what it is accused of.
+            to: Whom it goes to, where that is known: it is first notified of what it is accused of.
             max_bytes: That the entries may take.
             includes_third_parties: Whether it may carry entries of anybody but `to`.
             reachable: Those that have turns.
--- a/flintridge/membership/member.py
+++ b/flintridge/membership/member.py
@@ -31,7 +31,7 @@
     round_trip_ms: float | None = None
     gossiped_alive_at: float = NEVER  # the `last_alive_at` that was last queued for gossip
     remaining_transmissions: int = 0  # messages that shall still carry its last change
-    pending_accusation: MemberState | None = None  # what it is still to be told that it was taken for
+    pending_accusation: MemberState | None = None  # the accusation of which it is still to be notified
     reachable: bool = False  # at the last update
     highest_sequence: int = -1
     received_sequences: int = 0  # a bit for each of the SEQUENCE_WINDOW numbers up to the highest
@@ -73,7 +73,7 @@
             self.round_trip_ms = min(sample_ms, 0.9 * self.round_trip_ms + 0.1 * sample_ms)
 
     def gossip_entry(self, now: float, state: MemberState | None = None) -> GossipEntry:
-        """What others are told of it at `now`; of `state` instead of its own where one is given."""
+        """The gossip entry on it at `now`; of `state` instead of its own where one is given."""
         age = min(now - self.last_alive_at, MAX_AGE_MS)
         entry_state = self.state if state is None else state
         return GossipEntry(self.name, self.incarnation, self.refutations, entry_state, math.ceil(age))
--- a/flintridge/membership/member_table.py
+++ b/flintridge/membership/member_table.py
@@ -79,18 +79,18 @@
             member.direct_alive_at = sent_at
         self._tracker.record_evidence(sent_at)
         if member.state is not MemberState.ALIVE and sent_at > member.state_since:
-            # Its own message proves that it was alive after the accusation. It is to be told of it, so that
-            # it can refute it before the others: they have not received that message.
+            # Its own message proves that it was alive after the accusation. It is to be notified of that one,
+            # so that it can refute it before the others: they have not received that message.
             member.pending_accusation = member.state
             self._change_state(member, MemberState.ALIVE, now, gossiped=False)
 
     def merge_entry(
         self, entry: GossipEntry, sent_at: float, suspicion_ms: float, now: float, max_age_ms: float
     ) -> None:
-        """Take in what another node tells of a member.
+        """Merge another node's gossip entry.
 
         Args:
-            entry: What it tells.
+            entry: As it was received.
             sent_at: The entry was sent then or later.
             suspicion_ms: How long a suspicion lasts.
             now: The present instant.
@@ -135,7 +135,7 @@
         return member
 
     def _merge_state(self, member: Member, entry: GossipEntry, suspected_until: float, now: float) -> None:
-        """`suspected_until`: when the suspicion ended of whoever last knew what the entry tells."""
+        """`suspected_until`: when the suspicion ended of whoever last knew what the entry says."""
         state = STATES[entry.state]
         if state is MemberState.LEFT:
             self._change_state(member, state, now)
@@ -183,7 +183,7 @@
             else:
                 self._change_state(member, MemberState.FAILED, now)
 
-    # What others are told
+    # Outgoing gossip
 
     @property
     def max_transmissions(self) -> int:
--- a/flintridge/membership/messages.py
+++ b/flintridge/membership/messages.py
@@ -75,7 +75,7 @@
 
 
 class GossipEntry(msgspec.Struct, array_like=True, frozen=True, gc=False):
-    """What one node tells others of a process."""
+    """What one node knows of a process, for others."""
 
     name: Name
     incarnation: Number  # of the process: drawn at its start
--- a/flintridge/membership/probes.py
+++ b/flintridge/membership/probes.py
@@ -86,7 +86,7 @@
                 self._sender.send(probe.target, MessageKind.PING, probe_id, now)
 
     def end_indirect_probes(self, now: float) -> None:
-        """Tell requesters whose target did not answer."""
+        """Notify requesters whose target did not answer."""
         for probe_id, probe in [*self._indirect_probes.items()]:
             if now >= probe.ends_at:
                 del self._indirect_probes[probe_id]
--- a/flintridge/membership/state_exchange.py
+++ b/flintridge/membership/state_exchange.py
@@ -6,7 +6,7 @@
     server:  Chunk(bytes, last) ...      -> or Rejection(reason)
 
 Frames are a length of four bytes, the authentication tag and MessagePack. A frame of another connection, of
-the other direction or out of its turn is refused by its tag; so is a replayed query, as the server's nonce is
+the other direction or out of order is rejected by its tag; so is a replayed query, as the server's nonce is
 new each time.
 """
 
--- a/flintridge/membership/sync_schedule.py
+++ b/flintridge/membership/sync_schedule.py
@@ -39,7 +39,7 @@
             self._next_at = now
         if self._is_done() or now < self._next_at:
             return None
-        # Not those of whom only others tell: the link to them may be cut.
+        # Not those known through others alone: the link to them may be cut.
         sources = [
             member.name
             for member in table.reachable_members
--- a/flintridge/replication/synchronization.py
+++ b/flintridge/replication/synchronization.py
@@ -28,7 +28,7 @@
         self.started_at = now
         self.comparisons: dict[Writer, Comparison] = {}
         self._wait_ms = wait_ms
-        self._synchronized_peer_at = -math.inf  # when one that has synchronized was last heard from
+        self._synchronized_peer_at = -math.inf  # when one that has synchronized last sent a message
         self._last_chunk_at = -math.inf  # when one of those last sent a chunk
         self._last_comparison_number = 0
 
@@ -38,7 +38,7 @@
         return self.state is SyncState.SYNCHRONIZED
 
     def receive_synchronized_peer(self, now: float) -> None:
-        """A peer that has synchronized was heard from."""
+        """A peer that has synchronized sent a message."""
         self._synchronized_peer_at = now
 
     def receive_synchronized_chunk(self, now: float) -> None:
