--- a/flintridge/leases/driver.py
+++ b/flintridge/leases/driver.py
@@ -7,10 +7,10 @@
 from collections.abc import Callable
 from dataclasses import replace
 from random import Random
-from typing import Any
 
 from flintridge import api
 from flintridge.config.node_config import BudgetsConfig
+from flintridge.core.admin_routes import AdminResponse
 from flintridge.core.lifecycle import RequestLifecycle
 from flintridge.discovery.endpoint_list import EndpointList
 from flintridge.leases.configured_limits import configured_limits
@@ -185,7 +185,7 @@
 
     # The admin API and counters
 
-    def admin_status(self) -> tuple[int, dict[str, Any]]:
+    def admin_status(self) -> AdminResponse:
         """The response to GET /admin/budgets: HTTP status and JSON object."""
         now = self._clock.now()
         reachable = self._membership.reachability
--- a/flintridge/leases/status.py
+++ b/flintridge/leases/status.py
@@ -1,12 +1,63 @@
-"""The status of one limit, as GET /admin/budgets shows it."""
+"""The status of one limit, as GET /admin/budgets shows it.
+
+The encoded names are those that clients of the admin API read; amounts are in even fractions where nothing
+else is said.
+"""
 
 from typing import Any
 
+import msgspec
+
 from flintridge.leases.account import Account
-from flintridge.leases.allocation import Lease
 from flintridge.leases.fleet_limit import EVEN_FRACTION_UNITS
 
 
+class GrantedLeaseStatus(
+    msgspec.Struct, frozen=True, kw_only=True, rename={"lessee": "to", "incarnation": "life"}
+):
+    """A lease that another process has from this one."""
+
+    lessee: str
+    incarnation: str  # hexadecimal
+    amount: float
+    ends_in_ms: int
+
+
+class AcquiredLeaseStatus(msgspec.Struct, frozen=True, kw_only=True, rename={"grantor": "from"}):
+    """A lease that this process has from another one."""
+
+    grantor: str
+    amount: float
+    ends_in_ms: int
+
+
+class LimitStatus(
+    msgspec.Struct,
+    frozen=True,
+    kw_only=True,
+    rename={
+        "total": "whole",
+        "even_amount": "even",
+        "entitlement": "own",
+        "demand": "need",
+        "granted": "lent",
+        "acquired": "borrowed",
+    },
+):
+    """One limit at one process."""
+
+    name: str
+    total: float  # in `unit`
+    unit: str
+    even_amount: float  # in `unit`
+    entitlement: float
+    usable: float
+    demand: float
+    used: float  # of late, in `unit`
+    granted: list[GrantedLeaseStatus]
+    acquired: list[AcquiredLeaseStatus]
+
+
 def limit_status(account: Account, used: float, now: float) -> dict[str, Any]:
     """The JSON object of a limit.
 
@@ -14,41 +65,45 @@
         account: The limit at this process.
         used: What was used of late, in the limit's unit.
         now: The instant, in milliseconds of the process's clock.
-
-    Returns:
-        Its fields, by the names that clients of the admin API read. Amounts are in even fractions, but
-        `whole`, `even` and `used` in the limit's unit.
     """
     limit = account.limit
     allocation = account.allocation
-    return {
-        "name": limit.name,
-        "whole": round(limit.total, 3),
-        "unit": limit.unit,
-        "even": round(limit.even_amount, 3),
-        "own": allocation.entitlement(now) / EVEN_FRACTION_UNITS,
-        "usable": allocation.usable(now) / EVEN_FRACTION_UNITS,
-        "need": round(account.demand / EVEN_FRACTION_UNITS, 3),
-        "used": round(used, 1),
-        "lent": [
-            {
-                "to": key.lessee.name,
-                "life": f"{key.lessee.incarnation:x}",
-                **_lease_status(lease, now),
-            }
-            for key, lease in allocation.granted.items()
-            if now < lease.expires_at
-        ],
-        "borrowed": [
-            {"from": key.grantor, **_lease_status(lease, now)}
-            for key, lease in allocation.acquired.items()
-            if now < lease.expires_at
-        ],
-    }
-
-
-def _lease_status(lease: Lease, now: float) -> dict[str, Any]:
-    return {
-        "amount": lease.amount / EVEN_FRACTION_UNITS,
-        "ends_in_ms": round(lease.expires_at - now),
-    }
+    status = LimitStatus(
+        name=limit.name,
+        total=round(limit.total, 3),
+        unit=limit.unit,
+        even_amount=round(limit.even_amount, 3),
+        entitlement=allocation.entitlement(now) / EVEN_FRACTION_UNITS,
+        usable=allocation.usable(now) / EVEN_FRACTION_UNITS,
+        demand=round(account.demand / EVEN_FRACTION_UNITS, 3),
+        used=round(used, 1),
+        granted=_granted(account, now),
+        acquired=_acquired(account, now),
+    )
+    values: dict[str, Any] = msgspec.to_builtins(status)
+    return values
+
+
+def _granted(account: Account, now: float) -> list[GrantedLeaseStatus]:
+    return [
+        GrantedLeaseStatus(
+            lessee=key.lessee.name,
+            incarnation=f"{key.lessee.incarnation:x}",
+            amount=lease.amount / EVEN_FRACTION_UNITS,
+            ends_in_ms=round(lease.expires_at - now),
+        )
+        for key, lease in account.allocation.granted.items()
+        if now < lease.expires_at
+    ]
+
+
+def _acquired(account: Account, now: float) -> list[AcquiredLeaseStatus]:
+    return [
+        AcquiredLeaseStatus(
+            grantor=key.grantor,
+            amount=lease.amount / EVEN_FRACTION_UNITS,
+            ends_in_ms=round(lease.expires_at - now),
+        )
+        for key, lease in account.allocation.acquired.items()
+        if now < lease.expires_at
+    ]
--- a/flintridge/membership/admin_view.py
+++ b/flintridge/membership/admin_view.py
@@ -1,7 +1,14 @@
-"""The answer to GET /admin/peers: a node's view of its peers, as JSON values."""
+"""The answer to GET /admin/peers: a node's view of its peers, as JSON values.
+
+The encoded names are those that clients of the admin API read. Times are milliseconds ago, null where there
+is none.
+"""
 
 from typing import Any
 
+import msgspec
+from msgspec import UNSET, UnsetType
+
 from flintridge.config.node_config import PeersConfig
 from flintridge.membership.failure_detector import FailureDetector
 from flintridge.membership.member import NEVER, Member
@@ -16,12 +23,73 @@
     "payloads_unknown": "facts_unknown",
     "probes_acked_indirectly": "probes_by_others",
 }
+UNREACHABLE_STATE = "silent"  # of a name of which no process is known; see `MemberTable.describe_state`
+
+
+class MemberView(
+    msgspec.Struct,
+    frozen=True,
+    kw_only=True,
+    rename={
+        "incarnation": "life",
+        "direct_alive_ms_ago": "heard_ms_ago",
+        "indirect_alive_ms_ago": "told_ms_ago",
+        "refutations": "incarnation",
+        "bytes_received": "bytes_in",
+        "rejected": "refused",
+    },
+):
+    """One process of a peer; of a name of which none is known only the name and the state."""
+
+    name: str
+    incarnation: str | None  # hexadecimal
+    state: str
+    direct_alive_ms_ago: int | None | UnsetType = UNSET
+    indirect_alive_ms_ago: int | None | UnsetType = UNSET
+    round_trip_ms: float | None | UnsetType = UNSET
+    refutations: int | UnsetType = UNSET
+    bytes_received: int | UnsetType = UNSET
+    rejected: int | UnsetType = UNSET
+
+
+class MembershipView(
+    msgspec.Struct,
+    frozen=True,
+    kw_only=True,
+    rename={
+        "incarnation": "life",
+        "authenticated": "sealed",
+        "owns_address": "holds_address",
+        "reachable": "heard",
+        "names": "of",
+        "reachable_for_ms": "heard_for_ms",
+        "max_age_ms": "limit_ms",
+        "local_health_penalty": "slowness",
+        "members": "lives",
+    },
+):
+    """All of it."""
+
+    name: str
+    incarnation: str  # hexadecimal
+    fleet: str
+    authenticated: bool
+    owns_address: bool
+    reachable: int
+    names: int
+    epoch: int
+    reachable_for_ms: int
+    max_age_ms: int
+    local_health_penalty: int
+    bytes_per_s: float
+    members: list[MemberView]
+    counts: dict[str, int]
 
 
 def membership_view(
     config: PeersConfig, detector: FailureDetector, owns_address: bool, now: float
 ) -> dict[str, Any]:
-    """The JSON object; times are milliseconds ago, null where there is none.
+    """The JSON object.
 
     Args:
         config: Of the node's `[peers]`.
@@ -30,30 +98,36 @@
         now: The present instant, in float milliseconds.
     """
     table = detector.table
-    view = detector.reachability
-    members = [_member_view(detector, member, now) for member in table]
-    known_names = {member["name"] for member in members}
+    reachability = detector.reachability
+    view = MembershipView(
+        name=table.local_name,
+        incarnation=f"{table.incarnation:x}",
+        fleet=config.fleet,
+        authenticated=config.key is not None,
+        owns_address=owns_address,
+        reachable=reachability.reachable,
+        names=reachability.names,
+        epoch=reachability.epoch,
+        reachable_for_ms=round(now - reachability.since[reachability.reachable]),
+        max_age_ms=round(detector.max_age_ms),
+        local_health_penalty=detector.local_health_penalty,
+        bytes_per_s=config.bytes_per_s,
+        members=_members(detector, now),
+        counts=_counts(detector),
+    )
+    values: dict[str, Any] = msgspec.to_builtins(view)
+    return values
+
+
+def _members(detector: FailureDetector, now: float) -> list[MemberView]:
+    members = [_member_view(detector, member, now) for member in detector.table]
+    known_names = {member.name for member in members}
     members += [
-        {"name": name, "life": None, "state": "silent"}
-        for name in table.peer_names
+        MemberView(name=name, incarnation=None, state=UNREACHABLE_STATE)
+        for name in detector.table.peer_names
         if name not in known_names
     ]
-    return {
-        "name": table.local_name,
-        "life": f"{table.incarnation:x}",
-        "fleet": config.fleet,
-        "sealed": config.key is not None,
-        "holds_address": owns_address,
-        "heard": view.reachable,
-        "of": view.names,
-        "epoch": view.epoch,
-        "heard_for_ms": round(now - view.since[view.reachable]),
-        "limit_ms": round(detector.max_age_ms),
-        "slowness": detector.local_health_penalty,
-        "bytes_per_s": config.bytes_per_s,
-        "lives": sorted(members, key=lambda member: (member["name"], str(member["life"]))),
-        "counts": _counts(detector),
-    }
+    return sorted(members, key=lambda member: (member.name, str(member.incarnation)))
 
 
 def _counts(detector: FailureDetector) -> dict[str, int]:
@@ -61,19 +135,19 @@
     return dict(sorted(counts.items()))
 
 
-def _member_view(detector: FailureDetector, member: Member, now: float) -> dict[str, Any]:
-    round_trip = member.round_trip_ms
-    return {
-        "name": member.name,
-        "life": f"{member.incarnation:x}",
-        "state": detector.table.describe_state(member, now, detector.max_age_ms),
-        "heard_ms_ago": _ms_ago(member.direct_alive_at, now),
-        "told_ms_ago": _ms_ago(member.indirect_alive_at, now),
-        "round_trip_ms": None if round_trip is None else round(round_trip, 2),
-        "incarnation": member.refutations,
-        "bytes_in": member.bytes_received,
-        "refused": member.rejected,
-    }
+def _member_view(detector: FailureDetector, member: Member, now: float) -> MemberView:
+    round_trip_ms = member.round_trip_ms
+    return MemberView(
+        name=member.name,
+        incarnation=f"{member.incarnation:x}",
+        state=detector.table.describe_state(member, now, detector.max_age_ms),
+        direct_alive_ms_ago=_ms_ago(member.direct_alive_at, now),
+        indirect_alive_ms_ago=_ms_ago(member.indirect_alive_at, now),
+        round_trip_ms=None if round_trip_ms is None else round(round_trip_ms, 2),
+        refutations=member.refutations,
+        bytes_received=member.bytes_received,
+        rejected=member.rejected,
+    )
 
 
 def _ms_ago(instant: float, now: float) -> int | None:
