--- a/benchmarks/budgets_cold.py
+++ b/benchmarks/budgets_cold.py
@@ -64,7 +64,7 @@
         warmup_s=WARMUP_S,
         nodes=replace(day.nodes, count=args["nodes"]),
         servers=(replace(day.servers[0], count=args["servers"]),),
-        classes=(replace(day.classes[0], work_ms=WORK_MS, aim_ms=600.0, deadline_ms=2000.0),),
+        classes=(replace(day.classes[0], work_ms=WORK_MS, latency_objective_ms=600.0, deadline_ms=2000.0),),
         tenants=(Tenant(name="all", quota_per_s=args["quota"]),),
         faults=(Replace(at_s=AT_S, for_s=0.5, count=args["replaced"]),),
         wall_limit_s=3000.0,
@@ -122,12 +122,19 @@
                 for s in by_server.get(start.server, [])
                 if 0 <= s.record.at_ms - start.at_ms < start.warm_up_ms
             ]
-            for i in range(round(start.warm_up_ms / rules.fall_ms)):
-                since, until = start.at_ms + i * rules.fall_ms, start.at_ms + (i + 1) * rules.fall_ms
+            for i in range(round(start.warm_up_ms / rules.overload_window_ms)):
+                since = start.at_ms + i * rules.overload_window_ms
+                until = since + rules.overload_window_ms
                 work = sum(sent.record.work_ms for sent in mine if since <= sent.record.at_ms < until)
-                used.append(work / (rules.fall_multiple * capacity(start, until) * rules.fall_ms))
-            for window, work in _windows(mine, rules.fall_ms):
-                budget = rules.fall_multiple * capacity(start, window[-1].record.at_ms) * rules.fall_ms
+                used.append(
+                    work / (rules.overload_multiple * capacity(start, until) * rules.overload_window_ms)
+                )
+            for window, work in _windows(mine, rules.overload_window_ms):
+                budget = (
+                    rules.overload_multiple
+                    * capacity(start, window[-1].record.at_ms)
+                    * rules.overload_window_ms
+                )
                 most = max(most, work / budget)
     held = [one for one in day.records if isinstance(one, LeaseReported) and one.at_ms > AT_S * 1000]
     lent, looks = [one.borrowed for one in held], {one.at_ms for one in held}
--- a/flintridge/config/model.py
+++ b/flintridge/config/model.py
@@ -8,13 +8,19 @@
 that `schema_description` gives them. It is read by others, and stays as it is byte for byte.
 """
 
-from collections.abc import Callable
-from typing import Annotated, Literal, TypeVar
+from typing import Annotated, Literal
 
 import msgspec
 from msgspec import Meta
 
-StructT = TypeVar("StructT", bound=msgspec.Struct)
+from flintridge.config.format_types import (
+    FLEET_LIMIT_KEYS,
+    LIMIT_KEYS,
+    REQUEST_CLASS_KEYS,
+    RULE_KEYS,
+    Name,
+    schema_description,
+)
 
 Ms = Annotated[float, Meta(ge=0, le=86_400_000, description="milliseconds")]
 PositiveMs = Annotated[float, Meta(gt=0, le=86_400_000, description="milliseconds")]
@@ -23,41 +29,17 @@
 Fraction = Annotated[float, Meta(ge=0, le=1, description="a share of the whole")]
 Amount = Annotated[float, Meta(ge=0, le=1e9)]
 Count = Annotated[int, Meta(ge=0, le=1_000_000)]
-# The last part guards against an ending newline, which `$` alone lets pass.
-Name = Annotated[str, Meta(min_length=1, max_length=64, pattern=r"^[A-Za-z0-9._-]+$(?!\n)")]
 Address = Annotated[
     str, Meta(min_length=1, max_length=64, description="numeric, with a port: 10.0.0.4:11211")
 ]
 
 
-def schema_description(text: str | None) -> Callable[[type[StructT]], type[StructT]]:
-    """Give a class a description in the JSON Schema, in place of its doc comment; None: no description."""
-
-    def describe(table: type[StructT]) -> type[StructT]:
-        table.__doc__ = text
-        return table
-
-    return describe
-
-
 class Section(msgspec.Struct, forbid_unknown_fields=True, kw_only=True, frozen=True, omit_defaults=True):
     """A table of the file; a key that is not known is rejected."""
 
 
 @schema_description(None)
-class RequestClass(
-    Section,
-    kw_only=True,
-    frozen=True,
-    rename={
-        "latency_objective_ms": "aim_ms",
-        "priority_weight": "worth",
-        "late_weight_fraction": "late_share",
-        "deduplication_scope": "group",
-        "deduplication_window_ms": "window_ms",
-        "objective_work_factor": "aim_stretch",
-    },
-):
+class RequestClass(Section, kw_only=True, frozen=True, rename=REQUEST_CLASS_KEYS):
     """A class of requests: how soon they must be answered, and their priority."""
 
     name: Name
@@ -88,12 +70,7 @@
     memory_mb: Annotated[float, Meta(ge=32, le=65_536, description="megabytes")] = 192.0
 
 
-class Limits(
-    Section,
-    kw_only=True,
-    frozen=True,
-    rename={"hedged_requests": "second_copies", "health_checks": "probes", "peer_messages": "peers"},
-):
+class Limits(Section, kw_only=True, frozen=True, rename=LIMIT_KEYS):
     """What the node may do."""
 
     max_attempts: Annotated[int, Meta(ge=1, le=100)] = 3
@@ -109,18 +86,7 @@
 
 
 @schema_description(None)
-class Rules(
-    Section,
-    kw_only=True,
-    frozen=True,
-    rename={
-        "poll_interval_s": "ask_within_s",
-        "slow_start_fraction": "cold_share",
-        "slow_start_s": "cold_s",
-        "overload_multiple": "fall_multiple",
-        "overload_window_ms": "fall_ms",
-    },
-):
+class Rules(Section, kw_only=True, frozen=True, rename=RULE_KEYS):
     """Rules of the platform that servers and nodes keep to."""
 
     answer_slack_ms: Ms = 0.0  # by which a final response may be late
@@ -207,18 +173,7 @@
 @schema_description(
     "Which budgets of the fleet nodes lend one another. Without this table each holds its even part."
 )
-class Budgets(
-    Section,
-    kw_only=True,
-    frozen=True,
-    rename={
-        "slow_start": "cold",
-        "cache_permits": "cache_places",
-        "origin_permits": "origin_places",
-        "retries_per_s": "repeats_per_s",
-        "retries_per_attempt": "repeat_share",
-    },
-):
+class Budgets(Section, kw_only=True, frozen=True, rename=FLEET_LIMIT_KEYS):
     """Which fleet-wide limits nodes lease parts of. Without this table each uses its even fraction."""
 
     tenants: bool = False  # the tenants' quotas
--- a/flintridge/lab/experiment/shrink.py
+++ b/flintridge/lab/experiment/shrink.py
@@ -488,13 +488,14 @@
 
 def _plainer(part: Any, keep: tuple[str, ...]) -> Iterator[tuple[str, Any]]:
     """A table with its values at their defaults, but for those to keep: all, then half of them, then one."""
-    plain = {
-        field.name: field.default
+    fields = {
+        field.name: field
         for field in msgspec.structs.fields(part)
         if field.name not in keep
         and field.default is not msgspec.NODEFAULT
         and getattr(part, field.name) != field.default
     }
+    plain = {name: field.default for name, field in fields.items()}
     if len(plain) > 1:
         yield "defaults", replace(part, **plain)
     names = list(plain)
@@ -502,7 +503,7 @@
         for text, half in (("first", names[: len(names) // 2]), ("second", names[len(names) // 2 :])):
             yield f"defaults, {text} half", replace(part, **{name: plain[name] for name in half})
     for name, value in plain.items():
-        yield f"default {name}", replace(part, **{name: value})
+        yield f"default {fields[name].encode_name}", replace(part, **{name: value})
 
 
 # What makes runs cheapest comes first: the later ones are then played on a small day.
--- a/flintridge/lab/experiment/space.py
+++ b/flintridge/lab/experiment/space.py
@@ -196,10 +196,10 @@
         work_ms=round(_log(dice, 0.4, 2.5), 3),
         spread=dice.choice(("none", "exponential", "lognormal", "lognormal")),
         cv=round(dice.uniform(0.3, 1.5), 2),
-        aim_ms=dice.uniform(5, 14),
+        latency_objective_ms=dice.uniform(5, 14),
         deadline_ms=dice.uniform(1.6, 3),
-        worth=dice.choice((1.0, 1.0, 2.0, 3.0)),
-        late_share=round(dice.uniform(0.1, 0.6), 2),
+        priority_weight=dice.choice((1.0, 1.0, 2.0, 3.0)),
+        late_weight_fraction=round(dice.uniform(0.1, 0.6), 2),
         effect=effect,
         write=write,
     )
@@ -276,9 +276,9 @@
 def _limits(dice: Random) -> model.Limits:
     return model.Limits(
         max_attempts=dice.randint(3, 8),
-        second_copies=dice.random() < 0.7,
+        hedged_requests=dice.random() < 0.7,
         cancel=dice.random() < 0.8,
-        probes=dice.random() < 0.3,
+        health_checks=dice.random() < 0.3,
         max_open=dice.choice((500, 20_000)),
     )
 
@@ -302,16 +302,16 @@
 
 
 def _timed(cls: model.RequestClass, factor: float, origin_ms: float) -> model.RequestClass:
-    """From parts to milliseconds: `aim_ms` came as a multiple of the work, `deadline_ms` of the aim."""
+    """To milliseconds: the objective came as a multiple of the work, `deadline_ms` of the objective."""
     work = middle(cls.work_ms) * factor
-    aim = round(min(6000.0, max(250.0, work * cls.aim_ms, 8 * origin_ms)))
+    aim = round(min(6000.0, max(250.0, work * cls.latency_objective_ms, 8 * origin_ms)))
     deadline = float(round(aim * cls.deadline_ms))
     return msgspec.structs.replace(
         cls,
         work_ms=round(work, 3),
-        aim_ms=float(aim),
+        latency_objective_ms=float(aim),
         deadline_ms=deadline,
-        window_ms=deadline if cls.effect == "keyed" else cls.window_ms,
+        deduplication_window_ms=deadline if cls.effect == "keyed" else cls.deduplication_window_ms,
     )
 
 
--- a/flintridge/lab/faults/check.py
+++ b/flintridge/lab/faults/check.py
@@ -4,8 +4,6 @@
 from collections.abc import Callable, Iterator, Sequence
 from typing import Any
 
-import msgspec
-
 from flintridge.config.fleet_validation import BUDGET_SWITCHES, PERMIT_LEASE_MARGIN_MS
 from flintridge.lab.faults.choose import Candidate, fitting
 from flintridge.lab.scenario import model as m
@@ -73,29 +71,30 @@
         yield "servers: they are none; at least one group needs a count above 0"
     rules = scenario.rules
     for i, kind in enumerate(scenario.kinds):
-        if kind.cold_from < rules.cold_share:
+        if kind.cold_from < rules.slow_start_fraction:
             yield (
                 f"kinds[{i}].cold_from: {kind.cold_from:g} is below rules.cold_share, which is promised;"
-                f" allowed is {rules.cold_share:g} to 1"
+                f" allowed is {rules.slow_start_fraction:g} to 1"
             )
-        if kind.cold_s > rules.cold_s:
+        if kind.cold_s > rules.slow_start_s:
             yield (
                 f"kinds[{i}].cold_s: {kind.cold_s:g} is more than rules.cold_s, which is promised;"
-                f" allowed is 0 to {rules.cold_s:g}"
+                f" allowed is 0 to {rules.slow_start_s:g}"
             )
 
 
 def _classes(scenario: m.Scenario) -> Iterator[str]:
     repeats_ms = scenario.origin.repeats_s * 1000
     for i, cls in enumerate(scenario.classes):
-        if cls.aim_ms > cls.deadline_ms:
+        if cls.latency_objective_ms > cls.deadline_ms:
             yield (
-                f"classes[{i}].aim_ms: {cls.aim_ms:g} is beyond the deadline;"
+                f"classes[{i}].aim_ms: {cls.latency_objective_ms:g} is beyond the deadline;"
                 f" allowed is up to deadline_ms ({cls.deadline_ms:g})"
             )
-        if cls.effect == "keyed" and 0 < repeats_ms < cls.window_ms:
+        if cls.effect == "keyed" and 0 < repeats_ms < cls.deduplication_window_ms:
             yield (
-                f"classes[{i}].window_ms: {cls.window_ms:g} is longer than the origin knows a write's key;"
+                f"classes[{i}].window_ms: {cls.deduplication_window_ms:g}"
+                " is longer than the origin knows a write's key;"
                 f" allowed is up to origin.repeats_s ({repeats_ms:g} ms)"
             )
 
@@ -112,7 +111,8 @@
             f"budgets.bytes_per_s: {budgets.bytes_per_s:g} is more than a quarter of peers.bytes_per_s;"
             f" allowed is up to {most:g}"
         )
-    if not any(getattr(budgets, name) for name in BUDGET_SWITCHES):
+    values = budgets.by_key()
+    if not any(values[key] for key in BUDGET_SWITCHES):
         yield f"budgets: nothing is switched on; one of {', '.join(BUDGET_SWITCHES)} must be"
     if budgets.tenants and not any(tenant.quota_per_s for tenant in scenario.tenants):
         yield "budgets.tenants: no tenant has a quota_per_s above 0; false is allowed"
@@ -120,7 +120,7 @@
         yield "budgets.strict: quotas are not shared; it must be false while budgets.tenants is"
     longest = max(cls.deadline_ms for cls in scenario.classes) + PERMIT_LEASE_MARGIN_MS
     for name in ("cache_places", "origin_places"):
-        places = getattr(budgets, name)
+        places = values[name]
         if 0 < places < scenario.nodes.count:
             yield (
                 f"budgets.{name}: {places} is less than one a node;"
@@ -133,15 +133,15 @@
             )
 
 
-def _spans(part: Any, path: str) -> Iterator[str]:
+def _spans(part: m.Table, path: str) -> Iterator[str]:
     """Spans whose low end is above the high one, wherever they are."""
-    for name in part.__struct_fields__:
-        value, where = getattr(part, name), f"{path}.{name}".lstrip(".")
-        if isinstance(value, msgspec.Struct):
+    for name, value in part.by_key().items():
+        where = f"{path}.{name}".lstrip(".")
+        if isinstance(value, m.Table):
             yield from _spans(value, where)
         elif isinstance(value, tuple):
             for i, one in enumerate(value):
-                if isinstance(one, msgspec.Struct):
+                if isinstance(one, m.Table):
                     yield from _spans(one, f"{where}[{i}]")
             if name != "nodes" and _is_span(value) and value[0] > value[1]:
                 yield f"{where}: from {value[0]:g} to {value[1]:g}; the first must not be above the second"
--- a/flintridge/lab/faults/timeline.py
+++ b/flintridge/lab/faults/timeline.py
@@ -377,5 +377,5 @@
         more = f" and {len(names) - SHOWN} more" if len(names) > SHOWN else ""
         return ", ".join(names[:SHOWN]) + more
     skipped = ("at_s", "for_s", "once")
-    shown = [(name, getattr(fault, name)) for name in fault.__struct_fields__ if name not in skipped]
+    shown = [(key, value) for key, value in fault.by_key().items() if key not in skipped]
     return ", ".join(f"{name}={value}" for name, value in shown)
--- a/flintridge/lab/judge/figures.py
+++ b/flintridge/lab/judge/figures.py
@@ -40,18 +40,22 @@
     @property
     def in_aim(self) -> bool:
         took = self.latency
-        return took is not None and took <= self.cls.aim_ms
+        return took is not None and took <= self.cls.latency_objective_ms
 
     @property
     def asked(self) -> float:
-        return self.cls.worth
+        return self.cls.priority_weight
 
     @property
     def got(self) -> float:
         took = self.latency
         if took is None or took > self.cls.deadline_ms:
             return 0.0
-        return self.cls.worth if self.in_aim else self.cls.worth * self.cls.late_share
+        return (
+            self.cls.priority_weight
+            if self.in_aim
+            else self.cls.priority_weight * self.cls.late_weight_fraction
+        )
 
 
 @dataclass(slots=True)
@@ -291,7 +295,7 @@
 
 def _failed_late(wish: Wish) -> bool:
     """Unserved, and its client only knew after the aim."""
-    return wish.served_at is None and wish.last_at - wish.due > wish.cls.aim_ms
+    return wish.served_at is None and wish.last_at - wish.due > wish.cls.latency_objective_ms
 
 
 def _faults(day: History) -> list[tuple[str, float, float]]:
--- a/flintridge/lab/judge/rules/answers.py
+++ b/flintridge/lab/judge/rules/answers.py
@@ -253,7 +253,7 @@
     if since is None or least is None:
         return
     idle = final.at_ms - since
-    aim = day.cls(asked.class_name).aim_ms
+    aim = day.cls(asked.class_name).latency_objective_ms
     margin = max(0.0, min(NODE_MARGIN_MS, asked.time_left_ms / 10) - day.slacks.client_round)
     useful = CAUTION * (min(least, aim / 2) + margin)
     left = asked.time_left_ms - waited
--- a/flintridge/lab/judge/rules/effects.py
+++ b/flintridge/lab/judge/rules/effects.py
@@ -42,7 +42,7 @@
     """Whether a further attempt could do harm, or was out beside an earlier one."""
     record = sent.record
     why = _harm(day, cls, before, sent) if cls.effect != "safe" else None
-    if why is None and not day.scenario.limits.second_copies:
+    if why is None and not day.scenario.limits.hedged_requests:
         why = _beside(day, before, sent)
     if why is not None:
         what = f"{record.node} sent {record.request_id} ({cls.name}, {cls.effect})"
@@ -66,12 +66,13 @@
     after = sent.record.started_ms - first.started_ms
     if cls.effect == "unsafe":
         return f"{after:.1f} ms after an attempt at {first.server} that may have run"
-    if after > cls.window_ms + day.slacks.limit + TINY_MS:
-        return (
-            f"{after:.1f} ms after the first that may have run, beyond the window of {cls.window_ms:.0f} ms"
-        )
-    if cls.group != "all" and not _together(day, cls.group, may_have_run[0], sent):
-        return f"outside the {cls.group} of {first.server}, where it may have run"
+    if after > cls.deduplication_window_ms + day.slacks.limit + TINY_MS:
+        window_ms = cls.deduplication_window_ms
+        return f"{after:.1f} ms after the first that may have run, beyond the window of {window_ms:.0f} ms"
+    if cls.deduplication_scope != "all" and not _together(
+        day, cls.deduplication_scope, may_have_run[0], sent
+    ):
+        return f"outside the {cls.deduplication_scope} of {first.server}, where it may have run"
     return None
 
 
@@ -103,7 +104,7 @@
 def _refused(this: ClientAttempt, cls: RequestClass, taken: AcceptedRequest, findings: Findings) -> None:
     """A refusal says that trying again is harmless: it must be."""
     final, asked = taken.final, taken.asked
-    if cls.effect == "safe" or (cls.effect == "keyed" and cls.group == "all"):
+    if cls.effect == "safe" or (cls.effect == "keyed" and cls.deduplication_scope == "all"):
         return
     if final is None or final.kind != "refused":
         return
--- a/flintridge/lab/judge/rules/fleet.py
+++ b/flintridge/lab/judge/rules/fleet.py
@@ -123,7 +123,7 @@
 
 
 def _cold(day: History, findings: Findings) -> None:
-    if not day.scenario.rules.fall_multiple:
+    if not day.scenario.rules.overload_multiple:
         return
     told = StartsTold(day)
     by_server: dict[str, list[AttemptOutcome]] = {}
@@ -137,7 +137,7 @@
         ends = [start.at_ms for start in starts[1:]] + [math.inf]
         for start, end in zip(starts, ends, strict=True):
             if start.initial_fraction < 1 and start.warm_up_ms > 0 and start.capacity > 0:
-                until = min(end, start.at_ms + max(start.warm_up_ms, 1000 * day.scenario.rules.cold_s))
+                until = min(end, start.at_ms + max(start.warm_up_ms, 1000 * day.scenario.rules.slow_start_s))
                 mine = [sent for sent in arrived if start.at_ms <= sent.record.at_ms < until]
                 _pushed(day, start, _fell(day, start, until), mine, told, usual, findings)
 
@@ -160,9 +160,9 @@
     N and 2 more; where N is under 30, three times the root and 3 more. How many nodes there are is no matter.
     """
     rules = day.scenario.rules
-    warm = min(1.0, (t - start.at_ms) / (1000 * rules.cold_s)) if rules.cold_s else 1.0
-    share = rules.cold_share + (1 - rules.cold_share) * warm
-    budget = rules.fall_multiple * start.capacity * share * rules.fall_ms
+    warm = min(1.0, (t - start.at_ms) / (1000 * rules.slow_start_s)) if rules.slow_start_s else 1.0
+    share = rules.slow_start_fraction + (1 - rules.slow_start_fraction) * warm
+    budget = rules.overload_multiple * start.capacity * share * rules.overload_window_ms
     count = budget / usual if usual else 0.0
     times = 3 if count < FEW_REQUESTS else 2
     return budget + (times * math.sqrt(count) + times) * usual
@@ -195,9 +195,9 @@
     the lesser of a tenth of what the machine bears with two requests, and of what the settings allow.
     """
     rules = day.scenario.rules
-    for window, work in _windows(arrived, rules.fall_ms):
+    for window, work in _windows(arrived, rules.overload_window_ms):
         now = window[-1].record.at_ms
-        budget = rules.fall_multiple * capacity(start, now) * rules.fall_ms
+        budget = rules.overload_multiple * capacity(start, now) * rules.overload_window_ms
         last = fall is not None and window[-1] is arrived[-1]
         allowed = COLD_SLACK * budget + COLD_REQUESTS * usual
         allowed = min(allowed, allowed_by_settings(day, start, now, usual))
@@ -208,7 +208,8 @@
             continue
         text = (
             f"{start.server}, started {now - start.at_ms:.0f} ms before, was offered {work:.0f} ms of work "
-            f"within {rules.fall_ms:.0f} ms ({known:.0f} ms of it by nodes that were told of its start); "
+            f"within {rules.overload_window_ms:.0f} ms "
+            f"({known:.0f} ms of it by nodes that were told of its start); "
             f"{min(budget, allowed):.0f} ms are allowed{'; it fell' if fall is not None else ''}"
         )
         lines = [start, *(sent.record for sent in window), fall]
--- a/flintridge/lab/load/client.py
+++ b/flintridge/lab/load/client.py
@@ -358,15 +358,15 @@
         if cls.effect == "safe":
             return True
         # Where all servers drop repeats, a node may refuse what has run: the window counts all the same.
-        if cls.effect == "keyed" and cls.group == "all":
+        if cls.effect == "keyed" and cls.deduplication_scope == "all":
             return self._in_window(at)
         return harmless  # and so were all before, or there would have been no further try
 
     def _in_window(self, at: float) -> bool:
         cls = self._cls
-        if cls.effect != "keyed" or cls.group != "all" or self._first_sent is None:
+        if cls.effect != "keyed" or cls.deduplication_scope != "all" or self._first_sent is None:
             return True
-        return at <= self._first_sent + cls.window_ms
+        return at <= self._first_sent + cls.deduplication_window_ms
 
     def _pause(self, told_ms: float) -> float:
         """Milliseconds until the next try."""
--- a/flintridge/lab/scenario/fault_base.py
+++ b/flintridge/lab/scenario/fault_base.py
@@ -1,6 +1,6 @@
-"""What every table and every fault of a scenario is made of: bounded numbers, times and signs to wait for."""
+"""What every table and every fault of a scenario has: bounded numbers, times, triggers."""
 
-from typing import Annotated, Literal
+from typing import Annotated, Any, Literal
 
 import msgspec
 from msgspec import Meta
@@ -9,10 +9,16 @@
 Positive = Annotated[float, Meta(gt=0, le=1e9)]
 Amount = Annotated[float, Meta(ge=0, le=1e9)]
 Count = Annotated[int, Meta(ge=0, le=1_000_000)]
+# Of any length to msgspec: 0.20 to 0.23 read a tuple of fixed length beside a bounded number wrongly.
+Span = Amount | Annotated[tuple[Amount, ...], Meta(min_length=2, max_length=2)]
 
 
 class Table(msgspec.Struct, forbid_unknown_fields=True, kw_only=True, frozen=True, omit_defaults=True):
-    """A table of the file: a name that it does not know is refused."""
+    """A table of the file; a key that is not known is rejected."""
+
+    def by_key(self) -> dict[str, Any]:
+        """The values by their keys in the file, in the order of the fields."""
+        return {field.encode_name: getattr(self, field.name) for field in msgspec.structs.fields(self)}
 
 
 class Seen(Table, kw_only=True, frozen=True):
--- a/flintridge/lab/scenario/load.py
+++ b/flintridge/lab/scenario/load.py
@@ -11,7 +11,7 @@
 from flintridge.config.decoding import decode_values
 from flintridge.config.faults import UNSET, ConfigFault, ConfigFaultsError
 from flintridge.lab.scenario import sources
-from flintridge.lab.scenario.model import Scenario
+from flintridge.lab.scenario.model import Scenario, Table
 from flintridge.lab.scenario.overrides import Override, apply, source
 
 
@@ -95,11 +95,11 @@
 
 def _every(value: Any) -> Any:
     """Plain values with the defaults in; what is None is left out, TOML has no word for it."""
-    if isinstance(value, msgspec.Struct):
+    if isinstance(value, Table):
         config = value.__struct_config__
         plain = {str(config.tag_field): config.tag} if config.tag_field is not None else {}
-        for name in value.__struct_fields__:
-            if (held := getattr(value, name)) is not None:
-                plain[name] = _every(held)
+        for key, each in value.by_key().items():
+            if each is not None:
+                plain[key] = _every(each)
         return plain
     return [_every(one) for one in value] if isinstance(value, list | tuple) else value
--- a/flintridge/lab/world/cache.py
+++ b/flintridge/lab/world/cache.py
@@ -161,7 +161,7 @@
             now + rng.expovariate(1.0 / (kind.pause_every_s * 1000)) if kind.pause_every_s else inf
         )
         self._pause_ends = inf
-        self._offered = Offered(rules.fall_ms)  # while cold
+        self._offered = Offered(rules.overload_window_ms)  # while cold
         # The load report
         self._busy_ms = 0.0
         self._ended = self._found = self._lacked = 0
@@ -483,7 +483,7 @@
         """A budget for every window while cold: its own capacity by then, whatever else slows it, since that
         is what the nodes are told of."""
         rules = self._rules
-        most = rules.fall_multiple * self.warm_capacity * self._ramp(now) * rules.fall_ms
+        most = rules.overload_multiple * self.warm_capacity * self._ramp(now) * rules.overload_window_ms
         if self._offered.add(now, cost) > most:
             self.fallen = True
 
--- a/flintridge/lab/world/cache_host.py
+++ b/flintridge/lab/world/cache_host.py
@@ -39,7 +39,7 @@
         nodes: list[str],
     ) -> None:
         idle_ms = kind.idle_s * 1000
-        probes = scenario.limits.probes
+        probes = scenario.limits.health_checks
         super().__init__(id, fabric, log, truth, objects, probes, nodes, kind.connections, idle_ms)
         self.kind = kind
         self.zone = zone
--- a/flintridge/lab/world/fleet.py
+++ b/flintridge/lab/world/fleet.py
@@ -182,7 +182,7 @@
         )
 
     def _discovery(self) -> DiscoveryHost:
-        within_ms = self.scenario.rules.ask_within_s * 1000
+        within_ms = self.scenario.rules.poll_interval_s * 1000
         model = Discovery(self.scenario.discovery, within_ms, self._seeds, lambda node: host.cut(node))
         host = DiscoveryHost(self.fabric, self.log, model, self._seeds, self.nodes)
         return host
--- a/flintridge/lab/world/origin_host.py
+++ b/flintridge/lab/world/origin_host.py
@@ -35,12 +35,12 @@
     ) -> None:
         spec = scenario.origin
         idle_ms = min(kind.idle_s for kind in scenario.kinds) * 1000
-        probes = scenario.limits.probes
+        probes = scenario.limits.health_checks
         super().__init__(id, fabric, log, truth, objects, probes, nodes, spec.connections, idle_ms)
         self.model = OriginModel(spec, seeds.of("origin"), self._turned)
         self._wanted = False  # started and not stopped
         self._fallen = False
-        self._windows = {c.name: spec.repeats_s * 1000 or c.window_ms for c in scenario.classes}
+        self._windows = {c.name: spec.repeats_s * 1000 or c.deduplication_window_ms for c in scenario.classes}
         self._effects = Counter()
         self._down = ""
         self._opening: asyncio.Task[None] | None = None
--- a/flintridge/lab/world/settings.py
+++ b/flintridge/lab/world/settings.py
@@ -60,12 +60,12 @@
     return {
         "name": cls.name,
         "effect": _EFFECTS[cls.effect],
-        "group": cls.group,
-        "windowNs": _ns(cls.window_ms),
-        "sloNs": _ns(cls.aim_ms),
+        "group": cls.deduplication_scope,
+        "windowNs": _ns(cls.deduplication_window_ms),
+        "sloNs": _ns(cls.latency_objective_ms),
         "hardLimitNs": _ns(cls.deadline_ms),
-        "lateShare": cls.late_share,
-        "points": cls.worth,
+        "lateShare": cls.late_weight_fraction,
+        "points": cls.priority_weight,
         "stream": False,
     }
 
@@ -79,10 +79,10 @@
     limits = scenario.limits
     return {
         "attemptsCap": limits.max_attempts,
-        "parallelTries": limits.second_copies,
+        "parallelTries": limits.hedged_requests,
         "cancel": limits.cancel,
-        "probes": limits.probes,
-        "mayTell": limits.peers,
+        "probes": limits.health_checks,
+        "mayTell": limits.peer_messages,
         "retryAfter": limits.retry_after,
         "maxRetryAfterNs": _ns(limits.max_retry_after_ms),
         "maxOpen": limits.max_open,
@@ -93,18 +93,18 @@
 
 
 def _report(limits: Limits) -> dict[str, Any]:
-    return {"how": "probe" if limits.probes else "none", "names": ["qps", "util", "x0"]}
+    return {"how": "probe" if limits.health_checks else "none", "names": ["qps", "util", "x0"]}
 
 
 def _rules(rules: Rules) -> dict[str, Any]:
     return {
         "answerSlackNs": _ns(rules.answer_slack_ms),
-        "askWithinNs": _ns(1000 * rules.ask_within_s),
+        "askWithinNs": _ns(1000 * rules.poll_interval_s),
         "drainGraceNs": _ns(rules.drain_grace_ms),
-        "fallMultiple": rules.fall_multiple,
-        "fallNs": _ns(rules.fall_ms),
-        "coldShare": rules.cold_share,
-        "coldNs": _ns(1000 * rules.cold_s),
+        "fallMultiple": rules.overload_multiple,
+        "fallNs": _ns(rules.overload_window_ms),
+        "coldShare": rules.slow_start_fraction,
+        "coldNs": _ns(1000 * rules.slow_start_s),
     }
 
 
--- a/tests/test_generated_days.py
+++ b/tests/test_generated_days.py
@@ -25,9 +25,9 @@
     days = [day(seed) for seed in range(1, 13)]
     assert all(isinstance(one, Scenario) for one in days)
     assert {cls.effect for one in days for cls in one.classes} == {"safe", "keyed", "unsafe"}
-    assert {cls.group for one in days for cls in one.classes} == {"all", "zone", "cell"}
+    assert {cls.deduplication_scope for one in days for cls in one.classes} == {"all", "zone", "cell"}
     assert {len(one.zones) for one in days} == {1, 2, 3}
     assert any(cls.deadline_ms < 600 for one in days for cls in one.classes)
-    assert any(cls.window_ms < cls.deadline_ms / 2 for one in days for cls in one.classes)
+    assert any(cls.deduplication_window_ms < cls.deadline_ms / 2 for one in days for cls in one.classes)
     assert any(not one.tenants for one in days) and any(one.tenants for one in days)
     assert {one.limits.max_attempts for one in days} >= {1, 2}
--- a/tests/test_lab_fleet.py
+++ b/tests/test_lab_fleet.py
@@ -455,7 +455,7 @@
         ({"kinds": (*SCENE.kinds, m.Kind(name="weak", cold_from=0.1))}, "kinds[2].cold_from"),
         ({"servers": (m.Group(kind="huge"),)}, "servers[0].kind"),
         ({"servers": (m.Group(kind="big", count=0),)}, "servers"),
-        ({"classes": (m.RequestClass(name="r", aim_ms=3000.0),)}, "classes[0].aim_ms"),
+        ({"classes": (m.RequestClass(name="r", latency_objective_ms=3000.0),)}, "classes[0].aim_ms"),
         ({"tenants": (m.Tenant(name="a"), m.Tenant(name="a"))}, "tenants"),
     ],
 )
--- a/tests/test_lab_load.py
+++ b/tests/test_lab_load.py
@@ -389,7 +389,12 @@
 
 def one_class(effect="safe", pipeline=1, **habits) -> Scenario:
     cls = RequestClass(
-        name="x", effect=effect, write=effect != "safe", deadline_ms=1000, window_ms=300, group="all"
+        name="x",
+        effect=effect,
+        write=effect != "safe",
+        deadline_ms=1000,
+        deduplication_window_ms=300,
+        deduplication_scope="all",
     )
     habits = {"backoff": "none", "retries": 2, "pools": 1, "honour": 0.0, "pipeline": pipeline} | habits
     return Scenario(classes=(cls,), clients=Clients(**habits))
--- a/tests/test_lab_world.py
+++ b/tests/test_lab_world.py
@@ -38,7 +38,7 @@
 R = TypeVar("R")
 
 KIND = m.Kind(name="box", handshake_ms=0.0, miss_work=1.0)
-KEYED = m.RequestClass(name="put", effect="keyed", window_ms=2000.0, write=True)
+KEYED = m.RequestClass(name="put", effect="keyed", deduplication_window_ms=2000.0, write=True)
 SCENE = m.Scenario(
     kinds=(KIND,),
     classes=(m.RequestClass(name="read"), KEYED),
@@ -169,7 +169,7 @@
 
 
 def test_rule_4_counts_all_that_arrives_while_cold_and_only_then():
-    rules = m.Rules(fall_multiple=2.0, fall_ms=1000.0)
+    rules = m.Rules(overload_multiple=2.0, overload_window_ms=1000.0)
     spec = kind(cold_from=0.5, cold_s=10.0)  # at 0.5 s: 0.525 of one core, so 1050 in a window
     model = cache(spec, True, rules)
     for at in range(0, 500, 100):
