--- /dev/null
+++ b/flintridge/core/attempts.py
@@ -0,0 +1,72 @@
+"""Attempts at requests: made of a `Send`, checked before they start, reported as `AttemptEnded`."""
+
+from flintridge import api
+from flintridge.core.open_requests import OpenRequest
+from flintridge.core.request import UpstreamAttempt
+from flintridge.core.response import AttemptResult
+from flintridge.runtime.clock import NS_PER_MS, to_ms, to_ns
+
+
+def new_attempt(send: api.Send, request: OpenRequest, now: float) -> UpstreamAttempt:
+    """The next attempt at a request.
+
+    Args:
+        send: What the policy wants sent.
+        request: At which it is made.
+        now: The clock's time, in milliseconds.
+    """
+    deadline = request.deadline
+    if send.timeout_ns:
+        deadline = min(deadline, now + to_ms(send.timeout_ns))
+    return UpstreamAttempt(
+        send.id,
+        len(request.attempts),
+        send.server,
+        request.request,
+        now,
+        deadline,
+        begin_by=send.begin_by / NS_PER_MS,
+        written_by=send.written_by / NS_PER_MS,
+        check_client=request.responder.check_client,
+    )
+
+
+def outcome_unsent(attempt: UpstreamAttempt, request: OpenRequest, max_attempts: int) -> api.Outcome | None:
+    """How an attempt ends that must not be sent; None where it may be.
+
+    Args:
+        attempt: One of the request's, which has not started.
+        request: At which it is made.
+        max_attempts: That may be sent for one request.
+    """
+    now = attempt.sent_at
+    sent_before = attempt.number - request.withdrawn
+    if request.responded or sent_before >= max_attempts or now >= request.deadline:
+        return api.Outcome.WITHDRAWN
+    if attempt.deadline <= now:
+        return api.Outcome.TIMEOUT
+    return None
+
+
+def attempt_ended_event(
+    attempt: UpstreamAttempt, result: AttemptResult, now: float, final: bool
+) -> api.AttemptEnded:
+    """The end of an attempt, in the policy's terms.
+
+    Args:
+        attempt: The one that ended.
+        result: How it ended.
+        now: The clock's time, in milliseconds.
+        final: Whether its request has its final response.
+    """
+    return api.AttemptEnded(
+        id=attempt.id,
+        attempt=attempt.number,
+        server=attempt.server,
+        outcome=result.outcome,
+        latency_ns=max(0, to_ns(now - attempt.sent_at)),
+        final=final,
+        cache_status=result.cache_status,
+        load=result.load,
+        malformed=result.malformed,
+    )
--- a/flintridge/core/lifecycle.py
+++ b/flintridge/core/lifecycle.py
@@ -4,46 +4,31 @@
 picked and nothing is sent again. No protocol is known here either.
 """
 
-import math
-from collections import deque
 from collections.abc import Callable
 
 from flintridge import api
+from flintridge.core.attempts import attempt_ended_event, new_attempt, outcome_unsent
+from flintridge.core.deadlines import ResponseDeadlines
 from flintridge.core.drivers import DiscoveryDriver, Policy, UpstreamDriver
-from flintridge.core.memory_budget import MemoryBudget
-from flintridge.core.open_request import OpenRequest
+from flintridge.core.memory_budget import MemoryBudget, bytes_to_reserve
+from flintridge.core.open_requests import IdInUseError, OpenRequest, OpenRequests
+from flintridge.core.policy_driver import PolicyDriver
 from flintridge.core.request import Request, UpstreamAttempt
 from flintridge.core.response import AttemptResult, Responder, StreamedResponse, StreamedValue
-from flintridge.errors import FlintridgeError
-from flintridge.runtime.clock import NS_PER_MS, Clock, to_ms, to_ns
+from flintridge.runtime.clock import Clock, to_ms, to_ns
 from flintridge.telemetry.counters import Counters
 from flintridge.telemetry.log import EventLog
 
-# A client's time counts from its sending, and the response has a way to go: responses are due this much
-# early.
-RESPONSE_MARGIN_MS = 10.0
-# A value up to this size exists three times for a while: as read, on its way to a server, in a write buffer.
-SMALL_VALUE_BYTES = 64 * 1024
-SMALL_VALUE_COPIES = 3
-
-
-def bytes_to_reserve(length: int) -> int:
-    """The bytes of memory to reserve for a value of `length` bytes that a client writes."""
-    return length if length > SMALL_VALUE_BYTES else SMALL_VALUE_COPIES * length
-
-
-class IdInUseError(FlintridgeError, ValueError):
-    """A request with this id is still open here."""
-
 
 class RequestLifecycle:
-    """All requests that are open at a node.
+    """What happens to the requests that are open at a node, in order.
 
     Attributes:
         memory_budget: For the values of writes.
-        answer_by: Whatever is open is answered by this instant, however long its client waits; set by
-            `answer_all_by`.
-        on_attempts_changed: Called with +1 where an attempt begins, with -1 where it ends.
+        open_requests: Those without a final response, or with attempts in flight.
+        policy_driver: Notifies the policy.
+        settings: Of the service.
+        on_attempts_changed: Called with +1 where an attempt starts, with -1 where it ends.
         on_new_request: Called with the tenant of each request that is no retry.
     """
 
@@ -56,29 +41,45 @@
         log: EventLog,
         counters: Counters,
     ) -> None:
+        """Begin with no request; `attach` sets the drivers.
+
+        Args:
+            policy: Decides.
+            settings: Of the service.
+            clock: Of the node.
+            memory_bytes: For the values of writes.
+            log: Of the node.
+            counters: Of the node.
+        """
         self.memory_budget = MemoryBudget(memory_bytes, clock)
-        self.answer_by = math.inf
+        self.open_requests = OpenRequests(self.memory_budget)
+        self.policy_driver = PolicyDriver(policy, self._carry_out, clock, log, counters)
+        self.settings = settings
         self.on_attempts_changed: Callable[[UpstreamAttempt, int], None] | None = None
         self.on_new_request: Callable[[int], None] | None = None
-        self._policy = policy
-        self._settings = settings
+        self._deadlines = ResponseDeadlines(clock, settings.classes, self.open_requests, self._fail_overdue)
         self._clock = clock
         self._log = log
         self._counters = counters
         self._upstream: UpstreamDriver | None = None
         self._discovery: DiscoveryDriver | None = None
-        self._open: dict[str, OpenRequest] = {}
-        self._events: deque[api.Event] = deque()
-        self._handling = False
-        self._closed = False
-        self._policy_now = 0  # the policy's clock never goes back, nor behind a timer that is due
 
     def attach(self, upstream: UpstreamDriver, discovery: DiscoveryDriver) -> None:
         """Set the drivers; before the first event."""
         self._upstream = upstream
         self._discovery = discovery
 
-    # Events
+    @property
+    def idle(self) -> bool:
+        """Whether every request has its final response."""
+        return self.unanswered == 0
+
+    @property
+    def unanswered(self) -> int:
+        """How many requests await their final response."""
+        return self.open_requests.unanswered
+
+    # Requests
 
     def submit(
         self,
@@ -87,7 +88,7 @@
         reserved_bytes: int = 0,
         arrived_after: float | None = None,
     ) -> str:
-        """Take a request in.
+        """Take a request in, or shed it.
 
         Args:
             request: As it was read.
@@ -103,27 +104,30 @@
             IdInUseError: A request with this id is open; `reserved_bytes` stay the caller's.
         """
         request_id = request.id.decode("ascii")
-        if request_id in self._open:
+        if request_id in self.open_requests:
             raise IdInUseError(request_id)
         self._counters.add("requests")
-        full = len(self._open) >= self._settings.limits.max_open
+        full = len(self.open_requests) >= self.settings.limits.max_open
         if not reserved_bytes and not full:
             reserved_bytes = bytes_to_reserve(len(request.value or b""))
             if not self.memory_budget.try_reserve(reserved_bytes):
                 full = True
                 reserved_bytes = 0
         if full:
-            # Guards the node's memory. It was never executed, so a repeat is harmless.
-            self._counters.add("requests_shed")
-            self.memory_budget.release(reserved_bytes)
-            responder.reject(0.0)
+            self._shed(responder, reserved_bytes)
             return request_id
         if arrived_after is None:
             arrived_after = self._clock.earliest_arrival()
-        self._open_request(request_id, request, responder, reserved_bytes, arrived_after)
+        self._open(request_id, request, responder, reserved_bytes, arrived_after)
         return request_id
 
-    def _open_request(
+    def _shed(self, responder: Responder, reserved_bytes: int) -> None:
+        """Guards the node's memory. The request was never executed, so a repeat is harmless."""
+        self._counters.add("requests_shed")
+        self.memory_budget.release(reserved_bytes)
+        responder.reject(0.0)
+
+    def _open(
         self,
         request_id: str,
         request: Request,
@@ -131,20 +135,15 @@
         reserved_bytes: int,
         arrived_after: float,
     ) -> None:
-        request_class = self._settings.classes[request.class_index]
-        client_timeout = to_ms(request_class.deadline_ns)
-        if request.timeout_ms is not None:
-            client_timeout = min(client_timeout, request.timeout_ms)
-        margin = min(RESPONSE_MARGIN_MS, client_timeout / 10)
-        deadline = min(arrived_after + client_timeout - margin, self.answer_by)
-        timer = self._clock.call_at(deadline + margin / 2, self._deadline_passed, request_id)
-        self._open[request_id] = OpenRequest(request, responder, deadline, timer, reserved_bytes)
+        entry = OpenRequest(request_id, request, responder, reserved_bytes)
+        self._deadlines.start(entry, arrived_after)
+        self.open_requests.add(entry)
         if self.on_new_request is not None and not request.retry:
             self.on_new_request(request.tenant)
-        self._notify_policy(
+        self.policy_driver.notify(
             api.RequestReceived(
                 id=request_id,
-                deadline=to_ns(deadline),
+                deadline=to_ns(entry.deadline),
                 class_index=request.class_index,
                 key=request.key.decode("ascii"),
                 write=request.write,
@@ -156,43 +155,23 @@
         )
 
     def client_disconnected(self, request_id: str) -> None:
-        """The client went away: no response is owed any more, but attempts that are in flight still end."""
-        entry = self._open.get(request_id)
-        if entry is not None and not entry.answered:
+        """The client left: no response is owed any more, but attempts that are in flight still end."""
+        entry = self.open_requests.get_unanswered(request_id)
+        if entry is not None:
             self._counters.add("clients_disconnected")
-            self._mark_answered(request_id, entry)
-            self._notify_policy(api.ClientDisconnected(request_id))
+            self.open_requests.mark_responded(entry)
+            self.policy_driver.notify(api.ClientDisconnected(request_id))
 
-    def answer_all_by(self, instant: float) -> None:
-        """Answer whatever is open, and whatever will be taken in, by an instant.
-
-        Guards requests whose clients wait for longer than the process lives on after SIGTERM, and what is
-        read behind them on their connections.
-
-        Args:
-            instant: Milliseconds of the node's clock.
-        """
-        self.answer_by = instant
-        for request_id, entry in self._open.items():
-            if not entry.answered and entry.deadline > instant:
-                entry.deadline = instant
-                entry.deadline_timer.cancel()
-                entry.deadline_timer = self._clock.call_at(instant, self._deadline_passed, request_id)
-
-    def close(self) -> None:
-        """The policy is notified of nothing any more, whatever falls due; open requests end unanswered.
+    def _fail_overdue(self, request_id: str) -> None:
+        """Guards the client against a policy that broke, or forgot: its request still fails in time."""
+        entry = self.open_requests.take_unanswered(request_id)
+        if entry is not None:
+            self._counters.add("responses_overdue")
+            self._log.event("response_overdue", id=request_id, attempts=len(entry.attempts))
+            entry.responder.fail()
+            self.policy_driver.notify(api.ClientDisconnected(request_id))
 
-        Guards an event loop that goes on without this node against calls and tasks of a node that is closed.
-        """
-        self._closed = True
-        for entry in self._open.values():
-            entry.deadline_timer.cancel()
-            self.memory_budget.release(entry.reserved_bytes)
-        self._open.clear()
-
-    def notify(self, event: api.EndpointUpdate | api.AllocationUpdate) -> None:
-        """Pass an event on to the policy that is about no request."""
-        self._notify_policy(event)
+    # Attempts
 
     def start_stream(self, attempt: UpstreamAttempt, value: StreamedValue) -> StreamedResponse | None:
         """An attempt is served with a long value: where to write it, or None where nobody waits for it.
@@ -200,11 +179,12 @@
         For the policy the attempt ends here, as its request has its response: while chunks go out, for as
         long as the client reads, the server has done its part, and nothing can be decided any more.
         """
-        entry = self._open.get(attempt.id)
-        if attempt.ended or entry is None or entry.answered:
+        if attempt.ended:
+            return None
+        entry = self.open_requests.take_unanswered(attempt.id)
+        if entry is None:
             return None
         self._counters.add("responses_streamed")
-        self._mark_answered(attempt.id, entry)
         streamed = entry.responder.start_stream(value.length)
         self.attempt_ended(attempt, value.result)
         return streamed
@@ -219,69 +199,18 @@
         self._counters.add(f"attempts_{result.outcome.value}")
         if result.malformed:
             self._counters.add("attempts_malformed")
-        entry = self._open.get(attempt.id)
+        entry = self.open_requests.get(attempt.id)
         if entry is not None:
-            entry.in_flight -= 1
-            entry.withdrawn += result.outcome is api.Outcome.WITHDRAWN
-            if result.response is not None and not entry.answered:
+            entry.end_attempt(withdrawn=result.outcome is api.Outcome.WITHDRAWN)
+            if result.response is not None and not entry.responded:
                 self._counters.add("responses_served")
-                self._mark_answered(attempt.id, entry)
+                self.open_requests.mark_responded(entry)
                 entry.responder.respond(result.response)
-        self._notify_policy(
-            api.AttemptEnded(
-                id=attempt.id,
-                attempt=attempt.number,
-                server=attempt.server,
-                outcome=result.outcome,
-                latency_ns=max(0, to_ns(self._clock.now() - attempt.sent_at)),
-                final=entry is None or entry.answered,
-                cache_status=result.cache_status,
-                load=result.load,
-                malformed=result.malformed,
-            )
-        )
-        self._forget_if_done(attempt.id)
-
-    @property
-    def idle(self) -> bool:
-        """Whether every request has its final response."""
-        return self.unanswered == 0
-
-    @property
-    def unanswered(self) -> int:
-        """How many requests await their final response."""
-        return sum(not entry.answered for entry in self._open.values())
-
-    def _notify_policy(self, event: api.Event) -> None:
-        """The policy is not re-entrant: what happens while it decides is queued."""
-        if self._closed:
-            return
-        self._events.append(event)
-        if self._handling:
-            return
-        self._handling = True
-        try:
-            while self._events:
-                self._handle(self._events.popleft())
-        finally:
-            self._handling = False
-
-    def _handle(self, event: api.Event) -> None:
-        self._policy_now = max(self._policy_now, to_ns(self._clock.now()))
-        try:
-            actions = self._policy.handle(self._policy_now, event)
-        except Exception as error:  # the deadline timer of each request still answers it in time
-            self._counters.add("policy_errors")
-            self._log.error("policy_error", error, on=type(event).__name__)
-            return
-        for action in actions:
-            try:
-                self._carry_out(action)
-            except Exception as error:
-                self._counters.add("action_errors")
-                self._log.error("action_error", error, action=type(action).__name__)
+        final = entry is None or entry.responded
+        self.policy_driver.notify(attempt_ended_event(attempt, result, self._clock.now(), final))
+        self.open_requests.forget_if_finished(attempt.id)
 
-    # Actions
+    # The policy's actions
 
     def _carry_out(self, action: api.Action) -> None:
         assert self._upstream is not None
@@ -290,7 +219,7 @@
             case api.Send():
                 self._send(action)
             case api.SetTimer(at, token):
-                self._clock.call_at(to_ms(at), self._timer_fired, at, token)
+                self.policy_driver.set_timer(at, token)
             case api.Cancel(request_id, number):
                 self._cancel(request_id, number)
             case api.Reject(request_id, retry_after_ns):
@@ -313,39 +242,23 @@
     def _send(self, send: api.Send) -> None:
         assert self._upstream is not None
         now = self._clock.now()
-        entry = self._open.get(send.id)
+        entry = self.open_requests.get(send.id)
         if entry is None:
             self._log.event("send_for_unknown_request", server=send.server)
             return
-        deadline = entry.deadline
-        if send.timeout_ns:
-            deadline = min(deadline, now + to_ms(send.timeout_ns))
-        attempt = UpstreamAttempt(
-            send.id,
-            len(entry.attempts),
-            send.server,
-            entry.request,
-            now,
-            deadline,
-            begin_by=send.begin_by / NS_PER_MS,
-            written_by=send.written_by / NS_PER_MS,
-            check_client=entry.responder.check_client,
-        )
-        entry.attempts.append(attempt)
-        entry.in_flight += 1
+        attempt = new_attempt(send, entry, now)
+        entry.add_attempt(attempt)
         if self.on_attempts_changed is not None:
             self.on_attempts_changed(attempt, +1)
-        too_many = attempt.number - entry.withdrawn >= self._settings.limits.max_attempts
-        if entry.answered or too_many or now >= entry.deadline:
-            self.attempt_ended(attempt, AttemptResult(api.Outcome.WITHDRAWN))
-        elif deadline <= now:
-            self.attempt_ended(attempt, AttemptResult(api.Outcome.TIMEOUT))
+        unsent = outcome_unsent(attempt, entry, self.settings.limits.max_attempts)
+        if unsent is not None:
+            self.attempt_ended(attempt, AttemptResult(unsent))
         else:
             self._counters.add("attempts_sent")
             self._upstream.start(attempt)
 
     def _cancel(self, request_id: str, number: int) -> None:
-        entry = self._open.get(request_id)
+        entry = self.open_requests.get(request_id)
         if entry is None or not 0 <= number < len(entry.attempts):
             return
         attempt = entry.attempts[number]
@@ -354,72 +267,51 @@
             self.attempt_ended(attempt, AttemptResult(api.Outcome.CANCELLED))
 
     def _reject(self, request_id: str, retry_after_ns: int) -> None:
-        entry = self._take_unanswered(request_id)
+        entry = self.open_requests.take_unanswered(request_id)
         if entry is not None:
-            limits = self._settings.limits
+            limits = self.settings.limits
             retry_after = min(retry_after_ns, limits.max_retry_after_ns) if limits.retry_after else 0
             self._counters.add("responses_rejected")
             entry.responder.reject(to_ms(retry_after))
 
     def _fail(self, request_id: str) -> None:
-        entry = self._take_unanswered(request_id)
+        entry = self.open_requests.take_unanswered(request_id)
         if entry is not None:
             self._counters.add("responses_failed")
             entry.responder.fail()
 
     def _check_health(self, server: str) -> None:
         assert self._upstream is not None
-        began = self._clock.now()
+        sent_at = self._clock.now()
 
         def done(result: AttemptResult) -> None:
-            latency = to_ns(self._clock.now() - began)
-            self._notify_policy(api.HealthCheckEnded(server, result.outcome, latency, result.load))
+            latency_ns = to_ns(self._clock.now() - sent_at)
+            self.notify(api.HealthCheckEnded(server, result.outcome, latency_ns, result.load))
 
         self._counters.add("health_checks")
         self._upstream.check_health(server, done)
 
-    # Timers and the end of requests
+    # The rest of a node's life
+
+    def notify(self, event: api.EndpointUpdate | api.AllocationUpdate | api.HealthCheckEnded) -> None:
+        """Pass an event on to the policy that is about no request."""
+        self.policy_driver.notify(event)
 
-    def _timer_fired(self, at: int, token: int) -> None:
-        self._policy_now = max(self._policy_now, at)
-        self._notify_policy(api.TimerFired(token))
+    def respond_all_by(self, instant: float) -> None:
+        """Respond to whatever is open, and whatever will be taken in, by an instant.
 
-    def _deadline_passed(self, request_id: str) -> None:
-        """Let what is due at the same instant go first, then fail the request.
+        Guards requests whose clients wait for longer than the process lives on after SIGTERM, and what is
+        read behind them on their connections.
 
-        Guards requests that are about to be answered against a loop that was held up: the end of an attempt
-        at the deadline falls due with this timer, and the attempt's task takes a step more.
+        Args:
+            instant: Milliseconds of the node's clock.
         """
-        entry = self._open.get(request_id)
-        if entry is not None and not entry.answered:
-            entry.deadline_timer = self._clock.call_at(self._clock.now(), self._fail_overdue, request_id)
+        self._deadlines.respond_all_by(instant)
 
-    def _fail_overdue(self, request_id: str) -> None:
-        """Guards the client against a policy that broke, or forgot: its request still fails in time."""
-        entry = self._take_unanswered(request_id)
-        if entry is not None:
-            self._counters.add("responses_overdue")
-            self._log.event("response_overdue", id=request_id, attempts=len(entry.attempts))
-            entry.responder.fail()
-            self._notify_policy(api.ClientDisconnected(request_id))
+    def close(self) -> None:
+        """The policy is notified of nothing any more, whatever falls due; open requests end unanswered.
 
-    def _take_unanswered(self, request_id: str) -> OpenRequest | None:
-        """A request that the caller answers now, for good; None where it has been answered."""
-        entry = self._open.get(request_id)
-        if entry is None or entry.answered:
-            return None
-        self._mark_answered(request_id, entry)
-        return entry
-
-    def _mark_answered(self, request_id: str, entry: OpenRequest) -> None:
-        entry.answered = True
-        entry.deadline_timer.cancel()
-        for attempt in entry.attempts:
-            attempt.request_ended = True
-        self._forget_if_done(request_id)
-
-    def _forget_if_done(self, request_id: str) -> None:
-        entry = self._open.get(request_id)
-        if entry is not None and entry.answered and entry.in_flight == 0:
-            del self._open[request_id]
-            self.memory_budget.release(entry.reserved_bytes)
+        Guards an event loop that goes on without this node against calls and tasks of a node that is closed.
+        """
+        self.policy_driver.close()
+        self.open_requests.close()
--- a/flintridge/core/memory_budget.py
+++ b/flintridge/core/memory_budget.py
@@ -6,6 +6,15 @@
 
 from flintridge.runtime.clock import Clock, Timer
 
+# A value up to this size exists three times for a while: as read, on its way to a server, in a write buffer.
+SMALL_VALUE_BYTES = 64 * 1024
+SMALL_VALUE_BUFFERS = 3
+
+
+def bytes_to_reserve(length: int) -> int:
+    """The bytes of memory to reserve for a value of `length` bytes that a client writes."""
+    return length if length > SMALL_VALUE_BYTES else SMALL_VALUE_BUFFERS * length
+
 
 class MemoryBudget:
     """A number of bytes that reservations share. Times are float milliseconds of `clock`."""
--- a/flintridge/downstream/connection.py
+++ b/flintridge/downstream/connection.py
@@ -12,7 +12,8 @@
     NoOp,
 )
 from flintridge.codec.memcache.encoder import encode_client_error, encode_rejection
-from flintridge.core.lifecycle import IdInUseError, bytes_to_reserve
+from flintridge.core.memory_budget import bytes_to_reserve
+from flintridge.core.open_requests import IdInUseError
 from flintridge.core.request import Request
 from flintridge.downstream.command_timer import CommandTimer
 from flintridge.downstream.connection_owner import ConnectionOwner
--- a/flintridge/downstream/listener.py
+++ b/flintridge/downstream/listener.py
@@ -278,7 +278,7 @@
         told_at = self.clock.now()
         self.shutdown.terminate(told_at)
         # What comes last must have its response before the process may be killed.
-        self.core.answer_all_by(told_at + self._shutdown_times.last_response_ms)
+        self.core.respond_all_by(told_at + self._shutdown_times.last_response_ms)
         self.start_drain()
         await sleep(self.clock, SHUTDOWN_ACCEPT_MS)
         if self._listener is not None:
--- a/flintridge/lab/defects/planted.py
+++ b/flintridge/lab/defects/planted.py
@@ -27,7 +27,7 @@
 
 def balancer_of(node: Node) -> Balancer:
     """The node's decision module. Raises TypeError where a trial put another one in."""
-    module = node.core._policy
+    module = node.core.policy_driver.policy
     if not isinstance(module, Balancer):
         raise TypeError(f"{type(module).__name__} is not the module that these defects are made for")
     return module
@@ -163,7 +163,7 @@
 
     async def stay() -> None:
         await leave()
-        longest = max(cls.deadline_ns for cls in node.core._settings.classes) / 1e6
+        longest = max(cls.deadline_ns for cls in node.core.settings.classes) / 1e6
         await sleep(node.clock, longest + 2000)
 
     put(node.downstream, "leave", stay)
@@ -233,13 +233,13 @@
 
 def refuses_what_may_have_run(node: Node) -> None:
     """Where a failure is due, as a repeat may do harm, the client is told to come again."""
-    core = node.core
-    carry_out = core._carry_out
+    driver = node.core.policy_driver
+    carry_out = driver.carry_out
 
     def mild(action: api.Action) -> None:
         carry_out(api.Reject(action.id, to_ns(50.0)) if isinstance(action, api.Fail) else action)
 
-    put(core, "_carry_out", mild)
+    put(driver, "carry_out", mild)
 
 
 def attempts_without_cap(node: Node) -> None:
@@ -248,7 +248,7 @@
     settings = balancer.settings
     more = replace(settings, limits=replace(settings.limits, max_attempts=1000))
     put(balancer, "settings", more)
-    put(node.core, "_settings", more)
+    put(node.core, "settings", more)
 
 
 def asks_after_the_answer(node: Node) -> None:
--- a/flintridge/lab/defects/sharing.py
+++ b/flintridge/lab/defects/sharing.py
@@ -15,6 +15,6 @@
 
 def quota_not_taken(node: Node) -> None:
     """The node looks whether a quota has room, and takes nothing from it."""
-    module = node.core._policy
+    module = node.core.policy_driver.policy
     assert isinstance(module, Balancer)
     put(module, "try_take_token", lambda tenant: module.tokens(tenant) >= 1)
--- a/tests/core/test_lifecycle.py
+++ b/tests/core/test_lifecycle.py
@@ -8,7 +8,8 @@
 
 from flintridge import api
 from flintridge.api import Outcome
-from flintridge.core.lifecycle import IdInUseError, RequestLifecycle
+from flintridge.core.lifecycle import RequestLifecycle
+from flintridge.core.open_requests import IdInUseError
 from flintridge.core.response import AttemptResult, Response
 from flintridge.runtime.clock import to_ns
 
@@ -203,7 +204,7 @@
 
 def test_more_open_requests_than_the_settings_allow_are_turned_away():
     node = Node()
-    node.core._settings = replace(SETTINGS, limits=api.Limits(max_open=1))
+    node.core.settings = replace(SETTINGS, limits=api.Limits(max_open=1))
     node.ask(uid="a1")
     node.ask(uid="a2")
     assert node.replies.said == [("busy", 0.0)] and not node.core.idle
--- a/tests/core/test_open_requests_at_shutdown.py
+++ b/tests/core/test_open_requests_at_shutdown.py
@@ -27,7 +27,7 @@
 def test_open_request_when_it_is_due_behind_the_last_response_then_is_answered_by_that(opened):
     """What was read later on its connection waits behind it, and would be lost with it."""
     clock, core, script, replies = opened
-    core.answer_all_by(clock.now() + ANSWER_BY_MS)
+    core.respond_all_by(clock.now() + ANSWER_BY_MS)
     clock.go(ANSWER_BY_MS - 1)
     assert replies.said == []
     clock.go(2)
@@ -40,7 +40,7 @@
 
 def test_open_request_when_it_is_due_before_the_last_response_then_keeps_its_time(opened):
     clock, core, _, replies = opened
-    core.answer_all_by(clock.now() + 2 * WAIT_MS)
+    core.respond_all_by(clock.now() + 2 * WAIT_MS)
     clock.go(WAIT_MS - 100)
     assert replies.said == []
     clock.go(100)
--- a/tests/core/test_requests_when_connects_fail.py
+++ b/tests/core/test_requests_when_connects_fail.py
@@ -86,7 +86,7 @@
             await until(lambda: node.node.core.idle)
             assert (await reader.readline()).split()[0] in (b"VA", b"HD")
             assert len(server.got) == 1
-            policy = node.node.core._policy
+            policy = node.node.core.policy_driver.policy
             assert not any(each.backoff_until for each in policy.servers.values())
             writer.close()
             await node.node.close()
--- a/tests/discovery/test_discovery_trouble.py
+++ b/tests/discovery/test_discovery_trouble.py
@@ -107,7 +107,7 @@
         self.node = Node(self.config, SystemClock(self.loop), *quiet())
 
     def state(self, server: str = "s1") -> EndpointState | None:
-        known = self.node.core._policy.servers.get(server)
+        known = self.node.core.policy_driver.policy.servers.get(server)
         return known and known.endpoint.state
 
     async def seconds_until_draining(self, limit_s: float = 30.0) -> float:
--- a/tests/downstream/test_close_paths.py
+++ b/tests/downstream/test_close_paths.py
@@ -45,7 +45,7 @@
             await until(lambda: harness.request_count == count)
             assert evicted == [False]
             for number in range(count):
-                harness.core._fail_overdue(f"r{number}")
+                harness.fail(f"r{number}")
             assert await reader.readexactly(len(FAILED) * count) == FAILED * count
 
     play(test)
@@ -68,7 +68,7 @@
             run_as_bytes_arrive(connection, before=lambda: harness.clock.go(20))
             writer.write(b",t=acme,d=480\r\n")
             await until(lambda: harness.request_count == 1)
-            harness.core._fail_overdue("r1")
+            harness.fail("r1")
             assert await reader.read() == FAILED
             writer.close()
             await until(lambda: harness.clock.go(20) or shutdown.done())
@@ -88,7 +88,7 @@
             writer.write(b"r2 Pc=read,t=acme,d=480\r\n" + READ % b"r3")
             await run_loop_turns()
             assert harness.request_count == 1 and not connection.closing
-            harness.core._fail_overdue("r1")
+            harness.fail("r1")
             connection.end()
             assert await reader.read() == FAILED + BUSY  # the half one can't become whole any more
             await run_loop_turns()
@@ -122,9 +122,7 @@
                 LONG_DEADLINE_READ % b"r1", LONG_WRITE, LONG_DEADLINE_READ % b"r2"
             )
             await until(lambda: harness.request_count == 1)
-            request = harness.core._open["r1"]
-            harness.core._mark_answered("r1", request)
-            stream = request.responder.start_stream(10)
+            stream = harness.take_responder("r1").start_stream(10)
             stream.write([b"0123"])
             await run_loop_turns()
             stream.abort()
@@ -145,9 +143,7 @@
             await until(lambda: harness.request_count == 2)
             reader._transport.pause_reading()
             connection = await only_connection(harness)
-            request = harness.core._open["r1"]
-            harness.core._mark_answered("r1", request)
-            stream = request.responder.start_stream(64 << 20)
+            stream = harness.take_responder("r1").start_stream(64 << 20)
             while connection._transport.get_write_buffer_size() < 1 << 20:
                 stream.write([b"x" * (1 << 20)])
             harness.clients[0].write(LONG_DEADLINE_READ % b"r3" + LONG_DEADLINE_READ % b"r4")
--- a/tests/downstream/test_connection.py
+++ b/tests/downstream/test_connection.py
@@ -58,8 +58,8 @@
                 READ % b"r1", READ % b"r2", b"what\r\n", b"mn\r\n", READ % b"r1"
             )
             await until(lambda: harness.request_count == 2)
-            harness.core._fail_overdue("r2")
-            harness.core._fail_overdue("r1")
+            harness.fail("r2")
+            harness.fail("r1")
             responses = [await reader.readline() for _ in range(5)]
             assert responses[:3] == [FAILED] * 2 + [b"CLIENT_ERROR unknown command\r\n"]
             assert responses[3] == b"SERVER_ERROR starting\r\n"  # no server is known yet
@@ -81,7 +81,7 @@
             await asyncio.sleep(0.01)
             assert harness.request_count == MAX_PIPELINED_COMMANDS
             for i in range(MAX_PIPELINED_COMMANDS):
-                harness.core._fail_overdue(f"r{i}")
+                harness.fail(f"r{i}")
             await until(lambda: harness.request_count == MAX_PIPELINED_COMMANDS + 5)
             writer.close()
             await until(lambda: harness.counters["clients_disconnected"] == 5)
@@ -120,7 +120,7 @@
             reader, _ = await harness.stream_client(b"mn\r\n", READ % b"r1", b"mn\r\n", READ % b"r2")
             await until(lambda: harness.request_count == 2)
             for uid in ("r1", "r2"):
-                harness.core._fail_overdue(uid)
+                harness.fail(uid)
             draining = b"SERVER_ERROR draining\r\n"
             assert await reader.read() == (draining + FAILED) * 2
 
@@ -149,7 +149,7 @@
             await until(lambda: not harness.downstream._listener.is_open)
             assert not shutdown.done()
             assert await unused.read() == BUSY and not shutdown.done()
-            harness.core._fail_overdue("r1")
+            harness.fail("r1")
             assert await busy.read() == FAILED
             await until(lambda: harness.clock.go(20) or shutdown.done())
 
@@ -183,7 +183,7 @@
             reader, _ = await harness.stream_client(READ.replace(b"480", b"1999") % b"r1")
             await until(lambda: harness.request_count == 1)
             harness.clock.go(1900)
-            harness.core._fail_overdue("r1")
+            harness.fail("r1")
             assert await reader.readline() == FAILED
             harness.clock.go(IDLE_TIMEOUT_MS - 1)
             assert harness.downstream._connections
@@ -217,7 +217,7 @@
         async with DownstreamHarness(connection_limit=2, endpoints_known=False) as harness:
             idle, _ = await harness.stream_client(b"mn\r\n" + READ % b"r0")
             await until(lambda: harness.request_count == 1)
-            harness.core._fail_overdue("r0")
+            harness.fail("r0")
             harness.clock.go(500)
             _, new = await harness.stream_client()
             await until(lambda: harness.counters["connections_accepted"] == 2)
@@ -253,9 +253,8 @@
             (connection,) = harness.downstream._connections
 
             def served() -> bool:
-                for uid, request in list(harness.core._open.items()):
-                    harness.core._mark_answered(uid, request)
-                    request.responder.respond(Response(b"x" * 65536, receipt=False))
+                for request in list(harness.core.open_requests):
+                    harness.take_responder(request.id).respond(Response(b"x" * 65536, receipt=False))
                 return connection._writer.transport.get_write_buffer_size() > MAX_UNREAD_RESPONSE_BYTES
 
             await until(served)
--- a/tests/downstream/test_connection_termination.py
+++ b/tests/downstream/test_connection_termination.py
@@ -39,7 +39,7 @@
         async with DownstreamHarness() as harness:
             client = await harness.socket_client(READ % b"r0")
             await until(lambda: harness.request_count == 1)
-            harness.core._fail_overdue("r0")
+            harness.fail("r0")
             await run_loop_turns()
             client.sendall(READ % b"r1")  # no turn of the loop since: the node cannot have read it
             harness.clock.go(IDLE_TIMEOUT_MS + 250)
@@ -80,7 +80,7 @@
             await until(lambda: harness.request_count == 1)
             connection._reader.feed_data = feed
             assert harness.counters["connections_idle_timeout"] == 0
-            harness.core._fail_overdue("r1")
+            harness.fail("r1")
             assert await reader.readline() == FAILED
             harness.clock.go(IDLE_TIMEOUT_MS + 250)
             assert await reader.read() == b""
@@ -101,8 +101,7 @@
             await until(lambda: harness.request_count == 1)
             (connection,) = harness.downstream._connections
             size = 16 << 20  # more than any buffer of the system takes
-            harness.core._mark_answered("r0", request := harness.core._open["r0"])
-            request.responder.respond(Response(b"x" * size, receipt=False))
+            harness.take_responder("r0").respond(Response(b"x" * size, receipt=False))
             read = connection._reader.received_bytes
             harness.clock.go(IDLE_TIMEOUT_MS + 250)
             assert connection._transport.get_write_buffer_size()
@@ -130,7 +129,7 @@
             await run_loop_turns()
             client.sendall(READ % b"r1" + READ % b"r2")  # always the next one written
             await run_loop_turns()
-            harness.core._fail_overdue("r0")
+            harness.fail("r0")
             assert await read_until_end(client) == FAILED
             assert harness.request_count == 1  # its client sends the others again elsewhere
             client.close()
@@ -166,7 +165,7 @@
             endless = await harness.socket_client(READ % b"r1")
             await until(lambda: harness.request_count == 2)
             for uid in ("r0", "r1"):
-                harness.core._fail_overdue(uid)
+                harness.fail(uid)
             await run_loop_turns()
             harness.clock.go(IDLE_TIMEOUT_MS + 250)
             endless.setblocking(False)
@@ -334,7 +333,7 @@
             client = await harness.socket_client(READ % b"r0")
             await until(lambda: harness.request_count == 1)
             reference = weakref.ref(next(iter(harness.downstream._connections)))
-            harness.core._fail_overdue("r0")
+            harness.fail("r0")
             await run_loop_turns()
             if disconnect is not gone_with_a_reset:  # closed over an unread answer it would reset as well
                 assert client.recv(100) == FAILED
--- a/tests/downstream/test_downstream_streaming.py
+++ b/tests/downstream/test_downstream_streaming.py
@@ -28,33 +28,28 @@
         await asyncio.sleep(0.1)
         assert self.core.memory_budget.reserved == 0
 
-    def responder(self, request_id: str):
-        request = self.core._open[request_id]
-        self.core._mark_answered(request_id, request)
-        return request.responder
-
 
 def test_stream_when_responses_precede_it_then_waits_and_an_abort_closes_the_connection():
     async def test():
         async with StreamingHarness(1 << 20) as harness:
             reader, _ = await harness.stream_client(READ % b"a1", READ % b"a2", READ % b"a3")
             await until(lambda: harness.request_count == 3)
-            second = harness.responder("a2").start_stream(10)
+            second = harness.take_responder("a2").start_stream(10)
             waiting = asyncio.ensure_future(second.wait_writable())
             await asyncio.sleep(0.1)
             assert not waiting.done()  # the first answer is still owed
-            harness.responder("a1").fail()
+            harness.take_responder("a1").fail()
             await waiting
             second.write([b"0123"])
             assert await reader.readexactly(36) == b"SERVER_ERROR failed\r\nVA 10 Oa2\r\n0123"
-            harness.responder("a3").fail()
+            harness.take_responder("a3").fail()
             await second.wait_writable()
             second.write([b"456789"])
             second.end()
             assert await reader.readexactly(29) == b"456789\r\nSERVER_ERROR failed\r\n"
             reader, _ = await harness.stream_client(READ % b"b1")
             await until(lambda: harness.request_count == 4)
-            third = harness.responder("b1").start_stream(10)
+            third = harness.take_responder("b1").start_stream(10)
             third.write([b"0123"])
             third.abort()
             assert await reader.read() == b"VA 10 Ob1\r\n0123"
@@ -67,7 +62,7 @@
         async with StreamingHarness(1 << 20) as harness:
             reader, writer = await harness.stream_client(READ % b"a1")
             await until(lambda: harness.request_count == 1)
-            stream = harness.responder("a1").start_stream(4 << 20)
+            stream = harness.take_responder("a1").start_stream(4 << 20)
             reader._transport.pause_reading()
             for _ in range(64):
                 stream.write([b"x" * 65536])
@@ -107,11 +102,11 @@
             await asyncio.sleep(0.2)
             half_writer.write(LONG_WRITE[5000:])
             await until(lambda: harness.request_count == 1)
-            assert bytes(harness.core._open["a1"].request.value) == VALUE
-            harness.core._fail_overdue("a1")
+            assert bytes(harness.core.open_requests.get("a1").request.value) == VALUE
+            harness.fail("a1")
             assert await half.readline() == b"SERVER_ERROR failed\r\n"
             await until(lambda: harness.request_count == 2)  # it had waited for its room
-            harness.core._fail_overdue("a3")
+            harness.fail("a3")
             assert await waiting.readline() == b"SERVER_ERROR failed\r\n"
             assert harness.core.memory_budget.reserved == 0
             unfinished, unfinished_writer = await harness.stream_client(LONG_WRITE[:90_00])
@@ -133,7 +128,7 @@
             second, _ = await harness.stream_client(LONG_WRITE)
             assert await second.readline() == b"CLIENT_ERROR id in use\r\n"
             assert harness.core.memory_budget.reserved == LENGTH
-            harness.core._fail_overdue("a1")
+            harness.fail("a1")
             assert await first.readline() == FAILED_RESPONSE
 
     virtual.run(test())
--- a/tests/downstream/test_half_commands.py
+++ b/tests/downstream/test_half_commands.py
@@ -103,9 +103,9 @@
                 harness, LONG_DEADLINE_READ % b"r1", LONG_DEADLINE_READ % b"r2", half
             )
             await until(lambda: harness.request_count == 2)
-            harness.core._fail_overdue("r1")
+            harness.fail("r1")
             await stopped.pass_until(1_700)
-            harness.core._fail_overdue("r2")
+            harness.fail("r2")
             assert await stopped.pass_until_due() == FAILED * 2 + NOT_FINISHED
 
     play(test)
@@ -136,7 +136,7 @@
                 harness.clients[0].write(part)
                 await run_loop_turns()
             await until(lambda: harness.request_count == 1)
-            harness.core._fail_overdue("slow")
+            harness.fail("slow")
             assert await stopped.reader.readline() == FAILED
 
     play(test)
--- a/tests/downstream/test_shutdown_deadlines.py
+++ b/tests/downstream/test_shutdown_deadlines.py
@@ -95,7 +95,7 @@
             reader, writer = await harness.stream_client(request[:10])
             ending, count = Ending(harness, deadline_ms), 0
             async for _ in ending.steps_until(ending.killed_at):
-                if len(harness.core._open) < 4:
+                if len(harness.core.open_requests) < 4:
                     writer.write(request[10:] % b"r%d" % count + request[:10])
                     count += 1
             assert ending.nothing_is_open()
--- a/tests/runtime/test_listener.py
+++ b/tests/runtime/test_listener.py
@@ -246,7 +246,7 @@
             harness.clock.go(SHUTDOWN_POLL_MS)
             await until(lambda: harness.request_count == 1)
             assert harness.clock.now() < started_at + SHUTDOWN_ACCEPT_MS + 50.0
-            harness.core._fail_overdue("a1")
+            harness.fail("a1")
             assert await read_until_end(client) == FAILED
             client.close()
             await until(lambda: harness.clock.go(SHUTDOWN_POLL_MS) or leaving.done())
--- a/tests/support/downstream.py
+++ b/tests/support/downstream.py
@@ -5,6 +5,7 @@
 
 from flintridge.config.address import Address
 from flintridge.core.lifecycle import RequestLifecycle
+from flintridge.core.response import Responder
 from flintridge.discovery.endpoint_list import EndpointList
 from flintridge.downstream.listener import Downstream
 from support.network import SETTINGS, HandClock, quiet, until
@@ -61,11 +62,19 @@
     async def __aexit__(self, *_) -> None:
         for client in self.clients:
             client.close()
-        for request_id in list(self.core._open):
-            self.core.client_disconnected(request_id)
+        for request in list(self.core.open_requests):
+            self.core.client_disconnected(request.id)
         self.downstream.close()
         await run_loop_turns()
 
+    def fail(self, request_id: str) -> None:
+        """The final response of a request: it failed."""
+        self.core._fail_overdue(request_id)
+
+    def take_responder(self, request_id: str) -> Responder:
+        """The client's end of a request, for the final response that the test makes."""
+        return self.core.open_requests.take_unanswered(request_id).responder
+
     @property
     def request_count(self) -> int:
         return self.counters["requests"]
--- a/tests/support/node.py
+++ b/tests/support/node.py
@@ -36,7 +36,7 @@
         self.node = Node(config, self.clock, *quiet())
 
     def state(self, server: str) -> EndpointState | None:
-        known = self.node.core._policy.servers.get(server)
+        known = self.node.core.policy_driver.policy.servers.get(server)
         return known and known.endpoint.state
 
     async def pass_until(self, true, limit: float) -> None:
