--- a/benchmarks/place_cost.py
+++ b/benchmarks/place_cost.py
@@ -34,11 +34,6 @@
     def abort(self) -> None: ...
 
 
-def add_connection(downstream: Downstream, connection: SilentConnection) -> None:
-    downstream._connections[connection] = None  # type: ignore[index]
-    downstream.eviction_order.touch(connection)  # type: ignore[arg-type]
-
-
 class PassivePolicy:
     def handle(self, now: int, event: api.Event) -> list[api.Action]:
         return []
@@ -53,13 +48,12 @@
     endpoints = EndpointList((), (), settings, clock)
     downstream = Downstream(core, settings, endpoints, clock, size, log, counters)
     for _ in range(size):
-        add_connection(downstream, SilentConnection())
+        downstream.connections.add(SilentConnection())  # type: ignore[arg-type]
     started_at = time.perf_counter()
     for _ in range(NEW_CONNECTIONS):
-        assert downstream._evict_one()
-        add_connection(downstream, SilentConnection())
+        assert downstream.connections.evict_one()
+        downstream.connections.add(SilentConnection())  # type: ignore[arg-type]
     took = time.perf_counter() - started_at
-    downstream._connections.clear()
     downstream.close()
     log.close()
     return took / NEW_CONNECTIONS * 1e6
--- a/flintridge/downstream/admin_api.py
+++ b/flintridge/downstream/admin_api.py
@@ -5,13 +5,12 @@
 
 import asyncio
 
-from flintridge.config.address import Address
 from flintridge.config.node_config import ADMIN_CONNECTIONS_MAX
 from flintridge.core.admin_routes import Routes
 from flintridge.downstream.admin_exchange import AdminExchange
 from flintridge.downstream.lingering_close import close_lingering
+from flintridge.downstream.listening_service import ListeningService
 from flintridge.runtime.clock import Clock, DeadlineExceededError, with_timeout
-from flintridge.runtime.listener import Listener, open_listener
 from flintridge.telemetry.counters import Counters
 from flintridge.telemetry.log import EventLog
 
@@ -19,7 +18,7 @@
 READ_BYTES = 4096
 
 
-class AdminApi:
+class AdminApi(ListeningService):
     """The operators' HTTP calls, one a connection."""
 
     def __init__(
@@ -39,37 +38,20 @@
             counters: Takes its counts.
             connection_limit: Of callers at a time.
         """
+        super().__init__(clock, log, counters, shared=False)
         self._routes = routes
-        self._clock = clock
-        self._log = log
-        self._counters = counters
         self._connection_limit = connection_limit
-        self._listener: Listener | None = None
         self._callers: dict[asyncio.StreamWriter, asyncio.Task[None] | None] = {}  # the oldest first
 
-    async def listen(self, address: Address) -> int:
-        """Open the listener, which is shared with no other process.
-
-        Returns:
-            The port.
-
-        Raises:
-            ListenError: It can't be opened.
-        """
-        self._listener = await open_listener(
-            self._serve_caller, address, False, self._clock, self._log, self._counters
-        )
-        return self._listener.port
-
-    async def _serve_caller(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         if len(self._callers) >= self._connection_limit:
             # Guards those who call against those who only hold a connection: the oldest has sent nothing
             # whole so far, as a call is answered at once.
             oldest = next(iter(self._callers))
-            self._counters.add("admin_api_evictions")
+            self.counters.add("admin_api_evictions")
             self._abort(oldest)
         self._callers[writer] = asyncio.current_task()
-        self._counters.add("admin_api_calls")
+        self.counters.add("admin_api_calls")
         try:
             await self._exchange(reader, writer)
         except OSError:
@@ -78,7 +60,7 @@
             if writer in self._callers:
                 raise  # else it was evicted, and nobody waits for this task
         except Exception as error:
-            self._counters.add("admin_api_errors")
+            self.counters.add("admin_api_errors")
             self._log.error("admin_api_failed", error)
         finally:
             self._callers.pop(writer, None)
@@ -87,13 +69,13 @@
     async def _exchange(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         exchange = AdminExchange(self._routes)
         try:
-            buffers = await with_timeout(self._clock, CALL_TIMEOUT_MS, self._read_call(exchange, reader))
+            buffers = await with_timeout(self.clock, CALL_TIMEOUT_MS, self._read_call(exchange, reader))
         except DeadlineExceededError:
-            self._counters.add("admin_api_timeouts")
+            self.counters.add("admin_api_timeouts")
             buffers = exchange.time_out()
         if buffers is not None:
             writer.writelines(buffers)
-            await close_lingering(self._clock, reader, writer)
+            await close_lingering(self.clock, reader, writer)
 
     async def _read_call(self, exchange: AdminExchange, reader: asyncio.StreamReader) -> list[bytes] | None:
         """The response's buffers; None where the caller ends before its call is whole."""
--- a/flintridge/downstream/connection_owner.py
+++ b/flintridge/downstream/connection_owner.py
@@ -5,28 +5,23 @@
 
 from flintridge.api import Settings
 from flintridge.codec.memcache.command_parser import CommandParser
-from flintridge.core.lifecycle import RequestLifecycle
+from flintridge.downstream.command_executor import ExecutorOwner
 from flintridge.downstream.eviction import C, EvictionOrder
 from flintridge.runtime.clock import Clock
-from flintridge.telemetry.counters import Counters
 
 
-class ConnectionOwner(Protocol[C]):
+class ConnectionOwner(ExecutorOwner, Protocol[C]):
     """The owner of client connections: what they share, and what they report to it.
 
     Attributes:
-        core: Takes the requests.
         settings: The node's settings.
         clock: Gives the time, in float milliseconds.
-        counters: Takes the counts.
         eviction_order: In which the connections are evicted.
         empty_parser: Of all connections that read no command any more.
     """
 
-    core: RequestLifecycle
     settings: Settings
     clock: Clock
-    counters: Counters
     eviction_order: EvictionOrder[C]
     empty_parser: CommandParser
 
@@ -34,10 +29,6 @@
     def reading_stopped(self) -> bool:
         """Whether connections are read no further, as the node drains."""
 
-    @property
-    def hello_response(self) -> bytes:
-        """The response to `mn`."""
-
     def run_in_background(self, work: Coroutine[None, None, None]) -> None:
         """Run `work` as a task that is held until it ends."""
 
--- a/flintridge/downstream/eviction.py
+++ b/flintridge/downstream/eviction.py
@@ -7,13 +7,11 @@
 
 
 class EvictableConnection(Protocol):
-    """A client connection, as far as its eviction goes.
+    """A client connection, as far as its eviction goes."""
 
-    Attributes:
-        has_requested: Whether a request ever came whole on it.
-    """
-
-    has_requested: bool
+    @property
+    def has_requested(self) -> bool:
+        """Whether a request ever came whole on it."""
 
     @property
     def closing(self) -> bool:
--- a/flintridge/downstream/lingering_close.py
+++ b/flintridge/downstream/lingering_close.py
@@ -41,7 +41,7 @@
 async def close_lingering(clock: Clock, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
     """Close a connection in order.
 
-    All that was written goes out, then the sending half is shut, then input is discarded with_timeout bounds.
+    All that was written goes out, then the sending half is shut, then input is discarded within bounds.
     Raises nothing for what the other side does: it is the end of this connection either way.
     """
     writer.transport.set_write_buffer_limits(high=0)  # `drain` waits until all is written
--- a/flintridge/node.py
+++ b/flintridge/node.py
@@ -223,7 +223,7 @@
             max(int(MAX_VALUE_MB * 1024 * 1024), config.memory_budget_bytes // count)
         )
         self.dispatcher.pool.max_connections = config.server_sockets // count
-        self.downstream.connection_limit = config.client_sockets // count
+        self.downstream.connections.limit = config.client_sockets // count
         if self.leases is not None:
             self.leases.process_count_changed(count)
 
--- a/tests/downstream/test_close_paths.py
+++ b/tests/downstream/test_close_paths.py
@@ -13,8 +13,8 @@
 
 
 async def only_connection(harness):
-    await until(lambda: harness.downstream._connections)
-    (connection,) = harness.downstream._connections
+    await until(lambda: harness.downstream.connections)
+    (connection,) = harness.downstream.connections
     return connection
 
 
@@ -40,7 +40,9 @@
             reader, writer = await harness.stream_client()
             connection = await only_connection(harness)
             evicted = []
-            run_as_bytes_arrive(connection, after=lambda: evicted.append(harness.downstream._evict_one()))
+            run_as_bytes_arrive(
+                connection, after=lambda: evicted.append(harness.downstream.connections.evict_one())
+            )
             writer.write(b"".join(READ % b"r%d" % number for number in range(count)))
             await until(lambda: harness.request_count == count)
             assert evicted == [False]
@@ -58,7 +60,7 @@
         async with DownstreamHarness() as harness:
             reader, writer = await harness.stream_client(b"mg key7 v Or1 Pc=read")
             connection = await only_connection(harness)
-            await until(lambda: not connection._parser.idle)
+            await until(lambda: connection.has_half_command)
             shutdown = asyncio.ensure_future(harness.downstream.leave())
             await run_loop_turns(1)
             harness.clock.go(SHUTDOWN_ACCEPT_MS)
@@ -83,7 +85,7 @@
         async with DownstreamHarness() as harness:
             reader, writer = await harness.stream_client(READ % b"r1", b"mg key7 v O")
             connection = await only_connection(harness)
-            await until(lambda: harness.request_count == 1 and not connection._parser.idle)
+            await until(lambda: harness.request_count == 1 and connection.has_half_command)
             connection.end()
             writer.write(b"r2 Pc=read,t=acme,d=480\r\n" + READ % b"r3")
             await run_loop_turns()
--- a/tests/downstream/test_connection.py
+++ b/tests/downstream/test_connection.py
@@ -7,10 +7,10 @@
 from support.network import until
 
 from flintridge.core.response import Response
+from flintridge.downstream.command_executor import MAX_BAD_COMMANDS
 from flintridge.downstream.command_timer import COMMAND_TIMEOUT_MS
 from flintridge.downstream.connection import (
     IDLE_TIMEOUT_MS,
-    MAX_BAD_COMMANDS,
     MAX_UNREAD_RESPONSE_BYTES,
 )
 from flintridge.downstream.lingering_close import (
@@ -18,23 +18,21 @@
     LINGERING_CLOSE_MS,
     SLOW_READER_TIMEOUT_MS,
 )
-from flintridge.downstream.listener import (
-    MAX_LINGERING_BEYOND_LIMIT,
-)
+from flintridge.downstream.open_connections import MAX_LINGERING_BEYOND_LIMIT
 from flintridge.downstream.pipeline import MAX_PIPELINED_COMMANDS
 from flintridge.shutdown import IDLE_CLOSE_DELAY_MS, SHUTDOWN_ACCEPT_MS, SHUTDOWN_COMMAND_TIMEOUT_MS
 
 
 async def send_half_command(harness) -> bytes:
     reader, _ = await harness.stream_client(b"ms key7 500 Oa1 Pc=put\r\nhalf")
-    await until(lambda: any(not c._parser.idle for c in harness.downstream._connections))
+    await until(lambda: any(c.has_half_command for c in harness.downstream.connections))
     harness.clock.go(COMMAND_TIMEOUT_MS + 250 + 250)
     return await reader.read()
 
 
 async def send_nothing(harness) -> bytes:
     reader, _ = await harness.stream_client()
-    await until(lambda: harness.downstream._connections)
+    await until(lambda: harness.downstream.connections)
     harness.clock.go(IDLE_TIMEOUT_MS + 250)
     return await reader.read()
 
@@ -108,7 +106,7 @@
                 and harness.request_count == 2
             )
             harness.clock.go(LINGERING_CLOSE_MS)
-            await until(lambda: harness.downstream._rejected_lingering == 0)
+            await until(lambda: harness.downstream.connections.lingering_rejected == 0)
 
     play(test)
 
@@ -172,7 +170,7 @@
             assert harness.request_count == 0
             for writer in harness.clients:
                 writer.close()
-            await until(lambda: not harness.downstream._connections)
+            await until(lambda: not harness.downstream.connections)
 
     play(test)
 
@@ -186,7 +184,7 @@
             harness.fail("r1")
             assert await reader.readline() == FAILED
             harness.clock.go(IDLE_TIMEOUT_MS - 1)
-            assert harness.downstream._connections
+            assert harness.downstream.connections
             harness.clock.go(251)
             assert await reader.read() == b"" and harness.counters["connections_idle_timeout"] == 1
 
@@ -203,7 +201,7 @@
                 assert await reader.readline() == b"CLIENT_ERROR bad data length\r\n"
             _, requesting = await harness.stream_client(READ % b"r1")
             await until(lambda: harness.request_count == 1)
-            assert harness.counters["connections_evicted"] == 1 and len(harness.downstream._connections) == 2
+            assert harness.counters["connections_evicted"] == 1 and len(harness.downstream.connections) == 2
             assert sorted([await reader.read() for reader, _ in closing]) == [b"", b""]
             requesting.close()
 
@@ -234,7 +232,7 @@
     async def test():
         async with DownstreamHarness(connection_limit=2, endpoints_known=False) as harness:
             half, _ = await harness.stream_client(b"mg key7")
-            await until(lambda: any(not c._parser.idle for c in harness.downstream._connections))
+            await until(lambda: any(c.has_half_command for c in harness.downstream.connections))
             for i in range(2):
                 await harness.stream_client(READ % b"r%d" % i)
                 await until(lambda i=i: harness.request_count == i + 1)
@@ -250,7 +248,7 @@
         async with DownstreamHarness(connection_limit=2, endpoints_known=False) as harness:
             await harness.stream_client(*(READ % b"r%d" % i for i in range(1000)))
             await until(lambda: harness.request_count)
-            (connection,) = harness.downstream._connections
+            (connection,) = harness.downstream.connections
 
             def served() -> bool:
                 for request in list(harness.core.open_requests):
@@ -259,7 +257,7 @@
 
             await until(served)
             harness.clock.go(SLOW_READER_TIMEOUT_MS / 2)
-            assert harness.counters["slow_readers"] == 0 and harness.downstream._connections
+            assert harness.counters["slow_readers"] == 0 and harness.downstream.connections
             await until(lambda: harness.clock.go(100) or harness.counters["slow_readers"] == 1)
             assert harness.request_count < 1000
 
@@ -272,7 +270,7 @@
     async def test():
         async with DownstreamHarness(connection_limit=2, endpoints_known=False) as harness:
             half, _ = await harness.stream_client(b"mg key7 v O")
-            await until(lambda: any(not c._parser.idle for c in harness.downstream._connections))
+            await until(lambda: any(c.has_half_command for c in harness.downstream.connections))
             shutdown = asyncio.ensure_future(harness.downstream.leave())
             await asyncio.sleep(0)
             harness.clock.go(SHUTDOWN_ACCEPT_MS)
--- a/tests/downstream/test_connection_termination.py
+++ b/tests/downstream/test_connection_termination.py
@@ -24,10 +24,8 @@
 from flintridge.core.response import Response
 from flintridge.downstream.connection import IDLE_TIMEOUT_MS
 from flintridge.downstream.lingering_close import LINGERING_CLOSE_MS
-from flintridge.downstream.listener import (
-    MAX_LINGERING_BEYOND_LIMIT,
-    SWEEP_INTERVAL_MS,
-)
+from flintridge.downstream.listener import SWEEP_INTERVAL_MS
+from flintridge.downstream.open_connections import MAX_LINGERING_BEYOND_LIMIT
 from flintridge.downstream.pipeline import MAX_PIPELINED_COMMANDS
 from flintridge.shutdown import IDLE_CLOSE_DELAY_MS, SHUTDOWN_ACCEPT_MS, STOP_READING_DELAY_MS
 
@@ -47,10 +45,10 @@
             assert await read_until_end(client) == FAILED  # the answer, then an orderly end
             await run_loop_turns()
             assert (
-                harness.request_count == 1 and len(harness.downstream._connections) == 1
+                harness.request_count == 1 and len(harness.downstream.connections) == 1
             )  # it waits for its client's half
             client.close()
-            await until(lambda: not harness.downstream._connections)
+            await until(lambda: not harness.downstream.connections)
 
     asyncio.run(test())
 
@@ -62,8 +60,8 @@
     async def test():
         async with DownstreamHarness() as harness:
             reader, writer = await asyncio.open_connection("127.0.0.1", harness.port)
-            await until(lambda: harness.downstream._connections)
-            (connection,) = harness.downstream._connections
+            await until(lambda: harness.downstream.connections)
+            (connection,) = harness.downstream.connections
             feed = connection._reader.feed_data
             if close_cause == "drain":
                 connection.has_sent_command = True
@@ -86,7 +84,7 @@
             assert await reader.read() == b""
             assert harness.counters["connections_idle_timeout"] == (close_cause == "unused")
             writer.close()
-            await until(lambda: not harness.downstream._connections)
+            await until(lambda: not harness.downstream.connections)
 
     play(test)
 
@@ -99,7 +97,7 @@
             client = await harness.socket_client()
             client.sendall(READ % b"r0")
             await until(lambda: harness.request_count == 1)
-            (connection,) = harness.downstream._connections
+            (connection,) = harness.downstream.connections
             size = 16 << 20  # more than any buffer of the system takes
             harness.take_responder("r0").respond(Response(b"x" * size, receipt=False))
             read = connection._reader.received_bytes
@@ -113,7 +111,7 @@
             await run_loop_turns()
             assert harness.request_count == 1
             client.close()
-            await until(lambda: not harness.downstream._connections)
+            await until(lambda: not harness.downstream.connections)
 
     asyncio.run(test())
 
@@ -173,9 +171,9 @@
                 async with asyncio.timeout(10):
                     while True:
                         await asyncio.get_running_loop().sock_sendall(endless, b"x" * 65536)
-            await until(lambda: len(harness.downstream._connections) == 1)
+            await until(lambda: len(harness.downstream.connections) == 1)
             harness.clock.go(LINGERING_CLOSE_MS)
-            await until(lambda: not harness.downstream._connections)
+            await until(lambda: not harness.downstream.connections)
             assert await read_until_end(unresponsive) == FAILED
 
     asyncio.run(test())
@@ -208,11 +206,11 @@
 def test_eviction_when_more_than_may_linger_then_each_gets_busy_without_a_reset():
     async def test():
         async with DownstreamHarness(connection_limit=MAX_LINGERING_BEYOND_LIMIT + 8) as harness:
-            evicted = [await harness.socket_client() for _ in range(harness.downstream.connection_limit)]
-            await until(lambda: len(harness.downstream._connections) == harness.downstream.connection_limit)
+            evicted = [await harness.socket_client() for _ in range(harness.downstream.connections.limit)]
+            await until(lambda: len(harness.downstream.connections) == harness.downstream.connections.limit)
             for number, client in enumerate(evicted):
                 client.sendall(READ % b"r%d" % number)  # no turn of the loop since
-            while harness.downstream._evict_one():
+            while harness.downstream.connections.evict_one():
                 pass
             await run_loop_turns()
             assert [await read_until_end(client) for client in evicted] == [BUSY] * len(evicted)
@@ -236,7 +234,7 @@
             await run_loop_turns()
             disconnect(client)
             await until(lambda: harness.counters["clients_disconnected"] == taken)
-            await until(lambda: not harness.downstream._connections)
+            await until(lambda: not harness.downstream.connections)
             assert harness.request_count == taken and harness.core.idle
 
     asyncio.run(test())
@@ -290,7 +288,7 @@
             else:
                 alone.node.dispatcher._report_end = crossing
             await until(lambda: alone.node.counters["clients_disconnected"] == 1)
-            await until(lambda: not alone.node.downstream._connections)
+            await until(lambda: not alone.node.downstream.connections)
             await run_loop_turns()
             assert (
                 len(first_server.got) + len(second_server.got) == sent + (response is not None) and core.idle
@@ -307,7 +305,7 @@
         async with DownstreamHarness() as harness:
             client = await harness.socket_client(READ % b"r")
             await until(lambda: harness.request_count == 1)
-            (connection,) = harness.downstream._connections
+            (connection,) = harness.downstream.connections
             for number in range(1000):  # until it is read no further, and the system holds what came last
                 client.sendall(b"".join(READ % b"f%d-%d" % (number, i) for i in range(100)))
                 await run_loop_turns(1)
@@ -318,7 +316,7 @@
             await run_loop_turns()
             harness.clock.go(SWEEP_INTERVAL_MS)
             assert harness.counters["clients_disconnected"] == MAX_PIPELINED_COMMANDS
-            await until(lambda: not harness.downstream._connections)
+            await until(lambda: not harness.downstream.connections)
             assert harness.request_count == MAX_PIPELINED_COMMANDS
 
     asyncio.run(test())
@@ -332,13 +330,13 @@
         async with DownstreamHarness() as harness:
             client = await harness.socket_client(READ % b"r0")
             await until(lambda: harness.request_count == 1)
-            reference = weakref.ref(next(iter(harness.downstream._connections)))
+            reference = weakref.ref(next(iter(harness.downstream.connections)))
             harness.fail("r0")
             await run_loop_turns()
             if disconnect is not gone_with_a_reset:  # closed over an unread answer it would reset as well
                 assert client.recv(100) == FAILED
             disconnect(client)
-            await until(lambda: not harness.downstream._connections)
+            await until(lambda: not harness.downstream.connections)
             await until(lambda: reference() is None)
 
     asyncio.run(test())
@@ -355,7 +353,7 @@
             harness.clock.go(IDLE_CLOSE_DELAY_MS)
             reader, writer = await asyncio.open_connection("127.0.0.1", harness.port)
             writer.write(b"ms key7 2 Oa1 Pc=put,t=acme,d=3000\r\n")  # the rest comes late
-            await until(lambda: any(not c._parser.idle for c in harness.downstream._connections))
+            await until(lambda: any(c.has_half_command for c in harness.downstream.connections))
             harness.clock.go(SHUTDOWN_ACCEPT_MS)
             await run_loop_turns()
             writer.write(b"hi\r\n")
@@ -379,7 +377,7 @@
 
         async with DownstreamHarness() as harness, Peer(lambda _: b"") as peer:
             await harness.socket_client()
-            (connection,) = harness.downstream._connections
+            (connection,) = harness.downstream.connections
             record_delay(connection._transport)
             upstream = UpstreamHarness(peer.port)
             await upstream.start()
@@ -389,7 +387,7 @@
             queued = socket.create_connection(("127.0.0.1", harness.port))  # accepted as the listener closes
             harness.downstream._listener.close()
             await until(lambda: harness.counters["connections_accepted"] == 2)
-            record_delay(list(harness.downstream._connections)[-1]._transport)
+            record_delay(list(harness.downstream.connections)[-1]._transport)
             queued.close()
         assert delays == [1, 1, 1]
 
--- a/tests/downstream/test_half_commands.py
+++ b/tests/downstream/test_half_commands.py
@@ -54,7 +54,7 @@
     async def test():
         async with DownstreamHarness() as harness:
             stopped = await stopped_client(harness, half)
-            await until(lambda: any(not c._parser.idle for c in harness.downstream._connections))
+            await until(lambda: any(c.has_half_command for c in harness.downstream.connections))
             shutdown = None
             if service == "draining":
                 harness.downstream.shutdown.start_drain(harness.clock.now())
@@ -117,7 +117,7 @@
             stopped = await stopped_client(harness)
             await stopped.pass_until(1_900)
             harness.clients[0].write(HALF_READ)
-            await until(lambda: any(not c._parser.idle for c in harness.downstream._connections))
+            await until(lambda: any(c.has_half_command for c in harness.downstream.connections))
             assert await stopped.pass_until_due() == NOT_FINISHED
 
     play(test)
@@ -147,11 +147,11 @@
         async with DownstreamHarness(memory_bytes=LENGTH + 1000) as harness:
             assert harness.core.memory_budget.try_reserve(LENGTH)  # by somebody else
             await stopped_client(harness, HALF_LONG_WRITE)
-            await until(lambda: any(c.has_pending for c in harness.downstream._connections))
+            await until(lambda: any(c.has_pending for c in harness.downstream.connections))
             harness.clients[0].close()
             await run_loop_turns()
             harness.core.memory_budget.release(LENGTH)
-            await until(lambda: not harness.downstream._connections)
+            await until(lambda: not harness.downstream.connections)
             assert harness.core.memory_budget.reserved == 0
 
     play(test)
--- /dev/null
+++ b/tests/downstream/test_open_connections.py
@@ -0,0 +1,85 @@
+"""The connection limit by itself: who is evicted for another, and how many may linger beyond it."""
+
+import pytest
+from support.network import HandClock, quiet
+
+from flintridge.downstream.open_connections import MAX_LINGERING_BEYOND_LIMIT, OpenConnections
+
+LIMIT = 3
+
+
+class Connection:
+    """A client connection that remembers what is asked of it."""
+
+    idle = True
+    closing = False
+
+    def __init__(self, has_requested: bool = True, has_pending: bool = False) -> None:
+        self.has_requested = has_requested
+        self.has_pending = has_pending
+        self.calls: list[str] = []
+
+    def evict(self) -> None:
+        self.calls.append("evict")
+
+    def abort(self) -> None:
+        self.calls.append("abort")
+
+
+@pytest.fixture
+def connections():
+    _, counters = quiet()
+    return OpenConnections(LIMIT, HandClock(), counters)
+
+
+def fill(connections: OpenConnections, count: int = LIMIT, **state) -> list[Connection]:
+    added = [Connection(**state) for _ in range(count)]
+    for connection in added:
+        connections.add(connection)
+    return added
+
+
+def test_room_when_the_limit_is_not_reached_then_nothing_is_evicted(connections):
+    added = fill(connections, LIMIT - 1)
+    assert connections.make_room()
+    assert [connection.calls for connection in added] == [[], []]
+
+
+def test_room_when_the_limit_is_reached_then_the_least_recently_used_is_evicted(connections):
+    first, *others = fill(connections)
+    assert connections.make_room()
+    assert first.calls == ["evict"] and list(connections) == others
+    assert list(connections.lingering_evicted) == [first]
+    connections.remove(first)
+    assert not connections.lingering_evicted
+
+
+def test_room_when_every_connection_has_a_response_pending_then_there_is_none(connections):
+    added = fill(connections, has_pending=True)
+    assert not connections.make_room()
+    assert list(connections) == added
+
+
+def test_limit_when_lowered_then_stays_open_what_is_until_others_come(connections):
+    fill(connections)
+    connections.limit = 1
+    assert len(connections) == LIMIT
+    assert connections.make_room()
+    assert len(connections) == LIMIT - 1
+
+
+def test_eviction_when_more_linger_than_may_then_the_first_evicted_is_aborted(connections):
+    added = fill(connections, MAX_LINGERING_BEYOND_LIMIT + 1)
+    while connections.evict_one():
+        pass
+    assert [connection.calls for connection in added] == [
+        ["evict", "abort"],
+        *([["evict"]] * MAX_LINGERING_BEYOND_LIMIT),
+    ]
+
+
+def test_abort_all_when_some_linger_then_closes_these_too(connections):
+    added = fill(connections)
+    assert connections.evict_one()
+    connections.abort_all()
+    assert [connection.calls[-1] for connection in added] == ["abort"] * LIMIT
--- a/tests/downstream/test_shutdown_deadlines.py
+++ b/tests/downstream/test_shutdown_deadlines.py
@@ -44,7 +44,7 @@
             pass
 
     def nothing_is_open(self) -> bool:
-        connections = self.harness.downstream._connections
+        connections = self.harness.downstream.connections
         return self.harness.core.idle and all(each.closing for each in connections)
 
     async def finish(self) -> None:
@@ -146,7 +146,7 @@
             ending = Ending(harness, deadline_ms)
             await ending.pass_until(ending.told_at + NOTICE_MS - STEP_MS)
             reader, writer = await harness.stream_client(LONG_WRITE)
-            await until(lambda: any(c.has_pending for c in harness.downstream._connections))
+            await until(lambda: any(c.has_pending for c in harness.downstream.connections))
             await ending.pass_until(ending.killed_at - 1)
             assert ending.nothing_is_open()
             assert await reader.read() == BUSY
--- a/tests/runtime/test_listener.py
+++ b/tests/runtime/test_listener.py
@@ -12,7 +12,7 @@
 from support.network import HandClock, quiet, until
 
 from flintridge.config.address import Address
-from flintridge.downstream.listener import SHUTDOWN_ACCEPT_MS, SHUTDOWN_POLL_MS
+from flintridge.downstream.termination import SHUTDOWN_POLL_MS
 from flintridge.runtime.acceptor import (
     CLOSE_MAX_FAILURES,
     CLOSE_PAUSE_MS,
@@ -23,6 +23,7 @@
     classify,
 )
 from flintridge.runtime.listener import open_listener
+from flintridge.shutdown import SHUTDOWN_ACCEPT_MS
 
 SHORTAGES = (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM)
 LOCALHOST = Address("127.0.0.1", 0)
--- a/tests/runtime/test_worker_processes.py
+++ b/tests/runtime/test_worker_processes.py
@@ -132,7 +132,7 @@
     clock.go(COUNT_INTERVAL_MS)
     assert [node._worker_processes.index_of_other() for node in nodes] == [1, 0]
     for limit_of, limit in (
-        (lambda node: node.downstream.connection_limit, config.client_sockets),
+        (lambda node: node.downstream.connections.limit, config.client_sockets),
         (lambda node: node.dispatcher.pool.max_connections, config.server_sockets),
         (lambda node: node.core.memory_budget.total, config.memory_budget_bytes),
     ):
@@ -141,7 +141,7 @@
     assert nodes[0].core.memory_budget.total >= MAX_VALUE_MB * 1024 * 1024
     nodes[1]._worker_processes.close()
     clock.go(COUNT_INTERVAL_MS)
-    assert nodes[0].downstream.connection_limit == config.client_sockets
+    assert nodes[0].downstream.connections.limit == config.client_sockets
     nodes[0]._worker_processes.close()
 
 
--- a/tests/test_program_narrow_moments.py
+++ b/tests/test_program_narrow_moments.py
@@ -179,7 +179,7 @@
             await asyncio.sleep(killed_at - whole_node.loop.time() - 0.001)
             node = whole_node.node
             assert node.core.idle
-            assert all(connection.closing for connection in node.downstream._connections)
+            assert all(connection.closing for connection in node.downstream.connections)
             answered = sum(client.answered for client in clients)
             assert whole_node.counters["requests"] == answered > 0
             await leaving
