--- a/flintridge/__main__.py
+++ b/flintridge/__main__.py
@@ -55,7 +55,7 @@
     clock = SystemClock(loop, selector=selector)
     node = Node(config, clock, log, shared=os.environ.get("TMPDIR") or "/tmp")
     loop.add_signal_handler(signal.SIGHUP, _reload, node)
-    loop.add_signal_handler(signal.SIGUSR1, node.tell_counters)
+    loop.add_signal_handler(signal.SIGUSR1, node.log_counters)
     await node.start()
     if early_reloads:
         log.event("reload_early")
@@ -114,7 +114,7 @@
     try:
         config = load_config()
     except ConfigError as error:
-        node.refuse_reload(error)
+        node.reject_reload(error)
     else:
         node.reload(config)
 
--- a/flintridge/core/admin_routes.py
+++ b/flintridge/core/admin_routes.py
@@ -4,8 +4,18 @@
 from dataclasses import dataclass
 from typing import Any
 
-# What answers a call: an HTTP status and the body's fields.
-AdminResponse = tuple[int, dict[str, Any]]
+
+@dataclass(slots=True, frozen=True)
+class AdminResponse:
+    """The answer to a call.
+
+    Attributes:
+        status: Of HTTP.
+        fields: Of the JSON object that is the body.
+    """
+
+    status: int
+    fields: dict[str, Any]
 
 
 @dataclass(slots=True, frozen=True)
--- a/flintridge/downstream/admin_exchange.py
+++ b/flintridge/downstream/admin_exchange.py
@@ -12,7 +12,7 @@
 import h11
 import orjson
 
-from flintridge.core.admin_routes import Routes, RouteWithInput
+from flintridge.core.admin_routes import AdminResponse, Routes, RouteWithInput
 
 MAX_HEAD_BYTES = 8 * 1024
 MAX_BODY_BYTES = 64 * 1024  # of a call
@@ -97,8 +97,11 @@
             fields = {"error": f"only {allowed.decode()}"}
             return self._respond(METHOD_NOT_ALLOWED, fields, [(b"Allow", allowed)])
         if isinstance(route, RouteWithInput):
-            return self._respond(*route.call(query, bytes(self._body)))
-        return self._respond(*route())
+            return self._respond_with(route.call(query, bytes(self._body)))
+        return self._respond_with(route())
+
+    def _respond_with(self, response: AdminResponse) -> list[bytes]:
+        return self._respond(response.status, response.fields)
 
     def _respond(
         self,
--- a/flintridge/downstream/command_executor.py
+++ b/flintridge/downstream/command_executor.py
@@ -32,14 +32,20 @@
         """The response to `mn`."""
 
 
-class CommandExecutor:
-    """Executes the commands of one connection, in their order.
+class ExecutorConnection(PipelineConnection, Protocol):
+    """The client connection whose commands are executed.
 
     Attributes:
-        has_requested: Whether a request ever came whole.
+        has_requested: Whether a request ever came whole; set here.
     """
 
-    __slots__ = ("_bad_commands", "_input", "_owner", "_pipeline", "has_requested")
+    has_requested: bool
+
+
+class CommandExecutor:
+    """Executes the commands of one connection, in their order."""
+
+    __slots__ = ("_bad_commands", "_input", "_owner", "_pipeline")
 
     def __init__(self, owner: ExecutorOwner, command_input: CommandInput, pipeline: ResponsePipeline) -> None:
         """Begin with a new connection.
@@ -49,13 +55,12 @@
             command_input: Its input.
             pipeline: Takes the responses.
         """
-        self.has_requested = False
         self._owner = owner
         self._input = command_input
         self._pipeline = pipeline
         self._bad_commands = 0
 
-    def execute(self, command: ExecutableCommand, connection: PipelineConnection) -> bool:
+    def execute(self, command: ExecutableCommand, connection: ExecutorConnection) -> bool:
         """Execute a command.
 
         Args:
@@ -83,17 +88,17 @@
         goes_on = self._respond_to_bad_command(pending, command.reason)
         return goes_on and not command.fatal
 
-    def _submit(self, request: Request, connection: PipelineConnection, reserved_bytes: int) -> bool:
+    def _submit(self, request: Request, connection: ExecutorConnection, reserved_bytes: int) -> bool:
         pending = PendingResponse(connection, request.id)
         pending.open_request_id = request.id.decode("ascii")
         self._pipeline.append(pending)
         try:
-            self._owner.core.submit(request, pending, reserved_bytes, self._input.arrived_after)
+            self._owner.core.submit(request, pending, reserved_bytes, self._input.arrival.arrived_after)
         except IdInUseError:
             self._owner.core.memory_budget.release(reserved_bytes)
             pending.open_request_id = None  # the open one is another's
             return self._respond_to_bad_command(pending, "id in use")
-        self.has_requested = True
+        connection.has_requested = True
         return True
 
     def _respond_to_bad_command(self, pending: PendingResponse, reason: str) -> bool:
--- a/flintridge/downstream/command_input.py
+++ b/flintridge/downstream/command_input.py
@@ -19,10 +19,11 @@
     """What is read from one client.
 
     Attributes:
+        arrival: When the bytes of the last read may have arrived.
         value_memory: Reserved for the long value that is read, and then passed on with its command.
     """
 
-    __slots__ = ("_arrival", "_parser", "_reader", "_timer", "_transport", "value_memory")
+    __slots__ = ("_parser", "_reader", "_timer", "_transport", "arrival", "value_memory")
 
     def __init__(
         self,
@@ -46,27 +47,22 @@
         self._transport = transport
         self._parser = CommandParser(settings)
         self._timer = CommandTimer(clock.now())
-        self._arrival = InputArrival(clock, reader.queued_since)
+        self.arrival = InputArrival(clock, reader.queued_since)
 
     @property
     def has_half_command(self) -> bool:
         """Whether something of a command was parsed that is not whole yet."""
         return not self._parser.idle
 
-    @property
-    def arrived_after(self) -> float:
-        """No byte of the last read had arrived before this instant."""
-        return self._arrival.arrived_after
-
     async def read(self) -> bytes:
         """What comes next; empty where the client has ended its sending.
 
         Raises:
             OSError: The connection broke.
         """
-        self._arrival.before_read(self._reader.has_unread, self._transport.is_reading())
+        self.arrival.before_read(self._reader.has_unread, self._transport.is_reading())
         data = await self._reader.read(READ_BYTES)
-        self._arrival.after_read()
+        self.arrival.after_read()
         return data
 
     def parse(self, data: bytes, now: float) -> list[Command]:
--- a/flintridge/downstream/connection.py
+++ b/flintridge/downstream/connection.py
@@ -28,6 +28,7 @@
 
     Attributes:
         last_used_at: When something was read or written last.
+        has_requested: Whether a request ever came whole.
         has_sent_command: Whether any command ever came whole.
     """
 
@@ -50,6 +51,7 @@
         assert isinstance(writer.transport, asyncio.Transport)
         self._transport = writer.transport
         self.last_used_at = owner.clock.now()
+        self.has_requested = False
         self.has_sent_command = False
         self._pipeline = ResponsePipeline()
         self._input = CommandInput(
@@ -66,11 +68,6 @@
 
     # State
 
-    @property
-    def has_requested(self) -> bool:
-        """Whether a request ever came whole."""
-        return self._executor.has_requested
-
     @property
     def has_half_command(self) -> bool:
         """Whether something of a command was parsed that is not whole yet."""
--- a/flintridge/downstream/eviction.py
+++ b/flintridge/downstream/eviction.py
@@ -7,11 +7,13 @@
 
 
 class EvictableConnection(Protocol):
-    """A client connection, as far as its eviction goes."""
+    """A client connection, as far as its eviction goes.
 
-    @property
-    def has_requested(self) -> bool:
-        """Whether a request ever came whole on it."""
+    Attributes:
+        has_requested: Whether a request ever came whole on it.
+    """
+
+    has_requested: bool
 
     @property
     def closing(self) -> bool:
--- a/flintridge/lab/backend/virtual.py
+++ b/flintridge/lab/backend/virtual.py
@@ -272,7 +272,7 @@
         try:
             new = node_config(life.config, {})
         except ConfigError as error:
-            life.node.refuse_reload(error)
+            life.node.reject_reload(error)
         else:
             life.node.reload(new)
 
@@ -354,10 +354,10 @@
             if not self.running(name) or life.node is None:
                 continue
             if life.node.membership is not None and not self._fabric.network.host(name).paused:
-                _, said = life.node.membership.admin_view()
+                said = life.node.membership.admin_view().fields
                 self._log.add(view_of(now, name, said))
             if life.node.leases is not None:  # also of one that stands still: it may use it once it goes on
-                _, said = life.node.leases.admin_status()
+                said = life.node.leases.admin_status().fields
                 for held in held_of(now, name, said):
                     self._log.add(held)
 
--- a/flintridge/leases/driver.py
+++ b/flintridge/leases/driver.py
@@ -8,10 +8,10 @@
 from collections.abc import Callable
 from dataclasses import replace
 from random import Random
-from typing import Any
 
 from flintridge import api
 from flintridge.config.node_config import BudgetsConfig
+from flintridge.core.admin_routes import AdminResponse
 from flintridge.core.lifecycle import RequestLifecycle
 from flintridge.core.request import UpstreamAttempt
 from flintridge.discovery.endpoint_list import EndpointList, EndpointNotListedError
@@ -228,11 +228,11 @@
 
     # For staff
 
-    def admin_status(self) -> tuple[int, dict[str, Any]]:
-        """The response to GET /admin/budgets: HTTP status and JSON object."""
+    def admin_status(self) -> AdminResponse:
+        """The response to GET /admin/budgets."""
         now = self._clock.now()
         reachable = self._membership.reachability
-        return 200, {
+        fields = {
             "name": self._membership.name,
             "life": f"{self._membership.incarnation:x}",
             "alone": self._process_count == 1,
@@ -247,6 +247,7 @@
             ],
             "counts": {name: self.manager.counts[name] for name in sorted(self.manager.counts)},
         }
+        return AdminResponse(200, fields)
 
     def _used(self, name: str) -> float:
         """What was used of a limit of late, in its unit; requests a second where these tell its demand."""
--- a/flintridge/membership/driver.py
+++ b/flintridge/membership/driver.py
@@ -9,6 +9,7 @@
 import msgspec
 
 from flintridge.config.node_config import PeersConfig
+from flintridge.core.admin_routes import AdminResponse
 from flintridge.membership.admin_view import membership_view
 from flintridge.membership.datagram_endpoint import DatagramEndpoint
 from flintridge.membership.exchange_service import ExchangeHandler, ExchangeRejectedError, ExchangeService
@@ -146,11 +147,12 @@
         """
         return await self._exchanges.request(self._addresses[peer], topic, query)
 
-    def admin_view(self) -> tuple[int, dict[str, Any]]:
-        """The answer to GET /admin/peers: its status and its JSON object."""
+    def admin_view(self) -> AdminResponse:
+        """The answer to GET /admin/peers."""
         now = self._clock.now()
         self.failure_detector.refresh(now)
-        return 200, membership_view(self.config, self.failure_detector, self._endpoint.owns_address, now)
+        fields = membership_view(self.config, self.failure_detector, self._endpoint.owns_address, now)
+        return AdminResponse(200, fields)
 
     def publish_counters(self) -> None:
         """Bring the failure detector's counters into the node's, which are printed with the others."""
--- a/flintridge/node.py
+++ b/flintridge/node.py
@@ -1,4 +1,4 @@
-"""One node, put together from its parts: start, reload, leave, close. The only place that names all parts.
+"""One node, put together from its parts: start, reload, leave, close. The only module that names all parts.
 
 The daemon (`__main__.py`), the lab and whoever embeds a node use the same object, so that what is measured is
 what serves. It reads no file, minds no signal and keeps nothing at module level.
@@ -8,11 +8,10 @@
 
 import os
 from collections.abc import Callable
-from dataclasses import dataclass, fields, replace
 from typing import TYPE_CHECKING
 
-from flintridge.api import DiscoveryMode, EndpointUpdate
-from flintridge.config.node_config import MAX_VALUE_MB, NodeConfig
+from flintridge.api import DiscoveryMode
+from flintridge.config.node_config import NodeConfig
 from flintridge.core.drivers import Policy
 from flintridge.core.lifecycle import RequestLifecycle
 from flintridge.discovery.endpoint_list import EndpointList, configured_endpoints
@@ -20,6 +19,7 @@
 from flintridge.discovery.watcher import DiscoveryWatcher, watch_wait_ms
 from flintridge.downstream.listener import Downstream
 from flintridge.policy.balancer import QUOTA_SLACK, Balancer
+from flintridge.reload import Reloaded, plan_reload, process_limits
 from flintridge.runtime.clock import Clock
 from flintridge.runtime.worker_processes import WorkerProcesses
 from flintridge.shutdown import GracefulShutdown, ServiceState, ShutdownTimes
@@ -28,28 +28,31 @@
 from flintridge.upstream.dispatcher import Dispatcher
 
 if TYPE_CHECKING:
-    from flintridge.core.admin_routes import AdminResponse, Routes
+    from flintridge.core.admin_routes import Routes
     from flintridge.downstream.admin_api import AdminApi
     from flintridge.leases.driver import LeaseDriver
     from flintridge.membership.driver import MembershipDriver
     from flintridge.replication.driver import ReplicationDriver
 
-CHANGEABLE = ("discovery", "sockets", "memory_mb")  # without a restart
-
-
-@dataclass(slots=True, frozen=True)
-class Reloaded:
-    """What a new configuration changed, by the names of `NodeConfig`, and what of it waits for a restart."""
-
-    changed: tuple[str, ...]
-    until_restart: tuple[str, ...]
-
 
 class Node:
     """A node in the running event loop.
 
-    `clock` gives its time (float milliseconds), `log` takes its events, `policy` stands in for the decision
-    policy where a trial needs another one. Raises ConfigError where the configuration's list is malformed.
+    Attributes:
+        config: In force; `reload` replaces it.
+        clock: Gives the time, in float milliseconds.
+        log: Takes the events.
+        counters: Takes the counts.
+        endpoints: Ids and addresses of the servers.
+        core: Takes requests, notifies the policy.
+        dispatcher: Carries attempts to servers.
+        discovery_watcher: Watches the endpoint list.
+        shutdown: The state of the service.
+        downstream: The client side.
+        admin_api: For operators; None before `start`, or where the configuration names no address for it.
+        membership: None: this node reaches no other.
+        leases: None: this node has its even fraction of each fleet-wide limit.
+        replication: None: this node has no replica of the operators' state.
     """
 
     def __init__(
@@ -62,115 +65,158 @@
         shared: str | None = None,
         entropy: Callable[[int], bytes] = os.urandom,
     ) -> None:
-        """`shared`: the folder in which the processes of one node meet; None where there is only this one.
-
-        `entropy` gives random bytes, of which this process's life among its peers is made.
+        """Put the node together; `start` has it serve.
+
+        Args:
+            config: Of the node.
+            clock: Gives the time, in float milliseconds.
+            log: Takes the events.
+            counters: Takes the counts; None: those of its own.
+            policy: Stands in for the decision policy, where a trial needs another one.
+            shared: The folder in which the processes of one node meet; None: there is only this one.
+            entropy: Returns so many random bytes, of which this process's incarnation is made.
+
+        Raises:
+            ConfigError: The configured endpoint list is malformed.
         """
         self.config = config
         self.clock = clock
         self.log = log
         self.counters = counters or Counters()
-        settings = config.settings
-        self.endpoints = EndpointList(config.zones, config.kinds, settings, clock)
-        self._known = configured_endpoints(config, self.endpoints)
-        self.core = RequestLifecycle(
-            policy or Balancer(settings, config.seed),
-            settings,
-            clock,
+        self.endpoints = EndpointList(config.zones, config.kinds, config.settings, clock)
+        self._configured_list = configured_endpoints(config, self.endpoints)
+        self.core = self._make_core(policy)
+        self.dispatcher = self._make_dispatcher()
+        self._overrides = None if config.state is None else EndpointOverrides(self.core.notify)
+        self._apply_list = self.core.notify if self._overrides is None else self._overrides.apply
+        self.discovery_watcher = self._make_discovery_watcher()
+        self.core.attach(self.dispatcher, self.discovery_watcher)
+        self.shutdown = GracefulShutdown(ShutdownTimes.of(config.settings))
+        self.downstream = self._make_downstream()
+        self.admin_api: AdminApi | None = None
+        self.membership = self._make_membership(entropy)
+        self.leases = self._make_leases(entropy)
+        self.replication = self._make_replication(entropy)
+        self.downstream.is_ready = self._is_ready
+        self._closed = False
+        self._worker_processes = self._make_worker_processes(shared)
+
+    # Its parts. What the configuration does not ask for is not imported: an idle node stays small.
+
+    def _make_core(self, policy: Policy | None) -> RequestLifecycle:
+        config = self.config
+        return RequestLifecycle(
+            policy or Balancer(config.settings, config.seed),
+            config.settings,
+            self.clock,
             config.memory_budget_bytes,
-            log,
+            self.log,
             self.counters,
         )
-        self.dispatcher = Dispatcher(
+
+    def _make_dispatcher(self) -> Dispatcher:
+        return Dispatcher(
             self.endpoints,
-            settings,
-            clock,
-            config.server_sockets,
+            self.config.settings,
+            self.clock,
+            self.config.server_sockets,
             self.core.attempt_ended,
-            log,
+            self.log,
             self.counters,
             self.core.start_stream,
         )
-        self._list_told: Callable[[EndpointUpdate], None] = self.core.notify
-        if config.state is not None:
-            self._overrides = EndpointOverrides(self.core.notify)
-            self._list_told = self._overrides.apply
-        self.discovery_watcher = DiscoveryWatcher(
-            config.discovery,
+
+    def _make_discovery_watcher(self) -> DiscoveryWatcher:
+        return DiscoveryWatcher(
+            self.config.discovery,
             self.endpoints,
-            clock,
-            self._list_told,
-            log,
+            self.clock,
+            self._apply_list,
+            self.log,
             self.counters,
-            watch_wait_ms(settings),
+            watch_wait_ms(self.config.settings),
         )
-        self.core.attach(self.dispatcher, self.discovery_watcher)
-        self.shutdown = GracefulShutdown(ShutdownTimes.of(settings))
-        self.downstream = Downstream(
+
+    def _make_downstream(self) -> Downstream:
+        return Downstream(
             self.core,
-            settings,
+            self.config.settings,
             self.endpoints,
-            clock,
-            config.client_sockets,
-            log,
+            self.clock,
+            self.config.client_sockets,
+            self.log,
             self.counters,
             self.shutdown,
         )
-        self.admin_api: AdminApi | None = None
-        self.membership: MembershipDriver | None = None
-        if config.peers is not None:
-            from flintridge.membership.driver import MembershipDriver  # not held by a node that hears nobody
-
-            self.membership = MembershipDriver(config.name, config.peers, clock, log, self.counters, entropy)
-        self.leases: LeaseDriver | None = None
-        if config.budgets is not None and self.membership is not None:
-            from flintridge.leases.driver import LeaseDriver  # not held by a node that lends nothing
-
-            even = {
-                i: QUOTA_SLACK / settings.fleet_size * tenant.quota_per_s
-                for i, tenant in enumerate(settings.tenants)
-            }
-            self.leases = LeaseDriver(
-                config.budgets,
-                settings,
-                even,
-                self.membership,
-                self.endpoints,
-                self.core,
-                clock,
-                log,
-                self.counters,
-                entropy,
-            )
-        self.replication: ReplicationDriver | None = None
-        if config.state is not None and self.membership is not None:
-            from flintridge.replication.driver import (
-                ReplicationDriver,  # not held by a node that holds no state
-            )
-
-            self.replication = ReplicationDriver(
-                config.state, self.membership, clock, log, self.counters, entropy, self._overrides.take_out
-            )
-        self.downstream.is_ready = self._ready
-        self._closed = False
-        listen = config.listen
-        self._worker_processes: WorkerProcesses | None = None
-        if shared is not None and listen.port:
-            folder = os.path.join(shared, f"flintridge-{listen.host.replace(':', '_')}-{listen.port}")
-            self._worker_processes = WorkerProcesses(folder, clock, log, lambda _: self._deal_out())
+
+    def _make_membership(self, entropy: Callable[[int], bytes]) -> MembershipDriver | None:
+        config = self.config
+        if config.peers is None:
+            return None
+        from flintridge.membership.driver import MembershipDriver
+
+        return MembershipDriver(config.name, config.peers, self.clock, self.log, self.counters, entropy)
+
+    def _make_leases(self, entropy: Callable[[int], bytes]) -> LeaseDriver | None:
+        config = self.config
+        if config.budgets is None or self.membership is None:
+            return None
+        from flintridge.leases.driver import LeaseDriver
+
+        settings = config.settings
+        even_fraction = QUOTA_SLACK / settings.fleet_size
+        even_quotas = {
+            position: even_fraction * tenant.quota_per_s for position, tenant in enumerate(settings.tenants)
+        }
+        return LeaseDriver(
+            config.budgets,
+            settings,
+            even_quotas,
+            self.membership,
+            self.endpoints,
+            self.core,
+            self.clock,
+            self.log,
+            self.counters,
+            entropy,
+        )
+
+    def _make_replication(self, entropy: Callable[[int], bytes]) -> ReplicationDriver | None:
+        config = self.config
+        if config.state is None or self.membership is None or self._overrides is None:
+            return None
+        from flintridge.replication.driver import ReplicationDriver
+
+        return ReplicationDriver(
+            config.state,
+            self.membership,
+            self.clock,
+            self.log,
+            self.counters,
+            entropy,
+            self._overrides.take_out,
+        )
+
+    def _make_worker_processes(self, shared: str | None) -> WorkerProcesses | None:
+        listen = self.config.listen
+        if shared is None or not listen.port:
+            return None
+        folder = os.path.join(shared, f"flintridge-{listen.host.replace(':', '_')}-{listen.port}")
+        return WorkerProcesses(folder, self.clock, self.log, lambda _: self._apply_limits())
+
+    # Start
 
     async def start(self) -> int:
-        """Take the known list in and open the console and the listener; the listener's port.
+        """Open the admin API and the listener, and apply the configured endpoint list.
 
-        Raises ListenError, an OSError, where one of the two can't be opened.
-        """
-        # Before anything else: what cannot have its console must not have taken a single connection.
-        if self.config.console is not None:
-            from flintridge.downstream.admin_api import AdminApi  # not held by a node that has none
+        Returns:
+            The listener's port.
 
-            self.admin_api = AdminApi(self._routes(), self.clock, self.log, self.counters)
-            port = await self.admin_api.listen(self.config.console)
-            self.log.event("admin_api_listening", host=self.config.console.host, port=port)
+        Raises:
+            ListenError: One of the two can't be opened.
+        """
+        # Before anything else: what cannot have its admin API must not have taken a single connection.
+        await self._start_admin_api()
         if self.membership is not None:
             await self.membership.start()
         if self._worker_processes is not None:
@@ -179,71 +225,81 @@
             self.leases.start()  # before the first request: a process that just began holds its floor alone
         if self.replication is not None:
             self.replication.start()
-        if self.config.settings.discovery is DiscoveryMode.PUSHED:
-            self.discovery_watcher.begin(
-                self._known
-            )  # a watch is how lists are pushed: it is open from the first moment
-        else:
-            self._list_told(self._known)
+        self._start_discovery()
         listen = self.config.listen
         port = await self.downstream.listen(listen)
-        self.log.event("serving", host=listen.host, port=port, members=len(self._known.endpoints))
+        self.log.event("serving", host=listen.host, port=port, members=len(self._configured_list.endpoints))
         return port
 
-    def _ready(self) -> bool:
-        """What else has to be before `mn` is answered: a list, and the state of others where it is held."""
+    async def _start_admin_api(self) -> None:
+        address = self.config.console
+        if address is None:
+            return
+        from flintridge.downstream.admin_api import AdminApi
+
+        self.admin_api = AdminApi(self._routes(), self.clock, self.log, self.counters)
+        port = await self.admin_api.listen(address)
+        self.log.event("admin_api_listening", host=address.host, port=port)
+
+    def _routes(self) -> Routes:
+        from flintridge.operator_routes import OperatorRoutes
+
+        routes = OperatorRoutes(self).routes()
+        if self.membership is not None:
+            routes[b"/admin/peers"] = {b"GET": self.membership.admin_view}
+        if self.leases is not None:
+            routes[b"/admin/budgets"] = {b"GET": self.leases.admin_status}
+        if self.replication is not None:
+            routes.update(self.replication.routes())
+        return routes
+
+    def _start_discovery(self) -> None:
+        if self.config.settings.discovery is DiscoveryMode.PUSHED:
+            # A watch is how lists are pushed: it is open from the first moment.
+            self.discovery_watcher.begin(self._configured_list)
+        else:
+            self._apply_list(self._configured_list)
+
+    def _is_ready(self) -> bool:
+        """What else has to be before `mn` is answered: a list, and a replica that is synchronized."""
         return self.discovery_watcher.has_list and (
             self.replication is None or self.replication.is_synchronized()
         )
 
+    # Reload
+
     def reload(self, new: NodeConfig) -> Reloaded:
         """Take over from `new` what can change in service; no request and no connection is touched."""
         self.counters.add("reloads")
-        old = self.config
-        # The list that the file holds is an old one; this node's own is newer.
-        names = [field.name for field in fields(NodeConfig) if field.name != "known"]
-        changed = [name for name in names if getattr(new, name) != getattr(old, name)]
-        now = {name: getattr(new, name) for name in changed if name in CHANGEABLE}
-        self.config = replace(old, **now)  # what holds, whatever else the file says
-        self._deal_out()
+        plan = plan_reload(self.config, new)
+        self.config = plan.config
+        self._apply_limits()
         if self.discovery_watcher.discovery != self.config.discovery:
             self.discovery_watcher.move(self.config.discovery)
-        done = Reloaded(tuple(now), tuple(name for name in changed if name not in now))
-        self.log.event("reloaded", changed=list(done.changed), until_restart=list(done.until_restart))
-        return done
+        reloaded = plan.reloaded
+        self.log.event("reloaded", changed=list(reloaded.changed), until_restart=list(reloaded.until_restart))
+        return reloaded
+
+    def reject_reload(self, error: Exception) -> None:
+        """A configuration that cannot be read changes nothing; it is counted and logged."""
+        self.counters.add("reloads")
+        self.counters.add("reloads_refused")
+        self.log.event("reload_refused", error=str(error))
 
-    def _deal_out(self) -> None:
-        """What this process may hold: the node's limits, in equal parts while several processes are the node.
+    def _apply_limits(self) -> None:
+        """Have this process hold an equal fraction of the node's limits while several processes are the node.
 
         Nothing that is open is closed for it. What is beyond makes place as others come.
         """
         count = 1 if self._worker_processes is None else self._worker_processes.count
-        config = self.config
-        self.core.memory_budget.resize(
-            max(int(MAX_VALUE_MB * 1024 * 1024), config.memory_budget_bytes // count)
-        )
-        self.dispatcher.pool.max_connections = config.server_sockets // count
-        self.downstream.connections.limit = config.client_sockets // count
+        limits = process_limits(self.config, count)
+        self.core.memory_budget.resize(limits.memory_bytes)
+        self.dispatcher.pool.max_connections = limits.server_connections
+        self.downstream.connections.limit = limits.client_connections
         if self.leases is not None:
             self.leases.process_count_changed(count)
 
-    def refuse_reload(self, error: Exception) -> None:
-        """A configuration that cannot be read changes nothing; it is counted and told."""
-        self.counters.add("reloads")
-        self.counters.add("reloads_refused")
-        self.log.event("reload_refused", error=str(error))
-
-    # What operators call for
-
-    def _routes(self) -> Routes:
-        return {
-            b"/admin/health": {b"GET": self._health},
-            b"/admin/quiesce": {b"POST": self._quiesce},
-            b"/admin/resume": {b"POST": self._resume},
-            **({} if self.membership is None else {b"/admin/peers": {b"GET": self.membership.admin_view}}),
-            **({} if self.leases is None else {b"/admin/budgets": {b"GET": self.leases.admin_status}}),
-            **({} if self.replication is None else self.replication.routes()),
-        }
+    # The service, as operators see it
 
     @property
     def state(self) -> str:
@@ -252,23 +308,25 @@
             return "starting"
         return self.shutdown.state.value
 
-    def _health(self) -> AdminResponse:
-        # A drained process can serve: it is only told not to. One that leaves ends soon.
-        able = self.downstream.serving and self.shutdown.state is not ServiceState.TERMINATING
-        said = {
-            "state": self.state,
-            "connections": self.downstream.connection_count,
-            "requests": self.core.unanswered,
-        }
-        return 200 if able else 503, said
+    @property
+    def can_serve(self) -> bool:
+        """Whether it can serve. A drained process can: it is only told not to. One that leaves ends soon."""
+        return self.downstream.serving and not self.terminating
+
+    @property
+    def terminating(self) -> bool:
+        """Whether the process is about to end."""
+        return self.shutdown.state is ServiceState.TERMINATING
 
-    def _quiesce(self) -> AdminResponse:
-        self.quiesce()
-        return 200, {"state": self.state}
+    @property
+    def connection_count(self) -> int:
+        """Open connections of clients."""
+        return self.downstream.connection_count
 
-    def _resume(self) -> AdminResponse:
-        self.resume()
-        return 409 if self.shutdown.state is ServiceState.TERMINATING else 200, {"state": self.state}
+    @property
+    def unanswered(self) -> int:
+        """Requests without a final response."""
+        return self.core.unanswered
 
     def quiesce(self) -> bool:
         """Drain: `mn` is told no, connections end between requests, the process runs on.
@@ -279,7 +337,7 @@
         if not self.shutdown.start_drain(self.clock.now()):
             return False
         self.counters.add("drains")
-        self.log.event("draining", connections=self.downstream.connection_count)
+        self.log.event("draining", connections=self.connection_count)
         self.downstream.start_drain()
         return True
 
@@ -289,24 +347,31 @@
             return False
         self.counters.add("resumes")
         self.downstream.cancel_drain()
-        self.log.event("resumed", connections=self.downstream.connection_count)
+        self.log.event("resumed", connections=self.connection_count)
         return True
 
+    # The end
+
     async def leave(self) -> None:
         """Serve on for 0.7 s, answer all that was taken, then close."""
-        other = None if self._worker_processes is None else self._worker_processes.index_of_other()
-        stepped_aside = other is not None and self.downstream.redirect_new_connections(other)
-        self.log.event("leaving", stepped_aside=stepped_aside)
+        self.log.event("leaving", stepped_aside=self._redirect_new_connections())
         if self.leases is not None:
             self.leases.begin_shutdown()
         await self.downstream.leave()
         if self.membership is not None:
             self.membership.leave()
         await self.close()
-        self.tell_counters()
+        self.log_counters()
         self.log.event("left")
 
-    def tell_counters(self) -> None:
+    def _redirect_new_connections(self) -> bool:
+        """Have another process of this node accept new connections; False where there is none."""
+        if self._worker_processes is None:
+            return False
+        other = self._worker_processes.index_of_other()
+        return other is not None and self.downstream.redirect_new_connections(other)
+
+    def log_counters(self) -> None:
         """Log what was counted, and the histograms where there are any."""
         if self.membership is not None:
             self.membership.publish_counters()
@@ -315,7 +380,8 @@
         if self.replication is not None:
             self.replication.publish_counters()
         self.log.event("counters", **self.counters.snapshot())
-        if histograms := self.counters.histograms():
+        histograms = self.counters.histograms()
+        if histograms:
             self.log.event("histograms", **histograms)
 
     async def close(self) -> None:
--- a/flintridge/replication/admin.py
+++ b/flintridge/replication/admin.py
@@ -8,7 +8,7 @@
 
 import msgspec
 
-from flintridge.core.admin_routes import Routes, RouteWithInput
+from flintridge.core.admin_routes import AdminResponse, Routes, RouteWithInput
 from flintridge.membership.driver import MembershipDriver
 from flintridge.replication.comparison import SyncState
 from flintridge.replication.entry import Dot, Key, Version, by_precedence, is_active
@@ -24,8 +24,6 @@
 from flintridge.runtime.clock import Clock
 from flintridge.telemetry.counters import Counters
 
-Response = tuple[int, dict[str, Any]]  # an HTTP status and a JSON object, as the admin API takes them
-
 PAGE_ENTRIES = 100
 MAX_NAME_CHARACTERS = 200
 MAX_NUMBER_DIGITS = 18
@@ -103,7 +101,7 @@
             b"/admin/state/had": {b"GET": RouteWithInput(self.holder_count)},
         }
 
-    def query(self, query: bytes, _body: bytes) -> Response:
+    def query(self, query: bytes, _body: bytes) -> AdminResponse:
         """GET /admin/state: the replica as a whole.
 
         With `type=T[&name=N]`, `bucket=I` or `conflicts=1` also entries, PAGE_ENTRIES at a time; `after` goes
@@ -112,7 +110,7 @@
         fields = dict(parse_qsl(query.decode("utf-8", "replace")))
         unknown = sorted(set(fields) - set(QUERY_FIELDS))
         if unknown:
-            return 400, {"error": f"unknown {unknown[0]}; allowed: {', '.join(QUERY_FIELDS)}"}
+            return AdminResponse(400, {"error": f"unknown {unknown[0]}; allowed: {', '.join(QUERY_FIELDS)}"})
         summary = self._summary()
         if "digests" in fields:
             summary["digests"] = [f"{digest:016x}" for digest in self._replica.digests]
@@ -121,8 +119,9 @@
                 summary.update(self._page(fields))
             except (ValueError, IndexError):
                 limit = len(self._replica.digests)
-                return 400, {"error": f"bucket and after are numbers; a bucket is under {limit}"}
-        return 200, summary
+                error = f"bucket and after are numbers; a bucket is under {limit}"
+                return AdminResponse(400, {"error": error})
+        return AdminResponse(200, summary)
 
     def _summary(self) -> dict[str, Any]:
         replica = self._replica
@@ -174,25 +173,26 @@
             "versions": [_version_json(version, now) for version in versions],
         }
 
-    def write(self, _query: bytes, body: bytes) -> Response:
+    def write(self, _query: bytes, body: bytes) -> AdminResponse:
         """POST /admin/state, a `WriteCall` in JSON. Written here at once; nothing waits for other nodes."""
         try:
             call = msgspec.json.decode(body, type=WriteCall)
             version = self._write(call)
         except msgspec.MsgspecError as error:
-            return 400, {"error": str(error)}
+            return AdminResponse(400, {"error": str(error)})
         except (UnicodeDecodeError, RecursionError):
-            return 400, {"error": "the body is not JSON"}
+            return AdminResponse(400, {"error": "the body is not JSON"})
         except WriteRejectedError as error:
             self._counters.add("state_writes_rejected")
-            return 409, {"error": str(error)}
+            return AdminResponse(409, {"error": str(error)})
         self._gossip.acknowledgements.track(version.dot)
         self._counters.add("state_writes")
-        return 200, {
+        fields = {
             "name": self._membership.name,
             "write": version.dot[1],
             "life": f"{self._membership.incarnation:x}",
         }
+        return AdminResponse(200, fields)
 
     def _write(self, call: WriteCall) -> Version:
         if not call.author or not call.reason:
@@ -208,15 +208,15 @@
             self._clock.now(), key, body, call.author, call.reason, lifetime_ms, call.delete
         )
 
-    def holder_count(self, query: bytes, _body: bytes) -> Response:
+    def holder_count(self, query: bytes, _body: bytes) -> AdminResponse:
         """GET /admin/state/had?write=N: how many nodes are known to have that write of this process."""
         text = dict(parse_qsl(query.decode("utf-8", "replace"))).get("write", "")
         is_number = text.isdecimal() and len(text) <= MAX_NUMBER_DIGITS
         dot: Dot = (self._replica.writer, int(text) if is_number else 0)
         count = self._gossip.acknowledgements.holder_count(dot)
         if count is None:
-            return 404, {"error": "no such write of this process, or too long ago"}
-        return 200, {"had": count, "life": f"{self._membership.incarnation:x}"}
+            return AdminResponse(404, {"error": "no such write of this process, or too long ago"})
+        return AdminResponse(200, {"had": count, "life": f"{self._membership.incarnation:x}"})
 
 
 def _version_json(version: Version, now: float) -> dict[str, Any]:
--- a/tests/downstream/test_admin_api.py
+++ b/tests/downstream/test_admin_api.py
@@ -19,6 +19,7 @@
 from flintridge.config.address import Address
 from flintridge.config.errors import ConfigError
 from flintridge.config.platform_config import node_config
+from flintridge.core.admin_routes import AdminResponse
 from flintridge.downstream.admin_api import CALL_TIMEOUT_MS, AdminApi
 from flintridge.downstream.admin_exchange import MAX_BODY_BYTES, MAX_HEAD_BYTES, AdminExchange
 from flintridge.downstream.lingering_close import LINGERING_CLOSE_MS
@@ -31,10 +32,10 @@
 def routes(calls: list | None = None):
     def call():
         (calls if calls is not None else []).append("quiesce")
-        return 200, {"state": "draining"}
+        return AdminResponse(200, {"state": "draining"})
 
     return {
-        b"/admin/health": {b"GET": lambda: (200, {"state": "serving"})},
+        b"/admin/health": {b"GET": lambda: AdminResponse(200, {"state": "serving"})},
         b"/admin/quiesce": {b"POST": call},
     }
 
--- a/tests/replication/test_admin.py
+++ b/tests/replication/test_admin.py
@@ -7,6 +7,7 @@
 import pytest
 from support.replication import KEY, make_replica
 
+from flintridge.core.admin_routes import AdminResponse
 from flintridge.replication.admin import ReplicationActivity, StateAdminApi
 from flintridge.replication.comparison import SyncState
 from flintridge.replication.gossip import RumorSpreader
@@ -29,11 +30,11 @@
 
 
 def test_query_when_nothing_is_asked_for_has_the_summary_alone(api):
-    status, response = api.query(b"", b"")
-    root = response.pop("root")
-    assert status == 200
+    response = api.query(b"", b"")
+    root = response.fields.pop("root")
+    assert response.status == 200
     assert len(root) == 16
-    assert list(response.items()) == [
+    assert list(response.fields.items()) == [
         ("name", "a"),
         ("life", "ff"),
         ("standing", "fresh"),
@@ -57,13 +58,13 @@
 )
 def test_query_in_each_synchronization_state_has_its_public_name(api, sync_state, standing):
     api.replica.sync_state = sync_state
-    assert api.query(b"", b"")[1]["standing"] == standing
+    assert api.query(b"", b"").fields["standing"] == standing
 
 
 def test_query_when_things_were_counted_has_their_public_names(api):
     names = ("clock_ahead", "versions_ended", "chunks_out_of_order", "conflicts")
     api.replica.counts.update(dict.fromkeys(names, 2))
-    assert api.query(b"", b"")[1]["counts"] == {
+    assert api.query(b"", b"").fields["counts"] == {
         "ahead": 2,
         "ended": 2,
         "slices_out_of_turn": 2,
@@ -72,12 +73,12 @@
 
 
 def test_write_when_queried_has_its_version(api):
-    assert api.write(b"", orjson.dumps(WRITE)) == (200, {"name": "a", "write": 1, "life": "ff"})
-    assert api.holder_count(b"write=1", b"") == (200, {"had": 1, "life": "ff"})
-    status, response = api.query(b"type=hold&name=s1", b"")
-    assert status == 200
-    assert response["next"] is None
-    assert response["page"] == [
+    assert api.write(b"", orjson.dumps(WRITE)) == AdminResponse(200, {"name": "a", "write": 1, "life": "ff"})
+    assert api.holder_count(b"write=1", b"") == AdminResponse(200, {"had": 1, "life": "ff"})
+    response = api.query(b"type=hold&name=s1", b"")
+    assert response.status == 200
+    assert response.fields["next"] is None
+    assert response.fields["page"] == [
         {
             "type": "hold",
             "name": "s1",
@@ -110,17 +111,17 @@
     ],
 )
 def test_write_when_not_acceptable_is_rejected_and_nothing_is_written(api, change, status, message):
-    assert api.write(b"", orjson.dumps(WRITE | change)) == (status, {"error": message})
+    assert api.write(b"", orjson.dumps(WRITE | change)) == AdminResponse(status, {"error": message})
     assert KEY not in api.replica.entries
 
 
 @pytest.mark.parametrize("query", [b"bucket=x", b"bucket=256", b"entries=1&after=x"])
 def test_query_when_a_number_is_malformed_is_rejected(api, query):
     message = "bucket and after are numbers; a bucket is under 256"
-    assert api.query(query, b"") == (400, {"error": message})
+    assert api.query(query, b"") == AdminResponse(400, {"error": message})
 
 
 def test_holder_count_when_the_write_is_unknown_is_not_found(api):
     error = {"error": "no such write of this process, or too long ago"}
-    assert api.holder_count(b"write=7", b"") == (404, error)
-    assert api.holder_count(b"write=x", b"") == (404, error)
+    assert api.holder_count(b"write=7", b"") == AdminResponse(404, error)
+    assert api.holder_count(b"write=x", b"") == AdminResponse(404, error)
--- a/tests/replication/test_clock_steps.py
+++ b/tests/replication/test_clock_steps.py
@@ -40,8 +40,8 @@
 
     def write(self, name: str, **fields: object) -> None:
         call = {"type": "hold", "name": name, "by": "ann", "why": "disk", "body": {"held": True}} | fields
-        status, response = self.driver.routes()[b"/admin/state"][b"POST"].call(b"", orjson.dumps(call))
-        assert status == 200, response
+        response = self.driver.routes()[b"/admin/state"][b"POST"].call(b"", orjson.dumps(call))
+        assert response.status == 200, response.fields
 
 
 @pytest.mark.parametrize("step_ms", STEPS_MS)
--- a/tests/replication/test_state_commands.py
+++ b/tests/replication/test_state_commands.py
@@ -7,7 +7,7 @@
 from click.testing import CliRunner
 
 from flintridge.cli.main import main
-from flintridge.core.admin_routes import RouteWithInput
+from flintridge.core.admin_routes import AdminResponse, RouteWithInput
 from flintridge.downstream.admin_exchange import AdminExchange
 
 ONE_CONSOLE = ("--console", "127.0.0.1:1")
@@ -15,8 +15,8 @@
 
 def test_route_when_it_takes_a_body_is_given_it_with_the_query_and_others_are_not():
     calls = []
-    taking = RouteWithInput(lambda query, body: calls.append((query, body)) or (200, {}))
-    routes = {b"/w": {b"POST": taking, b"GET": lambda: (200, {"plain": True})}}
+    taking = RouteWithInput(lambda query, body: calls.append((query, body)) or AdminResponse(200, {}))
+    routes = {b"/w": {b"POST": taking, b"GET": lambda: AdminResponse(200, {"plain": True})}}
     exchange = AdminExchange(routes)
     head = b"POST /w?a=1 HTTP/1.1\r\nHost: x\r\nContent-Length: 6\r\n\r\n"
     assert exchange.feed(head + b"abc") is None
