--- a/tests/core/test_attempt_limits.py
+++ b/tests/core/test_attempt_limits.py
@@ -1,4 +1,4 @@
-"""The core hands a send's limits on to its driver."""
+"""Limits of a `Send` reach the driver with its attempt."""
 
 import asyncio
 
@@ -10,7 +10,7 @@
 from flintridge.runtime.clock import NS_PER_MS
 
 
-def test_the_core_hands_the_limits_on_and_ends_what_its_client_left():
+def test_send_when_it_has_limits_then_the_attempt_has_them_and_ends_with_its_client():
     async def test():
         class Sends:
             def handle(self, now, event):
--- a/tests/core/test_lifecycle.py
+++ b/tests/core/test_lifecycle.py
@@ -1,4 +1,4 @@
-"""The core on a clock set by hand: events in order, one end an attempt, one final answer a request."""
+"""The request lifecycle: events in order, one end for each attempt, one final response for each request."""
 
 from dataclasses import replace
 
@@ -13,46 +13,49 @@
 from flintridge.core.response import AttemptResult, Response
 from flintridge.runtime.clock import to_ns
 
-HELD_BYTES = 1 << 20
+MEMORY_BYTES = 1 << 20
 
 
 OK = AttemptResult(Outcome.OK, Response(b"value", receipt=False))
 
 
-class Node:
-    """The core between a script and drivers that only remember."""
+class Core:
+    """A request lifecycle between a scripted policy and drivers that record their calls."""
 
     def __init__(self) -> None:
-        self.clock, self.script, self.replies = HandClock(), Script(), Replies()
+        self.clock = HandClock()
+        self.script = Script()
+        self.replies = Replies()
         self.log, self.counters = quiet()
-        self.core = RequestLifecycle(self.script, SETTINGS, self.clock, HELD_BYTES, self.log, self.counters)
-        self.attempts, self.done = [], []
+        self.core = RequestLifecycle(self.script, SETTINGS, self.clock, MEMORY_BYTES, self.log, self.counters)
+        self.attempts = []
+        self.calls = []
         self.core.attach(self, self)
 
     def start(self, attempt) -> None:
-        attempt.abort = lambda: self.done.append(("given up", attempt.number))
+        attempt.abort = lambda: self.calls.append(("aborted", attempt.number))
         self.attempts.append(attempt)
 
     def check_health(self, server, done) -> None:
         done(AttemptResult(Outcome.OK, load={"qps": 3.0}))
 
     def close_idle_connections(self, server) -> None:
-        self.done.append(("close", server))
+        self.calls.append(("close", server))
 
     def watch(self, on) -> None:
-        self.done.append(("watch", on))
+        self.calls.append(("watch", on))
 
     def fetch(self) -> None:
-        self.done.append("fetch")
+        self.calls.append("fetch")
 
     def on(self, kind, *actions) -> None:
         self.script.answers[kind] = lambda _: list(actions)
 
-    def ask(self, **changes) -> None:
+    def submit(self, **changes) -> None:
         self.core.submit(make_request(**changes), self.replies)
 
-    def ring(self, *actions) -> None:
-        """Have the module act now."""
+    def act(self, *actions) -> None:
+        """Have the policy want actions now."""
         self.on(api.EndpointUpdate, *actions)
         self.core.notify(api.EndpointUpdate(api.UpdateKind.DELTA))
 
@@ -60,172 +63,182 @@
 SEND = api.Send("a1", "s1")
 
 
-def test_a_request_reaches_the_module_in_its_terms():
-    node = Node()
-    node.ask(value=b"v", class_index=1, retry=True, work_us=12000.5, size=3.0)
-    now, event = node.script.events[0]
-    assert now == to_ns(10_000) and event.deadline == to_ns(10_470)  # early, for the way back
+def test_submit_when_a_request_was_read_then_notifies_the_policy_in_its_terms():
+    harness = Core()
+    harness.submit(value=b"v", class_index=1, retry=True, work_us=12000.5, size=3.0)
+    now, event = harness.script.events[0]
+    assert now == to_ns(10_000) and event.deadline == to_ns(10_470)  # early: the response has a way to go
     assert (event.id, event.key, event.write, event.class_index, event.retry) == ("a1", "key7", True, 1, True)
     assert (event.work_ns, event.size) == (12_000_500, 3.0)
 
 
-@pytest.mark.parametrize(("wait", "due"), [(None, 11_990), (9e9, 11_990), (10.0, 10_009), (0.0, 10_000)])
-def test_the_clients_patience_bounds_the_deadline(wait, due):
-    node = Node()
-    node.ask(wait=wait)
-    assert node.script.events[0][1].deadline == to_ns(due)
-
-
-def test_the_first_ok_is_passed_on_before_the_module_is_told():
-    node = Node()
-    node.on(api.RequestReceived, SEND, SEND)
-    node.script.answers[api.AttemptEnded] = lambda e: node.done.append(list(node.replies.said)) or []
-    node.ask()
-    node.clock.go(30)
-    node.core.attempt_ended(node.attempts[1], OK)
-    assert node.replies.said == [b"value"] and node.done == [[b"value"]]
-    node.core.attempt_ended(node.attempts[0], AttemptResult(Outcome.OK, Response(b"second", receipt=False)))
-    assert node.replies.said == [b"value"]
-    assert node.script.ends() == [(1, Outcome.OK, True), (0, Outcome.OK, True)]
-    assert node.script.events[1][1].latency_ns == to_ns(30)
-
-
-def test_what_fell_due_before_the_net_has_its_turn_though_the_loop_was_held_up():
-    """On a loop that stood still at the deadline the net and the attempt's end come due in one turn, and the
-    attempt's task hears of it a step later: the module is to answer, which may say when to come again."""
-    node = Node()
-    node.on(api.RequestReceived, SEND)
-    node.on(api.AttemptEnded, api.Reject("a1", to_ns(300)))
-    node.ask()
+@pytest.mark.parametrize(
+    ("timeout_ms", "due"), [(None, 11_990), (9e9, 11_990), (10.0, 10_009), (0.0, 10_000)]
+)
+def test_deadline_when_the_client_names_a_timeout_then_is_bounded_by_it(timeout_ms, due):
+    harness = Core()
+    harness.submit(wait=timeout_ms)
+    assert harness.script.events[0][1].deadline == to_ns(due)
+
+
+def test_attempt_when_served_then_responds_before_the_policy_is_notified():
+    harness = Core()
+    harness.on(api.RequestReceived, SEND, SEND)
+    harness.script.answers[api.AttemptEnded] = (
+        lambda e: harness.calls.append(list(harness.replies.said)) or []
+    )
+    harness.submit()
+    harness.clock.go(30)
+    harness.core.attempt_ended(harness.attempts[1], OK)
+    assert harness.replies.said == [b"value"] and harness.calls == [[b"value"]]
+    harness.core.attempt_ended(
+        harness.attempts[0], AttemptResult(Outcome.OK, Response(b"second", receipt=False))
+    )
+    assert harness.replies.said == [b"value"]
+    assert harness.script.ends() == [(1, Outcome.OK, True), (0, Outcome.OK, True)]
+    assert harness.script.events[1][1].latency_ns == to_ns(30)
+
+
+def test_attempt_end_when_due_with_the_deadline_timer_then_goes_first():
+    """Where the loop stood still at the deadline both fall due in one turn; the attempt's task runs a step
+    later: the response is to be the policy's, which may say when to come again."""
+    harness = Core()
+    harness.on(api.RequestReceived, SEND)
+    harness.on(api.AttemptEnded, api.Reject("a1", to_ns(300)))
+    harness.submit()
     timed_out = AttemptResult(Outcome.TIMEOUT)
-    node.clock.call_at(10_475, node.core.attempt_ended, node.attempts[0], timed_out)  # right behind the net
-    node.clock.go(475)
-    assert node.replies.said == [("busy", 300.0)] and not node.counters["responses_overdue"]
-
-
-def test_every_send_ends_once_also_after_the_final_answer():
-    node = Node()
-    node.on(api.RequestReceived, SEND)
-    node.ask()
-    node.ring(api.Reject("a1", to_ns(9000)), api.Fail("a1"), SEND)
-    assert node.replies.said == [("busy", 2000.0)]  # once, and capped by the settings
-    assert node.script.ends() == [(1, Outcome.WITHDRAWN, True)]
-    node.core.attempt_ended(node.attempts[0], AttemptResult(Outcome.RESET))
-    node.core.attempt_ended(node.attempts[0], OK)
-    assert node.script.ends() == [(1, Outcome.WITHDRAWN, True), (0, Outcome.RESET, True)]
-    assert node.core.idle and len(node.attempts) == 1
-
-
-def test_sends_over_the_cap_or_too_late_are_moot_and_the_cap_counts_all():
-    node = Node()
-    node.on(api.RequestReceived, SEND, SEND, SEND, SEND)
-    node.ask()
-    assert node.script.ends() == [(3, Outcome.WITHDRAWN, False)] and len(node.attempts) == 3
-    late = Node()
-    late.ask(wait=0.0)
-    late.ring(SEND, api.Send("a1", "s1", -5))
+    harness.clock.call_at(
+        10_475, harness.core.attempt_ended, harness.attempts[0], timed_out
+    )  # right behind the timer
+    harness.clock.go(475)
+    assert harness.replies.said == [("busy", 300.0)] and not harness.counters["responses_overdue"]
+
+
+def test_send_when_the_request_has_its_final_response_then_ends_once():
+    harness = Core()
+    harness.on(api.RequestReceived, SEND)
+    harness.submit()
+    harness.act(api.Reject("a1", to_ns(9000)), api.Fail("a1"), SEND)
+    assert harness.replies.said == [("busy", 2000.0)]  # once, and capped by the settings
+    assert harness.script.ends() == [(1, Outcome.WITHDRAWN, True)]
+    harness.core.attempt_ended(harness.attempts[0], AttemptResult(Outcome.RESET))
+    harness.core.attempt_ended(harness.attempts[0], OK)
+    assert harness.script.ends() == [(1, Outcome.WITHDRAWN, True), (0, Outcome.RESET, True)]
+    assert harness.core.idle and len(harness.attempts) == 1
+
+
+def test_send_when_beyond_the_cap_or_too_late_then_is_withdrawn_and_the_cap_counts_all():
+    harness = Core()
+    harness.on(api.RequestReceived, SEND, SEND, SEND, SEND)
+    harness.submit()
+    assert harness.script.ends() == [(3, Outcome.WITHDRAWN, False)] and len(harness.attempts) == 3
+    late = Core()
+    late.submit(wait=0.0)
+    late.act(SEND, api.Send("a1", "s1", -5))
     assert [outcome for _, outcome, _ in late.script.ends()] == [Outcome.WITHDRAWN, Outcome.WITHDRAWN]
 
 
-def test_an_attempts_time_is_trimmed_to_the_deadline():
-    node = Node()
-    node.on(api.RequestReceived, SEND, api.Send("a1", "s1", to_ns(100)), api.Send("a1", "s1", to_ns(9000)))
-    node.ask()
-    assert [attempt.deadline for attempt in node.attempts] == [10_470, 10_100, 10_470]
+def test_attempt_when_its_timeout_ends_after_the_deadline_then_has_until_the_deadline():
+    harness = Core()
+    harness.on(api.RequestReceived, SEND, api.Send("a1", "s1", to_ns(100)), api.Send("a1", "s1", to_ns(9000)))
+    harness.submit()
+    assert [attempt.deadline for attempt in harness.attempts] == [10_470, 10_100, 10_470]
 
 
-def test_events_that_actions_cause_wait_their_turn():
-    node = Node()  # Script itself fails on a call within a call
-    node.on(api.RequestReceived, api.CheckHealth("s1"), api.CheckHealth("s2"))
-    node.ask()
-    assert [getattr(e, "server", "") for _, e in node.script.events] == ["", "s1", "s2"]
-    assert node.script.events[1][1].load == {"qps": 3.0}
+def test_event_when_an_action_causes_it_then_waits_until_handle_has_returned():
+    harness = Core()  # Script itself fails on a call within a call
+    harness.on(api.RequestReceived, api.CheckHealth("s1"), api.CheckHealth("s2"))
+    harness.submit()
+    assert [getattr(e, "server", "") for _, e in harness.script.events] == ["", "s1", "s2"]
+    assert harness.script.events[1][1].load == {"qps": 3.0}
 
 
-def test_a_cancel_ends_the_attempt_and_gives_it_up():
-    node = Node()
-    node.on(api.RequestReceived, SEND)
-    node.ask()
-    node.ring(api.Cancel("a1", 0), api.Cancel("a1", 7), api.Cancel("other", 0))
-    assert node.done == [("given up", 0)] and node.script.ends() == [(0, Outcome.CANCELLED, False)]
+def test_cancel_when_the_attempt_is_in_flight_then_aborts_and_ends_it():
+    harness = Core()
+    harness.on(api.RequestReceived, SEND)
+    harness.submit()
+    harness.act(api.Cancel("a1", 0), api.Cancel("a1", 7), api.Cancel("other", 0))
+    assert harness.calls == [("aborted", 0)] and harness.script.ends() == [(0, Outcome.CANCELLED, False)]
 
 
-def test_a_client_that_left_is_owed_nothing_but_its_attempts_end():
-    node = Node()
-    node.on(api.RequestReceived, SEND)
-    node.ask()
-    node.core.client_disconnected("a1")
-    node.core.client_disconnected("a1")
-    with pytest.raises(IdInUseError):  # its attempt may still run: the same id must not be begun anew
-        node.ask()
-    node.core.attempt_ended(node.attempts[0], OK)
-    assert node.replies.said == [] and node.script.ends() == [(0, Outcome.OK, True)]
-    assert sum(isinstance(e, api.ClientDisconnected) for _, e in node.script.events) == 1
-    node.ask()
+def test_disconnect_when_an_attempt_is_in_flight_then_no_response_is_made_and_the_attempt_ends():
+    harness = Core()
+    harness.on(api.RequestReceived, SEND)
+    harness.submit()
+    harness.core.client_disconnected("a1")
+    harness.core.client_disconnected("a1")
+    with pytest.raises(IdInUseError):  # its attempt may still run
+        harness.submit()
+    harness.core.attempt_ended(harness.attempts[0], OK)
+    assert harness.replies.said == [] and harness.script.ends() == [(0, Outcome.OK, True)]
+    assert sum(isinstance(e, api.ClientDisconnected) for _, e in harness.script.events) == 1
+    harness.submit()
 
 
-def test_timers_ring_no_earlier_than_asked():
-    node = Node()
+def test_timer_when_due_between_two_instants_of_the_clock_then_fires_no_earlier():
+    harness = Core()
     at = to_ns(10_250) + 1  # between what the float clock can tell and the next
-    node.ring(api.SetTimer(at, 5))
-    node.clock.go(250.001)
-    now, event = node.script.events[-1]
+    harness.act(api.SetTimer(at, 5))
+    harness.clock.go(250.001)
+    now, event = harness.script.events[-1]
     assert event == api.TimerFired(5) and now >= at
 
 
-def test_a_module_that_breaks_or_forgets_still_leaves_an_answer_in_time():
-    node = Node()
-    node.script.answers[api.RequestReceived] = lambda _: 1 // 0
-    node.script.handle = lambda now, event: 1 // 0
-    node.ask()
-    assert node.counters["policy_errors"] == 1 and node.replies.said == []
-    node.clock.go(479)
-    assert node.replies.said == ["failed"] and node.core.idle
+def test_request_when_the_policy_raises_then_fails_in_time():
+    harness = Core()
+    harness.script.answers[api.RequestReceived] = lambda _: 1 // 0
+    harness.script.handle = lambda now, event: 1 // 0
+    harness.submit()
+    assert harness.counters["policy_errors"] == 1 and harness.replies.said == []
+    harness.clock.go(479)
+    assert harness.replies.said == ["failed"] and harness.core.idle
 
 
-def test_the_other_actions_reach_their_drivers():
-    node = Node()
-    node.ring(
+def test_action_when_about_no_request_then_reaches_its_driver():
+    harness = Core()
+    harness.act(
         api.Watch(), api.Watch(False), api.FetchEndpoints(), api.CloseIdleConnections("s1"), api.Log("hi")
     )
-    assert node.done == [("watch", True), ("watch", False), "fetch", ("close", "s1")]
+    assert harness.calls == [("watch", True), ("watch", False), "fetch", ("close", "s1")]
 
 
-def test_more_values_than_the_memory_allows_are_turned_away_and_room_comes_back():
-    node = Node()
-    big = b"x" * (HELD_BYTES // 2)
+def test_submit_when_no_memory_is_free_then_sheds_until_some_is_released():
+    harness = Core()
+    big = b"x" * (MEMORY_BYTES // 2)
     for uid in ("a1", "a2", "a3"):
-        node.ask(uid=uid, value=big)
-    assert node.replies.said == [("busy", 0.0)] and len(node.script.events) == 2
-    node.ring(api.Fail("a1"))
-    node.ask(uid="a4", value=big)
-    assert node.replies.said == [("busy", 0.0), "failed"]
+        harness.submit(uid=uid, value=big)
+    assert harness.replies.said == [("busy", 0.0)] and len(harness.script.events) == 2
+    harness.act(api.Fail("a1"))
+    harness.submit(uid="a4", value=big)
+    assert harness.replies.said == [("busy", 0.0), "failed"]
 
 
-def test_more_open_requests_than_the_settings_allow_are_turned_away():
-    node = Node()
-    node.core.settings = replace(SETTINGS, limits=api.Limits(max_open=1))
-    node.ask(uid="a1")
-    node.ask(uid="a2")
-    assert node.replies.said == [("busy", 0.0)] and not node.core.idle
+def test_submit_when_too_many_requests_are_open_then_sheds():
+    harness = Core()
+    harness.core.settings = replace(SETTINGS, limits=api.Limits(max_open=1))
+    harness.submit(uid="a1")
+    harness.submit(uid="a2")
+    assert harness.replies.said == [("busy", 0.0)] and not harness.core.idle
 
 
-def test_a_long_value_is_its_requests_one_answer_from_its_first_piece_on():
-    node = Node()
-    node.on(api.RequestReceived, SEND)
-    node.ask()
-    (attempt,) = node.attempts
-    node.clock.go(30)
+def test_stream_when_started_then_is_the_final_response_and_ends_the_attempt():
+    harness = Core()
+    harness.on(api.RequestReceived, SEND)
+    harness.submit()
+    (attempt,) = harness.attempts
+    harness.clock.go(30)
 
     class Long:
         length, result = 100_000, AttemptResult(Outcome.OK, cache_status=1)
 
-    passage = node.core.start_stream(attempt, Long())
-    assert node.replies.said == [passage] and passage.length == 100_000
-    assert node.script.ends() == [(0, Outcome.OK, True)] and node.core.idle
-    assert node.script.events[-1][1].latency_ns == to_ns(30)
-    node.core.attempt_ended(attempt, AttemptResult(Outcome.RESET))  # a break on the way: nothing more is told
-    node.core.client_disconnected("a1")
-    node.clock.go(5000)
-    assert len(node.script.ends()) == 1 and len(node.replies.said) == 1
-    assert node.core.start_stream(attempt, Long()) is None
+    streamed = harness.core.start_stream(attempt, Long())
+    assert harness.replies.said == [streamed] and streamed.length == 100_000
+    assert harness.script.ends() == [(0, Outcome.OK, True)] and harness.core.idle
+    assert harness.script.events[-1][1].latency_ns == to_ns(30)
+    harness.core.attempt_ended(
+        attempt, AttemptResult(Outcome.RESET)
+    )  # the stream broke: nothing more is reported
+    harness.core.client_disconnected("a1")
+    harness.clock.go(5000)
+    assert len(harness.script.ends()) == 1 and len(harness.replies.said) == 1
+    assert harness.core.start_stream(attempt, Long()) is None
