--- a/flintridge/downstream/admin_exchange.py
+++ b/flintridge/downstream/admin_exchange.py
@@ -7,8 +7,6 @@
 Bodies are JSON objects that say the state. Those of calls are discarded, but for the routes that take one.
 """
 
-from typing import Any
-
 import h11
 import orjson
 
@@ -60,11 +58,11 @@
             status = error.error_status_hint
             if not BAD_REQUEST <= status < END_OF_ERROR_STATUSES:
                 status = BAD_REQUEST
-            return self._respond(status, {"error": str(error)})
+            return self._respond_with_error(status, str(error))
 
     def time_out(self) -> list[bytes]:
         """The response's buffers for a call that did not become whole in time."""
-        return self._respond(REQUEST_TIMEOUT, {"error": "the call was not whole in time"})
+        return self._respond_with_error(REQUEST_TIMEOUT, "the call was not whole in time")
 
     def _next_response(self) -> list[bytes] | None:
         while True:
@@ -78,7 +76,7 @@
             elif isinstance(event, h11.Data):
                 self._body_bytes += len(event.data)
                 if self._body_bytes > MAX_BODY_BYTES:
-                    return self._respond(BODY_TOO_LARGE, {"error": f"a body over {MAX_BODY_BYTES} bytes"})
+                    return self._respond_with_error(BODY_TOO_LARGE, f"a body over {MAX_BODY_BYTES} bytes")
                 if self._takes_body:
                     self._body += event.data
             elif isinstance(event, h11.EndOfMessage):
@@ -90,27 +88,24 @@
         methods = self._routes.get(path)
         if methods is None:
             paths = [known.decode() for known in self._routes]
-            return self._respond(NOT_FOUND, {"error": "no such path", "paths": paths})
+            return self._respond(AdminResponse(NOT_FOUND, {"error": "no such path", "paths": paths}))
         route = methods.get(self._request.method)
         if route is None:
             allowed = b", ".join(methods)
-            fields = {"error": f"only {allowed.decode()}"}
-            return self._respond(METHOD_NOT_ALLOWED, fields, [(b"Allow", allowed)])
+            response = AdminResponse(METHOD_NOT_ALLOWED, {"error": f"only {allowed.decode()}"})
+            return self._respond(response, [(b"Allow", allowed)])
         if isinstance(route, RouteWithInput):
-            return self._respond_with(route.call(query, bytes(self._body)))
-        return self._respond_with(route())
+            return self._respond(route.call(query, bytes(self._body)))
+        return self._respond(route())
 
-    def _respond_with(self, response: AdminResponse) -> list[bytes]:
-        return self._respond(response.status, response.fields)
+    def _respond_with_error(self, status: int, error: str) -> list[bytes]:
+        return self._respond(AdminResponse(status, {"error": error}))
 
     def _respond(
-        self,
-        status: int,
-        fields: dict[str, Any],
-        extra_headers: list[tuple[bytes, bytes]] | None = None,
+        self, response: AdminResponse, extra_headers: list[tuple[bytes, bytes]] | None = None
     ) -> list[bytes]:
         self._responded = True
-        body = orjson.dumps(fields) + b"\n"
+        body = orjson.dumps(response.fields) + b"\n"
         headers = [
             (b"Content-Type", b"application/json"),
             (b"Content-Length", b"%d" % len(body)),
@@ -121,7 +116,7 @@
         writer = self._connection
         if writer.our_state is h11.ERROR or writer.their_state is h11.ERROR:
             writer = h11.Connection(h11.SERVER)
-        head = h11.Response(status_code=status, headers=headers)
+        head = h11.Response(status_code=response.status, headers=headers)
         buffers = list(writer.send_with_data_passthrough(head) or ())
         if self._request is None or self._request.method != b"HEAD":
             buffers.append(body)
--- a/flintridge/downstream/command_timer.py
+++ b/flintridge/downstream/command_timer.py
@@ -25,12 +25,12 @@
         """Bytes were read; `begins_command`: nothing of a command had come before them."""
         self._last_read_at = now
         if begins_command:
-            self._begin(now)
+            self._start(now)
 
     def command_read(self, now: float) -> None:
         """A command is whole: what is behind it is the next one."""
         self._is_first = False
-        self._begin(now)
+        self._start(now)
 
     def memory_waited(self, wait_ms: float) -> None:
         """Nothing was read for so long, as no memory was free for the value.
@@ -57,6 +57,6 @@
         late = self._is_first and now - self._connected_at >= COMMAND_TIMEOUT_MS
         return late and stalled_ms >= STALL_MS
 
-    def _begin(self, now: float) -> None:
+    def _start(self, now: float) -> None:
         self._started_at = now
         self._memory_wait_ms = 0.0
--- a/flintridge/downstream/connection.py
+++ b/flintridge/downstream/connection.py
@@ -60,11 +60,11 @@
         self._executor = CommandExecutor(owner, self._input, self._pipeline)
         self._orderly_close = OrderlyClose(writer, owner.clock, owner.counters)
         self._close_when_responded = False  # it closes once all pending responses are written
-        self._ended = False  # its client has left, or it was closed
+        self._closed = False  # its client has left, or it was closed
         self._processing = False  # commands that were read are being processed: there may be more of them
         self._transport.set_write_buffer_limits(high=WRITE_AHEAD_BYTES)
         limit_read_size(self._transport)
-        reader.on_end = self._on_ended
+        reader.on_end = self._on_closed
 
     # State
 
@@ -91,20 +91,20 @@
     @property
     def closing(self) -> bool:
         """Whether it is being closed."""
-        return self._orderly_close.begun or self._writer.is_closing()
+        return self._orderly_close.started or self._writer.is_closing()
 
     # What its owner asks of it
 
     def stop_reading(self) -> None:
         """Read nothing more but the rest of half a command; it closes after the pending responses."""
-        if self._orderly_close.begun or self._processing:
+        if self._orderly_close.started or self._processing:
             return
         if not self._input.has_half_command and not self._reader.has_unread:
             self._transport.pause_reading()
 
     def resume_reading(self) -> None:
         """Read on: the drain that stopped the reading was called off."""
-        if not self._orderly_close.begun:
+        if not self._orderly_close.started:
             self._transport.resume_reading()
 
     def check_disconnected(self) -> None:
@@ -113,9 +113,9 @@
         Guards what is pending, or is about to be sent on, against a client whose end the system holds: behind
         bytes that nobody reads now, or in a turn of the event loop that is still to come.
         """
-        if not self._ended and peer_has_closed(self._transport):
+        if not self._closed and peer_has_closed(self._transport):
             self._owner.counters.add("disconnects_behind_unread_input")
-            self._on_ended()
+            self._on_closed()
 
     def close_if_timed_out(self, now: float) -> None:
         """Close it if it has been of no use for too long: idle, or half a command and no more.
@@ -173,14 +173,14 @@
         except OSError as error:  # the client's end of the connection: gone like any other
             error.with_traceback(None)  # the reader keeps it, and with its frames this connection
         finally:
-            self._on_ended()
+            self._on_closed()
 
     async def _read_until_end(self) -> None:
-        while not self._ended:
+        while not self._closed:
             data = await self._input.read()
             if not data:
                 return
-            if self._orderly_close.begun:
+            if self._orderly_close.started:
                 # Guards a request that crossed the close of its connection: its client sends it again,
                 # and processed here as well it would run twice, and the second be told `id in use`.
                 if not self._orderly_close.discards(len(data)):
@@ -205,11 +205,11 @@
     async def _process_commands(self, commands: deque[Command]) -> bool:
         """Whether the connection goes on."""
         # Of a client that has left, or that gets no response any more, nothing further is processed.
-        while commands and not self._ended and not self._orderly_close.begun:
+        while commands and not self._closed and not self._orderly_close.started:
             command = commands.popleft()
             if isinstance(command, LongValueAnnounced):
                 granted = await self._input.reserve_memory(command.length)
-                if self._ended or self._orderly_close.begun:
+                if self._closed or self._orderly_close.started:
                     self._input.value_memory.release()
                     break
                 self._touch()
@@ -264,7 +264,7 @@
         """End it in order. Nothing may be pending on it, but responses may still wait to go out."""
         if self.closing:
             return
-        self._orderly_close.begun = True
+        self._orderly_close.started = True
         self._owner.eviction_order.touch(self)
         self._input.drop(self._owner.empty_parser)
         self._orderly_close.shut_down(self._owner.run_in_background)
@@ -278,14 +278,14 @@
         """Close it now: its client has had its time, or there is none to give."""
         self._orderly_close.abort()
 
-    def _on_ended(self) -> None:
+    def _on_closed(self) -> None:
         """Its client has left, or it is closed: nothing is pending any more, and nothing more is sent on.
 
         Called the moment the end is seen, whatever still awaits its turn or its response.
         """
-        if self._ended:
+        if self._closed:
             return
-        self._ended = True
+        self._closed = True
         # Guards memory: the two would hold one another until the collector comes, seldom on a long day.
         self._reader.on_end = None
         self._orderly_close.cancel_timer()
--- a/flintridge/downstream/input_arrival.py
+++ b/flintridge/downstream/input_arrival.py
@@ -14,13 +14,13 @@
         arrived_after: No byte of the last read had arrived before.
     """
 
-    __slots__ = ("_caught_up_at", "_clock", "_is_late", "_was_paused", "arrived_after")
+    __slots__ = ("_all_read_since", "_clock", "_is_late", "_was_paused", "arrived_after")
 
     def __init__(self, clock: Clock, queued_since: float | None = None) -> None:
         """`queued_since`: since when bytes may have waited with their connection to be accepted."""
         self._clock = clock
         self.arrived_after = clock.earliest_arrival() if queued_since is None else queued_since
-        self._caught_up_at = self.arrived_after  # all that had arrived before has been read
+        self._all_read_since = self.arrived_after  # all that had arrived before has been read
         self._is_late = queued_since is not None  # what is read next may have arrived since then
         self._was_paused = False
 
@@ -38,7 +38,7 @@
     def after_read(self) -> None:
         """The read has returned."""
         arrival_of_new_input = self._clock.earliest_arrival()
-        self.arrived_after = self._caught_up_at if self._is_late else arrival_of_new_input
+        self.arrived_after = self._all_read_since if self._is_late else arrival_of_new_input
         self._is_late = self._was_paused
         if not self._was_paused:
-            self._caught_up_at = arrival_of_new_input
+            self._all_read_since = arrival_of_new_input
--- a/flintridge/downstream/listener.py
+++ b/flintridge/downstream/listener.py
@@ -100,7 +100,7 @@
     # Connections
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        if not self.connections.make_room():
+        if not self.connections.ensure_capacity():
             await self.connections.reject(reader, writer)
             return
         self.counters.add("connections_accepted")
--- a/flintridge/downstream/open_connections.py
+++ b/flintridge/downstream/open_connections.py
@@ -59,7 +59,7 @@
         self.eviction_order.remove(connection)
         self.lingering_evicted.pop(connection, None)
 
-    def make_room(self) -> bool:
+    def ensure_capacity(self) -> bool:
         """Evict one if the limit is reached; False where it is and none may be evicted."""
         return len(self._open) < self.limit or self.evict_one()
 
--- a/flintridge/downstream/orderly_close.py
+++ b/flintridge/downstream/orderly_close.py
@@ -25,10 +25,10 @@
     """The close of one connection.
 
     Attributes:
-        begun: Whether nothing more is written to the connection, nor processed of its input.
+        started: Whether nothing more is written to the connection, nor processed of its input.
     """
 
-    __slots__ = ("_clock", "_counters", "_discardable_bytes", "_timer", "_transport", "_writer", "begun")
+    __slots__ = ("_clock", "_counters", "_discardable_bytes", "_timer", "_transport", "_writer", "started")
 
     def __init__(self, writer: asyncio.StreamWriter, clock: Clock, counters: Counters) -> None:
         """Await the close.
@@ -39,7 +39,7 @@
             counters: Of the node.
         """
         assert isinstance(writer.transport, asyncio.Transport)
-        self.begun = False
+        self.started = False
         self._writer = writer
         self._transport = writer.transport
         self._clock = clock
--- a/flintridge/downstream/value_memory.py
+++ b/flintridge/downstream/value_memory.py
@@ -25,13 +25,13 @@
 
     async def reserve(self, count: int) -> bool:
         """Reserve `count` bytes; False where they are not free within MEMORY_WAIT_MS."""
-        asked_at = self._clock.now()
+        requested_at = self._clock.now()
         self.awaited = True
         try:
             granted = await self._budget.reserve(count, MEMORY_WAIT_MS)
         finally:
             self.awaited = False
-        self.wait_ms = self._clock.now() - asked_at
+        self.wait_ms = self._clock.now() - requested_at
         self._reserved_bytes = count if granted else 0
         return granted
 
--- a/flintridge/node.py
+++ b/flintridge/node.py
@@ -368,8 +368,8 @@
         """Have another process of this node accept new connections; False where there is none."""
         if self._worker_processes is None:
             return False
-        other = self._worker_processes.index_of_other()
-        return other is not None and self.downstream.redirect_new_connections(other)
+        position = self._worker_processes.index_of_other()
+        return position is not None and self.downstream.redirect_new_connections(position)
 
     def log_counters(self) -> None:
         """Log what was counted, and the histograms where there are any."""
--- a/tests/downstream/test_open_connections.py
+++ b/tests/downstream/test_open_connections.py
@@ -39,24 +39,24 @@
     return added
 
 
-def test_room_when_the_limit_is_not_reached_then_nothing_is_evicted(connections):
+def test_capacity_when_the_limit_is_not_reached_then_nothing_is_evicted(connections):
     added = fill(connections, LIMIT - 1)
-    assert connections.make_room()
+    assert connections.ensure_capacity()
     assert [connection.calls for connection in added] == [[], []]
 
 
-def test_room_when_the_limit_is_reached_then_the_least_recently_used_is_evicted(connections):
+def test_capacity_when_the_limit_is_reached_then_the_least_recently_used_is_evicted(connections):
     first, *others = fill(connections)
-    assert connections.make_room()
+    assert connections.ensure_capacity()
     assert first.calls == ["evict"] and list(connections) == others
     assert list(connections.lingering_evicted) == [first]
     connections.remove(first)
     assert not connections.lingering_evicted
 
 
-def test_room_when_every_connection_has_a_response_pending_then_there_is_none(connections):
+def test_capacity_when_every_connection_has_a_response_pending_then_there_is_none(connections):
     added = fill(connections, has_pending=True)
-    assert not connections.make_room()
+    assert not connections.ensure_capacity()
     assert list(connections) == added
 
 
@@ -64,7 +64,7 @@
     fill(connections)
     connections.limit = 1
     assert len(connections) == LIMIT
-    assert connections.make_room()
+    assert connections.ensure_capacity()
     assert len(connections) == LIMIT - 1
 
 
--- a/tests/support/core.py
+++ b/tests/support/core.py
@@ -5,7 +5,7 @@
 
 
 class Script:
-    """Stands for the module: remembers events and answers them as the test says."""
+    """Stands for the policy: records events and answers them as the test says."""
 
     def __init__(self) -> None:
         self.events: list[tuple[int, api.Event]] = []
