--- a/flintridge/downstream/connection_owner.py
+++ b/flintridge/downstream/connection_owner.py
@@ -6,11 +6,11 @@
 from flintridge.api import Settings
 from flintridge.codec.memcache.command_parser import CommandParser
 from flintridge.downstream.command_executor import ExecutorOwner
-from flintridge.downstream.eviction import C, EvictionOrder
+from flintridge.downstream.eviction import ConnectionT, EvictionOrder
 from flintridge.runtime.clock import Clock
 
 
-class ConnectionOwner(ExecutorOwner, Protocol[C]):
+class ConnectionOwner(ExecutorOwner, Protocol[ConnectionT]):
     """The owner of client connections: what they share, and what they report to it.
 
     Attributes:
@@ -22,7 +22,7 @@
 
     settings: Settings
     clock: Clock
-    eviction_order: EvictionOrder[C]
+    eviction_order: EvictionOrder[ConnectionT]
     empty_parser: CommandParser
 
     @property
@@ -32,5 +32,5 @@
     def run_in_background(self, work: Coroutine[None, None, None]) -> None:
         """Run `work` as a task that is held until it ends."""
 
-    def close_if_draining(self, connection: C) -> None:
+    def close_if_draining(self, connection: ConnectionT) -> None:
         """Close a connection that is between requests if the node drains."""
--- a/flintridge/downstream/eviction.py
+++ b/flintridge/downstream/eviction.py
@@ -28,10 +28,10 @@
         """Whether it is between requests."""
 
 
-C = TypeVar("C", bound=EvictableConnection)
+ConnectionT = TypeVar("ConnectionT", bound=EvictableConnection)
 
 
-class EvictionOrder(Generic[C]):
+class EvictionOrder(Generic[ConnectionT]):
     """Connections in the order of their eviction.
 
     First those that close, then those that have requested, then those that never did; of each kind the least
@@ -47,11 +47,11 @@
 
     def __init__(self) -> None:
         # Dicts, as they keep their order, the least recently used first.
-        self._closing: dict[C, None] = {}
-        self._requested: dict[C, None] = {}
-        self._never_requested: dict[C, None] = {}
+        self._closing: dict[ConnectionT, None] = {}
+        self._requested: dict[ConnectionT, None] = {}
+        self._never_requested: dict[ConnectionT, None] = {}
 
-    def touch(self, connection: C) -> None:
+    def touch(self, connection: ConnectionT) -> None:
         """It was opened just now, was used, or begins to close."""
         self.remove(connection)
         if connection.closing:
@@ -61,13 +61,13 @@
         else:
             self._never_requested[connection] = None
 
-    def remove(self, connection: C) -> None:
+    def remove(self, connection: ConnectionT) -> None:
         """It is no longer to be evicted, or not open any more."""
         self._never_requested.pop(connection, None)
         self._requested.pop(connection, None)
         self._closing.pop(connection, None)
 
-    def first_evictable(self) -> C | None:
+    def first_evictable(self) -> ConnectionT | None:
         """The connection to evict; None where each of them has a response pending, or is about to."""
         for connection in self._closing:
             return connection
