--- a/benchmarks/budgets_cold.py
+++ b/benchmarks/budgets_cold.py
@@ -27,14 +27,15 @@
 from msgspec.structs import replace
 
 from flintridge.lab.experiment.stats import mean
-from flintridge.lab.judge.facts import Day, Sent
+from flintridge.lab.judge.facts import AttemptOutcome, History
 from flintridge.lab.judge.rules.fleet import _windows, capacity
-from flintridge.lab.records import Held, read
+from flintridge.lab.records import LeaseReported, read_records
 from flintridge.lab.run import play
 from flintridge.lab.scenario.load import load
 from flintridge.lab.scenario.model import Replace, Scenario, Tenant
-from flintridge.policy import balancer
-from flintridge.policy.concurrency_limiter import OpenRequest
+from flintridge.policy.endpoint_state import Server
+from flintridge.policy.open_request import OpenRequest
+from flintridge.policy.server_selection import ServerSelection
 
 MODES = {"off": [], "cold": ["peers={}", "budgets={cold=true}"]}
 AT_S, LENGTH_S, WARMUP_S, WORK_MS = 2.0, 13.0, 9.0, 60.0
@@ -77,20 +78,21 @@
         self.met: set[str] = set()
         self.walked: set[str] = set()
         self.looks = self.dealt = 0
-        is_within_budget = balancer.Balancer.is_within_budget
+        is_within_budget = ServerSelection.is_within_budget
 
-        def counted(policy: balancer.Balancer, server: balancer.Server, request: OpenRequest) -> bool:
-            free = is_within_budget(policy, server, request)
-            if policy.warmth(server) < 1:
+        def counted(selection: ServerSelection, server: Server, request: OpenRequest, now: int) -> bool:
+            free = is_within_budget(selection, server, request, now)
+            slow_start = selection.slow_start
+            if slow_start.warmth(server.endpoint, now) < 1:
                 self.met.add(request.event.id)
                 self.looks += 1
-                self.dealt += policy.node_work() > policy.warm_work
+                self.dealt += slow_start.node_work() > slow_start.warm_work
                 if not free:
                     self.walked.add(request.event.id)
             return free
 
-        self._undo = lambda: setattr(balancer.Balancer, "is_within_budget", is_within_budget)
-        setattr(balancer.Balancer, "is_within_budget", counted)  # noqa: B010  mypy refuses an assignment
+        self._undo = lambda: setattr(ServerSelection, "is_within_budget", is_within_budget)
+        setattr(ServerSelection, "is_within_budget", counted)  # noqa: B010  mypy refuses an assignment
 
     def close(self) -> None:
         self._undo()
@@ -105,26 +107,30 @@
             events = Path(folder) / "events"
             result = play(scenario, seed, events=events)
             with events.open("rb") as lines:
-                day = Day(read(lines), scenario, "virtual")
+                day = History(read_records(lines), scenario, "virtual")
     finally:
         walks.close()
-    caches = [sent for sent in day.sent.values() if not sent.record.origin]
-    by_server: dict[str, list[Sent]] = {}
+    caches = [sent for sent in day.sent.values() if not sent.record.is_origin]
+    by_server: dict[str, list[AttemptOutcome]] = {}
     for sent in caches:
         by_server.setdefault(sent.record.server, []).append(sent)
     rules, used, most = scenario.rules, [], 0.0
     for starts in day.starts.values():
-        for start in (start for start in starts if start.t > 0):
-            mine = [s for s in by_server.get(start.server, []) if 0 <= s.record.t - start.t < start.cold_ms]
-            for i in range(round(start.cold_ms / rules.fall_ms)):
-                since, until = start.t + i * rules.fall_ms, start.t + (i + 1) * rules.fall_ms
-                work = sum(sent.record.work_ms for sent in mine if since <= sent.record.t < until)
+        for start in (start for start in starts if start.at_ms > 0):
+            mine = [
+                s
+                for s in by_server.get(start.server, [])
+                if 0 <= s.record.at_ms - start.at_ms < start.warm_up_ms
+            ]
+            for i in range(round(start.warm_up_ms / rules.fall_ms)):
+                since, until = start.at_ms + i * rules.fall_ms, start.at_ms + (i + 1) * rules.fall_ms
+                work = sum(sent.record.work_ms for sent in mine if since <= sent.record.at_ms < until)
                 used.append(work / (rules.fall_multiple * capacity(start, until) * rules.fall_ms))
             for window, work in _windows(mine, rules.fall_ms):
-                budget = rules.fall_multiple * capacity(start, window[-1].record.t) * rules.fall_ms
+                budget = rules.fall_multiple * capacity(start, window[-1].record.at_ms) * rules.fall_ms
                 most = max(most, work / budget)
-    held = [one for one in day.records if isinstance(one, Held) and one.t > AT_S * 1000]
-    lent, looks = [one.borrowed for one in held], {one.t for one in held}
+    held = [one for one in day.records if isinstance(one, LeaseReported) and one.at_ms > AT_S * 1000]
+    lent, looks = [one.borrowed for one in held], {one.at_ms for one in held}
     outcomes = Counter(sent.made.outcome for sent in caches if sent.made is not None)
     return {
         "args": args,
@@ -143,7 +149,7 @@
         "goodput": result.goodput,
         "p99": result.latency_ms.p99,
         "borrowed": sum(lent) / (max(1, len(looks)) * args["nodes"]),
-        "ended": result.ended,
+        "ended": result.end_reason,
         "rules": {rule: count for rule, count in result.rules.items() if count},
         "wall_s": result.wall_s,
     }
--- /dev/null
+++ b/tests/policy/test_attempt_feedback.py
@@ -0,0 +1,45 @@
+"""Attempt feedback: which mechanism takes in which end of an attempt."""
+
+import random
+
+import pytest
+from support.policy import MS, START, ended, open_request, settings
+
+from flintridge import api
+from flintridge.api import Outcome
+from flintridge.policy.endpoint_state import Server
+from flintridge.policy.mechanisms import Mechanisms
+from flintridge.policy.open_request import Attempt
+
+
+def after(outcome: Outcome, is_cache: bool) -> tuple[Mechanisms, Server]:
+    """What the mechanisms and a server's record hold after one attempt."""
+    made, server = Mechanisms(settings(), random.Random(1)), Server(api.Endpoint("s"), 0)
+    request, attempt = open_request(work_ns=MS), Attempt("s", START, 0)
+    made.feedback.record(request, attempt, server, made.caches, ended(outcome), is_cache, START)
+    return made, server
+
+
+@pytest.mark.parametrize(
+    ("outcome", "counted", "slow", "costs", "fails_connect"),
+    [
+        (Outcome.OK, 1, 0, True, False),
+        (Outcome.MISS, 1, 0, False, False),
+        (Outcome.ERROR, 1, 1, True, False),
+        (Outcome.FULL, 1, 1, True, False),
+        (Outcome.TIMEOUT, 1, 1, True, False),
+        (Outcome.RESET, 1, 0, True, False),
+        (Outcome.CONNECT_FAILED, 0, 0, False, True),
+        (Outcome.CANCELLED, 0, 0, False, False),
+        (Outcome.WITHDRAWN, 0, 0, False, False),
+    ],
+)
+def test_each_outcome_tells_only_those_whom_it_concerns(outcome, counted, slow, costs, fails_connect):
+    made, server = after(outcome, is_cache=True)
+    assert (made.caches.round_attempts, made.caches.round_slow) == (counted, slow)
+    assert (server.evidence > 0) is costs
+    assert (server.connect_backoff.failures > 0) is fails_connect
+    assert bool(made.caches.latencies_ns) is (outcome is Outcome.OK)
+    made, server = after(outcome, is_cache=False)
+    assert (made.caches.round_attempts, made.caches.round_slow) == (counted, slow)
+    assert server.evidence == server.used_at == server.connect_backoff.failures == 0
--- a/tests/policy/test_concurrency_limiter.py
+++ b/tests/policy/test_concurrency_limiter.py
@@ -5,12 +5,15 @@
 
 import math
 
+import pytest
+from hypothesis import given, settings
+from hypothesis import strategies as st
 from support.policy import MS, Router
 
 from flintridge import api
 from flintridge.api import Outcome
-from flintridge.policy.balancer import UNHEALTHY
-from flintridge.policy.concurrency_limiter import ConcurrencyLimiter
+from flintridge.policy.concurrency_limiter import MIN_FLOOR, ConcurrencyLimiter, RoundResult
+from flintridge.policy.outlier_detection import UNHEALTHY
 
 
 def rounds(limiter: ConcurrencyLimiter, now: int, slow: bool, count: int = 40) -> int:
@@ -76,7 +79,7 @@
             silent = router.server_of(request_id) == lost
             router.now += 10 * MS
             router.end_attempt(request_id, Outcome.RESET if silent else Outcome.OK)
-    assert router.balancer.health(router.balancer.servers[lost]) < UNHEALTHY
+    assert router.balancer.outliers.health(router.balancer.servers[lost], router.now) < UNHEALTHY
     limiter = router.balancer.caches
     limiter.round_attempts = limiter.round_slow = 0
     for _ in range(20):
@@ -108,7 +111,7 @@
         unhealthy = router.server_of(request_id) == "10.0.0.0:80"
         router.end_attempt(request_id, Outcome.FULL if unhealthy else Outcome.OK, final=True)
     caches = router.balancer.caches
-    assert router.balancer.fractions["10.0.0.0:80"] < UNHEALTHY
+    assert router.balancer.outliers.fractions["10.0.0.0:80"] < UNHEALTHY
     for key in (f"n{i}" for i in range(1000)):
         request_id = router.request(key)
         if router.server_of(request_id) == "10.0.0.0:80":
@@ -150,8 +153,9 @@
             router.advance(10 * MS)
             router.end_attempt(request_id, Outcome.OK)
     assert same > 80  # of 100: it has the key
-    router.balancer.refresh_fractions()
-    assert router.balancer.caches.decreased_at == -math.inf and min(router.balancer.fractions.values()) > 0.5
+    outliers = router.balancer.outliers
+    outliers.refresh(router.now)
+    assert router.balancer.caches.decreased_at == -math.inf and min(outliers.fractions.values()) > 0.5
 
 
 def test_a_round_of_a_thin_node_when_half_of_it_is_slow_already_then_ends():
@@ -182,3 +186,34 @@
         decreased.append(limiter.limit)
     a_few, all_of_them = decreased
     assert 9.2 < a_few < 10.0 and all_of_them < 6
+
+
+@pytest.mark.parametrize(
+    ("slow", "inflight", "result", "limit"),
+    [
+        (0, 8, RoundResult.GOOD, 11.0),  # a step more
+        (1, 8, RoundResult.GOOD, 11.0),
+        (0, 2, RoundResult.GOOD, 10.0),  # not used: it says nothing of a larger one
+        (2, 8, RoundResult.BAD, 9 * (1 - 0.45 / 16)),
+        (8, 8, RoundResult.BAD, 9 * 0.55),
+    ],
+)
+def test_a_round_changes_the_limit_by_its_slow_fraction(slow, inflight, result, limit):
+    limiter = ConcurrencyLimiter(10.0, doubling=False, inflight=inflight, peak_inflight=8)
+    results = [limiter.record(MS, i < slow, 0) for i in range(8)]
+    assert results == [RoundResult.RUNNING] * 7 + [result]
+    assert limiter.limit == pytest.approx(limit)
+    assert limiter.decreased_at == (MS if result is RoundResult.BAD else -math.inf)
+
+
+@given(steps=st.lists(st.tuples(st.booleans(), st.integers(0, 60)), max_size=300), floor=st.floats(0, 5))
+@settings(derandomize=True, deadline=None, database=None, max_examples=60)
+def test_no_round_brings_a_limit_below_its_floor_and_permits_bound_it(steps, floor):
+    limiter = ConcurrencyLimiter(50.0, max_permits=30)
+    limiter.set_floor(floor)
+    assert limiter.floor >= MIN_FLOOR and limiter.step <= 1
+    for now, (slow, inflight) in enumerate(steps, 1):
+        limiter.inflight = inflight
+        assert not (limiter.has_permit(now) and inflight >= max(1, min(30, limiter.limit)))
+        limiter.record(now, slow, now)
+        assert limiter.limit >= limiter.floor
--- a/tests/policy/test_endpoint_state.py
+++ b/tests/policy/test_endpoint_state.py
@@ -11,7 +11,7 @@
 from flintridge import api
 from flintridge.api import EndpointState, Outcome, UpdateKind
 from flintridge.policy import hash_ring
-from flintridge.policy.endpoint_state import SLICE, WHOLE_FLEET, ServerTable
+from flintridge.policy.endpoint_state import RING_BATCH_SERVERS, RING_IMMEDIATE_SERVERS, ServerTable
 from flintridge.policy.hash_ring import NUMBER_MASK, POINTS, HashRing, points
 
 READY, DRAINING, GONE = EndpointState.READY, EndpointState.DRAINING, EndpointState.GONE
@@ -89,24 +89,24 @@
 
 
 def test_one_of_many_replaced_touches_its_own_and_its_successors_points_only(made):
-    router = Router(count=WHOLE_FLEET + 40)
+    router = Router(count=RING_IMMEDIATE_SERVERS + 40)
     router.advance(S)
     router.request("k")
     made.clear()
-    sorted_whole = list(router.balancer.ring.entries)
+    sorted_whole = list(router.balancer.table.ring.entries)
     gone = api.Endpoint("10.0.0.7:80", GONE)
     timers = len(router.timers)
     router.notify(delta(2, gone, api.Endpoint("new:80")))
     assert made == ["10.0.0.7:80", "new:80"] and len(router.timers) == timers
-    assert len(set(sorted_whole) ^ set(router.balancer.ring.entries)) == 2 * POINTS
+    assert len(set(sorted_whole) ^ set(router.balancer.table.ring.entries)) == 2 * POINTS
 
 
 def test_a_list_equal_to_the_one_held_touches_nothing(made):
-    router = Router(count=WHOLE_FLEET + 40)
+    router = Router(count=RING_IMMEDIATE_SERVERS + 40)
     router.advance(S)
     made.clear()
     timers = len(router.timers)
-    router.notify(full(2, members(WHOLE_FLEET + 40)))
+    router.notify(full(2, members(RING_IMMEDIATE_SERVERS + 40)))
     assert not made and len(router.timers) == timers
 
 
@@ -114,38 +114,40 @@
     """Guards the event loop, which a list of 3,200 held for more than a second."""
     router = Router(count=1)
     made.clear()
-    count = WHOLE_FLEET + 10 * SLICE
+    count = RING_IMMEDIATE_SERVERS + 10 * RING_BATCH_SERVERS
     router.notify(full(2, members(count)))
-    assert len(made) == WHOLE_FLEET  # with the one that was there, and the origin among what was due
+    assert (
+        len(made) == RING_IMMEDIATE_SERVERS
+    )  # with the one that was there, and the origin among what was due
     while router.timers:
         before = len(made)
         router.advance(1 * MS)
-        assert len(made) - before <= SLICE
+        assert len(made) - before <= RING_BATCH_SERVERS
         assert len(router.timers) <= 1
-    assert len(router.balancer.ready) == len(router.balancer.ring.numbers) == count
+    assert len(router.balancer.ready) == len(router.balancer.table.ring.numbers) == count
     assert len(made) == count - 1
     assert {router.server_of(router.request(f"k{i}")) for i in range(50)} <= set(router.balancer.ready)
 
 
 def test_a_server_that_drains_while_a_long_list_comes_in_gets_no_more_requests(made):
     """What takes a server out of service counts at once, before the turn of its slice."""
-    router = Router(count=WHOLE_FLEET + 100)
+    router = Router(count=RING_IMMEDIATE_SERVERS + 100)
     kept = members(100)
     router.advance(S)
-    off = {m.server for m in members(WHOLE_FLEET + 100)} - {m.server for m in kept}
+    off = {m.server for m in members(RING_IMMEDIATE_SERVERS + 100)} - {m.server for m in kept}
     router.notify(full(2, kept))
-    assert len(router.balancer.ready) == 100 < len(router.balancer.ring.numbers)
+    assert len(router.balancer.ready) == 100 < len(router.balancer.table.ring.numbers)
     servers = {router.server_of(router.request(f"k{i}")) for i in range(100)}
     assert servers and not servers & off
     router.advance(S)
-    assert len(router.balancer.ring.numbers) == 100 and len(router.balancer.servers) == 101
+    assert len(router.balancer.table.ring.numbers) == 100 and len(router.balancer.servers) == 101
 
 
 def test_two_thirds_that_leave_and_return_stand_where_they_stood():
-    count = WHOLE_FLEET + 44
+    count = RING_IMMEDIATE_SERVERS + 44
     router = Router(count=count)
     router.advance(S)
-    before = ring_by_name(router.balancer.ring, router.balancer.names)
+    before = ring_by_name(router.balancer.table.ring, router.balancer.table.names)
     for version, pause in ((2, S), (4, 3 * MS), (6, 0)):  # 0: they come back before they are off the ring
         router.notify(full(version, members(count // 3)))
         router.advance(pause)
@@ -153,8 +155,8 @@
         router.notify(full(version + 1, members(count)))
         router.advance(S)
         assert len(router.balancer.ready) == count
-        assert ring_by_name(router.balancer.ring, router.balancer.names) == before
-    assert len(router.balancer.names) <= count + 1
+        assert ring_by_name(router.balancer.table.ring, router.balancer.table.names) == before
+    assert len(router.balancer.table.names) <= count + 1
 
 
 def test_a_hundred_replaced_each_second_for_a_minute_leave_nothing_behind(made):
@@ -173,12 +175,12 @@
         router.advance(S)
         router.end_attempt(request_id, Outcome.OK)
     balancer = router.balancer
-    assert set(balancer.ready) == set(balancer.ring.numbers) == set(listed)
+    assert set(balancer.ready) == set(balancer.table.ring.numbers) == set(listed)
     assert len(made) == 60 * 200
-    assert len(balancer.servers) == 301 and len(balancer.names) <= 401
+    assert len(balancer.servers) == 301 and len(balancer.table.names) <= 401
     anew = HashRing()
-    anew.replace(balancer.ring.numbers)
-    assert list(anew.entries) == list(balancer.ring.entries)
+    anew.replace(balancer.table.ring.numbers)
+    assert list(anew.entries) == list(balancer.table.ring.entries)
 
 
 def test_lists_in_two_orders_give_one_ring():
@@ -198,7 +200,7 @@
     one = api.Endpoint("s:80", weight=2.0)
     router.notify(full(2, (one, replace(one, weight=3.0, zone=1), *members(2))))
     assert router.balancer.servers["s:80"].endpoint == replace(one, weight=3.0, zone=1)
-    assert len(router.balancer.ring.entries) == 3 * POINTS
+    assert len(router.balancer.table.ring.entries) == 3 * POINTS
     assert router.balancer.table.mean_weight == 5 / 3
 
 
@@ -223,7 +225,7 @@
     router.end_attempt(request_id, Outcome.OK)
     assert router.balancer.servers[server].inflight == 0
     assert router.balancer.table.max_weight == 4.0
-    assert len(router.balancer.ring.entries) == POINTS
+    assert len(router.balancer.table.ring.entries) == POINTS
 
 
 @pytest.mark.parametrize("count", [0, 1])
@@ -231,7 +233,7 @@
     router = Router(count=2)
     router.notify(full(2, members(count)))
     request_id = router.request("k")
-    assert len(router.balancer.ring.entries) == count * POINTS
+    assert len(router.balancer.table.ring.entries) == count * POINTS
     assert ((request_id, 0) in router.in_flight) == bool(count)
     router.notify(full(3, members(2)))
     assert len(router.balancer.ready) == 2
@@ -243,5 +245,5 @@
     router.notify(full(2, (started, *members(3)[1:])))
     for i in range(40):
         router.end_attempt(router.request(f"k{i}"), Outcome.OK)
-    held = {s for s, known in router.balancer.servers.items() if known.recent_sends is not None}
+    held = {s for s, known in router.balancer.servers.items() if known.warm_up.sends is not None}
     assert held == {started.server}
