--- a/flintridge/replication/admin.py
+++ b/flintridge/replication/admin.py
@@ -109,7 +109,7 @@
         fields = dict(parse_qsl(query.decode("utf-8", "replace")))
         unknown = sorted(set(fields) - set(QUERY_FIELDS))
         if unknown:
-            return 400, {"error": f"unknown {unknown[0]}; allowed: {', '.join(QUERY_FIELDS)}"}
+            return AdminResponse(400, {"error": f"unknown {unknown[0]}; allowed: {', '.join(QUERY_FIELDS)}"})
         summary = self._summary()
         if "digests" in fields:
             summary["digests"] = [f"{digest:016x}" for digest in self._replica.digests]
@@ -118,8 +118,9 @@
                 summary.update(self._page(fields))
             except (ValueError, IndexError):
                 limit = len(self._replica.digests)
-                return 400, {"error": f"bucket and after are numbers; a bucket is under {limit}"}
-        return 200, summary
+                error = f"bucket and after are numbers; a bucket is under {limit}"
+                return AdminResponse(400, {"error": error})
+        return AdminResponse(200, summary)
 
     def _summary(self) -> dict[str, Any]:
         replica = self._replica
@@ -177,19 +178,20 @@
             call = msgspec.json.decode(body, type=WriteCall)
             version = self._write(call)
         except msgspec.MsgspecError as error:
-            return 400, {"error": str(error)}
+            return AdminResponse(400, {"error": str(error)})
         except (UnicodeDecodeError, RecursionError):
-            return 400, {"error": "the body is not JSON"}
+            return AdminResponse(400, {"error": "the body is not JSON"})
         except WriteRejectedError as error:
             self._counters.add("state_writes_rejected")
-            return 409, {"error": str(error)}
+            return AdminResponse(409, {"error": str(error)})
         self._gossip.acknowledgements.track(version.dot)
         self._counters.add("state_writes")
-        return 200, {
+        fields = {
             "name": self._membership.name,
             "write": version.dot[1],
             "life": f"{self._membership.incarnation:x}",
         }
+        return AdminResponse(200, fields)
 
     def _write(self, call: WriteCall) -> Version:
         if not call.author or not call.reason:
@@ -212,8 +214,8 @@
         dot: Dot = (self._replica.writer, int(text) if is_number else 0)
         count = self._gossip.acknowledgements.holder_count(dot)
         if count is None:
-            return 404, {"error": "no such write of this process, or too long ago"}
-        return 200, {"had": count, "life": f"{self._membership.incarnation:x}"}
+            return AdminResponse(404, {"error": "no such write of this process, or too long ago"})
+        return AdminResponse(200, {"had": count, "life": f"{self._membership.incarnation:x}"})
 
 
 def _version_json(version: Version, now: float) -> dict[str, Any]:
--- a/tests/runtime/test_listener.py
+++ b/tests/runtime/test_listener.py
@@ -12,7 +12,7 @@
 from support.network import HandClock, quiet, until
 
 from flintridge.config.address import Address
-from flintridge.downstream.listener import SHUTDOWN_ACCEPT_MS, SHUTDOWN_POLL_MS
+from flintridge.downstream.termination import SHUTDOWN_POLL_MS
 from flintridge.runtime.acceptor import (
     CLOSE_MAX_FAILURES,
     CLOSE_PAUSE_MS,
@@ -23,6 +23,7 @@
     classify,
 )
 from flintridge.runtime.listener import open_listener
+from flintridge.shutdown import SHUTDOWN_ACCEPT_MS
 
 SHORTAGES = (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM)
 LOCALHOST = Address("127.0.0.1", 0)
@@ -246,7 +247,7 @@
             harness.clock.go(SHUTDOWN_POLL_MS)
             await until(lambda: harness.request_count == 1)
             assert harness.clock.now() < started_at + SHUTDOWN_ACCEPT_MS + 50.0
-            harness.core._fail_overdue("a1")
+            harness.fail("a1")
             assert await read_until_end(client) == FAILED
             client.close()
             await until(lambda: harness.clock.go(SHUTDOWN_POLL_MS) or leaving.done())
