--- a/flintridge/lab/experiment/fluid.py
+++ b/flintridge/lab/experiment/fluid.py
@@ -12,7 +12,7 @@
 from flintridge.lab.scenario import model
 from flintridge.lab.scenario.model import Scenario
 
-SPREAD = 0.8  # of the hits of one cache that are left where keys go past full servers to others (measured)
+SHARED_HIT_FRACTION = 0.8  # of one cache's hits, where keys go past full servers to others
 COLD_SHARE = 0.4  # of the ramp that a cold server's missing capacity amounts to, about
 
 
@@ -79,7 +79,7 @@
     if keys.ttl_s:
         voids = voids + 1 / keys.ttl_s
     fresh = reads / (reads + voids) if writes < 1 else np.zeros(keys.count)
-    return SPREAD * float((shares * seen * fresh)[:fit].sum())
+    return SHARED_HIT_FRACTION * float((shares * seen * fresh)[:fit].sum())
 
 
 def flows(scenario: Scenario) -> Flows:
