--- a/tests/config/test_decoding.py
+++ b/tests/config/test_decoding.py
@@ -71,13 +71,13 @@
     try:
         decode_values("f.toml", values, target, validate_fields)
     except ConfigFaultsError as error:
-        refused = error
+        rejected = error
     else:
         return True
-    assert refused.faults
-    assert all(fault.reason for fault in refused.faults)
-    assert len(str(refused).splitlines()) == len(refused.faults)
-    assert "Traceback" not in str(refused)
+    assert rejected.faults
+    assert all(fault.reason for fault in rejected.faults)
+    assert len(str(rejected).splitlines()) == len(rejected.faults)
+    assert "Traceback" not in str(rejected)
     return False
 
 
--- a/tests/discovery/test_discovery_trouble.py
+++ b/tests/discovery/test_discovery_trouble.py
@@ -19,8 +19,8 @@
 from flintridge.node import Node
 from flintridge.runtime.clock import SystemClock
 
-TOLD_S = 6.0
-TOLD_AFTER_SIGHUP_S = 4.0
+NOTIFIED_S = 6.0
+NOTIFIED_AFTER_SIGHUP_S = 4.0
 GRACE_MS = 500.0  # of a drain: until then attempts may begin at a server that drains
 OUTAGE_S = 300.0
 
@@ -111,11 +111,11 @@
         return known and known.endpoint.state
 
     async def seconds_until_draining(self, limit_s: float = 30.0) -> float:
-        began = self.loop.time()
+        started_at = self.loop.time()
         while self.state() is not EndpointState.DRAINING:
-            assert self.loop.time() < began + limit_s, "it never heard of the drain"
+            assert self.loop.time() < started_at + limit_s, "it never heard of the drain"
             await asyncio.sleep(0.01)
-        return self.loop.time() - began
+        return self.loop.time() - started_at
 
 
 each_mode = pytest.mark.parametrize("mode", [DiscoveryMode.POLLED, DiscoveryMode.PUSHED])
@@ -145,7 +145,7 @@
         discovery.trouble = None
         if trouble == "down":
             await discovery.open()
-        assert await watching.seconds_until_draining() <= TOLD_S
+        assert await watching.seconds_until_draining() <= NOTIFIED_S
         assert calls <= OUTAGE_S * 5  # a crowded one isn't asked without pause
         await watching.node.close()
         discovery.close()
@@ -166,7 +166,7 @@
         await watching.node.start()
         await asyncio.sleep(OUTAGE_S / 10)
         discovery.change(2, s1="terminating")
-        assert await watching.seconds_until_draining() <= TOLD_S
+        assert await watching.seconds_until_draining() <= NOTIFIED_S
         await watching.node.close()
         discovery.close()
 
@@ -209,7 +209,7 @@
             watching.node.reload(_moved(watching.config, port))
             if number >= len(ports):
                 await asyncio.sleep(0.01 * (number % 3))
-        assert await watching.seconds_until_draining() <= TOLD_AFTER_SIGHUP_S
+        assert await watching.seconds_until_draining() <= NOTIFIED_AFTER_SIGHUP_S
         calls = first.calls, second.calls
         await asyncio.sleep(20)
         assert second.calls == calls[1]  # no call to the other one is left
@@ -243,7 +243,9 @@
         await asyncio.sleep(back_s)
         second.trouble = None
         # 4 s after SIGHUP, but where discovery could not be reached then, 6 s after it could.
-        assert await watching.seconds_until_draining() + back_s <= max(TOLD_AFTER_SIGHUP_S, back_s + TOLD_S)
+        assert await watching.seconds_until_draining() + back_s <= max(
+            NOTIFIED_AFTER_SIGHUP_S, back_s + NOTIFIED_S
+        )
         await watching.node.close()
         first.close()
         second.close()
--- a/tests/discovery/test_endpoint_list.py
+++ b/tests/discovery/test_endpoint_list.py
@@ -19,7 +19,7 @@
     return {"revision": 41, "complete": complete, "members": [entry]}
 
 
-def test_the_transport_map_reads_discoverys_form():
+def test_endpoint_list_when_in_discoverys_form_is_read():
     transports = EndpointList(("a", "b"), ("m2", "origin"), SETTINGS, HandClock())
     members = transports.apply(listed(), UpdateKind.CACHED)
     assert members.kind is UpdateKind.CACHED and members.version == transports.revision == 41
@@ -32,7 +32,7 @@
     assert gone.kind is UpdateKind.DELTA and not transports.any_ready and len(transports) == 0
 
 
-def test_the_transport_map_does_not_grow_with_servers_that_come_and_go():
+def test_endpoint_list_when_servers_come_and_go_does_not_grow():
     transports = EndpointList((), ("m2",), SETTINGS, HandClock())
     transports.apply(listed())
     for i in range(50):
@@ -47,7 +47,7 @@
 @pytest.mark.parametrize(
     "changes", [{"phase": "odd"}, {"host_port": "nowhere"}, {"id": 5}, {"size": "big"}, {"up_since_ms": "x"}]
 )
-def test_a_malformed_list_changes_nothing(changes):
+def test_list_when_malformed_changes_nothing(changes):
     transports = EndpointList((), (), SETTINGS, HandClock())
     with pytest.raises(ValueError, match="malformed list"):
         transports.apply(listed(**changes))
@@ -65,8 +65,8 @@
         return unix_ms - self.ahead_ms
 
 
-class Told:
-    """Lists told to a node; each server by the age of its start in milliseconds, None where it has ended."""
+class ReportedLists:
+    """Lists as a node receives them; each server by its age in milliseconds, None where it has ended."""
 
     def __init__(self, ahead_ms: float) -> None:
         self.clock = WrongClock(ahead_ms)
@@ -74,7 +74,7 @@
         self.revisions = count(1)
         self.up_since: dict[str, float] = {}
 
-    def tell(self, complete=False, kind=None, date_ms=None, **ages) -> EndpointUpdate:
+    def report(self, complete=False, kind=None, date_ms=None, **ages) -> EndpointUpdate:
         members = []
         for server, age in ages.items():
             if age is not None:
@@ -90,30 +90,33 @@
 
 
 def test_change_when_it_shows_that_the_clock_was_ahead_then_names_all_whose_starts_it_alters():
-    told = Told(ahead_ms=HOUR_MS)
-    assert told.ages(told.tell(True, a=1_000.0, b=2 * HOUR_MS)) == {"a": HOUR_MS + 1_000, "b": 3 * HOUR_MS}
-    told.clock.go(500.0)
-    told.tell(b=None)
-    told.clock.go(9_500.0)
-    update = told.tell(c=500.0)
-    assert (update.kind, told.ages(update)) == (UpdateKind.DELTA, {"c": 0.0, "a": 10_500.0})
-    assert [each.server for each in told.tell(c=400.0).endpoints] == ["c"]  # no other has altered again
+    lists = ReportedLists(ahead_ms=HOUR_MS)
+    assert lists.ages(lists.report(True, a=1_000.0, b=2 * HOUR_MS)) == {
+        "a": HOUR_MS + 1_000,
+        "b": 3 * HOUR_MS,
+    }
+    lists.clock.go(500.0)
+    lists.report(b=None)
+    lists.clock.go(9_500.0)
+    update = lists.report(c=500.0)
+    assert (update.kind, lists.ages(update)) == (UpdateKind.DELTA, {"c": 0.0, "a": 10_500.0})
+    assert [each.server for each in lists.report(c=400.0).endpoints] == ["c"]  # no other has altered again
 
 
 def test_change_when_a_correction_is_taken_back_then_names_all_that_it_had_altered():
-    told = Told(ahead_ms=0.0)
-    told.tell(True, a=5_000.0)
-    told.clock.go(10_000.0)
-    told.tell()
-    told.clock.go(10.0)
-    # Told too late: the clock is blamed.
-    assert told.ages(told.tell(b=8_000.0)) == {"b": 3_000.0, "a": 10_010.0}
-    assert told.ages(told.tell(date_ms=told.clock.now())) == {"b": 10.0, "a": 15_010.0}
+    lists = ReportedLists(ahead_ms=0.0)
+    lists.report(True, a=5_000.0)
+    lists.clock.go(10_000.0)
+    lists.report()
+    lists.clock.go(10.0)
+    # Reported too late: the clock is blamed.
+    assert lists.ages(lists.report(b=8_000.0)) == {"b": 3_000.0, "a": 10_010.0}
+    assert lists.ages(lists.report(date_ms=lists.clock.now())) == {"b": 10.0, "a": 15_010.0}
 
 
 def test_list_when_the_clock_was_behind_then_leaves_warm_servers_warm():
-    told = Told(ahead_ms=-HOUR_MS)
-    assert told.ages(told.tell(True, a=2 * HOUR_MS, b=60_000.0, c=1_000.0)) == {
+    lists = ReportedLists(ahead_ms=-HOUR_MS)
+    assert lists.ages(lists.report(True, a=2 * HOUR_MS, b=60_000.0, c=1_000.0)) == {
         "a": 2 * HOUR_MS - 1_000,
         "b": 59_000.0,
         "c": 0.0,
@@ -121,35 +124,36 @@
 
 
 def test_first_list_when_it_has_a_date_then_is_right_at_once():
-    told = Told(ahead_ms=HOUR_MS)
-    update = told.tell(True, date_ms=told.clock.now() - 700.0, a=1_000.0, b=2 * HOUR_MS)
-    assert told.ages(update) == {"a": 300.0, "b": 2 * HOUR_MS - 700}
+    lists = ReportedLists(ahead_ms=HOUR_MS)
+    update = lists.report(True, date_ms=lists.clock.now() - 700.0, a=1_000.0, b=2 * HOUR_MS)
+    assert lists.ages(update) == {"a": 300.0, "b": 2 * HOUR_MS - 700}
 
 
 def test_list_in_the_configuration_then_is_no_sign_that_others_are_new():
-    told = Told(ahead_ms=0.0)
-    told.tell(True, UpdateKind.CACHED, a=HOUR_MS)
-    told.clock.go(10_000.0)
-    assert told.ages(told.tell(b=HOUR_MS)) == {"b": HOUR_MS}
+    lists = ReportedLists(ahead_ms=0.0)
+    lists.report(True, UpdateKind.CACHED, a=HOUR_MS)
+    lists.clock.go(10_000.0)
+    assert lists.ages(lists.report(b=HOUR_MS)) == {"b": HOUR_MS}
 
 
 def test_malformed_list_then_says_nothing_of_starts():
-    told = Told(ahead_ms=HOUR_MS)
-    told.tell(True, a=1_000.0)
-    told.clock.go(10_000.0)
+    lists = ReportedLists(ahead_ms=HOUR_MS)
+    lists.report(True, a=1_000.0)
+    lists.clock.go(10_000.0)
     with pytest.raises(ValueError, match="malformed list"):
-        told.endpoints.apply(listed(False, id="b", up_since_ms=told.clock.now(), phase="odd"))
-    assert told.endpoints.starts.correction_ms == 0.0
+        lists.endpoints.apply(listed(False, id="b", up_since_ms=lists.clock.now(), phase="odd"))
+    assert lists.endpoints.starts.correction_ms == 0.0
 
 
-def test_policy_when_a_start_is_judged_anew_then_only_forgets_the_connect_backoff():
-    told, balancer = Told(ahead_ms=HOUR_MS), Balancer(SETTINGS, 1)
-    balancer.handle(0, told.tell(True, a=1_000.0))
+def test_policy_when_a_start_is_corrected_then_only_forgets_the_connect_backoff():
+    lists = ReportedLists(ahead_ms=HOUR_MS)
+    balancer = Balancer(SETTINGS, 1)
+    balancer.handle(0, lists.report(True, a=1_000.0))
     server = balancer.servers["a"]
     server.connect_failures, server.backoff_until, server.inflight, server.cost = 3, 10**18, 2, 0.5
     server.recent_sends = deque([(1, 1.0)])
-    told.clock.go(10_000.0)
-    balancer.handle(0, told.tell(c=500.0))
+    lists.clock.go(10_000.0)
+    balancer.handle(0, lists.report(c=500.0))
     assert balancer.servers["a"] is server and server.endpoint.started_at > 0
     assert (server.connect_failures, server.inflight, server.cost, len(server.recent_sends)) == (3, 2, 0.5, 1)
     assert server.backoff_until == 0
--- a/tests/discovery/test_watch_termination.py
+++ b/tests/discovery/test_watch_termination.py
@@ -23,7 +23,7 @@
 
 
 @pytest.mark.parametrize("grace", [2_000, 1_200, 800])
-def test_a_silent_watch_does_not_outlast_the_grace_of_a_drain_that_it_misses(play, grace):
+def test_watch_when_unresponsive_does_not_outlast_the_grace_of_a_drain_that_it_misses(play, grace):
     """Found by the brink days: asked anew together, three of six nodes had the list 0.1 s after the grace."""
 
     async def test():
@@ -48,7 +48,7 @@
     play(test)
 
 
-def test_pushed_lists_are_watched_and_an_old_one_is_not_gone_by_first(play):
+def test_watch_when_lists_are_pushed_does_not_go_by_an_old_one_first(play):
     """Found by another customer's settings: where lists are pushed no node asked for any."""
 
     async def test():
@@ -70,7 +70,7 @@
 
 
 @pytest.mark.parametrize("crossing", [http(whole(1, s1="in_service")), b"", "rst"])
-def test_a_second_list_or_an_end_between_two_watch_calls_undoes_nothing(crossing):
+def test_watch_when_a_second_list_or_an_end_comes_between_two_calls_undoes_nothing(crossing):
     """It lies in the kernel as the next call goes out; read as its answer it would undo the drain before."""
 
     async def test():
@@ -99,10 +99,10 @@
 
 
 @pytest.mark.parametrize("grace", [500, 2_000])
-def test_a_node_hears_of_a_drain_in_time_though_discovery_came_back_behind_its_call(grace):
+def test_drain_when_discovery_returns_behind_a_call_is_known_in_time(grace):
     """Found in review: silent to the call that had just begun, and the pause after it was up to 4 s."""
 
-    async def heard_after(seed: int) -> float:
+    async def known_after(seed: int) -> float:
         back = False
         settings = api.Settings(
             rules=api.Rules(drain_grace_ns=grace * NS_PER_MS), discovery=api.DiscoveryMode.POLLED
@@ -111,16 +111,16 @@
             alone = Alone(discovery, whole(1, s1="in_service"), settings, seed=seed)
             await alone.node.start()
             await alone.pass_until(lambda: len(discovery.got) == 6, 60_000)  # it waits for long by now
-            back, began = True, alone.clock.now()  # for the next call: nobody answers this one any more
+            back, returned_at = True, alone.clock.now()  # for the next call: nobody answers this one any more
             await alone.pass_until(lambda: alone.state("s1") is EndpointState.DRAINING, 20_000)
             await alone.node.close()
-            return alone.clock.now() - began
+            return alone.clock.now() - returned_at
 
-    took = [virtual.run(heard_after(seed)) for seed in range(1, 13)]
+    took = [virtual.run(known_after(seed)) for seed in range(1, 13)]
     assert max(took) <= SILENCE + grace, took
 
 
-def test_a_list_that_holds_nothing_is_believed_and_the_next_one_too(play):
+def test_list_when_empty_is_believed_and_the_next_one_too(play):
     """No server may be sent to, so requests are refused in time and `mn` says no."""
 
     async def test():
@@ -148,7 +148,7 @@
     play(test)
 
 
-def test_without_discovery_a_node_goes_by_the_list_it_had_and_asks_on(play):
+def test_node_when_discovery_is_away_goes_by_its_list_and_polls_on(play):
     async def test():
         settings = api.Settings(discovery=api.DiscoveryMode.PUSHED)
         async with Peer(lambda _: None) as discovery:
@@ -197,7 +197,7 @@
     play(test)
 
 
-def test_discovery_call_when_discovery_refuses_the_connection_then_fails_at_once(play, monkeypatch):
+def test_discovery_call_when_the_connection_is_refused_then_fails_at_once(play, monkeypatch):
     async def refused(*_):
         raise ConnectionRefusedError(errno.ECONNREFUSED, "refused")
 
--- a/tests/discovery/test_watcher.py
+++ b/tests/discovery/test_watcher.py
@@ -18,68 +18,70 @@
     return b"HTTP/1.1 %d X\r\n%bContent-Length: %d\r\n\r\n%b" % (status, headers, len(body), body)
 
 
-def test_the_watch_goes_on_from_each_answer_and_a_failure_is_told(play):
+def test_watch_when_a_call_fails_notifies_and_else_goes_on_from_each_response(play):
     async def test():
-        clock, told = HandClock(), []
-        answers = [
+        clock, updates = HandClock(), []
+        responses = [
             response(200, orjson.dumps({"revision": 43, "complete": False, "members": []})),
             response(200, b'{"revision":44}'),
             response(503, b""),
             response(200, orjson.dumps({"revision": 50, "complete": True, "members": []})),
             b"",
         ]
-        async with Peer(lambda _: answers.pop(0)) as peer:
+        async with Peer(lambda _: responses.pop(0)) as peer:
             transports = EndpointList((), (), SETTINGS, clock)
             transports.apply({"revision": 41, "complete": True, "members": []})
             watch = DiscoveryWatcher(
-                Address("127.0.0.1", peer.port), transports, clock, told.append, *quiet()
+                Address("127.0.0.1", peer.port), transports, clock, updates.append, *quiet()
             )
             watch.watch(True)
             watch.watch(True)  # never two at once
-            await until(lambda: len(told) == 1)
-            assert (told[0].kind, told[0].version) == (UpdateKind.DELTA, 43) and len(peer.got) == 1
+            await until(lambda: len(updates) == 1)
+            assert (updates[0].kind, updates[0].version) == (UpdateKind.DELTA, 43) and len(peer.got) == 1
             await until(lambda: clock.due[0][2] is not None)
             clock.go(150)  # well before the 200 ms that end a watch
-            await until(lambda: len(told) == 2)
-            assert b"after=43&wait_ms=" in peer.got[1] and told[1].kind is UpdateKind.FAILED
+            await until(lambda: len(updates) == 2)
+            assert b"after=43&wait_ms=" in peer.got[1] and updates[1].kind is UpdateKind.FAILED
             clock.go(60_000)
             await asyncio.sleep(0.01)
             assert len(peer.got) == 2  # when to ask again is the module's decision
             watch.watch(True)
-            await until(lambda: len(told) == 3)
-            assert told[2].kind is UpdateKind.FAILED
+            await until(lambda: len(updates) == 3)
+            assert updates[2].kind is UpdateKind.FAILED
             watch.fetch()
-            await until(lambda: len(told) == 4)
-            assert b"GET /api/targets HTTP" in peer.got[3] and told[3].kind is UpdateKind.FULL
+            await until(lambda: len(updates) == 4)
+            assert b"GET /api/targets HTTP" in peer.got[3] and updates[3].kind is UpdateKind.FULL
             watch.watch(True)  # silence ends a call too
             await until(lambda: len(peer.got) == 5)
             clock.go(60_000)
-            await until(lambda: len(told) == 5)
-            assert told[4].kind is UpdateKind.FAILED
+            await until(lambda: len(updates) == 5)
+            assert updates[4].kind is UpdateKind.FAILED
             await watch.close()
 
     play(test)
 
 
-def test_a_moved_watch_ends_the_old_call_and_begins_with_the_whole_list(play):
+def test_watch_when_moved_ends_the_old_call_and_starts_with_the_full_list(play):
     async def test():
-        clock, told = HandClock(), []
-        whole = response(200, orjson.dumps({"revision": 3, "complete": True, "members": []}))
-        answers = [response(503, b""), whole, b""]
-        async with Peer(lambda _: b"") as old, Peer(lambda _: answers.pop(0)) as new:
+        clock, updates = HandClock(), []
+        full_list = response(200, orjson.dumps({"revision": 3, "complete": True, "members": []}))
+        responses = [response(503, b""), full_list, b""]
+        async with Peer(lambda _: b"") as old, Peer(lambda _: responses.pop(0)) as new:
             transports = EndpointList((), (), SETTINGS, clock)
             transports.apply({"revision": 41, "complete": True, "members": []})
-            watch = DiscoveryWatcher(Address("127.0.0.1", old.port), transports, clock, told.append, *quiet())
+            watch = DiscoveryWatcher(
+                Address("127.0.0.1", old.port), transports, clock, updates.append, *quiet()
+            )
             watch.watch(True)
             await until(lambda: old.got)
             watch.move(Address("127.0.0.1", new.port))
             watch.watch(True)  # never two at once
-            await until(lambda: told)  # without any time passing
-            assert [t.kind for t in told] == [UpdateKind.FAILED]
+            await until(lambda: updates)  # without any time passing
+            assert [t.kind for t in updates] == [UpdateKind.FAILED]
             await until(lambda: old.writers[0].transport.is_closing())
-            watch.watch(True)  # as the module asks; still there was no whole list
-            await until(lambda: len(told) == 2)
-            assert (told[1].kind, told[1].version) == (UpdateKind.FULL, 3)
+            watch.watch(True)  # as the module asks; still there was no full_list list
+            await until(lambda: len(updates) == 2)
+            assert (updates[1].kind, updates[1].version) == (UpdateKind.FULL, 3)
             await until(lambda: clock.due[0][2] is not None)
             clock.go(150)
             await until(lambda: len(new.got) == 3)
@@ -128,19 +130,19 @@
 
 def test_date_of_a_list_when_the_wall_clock_differs_corrects_starts_and_is_logged_once(play):
     async def test():
-        clock, told, log = HandClock(at=10_000.0), [], EventNames()
+        clock, updates, log = HandClock(at=10_000.0), [], EventNames()
         entry = {"id": "a", "host_port": "127.0.0.1:5", "phase": "in_service", "up_since_ms": 4_000}
         text = orjson.dumps({"revision": 43, "complete": True, "members": [entry]})
         dated = response(200, text, b"Date: Thu, 01 Jan 1970 00:00:05 GMT\r\n")
         async with Peer(lambda _: dated) as peer:
             endpoints = EndpointList((), (), SETTINGS, clock)
             address = Address("127.0.0.1", peer.port)
-            watch = DiscoveryWatcher(address, endpoints, clock, told.append, log, quiet()[1])
+            watch = DiscoveryWatcher(address, endpoints, clock, updates.append, log, quiet()[1])
             for calls in (1, 2):
                 watch.fetch()
-                await until(lambda calls=calls: len(told) == calls)
+                await until(lambda calls=calls: len(updates) == calls)
             # By Date it is 5 s of Unix time at the instant 10 s, and the server is a second old.
-            assert [update.endpoints[0].started_at for update in told] == [9_000_000_000] * 2
+            assert [update.endpoints[0].started_at for update in updates] == [9_000_000_000] * 2
             assert log.corrections == [{"evidence": "date", "before_ms": 0, "after_ms": 5_500}]
             await watch.close()
 
--- a/tests/leases/test_lease_manager.py
+++ b/tests/leases/test_lease_manager.py
@@ -207,7 +207,7 @@
     assert not old.receivers()
 
 
-def test_demand_of_floors_when_peers_report_rates_follows_the_own_rate():
+def test_demand_of_floors_when_peers_report_rates_follows_the_local_rate():
     one = lease_manager("b", "c", nodes=3, names=(FLOORS,))
     one.requests_per_s = 300.0
     one.tick(0.0)
@@ -223,7 +223,7 @@
 # Permits
 
 
-def test_permits_when_in_use_are_neither_lent_nor_released():
+def test_permits_when_in_use_are_neither_granted_nor_released():
     terms = LeaseTerms(EVEN_FRACTION_UNITS, floor=250, lease_ms=6_000.0, completion_ms=2_500.0)
     a, b = two_managers(terms=terms)
     in_use = {"a": 0.0, "b": 0.9}
@@ -397,7 +397,7 @@
     assert not fleet.over
 
 
-def test_node_when_shutting_down_lends_its_entitlement_and_releases_its_leases():
+def test_node_when_shutting_down_grants_its_entitlement_and_releases_its_leases():
     fleet = uneven(6, 4)
     fleet.run(10_000)
     before = crowded(fleet)
--- a/tests/leases/test_lease_processes.py
+++ b/tests/leases/test_lease_processes.py
@@ -16,7 +16,7 @@
 from flintridge.lab.scenario.model import Group, Load, Nodes, Peers, RequestClass, Scenario, Tenant
 
 LEASE_MS = 1_500.0
-LENDER_LEASE_MS = LEASE_MS * 1.02 / 0.98
+GRANTOR_LEASE_MS = LEASE_MS * 1.02 / 0.98
 QUOTA = 40.0  # 60 a second over all nodes
 TABLE = {"tenants": True, "strict": True, "lease_ms": LEASE_MS}
 NAME = "quota a"
@@ -55,10 +55,10 @@
 
 def arrivals(rig) -> list[float]:
     """When each request first reached a server, whichever node sent it."""
-    asked = {one.request_id for one in rig.log if isinstance(one, RequestSent)}
+    requested = {one.request_id for one in rig.log if isinstance(one, RequestSent)}
     first = {}
     for one in rig.log:
-        if isinstance(one, AttemptReceived) and one.request_id in asked:
+        if isinstance(one, AttemptReceived) and one.request_id in requested:
             first.setdefault(one.request_id, one.at_ms)
     return sorted(first.values())
 
@@ -81,12 +81,12 @@
     found = []
     incarnations = processes + sum(1 for one in rig.nodes._lives.values() for _ in one[1:])
     for seconds in (1, 2, 5, 10):
-        most = 1.5 * QUOTA * (seconds + 0.1) + 8 * incarnations + 1.5 * QUOTA
+        maximum = 1.5 * QUOTA * (seconds + 0.1) + 8 * incarnations + 1.5 * QUOTA
         begin = 0
         for end, at in enumerate(times):
             while times[begin] < at - seconds * 1000:
                 begin += 1
-            if end - begin + 1 > most:
+            if end - begin + 1 > maximum:
                 found.append(Excess(at, end - begin + 1))
     return found[:3]
 
@@ -98,7 +98,7 @@
 
 
 async def status_when(rig, node: str, condition) -> dict:
-    """Wait until the condition is true of a node's limit as its admin API tells it."""
+    """Wait until the condition is true of a node's limit as its admin API shows it."""
     async with asyncio.timeout(40):
         status = await limit_status(rig, node)
         while not status or not condition(status):
@@ -107,12 +107,12 @@
     return status
 
 
-def lending(status: dict) -> bool:
+def has_granted(status: dict) -> bool:
     """Whether a lease is granted."""
     return bool(status["lent"])
 
 
-def borrowing(status: dict) -> bool:
+def has_acquired(status: dict) -> bool:
     """Whether more than the even fraction may be used."""
     return status["usable"] > 1.05
 
@@ -141,10 +141,10 @@
     return prepare
 
 
-def test_crowded_node_when_others_are_idle_borrows_and_the_quota_is_kept():
+def test_busy_node_when_others_are_idle_acquires_leases_and_the_quota_holds():
     async def check(rig):
-        await status_when(rig, "n0", borrowing)
-        await status_when(rig, "n1", lending)
+        await status_when(rig, "n0", has_acquired)
+        await status_when(rig, "n1", has_granted)
         begin = rig.fabric.clock.now()
         await rig.until(lambda: rig.fabric.clock.now() > begin + 4_000)
         # More than the even fractions of the two crowded nodes come to, with their buckets.
@@ -155,14 +155,14 @@
         for name in ("n1", "n3"):
             await status_when(rig, name, even)
         rig.heal()
-        await status_when(rig, "n0", borrowing)
+        await status_when(rig, "n0", has_acquired)
 
     run(4, check, rate_per_s=100.0)
 
 
 def test_lessee_when_stopped_past_its_leases_expiry_resumes_with_its_even_fraction():
     async def check(rig):
-        await status_when(rig, "n0", borrowing)
+        await status_when(rig, "n0", has_acquired)
         rig.nodes.pause("n0")
         for name in ("n1", "n3"):
             await status_when(
@@ -177,9 +177,9 @@
     run(4, check, rate_per_s=100.0)
 
 
-def test_grant_when_lost_stays_lent_until_its_expiry():
+def test_grant_when_lost_counts_as_granted_until_its_expiry():
     async def check(rig):
-        lent = await status_when(rig, "n1", lending)
+        lent = await status_when(rig, "n1", has_granted)
         lessee = await limit_status(rig, "n0")
         assert lessee["usable"] <= 1.0
         assert lent["usable"] < 1.0
@@ -199,8 +199,8 @@
         assert (await limit_status(rig, "n0"))["usable"] <= 1.0
         rig.heal()
         await rig.runner.start("n1")
-        begun = await status_when(rig, "n1", lambda status: True)
-        assert begun["usable"] == begun["own"] == 0.25
+        restarted = await status_when(rig, "n1", lambda status: True)
+        assert restarted["usable"] == restarted["own"] == 0.25
         await status_when(rig, "n1", lambda status: status["own"] == 1.0)
 
     def prepare(rig):
@@ -213,7 +213,7 @@
 
 def test_grantor_when_killed_after_its_grant_has_its_floor_until_the_lease_expires():
     async def check(rig):
-        await status_when(rig, "n0", borrowing)
+        await status_when(rig, "n0", has_acquired)
         rig.kill("n1")
         await rig.nodes.ended("n1")
         await rig.runner.start("n1")
@@ -226,7 +226,7 @@
                 if grantor["own"] == 1.0:
                     break
             await asyncio.sleep(0.05)
-        await status_when(rig, "n0", borrowing)
+        await status_when(rig, "n0", has_acquired)
 
     run(2, check, rate_per_s=80.0)
 
@@ -246,7 +246,7 @@
         else:
             await status_when(rig, "n0", lambda status: status["counts"].get("renewed", 0) >= 3)
         rig.heal()
-        await status_when(rig, "n0", borrowing)
+        await status_when(rig, "n0", has_acquired)
 
     def late(rig):
         rig.ways([1, 2], [0], both=False, **wrong)
@@ -264,7 +264,7 @@
             )
         assert (await status_when(rig, "n0", lambda status: not status["borrowed"]))["usable"] <= 1.0
         rig.heal()
-        await status_when(rig, "n0", borrowing)
+        await status_when(rig, "n0", has_acquired)
 
     def cut(rig):
         rig.cut([0], [1, 2, 3], both=both)
@@ -274,7 +274,7 @@
 
 def test_nodes_when_all_restart_at_once_begin_with_their_floors():
     async def check(rig):
-        await status_when(rig, "n0", borrowing)
+        await status_when(rig, "n0", has_acquired)
         for name in rig.names:
             rig.kill(name)
         await asyncio.gather(*(rig.nodes.ended(name) for name in rig.names))
@@ -283,12 +283,12 @@
         for name in rig.names:
             assert (await status_when(rig, name, lambda status: True))["usable"] <= 1.0
         await rig.until(rig.all_hear)
-        await status_when(rig, "n0", borrowing)
+        await status_when(rig, "n0", has_acquired)
 
     run(4, check, rate_per_s=100.0)
 
 
-def test_processes_of_one_node_when_both_run_use_half_each_and_lend_nothing():
+def test_processes_of_one_node_when_both_run_use_half_each_and_grant_nothing():
     async def check(rig):
         await status_when(rig, "n0", lambda status: status["own"] == 1.0)
         host, _ = rig.fabric.address("listen", "n0")
@@ -307,7 +307,7 @@
 
 def test_nodes_when_a_limits_size_differs_lease_one_another_nothing():
     async def check(rig):
-        await status_when(rig, "n0", borrowing)
+        await status_when(rig, "n0", has_acquired)
         rig.net.own_tables["n1"] = {"tenants": [{"name": "a", "quota_per_s": QUOTA / 2, "share": 1.0}]}
         rig.nodes.reload("n1", rig.world.node_config("n1"))
         await rig.until(lambda: rig.lines("reloaded", "n1"))
@@ -326,11 +326,11 @@
 
 def test_isolated_node_under_full_load_has_its_even_fraction():
     async def check(rig):
-        await status_when(rig, "n0", borrowing)
+        await status_when(rig, "n0", has_acquired)
         rig.cut([0], [1, 2])
         await status_when(rig, "n0", even)
         begin = rig.fabric.clock.now()
-        while rig.fabric.clock.now() < begin + 4 * LENDER_LEASE_MS:  # a minute: benchmarks/budget_silence.py
+        while rig.fabric.clock.now() < begin + 4 * GRANTOR_LEASE_MS:  # a minute: benchmarks/budget_silence.py
             assert (await status_when(rig, "n0", lambda status: True))["usable"] == 1.0
             await asyncio.sleep(0.1)
 
--- a/tests/replication/test_replica.py
+++ b/tests/replication/test_replica.py
@@ -97,7 +97,7 @@
     assert replica.sync_state is SyncState.SYNCHRONIZED
 
 
-def test_synchronization_when_no_synchronized_peer_is_heard_from_ends_after_the_wait():
+def test_synchronization_when_no_synchronized_peer_is_reachable_ends_after_the_wait():
     replica = make_replica("b")
     replica.expire(499.0)
     assert replica.sync_state is not SyncState.SYNCHRONIZED
@@ -173,7 +173,7 @@
     assert not b.complete_up_to.get(a.writer)
 
 
-def test_newer_word_when_its_writers_clock_was_stepped_back_an_hour_wins_over_an_older_one_it_never_saw():
+def test_newer_write_when_its_writers_clock_was_stepped_back_an_hour_wins_over_an_older_one_it_never_saw():
     a, b, c = (make_replica(node, time_of_day_offset=1e12) for node in "abc")
     key = ("note", "n")  # of two concurrent ones the newer is first
     older = a.write(0.0, key, b"", "", "")
@@ -189,7 +189,7 @@
     ]
 
 
-def test_newer_word_when_its_writers_clock_was_stepped_back_an_hour_replaces_what_it_has_seen():
+def test_newer_write_when_its_writers_clock_was_stepped_back_an_hour_replaces_what_it_has_seen():
     a, b = (make_replica(node, time_of_day_offset=1e12) for node in "ab")
     a.write(0.0, KEY, b"", "", "")
     b.stamps.time_of_day_offset -= HOUR_MS
