--- a/flintridge/replication/admin.py
+++ b/flintridge/replication/admin.py
@@ -10,16 +10,11 @@
 
 from flintridge.core.admin_routes import AdminResponse, Routes, RouteWithInput
 from flintridge.membership.driver import MembershipDriver
-from flintridge.replication.comparison import SyncState
-from flintridge.replication.entry import Dot, Key, Version, by_precedence, is_active
+from flintridge.replication.admin_view import COUNT_NAMES, SYNC_STATE_NAMES, ReplicaView, view_entry
+from flintridge.replication.entry import Dot, Key, Version
 from flintridge.replication.gossip import RumorSpreader
 from flintridge.replication.replica import Replica
-from flintridge.replication.value_types import (
-    VALUE_TYPES,
-    WriteRejectedError,
-    decode_for_display,
-    encode_body,
-)
+from flintridge.replication.value_types import WriteRejectedError, encode_body
 from flintridge.runtime.clock import Clock
 from flintridge.telemetry.counters import Counters
 
@@ -29,19 +24,6 @@
 QUERY_FIELDS = ("type", "name", "bucket", "conflicts", "after", "digests", "entries")
 ENTRY_QUERY_FIELDS = frozenset(("type", "bucket", "conflicts", "entries"))
 
-# The names that the admin API's JSON has for them; tools of operators read these.
-SYNC_STATE_NAMES = {
-    SyncState.UNSYNCHRONIZED: "fresh",
-    SyncState.SYNCHRONIZING: "catching",
-    SyncState.SYNCHRONIZED: "caught",
-}
-COUNT_NAMES = {
-    "clock_ahead": "ahead",
-    "versions_ended": "ended",
-    "chunks_out_of_order": "slices_out_of_turn",
-    "messages_malformed": "words_bad",
-}
-
 
 class WriteCall(
     msgspec.Struct,
@@ -110,44 +92,43 @@
         unknown = sorted(set(fields) - set(QUERY_FIELDS))
         if unknown:
             return 400, {"error": f"unknown {unknown[0]}; allowed: {', '.join(QUERY_FIELDS)}"}
-        summary = self._summary()
+        view = self._view()
         if "digests" in fields:
-            summary["digests"] = [f"{digest:016x}" for digest in self._replica.digests]
+            digests = [f"{digest:016x}" for digest in self._replica.digests]
+            view = msgspec.structs.replace(view, digests=digests)
         if ENTRY_QUERY_FIELDS & set(fields):
             try:
-                summary.update(self._page(fields))
+                view = self._with_page(view, fields)
             except (ValueError, IndexError):
                 limit = len(self._replica.digests)
                 return 400, {"error": f"bucket and after are numbers; a bucket is under {limit}"}
-        return 200, summary
+        return 200, view.to_json()
 
-    def _summary(self) -> dict[str, Any]:
+    def _view(self) -> ReplicaView:
         replica = self._replica
         activity = self._activity()
         counts = {**replica.counts, **self._gossip.counts}
-        return {
-            "name": self._membership.name,
-            "life": f"{self._membership.incarnation:x}",
-            "standing": SYNC_STATE_NAMES[replica.sync_state],
-            "root": f"{replica.root():016x}",
-            "asking": activity.source,
-            "entries": len(replica.entries),
-            "of": replica.limits.max_entries,
-            "conflicts": sum(1 for _ in replica.conflicting_keys()),
-            "held": sorted(activity.taken_out),
-            "heard": self._membership.reachability.reachable,
-            "counts": {COUNT_NAMES.get(name, name): count for name, count in counts.items()},
-        }
+        return ReplicaView(
+            name=self._membership.name,
+            incarnation=f"{self._membership.incarnation:x}",
+            sync_state=SYNC_STATE_NAMES[replica.sync_state],
+            root=f"{replica.root():016x}",
+            comparison_source=activity.source,
+            entry_count=len(replica.entries),
+            max_entries=replica.limits.max_entries,
+            conflicts=sum(1 for _ in replica.conflicting_keys()),
+            taken_out=sorted(activity.taken_out),
+            reachable=self._membership.reachability.reachable,
+            counts={COUNT_NAMES.get(name, name): count for name, count in counts.items()},
+        )
 
-    def _page(self, fields: dict[str, str]) -> dict[str, Any]:
+    def _with_page(self, view: ReplicaView, fields: dict[str, str]) -> ReplicaView:
         keys = self._matching_keys(fields)
         start = int(fields.get("after", "0"))
         end = start + PAGE_ENTRIES
         now = self._clock.now()
-        return {
-            "page": [self._entry_json(key, now) for key in keys[start:end]],
-            "next": end if end < len(keys) else None,
-        }
+        page = [view_entry(key, self._replica.entries[key], now) for key in keys[start:end]]
+        return msgspec.structs.replace(view, page=page, next_after=end if end < len(keys) else None)
 
     def _matching_keys(self, fields: dict[str, str]) -> list[Key]:
         replica = self._replica
@@ -160,17 +141,6 @@
         type_name = fields.get("type")
         return sorted(key for key in keys if type_name is None or key[0] == type_name)
 
-    def _entry_json(self, key: Key, now: float) -> dict[str, Any]:
-        type_name, name = key
-        versions = by_precedence(type_name, self._replica.entries[key], now)
-        return {
-            "type": type_name,
-            "name": name,
-            "holds": bool(versions) and is_active(versions[0], now),
-            "known": type_name in VALUE_TYPES,
-            "versions": [_version_json(version, now) for version in versions],
-        }
-
     def write(self, _query: bytes, body: bytes) -> AdminResponse:
         """POST /admin/state, a `WriteCall` in JSON. Written here at once; nothing waits for other nodes."""
         try:
@@ -214,17 +184,3 @@
         if count is None:
             return 404, {"error": "no such write of this process, or too long ago"}
         return 200, {"had": count, "life": f"{self._membership.incarnation:x}"}
-
-
-def _version_json(version: Version, now: float) -> dict[str, Any]:
-    (node, incarnation), count = version.dot
-    ends_in_ms = None if version.lifetime_ms == math.inf else round(version.expires_at() - now)
-    return {
-        "dot": f"{node}/{incarnation:x}/{count}",
-        "body": decode_for_display(version.body),
-        "by": version.author,
-        "why": version.reason,
-        "age_ms": max(0, round(now - version.written_at)),
-        "ends_in_ms": ends_in_ms,
-        "deleted": version.deleted,
-    }
--- a/tests/replication/test_admin.py
+++ b/tests/replication/test_admin.py
@@ -1,13 +1,15 @@
 """The JSON of /admin/state, whose names tools of operators read."""
 
+import dataclasses
 from random import Random
 from types import SimpleNamespace
 
+import msgspec
 import orjson
 import pytest
 from support.replication import KEY, make_replica
 
-from flintridge.replication.admin import ReplicationActivity, StateAdminApi
+from flintridge.replication.admin import PAGE_ENTRIES, ReplicationActivity, StateAdminApi
 from flintridge.replication.comparison import SyncState
 from flintridge.replication.gossip import RumorSpreader
 from flintridge.telemetry.counters import Counters
@@ -124,3 +126,27 @@
     error = {"error": "no such write of this process, or too long ago"}
     assert api.holder_count(b"write=7", b"") == (404, error)
     assert api.holder_count(b"write=x", b"") == (404, error)
+
+
+def test_query_when_digests_and_entries_are_asked_for_has_them_after_the_summary_a_page_at_a_time(api):
+    api.replica.limits = dataclasses.replace(api.replica.limits, max_entries=200)
+    for number in range(PAGE_ENTRIES + 1):
+        api.replica.write(0.0, ("note", f"{number:03}"), b"\x80", "ann", "why")
+    first = api.query(b"entries=1&digests=1", b"")[1]
+    assert list(first)[-3:] == ["digests", "page", "next"]
+    assert first["digests"] == [f"{digest:016x}" for digest in api.replica.digests]
+    assert [entry["name"] for entry in first["page"]] == [f"{number:03}" for number in range(PAGE_ENTRIES)]
+    assert first["next"] == PAGE_ENTRIES
+    second = api.query(b"entries=1&after=100", b"")[1]
+    assert [entry["name"] for entry in second["page"]] == ["100"]
+    assert second["next"] is None
+
+
+def test_query_when_a_body_is_of_a_later_release_shows_what_can_be_read(api):
+    body = msgspec.msgpack.encode({"a": b"bytes", "b": [1, {"c": None}]})
+    api.replica.write(0.0, ("later", "x"), body, "ann", "why", lifetime_ms=500.0)
+    api.replica.write(0.0, ("later", "y"), b"\xc1", "ann", "why", deleted=True)
+    x, y = api.query(b"type=later", b"")[1]["page"]
+    assert (x["known"], x["holds"], x["versions"][0]["ends_in_ms"]) == (False, True, 400)
+    assert x["versions"][0]["body"] == {"a": b"bytes", "b": [1, {"c": None}]}
+    assert (y["holds"], y["versions"][0]["deleted"], y["versions"][0]["body"]) == (False, True, None)
