--- a/tests/policy/test_admission_queue.py
+++ b/tests/policy/test_admission_queue.py
@@ -3,10 +3,19 @@
 Each test fails without the code that answers its failure.
 """
 
-from support.policy import MS, Router, S
+import pytest
+from hypothesis import given, settings
+from hypothesis import strategies as st
+from support.policy import MS, START, Router, S, attempted, open_request
 
 from flintridge import api
 from flintridge.api import Outcome
+from flintridge.policy.admission_queue import (
+    MAX_SKIPPED,
+    AdmissionQueue,
+)
+from flintridge.policy.concurrency_limiter import ConcurrencyLimiter
+from flintridge.policy.open_request import OpenRequest, Upstream
 
 
 def test_work_without_a_permit_is_rejected_before_its_latency_objective():
@@ -75,3 +84,92 @@
         deadline=router.now + 100 * MS
     )  # but not with less time left than half its objective
     assert isinstance(router.final_responses.get(late), api.Reject)
+
+
+plain = settings(derandomize=True, deadline=None, database=None, max_examples=100)
+
+
+def make_queue(permits: float = 1e9) -> AdmissionQueue:
+    return AdmissionQueue(Upstream.CACHES, ConcurrencyLimiter(permits))
+
+
+def admitted(queue: AdmissionQueue, now: int = START, sends=lambda request: True) -> list[OpenRequest]:
+    """Those that are sent; each has its permit for good."""
+    sent: list[OpenRequest] = []
+
+    def try_send(request: OpenRequest) -> bool:
+        if not sends(request):
+            return False
+        request.waits_for = None
+        queue.limiter.acquire()
+        sent.append(request)
+        return True
+
+    queue.admit(now, try_send, queue.abandon)
+    return sent
+
+
+@given(priorities=st.lists(st.sampled_from([0.1, 1.0, 1.0, 8.0]), max_size=80), data=st.data())
+@plain
+def test_the_order_is_that_of_priorities_and_the_newest_first_whoever_leaves(priorities, data):
+    queue = make_queue()
+    waiting = [(priority, order, open_request()) for order, priority in enumerate(priorities)]
+    for priority, order, request in waiting:
+        queue.push(request, priority, order)
+    leaving = data.draw(st.sets(st.sampled_from(range(len(waiting))))) if waiting else set()
+    for index in leaving:
+        waiting[index][2].done = True
+        queue.abandon(waiting[index][2])
+    assert queue.waiting == len(waiting) - len(leaving)
+    staying = [entry for index, entry in enumerate(waiting) if index not in leaving]
+    staying.sort(key=lambda entry: (-entry[0], -entry[1]))
+    assert admitted(queue) == [request for _, _, request in staying]
+
+
+def test_requests_without_a_free_server_wait_on_where_they_were():
+    queue = make_queue()
+    requests = [open_request() for _ in range(MAX_SKIPPED + 2)]
+    for order, request in enumerate(requests):
+        queue.push(request, 1.0, order)
+    newest = requests[-1]
+    assert admitted(queue, sends=lambda request: request is not newest)[0] is requests[-2]
+    queue = make_queue()
+    for order, request in enumerate(requests):
+        queue.push(request, 1.0, order)
+    offered: list[OpenRequest] = []
+    assert admitted(queue, sends=offered.append) == []
+    assert offered == requests[: -MAX_SKIPPED - 1 : -1]  # those behind are not tried
+    assert admitted(queue) == requests[::-1]
+
+
+def test_nobody_is_admitted_without_a_permit_and_the_end_of_a_pause_is_named_once():
+    queue = make_queue(permits=0.5)
+    first, second = open_request(), open_request()
+    queue.push(first, 1.0, 0)
+    queue.push(second, 1.0, 1)
+    assert admitted(queue) == [second]
+    queue.limiter.release(START, 100 * MS)
+    wake_ups = [queue.admit(START, pytest.fail, pytest.fail) for _ in range(2)]
+    assert wake_ups == [START + 100 * MS, None]
+    assert admitted(queue, START + 100 * MS) == [first]
+
+
+@pytest.mark.parametrize(
+    ("changes", "usual_ms", "expected_ms"),
+    [
+        ({}, 0, 500),  # its objective
+        ({"late_weight_fraction": 0.1}, 0, 900),  # 0.45 of its client's time
+        ({"late_weight_fraction": 0.1}, 100, 800),
+        ({}, 100, 400),
+        ({}, 400, 250),  # a slow spell counts up to half of the objective
+        ({"deadline": START + 1000 * MS}, 0, 450),
+        ({"first_arrived_at": START - 300 * MS}, 0, 200),  # a retry
+    ],
+)
+def test_the_latest_start_leaves_time_for_the_usual_latency(changes, usual_ms, expected_ms):
+    queue = make_queue()
+    queue.limiter.latencies_ns[0] = usual_ms * MS
+    request = open_request(**changes)
+    assert queue.latest_start(request) == START + expected_ms * MS
+    attempted(request, "s", Outcome.ERROR)  # now it may wait until the end
+    assert queue.latest_start(request) >= START + expected_ms * MS
