--- a/flintridge/lab/backend/loopback.py
+++ b/flintridge/lab/backend/loopback.py
@@ -68,7 +68,7 @@
 
 
 async def _play(scenario: Scenario, seed: int, log: RecordLog, day: Day) -> Outcome:
-    from flintridge.lab.world.links import LinkTable
+    from flintridge.lab.world.link_table import LinkTable
 
     seeds, thresholds = Seeds(seed), gc.get_threshold()
     fabric = LoopbackFabric(LinkTable(scenario.links, seeds), lead_s(scenario) + scenario.warmup_s)
--- a/flintridge/lab/fabric.py
+++ b/flintridge/lab/fabric.py
@@ -43,7 +43,7 @@
 
 
 class Links(Protocol):
-    """All links, by the names of two parties (`flintridge.lab.world.links.LinkTable`)."""
+    """All links, by the names of two parties (`flintridge.lab.world.link_table.LinkTable`)."""
 
     def link(self, source: str, target: str) -> Link: ...
 
@@ -79,7 +79,7 @@
     """The nodes as processes; each call is recorded as a NodeSaid, and so is an end that nobody asked for."""
 
     async def start(self, node: str) -> None:
-        """Start it anew from `World.node_config(node)`; returns before it is ready."""
+        """Start it anew from `SimulatedFleet.node_config(node)`; returns before it is ready."""
 
     def kill(self, node: str) -> None: ...
 
--- a/flintridge/lab/faults/active.py
+++ b/flintridge/lab/faults/active.py
@@ -10,7 +10,7 @@
 
 from flintridge.lab.faults.injection import CallErrors, FolderState, SystemState
 from flintridge.lab.scenario import model as m
-from flintridge.lab.world.links import SOUND, LinkFault
+from flintridge.lab.world.link import NO_FAULT, LinkFault
 
 F = TypeVar("F", bound=m.Fault)
 UP = "up"
@@ -22,14 +22,14 @@
 
 @dataclass(slots=True, frozen=True)
 class Knobs:
-    """Of a cache server's model, by the names that it has there."""
-
-    slow: float = 1.0
-    error_part: float = 0.0
-    reset_part: float = 0.0
-    spoilt_part: float = 0.0
-    lost_part: float = 0.0
-    crowd_part: float = 0.0
+    """Settings of a cache server, by the names of `flintridge.lab.world.fault_controls.FaultControls`."""
+
+    slowdown: float = 1.0
+    error_fraction: float = 0.0
+    reset_fraction: float = 0.0
+    corrupted_fraction: float = 0.0
+    lost_fraction: float = 0.0
+    contention_fraction: float = 0.0
     stale_after_ms: float = 0.0
     stale_silent: bool = False
 
@@ -82,12 +82,12 @@
                 parts[type(fault)] = before + fault.part - before * fault.part
         after_ms, loud = min(stale, default=(0.0, True))
         return Knobs(
-            slow=slow,
-            error_part=parts[m.QuickErrors],
-            reset_part=parts[m.Resets],
-            spoilt_part=parts[m.Spoilt],
-            lost_part=parts[m.LostAnswers],
-            crowd_part=parts[m.Crowding],
+            slowdown=slow,
+            error_fraction=parts[m.QuickErrors],
+            reset_fraction=parts[m.Resets],
+            corrupted_fraction=parts[m.Spoilt],
+            lost_fraction=parts[m.LostAnswers],
+            contention_fraction=parts[m.Crowding],
             stale_after_ms=after_ms,
             stale_silent=not loud,
         )
@@ -156,7 +156,7 @@
             if not isinstance(fault, m.PeerLink):
                 continue
             for a, b in on.ways:
-                was = found.get((a, b), SOUND)
+                was = found.get((a, b), NO_FAULT)
                 rates = [rate for rate in (was.bytes_per_s, fault.bytes_per_s) if rate]
                 found[a, b] = LinkFault(
                     cut=was.cut or fault.cut,
--- a/flintridge/lab/faults/check.py
+++ b/flintridge/lab/faults/check.py
@@ -10,7 +10,7 @@
 from flintridge.lab.faults.choose import Candidate, fitting
 from flintridge.lab.scenario import model as m
 from flintridge.lab.scenario.system_faults import ERRORS_OF_CALL, MAX_STEP_S, NodeFault
-from flintridge.lab.world.fleet_plan import server_zones
+from flintridge.lab.world.fleet_plan import placed_servers
 from flintridge.lab.world.settings import ORIGIN_KIND
 
 FOR_GOOD = (m.Crash, m.NodeKill)  # where `for_s = 0` means that nothing starts again
@@ -176,8 +176,8 @@
 
 def candidates(scenario: m.Scenario) -> list[Candidate]:
     """The cache servers by their labels, as before any seed."""
-    zones = server_zones(scenario)
-    return [Candidate(f"s{i}", f"s{i}", zone, group.kind) for i, (group, zone) in enumerate(zones)]
+    servers = placed_servers(scenario)
+    return [Candidate(f"s{i}", f"s{i}", server.zone, server.group.kind) for i, server in enumerate(servers)]
 
 
 def _chosen(scenario: m.Scenario, fault: m.ServerFault) -> Iterator[str]:
--- a/flintridge/lab/faults/nodes.py
+++ b/flintridge/lab/faults/nodes.py
@@ -6,7 +6,7 @@
 from flintridge.lab.faults.active import Active
 from flintridge.lab.faults.injection import SOUND, SystemState
 from flintridge.lab.scenario.model import Scenario
-from flintridge.lab.world.fleet import World
+from flintridge.lab.world.fleet import SimulatedFleet
 
 LONGEST_MS = 3000.0  # a node that ends has its longest deadline for it, but no more than this,
 LEAVING_MS = 700.0  # and the time in which it is still sent requests, before it is killed
@@ -21,7 +21,7 @@
 class NodeState:
     """Kills, ends, pauses and starts nodes as the active faults have it."""
 
-    def __init__(self, world: World, nodes: NodeRunner, active: Active, clock: RunClock) -> None:
+    def __init__(self, world: SimulatedFleet, nodes: NodeRunner, active: Active, clock: RunClock) -> None:
         self._world, self._nodes, self._active, self._clock = world, nodes, active, clock
         self._paused: dict[str, None] = {}
         self._spared: dict[str, None] = {}  # they died while paused: their new processes are not
@@ -77,7 +77,7 @@
             return
         await self._world.discovery.move(node)
         self._nodes.reload(node, self._world.reload_config(node))
-        self._world.discovery.model.deemed.reloaded(self._clock.now(), node)
+        self._world.discovery.model.notifications.reloaded(self._clock.now(), node)
 
     def _apply_system(self, node: str) -> None:
         state = self._active.system(node)
@@ -99,4 +99,4 @@
         else:
             del self._paused[node]
             self._nodes.resume(node)
-        self._world.discovery.model.deemed.paused(self._clock.now(), node, paused)
+        self._world.discovery.model.notifications.paused(self._clock.now(), node, paused)
--- a/flintridge/lab/faults/servers.py
+++ b/flintridge/lab/faults/servers.py
@@ -7,16 +7,17 @@
 from flintridge.lab.faults.active import UP, Active, Isolation, Knobs
 from flintridge.lab.records import LinkFaultChanged
 from flintridge.lab.world.cache_host import CacheHost
-from flintridge.lab.world.fleet import NOWHERE, World
-from flintridge.lab.world.links import SOUND, LinkFault, LinkTable
+from flintridge.lab.world.fleet import NO_ZONE, SimulatedFleet
+from flintridge.lab.world.link import NO_FAULT, LinkFault
+from flintridge.lab.world.link_table import LinkTable
 
 
 class WorldState:
-    """Applies an Active to a World: only what differs from what was applied before is touched."""
+    """Applies an Active to a SimulatedFleet: only what differs from what was applied before is touched."""
 
-    def __init__(self, world: World, fabric: Fabric, active: Active) -> None:
+    def __init__(self, world: SimulatedFleet, fabric: Fabric, active: Active) -> None:
         self._world, self._fabric, self._active = world, fabric, active
-        self._zones = [*world.scenario.zones, NOWHERE]
+        self._zones = [*world.scenario.zones, NO_ZONE]
         self._knobs: dict[str, Knobs] = {}
         self._held: dict[str, None] = {}  # servers that faults keep down
         self._parties: dict[str, str] = {}
@@ -67,7 +68,7 @@
         for name in Knobs.__dataclass_fields__:
             value = getattr(knobs, name)
             if value != getattr(before, name):
-                setattr(host.model, name, value)
+                setattr(host.model.faults, name, value)
 
     # Links
 
@@ -75,7 +76,7 @@
         links, active = self._fabric.links, self._active
         assert isinstance(links, LinkTable)
         hosts = self._world.servers.items()
-        parties = {host.listen_as: "silent" for server, host in hosts if active.vanished(server)}
+        parties = {host.party: "silent" for server, host in hosts if active.vanished(server)}
         isolations, pairs, delays = active.isolations(), active.pairs(self._zones), active.delays()
         if delays != self._delays:
             for zones in self._delays | delays:
@@ -97,9 +98,9 @@
 
     def _apply_peers(self, links: LinkTable, peers: dict[tuple[str, str], LinkFault]) -> None:
         for way in self._peers | peers:
-            fault = peers.get(way, SOUND)
-            if fault != self._peers.get(way, SOUND):
-                links.set_peer(*way, fault)
+            fault = peers.get(way, NO_FAULT)
+            if fault != self._peers.get(way, NO_FAULT):
+                links.set_fault(*way, fault)
                 now, (source, target) = self._fabric.clock.now(), way
                 self._world.log.add(
                     LinkFaultChanged(at_ms=now, source=source, target=target, **asdict(fault))
@@ -112,12 +113,12 @@
 
     async def _apply_origin_and_discovery(self) -> None:
         world, active = self._world, self._active
-        origin = active.origin_slow(), active.origin_down(world.scenario.origin.zone or NOWHERE)
+        origin = active.origin_slow(), active.origin_down(world.scenario.origin.zone or NO_ZONE)
         if origin != self._origin:
             self._origin = origin
             world.origin.model.slow, world.origin.model.down = origin
         discovery = world.discovery
         discovery.model.slow = active.discovery_slow()
         discovery.model.stale_since = active.stale_since()
-        await discovery.set_down(active.discovery_down(world.scenario.discovery.zone or NOWHERE))
-        discovery.poke()
+        await discovery.set_down(active.discovery_down(world.scenario.discovery.zone or NO_ZONE))
+        discovery.update()
--- a/flintridge/lab/faults/timeline.py
+++ b/flintridge/lab/faults/timeline.py
@@ -25,8 +25,8 @@
 from flintridge.lab.scenario import model as m
 from flintridge.lab.scenario.system_faults import NodeFault
 from flintridge.lab.seeds import Seeds
-from flintridge.lab.world.fleet import World
-from flintridge.lab.world.fleet_plan import Spec
+from flintridge.lab.world.fleet import SimulatedFleet
+from flintridge.lab.world.fleet_plan import ServerPlan
 from flintridge.membership.messages import MessageKind
 
 RESTART_MS = 1000.0  # from a drained server's end to its start, where it comes back
@@ -57,7 +57,7 @@
         self,
         scenario: m.Scenario,
         seeds: Seeds,
-        world: World,
+        world: SimulatedFleet,
         fabric: Fabric,
         nodes: NodeRunner,
         load_controls: LoadControls,
@@ -70,7 +70,7 @@
         self._nodes = NodeState(world, nodes, self._active, self._clock)
         self._steps: list[tuple[float, int, int, Step]] = []
         self._order = 0
-        self._replacing: dict[int, list[tuple[Spec, str]]] = {}  # what is gone, and where it listened
+        self._replacing: dict[int, list[tuple[ServerPlan, str]]] = {}  # what is gone, and where it listened
         self._begun: dict[int, str] = {}  # what has begun and not ended, with its detail
         self._hot = 0.0
         self._bad: tuple[float, tuple[str, ...]] = (0.0, ())
@@ -175,7 +175,7 @@
         self._say(number, True)
         match fault:
             case m.Flush():
-                self._world.objects.void(fault.part, str(number))
+                self._world.objects.invalidate(fault.part, str(number))
                 self._say(number, False)
             case m.ClockStep():
                 self._active.on[number] = on  # for good
@@ -274,7 +274,7 @@
             self._say(number, False)
 
     async def _begin_replace(self, number: int, on: On, fault: m.Replace) -> None:
-        gone = [(self._world.servers[name].listen_as, name) for name in on.servers]
+        gone = [(self._world.servers[name].party, name) for name in on.servers]
         self._replacing[number] = [(self._world.remove(name), at) for at, name in gone]
         await self._apply()
         end = fault.at_s * 1000 + fault.for_s * 1000
@@ -312,7 +312,7 @@
         host = self._world.servers.get(name)
         if host is None:  # something else has replaced it meanwhile
             return
-        at = host.listen_as if fault.same_address else None
+        at = host.party if fault.same_address else None
         await self._world.replace(self._world.remove(name), at)
         await self._apply()
 
@@ -336,7 +336,7 @@
     def _candidates(self) -> list[Candidate]:
         servers = self._world.servers
         return [
-            Candidate(name, self._world.specs[name].label, host.zone, host.kind.name)
+            Candidate(name, self._world.plans[name].label, host.zone, host.kind.name)
             for name, host in servers.items()
         ]
 
--- a/flintridge/lab/partial/peernet.py
+++ b/flintridge/lab/partial/peernet.py
@@ -13,7 +13,7 @@
 from flintridge.lab.partial.views import FLEET, KEY, VIEW_MS, datagram_of, held_of, view_of
 from flintridge.lab.records import RecordLog
 from flintridge.lab.scenario.model import Peers
-from flintridge.lab.world.links import LinkTable
+from flintridge.lab.world.link_table import LinkTable
 from flintridge.membership.messages import MessageCodec
 
 CALL_S = 1.0  # for a console's answer; one that is late is no view
--- a/flintridge/lab/partial/relay.py
+++ b/flintridge/lab/partial/relay.py
@@ -9,7 +9,7 @@
 from typing import Any
 
 from flintridge.lab.fabric import RunClock
-from flintridge.lab.world.links import WorldLink
+from flintridge.lab.world.link import SimulatedLink
 
 CHUNK = 16 * 1024
 LOOK_MS = 20.0  # how often a stream that passes nothing looks whether its link is up again
@@ -26,7 +26,7 @@
         target: str,
         listen: tuple[str, int],
         to: tuple[str, int],
-        links: tuple[WorldLink, WorldLink],
+        links: tuple[SimulatedLink, SimulatedLink],
         clock: RunClock,
         passed: Passed,
     ) -> None:
@@ -106,7 +106,7 @@
                     one.transport.abort()
 
     async def _pump(
-        self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, link: WorldLink
+        self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, link: SimulatedLink
     ) -> None:
         while data := await reader.read(CHUNK):
             await self._way(link, len(data))
@@ -116,7 +116,7 @@
         if writer.can_write_eof():
             writer.write_eof()
 
-    async def _way(self, link: WorldLink, size: int) -> None:
+    async def _way(self, link: SimulatedLink, size: int) -> None:
         """A stream loses nothing: while its link is cut it stands still."""
         while link.state != "up":
             await asyncio.sleep(LOOK_MS / 1000)
--- a/flintridge/lab/partial/rig.py
+++ b/flintridge/lab/partial/rig.py
@@ -32,8 +32,9 @@
 from flintridge.lab.scenario.model import Load, Nodes, Peers, RequestClass, Scenario
 from flintridge.lab.seeds import Seeds
 from flintridge.lab.truth import GroundTruth
-from flintridge.lab.world.fleet import World
-from flintridge.lab.world.links import SOUND, LinkFault, LinkTable
+from flintridge.lab.world.fleet import SimulatedFleet
+from flintridge.lab.world.link import NO_FAULT, LinkFault
+from flintridge.lab.world.link_table import LinkTable
 
 PATIENCE_S = 30.0  # for what a test waits for; a machine that is busy with other jobs takes longer
 LOOK_S = 0.05
@@ -73,7 +74,7 @@
         self.links = LinkTable(self.scenario.links, seeds)
         self.fabric = LoopbackFabric(self.links)
         truth = GroundTruth()
-        self.world = World(self.scenario, seeds, self.log, self.fabric, truth)
+        self.world = SimulatedFleet(self.scenario, seeds, self.log, self.fabric, truth)
         self.nodes = process_nodes(self.fabric, self.log, self.scenario, self.world)
         assert self.nodes.peers is not None
         self.net = self.nodes.peers
@@ -119,7 +120,7 @@
     def way(self, source: str, target: str, **wrong: Any) -> None:
         """What is wrong from now on in that direction, by the names of `LinkFault`; nothing: it is sound."""
         fault = LinkFault(**wrong)
-        self.links.set_peer(source, target, fault)
+        self.links.set_fault(source, target, fault)
         told = {name: getattr(fault, name) for name in LinkFault.__dataclass_fields__}
         self.log.add(LinkFaultChanged(at_ms=self.fabric.clock.now(), source=source, target=target, **told))
 
@@ -136,7 +137,7 @@
     def heal(self) -> None:
         for a in self.names:
             for b in self.names:
-                if a != b and self.links.link(a, b).peer is not SOUND:
+                if a != b and self.links.link(a, b).fault is not NO_FAULT:
                     self.way(a, b)
 
     def kill(self, node: str) -> None:
--- a/flintridge/lab/run.py
+++ b/flintridge/lab/run.py
@@ -26,8 +26,8 @@
 from flintridge.lab.seeds import Seeds
 from flintridge.lab.truth import GroundTruth
 from flintridge.lab.virtual import Network, Stuck, VirtualLoop
-from flintridge.lab.world.fleet import World
-from flintridge.lab.world.links import LinkTable
+from flintridge.lab.world.fleet import SimulatedFleet
+from flintridge.lab.world.link_table import LinkTable
 from flintridge.node import Node
 
 BACKENDS = ("virtual", "loopback")
@@ -101,11 +101,11 @@
     log: RecordLog,
     fabric: Fabric,
     truth: GroundTruth,
-    make_nodes: Callable[[World], NodeRunner],
+    make_nodes: Callable[[SimulatedFleet], NodeRunner],
     on_request: Callable[[Drawn], object] | None = None,
-) -> tuple[NodeRunner, World]:
+) -> tuple[NodeRunner, SimulatedFleet]:
     """The whole day on a fabric; the nodes still run at its end, for whoever closes them."""
-    world = World(scenario, seeds, log, fabric, truth)
+    world = SimulatedFleet(scenario, seeds, log, fabric, truth)
     await world.open()
     runner = make_nodes(world)
     load = Load(scenario, seeds, log, truth, fabric, world.nodes, world.node_zones, on_request=on_request)
@@ -194,7 +194,7 @@
     starts = seeds.of("nodes/start")
     made: list[VirtualNodes] = []
 
-    def make_nodes(world: World) -> NodeRunner:
+    def make_nodes(world: SimulatedFleet) -> NodeRunner:
         start_ms = lambda _: drawn(scenario.nodes.start_ms, starts)  # noqa: E731
         sockets = scenario.nodes.sockets
         peers = None
--- a/flintridge/lab/world/cache_host.py
+++ b/flintridge/lab/world/cache_host.py
@@ -1,99 +1,127 @@
-"""A cache server on a fabric: its lives, its listeners, and the model's time."""
+"""A cache server on a fabric: its incarnations, its listeners, and the model's time."""
 
+import asyncio
+from collections.abc import Callable
+from enum import Enum
 from functools import partial
 
-from flintridge.lab.fabric import Fabric
-from flintridge.lab.records import AttemptExecuted, RecordLog, ServerStateChanged
-from flintridge.lab.scenario.model import Kind, Scenario
-from flintridge.lab.seeds import Seeds
-from flintridge.lab.truth import GroundTruth
-from flintridge.lab.world.cache import CacheModel, Machine
-from flintridge.lab.world.cache_conn import CacheConnection, Request
-from flintridge.lab.world.commands import BUSY, FAILED, miss_answer, value_answer
-from flintridge.lab.world.objects import Objects
+from flintridge.lab.records import AttemptExecuted, ServerStateChanged
+from flintridge.lab.world.cache_model import CacheModel, Machine
+from flintridge.lab.world.cache_request import CacheRequest
+from flintridge.lab.world.cache_store import CacheStore
+from flintridge.lab.world.environment import Environment
+from flintridge.lab.world.fleet_plan import ServerPlan
+from flintridge.lab.world.memcache import BUSY, FAILED, miss_response, value_response
+from flintridge.lab.world.outcomes import Outcome
 from flintridge.lab.world.server_host import ServerHost
-from flintridge.lab.world.store import Store
 
+ConnectionFactory = Callable[["CacheHost", str], asyncio.Protocol]
+"""Makes the connection of a node, by its name, to a host."""
 
-class CacheHost(ServerHost):
-    """One server, by its id as discovery lists it.
 
-    `model` is of its present or last life; knobs set on it hold for later lives too. `started_at` is the
-    start on the day's clock (ms), `started_unix` the same as discovery tells it; both 0: long ago. It listens
-    at the address of `listen_as`, and its links are those of that party.
+class StopReason(Enum):
+    """Why a server stops; the values are the states in `flintridge.lab.records.ServerStateChanged`."""
+
+    CRASHED = "stopped"
+    REMOVED = "gone"
+    OVERLOADED = "fallen"
+
+
+class CacheHost(ServerHost):
+    """One cache server, by its id as discovery lists it.
+
+    Attributes:
+        kind: The kind of server.
+        zone: Where it stands.
+        cell: Its cell in that zone.
+        weight: Its weight as discovery lists it.
+        model: Of its present or last incarnation; faults set on it hold for later ones too.
+        party: At whose addresses it listens; its links are those of this party.
+        started_at: When it started (ms of the run); 0 for long ago.
+        started_unix_ms: The same as discovery tells it.
+        wire_rng: Draws the faults of its connections.
     """
 
-    def __init__(
-        self,
-        id: str,
-        kind: Kind,
-        zone: str,
-        cell: int,
-        weight: float,
-        fabric: Fabric,
-        log: RecordLog,
-        truth: GroundTruth,
-        objects: Objects,
-        scenario: Scenario,
-        seeds: Seeds,
-        nodes: list[str],
-    ) -> None:
-        idle_ms = kind.idle_s * 1000
-        probes = scenario.limits.probes
-        super().__init__(id, fabric, log, truth, objects, probes, nodes, kind.connections, idle_ms)
+    def __init__(self, plan: ServerPlan, environment: Environment, connect: ConnectionFactory) -> None:
+        """Make a server that is down.
+
+        Args:
+            plan: What it is.
+            environment: What all servers share.
+            connect: Makes its connections.
+        """
+        kind = plan.kind
+        super().__init__(plan.id, environment, kind.connections, kind.idle_s * 1000)
+        scenario = environment.scenario
+        seeds = environment.seeds
         self.kind = kind
-        self.zone = zone
-        self.cell = cell
-        self.weight = weight
-        self.listen_as = id
+        self.zone = plan.zone
+        self.cell = plan.cell
+        self.weight = plan.weight
+        self.party = plan.id
         self.started_at = 0.0
-        self.started_unix = 0.0
-        self.wire_rng = seeds.of(f"server/{id}/wire")
-        self._rules = scenario.rules
-        self._seeds = seeds
-        self._machine = Machine(kind, seeds.of(f"server/{id}"))
-        self._store = Store(objects, kind.memory_mb, scenario.keys.ttl_s)
-        self._lives = 0
-        self.model = self._new_model(cold=False)
-        objects.register(id, self._store, lambda: self.up)
-
-    def _new_model(self, cold: bool) -> CacheModel:
-        rng = self._seeds.of(f"server/{self.id}/life/{self._lives}")
-        now = self.clock.now()
-        return CacheModel(self.kind, self._machine, self._rules, self._store, rng, now, cold, self.catch_up)
+        self.started_unix_ms = 0.0
+        self.wire_rng = seeds.of(f"server/{self.id}/wire")
+        self._connect = connect
+        self._machine = Machine(kind, seeds.of(f"server/{self.id}"))
+        self._store = CacheStore(self.objects, kind.memory_mb, scenario.keys.ttl_s)
+        self._incarnations = 0
+        self.model = self._new_model(warms_up=False)
+        self.objects.register(self.id, self._store, lambda: self.up)
+
+    def _new_model(self, *, warms_up: bool) -> CacheModel:
+        return CacheModel(
+            self.kind,
+            self._machine,
+            self.environment.scenario.rules,
+            self._store,
+            self.environment.seeds.of(f"server/{self.id}/life/{self._incarnations}"),
+            self.clock.now(),
+            warms_up,
+            self.catch_up,
+        )
 
-    # Its life
+    # Incarnations
 
     @property
     def draining(self) -> bool:
-        """Whether it is up and turns new work away because it was told to drain."""
+        """Whether it is up and rejects new requests because it was told to drain."""
         return self.up and self.model.draining
 
-    async def start(self, cold: bool, at_address_of: str | None = None) -> None:
-        """A new life: cold and empty, or warm with the copies of the last one. The first one, if warm, began
-        long ago. Raises RuntimeError where it is up, OSError where it cannot listen."""
+    async def start(self, *, cold: bool, at_address_of: str | None = None) -> None:
+        """Start a new incarnation. The first one, if warm, began long ago.
+
+        Args:
+            cold: Whether it starts empty and warms up, rather than with the copies of the last incarnation.
+            at_address_of: The party at whose addresses it listens from now on; None for no change.
+
+        Raises:
+            RuntimeError: It is up.
+            OSError: It cannot listen.
+        """
         if self.up:
             raise RuntimeError(f"server {self.id} is up")
         if at_address_of is not None:
-            self.listen_as = at_address_of
-        old, now = self.model, self.clock.now()
+            self.party = at_address_of
+        earlier = self.model
+        now = self.clock.now()
         if cold:
             self._store.clear()
-        self._lives += 1
-        long_ago = self._lives == 1 and not cold
+        self._incarnations += 1
+        long_ago = self._incarnations == 1 and not cold
         self.started_at = 0.0 if long_ago else now
-        self.started_unix = 0.0 if long_ago else self.clock.unix_ms(now)
-        self.model = self._new_model(cold)
-        self.model.take_knobs(old)
+        self.started_unix_ms = 0.0 if long_ago else self.clock.unix_ms(now)
+        self.model = self._new_model(warms_up=cold)
+        self.model.faults.copy_from(earlier.faults)
         self.up = True
-        self._say_started()
+        self._log_started()
         try:
-            await self._listen(self.listen_as, partial(CacheConnection, self))
+            await self._listen(self.party, partial(self._connect, self))
         except OSError:
             self.stop()
             raise
 
-    def _say_started(self) -> None:
+    def _log_started(self) -> None:
         model = self.model
         self.log.add(
             ServerStateChanged(
@@ -103,77 +131,89 @@
                 zone=self.zone,
                 cell=self.cell,
                 capacity=model.warm_capacity,
-                initial_fraction=self.kind.cold_from if model.cold_ms else 1.0,
-                warm_up_ms=model.cold_ms,
+                initial_fraction=self.kind.cold_from if model.warm_up_ms else 1.0,
+                warm_up_ms=model.warm_up_ms,
             )
         )
 
-    def stop(self, how: str = "crash") -> None:
-        """The process ends: connections are reset, new ones refused, all it did is lost. `how` "gone" and
-        "fallen" are recorded by that name, anything else as stopped. Nothing happens where it is down."""
-        if not self.up:
-            return
-        self._shut()
-        now = self.clock.now()
-        state = how if how in ("gone", "fallen") else "stopped"
+    def _log_state(self, state: str) -> None:
         self.log.add(
-            ServerStateChanged(at_ms=now, server=self.id, state=state, zone=self.zone, cell=self.cell)
+            ServerStateChanged(
+                at_ms=self.clock.now(), server=self.id, state=state, zone=self.zone, cell=self.cell
+            )
         )
+
+    def stop(self, reason: StopReason = StopReason.CRASHED) -> None:
+        """End the process: connections are reset, new ones refused, all its work is lost.
+
+        Nothing happens where it is down.
+        """
+        if not self.up:
+            return
+        self._shut_down()
+        self._log_state(reason.value)
         self.reset_connections()
 
-    def fall(self) -> None:
-        """Pushed over (rule 4): it stays down until somebody starts it."""
-        self.stop("fallen")
+    def crash_by_overload(self) -> None:
+        """Stop as too much arrived during the warm-up; it stays down until somebody starts it."""
+        self.stop(StopReason.OVERLOADED)
 
     def drain(self) -> None:
-        """It knows that it drains: new work is turned away, what it has goes on."""
+        """Reject new requests from now on; those that are in flight go on."""
         if self.up and not self.model.draining:
             self.model.draining = True
-            now = self.clock.now()
-            self.log.add(
-                ServerStateChanged(
-                    at_ms=now, server=self.id, state="draining", zone=self.zone, cell=self.cell
-                )
-            )
+            self._log_state("draining")
 
     # Time
 
     def catch_up(self) -> None:
-        """Bring the model up to date, as before and after a knob is turned."""
+        """Bring the model up to date, as before and after a fault is set."""
         if self.up:
             self.settle(self.clock.now())
 
     def settle(self, now: float) -> None:
-        """Answer what has ended, and be called again when more does."""
+        """Respond to what has ended by `now` (ms), and be called again when more does."""
         model = self.model
         for job in model.advance(now):
-            assert isinstance(job, Request)
-            if not self.up:  # it ended over the answer to another
+            assert isinstance(job, CacheRequest)
+            if not self.up:  # it ended over the response to another
                 return
             self.finish(now, job)
             if job.connection is not None:
                 job.connection.flush(now)
-        if model.fallen:
-            self.fall()
+        if model.overloaded:
+            self.crash_by_overload()
             return
         self._wake_at(model.due())
 
-    def finish(self, now: float, job: Request) -> None:
-        """A job has its outcome: make the answer, which leaves in its turn."""
-        outcome, uid = job.outcome, job.uid
-        if job.ran:
+    def finish(self, now: float, request: CacheRequest) -> None:
+        """Make the response of a request that has its outcome; it leaves in its turn.
+
+        Args:
+            now: Time of the run in milliseconds.
+            request: The request.
+        """
+        request_id = request.request_id
+        if request.executed:
             self.log.add(
                 AttemptExecuted(
-                    at_ms=now, server=self.id, attempt_id=job.number, request_id=uid, idempotency_key=job.idem
+                    at_ms=now,
+                    server=self.id,
+                    attempt_id=request.attempt_id,
+                    request_id=request_id,
+                    idempotency_key=request.idempotency_key,
                 )
             )
-        if outcome == "value":
-            if job.connection is not None:
-                job.body = self.objects.body(job.key, job.version, self.id, uid)
-                job.answer = value_answer(uid, job.body)
-        elif outcome == "miss":
-            if not job.write:
-                self.objects.missed(uid, self.id)
-            job.answer = miss_answer(uid)
-        else:
-            job.answer = BUSY if outcome == "busy" else FAILED
+        match request.outcome:
+            case Outcome.VALUE:
+                if request.connection is not None:
+                    request.body = self.objects.body(request.key, request.version, self.id, request_id)
+                    request.response = value_response(request_id, request.body)
+            case Outcome.MISS:
+                if not request.write:
+                    self.objects.record_miss(request_id, self.id)
+                request.response = miss_response(request_id)
+            case Outcome.BUSY:
+                request.response = BUSY
+            case _:
+                request.response = FAILED
--- /dev/null
+++ b/flintridge/lab/world/corruption.py
@@ -0,0 +1,90 @@
+"""Malformed responses of a cache server."""
+
+import random
+from dataclasses import dataclass
+
+from flintridge.lab.world.memcache import value_response
+
+ENDLESS_BYTES = 64 * 1024  # of a line or a value that does not end, as far as it is sent
+
+INTACT_VARIANTS = ("twice", "noise_behind")
+"""Variants in which the right response comes first."""
+
+LINE_VARIANTS = ("noise", "unreadable", "endless_line", "other_id", "twice", "noise_behind")
+"""Variants of any response."""
+
+VARIANTS = (*LINE_VARIANTS, "short_length", "long_length", "huge_value")
+"""Variants of a response that carries a value."""
+
+
+@dataclass(slots=True, frozen=True)
+class CorruptedResponse:
+    """What goes out in place of a response.
+
+    Attributes:
+        data: The bytes.
+        response_intact: Whether the response itself is still complete in them.
+    """
+
+    data: bytes
+    response_intact: bool
+
+
+def corrupt(rng: random.Random, request_id: str, response: bytes, body: bytes | None) -> CorruptedResponse:
+    """Draw a variant and apply it.
+
+    Args:
+        rng: Where the draws come from.
+        request_id: Of the request.
+        response: The right response.
+        body: The value in it, or None.
+    """
+    variants = VARIANTS if body is not None else LINE_VARIANTS
+    name = variants[rng.randrange(len(variants))]
+    return CorruptedResponse(corrupt_as(name, rng, request_id, response, body), name in INTACT_VARIANTS)
+
+
+def corrupt_as(name: str, rng: random.Random, request_id: str, response: bytes, body: bytes | None) -> bytes:
+    """Apply one variant; the other arguments are those of `corrupt`.
+
+    Raises:
+        KeyError: There is no such variant.
+    """
+    match name:
+        case "noise":
+            return rng.randbytes(rng.randint(20, 2000))
+        case "unreadable":
+            return b"VA many O" + request_id.encode() + b" \x00\xff?\r\n"
+        case "endless_line":
+            return b"VA " + b"9" * ENDLESS_BYTES
+        case "other_id":
+            return _with_other_id(request_id, response)
+        case "twice":
+            return response + response
+        case "noise_behind":
+            return response + rng.randbytes(rng.randint(1, 200))
+        case "short_length":  # there is more than the line says
+            assert body is not None
+            return _with_length(request_id, body, max(0, len(body) - rng.randint(1, 9)))
+        case "long_length":  # there is less than the line says
+            assert body is not None
+            return _with_length(request_id, body, len(body) + rng.randint(3, 99))
+        case "huge_value":
+            return b"VA 3000000000 O%b\r\n" % request_id.encode() + b"x" * ENDLESS_BYTES
+        case _:
+            raise KeyError(name)
+
+
+def _with_length(request_id: str, body: bytes, length: int) -> bytes:
+    return b"VA %d O%b\r\n%b\r\n" % (length, request_id.encode(), body)
+
+
+def _with_other_id(request_id: str, response: bytes) -> bytes:
+    """A response to a request that nobody made; a value is another one's too."""
+    last = "0" if request_id[-1] != "0" else "1"
+    other_id = request_id[:-1] + last
+    if response.startswith(b"VA"):
+        return value_response(other_id, b"somebody else's|")
+    if response.startswith((b"EN", b"HD")):
+        return response.replace(b" O" + request_id.encode(), b" O" + other_id.encode(), 1)
+    return b"EN O%b\r\n" % other_id.encode()
--- /dev/null
+++ b/flintridge/lab/world/discovery_call.py
@@ -0,0 +1,41 @@
+"""What a node asks discovery for, read from the target of its HTTP request."""
+
+from dataclasses import dataclass
+from urllib.parse import parse_qsl, urlsplit
+
+PATH = "/api/targets"
+MAX_DIGITS = 15
+
+
+class MalformedCallError(ValueError):
+    """A call that no sound node makes."""
+
+
+@dataclass(slots=True, frozen=True)
+class ListCall:
+    """A call for the endpoint list.
+
+    Attributes:
+        after: The revision that the node has; 0 asks for the complete list.
+        wait_ms: How long it may wait for something newer.
+    """
+
+    after: int
+    wait_ms: float
+
+
+def read_target(target: str) -> ListCall:
+    """Read the target of a call.
+
+    Raises:
+        MalformedCallError: No sound node makes it.
+    """
+    parts = urlsplit(target)
+    if parts.path != PATH:
+        raise MalformedCallError(f"no such path: {parts.path[:100]}")
+    values = {"after": 0, "wait_ms": 0}
+    for name, text in parse_qsl(parts.query, keep_blank_values=True):
+        if name not in values or not text.isascii() or not text.isdecimal() or len(text) > MAX_DIGITS:
+            raise MalformedCallError(f"unreadable: {name[:40]}={text[:40]}")
+        values[name] = int(text)
+    return ListCall(values["after"], float(values["wait_ms"]))
--- a/flintridge/lab/world/discovery_host.py
+++ b/flintridge/lab/world/discovery_host.py
@@ -2,24 +2,26 @@
 
 import asyncio
 from collections.abc import Callable
-from typing import Any
-from urllib.parse import parse_qsl, urlsplit
+from functools import partial
+from typing import Any, Protocol
 
-import h11
 import orjson
 
 from flintridge.lab.fabric import Fabric, Listener
-from flintridge.lab.records import EndpointNotified as ToldRecord
-from flintridge.lab.records import MalformedMessage, RecordLog
+from flintridge.lab.records import EndpointNotified, MalformedMessage, RecordLog
 from flintridge.lab.seeds import Seeds
-from flintridge.lab.world.discovery import Discovery, Entry, Reply, Told
+from flintridge.lab.world.call_queue import OK, CallResponse
+from flintridge.lab.world.discovery_call import read_target
+from flintridge.lab.world.discovery_model import DiscoveryModel, Notification
+from flintridge.lab.world.endpoint_list import Endpoint
+from flintridge.lab.world.link import UP
 from flintridge.lab.world.sockets import reset
 
 PARTIES = ("discovery", "discovery2")
-PATH = "/api/targets"
-DEEM_EVERY_MS = 100.0
-MOVED_MS = 1500.0  # after which a left address closes what is open on it
-GARBAGE = (
+CHECK_INTERVAL_MS = 100.0  # between two looks at who counts as notified
+OLD_ADDRESS_MS = 1500.0  # after which an address that a node has left closes what is open on it
+MAX_RECORDED_TEXT = 200  # characters of a malformed call
+MALFORMED_BODIES = (
     b"<html><body>upstream error</body></html>",
     b'{"revision":',
     b'{"revision":"many","complete":true,"members":[]}',
@@ -27,60 +29,96 @@
     b'{"revision":7,"complete":true,"members":[{"id":"","phase":"?"}]}',
     b"\x00\xff\xfe" * 40,
 )
+UNAVAILABLE_BODY = b'{"error":"unavailable"}'
 
+EndpointListBody = dict[str, Any]
+"""The endpoint list as discovery sends it in JSON."""
 
-class BadCall(ValueError):
-    """A request that no sound node makes."""
 
+class Caller(Protocol):
+    """A node's connection to discovery.
 
-def read_target(target: str) -> tuple[int, float]:
-    """`after` (0: the whole list) and `wait_ms` of a call's target; raises BadCall."""
-    parts = urlsplit(target)
-    if parts.path != PATH:
-        raise BadCall(f"no such path: {parts.path[:100]}")
-    values = {"after": 0, "wait_ms": 0}
-    for name, text in parse_qsl(parts.query, keep_blank_values=True):
-        if name not in values or not text.isascii() or not text.isdecimal() or len(text) > 15:
-            raise BadCall(f"unreadable: {name[:40]}={text[:40]}")
-        values[name] = int(text)
-    return values["after"], float(values["wait_ms"])
+    Attributes:
+        node: The node.
+        party: At whose address it is.
+        pending: Key of the call that awaits its response.
+        transport: Of the connection.
+    """
+
+    node: str
+    party: str
+    pending: int | None
+    transport: asyncio.Transport
+
+    def respond(self, status: int, body: bytes) -> None:
+        """Write the response to the call that awaits one."""
+
+
+ConnectionFactory = Callable[["DiscoveryHost", str, str], asyncio.Protocol]
+"""Makes the connection of a node, by its name, at the address of a party, to the host."""
 
 
 class DiscoveryHost:
-    """Drives one Discovery for all nodes, each at the address where it finds discovery at present."""
+    """Drives one model for all nodes, each at the address where it finds discovery at present.
+
+    Attributes:
+        model: What it does.
+    """
 
     def __init__(
-        self, fabric: Fabric, log: RecordLog, model: Discovery, seeds: Seeds, nodes: list[str]
+        self,
+        fabric: Fabric,
+        log: RecordLog,
+        model: DiscoveryModel,
+        seeds: Seeds,
+        nodes: list[str],
+        connect: ConnectionFactory,
     ) -> None:
+        """Make a host that does not listen yet.
+
+        Args:
+            fabric: Clock, addresses, links and listeners.
+            log: Where records go.
+            model: What it does.
+            seeds: Where its draws come from.
+            nodes: Names of the nodes.
+            connect: Makes its connections.
+        """
         self.model = model
-        self._fabric, self._log = fabric, log
+        self._fabric = fabric
+        self._log = log
         self._nodes = nodes
+        self._connect = connect
         self._rng = seeds.of("discovery/garbage")
-        self._party = dict.fromkeys(nodes, PARTIES[0])
+        self._party_of = dict.fromkeys(nodes, PARTIES[0])
         self._listeners: dict[str, Listener] = {}
         self._callers: dict[Caller, None] = {}
-        self._waiting: dict[int, Caller] = {}  # by the key of their call
-        self._was_cut: dict[str, bool] = {}
-        self._keys = 0
-        self._last = -1e18
+        self._awaiting: dict[int, Caller] = {}  # by the key of their call
+        self._was_cut_off: dict[str, bool] = {}
+        self._last_key = 0
+        self._last_now = -1e18
         self._timer: asyncio.TimerHandle | None = None
         self._timer_at = 0.0
-        self._deemer: asyncio.TimerHandle | None = None
+        self._check_timer: asyncio.TimerHandle | None = None
         self._closed = False
 
-    # For the world and the faults
+    # For the fleet and the faults
 
     async def open(self) -> None:
-        """Listen for every node. Raises OSError."""
+        """Listen for every node.
+
+        Raises:
+            OSError: An address is taken.
+        """
         for node in self._nodes:
             await self._listen(node)
-        self._deemer = self._fabric.clock.call_later(DEEM_EVERY_MS, self._deem)
-        self.poke()
+        self._check_timer = self._fabric.clock.call_later(CHECK_INTERVAL_MS, self._check_notifications)
+        self.update()
 
     async def close(self) -> None:
-        """Nothing listens, and nothing is open, any more."""
+        """Listen no more, and abort what is open."""
         self._closed = True
-        for timer in (self._timer, self._deemer):
+        for timer in (self._timer, self._check_timer):
             if timer is not None:
                 timer.cancel()
         for listener in self._listeners.values():
@@ -91,67 +129,70 @@
 
     def address(self, node: str) -> str:
         """Where the node finds discovery at present, as host:port."""
-        host, port = self._fabric.address(self._party[node], node)
+        host, port = self._fabric.address(self._party_of[node], node)
         return f"{host}:{port}"
 
-    def cut(self, node: str) -> bool:
-        """No call of the node can come through at present."""
-        link, party = self._fabric.links.link, self._party[node]
-        return link(node, party).state != "up" or link(party, node).state != "up"
+    def is_cut_off(self, node: str) -> bool:
+        """Whether no call of the node can arrive at present."""
+        link = self._fabric.links.link
+        party = self._party_of[node]
+        return link(node, party).state != UP or link(party, node).state != UP
 
-    def truth(self, entry: Entry, silent: bool = False) -> None:
-        """What a server really is from now on."""
-        self.model.roll.truth(self._now(), entry, silent)
-        self.poke()
+    def observe(self, endpoint: Endpoint, *, silent: bool = False) -> None:
+        """Take what an endpoint really is from now on; `silent`: nothing is heard of its machine."""
+        self.model.endpoints.observe(self._now(), endpoint, silent)
+        self.update()
 
     def links_changed(self) -> None:
-        """Links are cut, or no more: a node behind one could not ask."""
+        """Take note that links are cut, or no more: a node behind one could not call."""
         for node in self._nodes:
-            cut = self.cut(node)
-            if cut or self._was_cut.get(node, False):
-                self.model.deemed.unreachable(self._now(), node)
-            self._was_cut[node] = cut
+            cut_off = self.is_cut_off(node)
+            if cut_off or self._was_cut_off.get(node, False):
+                self.model.notifications.unreachable(self._now(), node)
+            self._was_cut_off[node] = cut_off
 
     async def move(self, node: str) -> None:
-        """The node finds discovery at the other address from now on; the old one takes nothing new and closes
-        what is open on it after 1.5 s."""
-        old = self._party[node]
-        self._party[node] = PARTIES[1 - PARTIES.index(old)]
-        left = self._listeners.pop(node, None)
+        """Let the node find discovery at the other address from now on.
+
+        The old one accepts nothing new, and later closes what is open on it.
+        """
+        old = self._party_of[node]
+        self._party_of[node] = PARTIES[1 - PARTIES.index(old)]
+        old_listener = self._listeners.pop(node, None)
         if self.model.down != "refuses":
             await self._listen(node)
-        if left is not None:
-            left.close()
-        there = [caller for caller in self._callers if caller.node == node]
-        self._fabric.clock.call_later(MOVED_MS, _close_all, there)
-
-    async def set_down(self, how: str) -> None:
-        """ "" or refuses, errors, silent, garbage."""
-        if how == self.model.down:
+        if old_listener is not None:
+            old_listener.close()
+        callers = [caller for caller in self._callers if caller.node == node]
+        self._fabric.clock.call_later(OLD_ADDRESS_MS, _close_all, callers)
+
+    async def set_down(self, mode: str) -> None:
+        """Go down, or come up with ""; `mode` as `DiscoveryModel.down`."""
+        before = self.model.down
+        if mode == before:
             return
-        was = self.model.down
-        for reply in self.model.set_down(self._now(), how):
-            self._write(reply)
-        if how == "refuses":
+        for response in self.model.set_down(self._now(), mode):
+            self._write(response)
+        if mode == "refuses":
             for listener in self._listeners.values():
                 listener.close()
             self._listeners.clear()
             self._reset(list(self._callers))
-        elif was == "refuses":
+        elif before == "refuses":
             for node in self._nodes:
                 if node not in self._listeners:
                     await self._listen(node)
-        if was == "silent" and how != "silent":
-            # What was asked meanwhile is never answered; the process that comes up knows nothing of it.
+        if before == "silent" and mode != "silent":
+            # Calls that came meanwhile are never answered; the process that comes up knows nothing of them.
             self._reset([caller for caller in self._callers if caller.pending is not None])
-        self.poke()
+        self.update()
 
-    def poke(self) -> None:
-        """After any change: list what is due, write what is ready, and set the next time to look."""
+    def update(self) -> None:
+        """After any change: list what is due, write what is ready, and set the next timer."""
         if self._closed:
             return
-        for reply in self.model.advance(self._now()):
-            self._write(reply)
+        for response in self.model.advance(self._now()):
+            self._write(response)
         due = self.model.due()
         if self._timer is not None:
             if self._timer_at == due:
@@ -159,190 +200,135 @@
             self._timer.cancel()
             self._timer = None
         if due is not None:
-            self._timer, self._timer_at = self._fabric.clock.call_at(due, self._tick, due), due
-
-    def tell(self, told: Told | None) -> None:
-        """Record what a node is told."""
-        if told is not None:
-            members = [(entry.id, entry.phase, entry.started_at) for entry in told.entries]
-            self._log.add(
-                ToldRecord(
-                    at_ms=self._now(),
-                    node=told.node,
-                    revision=told.revision,
-                    complete=told.complete,
-                    endpoints=members,
-                    assumed=told.deemed,
-                )
+            self._timer = self._fabric.clock.call_at(due, self._on_timer, due)
+            self._timer_at = due
+
+    def record(self, notification: Notification | None) -> None:
+        """Record what a node is notified of."""
+        if notification is None:
+            return
+        endpoints = [
+            (endpoint.id, endpoint.phase.value, endpoint.started_at) for endpoint in notification.endpoints
+        ]
+        self._log.add(
+            EndpointNotified(
+                at_ms=self._now(),
+                node=notification.node,
+                revision=notification.revision,
+                complete=notification.complete,
+                endpoints=endpoints,
+                assumed=notification.assumed,
             )
+        )
 
-    def list_for(self, node: str) -> dict[str, Any]:
-        """The whole list as it is listed now, with the addresses of this node."""
-        entries = [change.entry for change in self.model.roll.whole()]
-        return self._list(node, self.model.roll.revision, True, entries)
+    def list_for(self, node: str) -> EndpointListBody:
+        """The complete list as it is now, with the addresses of this node."""
+        endpoints = [change.endpoint for change in self.model.endpoints.snapshot()]
+        return self._list_body(node, self.model.endpoints.revision, endpoints, complete=True)
 
     # For its connections
 
-    def called(self, caller: "Caller", target: str) -> None:
-        """A whole request came; raises BadCall."""
-        after, wait_ms = read_target(target)
-        self._keys += 1
-        caller.pending = self._keys
-        self._waiting[self._keys] = caller
-        reply = self.model.call(self._now(), self._keys, caller.node, after, wait_ms)
-        if reply is not None:
-            self._write(reply)
-        self.poke()
+    def opened(self, caller: Caller) -> None:
+        """Take in a connection."""
+        self._callers[caller] = None
 
-    def malformed(self, node: str, text: str) -> None:
-        self._log.add(MalformedMessage(at_ms=self._now(), node=node, server="discovery", text=text[:200]))
+    def called(self, caller: Caller, target: str) -> None:
+        """Take in a complete call.
+
+        Raises:
+            MalformedCallError: No sound node makes it.
+        """
+        call = read_target(target)
+        self._last_key += 1
+        key = self._last_key
+        caller.pending = key
+        self._awaiting[key] = caller
+        response = self.model.call(self._now(), key, caller.node, call.after, call.wait_ms)
+        if response is not None:
+            self._write(response)
+        self.update()
 
-    def opened(self, caller: "Caller") -> None:
-        self._callers[caller] = None
+    def malformed(self, node: str, text: str) -> None:
+        """Record a call that no sound node makes."""
+        self._log.add(
+            MalformedMessage(at_ms=self._now(), node=node, server="discovery", text=text[:MAX_RECORDED_TEXT])
+        )
 
-    def lost(self, caller: "Caller", broken: bool) -> None:
+    def lost(self, caller: Caller, *, broken: bool) -> None:
+        """Take note that a connection is gone; `broken`: by a reset."""
         self._callers.pop(caller, None)
         if caller.pending is not None:
-            self._waiting.pop(caller.pending, None)
-            self.model.hang_up(self._now(), caller.pending, broken)
+            self._awaiting.pop(caller.pending, None)
+            self.model.disconnect(self._now(), caller.pending, broken=broken)
             caller.pending = None
 
     # Within
 
     def _now(self) -> float:
         # Guards against a timer that fires a hair before the time it was set for, in floating point: it would
-        # be set anew for the same instant without end.
-        self._last = max(self._last, self._fabric.clock.now())
-        return self._last
+        # be set anew for the same time without end.
+        self._last_now = max(self._last_now, self._fabric.clock.now())
+        return self._last_now
 
-    def _tick(self, at: float) -> None:
+    def _on_timer(self, at: float) -> None:
         self._timer = None
-        self._last = max(self._last, at)
-        self.poke()
+        self._last_now = max(self._last_now, at)
+        self.update()
 
-    def _deem(self) -> None:
-        for told in self.model.check(self._now()):
-            self.tell(told)
-        self._deemer = self._fabric.clock.call_later(DEEM_EVERY_MS, self._deem)
+    def _check_notifications(self) -> None:
+        for notification in self.model.check(self._now()):
+            self.record(notification)
+        self._check_timer = self._fabric.clock.call_later(CHECK_INTERVAL_MS, self._check_notifications)
 
     async def _listen(self, node: str) -> None:
-        party = self._party[node]
-        factory = _factory(self, node, party)
+        party = self._party_of[node]
+        factory = partial(self._connect, self, node, party)
         self._listeners[node] = await self._fabric.listen(party, node, factory)
 
-    def _reset(self, callers: "list[Caller]") -> None:
+    def _reset(self, callers: list[Caller]) -> None:
         for caller in callers:
             self.lost(caller, broken=True)
             reset(caller.transport)
 
-    def _write(self, reply: Reply) -> None:
-        caller = self._waiting.pop(reply.call.key, None)
+    def _write(self, response: CallResponse) -> None:
+        caller = self._awaiting.pop(response.call.key, None)
         if caller is None:
             return
         caller.pending = None
-        left = (
-            self._fabric.links.link(caller.party, caller.node).state == "up"
-            and not caller.transport.is_closing()
-        )
-        self.tell(self.model.written(self._now(), reply, left))
-        if reply.garbage:
-            body = GARBAGE[self._rng.randrange(len(GARBAGE))]
-        elif reply.status == 200:
-            entries = [change.entry for change in reply.changes]
-            body = orjson.dumps(self._list(caller.node, reply.revision, reply.complete, entries))
-        else:
-            body = b'{"error":"unavailable"}'
-        caller.answer(reply.status, body)
-
-    def _list(self, node: str, revision: int, complete: bool, entries: list[Entry]) -> dict[str, Any]:
-        members = [self._entry(node, entry) for entry in entries]
+        link = self._fabric.links.link(caller.party, caller.node)
+        delivered = link.state == UP and not caller.transport.is_closing()
+        self.record(self.model.responded(self._now(), response, delivered=delivered))
+        caller.respond(response.status, self._body(caller.node, response))
+
+    def _body(self, node: str, response: CallResponse) -> bytes:
+        if response.malformed:
+            return MALFORMED_BODIES[self._rng.randrange(len(MALFORMED_BODIES))]
+        if response.status != OK:
+            return UNAVAILABLE_BODY
+        endpoints = [change.endpoint for change in response.changes]
+        return orjson.dumps(self._list_body(node, response.revision, endpoints, complete=response.complete))
+
+    def _list_body(
+        self, node: str, revision: int, endpoints: list[Endpoint], *, complete: bool
+    ) -> EndpointListBody:
+        members = [self._endpoint_body(node, endpoint) for endpoint in endpoints]
         return {"revision": revision, "complete": complete, "members": members}
 
-    def _entry(self, node: str, entry: Entry) -> dict[str, Any]:
-        host, port = self._fabric.address(entry.at, node)
-        started = entry.started_at
+    def _endpoint_body(self, node: str, endpoint: Endpoint) -> dict[str, Any]:
+        host, port = self._fabric.address(endpoint.party, node)
+        started = endpoint.started_at
         return {
-            "id": entry.id,
+            "id": endpoint.id,
             "host_port": f"{host}:{port}",
-            "locality": entry.zone,
-            "flavor": entry.kind,
-            "cell": entry.cell,
-            "phase": entry.phase,
-            "size": entry.weight,
+            "locality": endpoint.zone,
+            "flavor": endpoint.kind,
+            "cell": endpoint.cell,
+            "phase": endpoint.phase.value,
+            "size": endpoint.weight,
             "up_since_ms": round(self._fabric.clock.unix_ms(started)) if started else 0,
         }
 
 
-class Caller(asyncio.Protocol):
-    """A node's connection to discovery: one request after another."""
-
-    transport: asyncio.Transport
-
-    def __init__(self, host: DiscoveryHost, node: str, party: str) -> None:
-        self.node, self.party = node, party
-        self.pending: int | None = None  # the key of the call that awaits its answer
-        self._host = host
-        self._http = h11.Connection(h11.SERVER)
-        self._target = ""
-
-    def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        assert isinstance(transport, asyncio.Transport)
-        self.transport = transport
-        self._host.opened(self)
-
-    def data_received(self, data: bytes) -> None:
-        self._http.receive_data(data)
-        self._read()
-
-    def eof_received(self) -> bool:
-        return False
-
-    def connection_lost(self, exc: Exception | None) -> None:
-        self._host.lost(self, exc is not None)
-
-    def answer(self, status: int, body: bytes) -> None:
-        """Write the answer to the request that awaits one, and go on with the next."""
-        if self.transport.is_closing():
-            return
-        headers = [("Content-Type", "application/json"), ("Content-Length", str(len(body)))]
-        head = self._http.send(h11.Response(status_code=status, headers=headers)) or b""
-        self._http.send(h11.Data(data=body))
-        self._http.send(h11.EndOfMessage())
-        self.transport.write(head + body)
-        if self._http.our_state is h11.MUST_CLOSE:
-            self.transport.close()
-        else:
-            self._http.start_next_cycle()
-            self._read()
-
-    def _read(self) -> None:
-        try:
-            while True:
-                event = self._http.next_event()
-                if isinstance(event, h11.Request):
-                    if event.method != b"GET":
-                        raise BadCall(f"method {event.method.decode('ascii', 'replace')}")
-                    self._target = event.target.decode("ascii", "replace")
-                elif isinstance(event, h11.EndOfMessage):
-                    self._host.called(self, self._target)
-                    return
-                elif not isinstance(event, h11.Data):
-                    return
-        except (h11.RemoteProtocolError, BadCall) as error:
-            self._refuse(str(error))
-
-    def _refuse(self, reason: str) -> None:
-        self._host.malformed(self.node, reason)
-        if self._http.our_state in (h11.IDLE, h11.SEND_RESPONSE):
-            headers = [("Content-Length", "0"), ("Connection", "close")]
-            self.transport.write(self._http.send(h11.Response(status_code=400, headers=headers)) or b"")
-        self.transport.close()
-
-
-def _factory(host: DiscoveryHost, node: str, party: str) -> Callable[[], asyncio.Protocol]:
-    return lambda: Caller(host, node, party)
-
-
 def _close_all(callers: list[Caller]) -> None:
     for caller in callers:
         caller.transport.close()
--- a/flintridge/lab/world/draws.py
+++ b/flintridge/lab/world/draws.py
@@ -19,20 +19,20 @@
 
 
 def lognormal(rng: random.Random, sigma: float) -> float:
-    """Of mean 1; `sigma` is of its logarithm."""
+    """A lognormal draw of mean 1; `sigma` is the standard deviation of its logarithm."""
     return math.exp(rng.gauss(0.0, sigma) - sigma * sigma / 2)
 
 
 def scatter(rng: random.Random, cv: float) -> float:
-    """Lognormal of mean 1 with this coefficient of variation."""
+    """A lognormal draw of mean 1 with this coefficient of variation."""
     return lognormal(rng, math.sqrt(math.log1p(cv * cv)))
 
 
-def fixed_share(text: str) -> float:
+def hash_fraction(text: str) -> float:
     """A number from 0 to 1 that belongs to this text in every process."""
     return int.from_bytes(hashlib.blake2b(text.encode(), digest_size=8).digest(), "big") * _UNIT
 
 
-def fixed_normal(text: str) -> float:
+def hash_normal(text: str) -> float:
     """A draw of the normal distribution that belongs to this text in every process."""
-    return _NORMAL.inv_cdf(min(max(fixed_share(text), 1e-12), 1 - 1e-12))
+    return _NORMAL.inv_cdf(min(max(hash_fraction(text), 1e-12), 1 - 1e-12))
--- a/flintridge/lab/world/fleet.py
+++ b/flintridge/lab/world/fleet.py
@@ -1,7 +1,7 @@
-"""The world that the nodes serve in: cache servers, origin and discovery, put together from a scenario."""
+"""The machines that the nodes work with: cache servers, origin and discovery, built from a scenario."""
 
 import asyncio
-from dataclasses import replace
+from dataclasses import dataclass, replace
 from typing import Any
 
 from flintridge.lab.fabric import Fabric
@@ -10,152 +10,223 @@
 from flintridge.lab.scenario.model import Scenario
 from flintridge.lab.seeds import Seeds
 from flintridge.lab.truth import GroundTruth
-from flintridge.lab.world.cache_host import CacheHost
-from flintridge.lab.world.discovery import Discovery, Entry
+from flintridge.lab.world.cache_connection import CacheConnection
+from flintridge.lab.world.cache_host import CacheHost, StopReason
+from flintridge.lab.world.discovery_connection import DiscoveryConnection
 from flintridge.lab.world.discovery_host import PARTIES, DiscoveryHost
-from flintridge.lab.world.discovery_list import IN_SERVICE, TERMINATED, TERMINATING
-from flintridge.lab.world.fleet_plan import Ids, Spec, node_names, node_zones, specs
-from flintridge.lab.world.links import LinkTable
+from flintridge.lab.world.discovery_model import DiscoveryModel
+from flintridge.lab.world.endpoint_list import Endpoint, Phase
+from flintridge.lab.world.environment import Environment
+from flintridge.lab.world.fleet_plan import ServerIds, ServerPlan, node_names, node_zones, plan_servers
+from flintridge.lab.world.link_table import LinkTable
 from flintridge.lab.world.objects import Objects
-from flintridge.lab.world.origin_host import OriginHost
+from flintridge.lab.world.origin_connection import OriginConnection
+from flintridge.lab.world.origin_host import ORIGIN, OriginHost
 from flintridge.lab.world.settings import ORIGIN_KIND, node_settings
 
-ORIGIN = "origin"  # its party, and its id
-NOWHERE = "(nowhere)"  # where machines stand that no zone is named for: beyond every zone, lost with none
-WATCH_EVERY_MS = 50.0  # how often servers are looked at that may have fallen
+NO_ZONE = "(nowhere)"
+"""Where machines stand that no zone is named for: outside of every zone, lost with none."""
 
+WATCH_INTERVAL_MS = 50.0  # between two looks for servers that crashed by overload
+FIRST_INSTANT_MS = 0.001  # stands for a start at the very first instant, as 0 means long ago
 
-class World:
+NodeConfiguration = dict[str, Any]
+"""A node's configuration in the platform's form."""
+
+
+@dataclass(slots=True, frozen=True)
+class _PublishedState:
+    """A server as discovery last saw it."""
+
+    up: bool
+    draining: bool
+
+
+class SimulatedFleet:
     """All machines but the nodes' and the clients'.
 
-    `servers` holds what is there, by id, down or not; what was replaced is gone from it. Whatever changes a
-    server goes through the methods here, so that discovery gets to know.
+    Whatever changes a server goes through the methods here, so that discovery gets to know.
+
+    Attributes:
+        scenario: The scenario.
+        fabric: Clock, addresses, links and listeners.
+        log: Where records go.
+        nodes: Names of the nodes.
+        node_zones: Zones of the nodes.
+        objects: The values that servers hold.
+        plans: What each server is, by id.
+        servers: What is there, by id, down or not; what was replaced is gone from it.
+        origin: The origin.
+        discovery: Discovery.
     """
 
     def __init__(
         self, scenario: Scenario, seeds: Seeds, log: RecordLog, fabric: Fabric, truth: GroundTruth
     ) -> None:
-        self.scenario, self.fabric, self.log = scenario, fabric, log
-        self._seeds, self._truth = seeds, truth
-        self._ids = Ids(seeds.of("ids"))
+        """Build the machines; none listens yet.
+
+        Args:
+            scenario: The scenario.
+            seeds: Where all draws come from.
+            log: Where records go.
+            fabric: Clock, addresses, links and listeners.
+            truth: What clients really send.
+        """
+        self.scenario = scenario
+        self.fabric = fabric
+        self.log = log
+        self._seeds = seeds
+        self._ids = ServerIds(seeds.of("ids"))
         self.nodes = node_names(scenario)
         self.node_zones = node_zones(scenario)
         self.objects = Objects(scenario, seeds)
-        self.specs: dict[str, Spec] = {spec.id: spec for spec in specs(scenario, seeds, self._ids)}
-        self.servers: dict[str, CacheHost] = {name: self._host(spec) for name, spec in self.specs.items()}
-        self.origin = OriginHost(fabric, log, truth, self.objects, scenario, seeds, self.nodes)
-        self.discovery = self._discovery()
-        self._silent: set[str] = set()  # asked by name only
-        self._lives: dict[str, tuple[bool, bool]] = {}  # as discovery was last told: up, draining
-        self._starts: dict[str, int] = dict.fromkeys(self.nodes, 0)
+        self._environment = Environment(fabric, log, truth, self.objects, scenario, seeds, self.nodes)
+        self.plans: dict[str, ServerPlan] = {
+            plan.id: plan for plan in plan_servers(scenario, seeds, self._ids)
+        }
+        self.servers: dict[str, CacheHost] = {name: self._host(plan) for name, plan in self.plans.items()}
+        self.origin = OriginHost(self._environment, OriginConnection)
+        self.discovery = self._discovery_host()
+        self._silent: set[str] = set()  # servers; looked up by name only
+        self._published: dict[str, _PublishedState] = {}
+        self._node_starts: dict[str, int] = dict.fromkeys(self.nodes, 0)
         self._timers: dict[str, asyncio.TimerHandle] = {}
-        self._closed = False
 
     async def open(self) -> None:
-        """Place all machines, open all listeners and begin the steady processes. Raises OSError."""
-        self._place()
+        """Place all machines, open all listeners and start the steady processes.
+
+        Raises:
+            OSError: An address is taken.
+        """
+        self._place_machines()
         now = self.fabric.clock.now()
         for name, host in self.servers.items():
             await host.start(cold=False)
-            self._lives[name] = (True, False)
-            self.discovery.model.roll.enlist(now, self._entry(name))
+            self._published[name] = _PublishedState(up=True, draining=False)
+            self.discovery.model.endpoints.add(now, self._endpoint(name))
         await self.origin.start()
-        self.discovery.model.roll.enlist(now, self._origin_entry())
+        self.discovery.model.endpoints.add(now, self._origin_endpoint())
         await self.discovery.open()
-        self._begin_changes()
-        self._look()
+        self._start_value_changes()
+        self._watch_servers()
 
     async def close(self) -> None:
-        """End all; nothing listens any more."""
-        self._closed = True
+        """Stop everything; nothing listens any more."""
         for timer in self._timers.values():
             timer.cancel()
         await self.discovery.close()
         for host in self.servers.values():
             if host.up:
-                host.stop("close")
+                host.stop()
         self.origin.stop()
 
     # Nodes
 
-    def node_config(self, node: str) -> dict[str, Any]:
-        """The configuration for a start of the node, which is told of the list by it (and recorded so)."""
-        told = self.discovery.model.node_started(self.fabric.clock.now(), node)
-        self.discovery.tell(told)
-        self._starts[node] += 1
+    def node_config(self, node: str) -> NodeConfiguration:
+        """The configuration for a start of the node, which is notified of the endpoint list by it."""
+        notification = self.discovery.model.node_started(self.fabric.clock.now(), node)
+        self.discovery.record(notification)
+        self._node_starts[node] += 1
         return self._config(node)
 
-    def reload_config(self, node: str) -> dict[str, Any]:
+    def reload_config(self, node: str) -> NodeConfiguration:
         """The configuration for a SIGHUP: where discovery is now. Nothing else has changed."""
         return self._config(node)
 
     def node_ended(self, node: str) -> None:
-        """Its process is gone, and what it was told with it."""
-        self.discovery.model.deemed.ended(node)
+        """Take note that a node's process is gone, and what it was notified of with it."""
+        self.discovery.model.notifications.stopped(node)
 
     # Servers
 
     async def start(self, server: str, *, cold: bool = True) -> None:
-        """Start a server that is down. Raises OSError."""
+        """Start a server that is down.
+
+        Args:
+            server: Its id.
+            cold: Whether it starts empty and warms up.
+
+        Raises:
+            OSError: An address is taken.
+        """
         host = self.servers[server]
         if not host.up:
             await host.start(cold=cold)
-            self.report(server)
+            self.publish(server)
 
-    def stop(self, server: str, how: str = "crash") -> None:
-        """Its process dies: connections are reset, what it held is lost."""
+    def stop(self, server: str, reason: StopReason = StopReason.CRASHED) -> None:
+        """End a server's process: connections are reset, its work is lost."""
         host = self.servers[server]
         if host.up:
-            host.stop(how)
-        self.report(server)
+            host.stop(reason)
+        self.publish(server)
 
     def drain(self, server: str) -> None:
+        """Let a server reject new requests."""
         host = self.servers[server]
         if host.up and not host.model.draining:
             host.drain()
-            self.report(server)
+            self.publish(server)
 
-    def set_silent(self, server: str, on: bool) -> None:
-        """Nothing is heard of its machine, or it is heard of again; its links are set by the caller."""
-        if (server in self._silent) == on:
+    def set_silent(self, server: str, silent: bool) -> None:
+        """Say whether discovery hears of a machine; its links are set by the caller."""
+        if (server in self._silent) == silent:
             return
-        host = self.servers[server]
-        (self._silent.add if on else self._silent.discard)(server)
-        state = "silent" if on else "back"
+        if silent:
+            self._silent.add(server)
+        else:
+            self._silent.discard(server)
         self.log.add(
-            ServerStateChanged(at_ms=self.fabric.clock.now(), server=server, state=state, zone=host.zone)
+            ServerStateChanged(
+                at_ms=self.fabric.clock.now(),
+                server=server,
+                state="silent" if silent else "back",
+                zone=self.servers[server].zone,
+            )
         )
-        self.report(server)
+        self.publish(server)
 
     def is_silent(self, server: str) -> bool:
+        """Whether discovery hears nothing of a machine."""
         return server in self._silent
 
-    def remove(self, server: str) -> Spec:
-        """It is stopped for good; what it was, for `replace`."""
+    def remove(self, server: str) -> ServerPlan:
+        """Stop a server for good; what it was, for `replace`."""
         if server in self._silent:
             self.set_silent(server, False)
-        self.stop(server, "gone")
-        self._lives.pop(server, None)
+        self.stop(server, StopReason.REMOVED)
+        self._published.pop(server, None)
         self.objects.unregister(server)
         del self.servers[server]
-        return self.specs.pop(server)
-
-    async def replace(self, gone: Spec, at_address_of: str | None) -> str:
-        """Start a machine like one that is gone under a new id, cold and empty; its id. `at_address_of` is
-        the party at whose addresses it listens. Raises OSError."""
-        spec = replace(gone, id=self._ids.new())
-        host = self._host(spec)
-        self.specs[spec.id], self.servers[spec.id] = spec, host
-        self._links.place(at_address_of or spec.id, spec.zone)
+        return self.plans.pop(server)
+
+    async def replace(self, removed: ServerPlan, at_address_of: str | None) -> str:
+        """Start a machine like one that was removed, under a new id, cold and empty.
+
+        Args:
+            removed: What was removed.
+            at_address_of: The party at whose addresses it listens; None for its own.
+
+        Returns:
+            The new id.
+
+        Raises:
+            OSError: An address is taken.
+        """
+        plan = replace(removed, id=self._ids.new())
+        host = self._host(plan)
+        self.plans[plan.id] = plan
+        self.servers[plan.id] = host
+        self._links.place(at_address_of or plan.id, plan.zone)
         await host.start(cold=True, at_address_of=at_address_of)
-        self.report(spec.id)
-        return spec.id
+        self.publish(plan.id)
+        return plan.id
 
-    def report(self, server: str) -> None:
+    def publish(self, server: str) -> None:
         """Let discovery see a server as it is; it lists that some time later."""
         host = self.servers[server]
-        self._lives[server] = (host.up, host.model.draining)
-        self.discovery.truth(self._entry(server), silent=server in self._silent)
+        self._published[server] = _PublishedState(host.up, host.model.draining)
+        self.discovery.observe(self._endpoint(server), silent=server in self._silent)
 
     # Within
 
@@ -165,63 +236,56 @@
         assert isinstance(links, LinkTable)
         return links
 
-    def _host(self, spec: Spec) -> CacheHost:
-        return CacheHost(
-            spec.id,
-            spec.kind,
-            spec.zone,
-            spec.cell,
-            spec.weight,
-            self.fabric,
-            self.log,
-            self._truth,
-            self.objects,
-            self.scenario,
-            self._seeds,
-            self.nodes,
-        )
+    def _host(self, plan: ServerPlan) -> CacheHost:
+        return CacheHost(plan, self._environment, CacheConnection)
 
-    def _discovery(self) -> DiscoveryHost:
-        within_ms = self.scenario.rules.ask_within_s * 1000
-        model = Discovery(self.scenario.discovery, within_ms, self._seeds, lambda node: host.cut(node))
-        host = DiscoveryHost(self.fabric, self.log, model, self._seeds, self.nodes)
+    def _discovery_host(self) -> DiscoveryHost:
+        poll_within_ms = self.scenario.rules.ask_within_s * 1000
+        model = DiscoveryModel(
+            self.scenario.discovery, poll_within_ms, self._seeds, lambda node: host.is_cut_off(node)
+        )
+        host = DiscoveryHost(self.fabric, self.log, model, self._seeds, self.nodes, DiscoveryConnection)
         return host
 
-    def _place(self) -> None:
-        links, scenario = self._links, self.scenario
+    def _place_machines(self) -> None:
+        links = self._links
         for node, zone in self.node_zones.items():
             links.place(node, zone)
         for host in self.servers.values():
-            links.place(host.listen_as, host.zone)
-        links.place(ORIGIN, scenario.origin.zone or NOWHERE)
+            links.place(host.party, host.zone)
+        links.place(ORIGIN, self.scenario.origin.zone or NO_ZONE)
         for party in PARTIES:
-            links.place(party, scenario.discovery.zone or NOWHERE)
+            links.place(party, self.scenario.discovery.zone or NO_ZONE)
 
-    def _entry(self, server: str) -> Entry:
+    def _endpoint(self, server: str) -> Endpoint:
         host = self.servers[server]
-        phase = TERMINATED if not host.up else TERMINATING if host.model.draining else IN_SERVICE
-        started = host.started_at
-        if host.started_unix and not started:
-            started = 0.001  # at the very first instant of the day, which is not long ago
-        return Entry(
-            host.id,
-            host.listen_as,
-            host.zone,
-            self.specs[server].kind.name,
-            host.cell,
-            host.weight,
-            phase,
-            started,
+        phase = Phase.IN_SERVICE
+        if not host.up:
+            phase = Phase.TERMINATED
+        elif host.model.draining:
+            phase = Phase.TERMINATING
+        started_at = host.started_at
+        if host.started_unix_ms and not started_at:
+            started_at = FIRST_INSTANT_MS
+        return Endpoint(
+            id=host.id,
+            party=host.party,
+            zone=host.zone,
+            kind=self.plans[server].kind.name,
+            cell=host.cell,
+            weight=host.weight,
+            phase=phase,
+            started_at=started_at,
         )
 
-    def _origin_entry(self) -> Entry:
-        return Entry(ORIGIN, ORIGIN, self.scenario.origin.zone or "", ORIGIN_KIND)
+    def _origin_endpoint(self) -> Endpoint:
+        return Endpoint(ORIGIN, ORIGIN, self.scenario.origin.zone or "", ORIGIN_KIND)
 
-    def _config(self, node: str) -> dict[str, Any]:
+    def _config(self, node: str) -> NodeConfiguration:
         index = self.nodes.index(node)
         host, port = self.fabric.address("listen", node)
         spec = self.scenario.nodes
-        seed = self._seeds.of(f"node/{node}/{self._starts[node]}").getrandbits(64)
+        seed = self._seeds.of(f"node/{node}/{self._node_starts[node]}").getrandbits(64)
         return {
             "name": node,
             "listen": f"{host}:{port}",
@@ -234,28 +298,29 @@
 
     # Steady processes
 
-    def _begin_changes(self) -> None:
-        """Values change at the origin, evenly over the keys."""
+    def _start_value_changes(self) -> None:
+        """Let values change at the origin, evenly over the keys."""
         if not self.scenario.keys.change_per_s:
             return
         keys = Keys(self.scenario.keys, self._seeds)
         rng = self._seeds.of("changes")
-        mean_ms = 1000 / self.scenario.keys.change_per_s
+        mean_interval_ms = 1000 / self.scenario.keys.change_per_s
         clock = self.fabric.clock
 
         def change(at: float) -> None:
-            self.objects.changed(keys.name(rng.randrange(self.scenario.keys.count)))
-            plan(at)
+            self.objects.update(keys.name(rng.randrange(self.scenario.keys.count)))
+            schedule(at)
 
-        def plan(after: float) -> None:
-            at = after + rng.expovariate(1 / mean_ms)
+        def schedule(after: float) -> None:
+            at = after + rng.expovariate(1 / mean_interval_ms)
             self._timers["changes"] = clock.call_at(at, change, at)
 
-        plan(clock.now())
+        schedule(clock.now())
 
-    def _look(self) -> None:
-        """Servers fall by themselves (rule 4): discovery has to get to know of that too."""
+    def _watch_servers(self) -> None:
+        """Let discovery see servers that crashed by overload, by themselves."""
         for server, host in self.servers.items():
-            if self._lives.get(server) != (host.up, host.model.draining):
-                self.report(server)
-        self._timers["look"] = self.fabric.clock.call_later(WATCH_EVERY_MS, self._look)
+            seen = self._published.get(server)
+            if seen is None or seen.up != host.up or seen.draining != host.model.draining:
+                self.publish(server)
+        self._timers["watch"] = self.fabric.clock.call_later(WATCH_INTERVAL_MS, self._watch_servers)
--- a/flintridge/lab/world/fleet_plan.py
+++ b/flintridge/lab/world/fleet_plan.py
@@ -1,4 +1,4 @@
-"""What a fleet is made of, drawn from the scenario by the seed before anything runs."""
+"""What a fleet consists of, drawn from the scenario by the seed before anything runs."""
 
 import random
 from dataclasses import dataclass
@@ -11,22 +11,41 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Spec:
-    """One cache server. `label` is `s0`, `s1` ... by its place in the scenario's groups; a replacement
-    keeps it.
-
-    The id is drawn, so that no order of ids hints at what a server is or where.
+class ServerPlan:
+    """One cache server.
+
+    Attributes:
+        id: As discovery lists it; drawn, so that no order of ids hints at what a server is or where.
+        label: `s0`, `s1` ... by its position in the scenario's groups; a replacement keeps it.
+        kind: Its kind, with a number for each span.
+        zone: Where it stands.
+        cell: Its cell in that zone.
+        weight: Its weight as discovery lists it.
     """
 
     id: str
     label: str
-    kind: Kind  # its spans drawn
+    kind: Kind
     zone: str
     cell: int
     weight: float
 
 
+@dataclass(slots=True, frozen=True)
+class PlacedServer:
+    """A server before its draws.
+
+    Attributes:
+        group: The scenario's group that it belongs to.
+        zone: Where it stands.
+    """
+
+    group: Group
+    zone: str
+
+
 def node_names(scenario: Scenario) -> list[str]:
+    """Names of the nodes."""
     return [f"n{i}" for i in range(scenario.nodes.count)]
 
 
@@ -36,49 +55,53 @@
     return {name: zones[i % len(zones)] for i, name in enumerate(node_names(scenario))}
 
 
-def server_zones(scenario: Scenario) -> list[tuple[Group, str]]:
-    """The group and the zone of every server, in the order of their labels."""
-    found: list[tuple[Group, str]] = []
+def placed_servers(scenario: Scenario) -> list[PlacedServer]:
+    """Every server with its zone, in the order of their labels."""
+    servers: list[PlacedServer] = []
     turn = 0
     for group in scenario.servers:
         for _ in range(group.count):
             if group.zone is None:
                 # One turn over all groups: several small groups must not all begin in the first zone.
-                found.append((group, scenario.zones[turn % len(scenario.zones)]))
+                servers.append(PlacedServer(group, scenario.zones[turn % len(scenario.zones)]))
                 turn += 1
             else:
-                found.append((group, group.zone))
-    return found
+                servers.append(PlacedServer(group, group.zone))
+    return servers
 
 
-class Ids:
+class ServerIds:
     """Ids that were never given before."""
 
     def __init__(self, rng: random.Random) -> None:
+        """Begin with none given; ids are drawn from `rng`."""
         self._rng = rng
         self._given: set[str] = set()
 
     def new(self) -> str:
-        while (name := f"s-{self._rng.getrandbits(32):08x}") in self._given:
-            pass
-        self._given.add(name)
-        return name
+        """Give another id."""
+        while True:
+            server_id = f"s-{self._rng.getrandbits(32):08x}"
+            if server_id not in self._given:
+                self._given.add(server_id)
+                return server_id
 
 
-def drawn_kind(kind: Kind, rng: random.Random) -> Kind:
+def draw_kind(kind: Kind, rng: random.Random) -> Kind:
     """The kind with a number for each of its spans, for one server."""
     spans = ("speed", "queue_per_core", "pause_ms")
     return msgspec.structs.replace(kind, **{name: draw(rng, getattr(kind, name)) for name in spans})
 
 
-def specs(scenario: Scenario, seeds: Seeds, ids: Ids) -> list[Spec]:
-    """The cache servers that are there from the first."""
+def plan_servers(scenario: Scenario, seeds: Seeds, ids: ServerIds) -> list[ServerPlan]:
+    """The cache servers that are there from the start."""
     kinds = {kind.name: kind for kind in scenario.kinds}
-    made: list[Spec] = []
-    for number, (group, zone) in enumerate(server_zones(scenario)):
-        # A generator a server: what one group draws does not move the servers of the others.
+    plans: list[ServerPlan] = []
+    for number, server in enumerate(placed_servers(scenario)):
+        # A generator for each server: what one group draws does not move the servers of the others.
         rng = seeds.of(f"server/{number}")
-        kind = drawn_kind(kinds[group.kind], rng)
+        group = server.group
+        kind = draw_kind(kinds[group.kind], rng)
         weight = draw(rng, group.weight)
-        made.append(Spec(ids.new(), f"s{number}", kind, zone, group.cell, weight))
-    return made
+        plans.append(ServerPlan(ids.new(), f"s{number}", kind, server.zone, group.cell, weight))
+    return plans
--- /dev/null
+++ b/flintridge/lab/world/link_table.py
@@ -0,0 +1,207 @@
+"""All links between machines: how far they are apart, and what is cut off now."""
+
+from collections.abc import Collection, Hashable
+from dataclasses import dataclass
+from typing import TypeVar
+
+from flintridge.lab.scenario.model import Links, Span
+from flintridge.lab.seeds import Seeds
+from flintridge.lab.world.draws import draw, hash_fraction
+from flintridge.lab.world.link import MINSTD_MODULUS, NO_FAULT, SILENT, STATES, UP, LinkFault, SimulatedLink
+
+Key = TypeVar("Key", bound=Hashable)
+ZonePair = tuple[str, str]
+
+_RANK = {state: rank for rank, state in enumerate(STATES)}
+
+
+@dataclass(slots=True, frozen=True)
+class _Isolation:
+    """A zone that is cut off.
+
+    Attributes:
+        state: Of the links that cross its border.
+        inside: Whether the links inside it are in this state too.
+        spared: Parties that count as outside of the zone.
+    """
+
+    state: str
+    inside: bool
+    spared: tuple[str, ...]
+
+
+class LinkTable:
+    """The links by pairs of parties. After any change of states tell the fabric (`links_changed`).
+
+    A party that was not placed, or placed in zone "", is a client: it is `client_ms` from everyone, and
+    outside of every zone. Of all that applies to a link, silent beats reset, and reset beats up.
+    """
+
+    def __init__(self, links: Links, seeds: Seeds) -> None:
+        """Make a table where all links are up.
+
+        Args:
+            links: What the scenario says of them.
+            seeds: Where their delays come from.
+        """
+        self._spec = links
+        self._seeds = seeds
+        self._zones: dict[str, str] = {}
+        self._links: dict[tuple[str, str], SimulatedLink] = {}
+        self._links_of_party: dict[str, list[SimulatedLink]] = {}
+        # Only what is not up, or has a fault:
+        self._party_states: dict[str, str] = {}
+        self._zone_pair_states: dict[ZonePair, str] = {}
+        self._isolations: dict[str, _Isolation] = {}
+        self._added_ms: dict[ZonePair, float] = {}
+        self._faults: dict[tuple[str, str], LinkFault] = {}
+
+    def place(self, party: str, zone: str) -> None:
+        """Say where a machine stands; links that exist already get other delays."""
+        if self._zones.get(party) == zone:
+            return
+        self._zones[party] = zone
+        for link in self._links_of_party.get(party, ()):
+            link.base_ms = self._base_ms(link.source, link.target)
+            self._refresh(link)
+
+    def zone(self, party: str) -> str:
+        """Where a machine stands; empty for outside of every zone."""
+        return self._zones.get(party, "")
+
+    def link(self, source: str, target: str) -> SimulatedLink:
+        """The link from one party to another; always the same object for a pair."""
+        link = self._links.get((source, target))
+        if link is None:
+            seed = int(hash_fraction(f"{self._seeds.seed}/passages/{source}/{target}") * MINSTD_MODULUS)
+            base_ms = self._base_ms(source, target)
+            link = SimulatedLink(source, target, base_ms, self._spec.jitter, self._spec.cut, seed)
+            self._links[source, target] = link
+            for party in dict.fromkeys((source, target)):
+                self._links_of_party.setdefault(party, []).append(link)
+            self._refresh(link)
+        return link
+
+    # States and faults
+
+    def set_party(self, party: str, state: str) -> None:
+        """Set the state of all links from and to a machine.
+
+        Raises:
+            KeyError: There is no such state.
+        """
+        _set_state(self._party_states, party, state)
+        for link in self._links_of_party.get(party, ()):
+            self._refresh(link)
+
+    def clear_party(self, party: str) -> None:
+        """End `set_party`."""
+        self.set_party(party, UP)
+
+    def set_zones(self, zone: str, peer_zone: str, state: str) -> None:
+        """Set the state of the links between two zones, both ways; of a zone with itself: those inside it.
+
+        Raises:
+            KeyError: There is no such state.
+        """
+        _set_state(self._zone_pair_states, _pair(zone, peer_zone), state)
+        self._refresh_all()
+
+    def clear_zones(self, zone: str, peer_zone: str) -> None:
+        """End `set_zones`."""
+        self.set_zones(zone, peer_zone, UP)
+
+    def isolate_zone(self, zone: str, state: str, inside: bool = False, spared: Collection[str] = ()) -> None:
+        """Set the state of all links that cross the zone's border, to clients too.
+
+        Args:
+            zone: The zone.
+            state: Of these links.
+            inside: Whether it is the state of the links inside it as well, as where its machines are lost.
+            spared: Parties that count as outside of the zone.
+
+        Raises:
+            KeyError: There is no such state.
+        """
+        _RANK[state]  # KeyError on an unknown one
+        self._isolations.pop(zone, None)
+        if state != UP:
+            self._isolations[zone] = _Isolation(state, inside, tuple(spared))
+        self._refresh_all()
+
+    def clear_zone(self, zone: str) -> None:
+        """End `isolate_zone`."""
+        self.isolate_zone(zone, UP)
+
+    def add_delay(self, zone: str, peer_zone: str, added_ms: float) -> None:
+        """Let everything between two zones take so much longer, both ways; 0 ms ends it."""
+        self._added_ms[_pair(zone, peer_zone)] = added_ms
+        self._refresh_all()
+
+    def clear_delay(self, zone: str, peer_zone: str) -> None:
+        """End `add_delay`."""
+        self.add_delay(zone, peer_zone, 0.0)
+
+    def set_fault(self, source: str, target: str, fault: LinkFault = NO_FAULT) -> None:
+        """Set what is wrong from one node to another, in this direction alone."""
+        self._faults.pop((source, target), None)
+        if fault != NO_FAULT:
+            self._faults[source, target] = fault
+        self._refresh(self.link(source, target))
+
+    # What a link is
+
+    def _base_ms(self, source: str, target: str) -> float:
+        spec = self._spec
+        zone = self.zone(source)
+        peer_zone = self.zone(target)
+        span: Span
+        if not zone or not peer_zone:
+            span = spec.client_ms
+            name = f"link/{source}/{target}"
+        elif zone == peer_zone:
+            span = spec.same_ms
+            name = f"link/{source}/{target}"
+        else:  # the distance of two zones is the same for all machines in them
+            pair = _pair(zone, peer_zone)
+            span = spec.cross_ms
+            name = f"zones/{pair[0]}/{pair[1]}"
+        return draw(self._seeds.of(name), span) if isinstance(span, tuple) else float(span)
+
+    def _refresh_all(self) -> None:
+        for link in self._links.values():
+            self._refresh(link)
+
+    def _refresh(self, link: SimulatedLink) -> None:
+        """Take the state, the added delay and the fault of a link anew."""
+        zone = self.zone(link.source)
+        peer_zone = self.zone(link.target)
+        pair = _pair(zone, peer_zone)
+        rank = max(
+            _RANK[self._party_states.get(link.source, UP)],
+            _RANK[self._party_states.get(link.target, UP)],
+            _RANK[self._zone_pair_states.get(pair, UP)],
+        )
+        for isolated, isolation in self._isolations.items():
+            source_inside = zone == isolated and link.source not in isolation.spared
+            target_inside = peer_zone == isolated and link.target not in isolation.spared
+            crosses_border = source_inside != target_inside
+            if crosses_border or (source_inside and isolation.inside):
+                rank = max(rank, _RANK[isolation.state])
+        link.fault = self._faults.get((link.source, link.target), NO_FAULT)
+        if link.fault.cut:
+            rank = max(rank, _RANK[SILENT])
+        link.state = STATES[rank]
+        link.added_ms = self._added_ms.get(pair, 0.0)
+
+
+def _pair(zone: str, peer_zone: str) -> ZonePair:
+    """The same for both orders."""
+    return (zone, peer_zone) if zone <= peer_zone else (peer_zone, zone)
+
+
+def _set_state(states: dict[Key, str], key: Key, state: str) -> None:
+    _RANK[state]  # KeyError on an unknown one
+    states.pop(key, None)
+    if state != UP:
+        states[key] = state
--- a/flintridge/lab/world/check.py
+++ b/flintridge/lab/world/request_check.py
@@ -4,7 +4,17 @@
 
 
 def mismatch(fact: RequestFacts | None, key: str, write: bool, extras: dict[str, str]) -> str:
-    """What was not passed on as it came, in words; empty where all is right."""
+    """Say what was not passed on as the client sent it.
+
+    Args:
+        fact: What the client sent; None where no client sent it.
+        key: As it arrived.
+        write: Whether a write arrived.
+        extras: Names and values as they arrived.
+
+    Returns:
+        The difference, empty where there is none.
+    """
     if fact is None:
         return "an id that no client sent"
     if fact.key != key:
--- a/flintridge/lab/world/server_host.py
+++ b/flintridge/lab/world/server_host.py
@@ -1,69 +1,82 @@
-"""What a cache server and the origin are alike on a fabric: listeners, connections, and the model's time."""
+"""What a cache server and the origin have in common on a fabric: listeners, connections, the model's time."""
 
 import asyncio
 from collections.abc import Callable
 from functools import partial
+from typing import Protocol
 
-from flintridge.lab.fabric import Fabric, Listener
-from flintridge.lab.records import RecordLog
-from flintridge.lab.truth import GroundTruth
-from flintridge.lab.world.objects import Objects
-from flintridge.lab.world.server_conn import ServerConnection
+from flintridge.lab.fabric import Listener
+from flintridge.lab.world.environment import Environment
+
+
+class Connection(Protocol):
+    """A connection, as far as its host ends it."""
+
+    def kill(self, now: float) -> None:
+        """End it with a RST at `now` (ms)."""
 
 
 class ServerHost:
-    """A machine that answers nodes: at most `most_connections` at once, closed after `idle_ms` of no use.
+    """A machine that answers nodes.
 
-    `up` tells whether it listens, or is about to.
+    Attributes:
+        is_origin: Whether this is the origin.
+        id: Its name in records.
+        up: Whether it listens, or is about to.
+        environment: What all servers share; some of it stands here by itself.
+        probes: Whether nodes may send health checks.
+        max_connections: How many it accepts at once.
+        idle_ms: Idle time after which it closes a connection.
+        connections: Those that are open, in the order of their opening.
     """
 
     is_origin = False
 
     def __init__(
-        self,
-        id: str,
-        fabric: Fabric,
-        log: RecordLog,
-        truth: GroundTruth,
-        objects: Objects,
-        probes: bool,
-        nodes: list[str],
-        most_connections: int,
-        idle_ms: float,
+        self, server_id: str, environment: Environment, max_connections: int, idle_ms: float
     ) -> None:
-        self.id = id
+        """Make a host that does not listen yet; the arguments are the attributes of these names."""
+        self.id = server_id
         self.up = False
-        self.fabric = fabric
-        self.clock = fabric.clock
-        self.log = log
-        self.truth = truth
-        self.objects = objects
-        self.probes = probes
-        self.most_connections = most_connections
+        self.environment = environment
+        self.fabric = environment.fabric
+        self.clock = environment.fabric.clock
+        self.log = environment.log
+        self.truth = environment.truth
+        self.objects = environment.objects
+        self.probes = environment.scenario.limits.probes
+        self.max_connections = max_connections
         self.idle_ms = idle_ms
-        self.connections: dict[ServerConnection, None] = {}  # a set that keeps its order
-        self._nodes = nodes
+        self.connections: dict[Connection, None] = {}
         self._listeners: list[Listener] = []
-        self._shuts = 0  # what was begun before the last of them is void
+        self._shutdowns = 0  # an opening that began before the last of them is void
         self._timer: asyncio.TimerHandle | None = None
         self._timer_at = 0.0
 
-    # Its life
+    # Listeners
+
+    async def _listen(self, party: str, connect: Callable[[str], asyncio.Protocol]) -> None:
+        """Listen to all nodes.
+
+        Args:
+            party: At whose addresses.
+            connect: Makes the connection of a node.
 
-    async def _listen(self, party: str, connect: Callable[[str], ServerConnection]) -> None:
-        """Listen to all nodes at the address of a party. Raises OSError."""
-        shuts = self._shuts
-        for node in self._nodes:
+        Raises:
+            OSError: An address is taken.
+        """
+        shutdowns = self._shutdowns
+        for node in self.environment.nodes:
             listener = await self.fabric.listen(party, node, partial(connect, node))
-            if shuts != self._shuts:  # it was shut while it was opening
+            if shutdowns != self._shutdowns:  # it was shut down while it was opening
                 listener.close()
                 return
             self._listeners.append(listener)
 
-    def _shut(self) -> None:
+    def _shut_down(self) -> None:
         """Listen no more, and let the model's time stand still. Connections are left as they are."""
         self.up = False
-        self._shuts += 1
+        self._shutdowns += 1
         for listener in self._listeners:
             listener.close()
         self._listeners.clear()
@@ -80,11 +93,11 @@
     # Time
 
     def settle(self, now: float) -> None:
-        """Answer what has ended, and be called again when more does."""
+        """Respond to what has ended by `now` (ms), and be called again when more does."""
         raise NotImplementedError
 
     def _wake_at(self, due: float | None) -> None:
-        """Settle again at `due`, or somewhat earlier."""
+        """Settle again at `due` (ms), or somewhat earlier."""
         # A timer that comes too early does no harm; to set each anew would cost more.
         if due is not None and (self._timer is None or due < self._timer_at):
             if self._timer is not None:
@@ -94,5 +107,5 @@
 
     def _on_timer(self) -> None:
         self._timer = None
-        # Rounding may bring the timer a hair too early: it would then be set for the same instant for ever.
+        # Rounding may bring the timer a hair too early: it would then be set for the same time without end.
         self.settle(max(self.clock.now(), self._timer_at))
--- a/flintridge/lab/world/settings.py
+++ b/flintridge/lab/world/settings.py
@@ -3,17 +3,30 @@
 from typing import Any
 
 from flintridge.lab.scenario.model import Goal, Limits, Prices, RequestClass, Rules, Scenario
+from flintridge.lab.world.memcache import MAX_PIPELINED
 
 ORIGIN_KIND = "origin"
-OVER_SHARE_WORTH = 0.05  # of the worth, for what a tenant sends beyond its quota
-PIPELINE = 128  # commands that a cache server begins on one connection
+"""Name of the origin's kind, beside the scenario's kinds."""
+
+OVER_QUOTA_WEIGHT = 0.05  # of the priority weight, for what a tenant sends beyond its quota
+TICK_MS = 5.0
 _EFFECTS = {"safe": "retryable", "keyed": "dedup", "unsafe": "fragile"}
 
+Settings = dict[str, Any]
+"""Settings in the platform\'s form; durations in nanoseconds."""
+
+
+def node_settings(scenario: Scenario, fleet_size: int, index: int, zone: str) -> Settings:
+    """The `settings` object of a node.
 
-def node_settings(scenario: Scenario, fleet_size: int, index: int, zone: str) -> dict[str, Any]:
-    """The `settings` object of node `index` of so many, in this zone; durations in nanoseconds.
+    Args:
+        scenario: The scenario.
+        fleet_size: How many nodes there are.
+        index: The node's position among them, from 0.
+        zone: Where it stands.
 
-    Raises ValueError where the zone is none of the scenario's.
+    Raises:
+        ValueError: The zone is none of the scenario's.
     """
     kinds = [kind.name for kind in scenario.kinds]
     return {
@@ -24,7 +37,7 @@
         "fleetSize": fleet_size,
         "goal": _goal(scenario.goal),
         "kinds": [*kinds, ORIGIN_KIND],
-        "overShareWorth": OVER_SHARE_WORTH,
+        "overShareWorth": OVER_QUOTA_WEIGHT,
         "permissions": _permissions(scenario),
         "prices": _prices(scenario.prices),
         "report": _report(scenario.limits),
@@ -32,7 +45,7 @@
         "selfIndex": index,
         "services": [_service(cls) for cls in scenario.classes],
         "tenants": _tenants(scenario),
-        "tickNs": _ns(5.0),
+        "tickNs": _ns(TICK_MS),
         "tier": 0,
         "tiers": ["caches"],
         "weights": "nominal",
@@ -46,7 +59,7 @@
     return round(ms * 1_000_000)
 
 
-def _family(scenario: Scenario, origin_kind: int) -> dict[str, Any]:
+def _family(scenario: Scenario, origin_kind: int) -> Settings:
     return {
         "mode": "aside",
         "originKind": origin_kind,
@@ -56,7 +69,7 @@
     }
 
 
-def _service(cls: RequestClass) -> dict[str, Any]:
+def _service(cls: RequestClass) -> Settings:
     return {
         "name": cls.name,
         "effect": _EFFECTS[cls.effect],
@@ -70,12 +83,15 @@
     }
 
 
-def _tenants(scenario: Scenario) -> list[dict[str, Any]]:
-    whole = sum(tenant.share for tenant in scenario.tenants)
-    return [{"name": t.name, "quotaPerS": t.quota_per_s, "share": t.share / whole} for t in scenario.tenants]
+def _tenants(scenario: Scenario) -> list[Settings]:
+    total = sum(tenant.share for tenant in scenario.tenants)
+    return [
+        {"name": tenant.name, "quotaPerS": tenant.quota_per_s, "share": tenant.share / total}
+        for tenant in scenario.tenants
+    ]
 
 
-def _permissions(scenario: Scenario) -> dict[str, Any]:
+def _permissions(scenario: Scenario) -> Settings:
     limits = scenario.limits
     return {
         "attemptsCap": limits.max_attempts,
@@ -88,15 +104,15 @@
         "maxOpen": limits.max_open,
         "connectTimeoutNs": _ns(limits.connect_timeout_ms),
         "connIdleNs": _ns(1000 * min(kind.idle_s for kind in scenario.kinds)),
-        "streamsPerConn": PIPELINE,
+        "streamsPerConn": MAX_PIPELINED,
     }
 
 
-def _report(limits: Limits) -> dict[str, Any]:
+def _report(limits: Limits) -> Settings:
     return {"how": "probe" if limits.probes else "none", "names": ["qps", "util", "x0"]}
 
 
-def _rules(rules: Rules) -> dict[str, Any]:
+def _rules(rules: Rules) -> Settings:
     return {
         "answerSlackNs": _ns(rules.answer_slack_ms),
         "askWithinNs": _ns(1000 * rules.ask_within_s),
--- a/flintridge/lab/world/sockets.py
+++ b/flintridge/lab/world/sockets.py
@@ -9,9 +9,9 @@
 
 def reset(transport: asyncio.Transport) -> None:
     """End a connection with a RST, as the kernel does for a process that died: `abort` alone sends a FIN."""
-    own = getattr(transport, "reset", None)
-    if own is not None:
-        own()
+    virtual_reset = getattr(transport, "reset", None)
+    if virtual_reset is not None:
+        virtual_reset()
         return
     sock = transport.get_extra_info("socket")
     if sock is not None:
--- /dev/null
+++ b/flintridge/lab/world/warm_up.py
@@ -0,0 +1,78 @@
+"""The warm-up curve: how much of its capacity a server has while it warms up."""
+
+from math import inf, sqrt
+
+
+class WarmUpCurve:
+    """A fraction of the full capacity that grows evenly from `initial_fraction` to 1.
+
+    A duration of 0 ms stands for a server that is warm from its start.
+    """
+
+    __slots__ = ("_slope", "_started_at", "_warm_at")
+
+    def __init__(self, started_at: float, duration_ms: float, initial_fraction: float) -> None:
+        """Begin the curve.
+
+        Args:
+            started_at: Time of the run in milliseconds.
+            duration_ms: How long it takes until the capacity is full.
+            initial_fraction: Fraction of the capacity at the start.
+        """
+        self._started_at = started_at
+        self._warm_at = -inf
+        self._slope = 0.0  # of the fraction, per millisecond
+        if duration_ms:
+            self._warm_at = started_at + duration_ms
+            self._slope = (1.0 - initial_fraction) / duration_ms
+
+    @property
+    def duration_ms(self) -> float:
+        """Milliseconds from the start until the capacity is full; 0 where it is full from the start."""
+        return max(0.0, self._warm_at - self._started_at)
+
+    def is_warming_up(self, now: float) -> bool:
+        """Whether the capacity is not full yet at `now` (ms)."""
+        return now < self._warm_at
+
+    def fraction(self, now: float) -> float:
+        """The fraction of the full capacity at `now` (ms)."""
+        if now >= self._warm_at:
+            return 1.0
+        return 1.0 - self._slope * (self._warm_at - max(now, self._started_at))
+
+    def warm_ms(self, begin: float, elapsed_ms: float) -> float:
+        """How long a warm server takes for what this one does in a stretch of time.
+
+        Args:
+            begin: Time of the run in milliseconds.
+            elapsed_ms: Length of the stretch in milliseconds.
+
+        Returns:
+            Milliseconds, at most `elapsed_ms`.
+        """
+        warming_ms = min(elapsed_ms, self._warm_at - begin)
+        if warming_ms <= 0:
+            return elapsed_ms
+        return warming_ms * (self.fraction(begin) + self._slope * warming_ms / 2) + elapsed_ms - warming_ms
+
+    def elapsed_ms(self, begin: float, warm_ms: float) -> float:
+        """The reverse of `warm_ms`: how long this server takes for the work of a warm one.
+
+        Args:
+            begin: Time of the run in milliseconds.
+            warm_ms: How long a warm server would take, in milliseconds.
+
+        Returns:
+            Milliseconds, at least `warm_ms`.
+        """
+        remaining_ms = self._warm_at - begin
+        if remaining_ms <= 0:
+            return max(0.0, warm_ms)
+        warm_up_ms = self.warm_ms(begin, remaining_ms)
+        if warm_ms >= warm_up_ms:
+            return remaining_ms + warm_ms - warm_up_ms
+        fraction = self.fraction(begin)
+        if not self._slope:
+            return max(0.0, warm_ms / fraction)
+        return max(0.0, 2 * warm_ms / (sqrt(fraction * fraction + 2 * self._slope * warm_ms) + fraction))
--- a/tests/membership/test_membership_config.py
+++ b/tests/membership/test_membership_config.py
@@ -26,8 +26,8 @@
 from flintridge.lab.seeds import Seeds
 from flintridge.lab.truth import GroundTruth
 from flintridge.lab.virtual import Network, VirtualLoop
-from flintridge.lab.world.fleet import World
-from flintridge.lab.world.links import LinkTable
+from flintridge.lab.world.fleet import SimulatedFleet
+from flintridge.lab.world.link_table import LinkTable
 from flintridge.membership.messages import MessageKind
 
 EXAMPLE = (ROOT / "examples" / "node.toml").read_text()
@@ -119,7 +119,7 @@
     scenario = load(name)
     links = LinkTable(scenario.links, Seeds(1))
     loop = VirtualLoop(Network(links.link))
-    world = World(scenario, Seeds(1), RecordLog(), VirtualFabric(loop, links, 1.0), GroundTruth())
+    world = SimulatedFleet(scenario, Seeds(1), RecordLog(), VirtualFabric(loop, links, 1.0), GroundTruth())
 
     async def configs():
         await world.open()
--- a/tests/test_import_layers.py
+++ b/tests/test_import_layers.py
@@ -10,9 +10,6 @@
 # Circles that stand; this list only shrinks.
 CIRCLES = {
     frozenset({"flintridge.cli", "flintridge.cli.main"}),
-    frozenset({"flintridge.lab.world.server_conn", "flintridge.lab.world.server_host"}),
-    frozenset({"flintridge.lab.world.cache_conn", "flintridge.lab.world.cache_host"}),
-    frozenset({"flintridge.lab.world.origin_conn", "flintridge.lab.world.origin_host"}),
     frozenset(f"flintridge.lab.virtual.{name}" for name in ("datagram", "loop", "net", "transport")),
 }
 
--- a/tests/test_lab_fleet.py
+++ b/tests/test_lab_fleet.py
@@ -29,34 +29,34 @@
 from flintridge.lab.seeds import Seeds
 from flintridge.lab.truth import GroundTruth
 from flintridge.lab.virtual import Network, VirtualLoop
-from flintridge.lab.world.discovery import Desk, Entry, Roll
-from flintridge.lab.world.discovery_deemed import Deemed
-from flintridge.lab.world.discovery_host import BadCall, read_target
-from flintridge.lab.world.discovery_list import IN_SERVICE, TERMINATED, TERMINATING
-from flintridge.lab.world.fleet import World
-from flintridge.lab.world.fleet_plan import Ids, specs
-from flintridge.lab.world.links import LinkTable
+from flintridge.lab.world.assumed_notifications import NotificationModel
+from flintridge.lab.world.call_queue import CallQueue, EndedCalls
+from flintridge.lab.world.discovery_call import ListCall, MalformedCallError, read_target
+from flintridge.lab.world.endpoint_list import Endpoint, EndpointList, Phase
+from flintridge.lab.world.fleet import SimulatedFleet
+from flintridge.lab.world.fleet_plan import ServerIds, plan_servers
+from flintridge.lab.world.link_table import LinkTable
 from flintridge.lab.world.settings import node_settings
 
 R = TypeVar("R")
 
 
-def entry(name="a", phase=IN_SERVICE, started_at=0.0) -> Entry:
-    return Entry(name, name, phase=phase, started_at=started_at)
+def entry(name="a", phase=Phase.IN_SERVICE, started_at=0.0) -> Endpoint:
+    return Endpoint(name, name, phase=phase, started_at=started_at)
 
 
-def roll(notice=100.0, silent=500.0, *names) -> Roll:
+def roll(notice=100.0, silent=500.0, *names) -> EndpointList:
     """With servers that are listed since long ago."""
-    made = Roll(10, lambda: notice, lambda: silent)
+    made = EndpointList(10, lambda: notice, lambda: silent)
     for name in names:
-        made.enlist(-1e6, entry(name))
+        made.add(-1e6, entry(name))
     return made
 
 
-def listed(model: Roll, after: int) -> list[tuple[str, str, float]]:
-    changes = model.since(after)
+def listed(model: EndpointList, after: int) -> list[tuple[str, str, float]]:
+    changes = model.changes_since(after)
     assert changes is not None
-    return [(c.entry.id, c.entry.phase, c.entry.started_at) for c in changes]
+    return [(c.endpoint.id, c.endpoint.phase, c.endpoint.started_at) for c in changes]
 
 
 # The list
@@ -64,64 +64,68 @@
 
 def test_changes_are_listed_late_and_each_servers_keep_their_order():
     delays = iter([1000.0, 100.0])
-    model = Roll(10, lambda: next(delays), lambda: 500.0)
-    model.enlist(0.0, entry())
-    model.truth(0.0, entry(phase=TERMINATED))
-    model.truth(50.0, entry(started_at=50.0))  # noticed sooner, but not before its own death
+    model = EndpointList(10, lambda: next(delays), lambda: 500.0)
+    model.add(0.0, entry())
+    model.observe(0.0, entry(phase=Phase.TERMINATED))
+    model.observe(50.0, entry(started_at=50.0))  # noticed sooner, but not before its own death
     assert not model.advance(999.0) and listed(model, 11) == []
     assert model.advance(1000.0)
-    assert listed(model, 11) == [("a", IN_SERVICE, 50.0)] and model.revision == 13
+    assert listed(model, 11) == [("a", Phase.IN_SERVICE, 50.0)] and model.revision == 13
 
 
 def test_a_silence_is_listed_only_where_it_lasts_and_a_return_is_listed_again():
     model = roll(100.0, 500.0, "a")
-    model.truth(0.0, entry(), silent=True)
-    model.truth(0.0, entry(), silent=True)
-    model.truth(499.0, entry())
+    model.observe(0.0, entry(), silent=True)
+    model.observe(0.0, entry(), silent=True)
+    model.observe(499.0, entry())
     assert not model.advance(1e5)
-    model.truth(1e5, entry(), silent=True)
+    model.observe(1e5, entry(), silent=True)
     model.advance(1e5 + 500)
-    assert listed(model, 11) == [("a", TERMINATED, 0.0)]
-    model.truth(1e5 + 600, entry())
+    assert listed(model, 11) == [("a", Phase.TERMINATED, 0.0)]
+    model.observe(1e5 + 600, entry())
     model.advance(1e5 + 700)
-    assert listed(model, 12) == [("a", IN_SERVICE, 0.0)]
+    assert listed(model, 12) == [("a", Phase.IN_SERVICE, 0.0)]
     # It died while nobody heard of it: known once it would be heard of again.
-    model.truth(2e5, entry(), silent=True)
-    model.truth(2e5 + 100, entry(phase=TERMINATED), silent=True)
-    model.truth(2e5 + 200, entry(phase=TERMINATED))
+    model.observe(2e5, entry(), silent=True)
+    model.observe(2e5 + 100, entry(phase=Phase.TERMINATED), silent=True)
+    model.observe(2e5 + 200, entry(phase=Phase.TERMINATED))
     assert not model.advance(2e5 + 299) and model.advance(2e5 + 300)
 
 
 def test_a_stale_list_holds_what_happened_since_and_only_that():
     model = roll(100.0, 500.0, "a", "b")
-    model.truth(0.0, entry("a", TERMINATING))
+    model.observe(0.0, entry("a", Phase.TERMINATING))
     model.stale_since = 50.0
-    model.truth(60.0, entry("b", TERMINATING))
-    model.truth(70.0, entry("b", TERMINATED))
+    model.observe(60.0, entry("b", Phase.TERMINATING))
+    model.observe(70.0, entry("b", Phase.TERMINATED))
     model.advance(1000.0)
-    assert listed(model, 12) == [("a", TERMINATING, 0.0)]
+    assert listed(model, 12) == [("a", Phase.TERMINATING, 0.0)]
     model.stale_since = None
     model.advance(1001.0)
-    assert listed(model, 13) == [("b", TERMINATED, 0.0)]
+    assert listed(model, 13) == [("b", Phase.TERMINATED, 0.0)]
 
 
 def test_whoever_is_too_far_behind_or_ahead_needs_the_whole_list():
     model = roll(0.0, 0.0, "a")
     for i in range(3000):
-        model.truth(i, entry(phase=TERMINATING if i % 2 else IN_SERVICE))
+        model.observe(i, entry(phase=Phase.TERMINATING if i % 2 else Phase.IN_SERVICE))
         model.advance(i)
-    assert model.since(0) is None and model.since(11) is None and model.since(model.revision + 1) is None
+    assert (
+        model.changes_since(0) is None
+        and model.changes_since(11) is None
+        and model.changes_since(model.revision + 1) is None
+    )
     assert len(listed(model, model.revision - 500)) == 1 and len(model._changes) < 1100
 
 
-STATES = st.sampled_from([IN_SERVICE, TERMINATING, TERMINATED, "silent", "stale", "fresh"])
+STATES = st.sampled_from([Phase.IN_SERVICE, Phase.TERMINATING, Phase.TERMINATED, "silent", "stale", "fresh"])
 
 
 @FIXED
 @given(st.lists(st.tuples(st.integers(0, 3), STATES, st.floats(0, 400)), max_size=40), st.integers(1, 50))
 def test_changes_since_any_revision_lead_to_the_whole_list(events, back):
     rng = random.Random(1)
-    model = Roll(10, lambda: rng.uniform(0, 300), lambda: rng.uniform(100, 600))
+    model = EndpointList(10, lambda: rng.uniform(0, 300), lambda: rng.uniform(100, 600))
     now, held, revision = 0.0, {}, 0
     truth = {name: entry(name) for name in "abcd"}
     for which, state, pause in [*events, (0, "fresh", 0.0), (0, "fresh", 5000.0)]:
@@ -131,26 +135,26 @@
             model.stale_since = now if state == "stale" else None
         else:
             phase = truth[name].phase if state == "silent" else state
-            truth[name] = entry(name, phase, now if phase == IN_SERVICE else truth[name].started_at)
-            model.truth(now, truth[name], silent=state == "silent")
+            truth[name] = entry(name, phase, now if phase == Phase.IN_SERVICE else truth[name].started_at)
+            model.observe(now, truth[name], silent=state == "silent")
         model.advance(now)
         if int(now) % back == 0:  # a node that asks now and then
-            changes, revision = model.since(revision), model.revision
+            changes, revision = model.changes_since(revision), model.revision
             held = held if changes is not None else {}
-            for change in model.whole() if changes is None else changes:
-                held[change.entry.id] = change.entry
+            for change in model.snapshot() if changes is None else changes:
+                held[change.endpoint.id] = change.endpoint
     model.advance(now)
-    for change in model.since(revision) or ([] if revision else model.whole()):
-        held[change.entry.id] = change.entry
-    alive = {name: one for name, one in held.items() if one.phase != TERMINATED}
-    assert alive == {change.entry.id: change.entry for change in model.whole()}
+    for change in model.changes_since(revision) or ([] if revision else model.snapshot()):
+        held[change.endpoint.id] = change.endpoint
+    alive = {name: one for name, one in held.items() if one.phase != Phase.TERMINATED}
+    assert alive == {change.endpoint.id: change.endpoint for change in model.snapshot()}
     assert [c.revision for c in model._changes] == list(range(11, model.revision + 1))
 
 
 # Calls
 
 
-def run_desk(desk: Desk, until: float) -> list[tuple[float, int, int, int]]:
+def run_desk(desk: CallQueue, until: float) -> list[tuple[float, int, int, int]]:
     """All answers by calls at `due` alone: instant, key, status, entries."""
     found, calls = [], 0
     while (due := desk.due()) is not None and due <= until:
@@ -161,7 +165,7 @@
 
 
 def test_calls_take_turns_and_fail_when_they_waited_too_long():
-    desk = Desk(roll(0.0, 0.0, "a", "b"), call_ms=100.0, line_ms=10.0, timeout_ms=250.0)
+    desk = CallQueue(roll(0.0, 0.0, "a", "b"), call_ms=100.0, endpoint_ms=10.0, timeout_ms=250.0)
     for key in range(5):
         desk.arrive(0.0, key, "n0", 0, 0.0)
     desk.leave(1)  # whoever hung up takes no turn
@@ -171,18 +175,18 @@
 
 def test_a_watch_wakes_for_news_or_ends_empty_and_costs_its_lines_only_once_more():
     model = roll(0.0, 0.0, "a")
-    desk = Desk(model, call_ms=100.0, line_ms=10.0, timeout_ms=3000.0)
+    desk = CallQueue(model, call_ms=100.0, endpoint_ms=10.0, timeout_ms=3000.0)
     desk.arrive(0.0, 1, "n0", model.revision, 5000.0)
     desk.arrive(0.0, 2, "n1", model.revision, 400.0)
     desk.arrive(0.0, 3, "n1", model.revision, 0.0)
     assert run_desk(desk, 450.0) == [(300.0, 3, 200, 0), (400.0, 2, 200, 0)]
-    model.truth(1000.0, entry(phase=TERMINATING))
+    model.observe(1000.0, entry(phase=Phase.TERMINATING))
     model.advance(1000.0)
     assert desk.advance(1000.0) == [] and run_desk(desk, 1e6) == [(1010.0, 1, 200, 1)]
     # News that comes while a call has its turn is not missed, and a long wait is cut to a minute.
     desk.arrive(2000.0, 4, "n0", model.revision, 1e9)
     desk.advance(2000.0)
-    model.truth(2050.0, entry())
+    model.observe(2050.0, entry())
     model.advance(2050.0)
     desk.advance(2050.0)
     assert run_desk(desk, 1e6) == [(2110.0, 4, 200, 1)]
@@ -196,16 +200,16 @@
 @pytest.mark.parametrize("how, status", ANSWERS.items())
 def test_going_down_ends_open_calls(how, status):
     model = roll(0.0, 0.0, "a")
-    desk = Desk(model, 100.0, 10.0, 3000.0)
+    desk = CallQueue(model, 100.0, 10.0, 3000.0)
     desk.arrive(0.0, 1, "n0", model.revision, 5000.0)
     desk.advance(100.0)
     desk.arrive(100.0, 2, "n0", 0, 0.0)
-    ended, replies = desk.set_down(how)
-    assert [call.key for call in ended] == [1, 2]
-    assert [r.status for r in replies] == ([] if status is None else [status] * 2)
-    _, reply = desk.arrive(150.0, 3, "n0", 0, 0.0)
-    assert (reply and reply.status) == status and desk.advance(1e5) == [] and desk.due() is None
-    assert desk.set_down("") == ([], [])
+    ended = desk.set_down(how)
+    assert [call.key for call in ended.calls] == [1, 2]
+    assert [r.status for r in ended.responses] == ([] if status is None else [status] * 2)
+    response = desk.arrive(150.0, 3, "n0", 0, 0.0).response
+    assert (response and response.status) == status and desk.advance(1e5) == [] and desk.due() is None
+    assert desk.set_down("") == EndedCalls([], [])
     desk.arrive(200.0, 4, "n0", 0, 0.0)
     assert run_desk(desk, 1e6) == [(310.0, 4, 200, 1)]
 
@@ -219,16 +223,16 @@
     def __init__(self) -> None:
         self.cut = False
         self.roll = roll(0.0, 0.0, "a")
-        self.deemed = Deemed(self.roll, 10_000.0, lambda node: self.cut)
-        self.deemed.started(0.0, "n0", self.roll.revision)
+        self.notifications = NotificationModel(self.roll, 10_000.0, lambda node: self.cut)
+        self.notifications.started(0.0, "n0", self.roll.revision)
 
-    def change(self, phase=TERMINATING) -> None:
-        self.roll.truth(1000.0, entry(phase=phase))
+    def change(self, phase=Phase.TERMINATING) -> None:
+        self.roll.observe(1000.0, entry(phase=phase))
         self.roll.advance(1000.0)
 
     def told_at(self, until=100_000) -> float | None:
         """When it counts as told, asked each 100 ms from 1000 on; once at the most."""
-        found = [t for t in range(1000, until, 100) if self.deemed.check(float(t))]
+        found = [t for t in range(1000, until, 100) if self.notifications.check(float(t))]
         assert len(found) <= 1
         return found[0] if found else None
 
@@ -238,9 +242,11 @@
     one.change()
     assert one.told_at() == 11_000
     late = Dealings()
-    late.deemed.asked(5000.0, "n0", 1, 0.0)
-    late.deemed.answered(5010.0, "n0", 1, late.roll.revision, False, True)  # before it was listed
-    late.roll.truth(6000.0, entry(phase=TERMINATING))
+    late.notifications.called(5000.0, "n0", 1, 0.0)
+    late.notifications.responded(
+        5010.0, "n0", 1, late.roll.revision, watches=False, delivered=True
+    )  # before it was listed
+    late.roll.observe(6000.0, entry(phase=Phase.TERMINATING))
     late.roll.advance(6000.0)
     assert late.told_at() == 16_000
 
@@ -248,26 +254,26 @@
 def test_a_failed_call_gives_four_times_as_long_and_a_told_change_is_never_deemed():
     one = Dealings()
     one.change()
-    one.deemed.asked(2000.0, "n0", 1, 0.0)
-    one.deemed.failed(2000.0, "n0", 1)
+    one.notifications.called(2000.0, "n0", 1, 0.0)
+    one.notifications.failed(2000.0, "n0", 1)
     assert one.told_at() == 42_000
     told = Dealings()
     told.change()
-    told.deemed.asked(2000.0, "n0", 1, 0.0)
-    told.deemed.answered(2010.0, "n0", 1, told.roll.revision, True, True)
+    told.notifications.called(2000.0, "n0", 1, 0.0)
+    told.notifications.responded(2010.0, "n0", 1, told.roll.revision, watches=True, delivered=True)
     assert told.told_at() is None
 
 
 def test_a_watch_keeps_a_node_from_being_deemed_until_it_ends():
     one = Dealings()
     one.change()
-    one.deemed.asked(1000.0, "n0", 1, 61_000.0)
+    one.notifications.called(1000.0, "n0", 1, 61_000.0)
     assert one.told_at(61_000) is None
-    one.deemed.hung_up(61_000.0, "n0", 1, broken=False)  # its time was not over by much
-    assert one.deemed.check(71_000.0) == [] and one.deemed.check(101_000.0) != []
+    one.notifications.disconnected(61_000.0, "n0", 1, broken=False)  # its time was not over by much
+    assert one.notifications.check(71_000.0) == [] and one.notifications.check(101_000.0) != []
     left = Dealings()
-    left.deemed.asked(900.0, "n0", 1, 5000.0)
-    left.deemed.hung_up(950.0, "n0", 1, broken=False)  # it ended its watch, and asks no more
+    left.notifications.called(900.0, "n0", 1, 5000.0)
+    left.notifications.disconnected(950.0, "n0", 1, broken=False)  # it ended its watch, and asks no more
     left.change()
     assert left.told_at() == 11_000
 
@@ -275,9 +281,9 @@
 @pytest.mark.parametrize("wait, at", [(0.0, 7000), (9000.0, 12_000), (500.0, 3500)])
 def test_an_answer_that_does_not_arrive_counts_all_the_same(wait, at):
     one = Dealings()
-    one.deemed.asked(1000.0, "n0", 1, 1000.0 + wait)
+    one.notifications.called(1000.0, "n0", 1, 1000.0 + wait)
     one.change()
-    one.deemed.answered(1020.0, "n0", 1, one.roll.revision, wait > 0, left=False)
+    one.notifications.responded(1020.0, "n0", 1, one.roll.revision, watches=wait > 0, delivered=False)
     assert one.told_at() == at
 
 
@@ -287,28 +293,32 @@
     cut.cut = True
     assert cut.told_at(60_000) is None
     cut.cut = False
-    assert cut.deemed.check(99_000.0) == [] and cut.deemed.check(100_000.0) != []
+    assert cut.notifications.check(99_000.0) == [] and cut.notifications.check(100_000.0) != []
     paused = Dealings()
     paused.change()
-    paused.deemed.paused(5000.0, "n0", True)
+    paused.notifications.paused(5000.0, "n0", True)
     assert paused.told_at(60_000) is None
-    paused.deemed.paused(60_000.0, "n0", False)
-    assert paused.deemed.check(69_900.0) == [] and paused.deemed.check(70_000.0) != []
+    paused.notifications.paused(60_000.0, "n0", False)
+    assert paused.notifications.check(69_900.0) == [] and paused.notifications.check(70_000.0) != []
     dead = Dealings()
     dead.change()
-    dead.deemed.ended("n0")
+    dead.notifications.stopped("n0")
     assert dead.told_at() is None
 
 
 def test_a_reload_tells_of_what_is_listed_then_and_of_no_later_change():
     one = Dealings()
     one.change()
-    one.deemed.reloaded(2000.0, "n0")
-    one.roll.truth(2500.0, entry(phase=TERMINATED))
+    one.notifications.reloaded(2000.0, "n0")
+    one.roll.observe(2500.0, entry(phase=Phase.TERMINATED))
     one.roll.advance(2500.0)
-    assert one.deemed.check(5999.0) == []
-    [(node, revision, changes)] = one.deemed.check(6000.0)
-    assert (node, revision, [c.entry.phase for c in changes]) == ("n0", 12, [TERMINATING])
+    assert one.notifications.check(5999.0) == []
+    [assumed] = one.notifications.check(6000.0)
+    assert (assumed.node, assumed.revision, [c.endpoint.phase for c in assumed.changes]) == (
+        "n0",
+        12,
+        [Phase.TERMINATING],
+    )
 
 
 # Plans, settings, choice
@@ -343,12 +353,12 @@
 
 
 def test_servers_are_drawn_by_the_seed_and_their_ids_tell_nothing():
-    made = specs(SCENE, Seeds(1), Ids(Seeds(1).of("ids")))
-    assert made == specs(SCENE, Seeds(1), Ids(Seeds(1).of("ids")))
-    assert [spec.zone for spec in made] == ["east", "west", "east", "west", "west", "west"]
-    ids = [spec.id for spec in made]
-    assert ids != sorted(ids) and len({spec.weight for spec in made[:3]}) == 3
-    assert ids != [spec.id for spec in specs(SCENE, Seeds(2), Ids(Seeds(2).of("ids")))]
+    made = plan_servers(SCENE, Seeds(1), ServerIds(Seeds(1).of("ids")))
+    assert made == plan_servers(SCENE, Seeds(1), ServerIds(Seeds(1).of("ids")))
+    assert [plan.zone for plan in made] == ["east", "west", "east", "west", "west", "west"]
+    ids = [plan.id for plan in made]
+    assert ids != sorted(ids) and len({plan.weight for plan in made[:3]}) == 3
+    assert ids != [plan.id for plan in plan_servers(SCENE, Seeds(2), ServerIds(Seeds(2).of("ids")))]
 
 
 ZONES, KINDS = ["east"] * 4 + ["west"] * 4, ["small", "big"] * 4
@@ -404,7 +414,7 @@
     for number in begin:
         active.on[number] = On(MANY[number], ("a",), ("n0",))
     everything = active.knobs("a")
-    assert everything.slow == 20.0 and everything.error_part == 0.75
+    assert everything.slowdown == 20.0 and everything.error_fraction == 0.75
     assert (everything.stale_after_ms, everything.stale_silent) == (200.0, True)
     assert active.knobs("b") == Knobs() and active.origin_down("west") == "refuses"
     assert active.pairs(["east", "west"])["east", "west"] == "silent"
@@ -478,7 +488,7 @@
 class Runner:
     """A NodeRunner of nodes that do nothing; if `slow_to_end` they never end by themselves."""
 
-    def __init__(self, world: World) -> None:
+    def __init__(self, world: SimulatedFleet) -> None:
         self.world, self.said, self.slow_to_end = world, [], False
         self._ended = {node: asyncio.Event() for node in world.nodes}
         for event in self._ended.values():
@@ -534,7 +544,7 @@
         seeds, self.log, links = Seeds(seed), RecordLog(), loop.network._make_link.__self__
         self.fabric = VirtualFabric(loop, links, loop.time() + 1.0)
         self.clock = self.fabric.clock
-        self.world = World(scenario, seeds, self.log, self.fabric, GroundTruth())
+        self.world = SimulatedFleet(scenario, seeds, self.log, self.fabric, GroundTruth())
         self.runner, self.controls = Runner(self.world), Controls()
         self.line = Timeline(scenario, seeds, self.world, self.fabric, self.runner, self.controls)
 
@@ -619,9 +629,9 @@
         assert [r.node for r in one.of(MalformedMessage, server="discovery")] == ["n0"] * 3
 
     played(test)
-    assert read_target("/api/targets?after=41&wait_ms=20000") == (41, 20000.0)
+    assert read_target("/api/targets?after=41&wait_ms=20000") == ListCall(41, 20000.0)
     for bad in ("/api/targets?after=-1", "/api/targets?wait=1", "/api/targets?after=9" + "9" * 20, "//x"):
-        with pytest.raises(BadCall):
+        with pytest.raises(MalformedCallError):
             read_target(bad)
 
 
@@ -629,7 +639,7 @@
 def test_discovery_goes_down_and_comes_back(how):
     async def test(one):
         one.play()
-        target = f"/api/targets?after={one.world.discovery.model.roll.revision}&wait_ms=20000"
+        target = f"/api/targets?after={one.world.discovery.model.endpoints.revision}&wait_ms=20000"
         watch = asyncio.ensure_future(one.call("n0", target))
         await one.clock.sleep_until(2000)
         call = asyncio.ensure_future(one.call("n1"))
@@ -653,7 +663,7 @@
     async def test(one):
         old = one.world.discovery.address("n0")
         one.play()
-        target = f"/api/targets?after={one.world.discovery.model.roll.revision}&wait_ms=20000"
+        target = f"/api/targets?after={one.world.discovery.model.endpoints.revision}&wait_ms=20000"
         watch = asyncio.ensure_future(one.call("n0", target, old))
         await one.clock.sleep_until(2400)
         assert not watch.done()
@@ -678,7 +688,7 @@
         happened = [(r.at_ms, r.begins) for r in one.of(FaultChanged)]
         assert happened == [(1000.0, True), (2000.0, True), (3000.0, False), (5000.0, False)]
         await asyncio.sleep(1)
-        entries = {c.entry.id: c.entry for c in one.world.discovery.model.roll.whole()}
+        entries = {c.endpoint.id: c.endpoint for c in one.world.discovery.model.endpoints.snapshot()}
         assert entries[name].started_at == 5000.0
 
     played(test, m.Crash(at_s=1.0, for_s=2.0, ids=("s0",)), m.Crash(at_s=2.0, for_s=3.0, ids=("s0",)))
@@ -690,22 +700,24 @@
         one.play()
         link, west = one.fabric.links.link, [h for h in one.world.servers.values() if h.zone == "west"]
         await one.clock.sleep_until(2000)
-        assert [link("n0", h.listen_as).state for h in west] == ["silent"] * 4
-        assert link("n1", west[0].listen_as).state == "silent"  # n1 stands in that zone
+        assert [link("n0", h.party).state for h in west] == ["silent"] * 4
+        assert link("n1", west[0].party).state == "silent"  # n1 stands in that zone
         assert (
             (link("n1", "origin").state == "silent") == nodes == (link("discovery", "n1").state == "silent")
         )
         assert link("c0", "n1").state == "up" and link("n0", "origin").state == "up"
         await one.clock.sleep_until(4500)  # listed as gone after three seconds
-        assert len(one.world.discovery.model.roll.whole()) == 3
+        assert len(one.world.discovery.model.endpoints.snapshot()) == 3
         await one.clock.sleep_until(7000)
-        assert [link("n0", h.listen_as).state for h in west] == ["up"] * 4
-        back = {c.entry.id: c.entry for c in one.world.discovery.model.roll.whole()}
+        assert [link("n0", h.party).state for h in west] == ["up"] * 4
+        back = {c.endpoint.id: c.endpoint for c in one.world.discovery.model.endpoints.snapshot()}
         assert [back[h.id].started_at for h in west] == [6000.0] * 4
         states = [r.state for r in one.of(ServerStateChanged, server=west[0].id)]
         assert states == ["started", "silent", "stopped", "started", "back"]
         # At no time was it listed as one that runs since long ago.
-        phases = [c.entry for c in one.world.discovery.model.roll._changes if c.entry.id == west[0].id]
+        phases = [
+            c.endpoint for c in one.world.discovery.model.endpoints._changes if c.endpoint.id == west[0].id
+        ]
         assert [(e.phase, e.started_at) for e in phases[1:]] == [("terminated", 0.0), ("in_service", 6000.0)]
 
     played(test, m.ZoneLoss(at_s=1.0, for_s=5.0, zone="west", nodes=nodes))
@@ -713,18 +725,18 @@
 
 def test_replaced_and_churned_servers_have_new_ids_at_the_old_addresses():
     async def test(one):
-        before = {h.listen_as: h.id for h in one.world.servers.values()}
+        before = {h.party: h.id for h in one.world.servers.values()}
         await one.line.run()
-        after = {h.listen_as: h.id for h in one.world.servers.values()}
+        after = {h.party: h.id for h in one.world.servers.values()}
         assert sorted(before) == sorted(after)
         renewed = [party for party in before if before[party] != after[party]]
         assert next(iter(before)) in renewed and len(renewed) == 4
         assert all(h.up and not h.model.draining for h in one.world.servers.values())
         gone = [r.server for r in one.of(ServerStateChanged, state="gone")]
-        listed = [c.entry.id for c in one.world.discovery.model.roll.whole()]
+        listed = [c.endpoint.id for c in one.world.discovery.model.endpoints.snapshot()]
         await asyncio.sleep(1)
         assert len(gone) == 4 and len(listed) == 7
-        assert not set(gone) & {c.entry.id for c in one.world.discovery.model.roll.whole()}
+        assert not set(gone) & {c.endpoint.id for c in one.world.discovery.model.endpoints.snapshot()}
 
     played(test, m.Replace(at_s=1.0, for_s=1.0, ids=("s0",)), m.Churn(at_s=3.0, for_s=6.0, every_s=2.0))
 
@@ -746,9 +758,9 @@
 def test_a_fallen_server_is_listed_as_gone():
     async def test(one):
         name, host = next(iter(one.world.servers.items()))
-        host.fall()
+        host.crash_by_overload()
         await asyncio.sleep(0.5)
-        assert name not in [c.entry.id for c in one.world.discovery.model.roll.whole()]
+        assert name not in [c.endpoint.id for c in one.world.discovery.model.endpoints.snapshot()]
 
     played(test)
 
@@ -787,14 +799,22 @@
         await one.clock.sleep_until(2000)
         host, link = next(iter(one.world.servers.values())), one.fabric.links.link
         discovery, origin = one.world.discovery.model, one.world.origin.model
-        assert host.model.slow == 6.0 and host.model.lost_part == 0.02 and link("n0", "n1").added == 50.0
+        assert (
+            host.model.faults.slowdown == 6.0
+            and host.model.faults.lost_fraction == 0.02
+            and link("n0", "n1").added_ms == 50.0
+        )
         knobs = origin.slow, origin.down, discovery.slow, discovery.stale_since
         assert knobs == (5.0, "errors", 20.0, 500.0)
         await one.line.stop()
         assert run.cancelled()
-        assert host.model.slow == 1.0 and host.model.lost_part == 0.0 and link("n0", "n1").added == 0.0
+        assert (
+            host.model.faults.slowdown == 1.0
+            and host.model.faults.lost_fraction == 0.0
+            and link("n0", "n1").added_ms == 0.0
+        )
         assert (origin.slow, origin.down, discovery.slow, discovery.stale_since) == (1.0, "", 1.0, None)
-        assert {link("n0", h.listen_as).state for h in one.world.servers.values()} == {"up"}
+        assert {link("n0", h.party).state for h in one.world.servers.values()} == {"up"}
         began, ended = (sorted(r.name for r in one.of(FaultChanged, begins=b)) for b in (True, False))
         assert began == ended and "burst" in began
         assert not list(one.world.servers.values())[1].up and not one.runner.running("n0")
--- a/tests/test_lab_world.py
+++ b/tests/test_lab_world.py
@@ -25,15 +25,21 @@
 from flintridge.lab.seeds import Seeds
 from flintridge.lab.truth import GroundTruth, RequestFacts
 from flintridge.lab.virtual import Network, VirtualLoop
-from flintridge.lab.world import spoil
-from flintridge.lab.world.cache import CacheModel, Job, Machine
-from flintridge.lab.world.cache_host import CacheHost
-from flintridge.lab.world.commands import BAD, CommandReader
-from flintridge.lab.world.links import LinkTable
+from flintridge.lab.world import corruption
+from flintridge.lab.world.cache_connection import CacheConnection
+from flintridge.lab.world.cache_host import CacheHost, StopReason
+from flintridge.lab.world.cache_job import Job
+from flintridge.lab.world.cache_model import CacheModel, Machine
+from flintridge.lab.world.cache_store import CacheStore
+from flintridge.lab.world.environment import Environment
+from flintridge.lab.world.fleet_plan import ServerPlan
+from flintridge.lab.world.link_table import LinkTable
+from flintridge.lab.world.memcache import CommandKind, CommandReader
 from flintridge.lab.world.objects import Objects
-from flintridge.lab.world.origin import OriginJob, OriginModel
+from flintridge.lab.world.origin_connection import OriginConnection
 from flintridge.lab.world.origin_host import OriginHost
-from flintridge.lab.world.store import Store
+from flintridge.lab.world.origin_job import OriginJob
+from flintridge.lab.world.origin_model import OriginModel
 
 R = TypeVar("R")
 
@@ -48,7 +54,7 @@
 
 
 def cache(kind: m.Kind = KIND, cold: bool = False, rules: m.Rules = SCENE.rules, seed: int = 1) -> CacheModel:
-    store = Store(Objects(SCENE, Seeds(1)), 1.0, 0.0)
+    store = CacheStore(Objects(SCENE, Seeds(1)), 1.0, 0.0)
     rng = random.Random(seed)
     return CacheModel(kind, Machine(kind, rng), rules, store, rng, 0.0, cold)
 
@@ -57,8 +63,8 @@
     return m.Kind(**{"name": "box", "cores": 1, "miss_work": 1.0, "crowd": 0.0} | changes)
 
 
-def job(work: float = 10.0, over_at: float = 1e9, key: str = "a") -> Job:
-    return Job(key, False, work, over_at)
+def job(work: float = 10.0, expires_at: float = 1e9, key: str = "a") -> Job:
+    return Job(key, False, work, expires_at)
 
 
 def ends(model: CacheModel, until: float = 1e6) -> list[tuple[float, Job]]:
@@ -96,7 +102,7 @@
             jobs.append(job(work, now + patience))
             model.offer(now, jobs[-1])
         ends(model, 1e7)
-        assert model.inflight == 0
+        assert model.in_flight == 0
         told.append([(one.outcome, one.state) for one in jobs])
     assert told[0] == told[1]
     assert all(outcome in ("miss", "busy") for outcome, _ in told[0])
@@ -122,20 +128,21 @@
     jobs = [job(40.0), job(40.0), job(40.0)]
     assert [model.offer(0, one) for one in jobs] == [None] * 3  # 3 on 2 cores of speed 2: 4/3 a ms each
     model.advance(15)  # 20 of each are done
-    model.slow = 10.0
+    model.faults.slowdown = 10.0
     model.advance(90)  # 10 more
-    model.slow, model.crowd_part = 1.0, 0.5  # one core left
+    model.faults.slowdown = 1.0
+    model.faults.contention_fraction = 0.5  # one core left
     assert [at for at, _ in ends(model)] == pytest.approx([105] * 3)
 
 
 def test_the_waiting_room_patience_and_turning_away():
     model = cache(kind(queue_per_core=2))
-    first, late, patient = job(10), job(10, over_at=5), job(10)
+    first, late, patient = job(10), job(10, expires_at=5), job(10)
     assert [model.offer(0, one) for one in (first, late, patient)] == [None] * 3
     full = job()
-    assert model.offer(0, full) == "busy" and not full.ran
+    assert model.offer(0, full) == "busy" and not full.executed
     assert [(at, one.outcome) for at, one in ends(model)] == [(10, "miss"), (10, "busy"), (20, "miss")]
-    assert model.offer(30, job(over_at=29)) == "busy"
+    assert model.offer(30, job(expires_at=29)) == "busy"
     model.offer(30, job(5))
     model.draining = True
     assert model.offer(30, job()) == "busy"
@@ -159,12 +166,12 @@
     model.store.put(0, "a")
     hit, miss = job(20), job(20, key="b")
     model.offer(0, hit)
-    model.chore(0, 5)  # takes half the core until it is done
+    model.add_background(0, 5)  # takes half the core until it is done
     model.offer(0, miss)
-    assert hit.cost == 20 and miss.cost == 2
+    assert hit.cost_ms == 20 and miss.cost_ms == 2
     assert [at for at, _ in ends(model)] == pytest.approx([25, 27])
-    assert (hit.outcome, hit.ran, miss.outcome, miss.ran) == ("value", True, "miss", False)
-    model.error_part = 1.0
+    assert (hit.outcome, hit.executed, miss.outcome, miss.executed) == ("value", True, "miss", False)
+    model.faults.error_fraction = 1.0
     assert model.offer(30, job()) == "error"
 
 
@@ -174,21 +181,21 @@
     model = cache(spec, True, rules)
     for at in range(0, 500, 100):
         model.offer(at, job(205))
-    assert not model.fallen  # 1025, most of it turned away
+    assert not model.overloaded  # 1025, most of it turned away
     model.offer(500, job(30))
-    assert model.fallen
+    assert model.overloaded
     slower = cache(spec, True, rules)
     for at in range(0, 5000, 210):
         slower.offer(at, job(205))
-    assert not slower.fallen
+    assert not slower.overloaded
     warm = cache(spec, False, rules)
     warm.offer(0, job(1e6))
-    assert not warm.fallen
+    assert not warm.overloaded
 
 
 def test_nothing_ends_during_a_pause_and_what_comes_then_waits():
     model = cache(kind(pause_every_s=1.0, pause_ms=300.0))
-    model.advance(pause := model._pause_at)
+    model.advance(pause := model._pauses.starts_at)
     one = job(10)
     assert model.offer(pause + 1, one) is None
     assert [at for at, _ in ends(model)] == pytest.approx([pause + 310])
@@ -210,14 +217,14 @@
 
 def test_the_store_keeps_to_its_memory_and_drops_what_is_void():
     objects = Objects(m.Scenario(keys=m.Keys(size_bytes=1000, size_sigma=0.0)), Seeds(1))
-    store = Store(objects, 0.003, 1.0)
+    store = CacheStore(objects, 0.003, 1.0)
     for key in "abc":
         store.put(0, key)
     assert store.get(0, "a") == 1
     store.put(0, "d")  # b is the longest unused
-    assert [store.get(1, key) for key in "abcd"] == [1, 0, 1, 1] and store.held == 3000
-    objects.changed("a")
-    assert not store.has(1, "a") and store.get(1, "a") == 0 and store.held == 2000
+    assert [store.get(1, key) for key in "abcd"] == [1, 0, 1, 1] and store.used_bytes == 3000
+    objects.update("a")
+    assert not store.has(1, "a") and store.get(1, "a") == 0 and store.used_bytes == 2000
     store.put(500, "a")
     assert [store.get(1200, key) for key in "acd"] == [2, 0, 0]
 
@@ -232,18 +239,18 @@
     body = objects.body("k7", 1, "s1", "u1")
     assert body.startswith(b"k7|1|s1|u1|") and len(body) == sizes[7]
     assert body[-200:] != objects.body("k7", 1, "s1", "u2")[-200:]
-    stores = {name: Store(objects, 1.0, 0.0) for name in ("s1", "s2", "s3")}
+    stores = {name: CacheStore(objects, 1.0, 0.0) for name in ("s1", "s2", "s3")}
     at_work = {"s1"}
     for name, store in stores.items():
         objects.register(name, store, lambda name=name: name in at_work)
-        objects.missed("u1", name)
-    objects.origin_answered("u1", "k7")
-    objects.origin_answered("u1", "k8")  # it was answered already
+        objects.record_miss("u1", name)
+    objects.fill_misses("u1", "k7")
+    objects.fill_misses("u1", "k8")  # it was answered already
     assert [len(store) for store in stores.values()] == [1, 0, 0]
     for i in range(1000):
         stores["s1"].put(0, f"k{i}")
         stores["s2"].put(0, f"k{i}")
-    objects.void(0.8, "x")
+    objects.invalidate(0.8, "x")
     assert 130 < len(stores["s1"]) < 270 and stores["s1"]._copies.keys() == stores["s2"]._copies.keys()
 
 
@@ -308,10 +315,16 @@
     reader, found, began = CommandReader(), [], {}
     for a, b in pairwise([0, *sorted(cuts), len(ASKED)]):
         for command in reader.feed(ASKED[a:b], float(a)):
-            found.append((command.kind, command.uid, command.wait_ms, command.value))
-            began[command.kind] = command.began
+            found.append((command.kind.value, command.request_id, command.time_left_ms, command.value))
+            began[command.kind.value] = command.started_at
     read, write = ("mg", "u1", 480.0, None), ("ms", "u2", 9.0, b"a\r\nb\r\n")
-    assert found == [(BAD, "", 0.0, None), read, write, ("mn", "", 0.0, None), ("stats load", "", 0.0, None)]
+    assert found == [
+        ("bad", "", 0.0, None),
+        read,
+        write,
+        ("mn", "", 0.0, None),
+        ("stats load", "", 0.0, None),
+    ]
     starts = {kind: ASKED.index(text) for kind, text in (("mg", b"mg k v"), ("ms", b"ms"), ("mn", b"mn"))}
     for kind, start in starts.items():
         assert began[kind] == max(cut for cut in (0, *cuts) if cut <= start)
@@ -340,22 +353,22 @@
 )
 def test_what_no_client_sends_is_bad(line, fatal):
     [bad, *rest] = CommandReader().feed(line + b"\r\nmn\r\n", 0.0)
-    assert (bad.kind, bad.fatal, len(rest)) == (BAD, fatal, 0 if fatal else 1)
+    assert (bad.kind, bad.fatal, len(rest)) == (CommandKind.MALFORMED, fatal, 0 if fatal else 1)
 
 
 def test_spoilt_answers_are_never_the_answer_unless_it_is_whole_in_them():
     right = b"VA 5 Ou1\r\nhello\r\n"
-    for name in spoil._VARIANTS:
-        out = spoil.spoil_as(name, random.Random(1), "u1", right, b"hello")
-        assert out.startswith(right) == (name in spoil.WHOLE) and out != right
-    assert spoil.spoil_as("other_id", random.Random(1), "u1", b"EN Ou1\r\n", None) == b"EN Ou0\r\n"
+    for name in corruption.VARIANTS:
+        out = corruption.corrupt_as(name, random.Random(1), "u1", right, b"hello")
+        assert out.startswith(right) == (name in corruption.INTACT_VARIANTS) and out != right
+    assert corruption.corrupt_as("other_id", random.Random(1), "u1", b"EN Ou1\r\n", None) == b"EN Ou0\r\n"
 
 
 # The origin
 
 
-def order(write: bool = True, idem: str = "i", over_at: float = 1e9, key: str = "a") -> OriginJob:
-    return OriginJob(key, write, over_at, idem if write else "", 2000.0)
+def order(write: bool = True, idem: str = "i", expires_at: float = 1e9, key: str = "a") -> OriginJob:
+    return OriginJob(key, write, expires_at, idem if write else "", 2000.0)
 
 
 def origin(**changes) -> OriginModel:
@@ -377,7 +390,7 @@
     assert put(model, 2040, later) == "receipt" and later.leader is first
     assert put(model, 2060, beyond) is None and beyond.leader is None
     # Of a write that never ran there is no repeat.
-    declined, again = order(idem="j", over_at=2070), order(idem="j")
+    declined, again = order(idem="j", expires_at=2070), order(idem="j")
     assert put(model, 2061, declined) is None
     assert model.advance(2160) == [beyond, declined] and declined.outcome == "busy"
     assert put(model, 2161, again) is None and again.leader is None
@@ -387,15 +400,15 @@
     model = origin(fall_multiple=2.0, fall_ms=200.0, down_s=3.0)
     reads = [order(False, key=str(i)) for i in range(8)]
     assert [put(model, 0, one) for one in reads] == [None] * 4 + ["busy"] * 4
-    assert model.falls == 0 and len(model.advance(200)) == 4
+    assert model.crashes == 0 and len(model.advance(200)) == 4
     assert put(model, 199, order(False)) is None
-    assert (model.falls, model.fallen_until) == (1, 3199) and model.inflight == 1
+    assert (model.crashes, model.crashed_until) == (1, 3199) and model.in_flight == 1
 
 
 def test_shared_fetches_and_the_ways_to_be_down():
     model = origin(shares_fetches=True)
     pair = [order(False), order(False)]
-    assert [put(model, 0, one) for one in pair] == [None, None] and model.inflight == 1
+    assert [put(model, 0, one) for one in pair] == [None, None] and model.in_flight == 1
     assert model.advance(50) == pair and model.advance(99) == []
     model.slow = 3.0
     put(model, 100, order(False))
@@ -436,9 +449,10 @@
         seeds = Seeds(seed)
         self.fabric = VirtualFabric(loop, links, loop.time())
         self.log, self.truth, self.objects = RecordLog(), GroundTruth(), Objects(scene, seeds)
-        parts = self.fabric, self.log, self.truth, self.objects, scene, seeds, ["n0"]
-        self.servers = [CacheHost(f"s{i}", scene.kinds[0], "a", 0, 1.0, *parts) for i in range(2)]
-        self.origin = OriginHost(*parts)
+        environment = Environment(self.fabric, self.log, self.truth, self.objects, scene, seeds, ["n0"])
+        plans = [ServerPlan(name, name, scene.kinds[0], "a", 0, 1.0) for name in ("s0", "s1")]
+        self.servers = [CacheHost(plan, environment, CacheConnection) for plan in plans]
+        self.origin = OriginHost(environment, OriginConnection)
         self.number = 0
 
     async def open(self) -> None:
@@ -579,7 +593,7 @@
     async def body(stage):
         old, new = stage.servers
         old.model.store.put(0, "a")
-        old.model.slow = 2.0
+        old.model.faults.slowdown = 2.0
         peer = await stage.connect("s0")
         peer.transport.write(stage.ask()[1])
         await asyncio.sleep(0.005)
@@ -589,7 +603,7 @@
         assert peer.ended == "ConnectionResetError" and not old.up
         with pytest.raises(ConnectionRefusedError):
             await stage.connect("s0")
-        new.stop("gone")
+        new.stop(StopReason.REMOVED)
         await new.start(cold=True, at_address_of="s0")
         peer = await stage.connect("s0")
         peer.transport.write(stage.ask()[1])
@@ -600,7 +614,7 @@
         assert not old.up
         new.stop()
         await old.start(cold=False)
-        assert old.model.slow == 2.0 and old.model.store.has(0, "a") is False
+        assert old.model.faults.slowdown == 2.0 and old.model.store.has(0, "a") is False
 
     stage = play(body)
     said = [(s.server, s.state, s.warm_up_ms) for s in stage.seen(ServerStateChanged) if s.server != "origin"]
@@ -649,7 +663,9 @@
         await asyncio.sleep(0.2)
         assert first.ended == "eof"
         for silent in (False, True):
-            stage.servers[0].model.stale_after_ms, stage.servers[0].model.stale_silent = 300.0, silent
+            faults = stage.servers[0].model.faults
+            faults.stale_after_ms = 300.0
+            faults.stale_silent = silent
             peer = await stage.connect("s0")
             await asyncio.sleep(0.4)
             peer.transport.write(stage.ask()[1])
@@ -663,11 +679,11 @@
 
 
 @pytest.mark.parametrize(
-    "knob, outcome, ends", [("lost", "value", ""), ("reset", None, "ConnectionResetError")]
+    "kind, outcome, ends", [("lost", "value", ""), ("reset", None, "ConnectionResetError")]
 )
-def test_lost_answers_and_resets(knob, outcome, ends):
+def test_lost_answers_and_resets(kind, outcome, ends):
     async def body(stage):
-        setattr(stage.servers[0].model, f"{knob}_part", 1.0)
+        setattr(stage.servers[0].model.faults, f"{kind}_fraction", 1.0)
         stage.servers[0].model.store.put(0, "a")
         peer = await stage.connect("s0")
         peer.transport.write(stage.ask()[1])
@@ -676,7 +692,7 @@
 
     stage = play(body)
     assert stage.made().get("u1") == outcome and len(stage.seen(AttemptExecuted)) == 1
-    assert [made.lost for made in stage.seen(AttemptServed)] == [True] * (knob == "lost")
+    assert [made.lost for made in stage.seen(AttemptServed)] == [True] * (kind == "lost")
 
 
 def test_what_is_not_passed_on_as_it_came_is_told_and_not_done():
@@ -792,7 +808,8 @@
     async def body(stage):
         rng = random.Random(5)
         for server in stage.servers:
-            server.model.error_part = server.model.spoilt_part = server.model.lost_part = 0.1
+            faults = server.model.faults
+            faults.error_fraction = faults.corrupted_fraction = faults.lost_fraction = 0.1
         for _ in range(60):
             peer = await stage.connect(rng.choice(("s0", "s1")))
             peer.transport.write(b"".join(stage.ask(key=rng.choice("abc"), work=9)[1] for _ in range(6)))
