--- a/flintridge/lab/world/discovery_host.py
+++ b/flintridge/lab/world/discovery_host.py
@@ -3,7 +3,7 @@
 import asyncio
 from collections.abc import Callable
 from functools import partial
-from typing import Any, Protocol
+from typing import Protocol
 
 import orjson
 
@@ -13,6 +13,7 @@
 from flintridge.lab.world.call_queue import OK, CallResponse
 from flintridge.lab.world.discovery_call import read_target
 from flintridge.lab.world.discovery_model import DiscoveryModel, Notification
+from flintridge.lab.world.endpoint_encoding import EndpointEncoder, EndpointListBody
 from flintridge.lab.world.endpoint_list import Endpoint
 from flintridge.lab.world.link import UP
 from flintridge.lab.world.sockets import reset
@@ -31,9 +32,6 @@
 )
 UNAVAILABLE_BODY = b'{"error":"unavailable"}'
 
-EndpointListBody = dict[str, Any]
-"""The endpoint list as discovery sends it in JSON."""
-
 
 class Caller(Protocol):
     """A node's connection to discovery.
@@ -89,6 +87,7 @@
         self._log = log
         self._nodes = nodes
         self._connect = connect
+        self._encoder = EndpointEncoder(fabric)
         self._rng = seeds.of("discovery/garbage")
         self._party_of = dict.fromkeys(nodes, PARTIES[0])
         self._listeners: dict[str, Listener] = {}
@@ -223,8 +222,8 @@
 
     def list_for(self, node: str) -> EndpointListBody:
         """The complete list as it is now, with the addresses of this node."""
-        endpoints = [change.endpoint for change in self.model.endpoints.snapshot()]
-        return self._list_body(node, self.model.endpoints.revision, endpoints, complete=True)
+        endpoints = self.model.endpoints
+        return self._encoder.body(node, endpoints.revision, endpoints.snapshot(), complete=True)
 
     # For its connections
 
@@ -305,28 +304,9 @@
             return MALFORMED_BODIES[self._rng.randrange(len(MALFORMED_BODIES))]
         if response.status != OK:
             return UNAVAILABLE_BODY
-        endpoints = [change.endpoint for change in response.changes]
-        return orjson.dumps(self._list_body(node, response.revision, endpoints, complete=response.complete))
-
-    def _list_body(
-        self, node: str, revision: int, endpoints: list[Endpoint], *, complete: bool
-    ) -> EndpointListBody:
-        members = [self._endpoint_body(node, endpoint) for endpoint in endpoints]
-        return {"revision": revision, "complete": complete, "members": members}
-
-    def _endpoint_body(self, node: str, endpoint: Endpoint) -> dict[str, Any]:
-        host, port = self._fabric.address(endpoint.party, node)
-        started = endpoint.started_at
-        return {
-            "id": endpoint.id,
-            "host_port": f"{host}:{port}",
-            "locality": endpoint.zone,
-            "flavor": endpoint.kind,
-            "cell": endpoint.cell,
-            "phase": endpoint.phase.value,
-            "size": endpoint.weight,
-            "up_since_ms": round(self._fabric.clock.unix_ms(started)) if started else 0,
-        }
+        return orjson.dumps(
+            self._encoder.body(node, response.revision, response.changes, complete=response.complete)
+        )
 
 
 def _close_all(callers: list[Caller]) -> None:
--- a/flintridge/lab/world/fleet.py
+++ b/flintridge/lab/world/fleet.py
@@ -2,10 +2,8 @@
 
 import asyncio
 from dataclasses import dataclass, replace
-from typing import Any
 
 from flintridge.lab.fabric import Fabric
-from flintridge.lab.load.keys import Keys
 from flintridge.lab.records import RecordLog, ServerStateChanged
 from flintridge.lab.scenario.model import Scenario
 from flintridge.lab.seeds import Seeds
@@ -19,10 +17,12 @@
 from flintridge.lab.world.environment import Environment
 from flintridge.lab.world.fleet_plan import ServerIds, ServerPlan, node_names, node_zones, plan_servers
 from flintridge.lab.world.link_table import LinkTable
+from flintridge.lab.world.node_configuration import NodeConfiguration, NodeConfigurations
 from flintridge.lab.world.objects import Objects
 from flintridge.lab.world.origin_connection import OriginConnection
 from flintridge.lab.world.origin_host import ORIGIN, OriginHost
-from flintridge.lab.world.settings import ORIGIN_KIND, node_settings
+from flintridge.lab.world.settings import ORIGIN_KIND
+from flintridge.lab.world.value_changes import ValueChanges
 
 NO_ZONE = "(nowhere)"
 """Where machines stand that no zone is named for: outside of every zone, lost with none."""
@@ -30,9 +30,6 @@
 WATCH_INTERVAL_MS = 50.0  # between two looks for servers that crashed by overload
 FIRST_INSTANT_MS = 0.001  # stands for a start at the very first instant, as 0 means long ago
 
-NodeConfiguration = dict[str, Any]
-"""A node's configuration in the platform's form."""
-
 
 @dataclass(slots=True, frozen=True)
 class _PublishedState:
@@ -89,8 +86,9 @@
         self.discovery = self._discovery_host()
         self._silent: set[str] = set()  # servers; looked up by name only
         self._published: dict[str, _PublishedState] = {}
-        self._node_starts: dict[str, int] = dict.fromkeys(self.nodes, 0)
-        self._timers: dict[str, asyncio.TimerHandle] = {}
+        self._configurations = NodeConfigurations(scenario, seeds, fabric, self.discovery)
+        self._value_changes: ValueChanges | None = None
+        self._watch_timer: asyncio.TimerHandle | None = None
 
     async def open(self) -> None:
         """Place all machines, open all listeners and start the steady processes.
@@ -107,17 +105,21 @@
         await self.origin.start()
         self.discovery.model.endpoints.add(now, self._origin_endpoint())
         await self.discovery.open()
-        self._start_value_changes()
+        if self.scenario.keys.change_per_s:
+            clock = self.fabric.clock
+            self._value_changes = ValueChanges(self.scenario.keys, self._seeds, self.objects, clock)
+            self._value_changes.start()
         self._watch_servers()
 
     async def close(self) -> None:
         """Stop everything; nothing listens any more."""
-        for timer in self._timers.values():
-            timer.cancel()
+        if self._value_changes is not None:
+            self._value_changes.stop()
+        if self._watch_timer is not None:
+            self._watch_timer.cancel()
         await self.discovery.close()
         for host in self.servers.values():
-            if host.up:
-                host.stop()
+            host.stop()
         self.origin.stop()
 
     # Nodes
@@ -126,12 +128,11 @@
         """The configuration for a start of the node, which is notified of the endpoint list by it."""
         notification = self.discovery.model.node_started(self.fabric.clock.now(), node)
         self.discovery.record(notification)
-        self._node_starts[node] += 1
-        return self._config(node)
+        return self._configurations.start(node)
 
     def reload_config(self, node: str) -> NodeConfiguration:
         """The configuration for a SIGHUP: where discovery is now. Nothing else has changed."""
-        return self._config(node)
+        return self._configurations.current(node)
 
     def node_ended(self, node: str) -> None:
         """Take note that a node's process is gone, and what it was notified of with it."""
@@ -157,8 +158,7 @@
     def stop(self, server: str, reason: StopReason = StopReason.CRASHED) -> None:
         """End a server's process: connections are reset, its work is lost."""
         host = self.servers[server]
-        if host.up:
-            host.stop(reason)
+        host.stop(reason)
         self.publish(server)
 
     def drain(self, server: str) -> None:
@@ -281,46 +281,10 @@
     def _origin_endpoint(self) -> Endpoint:
         return Endpoint(ORIGIN, ORIGIN, self.scenario.origin.zone or "", ORIGIN_KIND)
 
-    def _config(self, node: str) -> NodeConfiguration:
-        index = self.nodes.index(node)
-        host, port = self.fabric.address("listen", node)
-        spec = self.scenario.nodes
-        seed = self._seeds.of(f"node/{node}/{self._node_starts[node]}").getrandbits(64)
-        return {
-            "name": node,
-            "listen": f"{host}:{port}",
-            "discovery": self.discovery.address(node),
-            "seed": f"{seed:016x}",
-            "limits": {"sockets": spec.sockets, "memory_mb": spec.memory_mb},
-            "known": self.discovery.list_for(node),
-            "settings": node_settings(self.scenario, len(self.nodes), index, self.node_zones[node]),
-        }
-
-    # Steady processes
-
-    def _start_value_changes(self) -> None:
-        """Let values change at the origin, evenly over the keys."""
-        if not self.scenario.keys.change_per_s:
-            return
-        keys = Keys(self.scenario.keys, self._seeds)
-        rng = self._seeds.of("changes")
-        mean_interval_ms = 1000 / self.scenario.keys.change_per_s
-        clock = self.fabric.clock
-
-        def change(at: float) -> None:
-            self.objects.update(keys.name(rng.randrange(self.scenario.keys.count)))
-            schedule(at)
-
-        def schedule(after: float) -> None:
-            at = after + rng.expovariate(1 / mean_interval_ms)
-            self._timers["changes"] = clock.call_at(at, change, at)
-
-        schedule(clock.now())
-
     def _watch_servers(self) -> None:
         """Let discovery see servers that crashed by overload, by themselves."""
         for server, host in self.servers.items():
             seen = self._published.get(server)
             if seen is None or seen.up != host.up or seen.draining != host.model.draining:
                 self.publish(server)
-        self._timers["watch"] = self.fabric.clock.call_later(WATCH_INTERVAL_MS, self._watch_servers)
+        self._watch_timer = self.fabric.clock.call_later(WATCH_INTERVAL_MS, self._watch_servers)
--- a/flintridge/lab/world/origin_model.py
+++ b/flintridge/lab/world/origin_model.py
@@ -3,9 +3,7 @@
 It knows no I/O and no clock: times (ms of the run) are passed in and never go back.
 """
 
-import heapq
 import random
-from collections import deque
 from collections.abc import Callable
 from math import inf
 
@@ -14,6 +12,7 @@
 from flintridge.lab.world.draws import draw, lognormal
 from flintridge.lab.world.load_report import LoadFigures
 from flintridge.lab.world.origin_job import OriginJob
+from flintridge.lab.world.origin_slots import OriginSlots
 from flintridge.lab.world.outcomes import Outcome
 from flintridge.lab.world.sliding_window import SlidingWindowSum
 
@@ -28,27 +27,22 @@
     Attributes:
         spec: What the scenario says of it.
         zone: Where it stands; empty for outside of every zone.
-        slow: Times as long that a request takes which starts from now on; faults set it at any time.
         crashes: How often it crashed by overload.
         crashed_until: When it is back from the last such crash (ms of the run).
     """
 
     __slots__ = (
         "_accepted_writes",
+        "_arrived_work",
         "_down",
         "_down_changed",
         "_fetches",
         "_finished",
-        "_offered_work",
         "_read_ms",
         "_rng",
-        "_running",
-        "_sequence",
-        "_waiting",
-        "_waiting_ms",
+        "_slots",
         "crashed_until",
         "crashes",
-        "slow",
         "spec",
         "zone",
     )
@@ -65,21 +59,17 @@
         """
         self.spec = spec
         self.zone = spec.zone or ""
-        self.slow = 1.0
         self.crashes = 0
         self.crashed_until = -inf
         self._down = ""
         self._down_changed = down_changed
         self._rng = rng
         self._read_ms = max(MIN_READ_MS, draw(rng, spec.read_ms))
-        self._running: list[tuple[float, int, OriginJob]] = []  # a heap: ends at, order, job
-        self._sequence = 0
-        self._waiting: deque[OriginJob] = deque()
-        self._waiting_ms = 0.0  # their time in slots
+        self._slots = OriginSlots(spec)
         self._finished: list[OriginJob] = []
         self._fetches: dict[str, OriginJob] = {}  # by key, where reads share them
         self._accepted_writes = DeduplicationTable()
-        self._offered_work = SlidingWindowSum(spec.fall_ms)
+        self._arrived_work = SlidingWindowSum(spec.fall_ms)
 
     @property
     def down(self) -> str:
@@ -98,6 +88,15 @@
         if self._down_changed is not None:
             self._down_changed()
 
+    @property
+    def slow(self) -> float:
+        """Times as long that a request takes which starts from now on; faults set it at any time."""
+        return self._slots.slow
+
+    @slow.setter
+    def slow(self, factor: float) -> None:
+        self._slots.slow = factor
+
     @property
     def read_ms(self) -> float:
         """Mean time of a read in a slot."""
@@ -111,26 +110,17 @@
     @property
     def in_flight(self) -> int:
         """Requests that run or wait."""
-        return len(self._running) + len(self._waiting)
+        return self._slots.running + self._slots.queued
 
     def report(self) -> LoadFigures:
         """The load at present."""
-        utilization = len(self._running) / self.spec.slots
+        utilization = self._slots.running / self.spec.slots
         return {
             "inflight": float(self.in_flight),
-            "queue": float(len(self._waiting)),
+            "queue": float(self._slots.queued),
             "util": utilization,
         }
 
-    def wait_ms(self) -> float:
-        """What a request that comes now would wait for a slot, as far as can be told."""
-        if len(self._running) < self.spec.slots:
-            return 0.0
-        return self._waiting_ms * self._slowdown() / self.spec.slots
-
-    def _slowdown(self) -> float:
-        return self.slow * (1.0 + self.spec.crowd * len(self._waiting) / self.spec.slots)
-
     # What comes in
 
     def arrive(self, now: float, job: OriginJob) -> float:
@@ -149,7 +139,7 @@
         times = spec.write_times if job.write else 1.0
         job.service_ms = self._read_ms * lognormal(self._rng, spec.sigma) * times
         if spec.fall_multiple:
-            self._count_offered(now, job.service_ms)
+            self._check_overload(now, job.service_ms)
         return job.service_ms
 
     def offer(self, now: float, job: OriginJob) -> Outcome | None:
@@ -174,7 +164,7 @@
         leader = self._find_leader(now, job)
         if leader is not None:
             return self._join(leader, job)
-        if self.wait_ms() > self.spec.queue_s * 1000:
+        if self._slots.wait_ms() > self.spec.queue_s * 1000:
             job.outcome = Outcome.BUSY
             return job.outcome
         self._admit(now, job)
@@ -204,15 +194,7 @@
             self._accepted_writes.add(now, job)
         if self.spec.shares_fetches and not job.write:
             self._fetches[job.key] = job
-        if len(self._running) < self.spec.slots:
-            self._start(now, job)
-        else:
-            self._waiting.append(job)
-            self._waiting_ms += job.service_ms
-
-    def _start(self, now: float, job: OriginJob) -> None:
-        self._sequence += 1
-        heapq.heappush(self._running, (now + job.service_ms * self._slowdown(), self._sequence, job))
+        self._slots.add(now, job)
 
     # Time
 
@@ -220,7 +202,7 @@
         """When to call `advance` next (ms of the run); None while there is nothing to do."""
         if self._finished:
             return -inf
-        return self._running[0][0] if self._running else None
+        return self._slots.next_end()
 
     def advance(self, now: float) -> list[OriginJob]:
         """Go on to `now` (ms).
@@ -235,21 +217,12 @@
         return finished
 
     def _run_to(self, now: float) -> None:
-        running = self._running
-        while running and running[0][0] <= now:
-            ended_at, _, job = heapq.heappop(running)
+        slots = self._slots
+        while (ended_at := slots.next_end()) is not None and ended_at <= now:
+            job = slots.pop_ended()
             self._finish(job, Outcome.RECEIPT if job.write else Outcome.VALUE, executed=True)
-            self._start_waiting(ended_at)
-
-    def _start_waiting(self, now: float) -> None:
-        waiting = self._waiting
-        while waiting and len(self._running) < self.spec.slots:
-            job = waiting.popleft()
-            self._waiting_ms = self._waiting_ms - job.service_ms if waiting else 0.0
-            if now > job.expires_at and not job.followers:
-                self._finish(job, Outcome.BUSY, executed=False)
-            else:
-                self._start(now, job)
+            for expired in slots.start_waiting(ended_at):
+                self._finish(expired, Outcome.BUSY, executed=False)
 
     def _finish(self, job: OriginJob, outcome: Outcome, *, executed: bool) -> None:
         job.outcome = outcome
@@ -267,23 +240,19 @@
 
     # Overload
 
-    def _count_offered(self, now: float, service_ms: float) -> None:
+    def _check_overload(self, now: float, service_ms: float) -> None:
         spec = self.spec
-        offered_ms = self._offered_work.add(now, service_ms)
+        arrived_ms = self._arrived_work.add(now, service_ms)
         limit_ms = spec.fall_multiple * self.capacity * spec.fall_ms
-        if self.crashes < MAX_CRASHES and offered_ms > limit_ms:
+        if self.crashes < MAX_CRASHES and arrived_ms > limit_ms:
             self.crashes += 1
             self.crashed_until = now + draw(self._rng, spec.down_s) * 1000
             self.drop_all()
 
     def drop_all(self) -> None:
         """Lose all requests that have not ended; they were never executed."""
-        for _, _, job in self._running:
-            self._accepted_writes.forget(job)
-        for job in self._waiting:
+        for job in self._slots.jobs():
             self._accepted_writes.forget(job)
-        self._running.clear()
-        self._waiting.clear()
-        self._waiting_ms = 0.0
+        self._slots.clear()
         self._fetches.clear()
-        self._offered_work.clear()
+        self._arrived_work.clear()
--- a/tests/test_lab_world.py
+++ b/tests/test_lab_world.py
@@ -195,7 +195,7 @@
 
 def test_nothing_ends_during_a_pause_and_what_comes_then_waits():
     model = cache(kind(pause_every_s=1.0, pause_ms=300.0))
-    model.advance(pause := model._pauses.starts_at)
+    model.advance(pause := model._cores.pauses.starts_at)
     one = job(10)
     assert model.offer(pause + 1, one) is None
     assert [at for at, _ in ends(model)] == pytest.approx([pause + 310])
