--- a/flintridge/lab/backend/virtual.py
+++ b/flintridge/lab/backend/virtual.py
@@ -14,7 +14,9 @@
 
 from flintridge.config.address import Address
 from flintridge.config.errors import ConfigError
+from flintridge.config.model import Budgets as NodeBudgets
 from flintridge.config.node_config import BudgetsConfig, PeersConfig
+from flintridge.config.node_file import budgets_config
 from flintridge.config.platform_config import node_config
 from flintridge.lab.fabric import Links, Listener, RunClock
 from flintridge.lab.faults.injection import SOUND, Injector, SystemState
@@ -22,7 +24,7 @@
 from flintridge.lab.records import ConnectionCount, NodeLogLine, NodeStateChanged, RecordLog
 from flintridge.lab.scenario.model import Budgets, Peers
 from flintridge.lab.virtual import Host, VirtualLoop
-from flintridge.lab.virtual.net import AcceptPauses
+from flintridge.lab.virtual.machine import AcceptPauses
 from flintridge.membership.messages import MessageCodec
 from flintridge.node import Node
 from flintridge.runtime.acceptor import FIRST_PAUSE_MS, MAX_PAUSE_MS
@@ -136,7 +138,9 @@
 
     def shared(self) -> BudgetsConfig | None:
         """What of it is for `NodeConfig.budgets`."""
-        return None if self.budgets is None else BudgetsConfig(**msgspec.structs.asdict(self.budgets))
+        if self.budgets is None:
+            return None
+        return budgets_config(msgspec.convert(msgspec.to_builtins(self.budgets), NodeBudgets))
 
     def config(self, fabric: VirtualFabric, node: str) -> PeersConfig:
         known = tuple((name, Address(*fabric.address("peers", name))) for name in self.names)
@@ -322,7 +326,7 @@
             injector.counts["injected_clock_step"] += 1
         injector.state = state
         quiet = msgspec.structs.replace(state, clock_ms=0.0) == SOUND
-        self._fabric.network.host(node).system = None if quiet else injector
+        self._fabric.network.host(node).system_call_faults = None if quiet else injector
 
     def _wall_ms(self, node: str) -> float:
         """Unix time as a node's machine has it."""
--- a/flintridge/lab/world/cache_model.py
+++ b/flintridge/lab/world/cache_model.py
@@ -94,7 +94,7 @@
         self._cores = SharedCores(kind, machine.speed, warm_up, pauses, now, catch_up)
         self._load_report = LoadReport(rng, now)
         self._executor = JobExecutor(kind, machine.queue_limit, store, self._cores, self._load_report, rng)
-        self._arrived_work = SlidingWindowSum(rules.fall_ms)  # during the warm-up
+        self._arrived_work = SlidingWindowSum(rules.overload_window_ms)  # during the warm-up
 
     # What it can do
 
@@ -225,7 +225,12 @@
         # By the warm-up alone, whatever else slows the server: that is what nodes are told of.
         rules = self._rules
         cores = self._cores
-        limit_ms = rules.fall_multiple * cores.warm_capacity * cores.warm_up.fraction(now) * rules.fall_ms
+        limit_ms = (
+            rules.overload_multiple
+            * cores.warm_capacity
+            * cores.warm_up.fraction(now)
+            * rules.overload_window_ms
+        )
         if self._arrived_work.add(now, cost_ms) > limit_ms:
             self.overloaded = True
 
--- a/flintridge/lab/world/fleet.py
+++ b/flintridge/lab/world/fleet.py
@@ -240,7 +240,7 @@
         return CacheHost(plan, self._environment, CacheConnection)
 
     def _discovery_host(self) -> DiscoveryHost:
-        poll_within_ms = self.scenario.rules.ask_within_s * 1000
+        poll_within_ms = self.scenario.rules.poll_interval_s * 1000
         model = DiscoveryModel(
             self.scenario.discovery, poll_within_ms, self._seeds, lambda node: host.is_cut_off(node)
         )
--- a/flintridge/lab/world/origin_host.py
+++ b/flintridge/lab/world/origin_host.py
@@ -44,7 +44,9 @@
         self._connect = connect
         self._started = False  # and not stopped since
         self._crashed = False
-        self._windows_ms = {cls.name: spec.repeats_s * 1000 or cls.window_ms for cls in scenario.classes}
+        self._windows_ms = {
+            cls.name: spec.repeats_s * 1000 or cls.deduplication_window_ms for cls in scenario.classes
+        }
         self._executed_writes = Counter()
         self._down = ""
         self._opening: asyncio.Task[None] | None = None
--- a/flintridge/lab/world/server_host.py
+++ b/flintridge/lab/world/server_host.py
@@ -44,7 +44,7 @@
         self.log = environment.log
         self.truth = environment.truth
         self.objects = environment.objects
-        self.probes = environment.scenario.limits.probes
+        self.probes = environment.scenario.limits.health_checks
         self.max_connections = max_connections
         self.idle_ms = idle_ms
         self.connections: dict[Connection, None] = {}
--- a/flintridge/membership/messages.py
+++ b/flintridge/membership/messages.py
@@ -75,7 +75,7 @@
 
 
 class GossipEntry(msgspec.Struct, array_like=True, frozen=True, gc=False):
-    """What one node tells others of a process."""
+    """What one node knows of a process, for others."""
 
     name: Name
     incarnation: Number  # of the process: drawn at its start
@@ -113,9 +113,9 @@
 _decoder = msgspec.msgpack.Decoder(Message)
 
 
-def encoded_size(part: GossipEntry | Message) -> int:
+def encoded_size(value: GossipEntry | Message) -> int:
     """Its bytes, without header and authentication tag."""
-    return len(_encoder.encode(part))
+    return len(_encoder.encode(value))
 
 
 class MessageCodec:
--- a/flintridge/membership/sync_schedule.py
+++ b/flintridge/membership/sync_schedule.py
@@ -39,7 +39,7 @@
             self._next_at = now
         if self._is_done() or now < self._next_at:
             return None
-        # Not those of whom only others tell: the link to them may be cut.
+        # Not those known through others alone: the link to them may be cut.
         sources = [
             member.name
             for member in table.reachable_members
@@ -60,5 +60,5 @@
     def _interval_ms(self) -> float:
         names = self._table.reachability.names
         fraction = self._table.reachability.fraction
-        answer_ms = fraction * (1 - fraction) * names * SYNC_ENTRY_BYTES / self._bytes_per_s * 1000
-        return max(SYNC_INTERVAL_MS, answer_ms / SYNC_BYTES_FRACTION)
+        response_ms = fraction * (1 - fraction) * names * SYNC_ENTRY_BYTES / self._bytes_per_s * 1000
+        return max(SYNC_INTERVAL_MS, response_ms / SYNC_BYTES_FRACTION)
--- a/tests/test_import_layers.py
+++ b/tests/test_import_layers.py
@@ -10,7 +10,6 @@
 # Circles that stand; this list only shrinks.
 CIRCLES = {
     frozenset({"flintridge.cli", "flintridge.cli.main"}),
-    frozenset(f"flintridge.lab.virtual.{name}" for name in ("datagram", "loop", "net", "transport")),
 }
 
 
