--- /dev/null
+++ b/tests/lab/world/test_fleet.py
@@ -0,0 +1,27 @@
+"""The fleet in virtual time."""
+
+import asyncio
+
+from support.lab_fleet import played
+
+
+def test_a_server_when_it_crashed_by_overload_is_listed_as_terminated():
+    async def test(one):
+        name, host = next(iter(one.world.servers.items()))
+        host.crash_by_overload()
+        await asyncio.sleep(0.5)
+        assert name not in [c.endpoint.id for c in one.world.discovery.model.endpoints.snapshot()]
+
+    played(test)
+
+
+def test_values_when_the_run_goes_on_change_until_it_ends():
+    async def test(one):
+        await asyncio.sleep(30)
+        changes = sum(version - 1 for version in one.world.objects._versions.values())
+        assert 100 < changes < 200
+        await one.world.close()
+        await asyncio.sleep(5)
+        assert sum(version - 1 for version in one.world.objects._versions.values()) == changes
+
+    played(test)
--- /dev/null
+++ b/tests/lab/world/test_origin_connection.py
@@ -0,0 +1,99 @@
+"""Connections to the origin in virtual time."""
+
+import asyncio
+
+import pytest
+from support.lab_world import SCENE, play
+
+from flintridge.lab.records import (
+    AttemptDropped,
+    AttemptExecuted,
+    ServerStateChanged,
+)
+from flintridge.lab.scenario import model as m
+
+
+def test_keyed_writes_when_repeated_at_the_origin_take_effect_once():
+    async def body(stage):
+        stage.servers[0].model.store.put(0, "a")
+        peers = [await stage.connect("origin") for _ in range(6)]
+        lines = [stage.http(write=True, idem="i")[1] for _ in range(2)]
+        lines += [stage.http(write=True, idem=f"j{i}")[1] for i in range(4)]
+        for peer, line in zip(peers, lines, strict=True):
+            peer.transport.write(line)
+        await asyncio.sleep(0.01)
+        peers[2].transport.close()  # the origin goes on with it
+        await asyncio.sleep(1)
+        assert peers[0].got.endswith(b"w1.u1") and peers[1].got.endswith(b"w1.u1")
+        assert b"503" in peers[4].got and b"Srv-Declined: 1" in peers[4].got
+        assert not stage.servers[0].model.store.has(0, "a") and stage.objects.version("a") == 4
+        peers[0].transport.write(stage.http(key="-/load")[1])  # a key like any other
+        await asyncio.sleep(0.2)
+        assert peers[0].got.count(b"200") == 2
+
+    stage = play(body)
+    assert [(r.request_id, r.is_repeat) for r in stage.seen(AttemptExecuted)] == [
+        ("u1", False), ("u2", True), ("u3", False), ("u4", False), ("u7", False),
+    ]  # fmt: skip
+    assert [d.request_id for d in stage.seen(AttemptDropped)] == ["u3"]
+    assert stage.made() == dict.fromkeys(("u1", "u2", "u4"), "receipt") | {
+        "u5": "busy",
+        "u6": "busy",
+        "u7": "value",
+    }
+
+
+def test_the_origin_when_silent_or_refusing_comes_back():
+    async def body(stage):
+        peer = await stage.connect("origin")
+        stage.origin.down = "silent"
+        peer.transport.write(stage.http()[1])
+        await asyncio.sleep(9)
+        assert (peer.got, peer.ended) == (b"", "")
+        stage.origin.down = "refuses"
+        await asyncio.sleep(0.1)
+        assert peer.ended == "ConnectionResetError"
+        with pytest.raises(ConnectionRefusedError):
+            await stage.connect("origin")
+        stage.origin.down = ""
+        await asyncio.sleep(0.1)
+        peer = await stage.connect("origin")
+        peer.transport.write(b"GET /-/healthy HTTP/1.1\r\nHost: o\r\n\r\n" + stage.http()[1])
+        await asyncio.sleep(0.1)
+        assert peer.got.count(b"HTTP/1.1 200") == 2
+
+    stage = play(body)
+    assert [s.state for s in stage.seen(ServerStateChanged) if s.server == "origin"] == [
+        "started",
+        "stopped",
+        "back",
+    ]
+
+
+def test_the_origin_when_overloaded_crashes_and_recovers():
+    async def body(stage):
+        peers = [await stage.connect("origin") for _ in range(4)]
+        for peer in peers:
+            peer.transport.write(stage.http(write=True, idem="i")[1])
+        await asyncio.sleep(0.5)
+        assert [peer.ended for peer in peers] == ["ConnectionResetError"] * 4
+        stage.origin.down = "refuses"
+        stage.origin.down = ""  # it is down all the same
+        with pytest.raises(ConnectionRefusedError):
+            await stage.connect("origin")
+        await asyncio.sleep(0.6)
+        peer = await stage.connect("origin")
+        peer.transport.write(stage.http(write=True, idem="i")[1])
+        await asyncio.sleep(0.2)
+        assert peer.got.endswith(b"w1.u5")
+
+    falls = m.Origin(slots=1, sigma=0.0, read_ms=100.0, fall_multiple=1.0, fall_ms=500.0, down_s=1.0)
+    stage = play(body, m.Scenario(kinds=SCENE.kinds, classes=SCENE.classes, links=SCENE.links, origin=falls))
+    assert [s.state for s in stage.seen(ServerStateChanged) if s.server == "origin"] == [
+        "started",
+        "fallen",
+        "back",
+    ]
+    assert [(r.request_id, r.is_repeat) for r in stage.seen(AttemptExecuted)] == [("u5", False)] and len(
+        stage.seen(AttemptDropped)
+    ) == 4
