--- a/flintridge/lab/faults/active.py
+++ b/flintridge/lab/faults/active.py
@@ -31,7 +31,7 @@
     lost_fraction: float = 0.0
     contention_fraction: float = 0.0
     stale_after_ms: float = 0.0
-    stale_silent: bool = False
+    stale_unresponsive: bool = False
 
 
 @dataclass(slots=True)
@@ -89,7 +89,7 @@
             lost_fraction=parts[m.LostAnswers],
             contention_fraction=parts[m.Crowding],
             stale_after_ms=after_ms,
-            stale_silent=not loud,
+            stale_unresponsive=not loud,
         )
 
     def down(self, server: str) -> bool:
--- a/flintridge/lab/faults/nodes.py
+++ b/flintridge/lab/faults/nodes.py
@@ -47,7 +47,7 @@
         if node in self._paused:
             del self._paused[node]
             self._spared[node] = None
-        self._world.node_ended(node)
+        self._world.node_stopped(node)
 
     def term(self, node: str) -> None:
         if self._nodes.running(node):
@@ -69,7 +69,7 @@
         except TimeoutError:
             self.kill(node)
             await self._nodes.ended(node)
-        self._world.node_ended(node)
+        self._world.node_stopped(node)
 
     async def reload(self, node: str) -> None:
         """Another address of discovery, by SIGHUP."""
--- a/flintridge/lab/faults/servers.py
+++ b/flintridge/lab/faults/servers.py
@@ -118,7 +118,7 @@
             self._origin = origin
             world.origin.model.slow, world.origin.model.down = origin
         discovery = world.discovery
-        discovery.model.slow = active.discovery_slow()
-        discovery.model.stale_since = active.stale_since()
+        discovery.model.calls.slow = active.discovery_slow()
+        discovery.model.endpoints.stale_since = active.stale_since()
         await discovery.set_down(active.discovery_down(world.scenario.discovery.zone or NO_ZONE))
         discovery.update()
--- a/flintridge/lab/partial/rig.py
+++ b/flintridge/lab/partial/rig.py
@@ -142,7 +142,7 @@
 
     def kill(self, node: str) -> None:
         self.runner.kill(node)
-        self.world.node_ended(node)
+        self.world.node_stopped(node)
 
     # What is seen
 
--- a/flintridge/lab/world/cache_connection.py
+++ b/flintridge/lab/world/cache_connection.py
@@ -42,14 +42,14 @@
 class CacheConnection(ServerConnection[CacheHost]):
     """Reads commands and writes their responses in the order of the commands."""
 
-    __slots__ = ("_deferred", "_handshake_done", "_handshake_started", "_pending", "_reader", "_unresponsive")
+    __slots__ = ("_backlog", "_handshake_done", "_handshake_started", "_pending", "_reader", "_unresponsive")
 
     def __init__(self, host: CacheHost, node: str) -> None:
         """Make the connection from `node` to `host`."""
         super().__init__(host, node)
         self._reader = CommandReader()
         self._pending: deque[CacheRequest | PlainResponse] = deque()  # started, in the order of responses
-        self._deferred: deque[CacheRequest | PlainResponse] = deque()  # beyond MAX_PIPELINED
+        self._backlog: deque[CacheRequest | PlainResponse] = deque()  # beyond MAX_PIPELINED
         self._unresponsive = False  # nothing leaves any more, and nothing is read
         self._handshake_done = host.kind.handshake_ms <= 0
         self._handshake_started = False  # the first request waits for its end
@@ -105,16 +105,7 @@
         if reason or fact is None:
             self._reject(now, command, reason)
             return
-        request = CacheRequest(
-            self,
-            host.objects.attempts.next(),
-            command.request_id,
-            command.extras.get("k", ""),
-            key=command.key,
-            write=write,
-            work_ms=fact.work_ms,
-            expires_at=now + command.time_left_ms,
-        )
+        request = self._make_request(now, command, fact.work_ms)
         self._log_received(
             now,
             request,
@@ -128,7 +119,7 @@
             host.crash_by_overload()
             return
         if len(self._pending) >= MAX_PIPELINED:
-            self._deferred.append(request)
+            self._backlog.append(request)
             self._transport.pause_reading()
             return
         self._pending.append(request)
@@ -138,6 +129,18 @@
             self.kill(now)
             host.settle(now)
 
+    def _make_request(self, now: float, command: Command, work_ms: float) -> CacheRequest:
+        return CacheRequest(
+            self,
+            self._host.objects.attempts.next(),
+            command.request_id,
+            command.extras.get("k", ""),
+            key=command.key,
+            write=command.kind is CommandKind.WRITE,
+            work_ms=work_ms,
+            expires_at=now + command.time_left_ms,
+        )
+
     def _start_after_handshake(self, now: float, request: CacheRequest) -> None:
         host = self._host
         if self._handshake_done:
@@ -165,7 +168,7 @@
 
     def _add_plain(self, response: PlainResponse) -> None:
         if len(self._pending) >= MAX_PIPELINED:
-            self._deferred.append(response)
+            self._backlog.append(response)
         else:
             self._pending.append(response)
 
@@ -201,16 +204,16 @@
                 self._transport.write(chunks[0] if len(chunks) == 1 else b"".join(chunks))
             if closes:
                 self._close(now)
-            elif self._deferred:
-                self._start_deferred(now)
+            elif self._backlog:
+                self._start_backlog(now)
 
-    def _start_deferred(self, now: float) -> None:
-        while self._deferred and len(self._pending) < MAX_PIPELINED:
-            item = self._deferred.popleft()
+    def _start_backlog(self, now: float) -> None:
+        while self._backlog and len(self._pending) < MAX_PIPELINED:
+            item = self._backlog.popleft()
             self._pending.append(item)
             if isinstance(item, CacheRequest) and self._handshake_done:
                 self._start(now, item)
-        if not self._deferred:
+        if not self._backlog:
             self._transport.resume_reading()
 
     def _finish_response(self, now: float, request: CacheRequest, response: bytes) -> bytes:
@@ -238,19 +241,19 @@
 
     def _abandon_attempts(self, now: float) -> None:
         host = self._host
-        for item in (*self._pending, *self._deferred):
+        for item in (*self._pending, *self._backlog):
             if isinstance(item, CacheRequest):
                 item.connection = None
                 self._log_dropped(now, item)
                 if host.up:
                     host.model.cancel(now, item)
         self._pending.clear()
-        self._deferred.clear()
+        self._backlog.clear()
         if host.up:
             host.settle(now)
 
     def _is_busy(self) -> bool:
-        return bool(self._pending or self._deferred)
+        return bool(self._pending or self._backlog)
 
     def _is_unresponsive(self) -> bool:
         return self._unresponsive
@@ -260,7 +263,7 @@
         faults = self._host.model.faults
         if self._is_busy() or now - self._used_at <= faults.stale_after_ms:
             return False
-        if faults.stale_silent:
+        if faults.stale_unresponsive:
             self._unresponsive = True
         else:
             self.kill(now)
--- a/flintridge/lab/world/cache_model.py
+++ b/flintridge/lab/world/cache_model.py
@@ -110,6 +110,7 @@
 
     @draining.setter
     def draining(self, draining: bool) -> None:
+        """Take effect on what arrives from now on."""
         self._executor.draining = draining
 
     @property
--- a/flintridge/lab/world/call_queue.py
+++ b/flintridge/lab/world/call_queue.py
@@ -71,8 +71,8 @@
 
 
 @dataclass(slots=True, frozen=True)
-class EndedCalls:
-    """What going down ends.
+class ClosedCalls:
+    """What going down closes.
 
     Attributes:
         calls: The calls that were open.
@@ -150,13 +150,13 @@
             self._watches.pop(key, None)
         return call
 
-    def set_down(self, mode: str) -> EndedCalls:
+    def set_down(self, mode: str) -> ClosedCalls:
         """Go down, or come up with ""."""
         if mode == self.down:
-            return EndedCalls([], [])
+            return ClosedCalls([], [])
         self.down = mode
         if not mode:
-            return EndedCalls([], [])
+            return ClosedCalls([], [])
         calls = list(self._open.values())
         for call in calls:
             call.closed = True
@@ -166,7 +166,7 @@
         self._watch_ends.clear()
         self._service = None
         failures = [self._failure(call) for call in calls]
-        return EndedCalls(calls, [failure for failure in failures if failure is not None])
+        return ClosedCalls(calls, [failure for failure in failures if failure is not None])
 
     def due(self) -> float | None:
         """When something happens next (ms of the run), if nothing changes."""
--- a/flintridge/lab/world/corruption.py
+++ b/flintridge/lab/world/corruption.py
@@ -58,7 +58,7 @@
         case "endless_line":
             return b"VA " + b"9" * ENDLESS_BYTES
         case "other_id":
-            return _with_other_id(request_id, response)
+            return _with_foreign_id(request_id, response)
         case "twice":
             return response + response
         case "noise_behind":
@@ -79,12 +79,12 @@
     return b"VA %d O%b\r\n%b\r\n" % (length, request_id.encode(), body)
 
 
-def _with_other_id(request_id: str, response: bytes) -> bytes:
+def _with_foreign_id(request_id: str, response: bytes) -> bytes:
     """A response to a request that nobody made; a value is another one's too."""
     last = "0" if request_id[-1] != "0" else "1"
-    other_id = request_id[:-1] + last
+    foreign_id = request_id[:-1] + last
     if response.startswith(b"VA"):
-        return value_response(other_id, b"somebody else's|")
+        return value_response(foreign_id, b"somebody else's|")
     if response.startswith((b"EN", b"HD")):
-        return response.replace(b" O" + request_id.encode(), b" O" + other_id.encode(), 1)
-    return b"EN O%b\r\n" % other_id.encode()
+        return response.replace(b" O" + request_id.encode(), b" O" + foreign_id.encode(), 1)
+    return b"EN O%b\r\n" % foreign_id.encode()
--- a/flintridge/lab/world/deduplication.py
+++ b/flintridge/lab/world/deduplication.py
@@ -52,7 +52,7 @@
         """Guards a long run against growing."""
         expiries = self._expiries
         while expiries and expiries[0][0] < now:
-            ended_at, idempotency_key = expiries.popleft()
+            expired_at, idempotency_key = expiries.popleft()
             write = self._writes.get(idempotency_key)
-            if write is not None and write.window_ends_at <= ended_at:
+            if write is not None and write.window_ends_at <= expired_at:
                 del self._writes[idempotency_key]
--- a/flintridge/lab/world/discovery_call.py
+++ b/flintridge/lab/world/discovery_call.py
@@ -30,11 +30,11 @@
     Raises:
         MalformedCallError: No sound node makes it.
     """
-    parts = urlsplit(target)
-    if parts.path != PATH:
-        raise MalformedCallError(f"no such path: {parts.path[:100]}")
+    url = urlsplit(target)
+    if url.path != PATH:
+        raise MalformedCallError(f"no such path: {url.path[:100]}")
     values = {"after": 0, "wait_ms": 0}
-    for name, text in parse_qsl(parts.query, keep_blank_values=True):
+    for name, text in parse_qsl(url.query, keep_blank_values=True):
         if name not in values or not text.isascii() or not text.isdecimal() or len(text) > MAX_DIGITS:
             raise MalformedCallError(f"unreadable: {name[:40]}={text[:40]}")
         values[name] = int(text)
--- a/flintridge/lab/world/discovery_host.py
+++ b/flintridge/lab/world/discovery_host.py
@@ -264,8 +264,7 @@
     # Within
 
     def _now(self) -> float:
-        # Guards against a timer that fires a hair before the time it was set for, in floating point: it would
-        # be set anew for the same time without end.
+        # A timer may fire a hair before its time, by rounding: it would be set anew for the same time for ever.
         self._last_now = max(self._last_now, self._fabric.clock.now())
         return self._last_now
 
--- a/flintridge/lab/world/discovery_model.py
+++ b/flintridge/lab/world/discovery_model.py
@@ -37,7 +37,7 @@
 class DiscoveryModel:
     """One service for all nodes, at whatever addresses.
 
-    `slow` and `stale_since` may be set at any time; `set_down` is a call, as it ends others.
+    `calls.slow` and `endpoints.stale_since` may be set at any time; `set_down` is a call, as it ends others.
 
     Attributes:
         endpoints: The endpoint list.
@@ -65,24 +65,6 @@
         self.calls = CallQueue(self.endpoints, draw(rng, spec.call_ms), spec.line_ms, spec.timeout_ms)
         self.notifications = NotificationModel(self.endpoints, poll_within_ms, is_cut_off)
 
-    @property
-    def slow(self) -> float:
-        """Times as long that a call takes which is started from now on."""
-        return self.calls.slow
-
-    @slow.setter
-    def slow(self, factor: float) -> None:
-        self.calls.slow = factor
-
-    @property
-    def stale_since(self) -> float | None:
-        """Nothing that came about since then is listed (ms of the run)."""
-        return self.endpoints.stale_since
-
-    @stale_since.setter
-    def stale_since(self, since: float | None) -> None:
-        self.endpoints.stale_since = since
-
     @property
     def down(self) -> str:
         """How it is down, as `CallQueue.down`."""
@@ -98,10 +80,10 @@
         Returns:
             What is written to the calls that this ends.
         """
-        ended = self.calls.set_down(mode)
-        for call in ended.calls:
+        closed = self.calls.set_down(mode)
+        for call in closed.calls:
             self.notifications.failed(now, call.node, call.key)
-        return ended.responses
+        return closed.responses
 
     def call(self, now: float, key: int, node: str, after: int, wait_ms: float) -> CallResponse | None:
         """Take in a node's call; the arguments are those of `CallQueue.arrive`.
--- a/flintridge/lab/world/endpoint_list.py
+++ b/flintridge/lab/world/endpoint_list.py
@@ -99,7 +99,7 @@
         self._listed: dict[str, EndpointChange] = {}  # all but the terminated
         self._changes: deque[EndpointChange] = deque()
         self._pending: list[tuple[float, int, PendingChange]] = []  # a heap: due at, order, change
-        self._deferred: list[PendingChange] = []  # due, but not listed while the list is stale
+        self._backlog: list[PendingChange] = []  # due, but not listed while the list is stale
         self._sequence = 0
         self._last_due: dict[str, float] = {}
         self._observed: dict[str, Endpoint] = {}  # the latest of each endpoint, listed or not
@@ -142,15 +142,15 @@
             Whether there was anything.
         """
         before = self.revision
-        ready = self._deferred
-        self._deferred = []
+        ready = self._backlog
+        self._backlog = []
         while self._pending and self._pending[0][0] <= now:
             ready.append(heapq.heappop(self._pending)[2])
         for pending in ready:
             if pending.dropped:
                 continue
             if self.stale_since is not None and pending.observed_at >= self.stale_since:
-                self._deferred.append(pending)
+                self._backlog.append(pending)
                 continue
             if pending.by_silence:
                 # So that a return is listed again.
--- a/flintridge/lab/world/fault_controls.py
+++ b/flintridge/lab/world/fault_controls.py
@@ -20,7 +20,7 @@
         corrupted_fraction: Fraction of responses that are malformed.
         lost_fraction: Fraction of responses that are never sent.
         stale_after_ms: Idle time after which a connection is dropped unseen; 0 for never.
-        stale_silent: Whether such a connection stays open and says nothing, rather than being reset.
+        stale_unresponsive: Whether such a connection stays open and never responds, rather than being reset.
     """
 
     __slots__ = (
@@ -33,7 +33,7 @@
         "lost_fraction",
         "reset_fraction",
         "stale_after_ms",
-        "stale_silent",
+        "stale_unresponsive",
     )
 
     def __init__(self, catch_up: Callable[[], None] | None, rate_changed: Callable[[], None]) -> None:
@@ -52,7 +52,7 @@
         self.corrupted_fraction = 0.0
         self.lost_fraction = 0.0
         self.stale_after_ms = 0.0
-        self.stale_silent = False
+        self.stale_unresponsive = False
 
     @property
     def slowdown(self) -> float:
@@ -61,6 +61,7 @@
 
     @slowdown.setter
     def slowdown(self, factor: float) -> None:
+        """Let the model catch up before and after."""
         self._catch_up()
         self._slowdown = max(factor, MIN_SLOWDOWN)
         self._rate_changed()
@@ -73,6 +74,7 @@
 
     @contention_fraction.setter
     def contention_fraction(self, fraction: float) -> None:
+        """Let the model catch up before and after."""
         self._catch_up()
         self._contention_fraction = fraction
         self._rate_changed()
@@ -85,7 +87,7 @@
         self.corrupted_fraction = earlier.corrupted_fraction
         self.lost_fraction = earlier.lost_fraction
         self.stale_after_ms = earlier.stale_after_ms
-        self.stale_silent = earlier.stale_silent
+        self.stale_unresponsive = earlier.stale_unresponsive
         self._slowdown = earlier._slowdown
         self._contention_fraction = earlier._contention_fraction
         self._rate_changed()
--- a/flintridge/lab/world/fleet.py
+++ b/flintridge/lab/world/fleet.py
@@ -134,7 +134,7 @@
         """The configuration for a SIGHUP: where discovery is now. Nothing else has changed."""
         return self._configurations.current(node)
 
-    def node_ended(self, node: str) -> None:
+    def node_stopped(self, node: str) -> None:
         """Take note that a node's process is gone, and what it was notified of with it."""
         self.discovery.model.notifications.stopped(node)
 
--- a/flintridge/lab/world/memcache.py
+++ b/flintridge/lab/world/memcache.py
@@ -209,29 +209,29 @@
 
     def _parse_line(self, line: bytes) -> Command | None:
         """A command; None where its value is still to come."""
-        words = line.split(b" ")
-        name = words[0]
+        fields = line.split(b" ")
+        name = fields[0]
         if name == b"mg":
-            if len(words) != 5 or words[2] != b"v":
+            if len(fields) != 5 or fields[2] != b"v":
                 return self._malformed("not the form of a read")
-            return self._parse_request(CommandKind.READ, words[1], words[3], words[4])
+            return self._parse_request(CommandKind.READ, fields[1], fields[3], fields[4])
         if name == b"ms":
-            return self._parse_write(words)
+            return self._parse_write(fields)
         if line == b"mn":
             return Command(CommandKind.NOOP, self._sent_at)
         if line == b"stats load":
             return Command(CommandKind.LOAD_STATS, self._sent_at)
         return self._malformed("an unknown command")
 
-    def _parse_write(self, words: list[bytes]) -> Command | None:
-        if len(words) != 5 or not _LENGTH.fullmatch(words[2]) or int(words[2]) > MAX_VALUE_BYTES:
+    def _parse_write(self, fields: list[bytes]) -> Command | None:
+        if len(fields) != 5 or not _LENGTH.fullmatch(fields[2]) or int(fields[2]) > MAX_VALUE_BYTES:
             return self._malformed("not the form of a write", fatal=True)
-        command = self._parse_request(CommandKind.WRITE, words[1], words[3], words[4])
+        command = self._parse_request(CommandKind.WRITE, fields[1], fields[3], fields[4])
         if command.kind is CommandKind.MALFORMED:
             command.fatal = True
             self._dead = True
             return command
-        self._awaited = _AwaitedValue(command, int(words[2]))
+        self._awaited = _AwaitedValue(command, int(fields[2]))
         return None
 
     def _parse_request(self, kind: CommandKind, key: bytes, request_id: bytes, extras: bytes) -> Command:
--- a/flintridge/lab/world/origin_host.py
+++ b/flintridge/lab/world/origin_host.py
@@ -21,7 +21,7 @@
 class OriginHost(ServerHost):
     """The one origin: it speaks HTTP/1.1 at the addresses of its party.
 
-    Set `model.slow` and `model.down` (or `down` here) at any time; the latter needs a running loop.
+    Set `model.slow` and `model.down` at any time; the latter needs a running loop.
 
     Attributes:
         model: What it does.
@@ -78,15 +78,6 @@
             self._log_state("stopped")
             self._shut_down_model()
 
-    @property
-    def down(self) -> str:
-        """How it is down, as `OriginModel.down`."""
-        return self.model.down
-
-    @down.setter
-    def down(self, mode: str) -> None:
-        self.model.down = mode
-
     def _on_down_changed(self) -> None:
         before = self._down
         self._down = self.model.down
--- a/flintridge/lab/world/origin_model.py
+++ b/flintridge/lab/world/origin_model.py
@@ -76,12 +76,13 @@
         """How it is down, one of `DOWN_MODES`; empty for up.
 
         "declines" and "errors" respond so at once; "silent" takes requests and never starts them; "refuses"
-        is its driver's task. Setting another one raises ValueError.
+        is its driver's task.
         """
         return self._down
 
     @down.setter
     def down(self, mode: str) -> None:
+        """Call `down_changed`; an unknown mode raises ValueError."""
         if mode not in DOWN_MODES:
             raise ValueError(f"the origin cannot be {mode!r}")
         self._down = mode
@@ -95,6 +96,7 @@
 
     @slow.setter
     def slow(self, factor: float) -> None:
+        """Take effect on what starts from now on."""
         self._slots.slow = factor
 
     @property
@@ -218,10 +220,10 @@
 
     def _run_to(self, now: float) -> None:
         slots = self._slots
-        while (ended_at := slots.next_end()) is not None and ended_at <= now:
+        while (finished_at := slots.next_end()) is not None and finished_at <= now:
             job = slots.pop_ended()
             self._finish(job, Outcome.RECEIPT if job.write else Outcome.VALUE, executed=True)
-            for expired in slots.start_waiting(ended_at):
+            for expired in slots.start_waiting(finished_at):
                 self._finish(expired, Outcome.BUSY, executed=False)
 
     def _finish(self, job: OriginJob, outcome: Outcome, *, executed: bool) -> None:
--- a/flintridge/lab/world/warm_up.py
+++ b/flintridge/lab/world/warm_up.py
@@ -41,38 +41,38 @@
             return 1.0
         return 1.0 - self._slope * (self._warm_at - max(now, self._started_at))
 
-    def warm_ms(self, begin: float, elapsed_ms: float) -> float:
+    def warm_ms(self, start_at: float, elapsed_ms: float) -> float:
         """How long a warm server takes for what this one does in a stretch of time.
 
         Args:
-            begin: Time of the run in milliseconds.
+            start_at: Time of the run in milliseconds.
             elapsed_ms: Length of the stretch in milliseconds.
 
         Returns:
             Milliseconds, at most `elapsed_ms`.
         """
-        warming_ms = min(elapsed_ms, self._warm_at - begin)
+        warming_ms = min(elapsed_ms, self._warm_at - start_at)
         if warming_ms <= 0:
             return elapsed_ms
-        return warming_ms * (self.fraction(begin) + self._slope * warming_ms / 2) + elapsed_ms - warming_ms
+        return warming_ms * (self.fraction(start_at) + self._slope * warming_ms / 2) + elapsed_ms - warming_ms
 
-    def elapsed_ms(self, begin: float, warm_ms: float) -> float:
+    def elapsed_ms(self, start_at: float, warm_ms: float) -> float:
         """The reverse of `warm_ms`: how long this server takes for the work of a warm one.
 
         Args:
-            begin: Time of the run in milliseconds.
+            start_at: Time of the run in milliseconds.
             warm_ms: How long a warm server would take, in milliseconds.
 
         Returns:
             Milliseconds, at least `warm_ms`.
         """
-        remaining_ms = self._warm_at - begin
+        remaining_ms = self._warm_at - start_at
         if remaining_ms <= 0:
             return max(0.0, warm_ms)
-        warm_up_ms = self.warm_ms(begin, remaining_ms)
+        warm_up_ms = self.warm_ms(start_at, remaining_ms)
         if warm_ms >= warm_up_ms:
             return remaining_ms + warm_ms - warm_up_ms
-        fraction = self.fraction(begin)
+        fraction = self.fraction(start_at)
         if not self._slope:
             return max(0.0, warm_ms / fraction)
         return max(0.0, 2 * warm_ms / (sqrt(fraction * fraction + 2 * self._slope * warm_ms) + fraction))
--- a/tests/lab/world/test_assumed_notifications.py
+++ b/tests/lab/world/test_assumed_notifications.py
@@ -21,7 +21,7 @@
         self.endpoints.advance(1000.0)
 
     def notified_at(self, until=100_000) -> float | None:
-        """When it counts as told, asked each 100 ms from 1000 on; once at the most."""
+        """When it counts as notified, checked each 100 ms from 1000 on; once at the most."""
         found = [t for t in range(1000, until, 100) if self.notifications.check(float(t))]
         assert len(found) <= 1
         return found[0] if found else None
@@ -47,11 +47,13 @@
     node.notifications.called(2000.0, "n0", 1, 0.0)
     node.notifications.failed(2000.0, "n0", 1)
     assert node.notified_at() == 42_000
-    told = Subscriber()
-    told.change()
-    told.notifications.called(2000.0, "n0", 1, 0.0)
-    told.notifications.responded(2010.0, "n0", 1, told.endpoints.revision, watches=True, delivered=True)
-    assert told.notified_at() is None
+    notified = Subscriber()
+    notified.change()
+    notified.notifications.called(2000.0, "n0", 1, 0.0)
+    notified.notifications.responded(
+        2010.0, "n0", 1, notified.endpoints.revision, watches=True, delivered=True
+    )
+    assert notified.notified_at() is None
 
 
 def test_a_node_when_its_watch_is_open_is_not_assumed_notified():
@@ -63,7 +65,7 @@
     assert node.notifications.check(71_000.0) == [] and node.notifications.check(101_000.0) != []
     left = Subscriber()
     left.notifications.called(900.0, "n0", 1, 5000.0)
-    left.notifications.disconnected(950.0, "n0", 1, broken=False)  # it ended its watch, and asks no more
+    left.notifications.disconnected(950.0, "n0", 1, broken=False)  # it ended its watch, and calls no more
     left.change()
     assert left.notified_at() == 11_000
 
--- a/tests/lab/world/test_cache_connection.py
+++ b/tests/lab/world/test_cache_connection.py
@@ -170,7 +170,7 @@
         for silent in (False, True):
             faults = stage.servers[0].model.faults
             faults.stale_after_ms = 300.0
-            faults.stale_silent = silent
+            faults.stale_unresponsive = silent
             peer = await stage.connect("s0")
             await asyncio.sleep(0.4)
             peer.transport.write(stage.ask()[1])
--- a/tests/lab/world/test_call_queue.py
+++ b/tests/lab/world/test_call_queue.py
@@ -3,7 +3,7 @@
 import pytest
 from support.lab_discovery import endpoint, endpoint_list
 
-from flintridge.lab.world.call_queue import CallQueue, EndedCalls
+from flintridge.lab.world.call_queue import CallQueue, ClosedCalls
 from flintridge.lab.world.endpoint_list import Phase
 
 
@@ -62,6 +62,6 @@
     assert [r.status for r in ended.responses] == ([] if status is None else [status] * 2)
     response = queue.arrive(150.0, 3, "n0", 0, 0.0).response
     assert (response and response.status) == status and queue.advance(1e5) == [] and queue.due() is None
-    assert queue.set_down("") == EndedCalls([], [])
+    assert queue.set_down("") == ClosedCalls([], [])
     queue.arrive(200.0, 4, "n0", 0, 0.0)
     assert run_queue(queue, 1e6) == [(310.0, 4, 200, 1)]
--- a/tests/lab/world/test_origin_connection.py
+++ b/tests/lab/world/test_origin_connection.py
@@ -46,16 +46,16 @@
 def test_the_origin_when_silent_or_refusing_comes_back():
     async def body(stage):
         peer = await stage.connect("origin")
-        stage.origin.down = "silent"
+        stage.origin.model.down = "silent"
         peer.transport.write(stage.http()[1])
         await asyncio.sleep(9)
         assert (peer.got, peer.ended) == (b"", "")
-        stage.origin.down = "refuses"
+        stage.origin.model.down = "refuses"
         await asyncio.sleep(0.1)
         assert peer.ended == "ConnectionResetError"
         with pytest.raises(ConnectionRefusedError):
             await stage.connect("origin")
-        stage.origin.down = ""
+        stage.origin.model.down = ""
         await asyncio.sleep(0.1)
         peer = await stage.connect("origin")
         peer.transport.write(b"GET /-/healthy HTTP/1.1\r\nHost: o\r\n\r\n" + stage.http()[1])
@@ -77,8 +77,8 @@
             peer.transport.write(stage.http(write=True, idem="i")[1])
         await asyncio.sleep(0.5)
         assert [peer.ended for peer in peers] == ["ConnectionResetError"] * 4
-        stage.origin.down = "refuses"
-        stage.origin.down = ""  # it is down all the same
+        stage.origin.model.down = "refuses"
+        stage.origin.model.down = ""  # it is down all the same
         with pytest.raises(ConnectionRefusedError):
             await stage.connect("origin")
         await asyncio.sleep(0.6)
--- a/tests/support/lab_fleet.py
+++ b/tests/support/lab_fleet.py
@@ -80,7 +80,7 @@
 
 
 class Controls:
-    """LoadControls that write down what they are told; of a burst, its factor at 1.5 s."""
+    """LoadControls that record their calls; of a burst, its factor at 1.5 s."""
 
     def __init__(self) -> None:
         self.said = []
--- a/tests/test_lab_fleet.py
+++ b/tests/test_lab_fleet.py
@@ -78,7 +78,7 @@
         active.on[number] = On(MANY[number], ("a",), ("n0",))
     everything = active.knobs("a")
     assert everything.slowdown == 20.0 and everything.error_fraction == 0.75
-    assert (everything.stale_after_ms, everything.stale_silent) == (200.0, True)
+    assert (everything.stale_after_ms, everything.stale_unresponsive) == (200.0, True)
     assert active.knobs("b") == Knobs() and active.origin_down("west") == "refuses"
     assert active.pairs(["east", "west"])["east", "west"] == "silent"
     for i, number in enumerate(end):
@@ -263,7 +263,7 @@
             and host.model.faults.lost_fraction == 0.02
             and link("n0", "n1").added_ms == 50.0
         )
-        knobs = origin.slow, origin.down, discovery.slow, discovery.stale_since
+        knobs = origin.slow, origin.down, discovery.calls.slow, discovery.endpoints.stale_since
         assert knobs == (5.0, "errors", 20.0, 500.0)
         await one.line.stop()
         assert run.cancelled()
@@ -272,7 +272,8 @@
             and host.model.faults.lost_fraction == 0.0
             and link("n0", "n1").added_ms == 0.0
         )
-        assert (origin.slow, origin.down, discovery.slow, discovery.stale_since) == (1.0, "", 1.0, None)
+        assert (origin.slow, origin.down) == (1.0, "")
+        assert (discovery.calls.slow, discovery.endpoints.stale_since) == (1.0, None)
         assert {link("n0", h.party).state for h in one.world.servers.values()} == {"up"}
         began, ended = (sorted(r.name for r in one.of(FaultChanged, begins=b)) for b in (True, False))
         assert began == ended and "burst" in began
