--- a/flintridge/leases/driver.py
+++ b/flintridge/leases/driver.py
@@ -186,10 +186,10 @@
     # The admin API and counters
 
     def admin_status(self) -> AdminResponse:
-        """The response to GET /admin/budgets: HTTP status and JSON object."""
+        """The response to GET /admin/budgets."""
         now = self._clock.now()
         reachable = self._membership.reachability
-        return 200, {
+        fields = {
             "name": self._membership.name,
             "life": f"{self._membership.incarnation:x}",
             "alone": self._process_count == 1,
@@ -204,6 +204,7 @@
             ],
             "counts": {name: self.manager.counts[name] for name in sorted(self.manager.counts)},
         }
+        return AdminResponse(200, fields)
 
     def export_counters(self) -> None:
         """Add the manager's counts to the process's counters."""
--- a/tests/downstream/test_shutdown_deadlines.py
+++ b/tests/downstream/test_shutdown_deadlines.py
@@ -44,7 +44,7 @@
             pass
 
     def nothing_is_open(self) -> bool:
-        connections = self.harness.downstream._connections
+        connections = self.harness.downstream.connections
         return self.harness.core.idle and all(each.closing for each in connections)
 
     async def finish(self) -> None:
@@ -95,7 +95,7 @@
             reader, writer = await harness.stream_client(request[:10])
             ending, count = Ending(harness, deadline_ms), 0
             async for _ in ending.steps_until(ending.killed_at):
-                if len(harness.core._open) < 4:
+                if len(harness.core.open_requests) < 4:
                     writer.write(request[10:] % b"r%d" % count + request[:10])
                     count += 1
             assert ending.nothing_is_open()
@@ -146,7 +146,7 @@
             ending = Ending(harness, deadline_ms)
             await ending.pass_until(ending.told_at + NOTICE_MS - STEP_MS)
             reader, writer = await harness.stream_client(LONG_WRITE)
-            await until(lambda: any(c.has_pending for c in harness.downstream._connections))
+            await until(lambda: any(c.has_pending for c in harness.downstream.connections))
             await ending.pass_until(ending.killed_at - 1)
             assert ending.nothing_is_open()
             assert await reader.read() == BUSY
