--- a/flintridge/lab/world/discovery_host.py
+++ b/flintridge/lab/world/discovery_host.py
@@ -264,7 +264,7 @@
     # Within
 
     def _now(self) -> float:
-        # A timer may fire a hair before its time, by rounding: it would be set anew for the same time for ever.
+        # By rounding a timer may fire a hair too early: it would be set for the same time without end.
         self._last_now = max(self._last_now, self._fabric.clock.now())
         return self._last_now
 
