--- a/flintridge/downstream/eviction.py
+++ b/flintridge/downstream/eviction.py
@@ -38,11 +38,10 @@
     recently used first.
 
     The first request on a connection closed unread has failed, while a client whose connection was closed
-    between requests sends its next one again. With the limit reached by idle ones that had requested, each
-    new connection was closed for the next, and hardly a request arrived.
+    between requests sends its next one again. Guards new connections, each of which would otherwise be closed
+    for the next one while idle ones that had requested stay open.
 
-    Kept in order, and not searched: in a crowd each new connection asks, and the walk over some hundreds
-    took half of the node's time.
+    Kept in order, and not searched: at the connection limit each new connection needs the first of them.
     """
 
     def __init__(self) -> None:
--- a/tests/core/test_open_requests_at_shutdown.py
+++ b/tests/core/test_deadlines.py
@@ -1,4 +1,4 @@
-"""Requests that were open at SIGTERM and wait for longer than the process lives on."""
+"""Deadlines of responses: the clients' own, and that of a process which is about to end."""
 
 from dataclasses import replace
 
@@ -8,10 +8,10 @@
 
 from flintridge import api
 from flintridge.core.lifecycle import RequestLifecycle
-from flintridge.runtime.clock import NS_PER_MS
+from flintridge.runtime.clock import NS_PER_MS, to_ns
 
 WAIT_MS = 20_000.0
-ANSWER_BY_MS = 3_500.0
+RESPOND_BY_MS = 3_500.0
 
 
 @pytest.fixture
@@ -24,11 +24,11 @@
     return clock, core, script, replies
 
 
-def test_open_request_when_it_is_due_behind_the_last_response_then_is_answered_by_that(opened):
+def test_open_request_when_it_is_due_behind_the_last_response_then_is_responded_to_by_that(opened):
     """What was read later on its connection waits behind it, and would be lost with it."""
     clock, core, script, replies = opened
-    core.respond_all_by(clock.now() + ANSWER_BY_MS)
-    clock.go(ANSWER_BY_MS - 1)
+    core.respond_all_by(clock.now() + RESPOND_BY_MS)
+    clock.go(RESPOND_BY_MS - 1)
     assert replies.said == []
     clock.go(2)
     assert replies.said == ["failed"]
@@ -45,3 +45,29 @@
     assert replies.said == []
     clock.go(100)
     assert replies.said == ["failed"]
+
+
+@pytest.mark.parametrize(
+    ("timeout_ms", "due_ms", "overdue_ms"),
+    [(480.0, 470.0, 475.0), (50.0, 45.0, 47.5), (10.0, 9.0, 9.5), (None, WAIT_MS - 10, WAIT_MS - 5)],
+)
+def test_request_when_nobody_responds_then_is_failed_half_way_between_its_deadline_and_its_clients(
+    opened, timeout_ms, due_ms, overdue_ms
+):
+    clock, core, script, replies = opened
+    started_at = clock.now()
+    core.submit(make_request("a2", wait=timeout_ms), replies)
+    assert script.events[-1][1].deadline == to_ns(started_at + due_ms)
+    clock.go(overdue_ms - 0.1)
+    assert "a2" in core.open_requests
+    clock.go(0.2)
+    assert "a2" not in core.open_requests and replies.said[-1] == "failed"
+
+
+def test_request_when_taken_in_after_the_last_response_is_due_then_has_no_time_left(opened):
+    clock, core, script, replies = opened
+    core.respond_all_by(clock.now() - 1)
+    core.submit(make_request("a2"), replies)
+    assert script.events[-1][1].deadline == to_ns(clock.now() - 1)
+    clock.go(10)
+    assert replies.said == ["failed", "failed"]
