--- a/flintridge/replication/admin.py
+++ b/flintridge/replication/admin.py
@@ -16,9 +16,8 @@
 from flintridge.replication.replica import Replica
 from flintridge.replication.value_types import (
     VALUE_TYPES,
-    Body,
     WriteRejectedError,
-    decode_body,
+    decode_for_display,
     encode_body,
 )
 from flintridge.runtime.clock import Clock
@@ -231,11 +230,3 @@
         "ends_in_ms": ends_in_ms,
         "deleted": version.deleted,
     }
-
-
-def decode_for_display(body: bytes) -> Body | None:
-    """The body of a version; None where it can't be read, as of a type of a later release."""
-    try:
-        return decode_body(body)
-    except (msgspec.MsgspecError, UnicodeDecodeError, RecursionError):
-        return None
