--- a/flintridge/node.py
+++ b/flintridge/node.py
@@ -18,8 +18,8 @@
 from flintridge.discovery.overrides import EndpointOverrides
 from flintridge.discovery.watcher import DiscoveryWatcher, watch_wait_ms
 from flintridge.downstream.listener import Downstream
+from flintridge.fleet import Fleet, FleetContext
 from flintridge.policy.balancer import Balancer
-from flintridge.policy.quota import QUOTA_SLACK
 from flintridge.reload import Reloaded, plan_reload, process_limits
 from flintridge.runtime.clock import Clock
 from flintridge.runtime.worker_processes import WorkerProcesses
@@ -31,9 +31,6 @@
 if TYPE_CHECKING:
     from flintridge.core.admin_routes import Routes
     from flintridge.downstream.admin_api import AdminApi
-    from flintridge.leases.driver import LeaseDriver
-    from flintridge.membership.driver import MembershipDriver
-    from flintridge.replication.driver import ReplicationDriver
 
 
 class Node:
@@ -95,14 +92,15 @@
         self.shutdown = GracefulShutdown(ShutdownTimes.of(config.settings))
         self.downstream = self._make_downstream()
         self.admin_api: AdminApi | None = None
-        self.membership = self._make_membership(entropy)
-        self.leases = self._make_leases(entropy)
-        self.replication = self._make_replication(entropy)
+        self._fleet = self._make_fleet(entropy)
+        self.membership = self._fleet.membership
+        self.leases = self._fleet.leases
+        self.replication = self._fleet.replication
         self.downstream.is_ready = self._is_ready
         self._closed = False
         self._worker_processes = self._make_worker_processes(shared)
 
-    # Its parts. What the configuration does not ask for is not imported: an idle node stays small.
+    # Its parts
 
     def _make_core(self, policy: Policy | None) -> RequestLifecycle:
         config = self.config
@@ -150,52 +148,18 @@
             self.shutdown,
         )
 
-    def _make_membership(self, entropy: Callable[[int], bytes]) -> MembershipDriver | None:
-        config = self.config
-        if config.peers is None:
-            return None
-        from flintridge.membership.driver import MembershipDriver
-
-        return MembershipDriver(config.name, config.peers, self.clock, self.log, self.counters, entropy)
-
-    def _make_leases(self, entropy: Callable[[int], bytes]) -> LeaseDriver | None:
-        config = self.config
-        if config.budgets is None or self.membership is None:
-            return None
-        from flintridge.leases.driver import LeaseDriver
-
-        settings = config.settings
-        even_fraction = QUOTA_SLACK / settings.fleet_size
-        even_quotas = {
-            position: even_fraction * tenant.quota_per_s for position, tenant in enumerate(settings.tenants)
-        }
-        return LeaseDriver(
-            config.budgets,
-            settings,
-            even_quotas,
-            self.membership,
-            self.endpoints,
-            self.core,
-            self.clock,
-            self.log,
-            self.counters,
-            entropy,
-        )
-
-    def _make_replication(self, entropy: Callable[[int], bytes]) -> ReplicationDriver | None:
-        config = self.config
-        if config.state is None or self.membership is None or self._overrides is None:
-            return None
-        from flintridge.replication.driver import ReplicationDriver
-
-        return ReplicationDriver(
-            config.state,
-            self.membership,
-            self.clock,
-            self.log,
-            self.counters,
-            entropy,
-            self._overrides.take_out,
+    def _make_fleet(self, entropy: Callable[[int], bytes]) -> Fleet:
+        return Fleet(
+            FleetContext(
+                self.config,
+                self.core,
+                self.endpoints,
+                self._overrides,
+                self.clock,
+                self.log,
+                self.counters,
+                entropy,
+            )
         )
 
     def _make_worker_processes(self, shared: str | None) -> WorkerProcesses | None:
@@ -218,14 +182,10 @@
         """
         # Before anything else: what cannot have its admin API must not have taken a single connection.
         await self._start_admin_api()
-        if self.membership is not None:
-            await self.membership.start()
+        await self._fleet.start_membership()
         if self._worker_processes is not None:
             self._worker_processes.start()
-        if self.leases is not None:
-            self.leases.start()  # before the first request: a process that just began holds its floor alone
-        if self.replication is not None:
-            self.replication.start()
+        self._fleet.start()
         self._start_discovery()
         listen = self.config.listen
         port = await self.downstream.listen(listen)
@@ -245,14 +205,7 @@
     def _routes(self) -> Routes:
         from flintridge.operator_routes import OperatorRoutes
 
-        routes = OperatorRoutes(self).routes()
-        if self.membership is not None:
-            routes[b"/admin/peers"] = {b"GET": self.membership.admin_view}
-        if self.leases is not None:
-            routes[b"/admin/budgets"] = {b"GET": self.leases.admin_status}
-        if self.replication is not None:
-            routes.update(self.replication.routes())
-        return routes
+        return OperatorRoutes(self).routes() | self._fleet.routes()
 
     def _start_discovery(self) -> None:
         if self.config.settings.discovery is DiscoveryMode.PUSHED:
@@ -263,9 +216,7 @@
 
     def _is_ready(self) -> bool:
         """What else has to be before `mn` is answered: a list, and a replica that is synchronized."""
-        return self.discovery_watcher.has_list and (
-            self.replication is None or self.replication.is_synchronized()
-        )
+        return self.discovery_watcher.has_list and self._fleet.is_synchronized()
 
     # Reload
 
@@ -297,8 +248,7 @@
         self.core.memory_budget.resize(limits.memory_bytes)
         self.dispatcher.pool.max_connections = limits.server_connections
         self.downstream.connections.limit = limits.client_connections
-        if self.leases is not None:
-            self.leases.process_count_changed(count)
+        self._fleet.process_count_changed(count)
 
     # The service, as operators see it
 
@@ -356,11 +306,9 @@
     async def leave(self) -> None:
         """Serve on for 0.7 s, answer all that was taken, then close."""
         self.log.event("leaving", stepped_aside=self._redirect_new_connections())
-        if self.leases is not None:
-            self.leases.begin_shutdown()
+        self._fleet.begin_shutdown()
         await self.downstream.leave()
-        if self.membership is not None:
-            self.membership.leave()
+        self._fleet.leave()
         await self.close()
         self.log_counters()
         self.log.event("left")
@@ -374,12 +322,7 @@
 
     def log_counters(self) -> None:
         """Log what was counted, and the histograms where there are any."""
-        if self.membership is not None:
-            self.membership.publish_counters()
-        if self.leases is not None:
-            self.leases.export_counters()
-        if self.replication is not None:
-            self.replication.publish_counters()
+        self._fleet.publish_counters()
         self.log.event("counters", **self.counters.snapshot())
         histograms = self.counters.histograms()
         if histograms:
@@ -395,12 +338,7 @@
             self.admin_api.close()
         if self._worker_processes is not None:
             self._worker_processes.close()
-        if self.leases is not None:
-            self.leases.close()
-        if self.replication is not None:
-            await self.replication.close()
-        if self.membership is not None:
-            await self.membership.close()
+        await self._fleet.close()
         await self.discovery_watcher.close()
         await self.dispatcher.close()
         self.core.close()
