--- a/flintridge/lab/defects/sharing.py
+++ b/flintridge/lab/defects/sharing.py
@@ -15,7 +15,7 @@
 
 def quota_not_taken(node: Node) -> None:
     """The node looks whether a quota has room, and takes nothing from it."""
-    module = node.core._policy
+    module = node.core.policy_driver.policy
     assert isinstance(module, Balancer)
     quotas = module.quotas
     put(quotas, "try_take", lambda tenant, now: quotas.level(tenant, now) >= 1)
--- a/flintridge/replication/admin.py
+++ b/flintridge/replication/admin.py
@@ -91,7 +91,7 @@
         fields = dict(parse_qsl(query.decode("utf-8", "replace")))
         unknown = sorted(set(fields) - set(QUERY_FIELDS))
         if unknown:
-            return 400, {"error": f"unknown {unknown[0]}; allowed: {', '.join(QUERY_FIELDS)}"}
+            return AdminResponse(400, {"error": f"unknown {unknown[0]}; allowed: {', '.join(QUERY_FIELDS)}"})
         view = self._view()
         if "digests" in fields:
             digests = [f"{digest:016x}" for digest in self._replica.digests]
@@ -101,8 +101,9 @@
                 view = self._with_page(view, fields)
             except (ValueError, IndexError):
                 limit = len(self._replica.digests)
-                return 400, {"error": f"bucket and after are numbers; a bucket is under {limit}"}
-        return 200, view.to_json()
+                error = f"bucket and after are numbers; a bucket is under {limit}"
+                return AdminResponse(400, {"error": error})
+        return AdminResponse(200, view.to_json())
 
     def _view(self) -> ReplicaView:
         replica = self._replica
@@ -147,19 +148,20 @@
             call = msgspec.json.decode(body, type=WriteCall)
             version = self._write(call)
         except msgspec.MsgspecError as error:
-            return 400, {"error": str(error)}
+            return AdminResponse(400, {"error": str(error)})
         except (UnicodeDecodeError, RecursionError):
-            return 400, {"error": "the body is not JSON"}
+            return AdminResponse(400, {"error": "the body is not JSON"})
         except WriteRejectedError as error:
             self._counters.add("state_writes_rejected")
-            return 409, {"error": str(error)}
+            return AdminResponse(409, {"error": str(error)})
         self._gossip.acknowledgements.track(version.dot)
         self._counters.add("state_writes")
-        return 200, {
+        fields = {
             "name": self._membership.name,
             "write": version.dot[1],
             "life": f"{self._membership.incarnation:x}",
         }
+        return AdminResponse(200, fields)
 
     def _write(self, call: WriteCall) -> Version:
         if not call.author or not call.reason:
@@ -182,5 +184,5 @@
         dot: Dot = (self._replica.writer, int(text) if is_number else 0)
         count = self._gossip.acknowledgements.holder_count(dot)
         if count is None:
-            return 404, {"error": "no such write of this process, or too long ago"}
-        return 200, {"had": count, "life": f"{self._membership.incarnation:x}"}
+            return AdminResponse(404, {"error": "no such write of this process, or too long ago"})
+        return AdminResponse(200, {"had": count, "life": f"{self._membership.incarnation:x}"})
