--- a/flintridge/replication/admin.py
+++ b/flintridge/replication/admin.py
@@ -101,9 +101,8 @@
                 view = self._with_page(view, fields)
             except (ValueError, IndexError):
                 limit = len(self._replica.digests)
-                return AdminResponse(
-                    400, {"error": f"bucket and after are numbers; a bucket is under {limit}"}
-                )
+                error = f"bucket and after are numbers; a bucket is under {limit}"
+                return AdminResponse(400, {"error": error})
         return AdminResponse(200, view.to_json())
 
     def _view(self) -> ReplicaView:
