--- a/flintridge/lab/faults/controls.py
+++ b/flintridge/lab/faults/controls.py
@@ -10,7 +10,7 @@
     def burst(self, factor: Callable[[float], float]) -> None:
         """The rate at an instant (ms of the day) is this multiple of the usual one, from now on."""
 
-    def hot_key(self, part: float) -> object:
+    def hot_key(self, fraction: float) -> object:
         """One unpopular key takes such a share of all reads."""
 
     def cool(self) -> None:
--- a/flintridge/lab/load/__init__.py
+++ b/flintridge/lab/load/__init__.py
@@ -1,1 +1,1 @@
-"""The clients: what they ask, when, and what they do with the answers."""
+"""Clients: which requests they send, when, and what they do with the responses."""
--- a/flintridge/lab/load/arrivals.py
+++ b/flintridge/lab/load/arrivals.py
@@ -1,8 +1,9 @@
-"""When first tries come: an open loop, drawn ahead by the seed, whatever becomes of the answers.
+"""Arrival times of first attempts: an open loop, generated ahead by the seed, whatever the responses are.
 
-Time is walked in steps, and the rate in layers: layer 0 is the usual rate, and each further one adds as much
-again while a burst lasts. Each step of each layer has a stream of its own, and what a trough leaves out is
-left out by a mark of each candidate's own. So a burst never moves an arrival that comes without it.
+Time is divided into steps, and the rate into layers: layer 0 is the baseline rate, and each further one adds
+as much again while a burst lasts. Each step of each layer has a random stream of its own, and a reduced rate
+thins out candidates by a number of each candidate's own. So a burst never moves an arrival that comes
+without it.
 """
 
 import math
@@ -16,94 +17,110 @@
 from flintridge.lab.world.draws import draw
 
 STEP_MS = 250.0
-PROBES = 8  # places in a step at which a burst's factor is looked at, to know how many layers it needs
+SAMPLES_PER_STEP = 8  # instants of a step at which the rate factor is read, to know how many layers it needs
+SEED_BITS = 64
 
-Factor = Callable[[float], float]
-"""The multiple of the usual rate at an instant of the day (ms)."""
+RateFactor = Callable[[float], float]
+"""The multiple of the baseline rate at an instant of the run (ms)."""
 
 
-def usual(_: float) -> float:
-    """No burst."""
+def baseline(_: float) -> float:
+    """The rate factor without any burst."""
     return 1.0
 
 
 class Slot(NamedTuple):
-    """A place for a first try, at `t` (ms): what is drawn for it depends on `seed` alone."""
+    """An arrival; which request comes depends on `seed` alone.
 
-    t: float
+    Attributes:
+        at_ms: When it is due.
+        layer: The layer of the rate, or which of a trace's repetitions.
+        number: Among the candidates of its layer and step, or the line of a trace.
+        seed: Of the request's random stream.
+    """
+
+    at_ms: float
     layer: int
-    place: int  # among those of its layer and step, or in a trace
+    number: int
     seed: int
 
 
 def stream(slot: Slot) -> random.Random:
-    """All randomness of a slot's request and of its tries."""
+    """All randomness of a slot's request and of its attempts."""
     return random.Random(slot.seed)
 
 
-def step_of(t: float) -> int:
-    """The step that an instant (ms) lies in."""
-    return math.floor(t / STEP_MS)
+def step_of(at_ms: float) -> int:
+    """The step that an instant lies in."""
+    return math.floor(at_ms / STEP_MS)
+
 
+def layer_count(step: int, factor: RateFactor) -> int:
+    """How many layers a step needs; one more than the samples show, for what lies between them."""
+    maximum = max(factor((step + i / SAMPLES_PER_STEP) * STEP_MS) for i in range(SAMPLES_PER_STEP + 1))
+    return 1 if maximum <= 1 else math.ceil(maximum) + 1
 
-def layers(number: int, factor: Factor) -> int:
-    """How many layers a step needs; one more than seen at the probes, for what lies between them."""
-    most = max(factor((number + i / PROBES) * STEP_MS) for i in range(PROBES + 1))
-    return 1 if most <= 1 else math.ceil(most) + 1
 
+class RateShape:
+    """The baseline rate over time, as a multiple of its mean.
 
-class Shape:
-    """The usual rate over time, as a multiple of its mean; `peak` is the most that it gets to."""
+    Attributes:
+        peak: The maximum of the multiple.
+    """
 
-    def __init__(self, load: Load, seeds: Seeds, begin: float, end: float) -> None:
-        """`begin` and `end` in ms."""
+    def __init__(self, load: Load, seeds: Seeds, start_ms: float, end_ms: float) -> None:
         self._kind = load.shape
         self._swing = 0.0 if load.shape == "flat" else load.swing
-        self._period = load.period_s * 1000
+        self._period_ms = load.period_s * 1000
         self.peak = 1.0 + self._swing
-        self._turns: list[float] = []  # bursty: the instants at which high turns low, and low high
+        self._changes_ms: list[float] = []  # bursty: the instants at which high turns low, and low high
         if load.shape == "bursty":
             rng = seeds.of("load/shape")
-            t = begin
-            while t < end:
-                t += rng.expovariate(2 / self._period)
-                self._turns.append(t)
+            at_ms = start_ms
+            while at_ms < end_ms:
+                at_ms += rng.expovariate(2 / self._period_ms)
+                self._changes_ms.append(at_ms)
 
-    def __call__(self, t: float) -> float:
+    def __call__(self, at_ms: float) -> float:
+        """The multiple at an instant."""
         if self._kind == "wave":
-            return 1.0 + self._swing * math.sin(math.tau * t / self._period)
+            return 1.0 + self._swing * math.sin(math.tau * at_ms / self._period_ms)
         if self._kind == "bursty":
-            low = bisect_right(self._turns, t) % 2
-            return 1.0 - self._swing if low else 1.0 + self._swing
+            is_low = bisect_right(self._changes_ms, at_ms) % 2
+            return 1.0 - self._swing if is_low else 1.0 + self._swing
         return 1.0
 
 
-class Arrivals:
-    """Poisson arrivals over [begin, end) in ms, at the load's rate, shape and bursts."""
+class PoissonArrivals:
+    """Poisson arrivals over [start, end) in ms, at the load's rate, shape and bursts."""
 
-    def __init__(self, load: Load, seeds: Seeds, begin: float, end: float) -> None:
+    def __init__(self, load: Load, seeds: Seeds, start_ms: float, end_ms: float) -> None:
         self._seeds = seeds
-        self._begin, self._end = begin, end
-        self._shape = Shape(load, seeds, begin, end)
+        self._start_ms = start_ms
+        self._end_ms = end_ms
+        self._shape = RateShape(load, seeds, start_ms, end_ms)
         self._per_ms = draw(seeds.of("load/rate"), load.rate_per_s) / 1000 * self._shape.peak
 
-    def step(self, number: int, factor: Factor = usual) -> list[Slot]:
+    def step(self, step: int, factor: RateFactor = baseline) -> list[Slot]:
         """The slots of a step, in order of time. The same arguments give the same slots."""
         slots: list[Slot] = []
-        for layer in range(layers(number, factor)):
-            self._layer(layer, number, factor, slots)
+        for layer in range(layer_count(step, factor)):
+            self._add_layer(layer, step, factor, slots)
         slots.sort()
         return slots
 
-    def _layer(self, layer: int, number: int, factor: Factor, slots: list[Slot]) -> None:
-        rng = self._seeds.of(f"load/arrivals/{layer}/{number}")
-        begin, end = number * STEP_MS, (number + 1) * STEP_MS
-        t, place = begin + rng.expovariate(self._per_ms), 0
-        while t < end:
-            # Drawn for each candidate, taken or not: what is left out must not move the next one.
-            mark, seed = rng.random(), rng.getrandbits(64)
-            if self._begin <= t < self._end:
-                part = min(1.0, max(0.0, factor(t) - layer))
-                if mark * self._shape.peak < self._shape(t) * part:
-                    slots.append(Slot(t, layer, place, seed))
-            t, place = t + rng.expovariate(self._per_ms), place + 1
+    def _add_layer(self, layer: int, step: int, factor: RateFactor, slots: list[Slot]) -> None:
+        rng = self._seeds.of(f"load/arrivals/{layer}/{step}")
+        end_ms = (step + 1) * STEP_MS
+        at_ms = step * STEP_MS + rng.expovariate(self._per_ms)
+        number = 0
+        while at_ms < end_ms:
+            # Drawn for each candidate, admitted or not: one that is thinned out must not move the next one.
+            threshold = rng.random()
+            seed = rng.getrandbits(SEED_BITS)
+            if self._start_ms <= at_ms < self._end_ms:
+                fraction = min(1.0, max(0.0, factor(at_ms) - layer))
+                if threshold * self._shape.peak < self._shape(at_ms) * fraction:
+                    slots.append(Slot(at_ms, layer, number, seed))
+            at_ms += rng.expovariate(self._per_ms)
+            number += 1
--- a/flintridge/lab/load/driver.py
+++ b/flintridge/lab/load/driver.py
@@ -1,212 +1,210 @@
-"""The load of a day: requests come when they are due, and clients go through with them."""
+"""The load of a run: requests are started when they are due, and faults change the load."""
 
 import asyncio
-import math
-import random
 from collections import deque
-from collections.abc import Callable, Iterator, Mapping, Sequence
+from collections.abc import Callable, Mapping, Sequence
 from pathlib import Path
 
 from flintridge.lab.fabric import Fabric
-from flintridge.lab.load import trace
-from flintridge.lab.load.arrivals import STEP_MS, Arrivals, Factor, Slot, step_of, stream, usual
-from flintridge.lab.load.bad import BadClients
-from flintridge.lab.load.client import Clients
-from flintridge.lab.load.front import Front
-from flintridge.lab.load.keys import Keys
-from flintridge.lab.load.pool import Pools
-from flintridge.lab.load.requests import Drawing, Drawn
+from flintridge.lab.load.arrival_schedule import ArrivalSchedule
+from flintridge.lab.load.arrivals import STEP_MS, RateFactor, Slot, baseline, step_of
+from flintridge.lab.load.clients import Clients
+from flintridge.lab.load.connection_pool import ConnectionPools
+from flintridge.lab.load.generated_requests import GeneratedRequest
+from flintridge.lab.load.load_balancer import LoadBalancer
+from flintridge.lab.load.malformed_clients import MalformedClientContext, MalformedClients
 from flintridge.lab.records import RecordLog
 from flintridge.lab.scenario.model import Scenario
 from flintridge.lab.seeds import Seeds
 from flintridge.lab.truth import GroundTruth
-from flintridge.lab.world.objects import Objects
 
-SLACK_MS = 7_000.0  # beyond the longest deadline, until which a run waits for what is open
+FINISH_MARGIN_MS = 7_000.0  # beyond the longest deadline, until which a run waits for what is open
 
 
-class Plan:
-    """What comes over the day, whatever the nodes do: the slots step by step, and the request at each."""
+class LoadDriver:
+    """The clients of a run.
 
-    def __init__(
-        self,
-        scenario: Scenario,
-        seeds: Seeds,
-        node_zones: Sequence[str],
-        size_of: Callable[[str], int] | None = None,
-        base: Path | None = None,
-    ) -> None:
-        """`size_of` tells the bytes of a key's value (by default as the world has it); a trace is looked for
-        relative to `base`. Raises OSError and ValueError where the trace can't be read."""
-        size_of = size_of or Objects(scenario, seeds).size
-        self.begin, self.end = -scenario.warmup_s * 1000, scenario.length_s * 1000
-        self.keys = Keys(scenario.keys, seeds, self.begin)
-        self.drawing = Drawing(scenario, seeds, self.keys, size_of, node_zones)
-        self._source: Arrivals | trace.Replay
-        self._draws: Drawing | trace.Replay
-        if scenario.load.trace:
-            asked = trace.read((base or Path()) / scenario.load.trace, scenario)
-            replay = trace.Replay(asked, seeds, self.keys, size_of, self.begin, self.end)
-            self._source = self._draws = replay
-        else:
-            self._source = Arrivals(scenario.load, seeds, self.begin, self.end)
-            self._draws = self.drawing
-
-    def step(self, number: int, factor: Factor = usual) -> list[Slot]:
-        """The slots of a step, in order of time."""
-        return self._source.step(number, factor)
-
-    def request(self, slot: Slot) -> tuple[Drawn, random.Random]:
-        """The request at a slot, and the stream of all that its tries draw. Slots must come in order."""
-        rng = stream(slot)
-        return self._draws.draw(slot, rng), rng
-
-    def all(self) -> Iterator[Drawn]:
-        """The whole day, without faults."""
-        for number in range(step_of(self.begin), math.ceil(self.end / STEP_MS)):
-            for slot in self.step(number):
-                yield self.request(slot)[0]
+    Faults change the load by `burst`, `hot_key`, `cool` and `bad_clients`.
 
-
-class Load:
-    """The clients of a day. It is also what the faults turn: `burst`, `hot_key`, `cool`, `bad_clients`."""
+    Attributes:
+        schedule: Which requests come when.
+        load_balancer: Which node a request goes to.
+    """
 
     def __init__(
         self,
         scenario: Scenario,
         seeds: Seeds,
         log: RecordLog,
-        truth: GroundTruth,
+        ground_truth: GroundTruth,
         fabric: Fabric,
         nodes: Sequence[str],
         node_zones: Mapping[str, str],
         *,
         size_of: Callable[[str], int] | None = None,
         base: Path | None = None,
-        on_request: Callable[[Drawn], object] | None = None,
+        on_request: Callable[[GeneratedRequest], object] | None = None,
     ) -> None:
-        """`size_of` and `base` as for Plan; `on_request` is told each first try when it is asked, as for a
-        trace. Raises OSError and ValueError where the scenario's trace can't be read."""
-        self.plan = Plan(scenario, seeds, [node_zones.get(node, "") for node in nodes], size_of, base)
-        habits = scenario.clients
-        self.front = Front(nodes, node_zones, habits.notice_s, fabric, log, seeds)
+        """Create a driver that sends nothing yet.
+
+        Args:
+            scenario: The scenario.
+            seeds: Random generators by name.
+            log: Where the clients record what they see.
+            ground_truth: Where they put what a request is about.
+            fabric: What they connect by.
+            nodes: All nodes.
+            node_zones: Their zones.
+            size_of: As for `ArrivalSchedule`.
+            base: As for `ArrivalSchedule`.
+            on_request: Is notified of each request when it is started, as for a trace.
+
+        Raises:
+            OSError: The scenario's trace can't be read.
+            ValueError: The trace does not fit the scenario.
+        """
+        zones = [node_zones.get(node, "") for node in nodes]
+        self.schedule = ArrivalSchedule(scenario, seeds, zones, size_of, base)
+        settings = scenario.clients
+        self.load_balancer = LoadBalancer(nodes, node_zones, settings.notice_s, fabric, log, seeds)
         self._clock = fabric.clock
-        self._pools = Pools(fabric, log, self.front.deaths, habits.pipeline, habits.idle_s * 1000)
-        self._clients = Clients(scenario, seeds, fabric.clock, log, truth, self.front, self._pools)
-        bad = seeds.of("load/bad")
-        self._bad = BadClients(
-            fabric,
-            self.front,
-            log,
-            self._clients.writer,
-            bad,
-            lambda t: self.plan.drawing.draw(Slot(t, 0, 0, 0), bad),
-            self._clients.write_down,
-            habits.pools,
-            self._pools.next_number,
+        max_idle_ms = settings.idle_s * 1000
+        self._pools = ConnectionPools(fabric, log, self.load_balancer.deaths, settings.pipeline, max_idle_ms)
+        self._clients = Clients(
+            scenario, seeds, fabric.clock, log, ground_truth, self.load_balancer, self._pools
+        )
+        malformed_rng = seeds.of("load/bad")
+        generator = self.schedule.generator
+        self._malformed = MalformedClients(
+            MalformedClientContext(
+                fabric=fabric,
+                load_balancer=self.load_balancer,
+                log=log,
+                encoder=self._clients.encoder,
+                rng=malformed_rng,
+                generate=lambda at_ms: generator.generate(Slot(at_ms, 0, 0, 0), malformed_rng),
+                put_facts=self._clients.facts.put,
+                machine_count=settings.pools,
+                next_number=self._pools.next_number,
+            )
         )
         self._on_request = on_request
-        self._bound_ms = max(cls.deadline_ms for cls in scenario.classes) + SLACK_MS
-        self._factor: Factor = usual
+        self._finish_limit_ms = max(cls.deadline_ms for cls in scenario.classes) + FINISH_MARGIN_MS
+        self._factor: RateFactor = baseline
         self._due: deque[Slot] = deque()
-        self._step = 0  # the next one to be planned
-        self._last = 0.0  # up to which arrivals have been asked, or passed over
+        self._next_step = 0
+        self._passed_ms = 0.0  # up to which arrivals have been started, or passed over
         self._timer: asyncio.TimerHandle | None = None
-        self._all_asked: asyncio.Future[None] | None = None
+        self._all_started: asyncio.Future[None] | None = None
 
-    # The day
+    # The run
 
     async def start(self) -> None:
-        """Ready for nodes to be told of; nothing is asked yet."""
-        self._pools.sweep()
+        """Get ready to be notified of nodes; nothing is sent yet."""
+        self._pools.close_idle()
 
-    async def ready(self, limit_ms: float) -> bool:
-        """Wait until all nodes are in use; False where `limit_ms` ran out."""
-        return await self.front.ready(limit_ms)
+    async def wait_until_ready(self, timeout_ms: float) -> bool:
+        """Wait until all nodes are in use; False where the time ran out."""
+        return await self.load_balancer.wait_until_ready(timeout_ms)
 
     async def run(self) -> None:
-        """Until the last arrival of the day was asked and every try is over, which the clients' own deadlines
-        bound; what is still open some seconds after the longest of them is left."""
-        self._all_asked = asyncio.get_running_loop().create_future()
-        # What was due before this is passed over: asked all at once, it would be a burst of its own.
-        self._last = max(self._clock.now(), self.plan.begin)
-        self._step = step_of(self._last)
-        self._next()
-        await self._all_asked
-        self._bad.switch(0.0, (), False)
+        """Run until the last arrival was started and every attempt is over.
+
+        The clients' own deadlines bound that; what is still open some seconds after the longest of them is
+        left.
+        """
+        self._all_started = asyncio.get_running_loop().create_future()
+        # What was due before this is passed over: sent all at once, it would be a burst of its own.
+        self._passed_ms = max(self._clock.now(), self.schedule.start_ms)
+        self._next_step = step_of(self._passed_ms)
+        self._schedule_next()
+        await self._all_started
+        self._malformed.stop()
         try:
-            async with asyncio.timeout(self._bound_ms / 1000):
+            async with asyncio.timeout(self._finish_limit_ms / 1000):
                 await self._clients.idle.wait()
-                await self._bad.finished()
+                await self._malformed.wait_until_finished()
         except TimeoutError:
             self._clients.stop()
 
     async def close(self) -> None:
-        """Nothing is asked any more, no connection stays open."""
+        """Send nothing any more, and close all connections."""
         if self._timer is not None:
             self._timer.cancel()
         self._clients.stop()
-        await self._bad.close()
-        await self.front.close()
+        await self._malformed.close()
+        await self.load_balancer.close()
         await self._pools.close()
 
     @property
-    def open(self) -> int:
+    def open_requests(self) -> int:
         """Requests that are not over."""
         return len(self._clients.open)
 
-    # What the faults turn
+    # What faults change
 
-    def burst(self, factor: Factor) -> None:
-        """The rate at an instant (ms of the day) is this multiple of the usual one, from now on."""
+    def burst(self, factor: RateFactor) -> None:
+        """Let the rate at an instant (ms of the run) be this multiple of the baseline, from now on."""
         self._factor = factor
-        if self._all_asked is None or self._all_asked.done():
+        if self._all_started is None or self._all_started.done():
             return
         if self._timer is not None:
             self._timer.cancel()
-        # What was planned under the old factor and is not due yet is planned anew; a timer may be late, so
-        # some of it may be due.
-        now = self._clock.now()
-        late = [slot for slot in self._due if slot.t <= now]
-        self._last = max(self._last, now)
-        self._due = deque(late)
-        self._step = step_of(self._last)
-        self._next()
-
-    def hot_key(self, part: float) -> str:
-        """One key, drawn among the less popular half, takes this share of the reads; its name."""
-        return self.plan.keys.heat(part)
+        # What was scheduled under the old factor and is not due yet is scheduled anew; a timer may be late,
+        # so some of it may be due.
+        now_ms = self._clock.now()
+        overdue = [slot for slot in self._due if slot.at_ms <= now_ms]
+        self._passed_ms = max(self._passed_ms, now_ms)
+        self._due = deque(overdue)
+        self._next_step = step_of(self._passed_ms)
+        self._schedule_next()
+
+    def hot_key(self, fraction: float) -> str:
+        """Let one key, chosen among the less popular half, take this fraction of the reads; its name."""
+        return self.schedule.keys.heat(fraction)
 
     def cool(self) -> None:
-        """No key is hot any more."""
-        self.plan.keys.cool()
+        """Let no key be hot any more."""
+        self.schedule.keys.cool()
 
     def bad_clients(self, per_s: float, kinds: Sequence[str], on: bool) -> None:
-        """So many clients a second that send what cannot be read, of these kinds (none: all), or no more.
-        Raises ValueError for a kind that there is none of."""
-        self._bad.switch(per_s, tuple(kinds), on)
+        """Start or stop malformed clients.
+
+        Args:
+            per_s: How many a second.
+            kinds: Of these kinds; none: of all.
+            on: Whether to start.
+
+        Raises:
+            ValueError: There is no such kind.
+        """
+        if on:
+            self._malformed.start(per_s, tuple(kinds))
+        else:
+            self._malformed.stop()
 
     # Arrivals
 
-    def _next(self) -> None:
+    def _schedule_next(self) -> None:
         """Set the timer for the next arrival, or for the next step where this one holds none."""
-        assert self._all_asked is not None
+        assert self._all_started is not None
         if not self._due:
-            if self._step * STEP_MS >= self.plan.end:
-                self._all_asked.set_result(None)
+            if self._next_step * STEP_MS >= self.schedule.end_ms:
+                self._all_started.set_result(None)
                 return
-            self._due.extend(s for s in self.plan.step(self._step, self._factor) if s.t > self._last)
-            self._step += 1
-        at = self._due[0].t if self._due else self._step * STEP_MS
-        self._timer = self._clock.call_at(at, self._arrive)
-
-    def _arrive(self) -> None:
-        now = self._clock.now()
-        while self._due and self._due[0].t <= now:
+            slots = self.schedule.step(self._next_step, self._factor)
+            self._due.extend(slot for slot in slots if slot.at_ms > self._passed_ms)
+            self._next_step += 1
+        at_ms = self._due[0].at_ms if self._due else self._next_step * STEP_MS
+        self._timer = self._clock.call_at(at_ms, self._start_due)
+
+    def _start_due(self) -> None:
+        now_ms = self._clock.now()
+        while self._due and self._due[0].at_ms <= now_ms:
             slot = self._due.popleft()
-            self._last = max(self._last, slot.t)
-            drawn, rng = self.plan.request(slot)
+            self._passed_ms = max(self._passed_ms, slot.at_ms)
+            scheduled = self.schedule.request(slot)
             if self._on_request is not None:
-                self._on_request(drawn)
-            self._clients.ask(drawn, rng, counted=slot.t >= 0)
-        self._next()
+                self._on_request(scheduled.request)
+            self._clients.start(scheduled.request, scheduled.rng, counted=slot.at_ms >= 0)
+        self._schedule_next()
--- /dev/null
+++ b/flintridge/lab/load/retry_schedule.py
@@ -0,0 +1,124 @@
+"""When a client retries a request: after which pause, how often, until when, and only where it is safe."""
+
+import random
+from dataclasses import dataclass
+from typing import Literal
+
+from flintridge.lab.scenario.model import RequestClass, Scenario
+from flintridge.lab.seeds import Seeds
+from flintridge.lab.world.draws import draw
+
+MIN_REMAINING_MS = 5.0  # no retry is sent with less time than this
+
+
+@dataclass(frozen=True, slots=True)
+class RetryPolicy:
+    """What all clients do about retries.
+
+    Attributes:
+        max_retries: Attempts beyond the first.
+        backoff: How the pause before a retry is chosen.
+        backoff_ms: The mean of the pause.
+        max_retry_after_ms: The longest advice to wait that is followed.
+    """
+
+    max_retries: int
+    backoff: Literal["none", "fixed", "jitter"]
+    backoff_ms: float
+    max_retry_after_ms: float
+
+    @classmethod
+    def of(cls, scenario: Scenario, seeds: Seeds) -> "RetryPolicy":
+        """The policy of a scenario's clients."""
+        return cls(
+            max_retries=scenario.clients.retries,
+            backoff=scenario.clients.backoff,
+            backoff_ms=draw(seeds.of("load/backoff"), scenario.clients.backoff_ms),
+            max_retry_after_ms=scenario.limits.max_retry_after_ms,
+        )
+
+
+class RetrySchedule:
+    """The retries of one request.
+
+    Attributes:
+        deadline_ms: When its client's patience ends.
+        attempt_number: Of the attempt that is out; 0 for the first.
+    """
+
+    __slots__ = (
+        "_class",
+        "_first_sent_ms",
+        "_follows_retry_after",
+        "_is_keyed_everywhere",
+        "_policy",
+        "attempt_number",
+        "deadline_ms",
+    )
+
+    def __init__(
+        self,
+        policy: RetryPolicy,
+        request_class: RequestClass,
+        deadline_ms: float,
+        follows_retry_after: bool,
+    ) -> None:
+        self._policy = policy
+        self._class = request_class
+        self._follows_retry_after = follows_retry_after
+        # All servers drop repeats of such a request within its window.
+        self._is_keyed_everywhere = request_class.effect == "keyed" and request_class.group == "all"
+        self._first_sent_ms: float | None = None  # of all attempts, to a node that accepted it
+        self.deadline_ms = deadline_ms
+        self.attempt_number = -1
+
+    def start_attempt(self) -> None:
+        """Count an attempt."""
+        self.attempt_number += 1
+
+    def attempt_sent(self, now_ms: float) -> None:
+        """Note that an attempt was written: the deduplication window starts with the first."""
+        if self._first_sent_ms is None:
+            self._first_sent_ms = now_ms
+
+    def is_in_window(self, at_ms: float) -> bool:
+        """Whether the servers' deduplication, where the request relies on it, still holds at that time."""
+        if not self._is_keyed_everywhere or self._first_sent_ms is None:
+            return True
+        return at_ms <= self._first_sent_ms + self._class.window_ms
+
+    def next_attempt_ms(
+        self, now_ms: float, is_harmless: bool, retry_after_ms: float, rng: random.Random
+    ) -> float | None:
+        """When to retry.
+
+        Args:
+            now_ms: When the attempt ended.
+            is_harmless: Whether that attempt was surely not executed.
+            retry_after_ms: The node's advice; 0: none.
+            rng: The request's random stream.
+
+        Returns:
+            The instant; None where there is no further attempt.
+        """
+        at_ms = now_ms + self._pause_ms(retry_after_ms, rng)
+        if self.attempt_number >= self._policy.max_retries or at_ms + MIN_REMAINING_MS > self.deadline_ms:
+            return None
+        return at_ms if self._may_repeat(is_harmless, at_ms) else None
+
+    def _may_repeat(self, is_harmless: bool, at_ms: float) -> bool:
+        """Whether a client may repeat it: unless it is safe, only where nothing can be done twice."""
+        if self._class.effect == "safe":
+            return True
+        # Where all servers drop repeats, a node may reject what was executed: the window counts all the same.
+        if self._is_keyed_everywhere:
+            return self.is_in_window(at_ms)
+        return is_harmless  # and so were all before, or there would have been no further attempt
+
+    def _pause_ms(self, retry_after_ms: float, rng: random.Random) -> float:
+        jitter = rng.random()
+        if retry_after_ms > 0 and self._follows_retry_after:
+            return min(retry_after_ms, self._policy.max_retry_after_ms)
+        if self._policy.backoff == "none":
+            return 0.0
+        return self._policy.backoff_ms * (0.5 + jitter if self._policy.backoff == "jitter" else 1.0)
--- a/flintridge/lab/load/trace.py
+++ b/flintridge/lab/load/trace.py
@@ -1,118 +1,180 @@
-"""Requests as a file, one JSON line each: what came on a day, to be asked again on another."""
+"""Traces: the requests of a run as a file, one JSON line each, to be replayed in another run."""
 
 import random
 from bisect import bisect_left
 from collections.abc import Callable, Iterable, Iterator
 from pathlib import Path
+from typing import NamedTuple
 
 import msgspec
 
-from flintridge.lab.load.arrivals import STEP_MS, Factor, Slot
+from flintridge.lab.load.arrivals import SEED_BITS, STEP_MS, RateFactor, Slot
+from flintridge.lab.load.commands import MAX_VALUE_BYTES
+from flintridge.lab.load.generated_requests import GeneratedRequest
 from flintridge.lab.load.keys import Keys
-from flintridge.lab.load.requests import MAX_VALUE, Drawn
 from flintridge.lab.scenario.model import Scenario
 from flintridge.lab.seeds import Seeds
 
-MAX_KEY = 250
+MAX_KEY_CHARACTERS = 250
 _encoder = msgspec.json.Encoder()
-_decoder = msgspec.json.Decoder(Drawn)
+_decoder = msgspec.json.Decoder(GeneratedRequest)
 
 
-def write(path: Path, requests: Iterable[Drawn]) -> int:
-    """Write a trace; the number of lines. No file is written over: raises FileExistsError."""
+def write(path: Path, requests: Iterable[GeneratedRequest]) -> int:
+    """Write a trace.
+
+    Returns:
+        The number of lines.
+
+    Raises:
+        FileExistsError: No file is written over.
+    """
     count = 0
     with path.open("xb") as file:
-        for count, drawn in enumerate(requests, 1):  # noqa: B007
-            file.write(_encoder.encode(drawn) + b"\n")
+        for request in requests:
+            file.write(_encoder.encode(request) + b"\n")
+            count += 1
     return count
 
 
-def read(path: Path, scenario: Scenario) -> list[Drawn]:
-    """The requests of a trace. Raises OSError, and ValueError naming the line that is not fit and why."""
+def read(path: Path, scenario: Scenario) -> list[GeneratedRequest]:
+    """The requests of a trace.
+
+    Raises:
+        OSError: The file can't be read.
+        ValueError: It names the line that does not fit the scenario, and why.
+    """
     with path.open("rb") as file:
         return list(parse(file, scenario, str(path)))
 
 
-def parse(lines: Iterable[bytes], scenario: Scenario, name: str = "trace") -> Iterator[Drawn]:
-    """As `read`, from lines."""
-    classes = {c.name: c.write for c in scenario.classes}
-    tenants = [t.name for t in scenario.tenants]
-    last = float("-inf")
+def parse(lines: Iterable[bytes], scenario: Scenario, name: str = "trace") -> Iterator[GeneratedRequest]:
+    """The requests of a trace's lines; `name` is the trace's in messages.
+
+    Raises:
+        ValueError: It names the line that does not fit the scenario, and why.
+    """
+    check = _TraceCheck(scenario)
     for number, line in enumerate(lines, 1):
         if not line.strip():
             continue
         try:
-            drawn = _decoder.decode(line)
-            reason = _unfit(drawn, classes, tenants, scenario.zones, last)
+            request = _decoder.decode(line)
         except (msgspec.DecodeError, UnicodeDecodeError) as error:
-            reason = str(error)
+            raise ValueError(f"{name}: line {number}: {error}") from error
+        reason = check.problem(request)
         if reason:
             raise ValueError(f"{name}: line {number}: {reason}")
-        last = drawn.due_ms
-        yield drawn
-
-
-def _unfit(
-    drawn: Drawn, classes: dict[str, bool], tenants: list[str], zones: tuple[str, ...], last: float
-) -> str:
-    """Why this request can't be asked in this scenario; empty where it can."""
-    if drawn.cls not in classes:
-        return f"cls: {drawn.cls!r}: not a class of the scenario ({', '.join(classes)})"
-    if drawn.write != classes[drawn.cls]:
-        return f"write: {drawn.write}: the class {drawn.cls} is otherwise"
-    if (drawn.tenant not in tenants) if tenants else drawn.tenant != "":
-        return f"tenant: {drawn.tenant!r}: not a tenant of the scenario ({', '.join(tenants) or 'none'})"
-    if drawn.zone not in zones:
-        return f"zone: {drawn.zone!r}: not a zone of the scenario ({', '.join(zones)})"
-    if not 1 <= len(drawn.key) <= MAX_KEY or not all("!" <= char <= "~" for char in drawn.key):
-        return f"key: {drawn.key[:40]!r}: must be 1 to {MAX_KEY} printable ASCII characters without spaces"
-    if not 0 <= drawn.work_ms < float("inf"):
-        return f"work_ms: {drawn.work_ms}: must be a number >= 0"
-    if not 0 <= drawn.size <= MAX_VALUE:
-        return f"size: {drawn.size}: must be 0 to {MAX_VALUE}"
-    if not last <= drawn.due_ms < float("inf"):
-        return f"due_ms: {drawn.due_ms}: must not be before the line above ({last})"
-    return ""
+        yield request
+
+
+class _TraceCheck:
+    """Whether the requests of a trace, one after another, can be sent in a scenario."""
+
+    def __init__(self, scenario: Scenario) -> None:
+        self._is_write = {c.name: c.write for c in scenario.classes}
+        self._tenants = [t.name for t in scenario.tenants]
+        self._zones = scenario.zones
+        self._last_ms = float("-inf")
+
+    def problem(self, request: GeneratedRequest) -> str:
+        """Why this request can't be sent; empty where it can."""
+        reason = self._problem_of_names(request) or self._problem_of_values(request)
+        if not reason:
+            self._last_ms = request.scheduled_ms
+        return reason
+
+    def _problem_of_names(self, request: GeneratedRequest) -> str:
+        class_name = request.class_name
+        if class_name not in self._is_write:
+            return f"cls: {class_name!r}: not a class of the scenario ({', '.join(self._is_write)})"
+        if request.write != self._is_write[class_name]:
+            return f"write: {request.write}: the class {class_name} is otherwise"
+        tenants = self._tenants or [""]
+        if request.tenant not in tenants:
+            known = ", ".join(self._tenants) or "none"
+            return f"tenant: {request.tenant!r}: not a tenant of the scenario ({known})"
+        if request.zone not in self._zones:
+            return f"zone: {request.zone!r}: not a zone of the scenario ({', '.join(self._zones)})"
+        return ""
+
+    def _problem_of_values(self, request: GeneratedRequest) -> str:
+        key = request.key
+        if not 1 <= len(key) <= MAX_KEY_CHARACTERS or not all("!" <= char <= "~" for char in key):
+            limit = f"must be 1 to {MAX_KEY_CHARACTERS} printable ASCII characters without spaces"
+            return f"key: {key[:40]!r}: {limit}"
+        if not 0 <= request.work_ms < float("inf"):
+            return f"work_ms: {request.work_ms}: must be a number >= 0"
+        if not 0 <= request.size <= MAX_VALUE_BYTES:
+            return f"size: {request.size}: must be 0 to {MAX_VALUE_BYTES}"
+        if not self._last_ms <= request.scheduled_ms < float("inf"):
+            return f"due_ms: {request.scheduled_ms}: must not be before the line above ({self._last_ms})"
+        return ""
+
+
+class _LineDraw(NamedTuple):
+    """What is drawn for a line of a trace, whatever the rate: whether it is repeated, and its seed."""
+
+    threshold: float
+    seed: int
 
 
 class Replay:
-    """A trace as a source of arrivals, in place of drawn ones. A burst asks requests again, or leaves some
-    out; what falls outside of [begin, end) in ms is not asked."""
+    """A trace as a source of arrivals, in place of generated ones.
+
+    A burst repeats requests, or leaves some out; what falls outside of [start, end) is not sent.
+    """
 
     def __init__(
         self,
-        trace: list[Drawn],
+        trace: list[GeneratedRequest],
         seeds: Seeds,
         keys: Keys,
         size_of: Callable[[str], int],
-        begin: float,
-        end: float,
+        start_ms: float,
+        end_ms: float,
     ) -> None:
-        """`keys` tells which key is hot, `size_of` the bytes of its value."""
+        """Create a source.
+
+        Args:
+            trace: The requests, in order of time.
+            seeds: Random generators by name.
+            keys: Which key is hot.
+            size_of: The bytes of a key's value.
+            start_ms: The run's first instant.
+            end_ms: The run's end.
+        """
         self._trace = trace
-        self._keys, self._size_of = keys, size_of
-        self._due = [drawn.due_ms for drawn in trace]
+        self._keys = keys
+        self._size_of = size_of
+        self._scheduled_ms = [request.scheduled_ms for request in trace]
         rng = seeds.of("load/replay")
-        self._marks = [(rng.random(), rng.getrandbits(64)) for _ in trace]
-        self._begin, self._end = begin, end
+        self._draws = [_LineDraw(rng.random(), rng.getrandbits(SEED_BITS)) for _ in trace]
+        self._start_ms = start_ms
+        self._end_ms = end_ms
+
+    def step(self, step: int, factor: RateFactor) -> list[Slot]:
+        """The slots of a step, in order of time.
 
-    def step(self, number: int, factor: Factor) -> list[Slot]:
-        """As `arrivals.Arrivals.step`; layer and place of a slot are the copy and the line."""
-        first = bisect_left(self._due, max(number * STEP_MS, self._begin))
-        after = bisect_left(self._due, min((number + 1) * STEP_MS, self._end))
+        A slot's layer is the repetition, its number the line.
+        """
+        first = bisect_left(self._scheduled_ms, max(step * STEP_MS, self._start_ms))
+        after = bisect_left(self._scheduled_ms, min((step + 1) * STEP_MS, self._end_ms))
         slots: list[Slot] = []
         for index in range(first, after):
-            t = self._due[index]
-            times = factor(t)
-            whole = int(times)
-            mark, seed = self._marks[index]
-            copies = whole + (mark < times - whole)
-            slots += [Slot(t, copy, index, seed ^ copy) for copy in range(copies)]
+            at_ms = self._scheduled_ms[index]
+            multiple = factor(at_ms)
+            line = self._draws[index]
+            repetitions = int(multiple)
+            if line.threshold < multiple - repetitions:
+                repetitions += 1
+            slots.extend(Slot(at_ms, i, index, line.seed ^ i) for i in range(repetitions))
         return slots
 
-    def draw(self, slot: Slot, rng: random.Random) -> Drawn:
+    def generate(self, slot: Slot, rng: random.Random) -> GeneratedRequest:
         """The request as the trace has it, but for a key that is hot now."""
-        drawn, keys = self._trace[slot.place], self._keys
-        if rng.random() < keys.part and not drawn.write:
-            return msgspec.structs.replace(drawn, key=keys.hot, size=self._size_of(keys.hot))
-        return drawn
+        request = self._trace[slot.number]
+        if rng.random() < self._keys.hot_fraction and not request.write:
+            hot = self._keys.hot
+            return msgspec.structs.replace(request, key=hot, size=self._size_of(hot))
+        return request
--- a/flintridge/lab/partial/rig.py
+++ b/flintridge/lab/partial/rig.py
@@ -25,7 +25,7 @@
 from flintridge.lab.judge.findings import Findings
 from flintridge.lab.judge.rules import budgets as budget_rules
 from flintridge.lab.judge.rules import peers as peer_rules
-from flintridge.lab.load.driver import Load as Clients
+from flintridge.lab.load.driver import LoadDriver
 from flintridge.lab.records import LinkFaultChanged, MembershipReported, NodeLogLine, RecordLog
 from flintridge.lab.result import Violation
 from flintridge.lab.run import READY_MS, Announced
@@ -64,7 +64,7 @@
         self._seed = seed
         self._tables = tables or {}
         self._loaded = loaded
-        self._load: Clients | None = None
+        self._load: LoadDriver | None = None
         self._sending: asyncio.Task[None] | None = None
 
     async def __aenter__(self) -> "Rig":
@@ -83,7 +83,7 @@
             await self.world.open()
             if self._loaded:
                 world = self.world
-                self._load = Clients(
+                self._load = LoadDriver(
                     self.scenario, seeds, self.log, truth, self.fabric, world.nodes, world.node_zones
                 )
                 await self._load.start()
@@ -91,7 +91,7 @@
             for name in self.names:
                 await self.runner.start(name)
             if self._load is not None:
-                await self._load.ready(READY_MS)
+                await self._load.wait_until_ready(READY_MS)
                 self._sending = asyncio.ensure_future(self._load.run())
         except BaseException:
             await self._close()
--- a/flintridge/lab/run.py
+++ b/flintridge/lab/run.py
@@ -16,8 +16,8 @@
 from flintridge.lab.faults.injection import SystemState
 from flintridge.lab.faults.timeline import Timeline
 from flintridge.lab.judge.verdict import judge
-from flintridge.lab.load.driver import Load
-from flintridge.lab.load.requests import Drawn
+from flintridge.lab.load.driver import LoadDriver
+from flintridge.lab.load.generated_requests import GeneratedRequest
 from flintridge.lab.load.trace import write as write_trace
 from flintridge.lab.partial.oracle import Dealing, Oracle
 from flintridge.lab.records import NodeStateChanged, RecordLog
@@ -66,7 +66,7 @@
         raise ValueError(f"faults: folder_errors: on the loopback backend only, and this is {backend!r}")
     began, cpu = time.perf_counter(), time.process_time()
     log = RecordLog()
-    requests: list[Drawn] = []
+    requests: list[GeneratedRequest] = []
     playing = day if trace is None else partial(day, on_request=requests.append)
     if backend == "virtual":
         ended, usage = _play_virtual(scenario, seed, log, defect, playing, dealing)
@@ -103,18 +103,20 @@
     fabric: Fabric,
     truth: GroundTruth,
     make_nodes: Callable[[World], NodeRunner],
-    on_request: Callable[[Drawn], object] | None = None,
+    on_request: Callable[[GeneratedRequest], object] | None = None,
 ) -> tuple[NodeRunner, World]:
     """The whole day on a fabric; the nodes still run at its end, for whoever closes them."""
     world = World(scenario, seeds, log, fabric, truth)
     await world.open()
     runner = make_nodes(world)
-    load = Load(scenario, seeds, log, truth, fabric, world.nodes, world.node_zones, on_request=on_request)
+    load = LoadDriver(
+        scenario, seeds, log, truth, fabric, world.nodes, world.node_zones, on_request=on_request
+    )
     await load.start()
     runner = Announced(runner, load)
     for node in world.nodes:
         await runner.start(node)
-    await load.ready(READY_MS)
+    await load.wait_until_ready(READY_MS)
     timeline = Timeline(scenario, seeds, world, fabric, runner, load)
     faults = asyncio.ensure_future(timeline.run())
     try:
@@ -131,20 +133,20 @@
 class Announced:
     """A NodeRunner that tells the front of its nodes' starts and ends, as the platform does."""
 
-    def __init__(self, runner: NodeRunner, load: Load) -> None:
+    def __init__(self, runner: NodeRunner, load: LoadDriver) -> None:
         self._runner = runner
         self._load = load
 
     async def start(self, node: str) -> None:
         await self._runner.start(node)
-        self._load.front.node_started(node)
+        self._load.load_balancer.node_started(node)
 
     def kill(self, node: str) -> None:
         self._runner.kill(node)
-        self._load.front.node_killed(node)
+        self._load.load_balancer.node_killed(node)
 
     def term(self, node: str) -> None:
-        self._load.front.node_term(node)
+        self._load.load_balancer.node_terminating(node)
         self._runner.term(node)
 
     def reload(self, node: str, config: dict[str, Any]) -> None:
@@ -158,7 +160,7 @@
 
     def quiesce(self, node: str) -> None:
         self._runner.quiesce(node)
-        self._load.front.node_quiesced(node)
+        self._load.load_balancer.node_draining(node)
 
     def unquiesce(self, node: str) -> None:
         self._runner.unquiesce(node)
--- a/tests/test_lab_load.py
+++ b/tests/test_lab_load.py
@@ -14,12 +14,14 @@
 from flintridge.core.request import Request
 from flintridge.lab.backend.virtual import VirtualFabric
 from flintridge.lab.load import trace
-from flintridge.lab.load.answers import AnswerReader
-from flintridge.lab.load.arrivals import Arrivals, Slot, step_of
-from flintridge.lab.load.bad import KINDS
-from flintridge.lab.load.driver import Load, Plan
+from flintridge.lab.load.arrival_schedule import ArrivalSchedule
+from flintridge.lab.load.arrivals import PoissonArrivals, Slot, step_of
+from flintridge.lab.load.commands import CommandEncoder
+from flintridge.lab.load.driver import LoadDriver
+from flintridge.lab.load.generated_requests import GeneratedRequest, WeightedChoice, zone_weights
 from flintridge.lab.load.keys import Keys
-from flintridge.lab.load.requests import Choice, Drawn, Writer, zone_weights
+from flintridge.lab.load.malformed_scripts import MALFORMED_KINDS
+from flintridge.lab.load.responses import ResponseParser
 from flintridge.lab.records import (
     MalformedClientEnded,
     NodeStateChanged,
@@ -42,7 +44,7 @@
 
 
 def slots(load: model.Load, factor, seed: int = 1, begin: float = -1000, end: float = 20_000) -> list[Slot]:
-    arrivals = Arrivals(load, Seeds(seed), begin, end)
+    arrivals = PoissonArrivals(load, Seeds(seed), begin, end)
     return [s for n in range(step_of(begin), step_of(end) + 1) for s in arrivals.step(n, factor)]
 
 
@@ -57,11 +59,13 @@
     trough = slots(load, lambda t: 0.3 if t >= 5000 else 1.0)
     assert plain == sorted(plain) == slots(load, lambda t: 1.0) != slots(load, lambda t: 1.0, seed=2)
     assert [s for s in burst if s.layer == 0] == plain
-    assert all(5000 <= s.t < 6100 for s in burst if s.layer)
-    assert set(trough) < set(plain) and [s for s in trough if s.t < 5000] == [s for s in plain if s.t < 5000]
-    assert plain[0].t >= -1000 and plain[-1].t < 20_000
+    assert all(5000 <= s.at_ms < 6100 for s in burst if s.layer)
+    assert set(trough) < set(plain) and [s for s in trough if s.at_ms < 5000] == [
+        s for s in plain if s.at_ms < 5000
+    ]
+    assert plain[0].at_ms >= -1000 and plain[-1].at_ms < 20_000
     assert 1750 < len(plain) < 2450
-    more = sum(5000 <= s.t < 6100 for s in burst) / sum(5000 <= s.t < 6100 for s in plain)
+    more = sum(5000 <= s.at_ms < 6100 for s in burst) / sum(5000 <= s.at_ms < 6100 for s in plain)
     assert 2.6 < more < 4.6
 
 
@@ -76,9 +80,9 @@
     assert keys.sample(0.0, 120_000.0) != top  # somebody took its place
     assert keys.sample(1 - 1e-17, 120_000.0)
     hot = keys.heat(0.5)
-    assert keys.part == 0.5 and hot != top
+    assert keys.hot_fraction == 0.5 and hot != top
     keys.cool()
-    assert not keys.part
+    assert not keys.hot_fraction
 
 
 def test_one_request_never_moves_another_and_a_hot_key_only_takes_reads():
@@ -90,14 +94,14 @@
         tenants=(Tenant(name="a", share=0.5, usage=2), Tenant(name="b", share=0.5, usage=0)),
         zones=("x", "y"),
     )
-    plain, burst = Plan(day, Seeds(1), ["x", "y"]), Plan(day, Seeds(1), ["x", "y"])
+    plain, burst = ArrivalSchedule(day, Seeds(1), ["x", "y"]), ArrivalSchedule(day, Seeds(1), ["x", "y"])
     burst.keys.heat(0.5)
-    usual = {d.due_ms: d for d in plain.all()}
+    usual = {d.scheduled_ms: d for d in plain.all()}
     heated = {}
-    for n in range(step_of(burst.begin), step_of(burst.end) + 1):
+    for n in range(step_of(burst.start_ms), step_of(burst.end_ms) + 1):
         for slot in burst.step(n, lambda t: 2.0):
             drawn, _ = burst.request(slot)
-            heated |= {drawn.due_ms: drawn} if slot.layer == 0 else {}
+            heated |= {drawn.scheduled_ms: drawn} if slot.layer == 0 else {}
     changed = [t for t, d in usual.items() if heated[t] != d]
     assert heated.keys() == usual.keys()
     assert all(heated[t].key == burst.keys.hot and not heated[t].write for t in changed)
@@ -112,7 +116,7 @@
     assert zone_weights(("a", "b"), ("a", "b"), 0.9) == [1, 0]
     assert zone_weights(("a",), ("a",), 0.3) == [1]
     assert zone_weights(("a", "b"), (), 0.0) == [0.5, 0.5]
-    assert Choice([0, 1, 0]).at(0.0) == 1 and Choice([1, 1]).at(1.0) == 1
+    assert WeightedChoice([0, 1, 0]).at(0.0) == 1 and WeightedChoice([1, 1]).at(1.0) == 1
 
 
 @given(st.integers(0, 65_536), st.booleans(), st.integers(0, 2))
@@ -120,26 +124,26 @@
 def test_nodes_can_read_what_is_written(size, write, nth):
     keyed = RequestClass(name="put", write=True, effect="keyed")
     day = Scenario(classes=(RequestClass(name="read"), keyed), tenants=(Tenant(name="acme"),))
-    writer = Writer(day)
-    drawn = Drawn(0.0, "put" if write else "read", "acme", "menu:1a2b", write, 12.5, size, "east")
+    writer = CommandEncoder(day)
+    drawn = GeneratedRequest(0.0, "put" if write else "read", "acme", "menu:1a2b", write, 12.5, size, "east")
     idem = "5c0f6e1a2b3d4c59" if writer.is_keyed(drawn) else ""
-    made = writer.command(drawn, "9b1f03aa5c7e2d41", 480, nth, 12_500, idem)
+    made = writer.encode(drawn, "9b1f03aa5c7e2d41", 480, nth, 12_500, idem)
     (read,) = CommandParser(SETTINGS).feed(made.data)
     assert isinstance(read, Request)
     assert (read.id, read.key, read.timeout_ms) == (b"9b1f03aa5c7e2d41", b"menu:1a2b", 480)
-    assert (read.retry, read.work_us, read.size) == (nth > 0, 12_500, made.fact.size)
+    assert (read.retry, read.work_us, read.size) == (nth > 0, 12_500, made.facts.size)
     assert (read.value is not None) is write and (b",k=" in read.options) is write
     if write:
         assert b"9b1f03aa5c7e2d41" in read.value and b"menu:1a2b" in read.value
-        assert made.digest == body_digest(read.value) and made.fact.size == len(read.value)
+        assert made.value_digest == body_digest(read.value) and made.facts.size == len(read.value)
 
 
 def test_a_plain_read_says_no_more_than_it_must():
     load = model.Load(hints="none", tells_size=False)
-    writer = Writer(Scenario(load=load, clients=Clients(marks_retry=False)))
-    drawn = Drawn(0.0, "read", "", "k", False, 1.0, 9, "east")
-    assert writer.command(drawn, "ab", 7, 1).data == b"mg k v Oab Pc=read,d=7\r\n"
-    assert writer.hint(drawn, Seeds(1).of("x")) == 0
+    writer = CommandEncoder(Scenario(load=load, clients=Clients(marks_retry=False)))
+    drawn = GeneratedRequest(0.0, "read", "", "k", False, 1.0, 9, "east")
+    assert writer.encode(drawn, "ab", 7, 1).data == b"mg k v Oab Pc=read,d=7\r\n"
+    assert writer.work_hint_us(drawn, Seeds(1).of("x")) == 0
 
 
 # Answers
@@ -167,18 +171,20 @@
 @given(st.lists(st.sampled_from(GOOD), max_size=6), st.lists(st.integers(1, 9), min_size=1))
 @FIXED
 def test_answers_come_whole_from_any_cuts(answers, cuts):
-    data, found, reader, i = b"".join(a for a, _ in answers), [], AnswerReader(), 0
+    data, found, reader, i = b"".join(a for a, _ in answers), [], ResponseParser(), 0
     while data:
         size = cuts[i % len(cuts)]
         found += reader.feed(data[:size])
         data, i = data[size:], i + 1
-    assert [(a.kind, a.uid, a.body_digest, a.retry_after_ms) for a in found] == [told for _, told in answers]
-    assert not reader.partial
+    assert [(a.kind, a.request_id, a.body_digest, a.retry_after_ms) for a in found] == [
+        told for _, told in answers
+    ]
+    assert not reader.is_partial
 
 
 @pytest.mark.parametrize("data", BAD)
 def test_what_is_no_answer_is_garbled_and_ends_all_reading(data):
-    reader = AnswerReader()
+    reader = ResponseParser()
     found = reader.feed(b"MN\r\n" + data + b"MN\r\n")
     assert [a.kind for a in found] == ["ready", "garbled"]
     assert len(found[1].text) <= 120 and reader.feed(b"MN\r\n") == []
@@ -187,7 +193,7 @@
 @given(st.lists(st.binary(max_size=40), max_size=5))
 @FIXED
 def test_noise_raises_nothing(parts):
-    reader = AnswerReader()
+    reader = ResponseParser()
     for part in parts:
         reader.feed(part)
 
@@ -196,17 +202,17 @@
 
 
 def test_a_trace_asks_the_same_again(tmp_path):
-    plan = Plan(DAY, Seeds(3), ["east"])
+    plan = ArrivalSchedule(DAY, Seeds(3), ["east"])
     asked = list(plan.all())
     path = tmp_path / "day.jsonl"
     assert trace.write(path, asked) == len(asked) > 500
     with pytest.raises(FileExistsError):
         trace.write(path, asked)
     again = Scenario(length_s=4, warmup_s=1, load=model.Load(trace="day.jsonl"))
-    replayed = Plan(again, Seeds(9), ["east"], base=tmp_path)
+    replayed = ArrivalSchedule(again, Seeds(9), ["east"], base=tmp_path)
     assert list(replayed.all()) == asked
     twice = [s for n in range(step_of(-1000), 17) for s in replayed.step(n, lambda t: 2.5 if t > 0 else 0.0)]
-    assert {s.layer for s in twice} == {0, 1, 2} and min(s.t for s in twice) > 0
+    assert {s.layer for s in twice} == {0, 1, 2} and min(s.at_ms for s in twice) > 0
     replayed.keys.heat(1.0)
     drawn, _ = replayed.request(twice[0])
     assert drawn.key == replayed.keys.hot
@@ -349,26 +355,26 @@
         self.nodes = {name: ScriptedNode(fabric, name, self.script) for name in self.names}
         zones = dict(zip(self.names, self.day.zones * 9, strict=False))
         seeds, self.truth = Seeds(self.seed), GroundTruth()
-        load = self.load = Load(self.day, seeds, self.log, self.truth, fabric, self.names, zones)
+        load = self.load = LoadDriver(self.day, seeds, self.log, self.truth, fabric, self.names, zones)
         for node in self.nodes.values():
             await node.listen()
         await load.start()
         for name in self.names:
-            load.front.node_started(name)
+            load.load_balancer.node_started(name)
         if self.during is not None:
             fabric.loop.create_task(self.during(self))
-        await load.ready(1000)
+        await load.wait_until_ready(1000)
         if self.requests:
             for i, at in enumerate(self.requests):
-                drawn = Drawn(
+                drawn = GeneratedRequest(
                     at, self.day.classes[0].name, "", f"k{i}", self.day.classes[0].write, 1, 9, "east"
                 )
-                fabric.clock.call_at(at, load._clients.ask, drawn, seeds.of(f"r{i}"))
+                fabric.clock.call_at(at, load._clients.start, drawn, seeds.of(f"r{i}"))
             await fabric.clock.sleep_until(max(self.requests))
             await load._clients.idle.wait()
         else:
             await load.run()
-        assert load.open == 0
+        assert load.open_requests == 0
         self.end = fabric.clock.now()
         await load.close()
         await asyncio.sleep(0.01)
@@ -434,7 +440,7 @@
     async def die(trial):
         await trial.fabric.clock.sleep_until(-1.0)
         trial.fabric.network.host("n0").kill()
-        trial.load.front.node_killed("n0")
+        trial.load.load_balancer.node_killed("n0")
 
     trial = Trial(lambda c: None, one_class("unsafe"), requests=[0.0], during=die)
     assert trial.tale == ["RequestNotAccepted"] * 3
@@ -486,7 +492,7 @@
 def test_a_killed_node_closed_nothing_between_requests():
     async def kill(trial):
         await trial.fabric.clock.sleep_until(150.0)
-        trial.load.front.node_killed("n0")
+        trial.load.load_balancer.node_killed("n0")
         trial.fabric.network.host("n0").kill()
 
     trial = Trial(
@@ -594,7 +600,7 @@
     )
 
     async def during(trial):
-        clock, front = trial.fabric.clock, trial.load.front
+        clock, front = trial.fabric.clock, trial.load.load_balancer
         trial.nodes["n1"].ready = False
         await clock.sleep_until(1000.0)
         trial.nodes["n1"].ready = True
@@ -606,7 +612,7 @@
         await trial.nodes["n1"].listen()
         front.node_started("n1")
         await clock.sleep_until(6000.0)
-        front.node_term("n0")
+        front.node_terminating("n0")
 
     trial = Trial(lambda c: c.served, day, nodes=2, during=during)
     at = [a.at_ms for a in trial.of(RequestSent) if a.node == "n1"]
@@ -631,9 +637,9 @@
     )
 
     async def during(trial):
-        clock, front = trial.fabric.clock, trial.load.front
+        clock, front = trial.fabric.clock, trial.load.load_balancer
         await clock.sleep_until(2000.0)
-        front.node_term("n0")
+        front.node_terminating("n0")
         await clock.sleep_until(4000.0)
         front.node_killed("n0")
         trial.fabric.network.host("n0").kill()
@@ -695,7 +701,7 @@
         trial.load.bad_clients(20.0, kinds, False)
 
     deaf = Trial(lambda c: None, day, during=bad).of(MalformedClientEnded)
-    assert {b.kind for b in deaf} == set(KINDS)
+    assert {b.kind for b in deaf} == set(MALFORMED_KINDS)
     assert {b.outcome for b in deaf if b.kind == "silent"} == {"nothing"}
     assert all(b.elapsed_ms == pytest.approx(b.limit_ms) for b in deaf if b.outcome == "nothing")
     assert {b.limit_ms for b in deaf if b.kind == "huge_value"} == {6000}
