--- a/benchmarks/budget_silence.py
+++ b/benchmarks/budget_silence.py
@@ -12,9 +12,9 @@
 import sys
 import time
 
-from flintridge.lab.judge.facts import History
 from flintridge.lab.judge.findings import Findings
-from flintridge.lab.judge.rules import budgets as rules
+from flintridge.lab.judge.history import History
+from flintridge.lab.judge.rules import fleet_limits as rules
 from flintridge.lab.partial.rig import Rig
 from flintridge.lab.scenario.model import Budgets, Group, Load, Nodes, Peers, RequestClass, Scenario, Tenant
 
@@ -55,8 +55,8 @@
         rules.check(History(rig.log, rig.scenario, "loopback"), findings)
     wrong = [one for one in seen if one != 1.0]
     print(f"before the cut {before:g} parts; {len(seen)} looks in {seconds:g} s, not 1 part: {len(wrong)}")
-    print("quota_sum:", "; ".join(breach.text for breach in findings.breaches) or "kept")
-    return not wrong and not findings.breaches
+    print("quota_sum:", "; ".join(breach.text for breach in findings.violations) or "kept")
+    return not wrong and not findings.violations
 
 
 def main() -> None:
--- a/benchmarks/budgets_cold.py
+++ b/benchmarks/budgets_cold.py
@@ -27,8 +27,9 @@
 from msgspec.structs import replace
 
 from flintridge.lab.experiment.stats import mean
-from flintridge.lab.judge.facts import AttemptOutcome, History
-from flintridge.lab.judge.rules.fleet import _windows, capacity
+from flintridge.lab.judge.history import History
+from flintridge.lab.judge.observations import AttemptOutcome
+from flintridge.lab.judge.rules.warming_up import capacity, windows
 from flintridge.lab.records import LeaseReported, read_records
 from flintridge.lab.run import play
 from flintridge.lab.scenario.load import load
@@ -108,12 +109,12 @@
                 day = History(read_records(lines), scenario, "virtual")
     finally:
         walks.close()
-    caches = [sent for sent in day.sent.values() if not sent.record.is_origin]
+    caches = [sent for sent in day.outcomes.values() if not sent.record.is_origin]
     by_server: dict[str, list[AttemptOutcome]] = {}
     for sent in caches:
         by_server.setdefault(sent.record.server, []).append(sent)
     rules, used, most = scenario.rules, [], 0.0
-    for starts in day.starts.values():
+    for starts in day.server_starts.values():
         for start in (start for start in starts if start.at_ms > 0):
             mine = [
                 s
@@ -124,18 +125,18 @@
                 since, until = start.at_ms + i * rules.fall_ms, start.at_ms + (i + 1) * rules.fall_ms
                 work = sum(sent.record.work_ms for sent in mine if since <= sent.record.at_ms < until)
                 used.append(work / (rules.fall_multiple * capacity(start, until) * rules.fall_ms))
-            for window, work in _windows(mine, rules.fall_ms):
+            for window, work in windows(mine, rules.fall_ms):
                 budget = rules.fall_multiple * capacity(start, window[-1].record.at_ms) * rules.fall_ms
                 most = max(most, work / budget)
     held = [one for one in day.records if isinstance(one, LeaseReported) and one.at_ms > AT_S * 1000]
     lent, looks = [one.borrowed for one in held], {one.at_ms for one in held}
-    outcomes = Counter(sent.made.outcome for sent in caches if sent.made is not None)
+    outcomes = Counter(sent.served.outcome for sent in caches if sent.served is not None)
     return {
         "args": args,
         "mode": mode,
         "skew": skew,
         "seed": seed,
-        "fallen": sum(map(len, day.falls.values())),
+        "fallen": sum(map(len, day.server_falls.values())),
         "rule": result.rules.get("cold", 0),
         "used": mean(used),
         "most": most,
--- a/benchmarks/budgets_leaving.py
+++ b/benchmarks/budgets_leaving.py
@@ -23,8 +23,8 @@
 from msgspec.structs import replace
 
 from flintridge.lab.experiment.stats import bootstrap, mean
-from flintridge.lab.judge.facts import History
-from flintridge.lab.judge.figures import wishes_of
+from flintridge.lab.judge.goodput import request_outcomes
+from flintridge.lab.judge.history import History
 from flintridge.lab.partial.lending import Lenders
 from flintridge.lab.partial.views import VIEW_MS
 from flintridge.lab.records import LeaseReported, read_records
@@ -62,7 +62,7 @@
         result = play(scenario, seed, events=events)
         with events.open("rb") as lines:
             played = History(read_records(lines), scenario, "virtual")
-    wishes = wishes_of(played)
+    outcomes = request_outcomes(played)
     # Of all nodes that run, in even parts of one budget, seconds of the day: of the tenants' three the mean.
     borrowed = [0.0] * int(LENGTH_S)
     for record in played.records:
@@ -74,11 +74,11 @@
             borrowed[int(record.at_ms // 1000)] += record.borrowed * VIEW_MS / 1000 / len(scenario.tenants)
     asked: Counter[tuple[int, str]] = Counter()
     got: Counter[tuple[int, str]] = Counter()
-    for wish in wishes.values():
+    for outcome in outcomes.values():
         for i, (since, until) in enumerate(SPANS):
-            if since <= wish.due / 1000 < until:
-                asked[i, wish.tenant] += 1
-                got[i, wish.tenant] += wish.got / wish.asked
+            if since <= outcome.scheduled_ms / 1000 < until:
+                asked[i, outcome.tenant] += 1
+                got[i, outcome.tenant] += outcome.achieved_weight / outcome.offered_weight
     found: dict[str, Any] = {"how": how, "mode": mode, "seed": seed, "goodput": [], "due": []}
     for i, (since, until) in enumerate(SPANS):
         all_got = sum(got[i, tenant.name] for tenant in scenario.tenants)
--- a/flintridge/lab/judge/__init__.py
+++ b/flintridge/lab/judge/__init__.py
@@ -1,1 +1,1 @@
-"""Rules and figures from what both sides saw; it never asks a node."""
+"""Rules and metrics from what both sides of the nodes saw; it never asks a node."""
--- a/flintridge/lab/judge/rules/__init__.py
+++ b/flintridge/lab/judge/rules/__init__.py
@@ -1,26 +1,38 @@
 """The rules: each is judged from the records of both sides alone."""
 
-from flintridge.lab.judge.facts import History
 from flintridge.lab.judge.findings import Findings
+from flintridge.lab.judge.history import History
 from flintridge.lab.judge.rules import (
-    answers,
-    budgets,
+    attempts,
     contents,
-    departed,
-    effects,
-    fleet,
-    peers,
+    departed_clients,
+    drains,
+    fleet_limits,
+    membership,
     process,
+    responses,
+    warming_up,
 )
 
-PARTS = (answers, departed, effects, contents, fleet, process, peers, budgets)
-RULES: tuple[str, ...] = tuple(rule for part in PARTS for rule in part.RULES)
+# The order in which results list the rules.
+MODULES = (
+    responses,
+    departed_clients,
+    attempts,
+    contents,
+    drains,
+    warming_up,
+    process,
+    membership,
+    fleet_limits,
+)
+RULES: tuple[str, ...] = tuple(rule for module in MODULES for rule in module.RULES)
 
 
-def check(day: History, findings: Findings) -> None:
-    """Put every violation of every rule into `findings`."""
-    for part in PARTS:
-        part.check(day, findings)
+def check(history: History, findings: Findings) -> None:
+    """Add every violation of every rule to `findings`."""
+    for module in MODULES:
+        module.check(history, findings)
 
 
 __all__ = ["RULES", "check"]
--- /dev/null
+++ b/flintridge/lab/judge/rules/attempts.py
@@ -0,0 +1,187 @@
+"""Rules on what attempts may do.
+
+`twice`: nothing may be executed twice that must not be, and nothing is in flight twice where hedged
+requests are not allowed. `attempts`: no more than allowed. `after_answer`: none for a request that had its
+response.
+"""
+
+from flintridge.lab.judge.findings import Findings
+from flintridge.lab.judge.history import History
+from flintridge.lab.judge.observations import AttemptOutcome, ClientAttempt
+from flintridge.lab.judge.rules.request_case import RequestCase, records_of
+from flintridge.lab.judge.tolerances import ROUNDING_MS
+from flintridge.lab.records import AnyRecord
+from flintridge.lab.scenario.model import RequestClass
+
+RULES = ("twice", "attempts", "after_answer")
+
+FORWARDING_MS = 1.0  # after the response, until which a node's last attempt may start
+
+
+def check(history: History, findings: Findings) -> None:
+    """Add what attempts violate."""
+    for attempt in history.client_attempts.values():
+        if not attempt.accepted or not attempt.outcomes:
+            continue
+        request_class = history.request_class(attempt.accepted[0].request.class_name)
+        for node in dict.fromkeys(outcome.record.node for outcome in attempt.outcomes):
+            outcomes = [outcome for outcome in attempt.outcomes if outcome.record.node == node]
+            outcomes.sort(key=lambda outcome: outcome.record.started_ms)
+            _check_count(history, attempt, outcomes, findings)
+            for i in range(1, len(outcomes)):
+                _check_repeat(history, attempt, request_class, outcomes[:i], outcomes[i], findings)
+        for accepted in attempt.accepted:
+            case = RequestCase(attempt, accepted)
+            _check_rejection(case, request_class, findings)
+            _check_after_response(history, case, findings)
+
+
+def _check_repeat(
+    history: History,
+    attempt: ClientAttempt,
+    request_class: RequestClass,
+    earlier: list[AttemptOutcome],
+    outcome: AttemptOutcome,
+    findings: Findings,
+) -> None:
+    """`twice`: a further attempt does no harm, and is not in flight beside an earlier one."""
+    record = outcome.record
+    reason = None
+    if request_class.effect != "safe":
+        reason = _harm(history, request_class, earlier, outcome)
+    if reason is None and not history.scenario.limits.second_copies:
+        reason = _overlap(history, earlier, outcome)
+    if reason is None:
+        return
+    what = f"{record.node} sent {record.request_id} ({request_class.name}, {request_class.effect})"
+    findings.add(
+        "twice",
+        record.started_ms,
+        f"{what} to {record.server} again {reason}",
+        _proof(attempt, [*earlier, outcome]),
+        request_id=record.request_id,
+        node=record.node,
+        server=record.server,
+    )
+
+
+def _harm(
+    history: History, request_class: RequestClass, earlier: list[AttemptOutcome], outcome: AttemptOutcome
+) -> str | None:
+    """Why a repeat may be executed a second time; None where it can't be."""
+    started_ms = outcome.record.started_ms
+    maybe_executed = [o for o in earlier if not o.is_not_executed_by(started_ms)]
+    if not maybe_executed:
+        return None
+    first = maybe_executed[0].record
+    after_ms = started_ms - first.started_ms
+    if request_class.effect == "unsafe":
+        return f"{after_ms:.1f} ms after an attempt at {first.server} that may have run"
+    window_ms = request_class.window_ms
+    if after_ms > window_ms + history.tolerances.limit_ms + ROUNDING_MS:
+        what = f"{after_ms:.1f} ms after the first that may have run"
+        return f"{what}, beyond the window of {window_ms:.0f} ms"
+    if request_class.group == "all" or _deduplicate_together(
+        history, request_class.group, maybe_executed[0], outcome
+    ):
+        return None
+    return f"outside the {request_class.group} of {first.server}, where it may have run"
+
+
+def _deduplicate_together(
+    history: History, group: str, first: AttemptOutcome, second: AttemptOutcome
+) -> bool:
+    """Whether two attempts went to servers that drop each other's repeats."""
+    if first.server == second.server:
+        return True
+    if group == "zone":
+        first_zone = history.server_zone(first.server, first.record.is_origin)
+        return first_zone == history.server_zone(second.server, second.record.is_origin)
+    return _cell(history, first.server) == _cell(history, second.server)
+
+
+def _cell(history: History, server: str) -> int:
+    starts = history.server_starts.get(server)
+    return starts[-1].cell if starts else -1
+
+
+def _overlap(history: History, earlier: list[AttemptOutcome], outcome: AttemptOutcome) -> str | None:
+    """Where hedged requests are not allowed: an earlier attempt was in flight on an open connection.
+
+    Only one whose end was seen, later than the bytes' passage explains: a connection that broke leaves no
+    end.
+    """
+    started_ms = outcome.record.started_ms
+    if history.links_disturbed(earlier[0].record.started_ms, started_ms):
+        return None
+    latest_ms = started_ms + history.tolerances.server_round_ms
+    for other in earlier:
+        ended_ms = other.ended_ms
+        if ended_ms is not None and ended_ms > latest_ms:
+            return f"while its attempt at {other.server} was still out"
+    return None
+
+
+def _check_rejection(case: RequestCase, request_class: RequestClass, findings: Findings) -> None:
+    """`twice`: a rejection says that a retry is harmless, so it must be."""
+    if request_class.effect == "safe":
+        return
+    if request_class.effect == "keyed" and request_class.group == "all":
+        return
+    final = case.accepted.final_response
+    if final is None or final.kind != "refused":
+        return
+    for outcome in case.node_outcomes:
+        if outcome.record.started_ms <= final.at_ms and not outcome.is_not_executed_by(final.at_ms):
+            what = f"{case.request.request_id} ({request_class.name}, {request_class.effect})"
+            text = f"{case.request.node} refused {what}, which may have run at {outcome.server}"
+            case.report(findings, "twice", final.at_ms, text, server=outcome.server)
+            return
+
+
+def _check_count(
+    history: History, attempt: ClientAttempt, outcomes: list[AttemptOutcome], findings: Findings
+) -> None:
+    """`attempts`: a node makes no more attempts for a request than allowed."""
+    limit = history.scenario.limits.max_attempts
+    if len(outcomes) <= limit:
+        return
+    record = outcomes[limit].record
+    text = f"{record.node} made {len(outcomes)} attempts for {attempt.request_id}, {limit} are allowed"
+    findings.add(
+        "attempts",
+        record.at_ms,
+        text,
+        _proof(attempt, outcomes),
+        request_id=attempt.request_id,
+        node=record.node,
+    )
+
+
+def _check_after_response(history: History, case: RequestCase, findings: Findings) -> None:
+    """`after_answer`: no attempt for a request that its node had responded to for good.
+
+    One on a new connection may have been decided before, and be late by the time that connections may take.
+    """
+    final = case.accepted.final_response
+    if final is None:
+        return
+    for outcome in case.node_outcomes:
+        record = outcome.record
+        tolerance_ms = FORWARDING_MS + history.tolerances.limit_ms
+        if history.first_attempt_on.get(record.connection) == record.attempt_id:
+            connect_ms = history.scenario.limits.connect_timeout_ms
+            tolerance_ms += connect_ms + history.tolerances.server_round_ms
+        if record.started_ms > final.at_ms + tolerance_ms:
+            late_ms = record.started_ms - final.at_ms
+            text = (
+                f"{record.node} sent {case.request.request_id} to {record.server} {late_ms:.1f} ms after "
+                f"its client had the answer"
+            )
+            case.report(findings, "after_answer", record.started_ms, text, server=record.server)
+            return
+
+
+def _proof(attempt: ClientAttempt, outcomes: list[AttemptOutcome]) -> list[AnyRecord | None]:
+    records: list[AnyRecord | None] = [accepted.request for accepted in attempt.accepted]
+    return records + records_of(outcomes)
--- a/flintridge/lab/judge/rules/contents.py
+++ b/flintridge/lab/judge/rules/contents.py
@@ -1,96 +1,140 @@
-"""Rules on bytes: what is served was made for the request, and what is sent on is what was asked."""
+"""Rules on bytes: what is served was made for the request, and what is forwarded is what the client sent.
+
+`invented`: no server had made a value that a client got. `mixed`: it was made for another request.
+`altered`: a request was forwarded as another one. `malformed`: what a server got is no command.
+"""
 
-from flintridge.lab.judge.facts import TINY_MS, AcceptedRequest, AttemptOutcome, ClientAttempt, History
 from flintridge.lab.judge.findings import Findings
-from flintridge.lab.judge.rules.answers import every, proof
-from flintridge.lab.records import AttemptServed, MalformedMessage
+from flintridge.lab.judge.history import History
+from flintridge.lab.judge.observations import AcceptedRequest, AttemptOutcome, ClientAttempt
+from flintridge.lab.judge.rules.request_case import RequestCase, request_cases
+from flintridge.lab.judge.tolerances import ROUNDING_MS
+from flintridge.lab.records import (
+    AttemptReceived,
+    AttemptServed,
+    MalformedMessage,
+    RequestSent,
+    ResponseReceived,
+)
 
 RULES = ("invented", "mixed", "altered", "malformed")
 
-STALL_FAULT = "stall"  # nodes are held up between a look at the clock and a write
-TOLD_SLACK_MS = 150.0  # that a server may be told beyond what the client has left, whatever explains it
+STALL_FAULT = "stall"  # nodes are held up between reading the clock and a write
+MAX_EXTRA_TIME_MS = 150.0  # that a server may be given beyond what the client has left, whatever explains it
+MIN_TIMEOUT_MS = 1.0  # that a server is given
 
 
-def check(day: History, findings: Findings) -> None:
-    for this, taken in every(day):
-        _served(day, this, taken, findings)
-    for this in day.tries.values():
-        for sent in this.sent:
-            _passed_on(day, this, sent, findings)
-    for record in day.records:
+def check(history: History, findings: Findings) -> None:
+    """Add what bytes violate."""
+    for case in request_cases(history):
+        for response in case.accepted.responses:
+            _check_served(history, case, response, findings)
+    for attempt in history.client_attempts.values():
+        for outcome in attempt.outcomes:
+            _check_forwarded(history, attempt, outcome, findings)
+    for record in history.records:
         if isinstance(record, MalformedMessage):
             text = f"{record.node} sent {record.server} what no client sent: {record.text}"
             findings.add("malformed", record.at_ms, text, [record], node=record.node, server=record.server)
 
 
-def _served(day: History, this: ClientAttempt, taken: AcceptedRequest, findings: Findings) -> None:
-    """A value or receipt must be one that a server made for this very request, and sent before."""
-    for answer in taken.answers:
-        if answer.kind != "served" or not answer.body_digest:
-            continue
-        if any(_made_for(sent.made, answer.body_digest, answer.at_ms) for sent in this.sent):
-            continue
-        other = day.made_tokens.get(answer.body_digest)
-        rule = "mixed" if other is not None and other.request_id != this.uid else "invented"
-        whose = f"was made for {other.request_id}" if other is not None else "no server made"
-        if rule == "invented" and other is not None:
-            whose = "no server had made by then"
-        text = f"{taken.asked.node} served {this.uid} a value that {whose} (token {answer.body_digest})"
-        lines = [*proof(this, taken), other]
-        findings.add(rule, answer.at_ms, text, lines, uid=this.uid, node=taken.asked.node)
-
-
-def _made_for(made: AttemptServed | None, token: str, t: float) -> bool:
-    return made is not None and not made.lost and made.body_digest == token and made.at_ms <= t + TINY_MS
-
-
-def _passed_on(day: History, this: ClientAttempt, sent: AttemptOutcome, findings: Findings) -> None:
-    record = sent.record
-    before = [t for t in this.takens if t.asked.node == record.node and t.asked.at_ms <= record.at_ms]
-    if not before:
-        return  # asked of no one: the servers' own check tells of what no client sent
-    taken = before[-1]
-    asked = taken.asked
-    wrong = []
-    if record.key != asked.key:
-        wrong.append(f"key {record.key!r} for {asked.key!r}")
-    if record.write != asked.write:
-        wrong.append("a write" if record.write else "a read")
-    if asked.write and record.value_digest != asked.value_digest:
-        wrong.append(f"value {record.value_digest} for {asked.value_digest}")
-    if record.idempotency_key != asked.idempotency_key:
-        wrong.append(f"idempotency key {record.idempotency_key!r} for {asked.idempotency_key!r}")
-    if (more := _too_long(day, taken, sent)) is not None:
-        wrong.append(f"{more:.1f} ms more to wait than the client had left")
-    if wrong:
-        text = f"{record.node} passed {this.uid} on to {record.server} with {', '.join(wrong)}"
+def _check_served(
+    history: History, case: RequestCase, response: ResponseReceived, findings: Findings
+) -> None:
+    """`invented`, `mixed`: a server made the value or receipt for this very request, and sent it before."""
+    digest = response.body_digest
+    if response.kind != "served" or not digest:
+        return
+    outcomes = case.attempt.outcomes
+    if any(_was_made(outcome.served, digest, response.at_ms) for outcome in outcomes):
+        return
+    request_id = case.attempt.request_id
+    first_served = history.served_by_digest.get(digest)
+    rule = "invented"
+    if first_served is None:
+        origin = "no server made"
+    elif first_served.request_id != request_id:
+        rule = "mixed"
+        origin = f"was made for {first_served.request_id}"
+    else:
+        origin = "no server had made by then"
+    text = f"{case.request.node} served {request_id} a value that {origin} (token {digest})"
+    case.report(findings, rule, response.at_ms, text, proof=[*case.proof(), first_served])
+
+
+def _was_made(served: AttemptServed | None, digest: str, at_ms: float) -> bool:
+    if served is None or served.lost or served.body_digest != digest:
+        return False
+    return served.at_ms <= at_ms + ROUNDING_MS
+
+
+def _check_forwarded(
+    history: History, attempt: ClientAttempt, outcome: AttemptOutcome, findings: Findings
+) -> None:
+    """`altered`: a node forwards a request as it came."""
+    record = outcome.record
+    accepted = _accepted_before(attempt, record)
+    if accepted is None:
+        return  # sent by no client: the servers' own check reports that
+    request = accepted.request
+    differences = _differences(request, record)
+    extra_ms = _extra_time_ms(history, accepted, record)
+    if extra_ms is not None:
+        differences.append(f"{extra_ms:.1f} ms more to wait than the client had left")
+    if differences:
+        what = f"{record.node} passed {attempt.request_id} on to {record.server}"
         findings.add(
             "altered",
             record.at_ms,
-            text,
-            [asked, record],
-            uid=this.uid,
+            f"{what} with {', '.join(differences)}",
+            [request, record],
+            request_id=attempt.request_id,
             node=record.node,
             server=record.server,
         )
 
 
-def _too_long(day: History, taken: AcceptedRequest, sent: AttemptOutcome) -> float | None:
+def _accepted_before(attempt: ClientAttempt, record: AttemptReceived) -> AcceptedRequest | None:
+    """The last time that the attempt's node had accepted the request by then."""
+    for accepted in reversed(attempt.accepted):
+        if accepted.request.node == record.node and accepted.request.at_ms <= record.at_ms:
+            return accepted
+    return None
+
+
+def _differences(request: RequestSent, record: AttemptReceived) -> list[str]:
+    differences: list[str] = []
+    if record.key != request.key:
+        differences.append(f"key {record.key!r} for {request.key!r}")
+    if record.write != request.write:
+        differences.append("a write" if record.write else "a read")
+    if request.write and record.value_digest != request.value_digest:
+        differences.append(f"value {record.value_digest} for {request.value_digest}")
+    if record.idempotency_key != request.idempotency_key:
+        differences.append(f"idempotency key {record.idempotency_key!r} for {request.idempotency_key!r}")
+    return differences
+
+
+def _extra_time_ms(history: History, accepted: AcceptedRequest, record: AttemptReceived) -> float | None:
     """How much longer a server was told to work than its client would wait; None where that is explained.
 
-    A node counts from when it read the request: later than the asking by the way of the bytes, or by the
-    commands that it read first on the same connection; and it may be held up before it writes, on a day that
-    plays that. This explains no more than TOLD_SLACK_MS. Only a request that came while its process stood
+    A node counts from when it read the request: later than the sending by the bytes' passage, or by the
+    commands that it read first on the same connection; and it may be held up before it writes, in a run that
+    plays that. This explains no more than MAX_EXTRA_TIME_MS. Only a request that came while its process stood
     still may have been read later without its knowing.
     """
-    asked, record = taken.asked, sent.record
-    more = record.time_left_ms - max(1.0, asked.at_ms + asked.time_left_ms - record.started_ms)
-    life, arrived = day.lives.at(asked.node, asked.at_ms), asked.at_ms + day.slacks.client
-    if life.paused(asked.at_ms, arrived):
+    request = accepted.request
+    remaining_ms = request.at_ms + request.time_left_ms - record.started_ms
+    extra_ms = record.time_left_ms - max(MIN_TIMEOUT_MS, remaining_ms)
+    process = history.processes.at(request.node, request.at_ms)
+    if process.was_paused(request.at_ms, request.at_ms + history.tolerances.client_ms):
         return None
-    explained = taken.behind is not None or life.paused(asked.at_ms, record.started_ms)
-    explained = explained or day.is_during(STALL_FAULT, asked.at_ms, record.started_ms)
-    bound = TOLD_SLACK_MS + day.slacks.limit
-    if not explained:
-        bound = min(bound, day.slacks.client_round)
-    return more if more > bound else None
+    limit_ms = MAX_EXTRA_TIME_MS + history.tolerances.limit_ms
+    is_explained = (
+        accepted.previous is not None
+        or process.was_paused(request.at_ms, record.started_ms)
+        or history.had_fault(STALL_FAULT, request.at_ms, record.started_ms)
+    )
+    if not is_explained:
+        limit_ms = min(limit_ms, history.tolerances.client_round_ms)
+    return extra_ms if extra_ms > limit_ms else None
--- /dev/null
+++ b/flintridge/lab/judge/rules/held_rejections.py
@@ -0,0 +1,169 @@
+"""The rule `held`: no rejection or failure that comes only once it is of no use to anyone."""
+
+import math
+from bisect import bisect_right
+from itertools import accumulate
+from typing import NamedTuple
+
+from flintridge.lab.judge.findings import Findings
+from flintridge.lab.judge.history import History
+from flintridge.lab.judge.observations import AttemptOutcome
+from flintridge.lab.judge.rules.request_case import RequestCase
+from flintridge.lab.records import ResponseReceived
+
+MIN_SERVED_ATTEMPTS = 3  # that a node has seen before it can know how long they take
+USEFUL_FRACTION = 0.5  # of the minimum service time: with less left than this, no sound node still waits
+
+
+class _ServiceKey(NamedTuple):
+    """What a node tells service times apart by."""
+
+    node: str
+    process_started_ms: float
+    class_name: str
+    is_origin: bool
+
+
+class _ServiceTime(NamedTuple):
+    served_ms: float
+    duration_ms: float
+
+
+class _Minimums(NamedTuple):
+    """When attempts were served, and the minimum service time until each."""
+
+    served_ms: list[float]
+    minimum_ms: list[float]
+
+
+class MinimumServiceTimes:
+    """The minimum time that served attempts took, as a node could know it.
+
+    By process, class, and whether of the origin. At any time only what was served until then counts.
+    """
+
+    def __init__(self, history: History) -> None:
+        self._processes = history.processes
+        times: dict[_ServiceKey, list[_ServiceTime]] = {}
+        for outcome in history.outcomes.values():
+            served = outcome.served
+            record = outcome.record
+            if served is None or not outcome.response_digest:
+                continue
+            attempt = history.client_attempts.get(record.request_id)
+            if attempt is None or not attempt.accepted:
+                continue
+            class_name = attempt.accepted[0].request.class_name
+            key = self._key(record.node, record.started_ms, class_name, record.is_origin)
+            duration_ms = served.at_ms - record.started_ms
+            times.setdefault(key, []).append(_ServiceTime(served.at_ms, duration_ms))
+        self._minimums: dict[_ServiceKey, _Minimums] = {}
+        for key, entries in times.items():
+            entries.sort()
+            minimum_ms = list(accumulate((entry.duration_ms for entry in entries), min))
+            self._minimums[key] = _Minimums([entry.served_ms for entry in entries], minimum_ms)
+
+    def at(self, node: str, at_ms: float, class_name: str, is_origin: bool) -> float | None:
+        """The minimum of the service times that the node's process had seen; None if they are few."""
+        minimums = self._minimums.get(self._key(node, at_ms, class_name, is_origin))
+        if minimums is None:
+            return None
+        count = bisect_right(minimums.served_ms, at_ms)
+        return minimums.minimum_ms[count - 1] if count >= MIN_SERVED_ATTEMPTS else None
+
+    def _key(self, node: str, at_ms: float, class_name: str, is_origin: bool) -> _ServiceKey:
+        return _ServiceKey(node, self._processes.at(node, at_ms).started_ms, class_name, is_origin)
+
+
+def check_held(history: History, case: RequestCase, times: MinimumServiceTimes, findings: Findings) -> None:
+    """Add what a request's rejection or failure violates.
+
+    It came without any attempt after more than half of the time; or with nothing in flight, and less time
+    left than any response of its kind has taken: a sound node that waits for a permit gives up while a
+    response could still come in time.
+    """
+    request = case.request
+    final = case.accepted.final_response
+    if final is None or final.kind not in ("refused", "failed") or case.accepted.unblocked_ms > request.at_ms:
+        return
+    if history.is_excused(case.accepted, final.at_ms) or history.links_disturbed(request.at_ms, final.at_ms):
+        return
+    outcomes = [o for o in case.node_outcomes if request.at_ms <= o.record.started_ms <= final.at_ms]
+    if outcomes:
+        _check_idle(history, case, final, outcomes, times, findings)
+    else:
+        _check_without_attempts(history, case, final, findings)
+
+
+def _check_without_attempts(
+    history: History, case: RequestCase, final: ResponseReceived, findings: Findings
+) -> None:
+    """A request without attempts is rejected by half of its time."""
+    request = case.request
+    tolerances = history.tolerances
+    waited_ms = final.at_ms - request.at_ms
+    # With so little time, an attempt may have ended before its connection was up: no record shows it.
+    if request.time_left_ms < tolerances.server_round_ms:
+        return
+    if waited_ms > request.time_left_ms / 2 + tolerances.client_round_ms:
+        text = (
+            f"{request.node} {final.kind} {request.request_id}, untried, after {waited_ms:.1f} ms of its "
+            f"{request.time_left_ms:.0f} ms"
+        )
+        case.report(findings, "held", final.at_ms, text)
+
+
+def _check_idle(
+    history: History,
+    case: RequestCase,
+    final: ResponseReceived,
+    outcomes: list[AttemptOutcome],
+    times: MinimumServiceTimes,
+    findings: Findings,
+) -> None:
+    """A request with nothing in flight is rejected while a response could still come in time."""
+    request = case.request
+    since_ms = _idle_since_ms(outcomes, final.at_ms)
+    if since_ms is None:
+        return
+    minimum_ms = _minimum_ms(case, since_ms, times)
+    if minimum_ms is None:
+        return
+    idle_ms = final.at_ms - since_ms
+    objective_ms = history.request_class(request.class_name).aim_ms
+    margin_ms = max(0.0, case.response_margin_ms - history.tolerances.client_round_ms)
+    useful_ms = USEFUL_FRACTION * (min(minimum_ms, objective_ms / 2) + margin_ms)
+    remaining_ms = request.time_left_ms - (final.at_ms - request.at_ms)
+    if idle_ms > minimum_ms + history.tolerances.server_round_ms and remaining_ms < useful_ms:
+        text = (
+            f"{request.node} {final.kind} {request.request_id} with {remaining_ms:.1f} ms left and nothing "
+            f"out for {idle_ms:.1f} ms, though no answer ever took less than {minimum_ms:.1f} ms"
+        )
+        case.report(findings, "held", final.at_ms, text)
+
+
+def _idle_since_ms(outcomes: list[AttemptOutcome], at_ms: float) -> float | None:
+    """Since when nothing had been in flight for a request; None where something was, or may have been."""
+    last_ms = -math.inf
+    for outcome in outcomes:
+        ended_ms = outcome.ended_ms
+        if ended_ms is None or ended_ms > at_ms:
+            return None
+        last_ms = max(last_ms, ended_ms)
+    return last_ms
+
+
+def _minimum_ms(case: RequestCase, since_ms: float, times: MinimumServiceTimes) -> float | None:
+    """The minimum time that a further attempt could have taken, as far as the node knew; None if it did not.
+
+    What it knew when it started to wait: a sound node may estimate then how long that can be of use. A read
+    that missed may go to the origin, or to a cache server that has stored the key since.
+    """
+    request = case.request
+    at_origin_ms = times.at(request.node, since_ms, request.class_name, is_origin=True)
+    if request.write:
+        return at_origin_ms
+    at_cache_ms = times.at(request.node, since_ms, request.class_name, is_origin=False)
+    if at_origin_ms is None or at_cache_ms is None:
+        return None
+    return min(at_origin_ms, at_cache_ms)
--- /dev/null
+++ b/flintridge/lab/judge/rules/warming_up.py
@@ -0,0 +1,206 @@
+"""The rule `cold`: servers that are warming up get no more work than they can do."""
+
+import math
+from bisect import bisect_right
+from collections import deque
+from collections.abc import Iterator
+from dataclasses import dataclass, field
+from typing import NamedTuple
+
+from flintridge.lab.judge.findings import Findings
+from flintridge.lab.judge.history import History
+from flintridge.lab.judge.observations import AttemptOutcome
+from flintridge.lab.judge.tolerances import ROUNDING_MS
+from flintridge.lab.records import EndpointNotified, ServerStateChanged
+
+RULES = ("cold",)
+
+BUDGET_FACTOR = 1.1  # what is allowed beyond the budget for chance, and
+EXTRA_REQUESTS = 2  # so many mean requests
+FEW_REQUESTS = 30.0  # that a server is allowed; with fewer, chance weighs more
+FEW_REQUESTS_DEVIATIONS = 3
+DEVIATIONS = 2
+NOTIFIED_FRACTION = 2 / 3  # of the work that must come from nodes that were notified of the start
+CLOCK_TOLERANCE_MS = 100.0  # a start is told in whole milliseconds of another clock
+
+
+class _ProcessServer(NamedTuple):
+    """A process of a node, and a server."""
+
+    node: str
+    process_started_ms: float
+    server: str
+
+
+@dataclass(slots=True)
+class _NotifiedStarts:
+    """When a process was notified of starts of a server, and the latest start by then."""
+
+    notified_ms: list[float] = field(default_factory=list)
+    latest_start_ms: list[float] = field(default_factory=list)
+
+
+class StartNotifications:
+    """Which starts of servers each process of a node was notified of, and when."""
+
+    def __init__(self, history: History) -> None:
+        self._processes = history.processes
+        self._starts: dict[_ProcessServer, _NotifiedStarts] = {}
+        for record in history.records:
+            if isinstance(record, EndpointNotified):
+                self._add(record)
+
+    def _add(self, record: EndpointNotified) -> None:
+        process_started_ms = self._processes.at(record.node, record.at_ms).started_ms
+        for server, _, up_since_ms in record.endpoints:
+            if not up_since_ms:
+                continue
+            key = _ProcessServer(record.node, process_started_ms, server)
+            starts = self._starts.setdefault(key, _NotifiedStarts())
+            previous_ms = starts.latest_start_ms[-1] if starts.latest_start_ms else -math.inf
+            starts.notified_ms.append(record.at_ms)
+            starts.latest_start_ms.append(max(up_since_ms, previous_ms))
+
+    def was_known(self, outcome: AttemptOutcome, started_ms: float) -> bool:
+        """Whether the node had been notified of this start, or of a later one, when it sent."""
+        record = outcome.record
+        process_started_ms = self._processes.at(record.node, record.started_ms).started_ms
+        starts = self._starts.get(_ProcessServer(record.node, process_started_ms, record.server))
+        if starts is None:
+            return False
+        count = bisect_right(starts.notified_ms, record.started_ms)
+        return count > 0 and starts.latest_start_ms[count - 1] >= started_ms - CLOCK_TOLERANCE_MS
+
+
+class AttemptWindow(NamedTuple):
+    """The attempts of a window that ends with the last of them, and the work of all.
+
+    Attributes:
+        outcomes: The attempts; changes as the window moves on.
+        work_ms: Their work.
+    """
+
+    outcomes: deque[AttemptOutcome]
+    work_ms: float
+
+
+class _WarmUp(NamedTuple):
+    """A server's warm-up, and what arrived in it."""
+
+    start: ServerStateChanged
+    fall: ServerStateChanged | None
+    arrived: list[AttemptOutcome]
+
+
+def check(history: History, findings: Findings) -> None:
+    """Add warm-ups with too much work."""
+    if not history.scenario.rules.fall_multiple:
+        return
+    notifications = StartNotifications(history)
+    at_caches = [outcome for outcome in history.outcomes.values() if not outcome.record.is_origin]
+    work_ms = [outcome.record.work_ms for outcome in at_caches]
+    mean_work_ms = sum(work_ms) / len(work_ms) if work_ms else 0.0
+    for warm_up in _warm_ups(history, at_caches):
+        _check_warm_up(history, warm_up, notifications, mean_work_ms, findings)
+
+
+def _warm_ups(history: History, at_caches: list[AttemptOutcome]) -> Iterator[_WarmUp]:
+    by_server: dict[str, list[AttemptOutcome]] = {}
+    for outcome in at_caches:
+        if outcome.server in history.server_starts:
+            by_server.setdefault(outcome.server, []).append(outcome)
+    for server, starts in history.server_starts.items():
+        arrived = by_server.get(server, [])
+        next_start_ms = [start.at_ms for start in starts[1:]] + [math.inf]
+        for start, end_ms in zip(starts, next_start_ms, strict=True):
+            if start.initial_fraction >= 1 or start.warm_up_ms <= 0 or start.capacity <= 0:
+                continue
+            duration_ms = max(start.warm_up_ms, 1000 * history.scenario.rules.cold_s)
+            until_ms = min(end_ms, start.at_ms + duration_ms)
+            in_warm_up = [o for o in arrived if start.at_ms <= o.record.at_ms < until_ms]
+            yield _WarmUp(start, _fall(history, start, until_ms), in_warm_up)
+
+
+def _fall(history: History, start: ServerStateChanged, until_ms: float) -> ServerStateChanged | None:
+    """Its falling over while it warmed up, if it did."""
+    for fall in history.server_falls.get(start.server, ()):
+        if start.at_ms < fall.at_ms <= until_ms:
+            return fall
+    return None
+
+
+def capacity(start: ServerStateChanged, at_ms: float) -> float:
+    """Work-milliseconds a millisecond of a server that is warming up, at an instant."""
+    warmth = min(1.0, (at_ms - start.at_ms) / start.warm_up_ms) if start.warm_up_ms else 1.0
+    return start.capacity * (start.initial_fraction + (1 - start.initial_fraction) * warmth)
+
+
+def allowed_by_settings(
+    history: History, start: ServerStateChanged, at_ms: float, mean_work_ms: float
+) -> float:
+    """Work (ms) that a server may be offered in a window that ends at `at_ms`, by the settings of nodes.
+
+    N requests of mean work, as many as its capacity by the settings allows, and for chance twice the root of
+    N and 2 more; where N is under 30, three times the root and 3 more. How many nodes there are is no matter.
+    """
+    rules = history.scenario.rules
+    warmth = min(1.0, (at_ms - start.at_ms) / (1000 * rules.cold_s)) if rules.cold_s else 1.0
+    fraction = rules.cold_share + (1 - rules.cold_share) * warmth
+    budget_ms = rules.fall_multiple * start.capacity * fraction * rules.fall_ms
+    count = budget_ms / mean_work_ms if mean_work_ms else 0.0
+    deviations = FEW_REQUESTS_DEVIATIONS if count < FEW_REQUESTS else DEVIATIONS
+    return budget_ms + (deviations * math.sqrt(count) + deviations) * mean_work_ms
+
+
+def windows(arrived: list[AttemptOutcome], span_ms: float) -> Iterator[AttemptWindow]:
+    """The window of so many milliseconds that ends with each attempt."""
+    window: deque[AttemptOutcome] = deque()
+    work_ms = 0.0
+    for outcome in arrived:
+        window.append(outcome)
+        work_ms += outcome.record.work_ms
+        while window[0].record.at_ms <= outcome.record.at_ms - span_ms:
+            work_ms -= window.popleft().record.work_ms
+        yield AttemptWindow(window, work_ms)
+
+
+def _check_warm_up(
+    history: History,
+    warm_up: _WarmUp,
+    notifications: StartNotifications,
+    mean_work_ms: float,
+    findings: Findings,
+) -> None:
+    """`cold`, one violation a start: a window has more work than allowed, most from nodes that knew.
+
+    A server that fell had been offered too much, and gets no more; else some is allowed beyond for chance:
+    the lesser of a tenth of what the machine bears with two requests, and of what the settings allow.
+    """
+    rules = history.scenario.rules
+    start = warm_up.start
+    for window in windows(warm_up.arrived, rules.fall_ms):
+        now_ms = window.outcomes[-1].record.at_ms
+        budget_ms = rules.fall_multiple * capacity(start, now_ms) * rules.fall_ms
+        allowed_ms = BUDGET_FACTOR * budget_ms + EXTRA_REQUESTS * mean_work_ms
+        allowed_ms = min(allowed_ms, allowed_by_settings(history, start, now_ms, mean_work_ms))
+        is_last_before_overload = warm_up.fall is not None and window.outcomes[-1] is warm_up.arrived[-1]
+        if window.work_ms <= allowed_ms and not (
+            is_last_before_overload and window.work_ms > budget_ms - ROUNDING_MS
+        ):
+            continue
+        known_ms = sum(
+            outcome.record.work_ms
+            for outcome in window.outcomes
+            if notifications.was_known(outcome, start.at_ms)
+        )
+        if known_ms < NOTIFIED_FRACTION * window.work_ms:
+            continue
+        text = (
+            f"{start.server}, started {now_ms - start.at_ms:.0f} ms before, was offered "
+            f"{window.work_ms:.0f} ms of work within {rules.fall_ms:.0f} ms ({known_ms:.0f} ms of it by "
+            f"nodes that were told of its start); {min(budget_ms, allowed_ms):.0f} ms are allowed"
+            f"{'; it fell' if warm_up.fall is not None else ''}"
+        )
+        proof = [start, *(outcome.record for outcome in window.outcomes), warm_up.fall]
+        findings.add("cold", now_ms, text, proof, server=start.server)
+        return
--- a/flintridge/lab/partial/rig.py
+++ b/flintridge/lab/partial/rig.py
@@ -21,10 +21,9 @@
 from flintridge.lab.backend.loopback import process_nodes
 from flintridge.lab.backend.loopback_fabric import LoopbackFabric, raise_descriptor_limit
 from flintridge.lab.fabric import NodeRunner
-from flintridge.lab.judge.facts import History
 from flintridge.lab.judge.findings import Findings
-from flintridge.lab.judge.rules import budgets as budget_rules
-from flintridge.lab.judge.rules import peers as peer_rules
+from flintridge.lab.judge.history import History
+from flintridge.lab.judge.rules import fleet_limits, membership
 from flintridge.lab.load.driver import LoadDriver
 from flintridge.lab.records import LinkFaultChanged, MembershipReported, NodeLogLine, RecordLog
 from flintridge.lab.result import Violation
@@ -203,7 +202,7 @@
         """Of the rules on peers and on budgets, by the records alone."""
         scenario = msgspec.structs.replace(self.scenario, length_s=86_400.0)
         day = History(self.log, scenario, "loopback")
-        findings = Findings((*peer_rules.RULES, *budget_rules.RULES))
-        peer_rules.check(day, findings)
-        budget_rules.check(day, findings)
+        findings = Findings((*membership.RULES, *fleet_limits.RULES))
+        membership.check(day, findings)
+        fleet_limits.check(day, findings)
         return findings.violations
--- a/tests/support/load.py
+++ b/tests/support/load.py
@@ -132,8 +132,8 @@
 class LoadTrial:
     """A run of clients against scripted nodes.
 
-    Requests come at the times of `requests`, or as the scenario has them; `during` runs beside it once the nodes
-    listen.
+    Requests come at the times of `requests`, or as the scenario has them; `during` runs beside it once the
+    nodes listen.
     """
 
     def __init__(self, script, scenario=None, nodes=1, requests=(), during=None, window=1 << 18, seed=1):
--- a/tests/test_lab_budgets.py
+++ b/tests/test_lab_budgets.py
@@ -10,9 +10,9 @@
 from flintridge.lab import records as r
 from flintridge.lab.backend.virtual import VirtualPeers
 from flintridge.lab.fabric import RunClock
-from flintridge.lab.judge.facts import History
 from flintridge.lab.judge.findings import Findings
-from flintridge.lab.judge.rules import budgets as rules
+from flintridge.lab.judge.history import History
+from flintridge.lab.judge.rules import fleet_limits as rules
 from flintridge.lab.partial.oracle import Dealing, Oracle, parts
 from flintridge.lab.partial.rig import Rig
 from flintridge.lab.partial.views import held_of
