--- /dev/null
+++ b/tests/lab/judge/test_held_rejections.py
@@ -0,0 +1,36 @@
+"""The rule on rejections that come too late to be of use."""
+
+import pytest
+from support.judge import attempt, request, response, served, violated_rules
+
+from flintridge.lab import records as r
+
+
+@pytest.mark.parametrize(
+    ("log", "rules"),
+    [
+        ([request(), response(480, "refused")], set()),
+        ([request(), response(520, "refused")], {"held"}),
+        ([request(), r.FaultChanged(at_ms=1, name="silence", begins=True), response(990, "refused")], set()),
+    ],
+)
+def test_rejection_when_it_comes_without_any_attempt_after_half_of_the_time_is_held(log, rules):
+    assert set(violated_rules(log)) == rules
+
+
+@pytest.mark.parametrize(
+    ("after_ms", "outcome", "held"), [(905, "miss", False), (960, "miss", True), (960, "spoilt", False)]
+)
+def test_rejection_when_nothing_was_in_flight_for_long_is_held(after_ms, outcome, held):
+    """A corrupted response may never end: its node may still have waited for the rest."""
+    log = [record for i in range(4) for record in served(i * 10.0, f"w{i}", connection=i + 5)]
+    origin = {"server": "origin", "is_origin": True}
+    for i in range(4):
+        request_id = f"o{i}"
+        log += [
+            request(i, request_id, connection=i + 20),
+            *attempt(i, request_id, served_ms=i + 95, **origin),
+            response(i + 100, request_id=request_id),
+        ]
+    log += [request(200), *attempt(205, served_ms=250, outcome=outcome), response(200 + after_ms, "refused")]
+    assert violated_rules(log) == ({"held": 1} if held else {})
