--- a/benchmarks/budgets_cold.py
+++ b/benchmarks/budgets_cold.py
@@ -34,8 +34,9 @@
 from flintridge.lab.run import play
 from flintridge.lab.scenario.load import load
 from flintridge.lab.scenario.model import Replace, Scenario, Tenant
-from flintridge.policy import balancer
-from flintridge.policy.concurrency_limiter import OpenRequest
+from flintridge.policy.endpoint_state import Server
+from flintridge.policy.open_request import OpenRequest
+from flintridge.policy.server_selection import ServerSelection
 
 MODES = {"off": [], "cold": ["peers={}", "budgets={cold=true}"]}
 AT_S, LENGTH_S, WARMUP_S, WORK_MS = 2.0, 13.0, 9.0, 60.0
@@ -64,7 +65,7 @@
         warmup_s=WARMUP_S,
         nodes=replace(day.nodes, count=args["nodes"]),
         servers=(replace(day.servers[0], count=args["servers"]),),
-        classes=(replace(day.classes[0], work_ms=WORK_MS, aim_ms=600.0, deadline_ms=2000.0),),
+        classes=(replace(day.classes[0], work_ms=WORK_MS, latency_objective_ms=600.0, deadline_ms=2000.0),),
         tenants=(Tenant(name="all", quota_per_s=args["quota"]),),
         faults=(Replace(at_s=AT_S, for_s=0.5, count=args["replaced"]),),
         wall_limit_s=3000.0,
@@ -78,20 +79,21 @@
         self.met: set[str] = set()
         self.walked: set[str] = set()
         self.looks = self.dealt = 0
-        is_within_budget = balancer.Balancer.is_within_budget
+        is_within_budget = ServerSelection.is_within_budget
 
-        def counted(policy: balancer.Balancer, server: balancer.Server, request: OpenRequest) -> bool:
-            free = is_within_budget(policy, server, request)
-            if policy.warmth(server) < 1:
+        def counted(selection: ServerSelection, server: Server, request: OpenRequest, now: int) -> bool:
+            free = is_within_budget(selection, server, request, now)
+            slow_start = selection.slow_start
+            if slow_start.warmth(server.endpoint, now) < 1:
                 self.met.add(request.event.id)
                 self.looks += 1
-                self.dealt += policy.node_work() > policy.warm_work
+                self.dealt += slow_start.node_work() > slow_start.warm_work
                 if not free:
                     self.walked.add(request.event.id)
             return free
 
-        self._undo = lambda: setattr(balancer.Balancer, "is_within_budget", is_within_budget)
-        setattr(balancer.Balancer, "is_within_budget", counted)  # noqa: B010  mypy refuses an assignment
+        self._undo = lambda: setattr(ServerSelection, "is_within_budget", is_within_budget)
+        setattr(ServerSelection, "is_within_budget", counted)  # noqa: B010  mypy refuses an assignment
 
     def close(self) -> None:
         self._undo()
@@ -121,12 +123,19 @@
                 for s in by_server.get(start.server, [])
                 if 0 <= s.record.at_ms - start.at_ms < start.warm_up_ms
             ]
-            for i in range(round(start.warm_up_ms / rules.fall_ms)):
-                since, until = start.at_ms + i * rules.fall_ms, start.at_ms + (i + 1) * rules.fall_ms
+            for i in range(round(start.warm_up_ms / rules.overload_window_ms)):
+                since = start.at_ms + i * rules.overload_window_ms
+                until = since + rules.overload_window_ms
                 work = sum(sent.record.work_ms for sent in mine if since <= sent.record.at_ms < until)
-                used.append(work / (rules.fall_multiple * capacity(start, until) * rules.fall_ms))
-            for window, work in windows(mine, rules.fall_ms):
-                budget = rules.fall_multiple * capacity(start, window[-1].record.at_ms) * rules.fall_ms
+                used.append(
+                    work / (rules.overload_multiple * capacity(start, until) * rules.overload_window_ms)
+                )
+            for window, work in windows(mine, rules.overload_window_ms):
+                budget = (
+                    rules.overload_multiple
+                    * capacity(start, window[-1].record.at_ms)
+                    * rules.overload_window_ms
+                )
                 most = max(most, work / budget)
     held = [one for one in day.records if isinstance(one, LeaseReported) and one.at_ms > AT_S * 1000]
     lent, looks = [one.borrowed for one in held], {one.at_ms for one in held}
--- a/flintridge/lab/backend/virtual.py
+++ b/flintridge/lab/backend/virtual.py
@@ -14,7 +14,9 @@
 
 from flintridge.config.address import Address
 from flintridge.config.errors import ConfigError
+from flintridge.config.model import Budgets as NodeBudgets
 from flintridge.config.node_config import BudgetsConfig, PeersConfig
+from flintridge.config.node_file import budgets_config
 from flintridge.config.platform_config import node_config
 from flintridge.lab.fabric import Links, Listener, RunClock
 from flintridge.lab.faults.injection import SOUND, Injector, SystemState
@@ -136,7 +138,9 @@
 
     def shared(self) -> BudgetsConfig | None:
         """What of it is for `NodeConfig.budgets`."""
-        return None if self.budgets is None else BudgetsConfig(**msgspec.structs.asdict(self.budgets))
+        if self.budgets is None:
+            return None
+        return budgets_config(msgspec.convert(msgspec.to_builtins(self.budgets), NodeBudgets))
 
     def config(self, fabric: VirtualFabric, node: str) -> PeersConfig:
         known = tuple((name, Address(*fabric.address("peers", name))) for name in self.names)
@@ -272,7 +276,7 @@
         try:
             new = node_config(life.config, {})
         except ConfigError as error:
-            life.node.refuse_reload(error)
+            life.node.reject_reload(error)
         else:
             life.node.reload(new)
 
@@ -354,10 +358,10 @@
             if not self.running(name) or life.node is None:
                 continue
             if life.node.membership is not None and not self._fabric.network.host(name).paused:
-                _, said = life.node.membership.admin_view()
+                said = life.node.membership.admin_view().fields
                 self._log.add(view_of(now, name, said))
             if life.node.leases is not None:  # also of one that stands still: it may use it once it goes on
-                _, said = life.node.leases.admin_status()
+                said = life.node.leases.admin_status().fields
                 for held in held_of(now, name, said):
                     self._log.add(held)
 
--- a/flintridge/lab/judge/goodput.py
+++ b/flintridge/lab/judge/goodput.py
@@ -41,7 +41,7 @@
     def is_within_objective(self) -> bool:
         """Whether it was served within its class's latency objective."""
         latency_ms = self.latency_ms
-        return latency_ms is not None and latency_ms <= self.request_class.aim_ms
+        return latency_ms is not None and latency_ms <= self.request_class.latency_objective_ms
 
     @property
     def is_rejected(self) -> bool:
@@ -53,12 +53,12 @@
         """Whether it was not served, and its client only knew after the latency objective."""
         if self.served_ms is not None:
             return False
-        return self.last_ms - self.scheduled_ms > self.request_class.aim_ms
+        return self.last_ms - self.scheduled_ms > self.request_class.latency_objective_ms
 
     @property
     def offered_weight(self) -> float:
         """Its class's priority weight."""
-        return self.request_class.worth
+        return self.request_class.priority_weight
 
     @property
     def achieved_weight(self) -> float:
@@ -67,8 +67,8 @@
         if latency_ms is None or latency_ms > self.request_class.deadline_ms:
             return 0.0
         if self.is_within_objective:
-            return self.request_class.worth
-        return self.request_class.worth * self.request_class.late_share
+            return self.request_class.priority_weight
+        return self.request_class.priority_weight * self.request_class.late_weight_fraction
 
     def end(self, kind: str, at_ms: float) -> None:
         """Note how an attempt ended."""
--- a/flintridge/lab/judge/rules/attempts.py
+++ b/flintridge/lab/judge/rules/attempts.py
@@ -49,7 +49,7 @@
     reason = None
     if request_class.effect != "safe":
         reason = _harm(history, request_class, earlier, outcome)
-    if reason is None and not history.scenario.limits.second_copies:
+    if reason is None and not history.scenario.limits.hedged_requests:
         reason = _overlap(history, earlier, outcome)
     if reason is None:
         return
@@ -77,24 +77,24 @@
     after_ms = started_ms - first.started_ms
     if request_class.effect == "unsafe":
         return f"{after_ms:.1f} ms after an attempt at {first.server} that may have run"
-    window_ms = request_class.window_ms
+    window_ms = request_class.deduplication_window_ms
     if after_ms > window_ms + history.tolerances.limit_ms + ROUNDING_MS:
         what = f"{after_ms:.1f} ms after the first that may have run"
         return f"{what}, beyond the window of {window_ms:.0f} ms"
-    if request_class.group == "all" or _deduplicate_together(
-        history, request_class.group, maybe_executed[0], outcome
+    if request_class.deduplication_scope == "all" or _deduplicate_together(
+        history, request_class.deduplication_scope, maybe_executed[0], outcome
     ):
         return None
-    return f"outside the {request_class.group} of {first.server}, where it may have run"
+    return f"outside the {request_class.deduplication_scope} of {first.server}, where it may have run"
 
 
 def _deduplicate_together(
-    history: History, group: str, first: AttemptOutcome, second: AttemptOutcome
+    history: History, scope: str, first: AttemptOutcome, second: AttemptOutcome
 ) -> bool:
     """Whether two attempts went to servers that drop each other's repeats."""
     if first.server == second.server:
         return True
-    if group == "zone":
+    if scope == "zone":
         first_zone = history.server_zone(first.server, first.record.is_origin)
         return first_zone == history.server_zone(second.server, second.record.is_origin)
     return _cell(history, first.server) == _cell(history, second.server)
@@ -126,7 +126,7 @@
     """`twice`: a rejection says that a retry is harmless, so it must be."""
     if request_class.effect == "safe":
         return
-    if request_class.effect == "keyed" and request_class.group == "all":
+    if request_class.effect == "keyed" and request_class.deduplication_scope == "all":
         return
     final = case.accepted.final_response
     if final is None or final.kind != "refused":
--- a/flintridge/lab/judge/rules/held_rejections.py
+++ b/flintridge/lab/judge/rules/held_rejections.py
@@ -130,7 +130,7 @@
     if minimum_ms is None:
         return
     idle_ms = final.at_ms - since_ms
-    objective_ms = history.request_class(request.class_name).aim_ms
+    objective_ms = history.request_class(request.class_name).latency_objective_ms
     margin_ms = max(0.0, case.response_margin_ms - history.tolerances.client_round_ms)
     useful_ms = USEFUL_FRACTION * (min(minimum_ms, objective_ms / 2) + margin_ms)
     remaining_ms = request.time_left_ms - (final.at_ms - request.at_ms)
--- a/flintridge/lab/judge/rules/warming_up.py
+++ b/flintridge/lab/judge/rules/warming_up.py
@@ -94,7 +94,7 @@
 
 def check(history: History, findings: Findings) -> None:
     """Add warm-ups with too much work."""
-    if not history.scenario.rules.fall_multiple:
+    if not history.scenario.rules.overload_multiple:
         return
     notifications = StartNotifications(history)
     at_caches = [outcome for outcome in history.outcomes.values() if not outcome.record.is_origin]
@@ -115,7 +115,7 @@
         for start, end_ms in zip(starts, next_start_ms, strict=True):
             if start.initial_fraction >= 1 or start.warm_up_ms <= 0 or start.capacity <= 0:
                 continue
-            duration_ms = max(start.warm_up_ms, 1000 * history.scenario.rules.cold_s)
+            duration_ms = max(start.warm_up_ms, 1000 * history.scenario.rules.slow_start_s)
             until_ms = min(end_ms, start.at_ms + duration_ms)
             in_warm_up = [o for o in arrived if start.at_ms <= o.record.at_ms < until_ms]
             yield _WarmUp(start, _fall(history, start, until_ms), in_warm_up)
@@ -144,9 +144,9 @@
     N and 2 more; where N is under 30, three times the root and 3 more. How many nodes there are is no matter.
     """
     rules = history.scenario.rules
-    warmth = min(1.0, (at_ms - start.at_ms) / (1000 * rules.cold_s)) if rules.cold_s else 1.0
-    fraction = rules.cold_share + (1 - rules.cold_share) * warmth
-    budget_ms = rules.fall_multiple * start.capacity * fraction * rules.fall_ms
+    warmth = min(1.0, (at_ms - start.at_ms) / (1000 * rules.slow_start_s)) if rules.slow_start_s else 1.0
+    fraction = rules.slow_start_fraction + (1 - rules.slow_start_fraction) * warmth
+    budget_ms = rules.overload_multiple * start.capacity * fraction * rules.overload_window_ms
     count = budget_ms / mean_work_ms if mean_work_ms else 0.0
     deviations = FEW_REQUESTS_DEVIATIONS if count < FEW_REQUESTS else DEVIATIONS
     return budget_ms + (deviations * math.sqrt(count) + deviations) * mean_work_ms
@@ -178,9 +178,9 @@
     """
     rules = history.scenario.rules
     start = warm_up.start
-    for window in windows(warm_up.arrived, rules.fall_ms):
+    for window in windows(warm_up.arrived, rules.overload_window_ms):
         now_ms = window.outcomes[-1].record.at_ms
-        budget_ms = rules.fall_multiple * capacity(start, now_ms) * rules.fall_ms
+        budget_ms = rules.overload_multiple * capacity(start, now_ms) * rules.overload_window_ms
         allowed_ms = BUDGET_FACTOR * budget_ms + EXTRA_REQUESTS * mean_work_ms
         allowed_ms = min(allowed_ms, allowed_by_settings(history, start, now_ms, mean_work_ms))
         is_last_before_overload = warm_up.fall is not None and window.outcomes[-1] is warm_up.arrived[-1]
@@ -197,8 +197,9 @@
             continue
         text = (
             f"{start.server}, started {now_ms - start.at_ms:.0f} ms before, was offered "
-            f"{window.work_ms:.0f} ms of work within {rules.fall_ms:.0f} ms ({known_ms:.0f} ms of it by "
-            f"nodes that were told of its start); {min(budget_ms, allowed_ms):.0f} ms are allowed"
+            f"{window.work_ms:.0f} ms of work within {rules.overload_window_ms:.0f} ms "
+            f"({known_ms:.0f} ms of it by nodes that were told of its start); "
+            f"{min(budget_ms, allowed_ms):.0f} ms are allowed"
             f"{'; it fell' if warm_up.fall is not None else ''}"
         )
         proof = [start, *(outcome.record for outcome in window.outcomes), warm_up.fall]
--- a/flintridge/lab/load/retry_schedule.py
+++ b/flintridge/lab/load/retry_schedule.py
@@ -67,7 +67,9 @@
         self._class = request_class
         self._follows_retry_after = follows_retry_after
         # All servers drop repeats of such a request within its window.
-        self._is_keyed_everywhere = request_class.effect == "keyed" and request_class.group == "all"
+        self._is_keyed_everywhere = (
+            request_class.effect == "keyed" and request_class.deduplication_scope == "all"
+        )
         self._first_sent_ms: float | None = None  # of all attempts, to a node that accepted it
         self.deadline_ms = deadline_ms
         self.attempt_number = -1
@@ -85,7 +87,7 @@
         """Whether the servers' deduplication, where the request relies on it, still holds at that time."""
         if not self._is_keyed_everywhere or self._first_sent_ms is None:
             return True
-        return at_ms <= self._first_sent_ms + self._class.window_ms
+        return at_ms <= self._first_sent_ms + self._class.deduplication_window_ms
 
     def next_attempt_ms(
         self, now_ms: float, is_harmless: bool, retry_after_ms: float, rng: random.Random
--- a/flintridge/leases/lease_manager.py
+++ b/flintridge/leases/lease_manager.py
@@ -1,4 +1,4 @@
-"""One process's leases of all fleet-wide limits: what it needs, whom it asks, what it may use.
+"""One process's leases of all fleet-wide limits: what it needs, from whom it requests it, what it may use.
 
 A state machine without I/O over the allocations, which keep the limits whatever this one does: it only
 chooses. Its messages are one topic of the peers' datagrams; nothing waits for a response. Times are float
@@ -13,7 +13,6 @@
 
 from flintridge.leases.account import MIN_LEASE_UNITS, Account, Offer
 from flintridge.leases.allocation import Allocation, ProcessId
-from flintridge.leases.borrower import Borrower
 from flintridge.leases.fleet_limit import (
     EVEN_FRACTION_UNITS,
     FLOORS,
@@ -22,7 +21,8 @@
     FleetLimit,
     LeaseTerms,
 )
-from flintridge.leases.lender import Lender
+from flintridge.leases.grantor import Grantor
+from flintridge.leases.lessee import Lessee
 from flintridge.leases.messages import (
     MAX_MESSAGES,
     MAX_OFFERS,
@@ -39,8 +39,8 @@
 from flintridge.leases.outbox import Outbox
 from flintridge.membership.member import Member
 
-# Limits of which a node needs as much as its request rate is to the mean of all that are heard.
-NEEDED_BY_REQUEST_RATE = (FLOORS, SLOW_START, RETRIES)
+# Limits of which a node needs as much as its request rate is to the mean of all that are reachable.
+LIMITS_BY_REQUEST_RATE = (FLOORS, SLOW_START, RETRIES)
 REQUEST_RATE_MAX_AGE_MS = 20_000.0
 
 
@@ -86,7 +86,7 @@
             bytes_per_s: What the topic may send.
             now: The instant.
             rng: Draws whom to ask.
-            log_event: Called with an event's name and fields, for what staff should see.
+            log_event: Called with an event's name and fields, for what operators should see.
             make_allocation: Makes the allocation of a limit from its terms and the instant.
         """
         self.bytes_per_s = bytes_per_s
@@ -100,8 +100,8 @@
         self._outbox = Outbox()
         self._peer_rates: dict[str, _ReportedRate] = {}
         self._peers_with_differing_terms: set[str] = set()
-        self._borrower = Borrower(rng, self._send, self.counts, log_event)
-        self._lender = Lender(self._send, self.counts)
+        self._lessee = Lessee(rng, self._send, self.counts, log_event)
+        self._grantor = Grantor(self._send, self.counts)
 
     # What may be used
 
@@ -114,7 +114,7 @@
         return self.accounts[name].allocation.usable_after_leases(now) / EVEN_FRACTION_UNITS
 
     def first_expiry(self, now: float) -> float:
-        """When the first borrowed lease expires; infinite if there is none."""
+        """When the first acquired lease expires; infinite if there is none."""
         return min(
             (account.allocation.first_expiry(now) for account in self.accounts.values()), default=math.inf
         )
@@ -127,7 +127,7 @@
         account.demand = min(even_fractions, account.limit.nodes) * EVEN_FRACTION_UNITS
 
     def track_usage(self, name: str, in_use: Callable[[], float]) -> None:
-        """Let `in_use` tell how much of that limit, in even fractions, is taken up at an instant.
+        """Let `in_use` say how much of that limit, in even fractions, is taken up at an instant.
 
         For permits, which come free only when what was begun with them has ended.
         """
@@ -140,12 +140,12 @@
         if not self.shutting_down:
             self._set_demand_by_request_rate(now)
         for account in self.accounts.values():
-            self._borrower.tick(account, now)
+            self._lessee.tick(account, now)
 
     def begin_shutdown(self, now: float) -> None:
         """This process shuts down.
 
-        What is borrowed is released as soon as nothing takes it up, and its own entitlement is lent beyond
+        What is acquired is released as soon as nothing takes it up, and its own entitlement is granted beyond
         its floor, until the leases expire.
         """
         self.shutting_down = True
@@ -153,8 +153,8 @@
             account.shutting_down = True
             account.demand = 0.0
             for key in [*account.pending]:
-                self._borrower.cancel(account, key)
-            self._borrower.release_surplus(account, now)
+                self._lessee.cancel(account, key)
+            self._lessee.release_surplus(account, now)
 
     def process_joined(self, now: float, notice_ms: float = 0.0) -> None:
         """Another process of this node runs; see `Allocation.process_joined`."""
@@ -175,7 +175,7 @@
             if now < rate.reported_at + REQUEST_RATE_MAX_AGE_MS
         ]
         mean = (sum(rates) + self.requests_per_s) / (len(rates) + 1)
-        for name in NEEDED_BY_REQUEST_RATE:
+        for name in LIMITS_BY_REQUEST_RATE:
             if name in self.accounts:
                 self.set_demand(name, self.requests_per_s / mean if rates and mean > 0 else 1.0)
 
@@ -186,7 +186,7 @@
         return self._outbox.receivers()
 
     def drop_messages(self, peer: ProcessId) -> None:
-        """Drop the messages to a process that is not heard (any more), as a datagram would be lost."""
+        """Drop the messages to a process that is not reachable (any more), as a datagram would be lost."""
         self._outbox.drop(peer)
 
     def payload_for(self, now: float, to: Member, max_bytes: int) -> bytes | None:
@@ -194,7 +194,7 @@
         peer = ProcessId(to.name, to.incarnation)
         messages = self._outbox.queued_for(peer)[:MAX_MESSAGES]
         offers = self._offers(now)
-        reports_rate = any(name in self.accounts for name in NEEDED_BY_REQUEST_RATE)
+        reports_rate = any(name in self.accounts for name in LIMITS_BY_REQUEST_RATE)
         if not messages and not offers and not reports_rate:
             return None
         data = self._encode(offers, messages)
@@ -227,23 +227,23 @@
         """Take in a message about the limit of `account`."""
         match message:
             case LeaseRequest():
-                self._lender.on_request(account, sender, message, now)
+                self._grantor.on_request(account, sender, message, now)
             case LeaseGrant():
-                self._borrower.on_grant(account, sender, message, now)
+                self._lessee.on_grant(account, sender, message, now)
             case LeaseRelease():
                 account.allocation.receive(now, sender, message)
 
     def _receive_offers(
-        self, lender: str, incarnation: int, as_of: float, offers: tuple[LeaseOffer, ...]
+        self, grantor: str, incarnation: int, as_of: float, offers: tuple[LeaseOffer, ...]
     ) -> None:
         for account in self.accounts.values():
-            account.offers.pop(lender, None)
+            account.offers.pop(grantor, None)
         for offer in offers:
             limit_account = self._accounts_by_digest.get(offer.limit_digest)
             if limit_account is None:
-                self._on_differing_terms(lender)
+                self._on_differing_terms(grantor)
             else:
-                limit_account.offers[lender] = Offer(incarnation, offer.amount, as_of)
+                limit_account.offers[grantor] = Offer(incarnation, offer.amount, as_of)
 
     def _on_differing_terms(self, peer: str) -> None:
         """Guards the sum: a fraction of a limit of another size is not the same amount."""
@@ -252,11 +252,11 @@
             self._log_event("lease_terms_differ", peer=peer)
 
     def _offers(self, now: float) -> list[LeaseOffer]:
-        """What can be lent. Who has lent all is named with what little is left: to be asked all the same."""
+        """What can be granted. Who has granted all offers what little is left, to be asked all the same."""
         offers = []
         for digest, account in self._accounts_by_digest.items():
-            amount = account.lendable(now)
-            if amount >= MIN_LEASE_UNITS or account.allocation.lent:
+            amount = account.grantable(now)
+            if amount >= MIN_LEASE_UNITS or account.allocation.granted:
                 offers.append(LeaseOffer(digest, amount))
         return offers[:MAX_OFFERS]
 
--- a/tests/downstream/test_close_paths.py
+++ b/tests/downstream/test_close_paths.py
@@ -13,8 +13,8 @@
 
 
 async def only_connection(harness):
-    await until(lambda: harness.downstream._connections)
-    (connection,) = harness.downstream._connections
+    await until(lambda: harness.downstream.connections)
+    (connection,) = harness.downstream.connections
     return connection
 
 
@@ -40,12 +40,14 @@
             reader, writer = await harness.stream_client()
             connection = await only_connection(harness)
             evicted = []
-            run_as_bytes_arrive(connection, after=lambda: evicted.append(harness.downstream._evict_one()))
+            run_as_bytes_arrive(
+                connection, after=lambda: evicted.append(harness.downstream.connections.evict_one())
+            )
             writer.write(b"".join(READ % b"r%d" % number for number in range(count)))
             await until(lambda: harness.request_count == count)
             assert evicted == [False]
             for number in range(count):
-                harness.core._fail_overdue(f"r{number}")
+                harness.fail(f"r{number}")
             assert await reader.readexactly(len(FAILED) * count) == FAILED * count
 
     play(test)
@@ -58,7 +60,7 @@
         async with DownstreamHarness() as harness:
             reader, writer = await harness.stream_client(b"mg key7 v Or1 Pc=read")
             connection = await only_connection(harness)
-            await until(lambda: not connection._parser.idle)
+            await until(lambda: connection.has_half_command)
             shutdown = asyncio.ensure_future(harness.downstream.leave())
             await run_loop_turns(1)
             harness.clock.go(SHUTDOWN_ACCEPT_MS)
@@ -68,7 +70,7 @@
             run_as_bytes_arrive(connection, before=lambda: harness.clock.go(20))
             writer.write(b",t=acme,d=480\r\n")
             await until(lambda: harness.request_count == 1)
-            harness.core._fail_overdue("r1")
+            harness.fail("r1")
             assert await reader.read() == FAILED
             writer.close()
             await until(lambda: harness.clock.go(20) or shutdown.done())
@@ -83,12 +85,12 @@
         async with DownstreamHarness() as harness:
             reader, writer = await harness.stream_client(READ % b"r1", b"mg key7 v O")
             connection = await only_connection(harness)
-            await until(lambda: harness.request_count == 1 and not connection._parser.idle)
+            await until(lambda: harness.request_count == 1 and connection.has_half_command)
             connection.end()
             writer.write(b"r2 Pc=read,t=acme,d=480\r\n" + READ % b"r3")
             await run_loop_turns()
             assert harness.request_count == 1 and not connection.closing
-            harness.core._fail_overdue("r1")
+            harness.fail("r1")
             connection.end()
             assert await reader.read() == FAILED + BUSY  # the half one can't become whole any more
             await run_loop_turns()
@@ -122,9 +124,7 @@
                 LONG_DEADLINE_READ % b"r1", LONG_WRITE, LONG_DEADLINE_READ % b"r2"
             )
             await until(lambda: harness.request_count == 1)
-            request = harness.core._open["r1"]
-            harness.core._mark_answered("r1", request)
-            stream = request.responder.start_stream(10)
+            stream = harness.take_responder("r1").start_stream(10)
             stream.write([b"0123"])
             await run_loop_turns()
             stream.abort()
@@ -145,9 +145,7 @@
             await until(lambda: harness.request_count == 2)
             reader._transport.pause_reading()
             connection = await only_connection(harness)
-            request = harness.core._open["r1"]
-            harness.core._mark_answered("r1", request)
-            stream = request.responder.start_stream(64 << 20)
+            stream = harness.take_responder("r1").start_stream(64 << 20)
             while connection._transport.get_write_buffer_size() < 1 << 20:
                 stream.write([b"x" * (1 << 20)])
             harness.clients[0].write(LONG_DEADLINE_READ % b"r3" + LONG_DEADLINE_READ % b"r4")
--- a/tests/downstream/test_connection.py
+++ b/tests/downstream/test_connection.py
@@ -7,10 +7,10 @@
 from support.network import until
 
 from flintridge.core.response import Response
+from flintridge.downstream.command_executor import MAX_BAD_COMMANDS
 from flintridge.downstream.command_timer import COMMAND_TIMEOUT_MS
 from flintridge.downstream.connection import (
     IDLE_TIMEOUT_MS,
-    MAX_BAD_COMMANDS,
     MAX_UNREAD_RESPONSE_BYTES,
 )
 from flintridge.downstream.lingering_close import (
@@ -18,23 +18,21 @@
     LINGERING_CLOSE_MS,
     SLOW_READER_TIMEOUT_MS,
 )
-from flintridge.downstream.listener import (
-    MAX_LINGERING_BEYOND_LIMIT,
-)
+from flintridge.downstream.open_connections import MAX_LINGERING_BEYOND_LIMIT
 from flintridge.downstream.pipeline import MAX_PIPELINED_COMMANDS
 from flintridge.shutdown import IDLE_CLOSE_DELAY_MS, SHUTDOWN_ACCEPT_MS, SHUTDOWN_COMMAND_TIMEOUT_MS
 
 
 async def send_half_command(harness) -> bytes:
     reader, _ = await harness.stream_client(b"ms key7 500 Oa1 Pc=put\r\nhalf")
-    await until(lambda: any(not c._parser.idle for c in harness.downstream._connections))
+    await until(lambda: any(c.has_half_command for c in harness.downstream.connections))
     harness.clock.go(COMMAND_TIMEOUT_MS + 250 + 250)
     return await reader.read()
 
 
 async def send_nothing(harness) -> bytes:
     reader, _ = await harness.stream_client()
-    await until(lambda: harness.downstream._connections)
+    await until(lambda: harness.downstream.connections)
     harness.clock.go(IDLE_TIMEOUT_MS + 250)
     return await reader.read()
 
@@ -58,8 +56,8 @@
                 READ % b"r1", READ % b"r2", b"what\r\n", b"mn\r\n", READ % b"r1"
             )
             await until(lambda: harness.request_count == 2)
-            harness.core._fail_overdue("r2")
-            harness.core._fail_overdue("r1")
+            harness.fail("r2")
+            harness.fail("r1")
             responses = [await reader.readline() for _ in range(5)]
             assert responses[:3] == [FAILED] * 2 + [b"CLIENT_ERROR unknown command\r\n"]
             assert responses[3] == b"SERVER_ERROR starting\r\n"  # no server is known yet
@@ -81,7 +79,7 @@
             await asyncio.sleep(0.01)
             assert harness.request_count == MAX_PIPELINED_COMMANDS
             for i in range(MAX_PIPELINED_COMMANDS):
-                harness.core._fail_overdue(f"r{i}")
+                harness.fail(f"r{i}")
             await until(lambda: harness.request_count == MAX_PIPELINED_COMMANDS + 5)
             writer.close()
             await until(lambda: harness.counters["clients_disconnected"] == 5)
@@ -108,7 +106,7 @@
                 and harness.request_count == 2
             )
             harness.clock.go(LINGERING_CLOSE_MS)
-            await until(lambda: harness.downstream._rejected_lingering == 0)
+            await until(lambda: harness.downstream.connections.lingering_rejected == 0)
 
     play(test)
 
@@ -120,7 +118,7 @@
             reader, _ = await harness.stream_client(b"mn\r\n", READ % b"r1", b"mn\r\n", READ % b"r2")
             await until(lambda: harness.request_count == 2)
             for uid in ("r1", "r2"):
-                harness.core._fail_overdue(uid)
+                harness.fail(uid)
             draining = b"SERVER_ERROR draining\r\n"
             assert await reader.read() == (draining + FAILED) * 2
 
@@ -149,7 +147,7 @@
             await until(lambda: not harness.downstream._listener.is_open)
             assert not shutdown.done()
             assert await unused.read() == BUSY and not shutdown.done()
-            harness.core._fail_overdue("r1")
+            harness.fail("r1")
             assert await busy.read() == FAILED
             await until(lambda: harness.clock.go(20) or shutdown.done())
 
@@ -172,7 +170,7 @@
             assert harness.request_count == 0
             for writer in harness.clients:
                 writer.close()
-            await until(lambda: not harness.downstream._connections)
+            await until(lambda: not harness.downstream.connections)
 
     play(test)
 
@@ -183,10 +181,10 @@
             reader, _ = await harness.stream_client(READ.replace(b"480", b"1999") % b"r1")
             await until(lambda: harness.request_count == 1)
             harness.clock.go(1900)
-            harness.core._fail_overdue("r1")
+            harness.fail("r1")
             assert await reader.readline() == FAILED
             harness.clock.go(IDLE_TIMEOUT_MS - 1)
-            assert harness.downstream._connections
+            assert harness.downstream.connections
             harness.clock.go(251)
             assert await reader.read() == b"" and harness.counters["connections_idle_timeout"] == 1
 
@@ -203,7 +201,7 @@
                 assert await reader.readline() == b"CLIENT_ERROR bad data length\r\n"
             _, requesting = await harness.stream_client(READ % b"r1")
             await until(lambda: harness.request_count == 1)
-            assert harness.counters["connections_evicted"] == 1 and len(harness.downstream._connections) == 2
+            assert harness.counters["connections_evicted"] == 1 and len(harness.downstream.connections) == 2
             assert sorted([await reader.read() for reader, _ in closing]) == [b"", b""]
             requesting.close()
 
@@ -217,7 +215,7 @@
         async with DownstreamHarness(connection_limit=2, endpoints_known=False) as harness:
             idle, _ = await harness.stream_client(b"mn\r\n" + READ % b"r0")
             await until(lambda: harness.request_count == 1)
-            harness.core._fail_overdue("r0")
+            harness.fail("r0")
             harness.clock.go(500)
             _, new = await harness.stream_client()
             await until(lambda: harness.counters["connections_accepted"] == 2)
@@ -234,7 +232,7 @@
     async def test():
         async with DownstreamHarness(connection_limit=2, endpoints_known=False) as harness:
             half, _ = await harness.stream_client(b"mg key7")
-            await until(lambda: any(not c._parser.idle for c in harness.downstream._connections))
+            await until(lambda: any(c.has_half_command for c in harness.downstream.connections))
             for i in range(2):
                 await harness.stream_client(READ % b"r%d" % i)
                 await until(lambda i=i: harness.request_count == i + 1)
@@ -250,17 +248,16 @@
         async with DownstreamHarness(connection_limit=2, endpoints_known=False) as harness:
             await harness.stream_client(*(READ % b"r%d" % i for i in range(1000)))
             await until(lambda: harness.request_count)
-            (connection,) = harness.downstream._connections
+            (connection,) = harness.downstream.connections
 
             def served() -> bool:
-                for uid, request in list(harness.core._open.items()):
-                    harness.core._mark_answered(uid, request)
-                    request.responder.respond(Response(b"x" * 65536, receipt=False))
+                for request in list(harness.core.open_requests):
+                    harness.take_responder(request.id).respond(Response(b"x" * 65536, receipt=False))
                 return connection._writer.transport.get_write_buffer_size() > MAX_UNREAD_RESPONSE_BYTES
 
             await until(served)
             harness.clock.go(SLOW_READER_TIMEOUT_MS / 2)
-            assert harness.counters["slow_readers"] == 0 and harness.downstream._connections
+            assert harness.counters["slow_readers"] == 0 and harness.downstream.connections
             await until(lambda: harness.clock.go(100) or harness.counters["slow_readers"] == 1)
             assert harness.request_count < 1000
 
@@ -273,7 +270,7 @@
     async def test():
         async with DownstreamHarness(connection_limit=2, endpoints_known=False) as harness:
             half, _ = await harness.stream_client(b"mg key7 v O")
-            await until(lambda: any(not c._parser.idle for c in harness.downstream._connections))
+            await until(lambda: any(c.has_half_command for c in harness.downstream.connections))
             shutdown = asyncio.ensure_future(harness.downstream.leave())
             await asyncio.sleep(0)
             harness.clock.go(SHUTDOWN_ACCEPT_MS)
--- a/tests/policy/test_ordinary_path.py
+++ b/tests/policy/test_ordinary_path.py
@@ -7,8 +7,8 @@
 
 from flintridge import api
 from flintridge.api import EndpointState, Outcome, UpdateKind
-from flintridge.policy.balancer import LOAD_SLACK, MIN_CAP
-from flintridge.policy.hash_ring import place_of, points
+from flintridge.policy.hash_ring import points, position_of
+from flintridge.policy.server_selection import LOAD_SLACK, MIN_CAP
 
 CACHES = [m.server for m in members(5) if m.kind != ORIGIN_KIND]
 
@@ -16,7 +16,7 @@
 def clockwise(key: str, servers: list[str]) -> list[str]:
     """Servers in the order of the ring from the key on, worked out afresh."""
     ring = sorted((place, s) for s in servers for place in points(s, 0))
-    at = bisect.bisect(ring, (place_of(key), ""))
+    at = bisect.bisect(ring, (position_of(key), ""))
     return list(dict.fromkeys(s for _, s in ring[at:] + ring[:at]))
 
 
@@ -146,8 +146,8 @@
         router.end_attempt(
             request_id, Outcome.ERROR if malformed else Outcome.OK, final=True, malformed=malformed
         )
-    router.balancer.refresh_fractions()
-    assert min(router.balancer.fractions.values()) > 0.8
+    router.balancer.outliers.refresh(router.now)
+    assert min(router.balancer.outliers.fractions.values()) > 0.8
 
 
 def test_a_machine_of_larger_weight_gets_as_many_more_keys_and_more_in_flight():
--- a/tests/policy/test_server_selection.py
+++ b/tests/policy/test_server_selection.py
@@ -3,10 +3,18 @@
 Each test fails without the code that answers its failure.
 """
 
-from support.policy import Router, S
+import random
+
+import pytest
+from hypothesis import given, settings
+from hypothesis import strategies as st
+from support.policy import START, Router, S, open_request
 
 from flintridge import api
 from flintridge.api import Outcome, UpdateKind
+from flintridge.policy.hash_ring import NUMBER_MASK, position_of
+from flintridge.policy.mechanisms import Mechanisms
+from flintridge.policy.server_selection import LOAD_SLACK, MIN_CAP, cap_of
 
 
 def test_a_key_has_one_server_in_all_zones_in_calm_and_under_load():
@@ -33,7 +41,7 @@
     """Guards the node's core in a zone loss: each pick then walked the whole ring, about 1 ms of CPU."""
 
     router = Router(count=4)
-    ring = router.balancer.ring
+    ring = router.balancer.table.ring
     walk = ring.walk
     walked: list[int] = []
 
@@ -47,11 +55,84 @@
     request = router.balancer.open_requests[request_id]
     request.failed_servers = list(router.balancer.ready)
     walked.clear()
-    assert router.balancer.pick(request) is None
+    assert router.balancer.selection.pick(request, router.now) is None
     assert len(walked) <= 1  # the first entry is at hand before the walk is seen to be over
     request.failed_servers = request.failed_servers[:1]
     for server in router.balancer.servers.values():
-        server.backoff_until = router.now + S
+        server.connect_backoff.until = router.now + S
     walked.clear()
-    assert router.balancer.pick(request) in router.balancer.ready
+    assert router.balancer.selection.pick(request, router.now) in router.balancer.ready
     assert 0 < len(walked) < len(ring.entries) / 4
+
+
+plain = settings(derandomize=True, deadline=None, database=None, max_examples=60)
+
+
+class Selection(Mechanisms):
+    """So many servers that can be picked, and who picks them."""
+
+    def __init__(self, count: int) -> None:
+        super().__init__(api.Settings(), random.Random(1))
+        listed = tuple(api.Endpoint(f"s{i}") for i in range(count))
+        self.table.apply(api.EndpointUpdate(UpdateKind.FULL, 1, listed))
+        self.table.settle()
+
+    def clockwise(self, key: str) -> list[str]:
+        entries = self.table.ring.walk(position_of(key))
+        return list(dict.fromkeys(self.table.names[entry >> 8 & NUMBER_MASK] for entry in entries))
+
+    def send(self, key: str) -> str | None:
+        server = self.selection.pick(open_request(key), START)
+        self.servers[server].inflight += 1
+        self.caches.inflight += 1
+        return server
+
+
+@given(keys=st.lists(st.sampled_from("abc"), max_size=150), count=st.integers(1, 8))
+@plain
+def test_no_server_is_over_its_cap_and_each_key_has_the_first_one_below_it(keys, count):
+    made = Selection(count)
+    orders = {key: made.clockwise(key) for key in "abc"}
+    for total, key in enumerate(keys, 1):
+        inflight = {name: server.inflight for name, server in made.table.servers.items()}
+        cap = cap_of(1.0, 1.0, total / count)
+        assert made.send(key) == next(name for name in orders[key] if inflight[name] < cap)
+
+
+@given(fraction=st.floats(0, 1), root=st.floats(0.01, 1), average=st.floats(0, 1000))
+@plain
+def test_a_cap_is_at_least_two_attempts_or_one_where_a_server_is_unhealthy(fraction, root, average):
+    cap = cap_of(fraction, root, average)
+    assert cap >= (MIN_CAP if fraction >= root / 2 else 1)
+    assert cap >= (1 + LOAD_SLACK) * average * fraction
+    assert cap_of(fraction, root, 2 * average) >= cap
+
+
+@pytest.mark.parametrize(
+    ("changes", "expected"),
+    [
+        ({}, 0),
+        ({"failed_servers": [0]}, 1),
+        ({"failed_servers": [0, 1, 2]}, None),
+        ({"preferred": 2}, 2),
+        ({"preferred": 2, "failed_servers": [2]}, 0),
+        ({"backing_off": [0]}, 1),
+        ({"backing_off": [0, 1, 2]}, 0),  # the last resort
+        ({"backing_off": [0, 1], "failed_servers": [2]}, 0),
+        ({"full": [0, 1]}, 2),
+        ({"full": [0, 1, 2]}, None),
+        ({"full": [0, 1], "backing_off": [2]}, 2),
+        ({"full": [2], "preferred": 2}, 0),
+    ],
+)
+def test_who_is_picked_by_what_is_known_of_each_server_on_the_walk(changes, expected):
+    made = Selection(3)
+    order = made.clockwise("k")
+    for position in changes.get("backing_off", ()):
+        made.table.servers[order[position]].connect_backoff.until = START + 1
+    for position in changes.get("full", ()):
+        made.table.servers[order[position]].inflight = 100
+    request = open_request("k", failed_servers=[order[i] for i in changes.get("failed_servers", ())])
+    request.preferred = order[changes["preferred"]] if "preferred" in changes else None
+    found = made.selection.pick(request, START)
+    assert found == (None if expected is None else order[expected])
--- a/tests/support/load.py
+++ b/tests/support/load.py
@@ -202,7 +202,12 @@
 
 def one_class(effect="safe", pipeline=1, **settings) -> Scenario:
     request_class = RequestClass(
-        name="x", effect=effect, write=effect != "safe", deadline_ms=1000, window_ms=300, group="all"
+        name="x",
+        effect=effect,
+        write=effect != "safe",
+        deadline_ms=1000,
+        deduplication_window_ms=300,
+        deduplication_scope="all",
     )
     settings = {"backoff": "none", "retries": 2, "pools": 1, "honour": 0.0, "pipeline": pipeline} | settings
     return Scenario(classes=(request_class,), clients=Clients(**settings))
