--- a/flintridge/lab/judge/rules/connection_leaks.py
+++ b/flintridge/lab/judge/rules/connection_leaks.py
@@ -58,6 +58,8 @@
     A node opens one where all it has are in use. This holds also where its descriptors ended the growth
     before it could be seen as one.
     """
+    if all(sample.server_side <= IDLE_EXTRA for sample in samples):
+        return False
     required = _required_connections(history, node)
     if not required:  # without any attempt nothing is known
         return False
--- a/flintridge/lab/judge/rules/held_rejections.py
+++ b/flintridge/lab/judge/rules/held_rejections.py
@@ -48,7 +48,7 @@
         for outcome in history.outcomes.values():
             served = outcome.served
             record = outcome.record
-            if served is None or not outcome.response_digest:
+            if served is None or served.lost or not served.body_digest:
                 continue
             attempt = history.client_attempts.get(record.request_id)
             if attempt is None or not attempt.accepted:
