--- a/benchmarks/budgets_cold.py
+++ b/benchmarks/budgets_cold.py
@@ -145,7 +145,7 @@
         "mode": mode,
         "skew": skew,
         "seed": seed,
-        "fallen": sum(map(len, day.server_falls.values())),
+        "fallen": sum(map(len, day.server_overloads.values())),
         "rule": result.rules.get("cold", 0),
         "used": mean(used),
         "most": most,
--- a/flintridge/lab/judge/history.py
+++ b/flintridge/lab/judge/history.py
@@ -40,7 +40,7 @@
         outcomes: Attempts at servers, by the attempt's number.
         served_by_digest: The first response that was made with a body digest.
         server_starts: Of each server.
-        server_falls: Of each server.
+        server_overloads: Of each server.
         client_closed_ms: When a client closed its connection, by connection.
         first_attempt_on: The number of the first attempt on a server's connection.
         processes: The nodes' processes.
@@ -58,7 +58,7 @@
         self.outcomes: dict[int, AttemptOutcome] = {}
         self.served_by_digest: dict[str, AttemptServed] = {}
         self.server_starts: dict[str, list[ServerStateChanged]] = {}
-        self.server_falls: dict[str, list[ServerStateChanged]] = {}
+        self.server_overloads: dict[str, list[ServerStateChanged]] = {}
         self.client_closed_ms: dict[int, float] = {}
         self.first_attempt_on: dict[int, int] = {}
         self.processes = ProcessHistory(r for r in self.records if isinstance(r, NodeStateChanged))
@@ -175,7 +175,7 @@
             case RequestNotAccepted():
                 self._index_not_accepted(record)
             case ServerStateChanged(state="fallen"):
-                self.server_falls.setdefault(record.server, []).append(record)
+                self.server_overloads.setdefault(record.server, []).append(record)
             case ServerStateChanged(state="started"):
                 self.server_starts.setdefault(record.server, []).append(record)
 
--- a/flintridge/lab/judge/observations.py
+++ b/flintridge/lab/judge/observations.py
@@ -54,7 +54,7 @@
         return served.at_ms <= at_ms + ROUNDING_MS
 
     @property
-    def ended_ms(self) -> float | None:
+    def finished_ms(self) -> float | None:
         """When its response left or the node's end of it was seen; None where neither was.
 
         A corrupted response need be no end: a node may wait for the rest of what never comes.
@@ -69,8 +69,8 @@
     @property
     def in_flight_until_ms(self) -> float:
         """When it ended, or else when its time was over."""
-        ended_ms = self.ended_ms
-        return self.record.at_ms + self.record.time_left_ms if ended_ms is None else ended_ms
+        finished_ms = self.finished_ms
+        return self.record.at_ms + self.record.time_left_ms if finished_ms is None else finished_ms
 
 
 @dataclass(slots=True, eq=False)
--- a/flintridge/lab/load/malformed_scripts.py
+++ b/flintridge/lab/load/malformed_scripts.py
@@ -133,7 +133,7 @@
     return MalformedScript(b"", line * FLOOD_LINES_PER_CHUNK, MAX_SENT_BYTES)
 
 
-def _silent(_: _Source) -> MalformedScript:
+def _send_nothing(_: _Source) -> MalformedScript:
     return MalformedScript(b"")
 
 
@@ -147,5 +147,5 @@
     "used_id": _used_id,
     "half_command": _half_command,
     "flood": _flood,
-    "silent": _silent,
+    "silent": _send_nothing,
 }
