--- a/flintridge/cli/lab_show.py
+++ b/flintridge/cli/lab_show.py
@@ -19,4 +19,4 @@
     """
     from flintridge.lab.scenario.load import dump, load
 
-    click.echo(dump(load(scenario, list(overrides)), whole=whole), nl=False)
+    click.echo(dump(load(scenario, list(overrides)), with_defaults=whole), nl=False)
--- a/flintridge/lab/fabric.py
+++ b/flintridge/lab/fabric.py
@@ -13,24 +13,30 @@
 
 
 class RunClock(Protocol):
-    """Float milliseconds since the day's first second began; negative during the warm-up."""
+    """Float milliseconds since the run's first second began; negative during the warm-up."""
 
-    def now(self) -> float: ...
+    def now(self) -> float:
+        """This instant."""
 
     def unix_ms(self, at: float) -> float:
-        """An instant of the day as Unix time, as discovery tells it."""
+        """An instant of the run as Unix time, as discovery reports it."""
 
-    def call_at(self, at: float, call: Callable[..., object], *args: object) -> asyncio.TimerHandle: ...
+    def call_at(self, at: float, call: Callable[..., object], *args: object) -> asyncio.TimerHandle:
+        """Call at an instant."""
 
-    def call_later(self, ms: float, call: Callable[..., object], *args: object) -> asyncio.TimerHandle: ...
+    def call_later(self, ms: float, call: Callable[..., object], *args: object) -> asyncio.TimerHandle:
+        """Call after so many milliseconds."""
 
-    async def sleep_until(self, at: float) -> None: ...
+    async def sleep_until(self, at: float) -> None:
+        """Wait for an instant."""
 
 
 class Link(Protocol):
-    """The way from one machine to another; its state may change at any time.
+    """One direction between two machines.
 
-    `up`; `silent`: what is sent is lost and nothing is said; `reset`: connections are reset, new ones too.
+    Attributes:
+        state: `up`; `silent`: what is sent is lost without notice; `reset`: connections are reset, new ones
+            too. It may change at any time.
     """
 
     state: str
@@ -39,21 +45,31 @@
         """Milliseconds that these bytes take."""
 
     def cuts(self, size: int) -> list[int]:
-        """Sizes of the pieces in which a write arrives."""
+        """Sizes of the segments in which a write arrives."""
 
 
 class Links(Protocol):
     """All links, by the names of two parties (`flintridge.lab.world.link_table.LinkTable`)."""
 
-    def link(self, source: str, target: str) -> Link: ...
+    def link(self, source: str, target: str) -> Link:
+        """The link in one direction."""
 
 
 class Listener(Protocol):
+    """A listening socket."""
+
     def close(self) -> None:
-        """New connections are refused from now on; those that are open stay."""
+        """Refuse new connections from now on; those that are open stay."""
 
 
 class Fabric(Protocol):
+    """The network and the clock of a run.
+
+    Attributes:
+        clock: The time of the run.
+        links: All links between parties.
+    """
+
     clock: RunClock
     links: Links
 
@@ -61,53 +77,70 @@
         """Where `node` finds `party`: an address of this pair alone, so both ends are known by it."""
 
     async def listen(self, party: str, node: str, factory: Callable[[], asyncio.Protocol]) -> Listener:
-        """Accept at `address(party, node)`. Raises OSError."""
+        """Accept at `address(party, node)`.
+
+        Raises:
+            OSError: The address cannot be had.
+        """
 
     async def connect(
         self, party: str, node: str, factory: Callable[[], asyncio.Protocol]
     ) -> asyncio.Transport:
-        """A client's connection to a node's listener; hangs where the link is silent. Raises OSError."""
+        """Open a client's connection to a node's listener; it hangs where the link is silent.
+
+        Raises:
+            OSError: It is refused or reset.
+        """
 
     def sent_at(self, transport: asyncio.BaseTransport) -> float:
-        """When the other end sent the bytes that are being received now, as far as the link tells."""
+        """When the other end sent the bytes that are being received now, as far as the link knows."""
 
     def links_changed(self) -> None:
-        """After states of links changed: connections on those that are `reset` now are reset at once."""
+        """Apply changed states of links: connections on those that are `reset` now are reset at once."""
 
 
 class NodeRunner(Protocol):
-    """The nodes as processes; each call is recorded as a NodeSaid, and so is an end that nobody asked for."""
+    """The nodes as processes; each call is recorded as a NodeStateChanged, and so is an unexpected end."""
 
     async def start(self, node: str) -> None:
-        """Start it anew from `SimulatedFleet.node_config(node)`; returns before it is ready."""
+        """Start a new process from the fleet's configuration of the node; returns before it is ready."""
 
-    def kill(self, node: str) -> None: ...
+    def kill(self, node: str) -> None:
+        """Send SIGKILL."""
 
-    def term(self, node: str) -> None: ...
+    def term(self, node: str) -> None:
+        """Send SIGTERM."""
 
     def reload(self, node: str, config: dict[str, Any]) -> None:
         """Replace its configuration file and send SIGHUP."""
 
-    def pause(self, node: str) -> None: ...
+    def pause(self, node: str) -> None:
+        """Send SIGSTOP."""
 
-    def resume(self, node: str) -> None: ...
+    def resume(self, node: str) -> None:
+        """Send SIGCONT."""
 
     def quiesce(self, node: str) -> None:
-        """Drain it, as its operators' console does. Raises NotImplementedError where there is no console."""
+        """Drain it by the admin API.
+
+        Raises:
+            NotImplementedError: There is no admin API.
+        """
 
     def unquiesce(self, node: str) -> None:
         """End the drain."""
 
     def set_system(self, node: str, state: SystemState) -> None:
-        """What is wrong with a node's operating system from now on, also of processes started later."""
+        """Set what is wrong with a node's operating system, also for processes that start later."""
 
-    def running(self, node: str) -> bool: ...
+    def running(self, node: str) -> bool:
+        """Whether it has a process that was not killed and has not ended."""
 
     async def ended(self, node: str) -> None:
-        """Until it has ended."""
+        """Wait until its process has ended."""
 
     async def close(self) -> None:
         """End all; nothing is left running."""
 
     def usage(self) -> dict[str, Any]:
-        """What the nodes took: `node_cpu_s`, `node_memory_mb` (most), `counters` by node, where known."""
+        """What the nodes took: `node_cpu_s`, `node_memory_mb` (maximum), `counters` by node, where known."""
--- a/flintridge/lab/scenario/load.py
+++ b/flintridge/lab/scenario/load.py
@@ -20,8 +20,11 @@
 
     Each of `overrides` changes one value, as `load.rate_per_s=300`, `faults[0].for_s=3` or `nodes.count=5`;
     values are TOML, and a bare word is text. A file may stand upon another one by `base = "calm"`. A trace is
-    taken as relative to the file that names it and made absolute. Raises ConfigFaultsError with every fault,
-    and OSError where the file cannot be read.
+    taken as relative to the file that names it and made absolute.
+
+    Raises:
+        ConfigFaultsError: With every fault of the scenario.
+        OSError: The file cannot be read.
     """
     changes = [Override.parse(one) for one in overrides]
     file, raw = sources.read(path_or_name)
@@ -30,11 +33,11 @@
     try:
         scenario = decode_values(file, raw, Scenario)
         scenario, missing = _with_trace(scenario)
-        found = [ConfigFault(file, *_parted(said)) for said in (*missing, *_contradictions(scenario))]
+        found = [ConfigFault(file, *_split_fault(text)) for text in (*missing, *_contradictions(scenario))]
         if found:
             raise ConfigFaultsError(found)
     except ConfigFaultsError as error:
-        raise ConfigFaultsError([_blamed(fault, changes) for fault in error.faults]) from error
+        raise ConfigFaultsError([_attributed(fault, changes) for fault in error.faults]) from error
     return scenario
 
 
@@ -43,9 +46,9 @@
     return {name: sources.about(text) for name, text in sources.shipped().items()}
 
 
-def dump(scenario: Scenario, *, whole: bool = False) -> str:
-    """As TOML that `load` takes; values left at their defaults only with `whole`."""
-    plain = _every(scenario) if whole else msgspec.to_builtins(scenario)
+def dump(scenario: Scenario, *, with_defaults: bool = False) -> str:
+    """As TOML that `load` takes; values left at their defaults only `with_defaults`."""
+    plain = _with_defaults(scenario) if with_defaults else msgspec.to_builtins(scenario)
     return tomli_w.dumps(plain)
 
 
@@ -60,14 +63,14 @@
     return found
 
 
-def _parted(said: str) -> tuple[str, Any, str]:
+def _split_fault(text: str) -> tuple[str, Any, str]:
     """`path: reason` as the parts of a fault."""
-    path, _, reason = said.partition(": ")
-    return (path, UNSET, reason) if reason else ("", UNSET, said)
+    path, _, reason = text.partition(": ")
+    return (path, UNSET, reason) if reason else ("", UNSET, text)
 
 
-def _blamed(fault: ConfigFault, changes: Sequence[Override]) -> ConfigFault:
-    """A fault in what an override set is the override's, not the file's."""
+def _attributed(fault: ConfigFault, changes: Sequence[Override]) -> ConfigFault:
+    """Report a fault in what an override set as the override's, not the file's."""
     for change in changes:
         if fault.path == change.path or fault.path.startswith((f"{change.path}.", f"{change.path}[")):
             return ConfigFault(source(change.text), fault.path, fault.value, fault.reason, fault.allowed)
@@ -75,13 +78,13 @@
 
 
 def _with_trace(scenario: Scenario) -> tuple[Scenario, list[str]]:
-    """One that an override names is relative to the current folder."""
+    """With the trace's path made absolute; one that an override names is relative to the current folder."""
     trace = scenario.load.trace
     if not trace:
         return scenario, []
     path = Path(trace).absolute()
-    load_part = msgspec.structs.replace(scenario.load, trace=str(path))
-    scenario = msgspec.structs.replace(scenario, load=load_part)
+    load_table = msgspec.structs.replace(scenario.load, trace=str(path))
+    scenario = msgspec.structs.replace(scenario, load=load_table)
     if not path.is_file():
         return scenario, [f"load.trace: there is no file {str(path)!r}"]
     from flintridge.lab.load.trace import read  # of use to few scenarios
@@ -93,13 +96,13 @@
     return scenario, []
 
 
-def _every(value: Any) -> Any:
-    """Plain values with the defaults in; what is None is left out, TOML has no word for it."""
+def _with_defaults(value: Any) -> Any:
+    """Plain values with the defaults in; None is left out, as TOML cannot express it."""
     if isinstance(value, Table):
         config = value.__struct_config__
         plain = {str(config.tag_field): config.tag} if config.tag_field is not None else {}
         for key, each in value.by_key().items():
             if each is not None:
-                plain[key] = _every(each)
+                plain[key] = _with_defaults(each)
         return plain
-    return [_every(one) for one in value] if isinstance(value, list | tuple) else value
+    return [_with_defaults(one) for one in value] if isinstance(value, list | tuple) else value
--- a/flintridge/lab/scenario/overrides.py
+++ b/flintridge/lab/scenario/overrides.py
@@ -14,12 +14,19 @@
 from flintridge.lab.scenario.model import Scenario
 
 STEP = re.compile(r"\.?([A-Za-z0-9_-]+)|\[(\d{1,6})\]")
-WORD = re.compile(r"[A-Za-z_][A-Za-z0-9._-]*")
+BARE_WORD = re.compile(r"[A-Za-z_][A-Za-z0-9._-]*")
 
 
 @dataclass(slots=True, frozen=True)
 class Override:
-    """`text` as it was given, the path in it, its steps, and the value as TOML has it."""
+    """A change of one value.
+
+    Attributes:
+        text: As it was given.
+        path: Of the value, as `faults[0].for_s`.
+        steps: Names and positions along the path.
+        value: As TOML has it.
+    """
 
     text: str
     path: str
@@ -28,38 +35,46 @@
 
     @classmethod
     def parse(cls, text: str) -> "Override":
-        """Raises ConfigFaultsError."""
+        """Read `PATH=VALUE`.
+
+        Raises:
+            ConfigFaultsError: The path or the value is malformed.
+        """
         path, sign, value = text.partition("=")
         path = path.strip()
         if not sign or not path:
-            raise _refused(text, "must be PATH=VALUE, as in load.rate_per_s=300")
+            raise _fault(text, "must be PATH=VALUE, as in load.rate_per_s=300")
         return cls(text, path, _steps(text, path), _value(text, value.strip()))
 
 
 def apply(raw: Any, change: Override) -> Any:
-    """The raw scenario with the change in it; `raw` is left as it is. Raises ConfigFaultsError.
+    """The raw scenario with the change in it; `raw` is left as it is.
 
     What the file leaves out is there with its default: `kinds[0].cores=4` needs no `kinds` in the file.
+
+    Raises:
+        ConfigFaultsError: The path leads nowhere.
     """
     info: inspect.Type | None = type_info(Scenario)
-    whole = {"": _copied(raw)}
-    inner: Any = whole
+    root = {"": _copied(raw)}
+    inner: Any = root
     at: str | int = ""
     for step in change.steps:
         if isinstance(step, str):
             if not isinstance(inner[at], dict):
-                raise _refused(change.text, f"a value stands where a table is needed for {step}")
+                raise _fault(change.text, f"a value stands where a table is needed for {step}")
             info = _enter(inner[at], info, step)
         else:
             if not isinstance(inner[at], list):
-                raise _refused(change.text, f"a value stands where a list is needed for [{step}]")
+                raise _fault(change.text, f"a value stands where a list is needed for [{step}]")
             if step >= len(inner[at]):
                 size = len(inner[at])
-                raise _refused(change.text, f"there is no [{step}] in a list of {size}")
+                raise _fault(change.text, f"there is no [{step}] in a list of {size}")
             info = getattr(info, "item_type", None)
-        inner, at = inner[at], step
+        inner = inner[at]
+        at = step
     inner[at] = change.value
-    return whole[""]
+    return root[""]
 
 
 def _enter(table: dict[str, Any], info: inspect.Type | None, step: str) -> inspect.Type | None:
@@ -94,29 +109,29 @@
     while at < len(path):
         found = STEP.match(path, at)
         if not found or (at == 0) == path.startswith((".", "["), at):
-            raise _refused(text, f"{path!r} is not a path such as faults[0].for_s")
+            raise _fault(text, f"{path!r} is not a path such as faults[0].for_s")
         steps.append(found[1] if found[1] is not None else int(found[2]))
         at = found.end()
     return tuple(steps)
 
 
-def _value(text: str, said: str) -> Any:
+def _value(text: str, literal: str) -> Any:
     try:
-        read = tomllib.loads(f"value = {said}")
+        read = tomllib.loads(f"value = {literal}")
     except (ValueError, RecursionError) as error:
-        if WORD.fullmatch(said):
-            return said
-        reason = f"{said!r} is not a TOML value; text goes in quotes"
-        raise _refused(text, reason) from error
+        if BARE_WORD.fullmatch(literal):
+            return literal
+        reason = f"{literal!r} is not a TOML value; text goes in quotes"
+        raise _fault(text, reason) from error
     if list(read) != ["value"]:  # guards against a value that goes on with lines of its own
-        raise _refused(text, f"{said!r} is more than one value")
+        raise _fault(text, f"{literal!r} is more than one value")
     return read["value"]
 
 
-def _refused(text: str, reason: str) -> ConfigFaultsError:
+def _fault(text: str, reason: str) -> ConfigFaultsError:
     return ConfigFaultsError([ConfigFault(source(text), "", UNSET, reason)])
 
 
 def source(text: str) -> str:
-    """What stands for a file's name where an override is at fault; always one line."""
+    """The name of the source in messages where an override is at fault; always one line."""
     return f"--set {text if text.isprintable() else repr(text)}"
--- a/flintridge/lab/scenario/sources.py
+++ b/flintridge/lab/scenario/sources.py
@@ -1,4 +1,4 @@
-"""Where scenarios come from: files, those that ship with the lab, and the `base` that one may stand upon."""
+"""Where scenarios come from: files, those that ship with the lab, and the `base` that one may extend."""
 
 from collections.abc import Iterator
 from importlib import resources
@@ -15,10 +15,13 @@
 
 
 def read(path_or_name: str | Path) -> tuple[str, Any]:
-    """What to call the source, and its plain values with those of its base under them.
+    """The source's name for messages, and its plain values merged over those of its base.
 
-    A table is laid over the base's table name by name, anything else takes the place of what the base has.
-    Raises ConfigFaultsError, OSError.
+    A table is merged with the base's table name by name, anything else replaces what the base has.
+
+    Raises:
+        ConfigFaultsError: The file or a base is malformed.
+        OSError: The file cannot be read.
     """
     return _read(path_or_name, Path(), ())
 
@@ -29,7 +32,7 @@
 
 
 def about(text: bytes) -> str:
-    """What a shipped scenario says of itself."""
+    """A shipped scenario's description of itself."""
     try:
         return str(parse("", text).get("about", ""))
     except ConfigSyntaxError as error:  # guards the list against one file that cannot be read
@@ -44,36 +47,36 @@
         raise syntax_fault(file, error) from error
     if not isinstance(raw, dict):
         return file, raw
-    _place_trace(raw, inside)
+    _resolve_trace(raw, inside)
     if BASE not in raw:
         return file, raw
     base = raw.pop(BASE)
     if not isinstance(base, str) or not base:
         reason = "must be the name of a shipped scenario, or a file"
         raise ConfigFaultsError([ConfigFault(file, BASE, base, reason)])
-    if file in above:  # guards against files that stand upon each other without end
+    if file in above:  # guards against files that extend each other without end
         raise ConfigFaultsError([ConfigFault(file, BASE, base, "leads back to this file")])
     try:
         _, under = _read(base, inside, (*above, file))
     except OSError as error:
         reason = f"cannot be read: {error.strerror or error}"
         raise ConfigFaultsError([ConfigFault(file, BASE, base, reason)]) from error
-    return file, _laid(raw, under) if isinstance(under, dict) else under
+    return file, _merged(raw, under) if isinstance(under, dict) else under
 
 
 def _text(path_or_name: str | Path, folder: Path) -> tuple[str, bytes, Path]:
     """The name of the source, its text, and the folder that paths in it start from."""
-    said = str(path_or_name)
-    path = folder / said
-    if isinstance(path_or_name, str) and Path(said).name == said and path.suffix not in (".toml", ".json"):
+    name = str(path_or_name)
+    path = folder / name
+    if isinstance(path_or_name, str) and Path(name).name == name and path.suffix not in (".toml", ".json"):
         known = shipped()
-        if said in known:
-            return said, known[said], Path.cwd()
+        if name in known:
+            return name, known[name], Path.cwd()
         if not path.is_file():
-            meant = units.closest_name(said, list(known))
-            hint = f"did you mean {meant}?" if meant else "`flintridge lab list` names those that ship"
+            closest = units.closest_name(name, list(known))
+            hint = f"did you mean {closest}?" if closest else "`flintridge lab list` names those that ship"
             reason = f"no such scenario, and no such file; {hint}"
-            raise ConfigFaultsError([ConfigFault(said, "", UNSET, reason)])
+            raise ConfigFaultsError([ConfigFault(name, "", UNSET, reason)])
     return str(path), path.read_bytes(), path.parent
 
 
@@ -84,17 +87,17 @@
                 yield entry.name.removesuffix(".toml"), entry.read_bytes()
 
 
-def _place_trace(raw: dict[str, Any], folder: Path) -> None:
-    """A trace is named from where its file lies, whatever stands upon that file from elsewhere."""
+def _resolve_trace(raw: dict[str, Any], folder: Path) -> None:
+    """Make a trace's path absolute, from the folder of the file that names it."""
     load = raw.get("load")
     if isinstance(load, dict) and isinstance(load.get("trace"), str) and load["trace"]:
         load["trace"] = str((folder / load["trace"]).absolute())
 
 
-def _laid(over: dict[str, Any], under: dict[str, Any]) -> dict[str, Any]:
-    whole = dict(under)
+def _merged(over: dict[str, Any], under: dict[str, Any]) -> dict[str, Any]:
+    merged = dict(under)
     for name, value in over.items():
-        held = whole.get(name)
-        tables = isinstance(value, dict) and isinstance(held, dict)
-        whole[name] = _laid(value, held or {}) if tables else value
-    return whole
+        below = merged.get(name)
+        are_tables = isinstance(value, dict) and isinstance(below, dict)
+        merged[name] = _merged(value, below or {}) if are_tables else value
+    return merged
--- a/flintridge/lab/seeds.py
+++ b/flintridge/lab/seeds.py
@@ -1,9 +1,11 @@
-"""All randomness of a run from one seed, by name: what one part draws never moves what another one gets."""
+"""All randomness of a run from one seed, by name: what one part draws never changes another's draws."""
 
 import random
 
 
 class Seeds:
+    """Random generators by name, all from one seed."""
+
     def __init__(self, seed: int) -> None:
         self.seed = seed
 
--- a/tests/config/test_decoding.py
+++ b/tests/config/test_decoding.py
@@ -15,7 +15,7 @@
 from flintridge.lab.scenario.load import dump, load
 from flintridge.lab.scenario.model import Scenario
 
-SCENARIO = tomllib.loads(dump(load("catastrophe"), whole=True))
+SCENARIO = tomllib.loads(dump(load("catastrophe"), with_defaults=True))
 
 
 def test_decode_when_a_file_has_many_faults_then_reports_each_with_path_value_and_what_is_allowed():
--- a/tests/test_lab_scenario.py
+++ b/tests/lab/scenario/test_scenario_files.py
@@ -6,12 +6,12 @@
 from flintridge.lab.scenario.load import dump, load, names
 
 
-@pytest.mark.parametrize("whole", [False, True])
-def test_shipped_scenario_when_dumped_and_loaded_then_is_the_same(tmp_path, whole):
+@pytest.mark.parametrize("with_defaults", [False, True])
+def test_shipped_scenario_when_dumped_and_loaded_then_is_the_same(tmp_path, with_defaults):
     for name, about in names().items():
         assert about
         scenario = load(name)
-        (tmp_path / "day.toml").write_text(dump(scenario, whole=whole))
+        (tmp_path / "day.toml").write_text(dump(scenario, with_defaults=with_defaults))
         assert scenario.name == name
         assert load(tmp_path / "day.toml") == scenario
 
