--- a/flintridge/cli/budgets.py
+++ b/flintridge/cli/budgets.py
@@ -8,7 +8,7 @@
 import click
 
 from flintridge.cli.calls import call
-from flintridge.cli.exits import BROKEN, Wrong
+from flintridge.cli.exits import CommandError, ExitCode
 
 PATH = "/admin/budgets"
 COLUMNS = ("budget", "whole", "even part", "used", "unit", "own", "lent", "borrowed", "usable", "need")
@@ -64,15 +64,17 @@
         verdict = "over again" if terms in broken else "not over now: a loan moved between the looks"
         _tell(f"{terms.budget}: {verdict}, {again.get(terms, 0):g} of {terms.parts} even parts")
     if broken:
-        sys.exit(BROKEN)
+        sys.exit(ExitCode.FINDING)
 
 
 def _look(address: str) -> dict[str, Any]:
     status, said = call(address, PATH)
     if status == 404:
-        raise Wrong(f"{address}: that node shares no budgets: its configuration has no table [budgets]")
+        raise CommandError(
+            f"{address}: that node shares no budgets: its configuration has no table [budgets]"
+        )
     if status != 200:
-        raise Wrong(f"{address}: {said.get('error', status)}")
+        raise CommandError(f"{address}: {said.get('error', status)}")
     return said
 
 
--- a/flintridge/cli/check.py
+++ b/flintridge/cli/check.py
@@ -4,8 +4,7 @@
 
 import click
 
-from flintridge.cli.exits import Wrong
-from flintridge.config.faults import ConfigFaultsError
+from flintridge.cli.exits import FileFaults
 
 
 @click.command
@@ -28,26 +27,21 @@
         return
     if not files:
         raise click.UsageError("name a FILE to check, or --schema")
-    faulty = []
+    faults = FileFaults()
     for file in files:
-        try:
-            click.echo(_sound(file, scenario))
-        except ConfigFaultsError as faults:
-            faulty.append(str(faults))
-        except OSError as error:
-            faulty.append(f"{file}: {error.strerror or error}")
-    if faulty:
-        raise Wrong("\n".join(faulty))
+        with faults.collected(file):
+            click.echo(_sound_line(file, scenario))
+    faults.raise_collected()
 
 
-def _sound(file: str, scenario: bool) -> str:
+def _sound_line(file: str, scenario: bool) -> str:
     """The line for a sound file. Raises ConfigFaultsError, OSError."""
     if scenario:
         from flintridge.lab.scenario.load import load
 
-        day = load(file)
-        parts = f"{day.length_s:g} s, {day.nodes.count} nodes, {len(day.faults)} faults"
-        return f"{file}: sound: scenario {day.name}, {parts}"
+        loaded = load(file)
+        content = f"{loaded.length_s:g} s, {loaded.nodes.count} nodes, {len(loaded.faults)} faults"
+        return f"{file}: sound: scenario {loaded.name}, {content}"
     from flintridge.config.check import check_file
 
     return f"{file}: sound: {check_file(file)}"
--- a/flintridge/cli/completion.py
+++ b/flintridge/cli/completion.py
@@ -3,7 +3,7 @@
 import click
 from click.shell_completion import get_completion_class
 
-from flintridge.cli.exits import Wrong
+from flintridge.cli.exits import CommandError
 
 
 @click.command
@@ -21,5 +21,5 @@
 
     kind = get_completion_class(shell)
     if kind is None:  # guards against a click that no longer knows one of them
-        raise Wrong(f"{shell}: no completion for it")
+        raise CommandError(f"{shell}: no completion for it")
     click.echo(kind(main, {}, "flintridge", "_FLINTRIDGE_COMPLETE").source())
--- a/flintridge/cli/lab.py
+++ b/flintridge/cli/lab.py
@@ -2,17 +2,21 @@
 
 import click
 
-from flintridge.cli.lazy import Lazy, LazyGroup
+from flintridge.cli.lazy import LazyCommand, LazyGroup
 
 COMMANDS = {
-    "list": Lazy("flintridge.cli.lab_list", "List the scenarios that ship with the lab."),
-    "show": Lazy("flintridge.cli.lab_show", "Print a scenario as TOML, to read or to start one's own from."),
-    "run": Lazy("flintridge.cli.lab_run", "Play one day and judge it."),
-    "compare": Lazy("flintridge.cli.lab_compare", "Play two variants under the same seeds."),
-    "sweep": Lazy("flintridge.cli.lab_sweep", "Play a day over the values of a parameter."),
-    "search": Lazy("flintridge.cli.lab_search", "Draw random days and keep those that go wrong."),
-    "shrink": Lazy("flintridge.cli.lab_shrink", "Cut a day that goes wrong to the least that still does."),
-    "report": Lazy("flintridge.cli.lab_report", "Write the report of a run that was saved as JSON."),
+    "list": LazyCommand("flintridge.cli.lab_list", "List the scenarios that ship with the lab."),
+    "show": LazyCommand(
+        "flintridge.cli.lab_show", "Print a scenario as TOML, to read or to start one's own from."
+    ),
+    "run": LazyCommand("flintridge.cli.lab_run", "Play one day and judge it."),
+    "compare": LazyCommand("flintridge.cli.lab_compare", "Play two variants under the same seeds."),
+    "sweep": LazyCommand("flintridge.cli.lab_sweep", "Play a day over the values of a parameter."),
+    "search": LazyCommand("flintridge.cli.lab_search", "Draw random days and keep those that go wrong."),
+    "shrink": LazyCommand(
+        "flintridge.cli.lab_shrink", "Cut a day that goes wrong to the least that still does."
+    ),
+    "report": LazyCommand("flintridge.cli.lab_report", "Write the report of a run that was saved as JSON."),
 }
 
 
--- a/flintridge/cli/lab_compare.py
+++ b/flintridge/cli/lab_compare.py
@@ -1,12 +1,21 @@
 """`flintridge lab compare`."""
 
-import sys
 from pathlib import Path
+from typing import TYPE_CHECKING
 
 import click
 
-from flintridge.cli.exits import BROKEN, Wrong
-from flintridge.cli.lab_shared import claim, jobs_option, json_option, report_option, seeds_of, seeds_option
+from flintridge.cli.exits import CommandError, exit_unless
+from flintridge.cli.lab_shared import (
+    check_outputs,
+    jobs_option,
+    json_option,
+    report_option,
+    seeds_of,
+    seeds_option,
+    write_json,
+    write_text,
+)
 from flintridge.cli.options import (
     ScenarioName,
     backend_option,
@@ -16,6 +25,9 @@
     set_option,
 )
 
+if TYPE_CHECKING:  # what the command needs is imported when it runs
+    from flintridge.lab.experiment.compare import Comparison
+
 
 @click.command
 @scenario_argument
@@ -59,20 +71,14 @@
       flintridge lab compare calm zone-loss --seeds 20 --report loss.html
       flintridge lab compare calm --tree ../old-checkout
     """
-    claim([json_file, report], force)
-    from flintridge.lab.experiment import output
+    check_outputs([json_file, report], force)
     from flintridge.lab.experiment.compare import Side, as_json, compare
-    from flintridge.lab.experiment.worker import NoTree, check_tree
     from flintridge.lab.report import tables
     from flintridge.lab.scenario.load import load
 
     if other is None and tree is None and tuple(of_a) == tuple(of_b):
         raise click.UsageError("A and B are the same: name OTHER, --a, --b or --tree")
-    if tree is not None:
-        try:
-            check_tree(tree)
-        except NoTree as error:
-            raise Wrong(str(error)) from error
+    _check_tree(tree)
     b_name = other or scenario
     a = Side(label=_label(scenario, of_a), scenario=load(scenario, [*overrides, *of_a]))
     b = Side(
@@ -80,20 +86,34 @@
         scenario=load(b_name, [*overrides, *of_b]),
         tree="" if tree is None else str(tree.resolve()),
     )
-    found = compare(a, b, seeds_of(seed, count), backend=backend, workers=workers, show=True)
-    if json_file is not None:
-        output.write(json_file, output.json_text(as_json(found)))
-    if report is not None:
-        from flintridge.lab.report.html import compare_report
+    comparison = compare(a, b, seeds_of(seed, count), backend=backend, workers=workers, show=True)
+    write_json(json_file, lambda: as_json(comparison))
+    write_text(report, lambda: _report(comparison))
+    tables.print_compare(comparison)
+    exit_unless(comparison.sound)
+
+
+def _report(comparison: "Comparison") -> str:
+    from flintridge.lab.report.html import compare_report
+
+    return compare_report(comparison)
+
+
+def _check_tree(tree: Path | None) -> None:
+    """Raises CommandError for a folder that holds no node to play."""
+    if tree is None:
+        return
+    from flintridge.lab.experiment.worker import NoTree, check_tree
 
-        output.write(report, compare_report(found))
-    tables.print_compare(found)
-    if not found.sound:
-        sys.exit(BROKEN)
+    try:
+        check_tree(tree)
+    except NoTree as error:
+        raise CommandError(str(error)) from error
 
 
 def _label(name: str, changes: tuple[str, ...], tree: Path | None = None) -> str:
-    parts = [name, *changes]
+    """How the tables name a side: its scenario and what differs."""
+    words = [name, *changes]
     if tree is not None:
-        parts.append(f"node of {tree.name or tree}")
-    return " ".join(parts)
+        words.append(f"node of {tree.name or tree}")
+    return " ".join(words)
--- a/flintridge/cli/lab_list.py
+++ b/flintridge/cli/lab_list.py
@@ -21,5 +21,5 @@
         click.echo(json.dumps(shipped, indent=2))
         return
     width = max(map(len, shipped), default=0)
-    for name, about in shipped.items():
-        click.echo(f"{name:{width}}  {about}".rstrip())
+    for name, summary in shipped.items():
+        click.echo(f"{name:{width}}  {summary}".rstrip())
--- a/flintridge/cli/lab_report.py
+++ b/flintridge/cli/lab_report.py
@@ -4,8 +4,8 @@
 
 import click
 
-from flintridge.cli.exits import Wrong
-from flintridge.cli.lab_shared import claim
+from flintridge.cli.exits import CommandError
+from flintridge.cli.lab_shared import check_outputs
 from flintridge.cli.options import ScenarioName, force_option
 
 
@@ -26,17 +26,17 @@
     """
     out = saved.with_suffix(".html") if out is None else out
     data = saved.read_bytes()
-    claim([out], force)
+    check_outputs([out], force)
     import msgspec
 
     from flintridge.lab.experiment import output
     from flintridge.lab.report.html import of_json
     from flintridge.lab.scenario.load import dump, load
 
-    day = None if scenario is None else load(scenario)
+    loaded = None if scenario is None else load(scenario)
     try:
-        page = of_json(data, day, "" if day is None else dump(day))
+        page = of_json(data, loaded, "" if loaded is None else dump(loaded))
     except (msgspec.MsgspecError, ValueError) as error:
-        raise Wrong(f"{saved}: is no result of the lab: {error}") from error
+        raise CommandError(f"{saved}: is no result of the lab: {error}") from error
     output.write(out, page)
     click.echo(out)
--- a/flintridge/cli/lab_run.py
+++ b/flintridge/cli/lab_run.py
@@ -2,13 +2,26 @@
 
 import sys
 from pathlib import Path
+from typing import TYPE_CHECKING
 
 import click
 
-from flintridge.cli.exits import BROKEN
-from flintridge.cli.lab_shared import claim, json_option, report_option
+from flintridge.cli.exits import ExitCode, exit_unless
+from flintridge.cli.lab_shared import (
+    check_outputs,
+    defect_option,
+    json_option,
+    path_option,
+    report_option,
+    write_json,
+    write_text,
+)
 from flintridge.cli.options import backend_option, force_option, scenario_argument, seed_option, set_option
 
+if TYPE_CHECKING:  # what the command needs is imported when it runs
+    from flintridge.lab.result import Result
+    from flintridge.lab.scenario.model import Scenario
+
 
 @click.command
 @scenario_argument
@@ -17,17 +30,9 @@
 @set_option
 @json_option
 @report_option
-@click.option(
-    "--events",
-    type=click.Path(path_type=Path),
-    help="Write all that was seen to this file, a JSON line each.",
-)
-@click.option(
-    "--trace",
-    type=click.Path(path_type=Path),
-    help="Write the requests to this file, for another day to replay (load.trace).",
-)
-@click.option("--defect", hidden=True, help="Plant a defect of flintridge.lab.defects in every node.")
+@path_option("--events", help_text="Write all that was seen to this file, a JSON line each.")
+@path_option("--trace", help_text="Write the requests to this file, for another day to replay (load.trace).")
+@defect_option
 @force_option
 def command(
     scenario: str,
@@ -51,54 +56,80 @@
       flintridge lab run mine.toml --seed 3 --report day.html
       flintridge lab run calm --set load.rate_per_s=300 --json day.json --events day.jsonl
     """
-    claim([json_file, report, events, trace], force)
-    from flintridge.lab.experiment import output
+    check_outputs([json_file, report, events, trace], force)
     from flintridge.lab.experiment.jobs import Job, JobFailed
     from flintridge.lab.experiment.pool import run_one
     from flintridge.lab.experiment.stats import faults_of
     from flintridge.lab.report import tables
     from flintridge.lab.result import as_json
-    from flintridge.lab.scenario.load import dump, load
-
-    day = load(scenario, list(overrides))
-    _known(defect, backend)
-    # To files beside them first: a run that ends early must not leave half a one under the name asked for.
-    asked = {"events": events, "trace": trace}
-    parts = {name: path.with_name(f".{path.name}.part") for name, path in asked.items() if path is not None}
-    for part in parts.values():
-        part.unlink(missing_ok=True)
-    words = {name: str(part.resolve()) for name, part in parts.items()}
+    from flintridge.lab.scenario.load import load
+
+    loaded = load(scenario, list(overrides))
+    _check_defect(defect, backend)
+    events_output = _PartialOutput(events)
+    trace_output = _PartialOutput(trace)
     outcome = run_one(
         Job(
-            scenario=day,
+            scenario=loaded,
             seed=seed,
             backend=backend,
             defect=defect,
-            events=words.get("events"),
-            trace=words.get("trace"),
+            events=events_output.name,
+            trace=trace_output.name,
         )
     )
     if isinstance(outcome, JobFailed):
-        for part in parts.values():
-            part.unlink(missing_ok=True)
+        events_output.discard()
+        trace_output.discard()
         tables.print_failure(outcome)
-        sys.exit(BROKEN)
-    for name, part in parts.items():
-        if part.exists():
-            part.replace(asked[name] or part)
-    if json_file is not None:
-        output.write(json_file, output.json_text(as_json(outcome)))
-    if report is not None:
-        from flintridge.lab.report.html import run_report
-
-        output.write(report, run_report(outcome, day, dump(day)))
-    unsound = faults_of(outcome, day.expect)
-    tables.print_run(outcome, unsound, day.expect.breaks)
-    if unsound:
-        sys.exit(BROKEN)
-
-
-def _known(defect: str | None, backend: str) -> None:
+        sys.exit(ExitCode.FINDING)
+    result = outcome
+    events_output.publish()
+    trace_output.publish()
+    write_json(json_file, lambda: as_json(result))
+    write_text(report, lambda: _report(result, loaded))
+    unsound = faults_of(result, loaded.expect)
+    tables.print_run(result, unsound, loaded.expect.breaks)
+    exit_unless(not unsound)
+
+
+class _PartialOutput:
+    """A file that the run writes under another name beside the one that was asked for.
+
+    Guards against a run that ends early and leaves half a file under that name.
+    """
+
+    def __init__(self, target: Path | None) -> None:
+        """Remove what an earlier run left; nothing to do for a file that was not asked for."""
+        self._target = target
+        self._part = None if target is None else target.with_name(f".{target.name}.part")
+        self.discard()
+
+    @property
+    def name(self) -> str | None:
+        """The file that the run is to write, absolute."""
+        return None if self._part is None else str(self._part.resolve())
+
+    def discard(self) -> None:
+        """Remove what was written."""
+        if self._part is not None:
+            self._part.unlink(missing_ok=True)
+
+    def publish(self) -> None:
+        """Give what was written the name that was asked for."""
+        if self._target is not None and self._part is not None and self._part.exists():
+            self._part.replace(self._target)
+
+
+def _report(result: "Result", scenario: "Scenario") -> str:
+    from flintridge.lab.report.html import run_report
+    from flintridge.lab.scenario.load import dump
+
+    return run_report(result, scenario, dump(scenario))
+
+
+def _check_defect(defect: str | None, backend: str) -> None:
+    """Raises BadParameter for a defect that is not known, or cannot be planted in this backend."""
     if defect is None:
         return
     from flintridge.lab.defects import DEFECTS
--- a/flintridge/cli/lab_search.py
+++ b/flintridge/cli/lab_search.py
@@ -1,21 +1,24 @@
 """`flintridge lab search`."""
 
-import sys
 from pathlib import Path
+from typing import TYPE_CHECKING
 
 import click
 
-from flintridge.cli.exits import BROKEN, Wrong
-from flintridge.cli.lab_shared import claim, jobs_option, path_option, report_option
+from flintridge.cli.exits import CommandError, exit_unless
+from flintridge.cli.lab_shared import check_outputs, jobs_option, path_option, report_option, write_text
 from flintridge.cli.options import backend_option, force_option, seed_option
 
+if TYPE_CHECKING:  # what the command needs is imported when it runs
+    from flintridge.lab.experiment.search import Search
+
 
 @click.command
 @click.option(
     "--runs", type=click.IntRange(1, 1_000_000), default=100, show_default=True, help="Days to draw."
 )
 @seed_option
-@path_option("--out", told="Folder for what is found.", required=True)
+@path_option("--out", help_text="Folder for what is found.", required=True)
 @click.option(
     "--minutes", type=click.FloatRange(min=0, min_open=True), help="Begin no more days after so long."
 )
@@ -53,14 +56,13 @@
       flintridge lab search --runs 5000 --seed 8 --minutes 60 --out night
       flintridge lab shrink found/kept/found-7-000042.toml --seed 123 --out small.toml
     """
-    claim([report], force)
-    from flintridge.lab.experiment import output
+    check_outputs([report], force)
     from flintridge.lab.experiment.search import BadDirectory, search
     from flintridge.lab.report import tables
     from flintridge.lab.scenario.load import dump
 
     try:
-        found = search(
+        result = search(
             out,
             runs=runs,
             seed=seed,
@@ -72,11 +74,13 @@
             show=True,
         )
     except BadDirectory as error:
-        raise Wrong(str(error)) from error
-    if report is not None:
-        from flintridge.lab.report.html import search_report
+        raise CommandError(str(error)) from error
+    write_text(report, lambda: _report(result))
+    tables.print_search(result, str(out))
+    exit_unless(result.sound)
+
+
+def _report(result: "Search") -> str:
+    from flintridge.lab.report.html import search_report
 
-        output.write(report, search_report(found))
-    tables.print_search(found, str(out))
-    if not found.sound:
-        sys.exit(BROKEN)
+    return search_report(result)
--- a/flintridge/cli/lab_show.py
+++ b/flintridge/cli/lab_show.py
@@ -8,8 +8,10 @@
 @click.command
 @scenario_argument
 @set_option
-@click.option("--all", "whole", is_flag=True, help="Print every value, those left at their defaults too.")
-def command(scenario: str, overrides: tuple[str, ...], whole: bool) -> None:
+@click.option(
+    "--all", "with_defaults", is_flag=True, help="Print every value, those left at their defaults too."
+)
+def command(scenario: str, overrides: tuple[str, ...], with_defaults: bool) -> None:
     """Print SCENARIO, a file or the name of a shipped one, as TOML: to read, or to start one's own from.
 
     \b
@@ -19,4 +21,4 @@
     """
     from flintridge.lab.scenario.load import dump, load
 
-    click.echo(dump(load(scenario, list(overrides)), whole=whole), nl=False)
+    click.echo(dump(load(scenario, list(overrides)), whole=with_defaults), nl=False)
--- a/flintridge/cli/lab_shrink.py
+++ b/flintridge/cli/lab_shrink.py
@@ -1,13 +1,25 @@
 """`flintridge lab shrink`."""
 
 from pathlib import Path
+from typing import TYPE_CHECKING
 
 import click
 
-from flintridge.cli.exits import Wrong
-from flintridge.cli.lab_shared import claim, jobs_option, json_option, path_option
+from flintridge.cli.exits import CommandError
+from flintridge.cli.lab_shared import (
+    check_outputs,
+    defect_option,
+    jobs_option,
+    json_option,
+    path_option,
+    write_json,
+    write_text,
+)
 from flintridge.cli.options import backend_option, force_option, scenario_argument, seed_option, set_option
 
+if TYPE_CHECKING:  # what the command needs is imported when it runs
+    from flintridge.lab.experiment.shrink import Predicate, Step
+
 
 @click.command
 @scenario_argument
@@ -19,14 +31,21 @@
 @click.option(
     "--budget", type=click.IntRange(2, 100_000), default=500, show_default=True, help="Runs at most."
 )
-@click.option("--tries", type=click.IntRange(1, 100), default=3, show_default=True, help="Seeds a candidate.")
-@path_option("--out", told="File for the scenario found.", required=True)
-@path_option("--log", told="Write every step to this file.")
+@click.option(
+    "--tries",
+    "seeds_a_candidate",
+    type=click.IntRange(1, 100),
+    default=3,
+    show_default=True,
+    help="Seeds a candidate.",
+)
+@path_option("--out", help_text="File for the scenario found.", required=True)
+@path_option("--log", help_text="Write every step to this file.")
 @click.option("--limit", "limit_s", type=click.FloatRange(min=1), help="Seconds that a run may take.")
 @backend_option
 @jobs_option
 @json_option
-@click.option("--defect", hidden=True, help="Plant a defect of flintridge.lab.defects in every node.")
+@defect_option
 @force_option
 def command(
     scenario: str,
@@ -36,7 +55,7 @@
     goodput_under: float | None,
     unfinished: bool,
     budget: int,
-    tries: int,
+    seeds_a_candidate: int,
     out: Path,
     log: Path | None,
     limit_s: float | None,
@@ -57,57 +76,62 @@
       flintridge lab shrink day.toml --rule drain --out small.toml --log steps.txt
       flintridge lab shrink day.toml --goodput-under 0.6 --out small.toml
     """
-    if (rule is not None) + (goodput_under is not None) + unfinished > 1:
-        raise click.UsageError("one of --rule, --goodput-under and --unfinished")
-    claim([out, log, json_file], force)
+    _check_one_goal(rule, goodput_under, unfinished)
+    check_outputs([out, log, json_file], force)
     import msgspec
 
-    from flintridge.lab.experiment import output
-    from flintridge.lab.experiment.shrink import (
-        Breaks,
-        DoesNotFail,
-        Predicate,
-        Step,
-        Under,
-        Unfinished,
-        shrink,
-    )
+    from flintridge.lab.experiment.shrink import DoesNotFail, shrink
     from flintridge.lab.report import tables
     from flintridge.lab.scenario.load import dump, load
 
-    predicate: Predicate | None = None
-    if rule is not None:
-        predicate = Breaks(rule)
-    elif goodput_under is not None:
-        predicate = Under(goodput_under)
-    elif unfinished:
-        predicate = Unfinished()
-
-    def told(step: Step) -> None:
-        if step.taken:
-            click.echo(f"{step.number:5d}  {step.text}", err=True)
-
-    day = load(scenario, list(overrides))
+    failing = load(scenario, list(overrides))
     try:
-        found = shrink(
-            day,
+        shrunk = shrink(
+            failing,
             seed,
-            predicate,
+            _predicate(rule, goodput_under, unfinished),
             budget=budget,
-            tries=tries,
+            tries=seeds_a_candidate,
             backend=backend,
             defect=defect,
             workers=workers,
-            on_step=told,
+            on_step=_print_step,
             limit_s=limit_s,
         )
     except DoesNotFail as error:
-        raise Wrong(f"{scenario}: {error}") from error
-    output.write(out, dump(found.scenario))
-    if log is not None:
-        lines = [f"{s.number:5d}  {'taken' if s.taken else '-':5}  {s.text}\n" for s in found.steps]
-        output.write(log, "".join(lines))
-    if json_file is not None:
-        output.write(json_file, output.json_text(msgspec.to_builtins(found)))
-    tables.print_shrunk(found)
-    click.echo(f"play it: flintridge lab run {out} --seed {found.seed}")
+        raise CommandError(f"{scenario}: {error}") from error
+    write_text(out, lambda: dump(shrunk.scenario))
+    write_text(log, lambda: "".join(map(_log_line, shrunk.steps)))
+    write_json(json_file, lambda: msgspec.to_builtins(shrunk))
+    tables.print_shrunk(shrunk)
+    click.echo(f"play it: flintridge lab run {out} --seed {shrunk.seed}")
+
+
+def _check_one_goal(rule: str | None, goodput_under: float | None, unfinished: bool) -> None:
+    """Raises UsageError where more than one option says what has to stay wrong."""
+    goals = [rule is not None, goodput_under is not None, unfinished]
+    if goals.count(True) > 1:
+        raise click.UsageError("one of --rule, --goodput-under and --unfinished")
+
+
+def _predicate(rule: str | None, goodput_under: float | None, unfinished: bool) -> "Predicate | None":
+    """What has to stay wrong, by the options; None for the rule that is broken most."""
+    from flintridge.lab.experiment.shrink import Breaks, Under, Unfinished
+
+    if rule is not None:
+        return Breaks(rule)
+    if goodput_under is not None:
+        return Under(goodput_under)
+    if unfinished:
+        return Unfinished()
+    return None
+
+
+def _print_step(step: "Step") -> None:
+    if step.taken:
+        click.echo(f"{step.number:5d}  {step.text}", err=True)
+
+
+def _log_line(step: "Step") -> str:
+    outcome = "taken" if step.taken else "-"
+    return f"{step.number:5d}  {outcome:5}  {step.text}\n"
--- a/flintridge/cli/lab_sweep.py
+++ b/flintridge/cli/lab_sweep.py
@@ -1,14 +1,27 @@
 """`flintridge lab sweep`."""
 
-import sys
 from pathlib import Path
+from typing import TYPE_CHECKING
 
 import click
 
-from flintridge.cli.exits import BROKEN, Wrong
-from flintridge.cli.lab_shared import claim, jobs_option, json_option, report_option, seeds_of, seeds_option
+from flintridge.cli.exits import CommandError, exit_unless
+from flintridge.cli.lab_shared import (
+    check_outputs,
+    jobs_option,
+    json_option,
+    path_option,
+    report_option,
+    seeds_of,
+    seeds_option,
+    write_json,
+    write_text,
+)
 from flintridge.cli.options import backend_option, force_option, scenario_argument, seed_option, set_option
 
+if TYPE_CHECKING:  # what the command needs is imported when it runs
+    from flintridge.lab.experiment.sweep import Sweep
+
 
 @click.command
 @scenario_argument
@@ -19,7 +32,7 @@
 @backend_option
 @jobs_option
 @json_option
-@click.option("--csv", "csv_file", type=click.Path(path_type=Path), help="Write a line a point to this file.")
+@path_option("--csv", "csv_file", help_text="Write a line a point to this file.")
 @report_option
 @force_option
 def command(
@@ -45,14 +58,13 @@
       flintridge lab sweep calm load.rate_per_s=50:400:8 --report load.html
       flintridge lab sweep calm nodes.count=1,2,4 load.shape=flat,bursty --seeds 3 --csv nodes.csv
     """
-    claim([json_file, csv_file, report], force)
-    from flintridge.lab.experiment import output
+    check_outputs([json_file, csv_file, report], force)
     from flintridge.lab.experiment.sweep import BadSweep, as_csv, as_json, parameter, sweep
     from flintridge.lab.report import tables
     from flintridge.lab.scenario.load import load
 
     try:
-        found = sweep(
+        swept = sweep(
             scenario,
             [parameter(text) for text in parameters],
             lambda values: load(scenario, [*overrides, *values]),
@@ -62,15 +74,15 @@
             show=True,
         )
     except BadSweep as error:
-        raise Wrong(str(error)) from error
-    if json_file is not None:
-        output.write(json_file, output.json_text(as_json(found)))
-    if csv_file is not None:
-        output.write(csv_file, as_csv(found))
-    if report is not None:
-        from flintridge.lab.report.html import sweep_report
+        raise CommandError(str(error)) from error
+    write_json(json_file, lambda: as_json(swept))
+    write_text(csv_file, lambda: as_csv(swept))
+    write_text(report, lambda: _report(swept))
+    tables.print_sweep(swept)
+    exit_unless(swept.sound)
+
+
+def _report(swept: "Sweep") -> str:
+    from flintridge.lab.report.html import sweep_report
 
-        output.write(report, sweep_report(found))
-    tables.print_sweep(found)
-    if not found.sound:
-        sys.exit(BROKEN)
+    return sweep_report(swept)
--- a/flintridge/cli/lazy.py
+++ b/flintridge/cli/lazy.py
@@ -7,31 +7,40 @@
 
 import click
 
-from flintridge.cli.exits import told
+from flintridge.cli.exits import errors_as_lines
 
 
-class Lazy(NamedTuple):
-    """A command: `module` holds it as `command`. `about` is its line in the group's help."""
+class LazyCommand(NamedTuple):
+    """A command of a group.
+
+    Attributes:
+        module: The module that holds it as `command`.
+        summary: Its line in the group's help.
+    """
 
     module: str
-    about: str
+    summary: str
 
 
 class LazyGroup(click.Group):
     """A group from a table; a command whose module is not there is not listed."""
 
-    def __init__(self, *args: object, table: Mapping[str, Lazy] | None = None, **named: object) -> None:
+    def __init__(
+        self, *args: object, table: Mapping[str, LazyCommand] | None = None, **named: object
+    ) -> None:
         super().__init__(*args, **named)  # type: ignore[arg-type]  # passed on as they came
         self.table = dict(table or {})
 
     def list_commands(self, ctx: click.Context) -> list[str]:
+        """The names of those whose module is there, in the order of the table."""
         return [name for name, lazy in self.table.items() if find_spec(lazy.module)]
 
     def get_command(self, ctx: click.Context, cmd_name: str) -> click.Command | None:
+        """Import and return a command, or None for one that is not in the table."""
         lazy = self.table.get(cmd_name)
         if lazy is None or not find_spec(lazy.module):
             return None
-        with told():
+        with errors_as_lines():
             command = import_module(lazy.module).command
         assert isinstance(command, click.Command)
         return command
@@ -40,8 +49,9 @@
         """From the table: help must not import what the commands need."""
         names = self.list_commands(ctx)
         with formatter.section("Commands"):
-            formatter.write_dl([(name, self.table[name].about) for name in names])
+            formatter.write_dl([(name, self.table[name].summary) for name in names])
 
     def invoke(self, ctx: click.Context) -> object:
-        with told():
+        """Run the command, its errors as lines."""
+        with errors_as_lines():
             return super().invoke(ctx)
--- a/flintridge/cli/main.py
+++ b/flintridge/cli/main.py
@@ -3,17 +3,23 @@
 import click
 
 from flintridge.cli import VERSION
-from flintridge.cli.lazy import Lazy, LazyGroup
+from flintridge.cli.lazy import LazyCommand, LazyGroup
 
 COMMANDS = {
-    "run": Lazy("flintridge.cli.run", "Start a node from its configuration file."),
-    "check": Lazy("flintridge.cli.check", "Tell every fault of a configuration or scenario file."),
-    "lab": Lazy("flintridge.cli.lab", "Play days of a whole fleet round the real node, and judge them."),
-    "peers": Lazy("flintridge.cli.peers", "Which other nodes a running node hears, and how well."),
-    "state": Lazy("flintridge.cli.state", "Holds, quotas, stops and notes that all nodes hold."),
-    "budgets": Lazy("flintridge.cli.budgets", "What a running node holds of the fleet's budgets, and lends."),
-    "ring": Lazy("flintridge.cli.ring", "Who holds which keys, what a change moves, why a key goes where."),
-    "completion": Lazy("flintridge.cli.completion", "Print the completion script of a shell."),
+    "run": LazyCommand("flintridge.cli.run", "Start a node from its configuration file."),
+    "check": LazyCommand("flintridge.cli.check", "Tell every fault of a configuration or scenario file."),
+    "lab": LazyCommand(
+        "flintridge.cli.lab", "Play days of a whole fleet round the real node, and judge them."
+    ),
+    "peers": LazyCommand("flintridge.cli.peers", "Which other nodes a running node hears, and how well."),
+    "state": LazyCommand("flintridge.cli.state", "Holds, quotas, stops and notes that all nodes hold."),
+    "budgets": LazyCommand(
+        "flintridge.cli.budgets", "What a running node holds of the fleet's budgets, and lends."
+    ),
+    "ring": LazyCommand(
+        "flintridge.cli.ring", "Who holds which keys, what a change moves, why a key goes where."
+    ),
+    "completion": LazyCommand("flintridge.cli.completion", "Print the completion script of a shell."),
 }
 
 
--- a/flintridge/cli/peers.py
+++ b/flintridge/cli/peers.py
@@ -7,7 +7,7 @@
 import click
 
 from flintridge.cli.calls import call
-from flintridge.cli.exits import BROKEN, Wrong
+from flintridge.cli.exits import CommandError, ExitCode
 
 PATH = "/admin/peers"
 COLUMNS = ("name", "life", "state", "heard", "told", "round trip", "bytes in", "refused")
@@ -33,16 +33,16 @@
     for address in consoles:
         status, said = call(address, PATH)
         if status == 404:
-            raise Wrong(f"{address}: that node has no peers: its configuration has no table [peers]")
+            raise CommandError(f"{address}: that node has no peers: its configuration has no table [peers]")
         if status != 200:
-            raise Wrong(f"{address}: {said.get('error', status)}")
+            raise CommandError(f"{address}: {said.get('error', status)}")
         low |= least is not None and said["heard"] < least * said["of"]
         if as_json:
             click.echo(json.dumps(said))
         else:
             _print(said)
     if low:
-        sys.exit(BROKEN)
+        sys.exit(ExitCode.FINDING)
 
 
 def _print(said: dict[str, Any]) -> None:
--- a/flintridge/cli/ring.py
+++ b/flintridge/cli/ring.py
@@ -8,7 +8,7 @@
 
 import click
 
-from flintridge.cli.exits import Wrong, fresh
+from flintridge.cli.exits import CommandError, output_path
 from flintridge.cli.options import force_option
 
 if TYPE_CHECKING:  # what the commands need is imported when one of them runs
@@ -223,7 +223,7 @@
     try:
         place = position_of(key) >> 32
     except UnicodeEncodeError:  # guards against bytes of the command line that are no text
-        raise Wrong("KEY is not UTF-8 text") from None
+        raise CommandError("KEY is not UTF-8 text") from None
     order = list(steps(fleet, key))
     rows: list[Row] = [
         {
@@ -276,11 +276,11 @@
 
 
 def _of_zone(fleet: "Fleet", zone: str | None) -> "list[Cache]":
-    """Raises Wrong for a zone that no server on the ring is in."""
+    """Raises CommandError for a zone that no server on the ring is in."""
     found = [cache for cache in fleet.caches if zone is None or cache.zone == zone]
     if zone is not None and not found:
         there = ", ".join(map(repr, fleet.zones)) or "none"
-        raise Wrong(f"--zone {zone}: no server on the ring of {fleet.file} is in it; there: {there}")
+        raise CommandError(f"--zone {zone}: no server on the ring of {fleet.file} is in it; there: {there}")
     return found
 
 
@@ -297,7 +297,7 @@
 def _both(
     read: "Callable[[str, str | None], Fleet]", old: str, new: str, origin: str | None
 ) -> "tuple[Fleet, Fleet]":
-    """Both files, or the faults of both together. Raises Wrong."""
+    """Both files, or the faults of both together. Raises CommandError."""
     from flintridge.config.faults import ConfigFaultsError
 
     fleets, faults = [], []
@@ -309,7 +309,7 @@
         except OSError as error:
             faults.append(f"{file}: {error.strerror or error}")
     if faults:
-        raise Wrong("\n".join(faults))
+        raise CommandError("\n".join(faults))
     return fleets[0], fleets[1]
 
 
@@ -339,11 +339,11 @@
     """Tables and lines on standard output, or figures as JSON: into a file beside them, or instead (-)."""
 
     def __init__(self, json_file: str | None, force: bool) -> None:
-        """Raises Wrong, before any work, for a file that must not be written."""
+        """Raises CommandError, before any work, for a file that must not be written."""
         self._figures_only = json_file == "-"
         self._file: Path | None = None
         if json_file is not None and not self._figures_only:
-            self._file = fresh(json_file, force)
+            self._file = output_path(json_file, force)
 
     def told(self, figures: dict[str, Any]) -> None:
         text = json.dumps(figures, indent=2, ensure_ascii=False) + "\n"
--- a/flintridge/cli/state.py
+++ b/flintridge/cli/state.py
@@ -10,7 +10,7 @@
 import click
 
 from flintridge.cli.calls import call
-from flintridge.cli.exits import BROKEN, Wrong, told
+from flintridge.cli.exits import CommandError, ExitCode, errors_as_lines
 
 PATH = "/admin/state"
 LOOK_S = 0.1  # between two questions of who has a write
@@ -49,7 +49,7 @@
 
 class Told(click.Group):
     def invoke(self, ctx: click.Context) -> object:
-        with told():
+        with errors_as_lines():
             return super().invoke(ctx)
 
 
@@ -74,7 +74,7 @@
 def get(consoles: tuple[str, ...], as_json: bool, type_: str | None, name: str | None) -> None:
     """What a node holds: each entry, with what counts first."""
     if name is not None and type_ is None:
-        raise Wrong("--name: needs --type")
+        raise CommandError("--name: needs --type")
     asked = {"entries": "1"} | ({"type": type_} if type_ else {}) | ({"name": name} if name else {})
     for address in consoles:
         _show(address, asked, as_json)
@@ -89,7 +89,7 @@
     Exits with 1 where there is one. It ends when somebody who sees both writes again.
     """
     if any([_show(address, {"conflicts": "1"}, as_json) for address in consoles]):
-        sys.exit(BROKEN)
+        sys.exit(ExitCode.FINDING)
 
 
 @command.command("set")
@@ -114,9 +114,9 @@
     try:
         fields = json.loads(body)
     except ValueError as error:
-        raise Wrong(f"--body: is not JSON: {error}") from error
+        raise CommandError(f"--body: is not JSON: {error}") from error
     if not isinstance(fields, dict):
-        raise Wrong("--body: must be a JSON object")
+        raise CommandError("--body: must be a JSON object")
     _write(consoles, {"type": type_, "name": name, "body": fields, "delete": delete}, for_s, **more)
 
 
@@ -148,7 +148,7 @@
 def diff(consoles: tuple[str, ...], as_json: bool) -> None:
     """Whether several nodes hold the same; else what differs, and since when. Exits with 1 then."""
     if len(consoles) < 2:
-        raise Wrong("--console: two or more are compared")
+        raise CommandError("--console: two or more are compared")
     looks = [_ask(address, {"digests": "1"}) for address in consoles]
     rows: list[dict[str, Any]] = []
     for i, digests in enumerate(zip(*(look["digests"] for look in looks), strict=True)):
@@ -163,7 +163,7 @@
         for address, held in row["nodes"].items():
             click.echo(f"  {address}: {held}")
     if rows:
-        sys.exit(BROKEN)
+        sys.exit(ExitCode.FINDING)
 
 
 def _differ(consoles: tuple[str, ...], bucket: int) -> list[dict[str, Any]]:
@@ -187,9 +187,9 @@
 def _ask(address: str, asked: dict[str, str]) -> dict[str, Any]:
     status, said = call(address, f"{PATH}?{urlencode(asked)}")
     if status == 404:
-        raise Wrong(f"{address}: that node holds no state: its configuration has no table [state]")
+        raise CommandError(f"{address}: that node holds no state: its configuration has no table [state]")
     if status != 200:
-        raise Wrong(f"{address}: {said.get('error', status)}")
+        raise CommandError(f"{address}: {said.get('error', status)}")
     return said
 
 
@@ -251,20 +251,20 @@
         try:
             status, answer = call(address, PATH, "POST", body)
             break
-        except Wrong:
+        except CommandError:
             if i == len(consoles) - 1:
                 raise
     if status == 404:
-        raise Wrong(f"{address}: that node holds no state: its configuration has no table [state]")
+        raise CommandError(f"{address}: that node holds no state: its configuration has no table [state]")
     if status != 200:
-        raise Wrong(f"{address}: {answer.get('error', status)}")
+        raise CommandError(f"{address}: {answer.get('error', status)}")
     had = 1
     end = time.monotonic() + timeout
     while wait is not None and had < wait and time.monotonic() < end:
         time.sleep(LOOK_S)
         status, seen = call(address, f"{PATH}/had?write={answer['write']}")
         if status != 200 or seen["life"] != answer["life"]:
-            raise Wrong(f"{address}: that process has ended; who has the write is not known")
+            raise CommandError(f"{address}: that process has ended; who has the write is not known")
         had = seen["had"]
     if as_json:
         click.echo(json.dumps(answer | {"had": had}))
@@ -274,4 +274,4 @@
         click.echo(
             f"flintridge: {had} and not {wait} nodes have it after {timeout:g} s; it stays written", err=True
         )
-        sys.exit(BROKEN)
+        sys.exit(ExitCode.FINDING)
--- a/tests/cli/test_cli.py
+++ b/tests/cli/test_cli.py
@@ -12,9 +12,9 @@
 from click.testing import CliRunner
 from support.paths import ROOT
 
-from flintridge.cli.exits import Wrong, fresh, told
+from flintridge.cli.exits import CommandError, errors_as_lines, output_path
 from flintridge.cli.lab import COMMANDS as LAB
-from flintridge.cli.lazy import Lazy, LazyGroup
+from flintridge.cli.lazy import LazyCommand, LazyGroup
 from flintridge.cli.main import COMMANDS, main
 from flintridge.config.faults import ConfigFault, ConfigFaultsError
 
@@ -132,22 +132,22 @@
     def command():
         raise error
 
-    group = LazyGroup("flintridge", table={"go": Lazy("flintridge.cli.run", "")})
+    group = LazyGroup("flintridge", table={"go": LazyCommand("flintridge.cli.run", "")})
     group.get_command = lambda ctx, name: command
     done = CliRunner().invoke(group, ["go"])
     assert done.exit_code == code and f"flintridge: {line}" in done.stderr.splitlines()
-    with pytest.raises(ValueError, match="a fault of ours"), told():
+    with pytest.raises(ValueError, match="a fault of ours"), errors_as_lines():
         raise ValueError("a fault of ours stays a traceback")
 
 
 def test_nothing_is_overwritten_unasked(tmp_path):
     path = tmp_path / "out.json"
-    assert fresh(path) == path
+    assert output_path(path) == path
     path.touch()
-    assert fresh(path, force=True) == path
+    assert output_path(path, force=True) == path
     for wrong, said in ((path, "--force"), (tmp_path, "is a folder"), (tmp_path / "no" / "x", "no folder")):
-        with pytest.raises(Wrong, match=said):
-            fresh(wrong)
+        with pytest.raises(CommandError, match=said):
+            output_path(wrong)
 
 
 def run(*command: str, **env: str):
