--- a/flintridge/cli/ring_lists.py
+++ b/flintridge/cli/ring_lists.py
@@ -2,11 +2,12 @@
 
 from typing import Any, NamedTuple
 
+from flintridge.cli.exits import FileFaults
 from flintridge.config.decoding import decode_values, syntax_fault
 from flintridge.config.faults import UNSET, ConfigFault, ConfigFaultsError
 from flintridge.config.loader import is_node_format
+from flintridge.config.model import Known, NodeFile
 from flintridge.config.model import Listed as OwnListed
-from flintridge.config.model import NodeFile
 from flintridge.config.node_file_validation import validate_node_file
 from flintridge.config.platform_model import ListedServer, PlatformFile, ServerList, Settings
 from flintridge.config.platform_validation import validate_platform_file, validate_server_list
@@ -33,10 +34,11 @@
     file: str
     revision: int
     caches: tuple[Cache, ...]
-    off: dict[str, str]  # listed, but off the ring: the id and why
+    off_ring: dict[str, str]  # listed, but off the ring: the id and why
 
     @property
     def zones(self) -> list[str]:
+        """Those of the servers on the ring, by name."""
         return sorted({cache.zone for cache in self.caches})
 
 
@@ -51,47 +53,83 @@
         raw = parse_toml(text) if file.endswith(".toml") else parse_json(text)
     except ConfigSyntaxError as error:
         raise syntax_fault(file, error) from error
-    listed, origin = _held(file, raw)
-    if listed is None:
+    listing = _listing(file, raw)
+    if listing.servers is None:
         raise ConfigFaultsError(
             [ConfigFault(file, "known", UNSET, "is missing: this file holds no list of servers")]
         )
-    return _fleet(file, listed.revision, listed.members, origin if origin_kind is None else origin_kind)
+    origin = listing.origin_kind if origin_kind is None else origin_kind
+    return _fleet(file, listing.servers.revision, listing.servers.members, origin)
 
 
-def _held(file: str, raw: Any) -> tuple[Any, str | None]:
-    """The list in a file of any of the three forms, None where there is none, and the origin's kind."""
+def read_all(files: list[str], origin_kind: str | None = None) -> list[Fleet]:
+    """The fleets in several files.
+
+    Raises:
+        CommandError: With the faults of all files together.
+    """
+    fleets: list[Fleet] = []
+    faults = FileFaults()
+    for file in files:
+        with faults.collected(file):
+            fleets.append(read(file, origin_kind))
+    faults.raise_collected()
+    return fleets
+
+
+class _Listing(NamedTuple):
+    """The list of servers in a file, None where there is none, and the origin's kind."""
+
+    servers: ServerList | Known | None
+    origin_kind: str | None
+
+
+def _listing(file: str, raw: Any) -> _Listing:
+    """Decode a file of any of the three forms."""
     names = raw if isinstance(raw, dict) else ()
     if "members" in names and "settings" not in names and "classes" not in names:
-        return decode_values(file, raw, ServerList, validate_server_list), ORIGIN
+        return _Listing(decode_values(file, raw, ServerList, validate_server_list), ORIGIN)
     if is_node_format(file, raw):
-        own = decode_values(file, raw, NodeFile, validate_node_file)
-        return own.known, own.origin_kind
+        node = decode_values(file, raw, NodeFile, validate_node_file)
+        return _Listing(node.known, node.origin_kind)
     if "settings" in names:
         platform = decode_values(file, raw, PlatformFile, validate_platform_file)
-        return platform.known, _platform_origin(platform.settings)
+        return _Listing(platform.known, _platform_origin(platform.settings))
     reason = "must be a list of servers (revision, complete, members) or a node's configuration"
     raise ConfigFaultsError([ConfigFault(file, "", UNSET, reason)])
 
 
 def _platform_origin(settings: Settings) -> str | None:
     """As the node counts it: a position among the kinds, in the mode that has an origin."""
-    kinds, at = settings.kinds or (), settings.family_info.origin_kind
-    return kinds[at] if settings.family_info.mode == "aside" and 0 <= at < len(kinds) else None
+    kinds = settings.kinds or ()
+    position = settings.family_info.origin_kind
+    if settings.family_info.mode == "aside" and 0 <= position < len(kinds):
+        return kinds[position]
+    return None
 
 
 def _fleet(
     file: str, revision: int, members: tuple[ListedServer | OwnListed, ...], origin: str | None
 ) -> Fleet:
     caches: list[Cache] = []
-    off: dict[str, str] = {}
-    for one in sorted(members, key=lambda member: member.id):
-        if one.phase != "in_service":
-            off[one.id] = one.phase
-        elif origin is not None and one.flavor == origin:
-            off[one.id] = "the origin"
+    off_ring: dict[str, str] = {}
+    for member in sorted(members, key=lambda member: member.id):
+        if member.phase != "in_service":
+            off_ring[member.id] = member.phase
+        elif origin is not None and member.flavor == origin:
+            off_ring[member.id] = "the origin"
         else:
-            weight = 1.0 if one.size is None else one.size
-            address, since = one.host_port or "", one.up_since_ms or 0.0
-            caches.append(Cache(one.id, one.locality, weight, address, one.cell or 0, one.flavor, since))
-    return Fleet(file, revision, tuple(caches), off)
+            caches.append(_cache(member))
+    return Fleet(file, revision, tuple(caches), off_ring)
+
+
+def _cache(member: ListedServer | OwnListed) -> Cache:
+    return Cache(
+        id=member.id,
+        zone=member.locality,
+        weight=1.0 if member.size is None else member.size,
+        address=member.host_port or "",
+        cell=member.cell or 0,
+        kind=member.flavor,
+        up_since_ms=member.up_since_ms or 0.0,
+    )
--- /dev/null
+++ b/flintridge/cli/ring_output.py
@@ -0,0 +1,143 @@
+"""`flintridge ring`: reports as tables on standard output, or as JSON."""
+
+import json
+from collections.abc import Iterable
+from pathlib import Path
+from typing import TYPE_CHECKING
+
+import click
+
+from flintridge.cli.exits import output_path
+
+if TYPE_CHECKING:  # what the commands need is imported when one of them runs
+    from flintridge.cli.ring_lists import Fleet
+    from flintridge.cli.ring_report import (
+        MoveReport,
+        Report,
+        ServerShares,
+        ShareReport,
+        WalkReport,
+        ZoneShares,
+    )
+
+NUMERIC_COLUMNS = frozenset({"weight", "points", "ring", "keys", "servers", "step", "away"})
+PIPE_WIDTH = 140  # characters; never narrower than a table needs where the output is a file or a pipe
+
+
+class RingOutput:
+    """Tables and lines on standard output, or figures as JSON: into a file beside them, or instead (-)."""
+
+    def __init__(self, json_file: str | None, force: bool) -> None:
+        """Check, before any work, that the file can be written.
+
+        Raises:
+            CommandError: It must not be written.
+        """
+        self._figures_only = json_file == "-"
+        self._file: Path | None = None
+        if json_file is not None and not self._figures_only:
+            self._file = output_path(json_file, force)
+
+    def write_figures(self, report: "Report") -> None:
+        """Write the report as JSON, if that was asked for."""
+        text = json.dumps(report.figures(), indent=2, ensure_ascii=False) + "\n"
+        if self._figures_only:
+            click.echo(text, nl=False)
+        elif self._file is not None:
+            self._file.write_text(text, encoding="utf-8")
+
+    def line(self, text: str) -> None:
+        """Print a line."""
+        if not self._figures_only:
+            click.echo(text)
+
+    def table(self, columns: tuple[str, ...], rows: Iterable[tuple[str, ...]]) -> None:
+        """Print ids, zones and reasons to the left, figures to the right; nothing where there are no rows."""
+        rows = list(rows)
+        if self._figures_only or not rows:
+            return
+        from rich.console import Console
+        from rich.table import Table
+        from rich.text import Text
+
+        table = Table(header_style="bold")
+        for column in columns:
+            justify = "right" if column in NUMERIC_COLUMNS else "left"
+            table.add_column(column, justify=justify, overflow="fold")  # type: ignore[arg-type]
+        for row in rows:
+            table.add_row(*(Text(cell) for cell in row))  # not markup: ids may hold brackets
+        console = Console(highlight=False)
+        if not console.is_terminal:
+            console = Console(highlight=False, width=PIPE_WIDTH)
+        console.print(table)
+
+
+def print_shares(output: RingOutput, report: "ShareReport") -> None:
+    """Print what `ring show` found."""
+    output.line(
+        f"{report.file}: revision {report.revision}, {len(report.servers)} servers on the ring,"
+        f" {len(report.off_ring)} off it"
+    )
+    output.table(
+        ("server", "zone", "weight", "points", "ring", "keys"),
+        [
+            (server.id, server.zone, f"{server.weight:g}", str(server.points), *_percentages(server))
+            for server in report.servers
+        ],
+    )
+    if len(report.zones) > 1:
+        output.table(
+            ("zone", "servers", "ring", "keys"),
+            [(name, str(zone.servers), *_percentages(zone)) for name, zone in report.zones.items()],
+        )
+    output.table(("off the ring", "why"), report.off_ring.items())
+    output.line(report.not_known)
+
+
+def print_moves(
+    output: RingOutput, report: "MoveReport", before: "Fleet", after: "Fleet", max_pairs: int
+) -> None:
+    """Print what `ring diff` found, with so many rows of moves at most."""
+    for fleet in (before, after):
+        output.line(f"{fleet.file}: revision {fleet.revision}, {len(fleet.caches)} servers on the ring")
+    changes = [(server.id, server.change, server.what) for server in report.servers]
+    output.table(("server", "change", "what"), changes)
+    by_shares = f"at least {percentage(report.least)} by the shares held"
+    by_weight = f"{percentage(report.least_by_weight)} by weight"
+    output.line(f"keys that move: {percentage(report.moved)}; {by_shares}, {by_weight}")
+    rows = [
+        (move.source or "no server", move.target or "no server", percentage(move.share))
+        for move in report.moves
+    ]
+    output.table(("from", "to", "keys"), rows[:max_pairs])
+    if len(rows) > max_pairs:
+        output.line(f"and {len(rows) - max_pairs} more pairs: --pairs, or --json for all")
+    output.line(report.not_known)
+
+
+def print_walk(output: RingOutput, report: "WalkReport", servers: int) -> None:
+    """Print what `ring explain` found; `servers` are on the ring."""
+    output.line(
+        f"{report.key!r} is at {report.place} of the ring's 00000000 to ffffffff; {servers} servers are on it"
+    )
+    rows = []
+    for step in report.servers:
+        note = "a nearer point does not count: its weight" if step.passed_for_weight else ""
+        rows.append((str(step.step), step.id, step.zone, f"{step.weight:g}", percentage(step.away), note))
+    output.table(("step", "server", "zone", "weight", "away", "note"), rows)
+    if report.first_in_zone is not None:
+        first = report.first_in_zone
+        output.line(f"first in zone {report.zone}: {first.id}, step {first.step}")
+    output.line("A node takes the first of them that it has no reason to pass over:")
+    output.table(("reason", "means"), report.passed_over_when.items())
+    output.line(report.not_known)
+
+
+def percentage(fraction: float) -> str:
+    """A fraction as it is shown; more digits where servers are many and shares small."""
+    digits = 3 if fraction >= 0.001 or not fraction else 6
+    return f"{100 * fraction:.{digits}f}%"
+
+
+def _percentages(shares: "ServerShares | ZoneShares") -> tuple[str, str]:
+    return percentage(shares.ring_share), percentage(shares.key_share)
--- a/tests/cli/test_cli_ring.py
+++ b/tests/cli/test_cli_ring.py
@@ -11,7 +11,16 @@
 from flintridge import Balancer, api
 from flintridge.cli.main import main
 from flintridge.cli.ring_lists import read
-from flintridge.cli.ring_shares import WHOLE, arcs, counted, entries, lengths, numbered, steps, top_weight
+from flintridge.cli.ring_shares import (
+    RING_POSITIONS,
+    arc_lengths,
+    arcs,
+    counted_points,
+    max_weight,
+    ring_entries,
+    server_numbers,
+    steps,
+)
 from flintridge.policy.hash_ring import POINTS
 
 SERVERS = str(ROOT / "examples" / "servers.json")
@@ -42,10 +51,10 @@
         return place << 32 | number << 8 | rank
 
     old = [entry(10, 0), entry(10, 1), entry(30, 1)]
-    assert lengths(old) == {0: WHOLE - 20, 1: 20}  # of one place the lower number has the arc
-    assert list(arcs(old, [entry(20, 2)])) == [(WHOLE - 20, 0, 2), (10, 1, 2), (10, 1, 2)]
-    assert list(arcs([], [entry(20, 2)])) == [(WHOLE, None, 2)] and not list(arcs([], []))
-    assert lengths([entry(0, 3)]) == {3: WHOLE} == lengths([entry(WHOLE - 1, 3)])
+    assert arc_lengths(old) == {0: RING_POSITIONS - 20, 1: 20}  # of one place the lower number has the arc
+    assert list(arcs(old, [entry(20, 2)])) == [(RING_POSITIONS - 20, 0, 2), (10, 1, 2), (10, 1, 2)]
+    assert list(arcs([], [entry(20, 2)])) == [(RING_POSITIONS, None, 2)] and not list(arcs([], []))
+    assert arc_lengths([entry(0, 3)]) == {3: RING_POSITIONS} == arc_lengths([entry(RING_POSITIONS - 1, 3)])
 
 
 def test_a_node_sends_each_key_where_explain_says(tmp_path):
@@ -71,9 +80,9 @@
 
 def test_shares_are_whole_exact_and_sorted():
     fleet = read(SERVERS)
-    numbers, top = numbered(fleet), top_weight(fleet)
-    assert sum(lengths(entries(fleet.caches, numbers)).values()) == WHOLE
-    assert [counted(w, top) for w in (2, 1, 0.0001, 0)] == [POINTS, POINTS // 2 + 1, 1, POINTS]
+    numbers, top = server_numbers(fleet), max_weight(fleet)
+    assert sum(arc_lengths(ring_entries(fleet.caches, numbers)).values()) == RING_POSITIONS
+    assert [counted_points(w, top) for w in (2, 1, 0.0001, 0)] == [POINTS, POINTS // 2 + 1, 1, POINTS]
     told = figures("show", SERVERS)
     rows = told["servers"]
     assert (
