--- a/flintridge/cli/budgets.py
+++ b/flintridge/cli/budgets.py
@@ -3,30 +3,35 @@
 import json
 import sys
 from collections.abc import Iterable
-from typing import Any, NamedTuple
+from typing import NamedTuple
 
 import click
 
-from flintridge.cli.calls import call
-from flintridge.cli.exits import CommandError, ExitCode
+from flintridge.cli.calls import JsonObject, call, consoles_option, fields_of, print_columns
+from flintridge.cli.exits import ExitCode
 
 PATH = "/admin/budgets"
+NO_BUDGETS = "shares no budgets: its configuration has no table [budgets]"
 COLUMNS = ("budget", "whole", "even part", "used", "unit", "own", "lent", "borrowed", "usable", "need")
-SLACK = 0.001  # even parts; a sum that is over by less is one of rounded numbers
+ROUNDING_TOLERANCE = 0.001  # even fractions; the sums are of rounded numbers
 
 
 class Terms(NamedTuple):
-    """A budget as the nodes that agree on it have it: sums are of those alone."""
+    """A budget as the nodes that agree on it have it: sums are of those alone.
+
+    Attributes:
+        budget: Its name.
+        limit: In its unit.
+        nodes: Among how many it is divided evenly.
+    """
 
     budget: str
-    whole: float
-    parts: int  # as many as nodes
+    limit: float
+    nodes: int
 
 
 @click.command
-@click.option(
-    "--console", "consoles", multiple=True, required=True, metavar="ADDR", help="A node's; may be repeated."
-)
+@consoles_option
 @click.option("--json", "as_json", is_flag=True, help="The consoles' answers, a JSON line each.")
 def command(consoles: tuple[str, ...], as_json: bool) -> None:
     """What a node holds of the fleet's budgets, what it lent and borrowed, and until when.
@@ -40,109 +45,116 @@
       flintridge budgets --console 127.0.0.1:9100
       flintridge budgets --console 127.0.0.1:9100 --console 127.0.0.1:9101 --json
     """
-    looks = []
+    allocations = []
     for address in consoles:
-        looks.append(said := _look(address))
+        allocation = _read(address)
+        allocations.append(allocation)
         if as_json:
-            click.echo(json.dumps(said))
+            click.echo(json.dumps(allocation))
         else:
-            _print(said)
+            _print(allocation)
     if len(consoles) == 1:
         return
-    sums = _sums(looks)
-    over = _over(sums)
+    sums = _sums(allocations)
     if not as_json:
-        _print_sums(looks, sums)
-    for terms in over:
-        _tell(f"{terms.budget}: seen over, {sums[terms]:g} of {terms.parts} even parts; looking again")
-    if not over:
-        return
-    # The other way round: a loan that moves from the first to the last does not count twice again.
-    again = _sums([_look(address) for address in reversed(consoles)])
-    broken = [terms for terms in _over(again) if terms in over]
-    for terms in over:
-        verdict = "over again" if terms in broken else "not over now: a loan moved between the looks"
-        _tell(f"{terms.budget}: {verdict}, {again.get(terms, 0):g} of {terms.parts} even parts")
-    if broken:
+        _print_sums(allocations, sums)
+    if _confirmed_excess(consoles, sums):
         sys.exit(ExitCode.FINDING)
 
 
-def _look(address: str) -> dict[str, Any]:
-    status, said = call(address, PATH)
-    if status == 404:
-        raise CommandError(
-            f"{address}: that node shares no budgets: its configuration has no table [budgets]"
-        )
-    if status != 200:
-        raise CommandError(f"{address}: {said.get('error', status)}")
-    return said
+def _read(address: str) -> JsonObject:
+    return fields_of(address, call(address, PATH), NO_BUDGETS)
+
+
+def _confirmed_excess(consoles: tuple[str, ...], sums: dict[Terms, float]) -> list[Terms]:
+    """The budgets that are exceeded by a first sum, and by a second that is read now."""
+    exceeded = _exceeded(sums)
+    for terms in exceeded:
+        _warn(f"{terms.budget}: seen over, {sums[terms]:g} of {terms.nodes} even parts; looking again")
+    if not exceeded:
+        return []
+    # The other way round: a loan that moves from the first to the last does not count twice again.
+    second_sums = _sums([_read(address) for address in reversed(consoles)])
+    confirmed = [terms for terms in _exceeded(second_sums) if terms in exceeded]
+    for terms in exceeded:
+        verdict = "over again" if terms in confirmed else "not over now: a loan moved between the looks"
+        _warn(f"{terms.budget}: {verdict}, {second_sums.get(terms, 0):g} of {terms.nodes} even parts")
+    return confirmed
 
 
-def _processes(looks: Iterable[dict[str, Any]]) -> list[dict[str, Any]]:
+def _processes(allocations: Iterable[JsonObject]) -> list[JsonObject]:
     """Each once, whatever addresses it answers at."""
-    return list({(said["name"], said["life"]): said for said in looks}.values())
+    by_incarnation = {(process["name"], process["life"]): process for process in allocations}
+    return list(by_incarnation.values())
 
 
-def _sums(looks: Iterable[dict[str, Any]]) -> dict[Terms, float]:
-    """What all that were asked may use, in even parts."""
+def _sums(allocations: Iterable[JsonObject]) -> dict[Terms, float]:
+    """What all that were asked may use, in even fractions."""
     sums: dict[Terms, float] = {}
-    for said in _processes(looks):
-        for one in said["budgets"]:
-            terms = Terms(one["name"], one["whole"], said["of"])
-            sums[terms] = sums.get(terms, 0.0) + one["usable"]
+    for process in _processes(allocations):
+        for budget in process["budgets"]:
+            terms = Terms(budget["name"], budget["whole"], process["of"])
+            sums[terms] = sums.get(terms, 0.0) + budget["usable"]
     return sums
 
 
-def _over(sums: dict[Terms, float]) -> list[Terms]:
-    return [terms for terms, usable in sums.items() if usable > terms.parts + SLACK]
+def _exceeded(sums: dict[Terms, float]) -> list[Terms]:
+    return [terms for terms, usable in sums.items() if usable > terms.nodes + ROUNDING_TOLERANCE]
 
 
-def _print(said: dict[str, Any]) -> None:
-    beside = "" if said["alone"] else "; beside another process of this node: half of each, and lends nothing"
-    strict = "; strict" if said["strict"] else ""
+def _print(process: JsonObject) -> None:
+    beside = ""
+    if not process["alone"]:
+        beside = "; beside another process of this node: half of each, and lends nothing"
+    strict = "; strict" if process["strict"] else ""
     click.echo(
-        f"{said['name']} ({said['life']}): hears {said['heard']} of {said['of']} nodes, itself included;"
-        f" loans of {said['lease_ms']:g} ms, floor {said['floor']:g}{strict}{beside}"
+        f"{process['name']} ({process['life']}): hears {process['heard']} of {process['of']} nodes, itself"
+        f" included; loans of {process['lease_ms']:g} ms, floor {process['floor']:g}{strict}{beside}"
     )
-    rows = [COLUMNS, *map(_row, said["budgets"])]
-    widths = [max(len(row[i]) for row in rows) for i in range(len(COLUMNS))]
-    for row in rows:
-        click.echo(
-            "  " + "  ".join(f"{cell:<{width}}" for cell, width in zip(row, widths, strict=True)).rstrip()
-        )
-    for one in said["budgets"]:
-        for loan in one["lent"]:
-            whom = f"to {loan['to']} ({loan['life']})"
-            click.echo(f"  {one['name']}: lent {loan['amount']:.4g} {whom}, ends in {_ms(loan)}")
-        for loan in one["borrowed"]:
-            whom = f"from {loan['from']}"
-            click.echo(f"  {one['name']}: borrowed {loan['amount']:.4g} {whom}, ends in {_ms(loan)}")
-    counts = ", ".join(f"{name} {count}" for name, count in said["counts"].items() if count)
+    print_columns([COLUMNS, *map(_row, process["budgets"])])
+    for budget in process["budgets"]:
+        _print_leases(budget)
+    counts = ", ".join(f"{name} {count}" for name, count in process["counts"].items() if count)
     click.echo(f"  since the start: {counts or 'nothing asked or lent'}")
 
 
-def _row(one: dict[str, Any]) -> tuple[str, ...]:
-    in_unit = [f"{one[name]:.4g}" for name in ("whole", "even", "used")]
-    lent, borrowed = (sum(loan["amount"] for loan in one[name]) for name in ("lent", "borrowed"))
-    in_parts = [f"{amount:.4g}" for amount in (one["own"], lent, borrowed, one["usable"], one["need"])]
-    return (one["name"], *in_unit, one["unit"], *in_parts)
+def _row(budget: JsonObject) -> tuple[str, ...]:
+    lent = sum(lease["amount"] for lease in budget["lent"])
+    borrowed = sum(lease["amount"] for lease in budget["borrowed"])
+    in_unit = [f"{budget[name]:.4g}" for name in ("whole", "even", "used")]
+    in_fractions = [
+        f"{amount:.4g}" for amount in (budget["own"], lent, borrowed, budget["usable"], budget["need"])
+    ]
+    return (budget["name"], *in_unit, budget["unit"], *in_fractions)
+
+
+def _print_leases(budget: JsonObject) -> None:
+    for lease in budget["lent"]:
+        borrower = f"to {lease['to']} ({lease['life']})"
+        click.echo(f"  {budget['name']}: lent {lease['amount']:.4g} {borrower}, ends in {_remaining(lease)}")
+    for lease in budget["borrowed"]:
+        lender = f"from {lease['from']}"
+        click.echo(
+            f"  {budget['name']}: borrowed {lease['amount']:.4g} {lender}, ends in {_remaining(lease)}"
+        )
 
 
-def _print_sums(looks: list[dict[str, Any]], sums: dict[Terms, float]) -> None:
-    processes = _processes(looks)
-    click.echo(f"together, {len(processes)} processes of {len({said['name'] for said in processes})} nodes:")
+def _print_sums(allocations: list[JsonObject], sums: dict[Terms, float]) -> None:
+    processes = _processes(allocations)
+    nodes = {process["name"] for process in processes}
+    click.echo(f"together, {len(processes)} processes of {len(nodes)} nodes:")
     names = [terms.budget for terms in sums]
     for terms, usable in sums.items():
         differ = "; nodes differ on its size" if names.count(terms.budget) > 1 else ""
         click.echo(
-            f"  {terms.budget}: usable {usable:.4g} of {terms.parts} even parts"
-            f" (the whole: {terms.whole:.4g}){differ}"
+            f"  {terms.budget}: usable {usable:.4g} of {terms.nodes} even parts"
+            f" (the whole: {terms.limit:.4g}){differ}"
         )
 
 
-def _tell(line: str) -> None:
+def _warn(line: str) -> None:
     click.echo(line, err=True)
 
 
-def _ms(loan: dict[str, Any]) -> str:
-    return f"{loan['ends_in_ms']:.0f} ms"
+def _remaining(lease: JsonObject) -> str:
+    return f"{lease['ends_in_ms']:.0f} ms"
--- a/flintridge/cli/peers.py
+++ b/flintridge/cli/peers.py
@@ -1,27 +1,28 @@
 """`flintridge peers`."""
 
 import json
-import sys
-from typing import Any
 
 import click
 
-from flintridge.cli.calls import call
-from flintridge.cli.exits import CommandError, ExitCode
+from flintridge.cli.calls import JsonObject, call, consoles_option, duration, fields_of, print_columns
+from flintridge.cli.exits import exit_unless
 
 PATH = "/admin/peers"
+NO_PEERS = "has no peers: its configuration has no table [peers]"
 COLUMNS = ("name", "life", "state", "heard", "told", "round trip", "bytes in", "refused")
+DROPPED_PREFIX = "dropped_"
 
 
 @click.command
-@click.option(
-    "--console", "consoles", multiple=True, required=True, metavar="ADDR", help="A node's; may be repeated."
-)
+@consoles_option
 @click.option("--json", "as_json", is_flag=True, help="The consoles' answers, a JSON line each.")
 @click.option(
-    "--least", type=click.FloatRange(0, 1), help="Exit with 1 where a node hears less than this share."
+    "--least",
+    "min_fraction",
+    type=click.FloatRange(0, 1),
+    help="Exit with 1 where a node hears less than this share.",
 )
-def command(consoles: tuple[str, ...], as_json: bool, least: float | None) -> None:
+def command(consoles: tuple[str, ...], as_json: bool, min_fraction: float | None) -> None:
     """Which lives a node knows: heard itself, through others, suspect, silent or left, and how long ago.
 
     \b
@@ -29,57 +30,57 @@
       flintridge peers --console 127.0.0.1:9100
       flintridge peers --console 127.0.0.1:9100 --console 127.0.0.1:9101 --least 0.5
     """
-    low = False
+    enough = True
     for address in consoles:
-        status, said = call(address, PATH)
-        if status == 404:
-            raise CommandError(f"{address}: that node has no peers: its configuration has no table [peers]")
-        if status != 200:
-            raise CommandError(f"{address}: {said.get('error', status)}")
-        low |= least is not None and said["heard"] < least * said["of"]
+        membership = fields_of(address, call(address, PATH), NO_PEERS)
+        if min_fraction is not None and membership["heard"] < min_fraction * membership["of"]:
+            enough = False
         if as_json:
-            click.echo(json.dumps(said))
+            click.echo(json.dumps(membership))
         else:
-            _print(said)
-    if low:
-        sys.exit(ExitCode.FINDING)
+            _print(membership)
+    exit_unless(enough)
 
 
-def _print(said: dict[str, Any]) -> None:
-    counts = said["counts"]
-    sealed = "sealed" if said["sealed"] else "not sealed"
+def _print(membership: JsonObject) -> None:
+    sealed = "sealed" if membership["sealed"] else "not sealed"
     click.echo(
-        f"{said['name']} ({said['life']}) of fleet {said['fleet']}, {sealed}: hears {said['heard']} of"
-        f" {said['of']} nodes, itself included, for {_ago(said['heard_for_ms'])}; words over"
-        f" {_ago(said['limit_ms'])} old count as none"
+        f"{membership['name']} ({membership['life']}) of fleet {membership['fleet']}, {sealed}:"
+        f" hears {membership['heard']} of {membership['of']} nodes, itself included,"
+        f" for {_age(membership['heard_for_ms'])}; words over {_age(membership['limit_ms'])} old count"
+        " as none"
     )
-    rows = [COLUMNS]
-    for one in said["lives"]:
-        trip = one.get("round_trip_ms")
-        rows.append(
-            (
-                one["name"],
-                one["life"] or "-",
-                one["state"],
-                _ago(one.get("heard_ms_ago")),
-                _ago(one.get("told_ms_ago")),
-                "-" if trip is None else f"{trip:g} ms",
-                str(one.get("bytes_in", "-")),
-                str(one.get("refused", "-")),
-            )
-        )
-    widths = [max(len(row[i]) for row in rows) for i in range(len(COLUMNS))]
-    for row in rows:
-        click.echo(
-            "  " + "  ".join(f"{cell:<{width}}" for cell, width in zip(row, widths, strict=True)).rstrip()
-        )
-    dropped = {name[8:]: count for name, count in counts.items() if name.startswith("dropped_")}
-    refused = ", ".join(f"{name} {count}" for name, count in sorted(dropped.items())) or "none"
+    print_columns([COLUMNS, *map(_row, membership["lives"])])
+    counts = membership["counts"]
     click.echo(
         f"  bytes out {counts.get('bytes_out', 0)}, in {counts.get('bytes_in', 0)}; at most"
-        f" {said['bytes_per_s']:g} a second out; slowness {said['slowness']}; dropped: {refused}"
+        f" {membership['bytes_per_s']:g} a second out; slowness {membership['slowness']};"
+        f" dropped: {_dropped(counts)}"
     )
 
 
-def _ago(ms: float | None) -> str:
-    return "-" if ms is None else f"{ms:.0f} ms" if ms < 10_000 else f"{ms / 1000:.0f} s"
+def _row(member: JsonObject) -> tuple[str, ...]:
+    round_trip_ms = member.get("round_trip_ms")
+    return (
+        member["name"],
+        member["life"] or "-",
+        member["state"],
+        _age(member.get("heard_ms_ago")),
+        _age(member.get("told_ms_ago")),
+        "-" if round_trip_ms is None else f"{round_trip_ms:g} ms",
+        str(member.get("bytes_in", "-")),
+        str(member.get("refused", "-")),
+    )
+
+
+def _dropped(counts: dict[str, int]) -> str:
+    dropped = [
+        f"{name.removeprefix(DROPPED_PREFIX)} {count}"
+        for name, count in sorted(counts.items())
+        if name.startswith(DROPPED_PREFIX)
+    ]
+    return ", ".join(dropped) or "none"
+
+
+def _age(ms: float | None) -> str:
+    return "-" if ms is None else duration(ms)
--- a/flintridge/cli/state.py
+++ b/flintridge/cli/state.py
@@ -1,40 +1,60 @@
 """`flintridge state`: what operators tell one node and all hold."""
 
+import contextlib
 import json
 import sys
 import time
 from collections.abc import Callable
+from dataclasses import dataclass
 from typing import Any
 from urllib.parse import urlencode
 
 import click
 
-from flintridge.cli.calls import call
+from flintridge.cli.calls import (
+    OK,
+    ConsoleResponse,
+    JsonObject,
+    call,
+    consoles_option,
+    duration,
+    fields_of,
+)
 from flintridge.cli.exits import CommandError, ExitCode, errors_as_lines
 
 PATH = "/admin/state"
-LOOK_S = 0.1  # between two questions of who has a write
+NO_STATE = "holds no state: its configuration has no table [state]"
+POLL_INTERVAL_S = 0.1
 
 Command = Callable[..., None]
 
 
-def _consoles(command: Command) -> Command:
-    return click.option(
-        "--console",
-        "consoles",
-        multiple=True,
-        required=True,
-        metavar="ADDR",
-        help="A node's; may be repeated.",
-    )(command)
+@dataclass(frozen=True)
+class WriteOptions:
+    """What all commands that write take.
+
+    Attributes:
+        by: Who writes.
+        why: For what reason.
+        wait: How many nodes are to have the write before the command ends; None not to wait.
+        timeout: Seconds to wait.
+        as_json: Whether to print the answer as JSON.
+    """
+
+    by: str
+    why: str
+    wait: int | None
+    timeout: float
+    as_json: bool
 
 
-def _json(command: Command) -> Command:
+def json_option(command: Command) -> Command:
+    """--json, as `as_json`."""
     return click.option("--json", "as_json", is_flag=True, help="The answers, a JSON line each.")(command)
 
 
-def _writes(command: Command) -> Command:
-    """What all that write share."""
+def write_options(command: Command) -> Command:
+    """What all that write share, as the fields of WriteOptions."""
     for option in (
         click.option("--timeout", type=click.FloatRange(0.1, 600), default=10.0, help="Seconds, for --wait."),
         click.option(
@@ -47,13 +67,16 @@
     return command
 
 
-class Told(click.Group):
+class StateGroup(click.Group):
+    """A group whose commands report errors as lines."""
+
     def invoke(self, ctx: click.Context) -> object:
+        """Run the command, its errors as lines."""
         with errors_as_lines():
             return super().invoke(ctx)
 
 
-@click.group(cls=Told)
+@click.group(cls=StateGroup)
 def command() -> None:
     """Holds of cache servers, quotas, stops and notes: said to one node, held by all.
 
@@ -69,26 +92,31 @@
 @command.command("get")
 @click.option("--type", "type_", help="Only that type.")
 @click.option("--name", help="Only that entry; with --type.")
-@_json
-@_consoles
+@json_option
+@consoles_option
 def get(consoles: tuple[str, ...], as_json: bool, type_: str | None, name: str | None) -> None:
     """What a node holds: each entry, with what counts first."""
     if name is not None and type_ is None:
         raise CommandError("--name: needs --type")
-    asked = {"entries": "1"} | ({"type": type_} if type_ else {}) | ({"name": name} if name else {})
+    query = {"entries": "1"}
+    if type_:
+        query["type"] = type_
+    if name:
+        query["name"] = name
     for address in consoles:
-        _show(address, asked, as_json)
+        _show(address, query, as_json)
 
 
 @command.command("conflicts")
-@_json
-@_consoles
+@json_option
+@consoles_option
 def conflicts(consoles: tuple[str, ...], as_json: bool) -> None:
     """Entries that were written by two who had not seen one another: all sides, what counts first.
 
     Exits with 1 where there is one. It ends when somebody who sees both writes again.
     """
-    if any([_show(address, {"conflicts": "1"}, as_json) for address in consoles]):
+    shown = [_show(address, {"conflicts": "1"}, as_json) for address in consoles]
+    if any(shown):
         sys.exit(ExitCode.FINDING)
 
 
@@ -98,9 +126,9 @@
 @click.option("--body", default="{}", help="A JSON object, as '{\"factor\": 0.5}'.")
 @click.option("--for", "for_s", type=click.FloatRange(0, min_open=True), help="Seconds; else for ever.")
 @click.option("--delete", is_flag=True, help="The entry is to be gone.")
-@_json
-@_writes
-@_consoles
+@json_option
+@write_options
+@consoles_option
 def set_(
     consoles: tuple[str, ...],
     type_: str,
@@ -108,7 +136,7 @@
     body: str,
     for_s: float | None,
     delete: bool,
-    **more: Any,
+    **options: Any,
 ) -> None:
     """Write an entry: `quota TENANT`, `stop NAME`, `note NAME`, `hold SERVER`."""
     try:
@@ -117,161 +145,180 @@
         raise CommandError(f"--body: is not JSON: {error}") from error
     if not isinstance(fields, dict):
         raise CommandError("--body: must be a JSON object")
-    _write(consoles, {"type": type_, "name": name, "body": fields, "delete": delete}, for_s, **more)
+    entry = {"type": type_, "name": name, "body": fields, "delete": delete}
+    _write(consoles, entry, for_s, WriteOptions(**options))
 
 
 @command.command("hold")
 @click.argument("server")
 @click.option("--for", "for_s", type=click.FloatRange(0, min_open=True), help="Seconds; else until released.")
-@_json
-@_writes
-@_consoles
-def hold(consoles: tuple[str, ...], server: str, for_s: float | None, **more: Any) -> None:
+@json_option
+@write_options
+@consoles_option
+def hold(consoles: tuple[str, ...], server: str, for_s: float | None, **options: Any) -> None:
     """Hold a cache server out: no node sends anything new there."""
-    _write(consoles, {"type": "hold", "name": server, "body": {"held": True}}, for_s, **more)
+    entry = {"type": "hold", "name": server, "body": {"held": True}}
+    _write(consoles, entry, for_s, WriteOptions(**options))
 
 
 @command.command("release")
 @click.argument("server")
-@_json
-@_writes
-@_consoles
-def release(consoles: tuple[str, ...], server: str, **more: Any) -> None:
+@json_option
+@write_options
+@consoles_option
+def release(consoles: tuple[str, ...], server: str, **options: Any) -> None:
     """Let a cache server back in, as far as the list of each node has it in service."""
-    said = {"type": "hold", "name": server, "body": {"held": False}, "delete": True}
-    _write(consoles, said, None, **more)
+    entry = {"type": "hold", "name": server, "body": {"held": False}, "delete": True}
+    _write(consoles, entry, None, WriteOptions(**options))
 
 
 @command.command("diff")
-@_json
-@_consoles
+@json_option
+@consoles_option
 def diff(consoles: tuple[str, ...], as_json: bool) -> None:
     """Whether several nodes hold the same; else what differs, and since when. Exits with 1 then."""
     if len(consoles) < 2:
         raise CommandError("--console: two or more are compared")
-    looks = [_ask(address, {"digests": "1"}) for address in consoles]
-    rows: list[dict[str, Any]] = []
-    for i, digests in enumerate(zip(*(look["digests"] for look in looks), strict=True)):
+    replicas = [_read(address, {"digests": "1"}) for address in consoles]
+    differences: list[JsonObject] = []
+    for bucket, digests in enumerate(zip(*(replica["digests"] for replica in replicas), strict=True)):
         if len(set(digests)) > 1:
-            rows += _differ(consoles, i)
+            differences += _differences(consoles, bucket)
+    names = [replica["name"] for replica in replicas]
     if as_json:
-        click.echo(json.dumps({"nodes": [look["name"] for look in looks], "differ": rows}))
-    elif not rows:
-        click.echo(f"{', '.join(look['name'] for look in looks)}: the same, {looks[0]['entries']} entries")
-    for row in () if as_json else rows:
-        click.echo(f"{row['type']} {row['name']}: differs, the newest write {_ago(row['newest_ms'])} ago")
-        for address, held in row["nodes"].items():
-            click.echo(f"  {address}: {held}")
-    if rows:
+        click.echo(json.dumps({"nodes": names, "differ": differences}))
+    elif differences:
+        _print_differences(differences)
+    else:
+        click.echo(f"{', '.join(names)}: the same, {replicas[0]['entries']} entries")
+    if differences:
         sys.exit(ExitCode.FINDING)
 
 
-def _differ(consoles: tuple[str, ...], bucket: int) -> list[dict[str, Any]]:
-    held = [
-        {(one["type"], one["name"]): one for one in _pages(address, {"bucket": str(bucket)})}
-        for address in consoles
-    ]
-    rows = []
-    for key in sorted({key for one in held for key in one}):
-        versions = [one.get(key, {"versions": []})["versions"] for one in held]
-        if len({tuple(sorted(v["dot"] for v in of)) for of in versions}) > 1:
-            newest = min(v["age_ms"] for of in versions for v in of)
-            nodes = {
-                address: "; ".join(map(_line, of)) or "nothing"
-                for address, of in zip(consoles, versions, strict=True)
+def _print_differences(differences: list[JsonObject]) -> None:
+    for entry in differences:
+        newest = duration(entry["newest_ms"])
+        click.echo(f"{entry['type']} {entry['name']}: differs, the newest write {newest} ago")
+        for address, versions in entry["nodes"].items():
+            click.echo(f"  {address}: {versions}")
+
+
+def _differences(consoles: tuple[str, ...], bucket: int) -> list[JsonObject]:
+    """The entries of a bucket whose versions are not the same at all consoles."""
+    versions_by_console: list[dict[tuple[str, str], list[JsonObject]]] = []
+    for address in consoles:
+        entries = _entries(address, {"bucket": str(bucket)})
+        versions_by_console.append({(entry["type"], entry["name"]): entry["versions"] for entry in entries})
+    differences = []
+    for key in sorted({key for by_key in versions_by_console for key in by_key}):
+        held = [by_key.get(key, []) for by_key in versions_by_console]
+        if len({tuple(sorted(version["dot"] for version in versions)) for versions in held}) == 1:
+            continue
+        entry_type, name = key
+        differences.append(
+            {
+                "type": entry_type,
+                "name": name,
+                "newest_ms": min(version["age_ms"] for versions in held for version in versions),
+                "nodes": {
+                    address: "; ".join(map(_line, versions)) or "nothing"
+                    for address, versions in zip(consoles, held, strict=True)
+                },
             }
-            rows.append({"type": key[0], "name": key[1], "newest_ms": newest, "nodes": nodes})
-    return rows
+        )
+    return differences
 
 
-def _ask(address: str, asked: dict[str, str]) -> dict[str, Any]:
-    status, said = call(address, f"{PATH}?{urlencode(asked)}")
-    if status == 404:
-        raise CommandError(f"{address}: that node holds no state: its configuration has no table [state]")
-    if status != 200:
-        raise CommandError(f"{address}: {said.get('error', status)}")
-    return said
+def _read(address: str, query: dict[str, str]) -> JsonObject:
+    return fields_of(address, call(address, f"{PATH}?{urlencode(query)}"), NO_STATE)
 
 
-def _pages(address: str, asked: dict[str, str]) -> list[dict[str, Any]]:
-    entries: list[dict[str, Any]] = []
+def _entries(address: str, query: dict[str, str]) -> list[JsonObject]:
+    """All entries that the query selects, page by page."""
+    entries: list[JsonObject] = []
     after: int | None = 0
     while after is not None:
-        said = _ask(address, asked | {"after": str(after)})
-        entries += said["page"]
-        after = said["next"]
+        page = _read(address, query | {"after": str(after)})
+        entries += page["page"]
+        after = page["next"]
     return entries
 
 
-def _show(address: str, asked: dict[str, str], as_json: bool) -> bool:
-    """Whether there was any."""
-    said = _ask(address, {})
-    entries = _pages(address, asked)
+def _show(address: str, query: dict[str, str], as_json: bool) -> bool:
+    """Print the entries that the query selects. Returns whether there was any."""
+    replica = _read(address, {})
+    entries = _entries(address, query)
     if as_json:
-        click.echo(json.dumps(said | {"page": entries}))
+        click.echo(json.dumps(replica | {"page": entries}))
         return bool(entries)
     click.echo(
-        f"{said['name']} ({said['life']}): {said['standing']}, {said['entries']} of {said['of']} entries,"
-        f" conflicts {said['conflicts']}, hears {said['heard']} nodes"
+        f"{replica['name']} ({replica['life']}): {replica['standing']}, {replica['entries']} of"
+        f" {replica['of']} entries, conflicts {replica['conflicts']}, hears {replica['heard']} nodes"
     )
-    for one in entries:
-        unknown = "" if one["known"] else " (a type that this version does not know)"
-        click.echo(f"  {one['type']} {one['name']}{unknown}{'' if one['holds'] else ': over'}")
-        for i, version in enumerate(one["versions"]):
-            mark = "" if len(one["versions"]) == 1 else "counts: " if i == 0 else "against: "
-            click.echo(f"    {mark}{_line(version)}")
+    for entry in entries:
+        _print_entry(entry)
     return bool(entries)
 
 
-def _line(version: dict[str, Any]) -> str:
-    what = "deleted" if version["deleted"] else json.dumps(version["body"])
-    ends = "" if version["ends_in_ms"] is None else f", ends in {_ago(version['ends_in_ms'])}"
-    return (
-        f"{what} by {version['by']}: {version['why']} ({_ago(version['age_ms'])} ago{ends}, {version['dot']})"
-    )
-
-
-def _ago(ms: float) -> str:
-    return f"{ms:.0f} ms" if abs(ms) < 10_000 else f"{ms / 1000:.0f} s"
+def _print_entry(entry: JsonObject) -> None:
+    unknown = "" if entry["known"] else " (a type that this version does not know)"
+    over = "" if entry["holds"] else ": over"
+    click.echo(f"  {entry['type']} {entry['name']}{unknown}{over}")
+    versions = entry["versions"]
+    if len(versions) == 1:
+        click.echo(f"    {_line(versions[0])}")
+        return
+    for index, version in enumerate(versions):
+        prefix = "counts: " if index == 0 else "against: "
+        click.echo(f"    {prefix}{_line(version)}")
 
 
-def _write(
-    consoles: tuple[str, ...],
-    said: dict[str, Any],
-    for_s: float | None,
-    by: str,
-    why: str,
-    wait: int | None,
-    timeout: float,
-    as_json: bool,
-) -> None:
-    """At the first of the consoles that answers."""
-    body = said | {"by": by, "why": why} | ({} if for_s is None else {"lasts_ms": for_s * 1000})
-    for i, address in enumerate(consoles):
-        try:
-            status, answer = call(address, PATH, "POST", body)
-            break
-        except CommandError:
-            if i == len(consoles) - 1:
-                raise
-    if status == 404:
-        raise CommandError(f"{address}: that node holds no state: its configuration has no table [state]")
-    if status != 200:
-        raise CommandError(f"{address}: {answer.get('error', status)}")
-    had = 1
-    end = time.monotonic() + timeout
-    while wait is not None and had < wait and time.monotonic() < end:
-        time.sleep(LOOK_S)
-        status, seen = call(address, f"{PATH}/had?write={answer['write']}")
-        if status != 200 or seen["life"] != answer["life"]:
-            raise CommandError(f"{address}: that process has ended; who has the write is not known")
-        had = seen["had"]
-    if as_json:
-        click.echo(json.dumps(answer | {"had": had}))
+def _line(version: JsonObject) -> str:
+    what = "deleted" if version["deleted"] else json.dumps(version["body"])
+    ends = "" if version["ends_in_ms"] is None else f", ends in {duration(version['ends_in_ms'])}"
+    age = duration(version["age_ms"])
+    return f"{what} by {version['by']}: {version['why']} ({age} ago{ends}, {version['dot']})"
+
+
+def _write(consoles: tuple[str, ...], entry: JsonObject, for_s: float | None, options: WriteOptions) -> None:
+    """Write an entry at the first of the consoles that answers, and wait until enough nodes have it."""
+    body = entry | {"by": options.by, "why": options.why}
+    if for_s is not None:
+        body["lasts_ms"] = for_s * 1000
+    address, response = _post(consoles, body)
+    written = fields_of(address, response, NO_STATE)
+    node_count = _wait(address, written, options)
+    if options.as_json:
+        click.echo(json.dumps(written | {"had": node_count}))
     else:
-        click.echo(f"{answer['name']}: written, write {answer['write']}; {had} known to have it")
-    if wait is not None and had < wait:
+        click.echo(f"{written['name']}: written, write {written['write']}; {node_count} known to have it")
+    if options.wait is not None and node_count < options.wait:
         click.echo(
-            f"flintridge: {had} and not {wait} nodes have it after {timeout:g} s; it stays written", err=True
+            f"flintridge: {node_count} and not {options.wait} nodes have it after {options.timeout:g} s;"
+            " it stays written",
+            err=True,
         )
         sys.exit(ExitCode.FINDING)
+
+
+def _post(consoles: tuple[str, ...], body: JsonObject) -> tuple[str, ConsoleResponse]:
+    """The first console that answers, and what it answered. Raises CommandError if none does."""
+    for address in consoles[:-1]:
+        with contextlib.suppress(CommandError):
+            return address, call(address, PATH, "POST", body)
+    return consoles[-1], call(consoles[-1], PATH, "POST", body)
+
+
+def _wait(address: str, written: JsonObject, options: WriteOptions) -> int:
+    """Poll until enough nodes have a write, or the time is over. Returns how many are known to have it."""
+    node_count = 1
+    if options.wait is None:
+        return node_count
+    deadline = time.monotonic() + options.timeout
+    while node_count < options.wait and time.monotonic() < deadline:
+        time.sleep(POLL_INTERVAL_S)
+        response = call(address, f"{PATH}/had?write={written['write']}")
+        if response.status != OK or response.fields["life"] != written["life"]:
+            raise CommandError(f"{address}: that process has ended; who has the write is not known")
+        node_count = response.fields["had"]
+    return node_count
--- a/tests/replication/test_state_commands.py
+++ b/tests/replication/test_state_commands.py
@@ -6,6 +6,7 @@
 import pytest
 from click.testing import CliRunner
 
+from flintridge.cli.calls import ConsoleResponse
 from flintridge.cli.main import main
 from flintridge.core.admin_routes import AdminResponse, RouteWithInput
 from flintridge.downstream.admin_exchange import AdminExchange
@@ -57,7 +58,7 @@
 def respond_with(monkeypatch, *responses):
     """Let the admin API answer the next calls so."""
     remaining = iter(responses)
-    monkeypatch.setattr("flintridge.cli.state.call", lambda *arguments: next(remaining))
+    monkeypatch.setattr("flintridge.cli.state.call", lambda *arguments: ConsoleResponse(*next(remaining)))
 
 
 def test_wait_when_too_few_nodes_have_the_write_ends_with_exit_code_1(monkeypatch):
