--- a/examples/ask.py
+++ b/examples/ask.py
@@ -1,4 +1,4 @@
-"""Sends a few commands to the node of examples/config.json and prints them with their answers."""
+"""Sends a few commands to the node of examples/config.json and prints them with the responses."""
 
 import socket
 
@@ -13,16 +13,17 @@
 
 
 def main() -> None:
+    """Send each command and print its response before the next."""
     with socket.create_connection(("127.0.0.1", 11211), timeout=5) as connection:
-        answers = connection.makefile("rb")
+        responses = connection.makefile("rb")
         for command in COMMANDS:
             connection.sendall(command)
             print(">", command.decode().strip().replace("\r\n", " | "))
-            line = answers.readline()
+            line = responses.readline()
             print("<", line.decode().strip())
             if line.startswith(b"VA "):
                 length = int(line.split()[1])
-                print("<", answers.read(length + 2)[:length].decode())
+                print("<", responses.read(length + 2)[:length].decode())
 
 
 if __name__ == "__main__":
--- a/examples/toy_server.py
+++ b/examples/toy_server.py
@@ -4,6 +4,8 @@
 """
 
 import asyncio
+from dataclasses import dataclass
+from functools import partial
 
 import h11
 import orjson
@@ -14,21 +16,35 @@
 from flintridge.core.request import Request
 
 HOST = "127.0.0.1"
-DISCOVERY, ORIGIN, BOXES = 8500, 8600, (8701, 8702)
+DISCOVERY_PORT = 8500
+ORIGIN_PORT = 8600
+BOX_PORTS = (8701, 8702)
+READ_BYTES = 65536
+POLL_S = 3  # how long discovery keeps a poll that nothing answers
 SETTINGS = Settings(classes=(RequestClass("read"), RequestClass("put")), tenants=(Tenant("acme"),))
 
 
-class Toy:
+@dataclass(frozen=True)
+class HttpResponse:
+    """A response of the origin or of discovery."""
+
+    status: int
+    body: bytes
+
+
+class ToyFleet:
     """The origin's values, and the copies that the boxes hold of them."""
 
     def __init__(self) -> None:
         self.values = {"menu": b"rice and beans"}
-        self.copies: dict[int, dict[str, bytes]] = {port: {} for port in BOXES}
-        self.missed: dict[str, list[int]] = {}  # by request id: the boxes that store what the origin answers
-        self.receipts = 0
-
-    def members(self) -> bytes:
-        flavors = {ORIGIN: "origin"} | dict.fromkeys(BOXES, "box")
+        self.copies: dict[int, dict[str, bytes]] = {port: {} for port in BOX_PORTS}
+        # By request id: the boxes that store what the origin answers.
+        self.missed: dict[str, list[int]] = {}
+        self.write_count = 0
+
+    def endpoint_list(self) -> bytes:
+        """All servers, as discovery lists them."""
+        flavors = {ORIGIN_PORT: "origin"} | dict.fromkeys(BOX_PORTS, "box")
         entries = [
             {"id": f"s-{port}", "host_port": f"{HOST}:{port}", "locality": "here", "flavor": flavor}
             | {"cell": 0, "phase": "in_service", "size": 1.0, "up_since_ms": 0}
@@ -36,9 +52,12 @@
         ]
         return orjson.dumps({"revision": 1, "complete": True, "members": entries})
 
-    async def box(self, port: int, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def serve_cache(
+        self, port: int, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
+    ) -> None:
+        """Answer the memcache commands of one connection to the box at `port`."""
         parser = CommandParser(SETTINGS)
-        while data := await reader.read(65536):
+        while data := await reader.read(READ_BYTES):
             for command in parser.feed(data):
                 if isinstance(command, Request):
                     writer.write(self.look_up(port, command))
@@ -47,29 +66,33 @@
         writer.close()
 
     def look_up(self, port: int, command: Request) -> bytes:
-        value = self.copies[port].get(command.key.decode())
-        print(f"box {port}: {command.key.decode()} {'hit' if value is not None else 'miss'}", flush=True)
+        """The response of the box at `port` to a read or write."""
+        key = command.key.decode()
+        value = self.copies[port].get(key)
+        outcome = "hit" if value is not None else "miss"
+        print(f"box {port}: {key} {outcome}", flush=True)
         if value is not None and not command.write:
             return b"VA %d O%b\r\n%b\r\n" % (len(value), command.id, value)
         self.missed.setdefault(command.id.decode(), []).append(port)
         return b"EN O%b\r\n" % command.id
 
-    async def http(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def serve_http(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        """Answer the HTTP requests of one connection to the origin or to discovery."""
         connection = h11.Connection(h11.SERVER)
-        request, body = None, b""
+        request: h11.Request | None = None
+        body = b""
         while True:
             event = connection.next_event()
             if event is h11.NEED_DATA:
-                connection.receive_data(await reader.read(65536))
+                connection.receive_data(await reader.read(READ_BYTES))
             elif isinstance(event, h11.Request):
-                request, body = event, b""
+                request = event
+                body = b""
             elif isinstance(event, h11.Data):
                 body += bytes(event.data)
             elif isinstance(event, h11.EndOfMessage) and request is not None:
-                status, answer = await self.answer(request, body)
-                head = h11.Response(status_code=status, headers=[("Content-Length", str(len(answer)))])
-                for part in (head, h11.Data(data=answer), h11.EndOfMessage()):
-                    writer.write(connection.send(part) or b"")
+                response = await self.respond(request, body)
+                writer.write(_encoded(connection, response))
                 if connection.our_state is not h11.DONE:
                     break
                 connection.start_next_cycle()
@@ -77,35 +100,50 @@
                 break
         writer.close()
 
-    async def answer(self, request: h11.Request, body: bytes) -> tuple[int, bytes]:
+    async def respond(self, request: h11.Request, body: bytes) -> HttpResponse:
+        """The response of discovery, or of the origin, by the path."""
         path = request.target.decode()
         if path.startswith("/api/targets"):
             if "after=1&" in path:
-                await asyncio.sleep(3)  # nothing ever changes here
-                return 200, b'{"revision":1,"complete":false,"members":[]}'
-            return 200, self.members()
-        key = path[1:]
+                await asyncio.sleep(POLL_S)  # nothing ever changes here
+                return HttpResponse(200, b'{"revision":1,"complete":false,"members":[]}')
+            return HttpResponse(200, self.endpoint_list())
+        return self._origin_response(request, path[1:], body)
+
+    def _origin_response(self, request: h11.Request, key: str, body: bytes) -> HttpResponse:
         print(f"origin: {request.method.decode()} {key}", flush=True)
         if request.method == b"PUT":
             self.values[key] = body
-            self.receipts += 1
+            self.write_count += 1
             for copies in self.copies.values():
                 copies.pop(key, None)
-            return 200, b"r%d" % self.receipts
+            return HttpResponse(200, b"r%d" % self.write_count)
         if key not in self.values:
-            return 500, b""
-        for port in self.missed.pop(dict(request.headers).get(b"req-id", b"").decode(), ()):
+            return HttpResponse(500, b"")
+        request_id = dict(request.headers).get(b"req-id", b"").decode()
+        for port in self.missed.pop(request_id, ()):
             self.copies[port][key] = self.values[key]
-        return 200, self.values[key]
+        return HttpResponse(200, self.values[key])
+
+
+def _encoded(connection: h11.Connection, response: HttpResponse) -> bytes:
+    headers = [("Content-Length", str(len(response.body)))]
+    events: list[h11.Event] = [
+        h11.Response(status_code=response.status, headers=headers),
+        h11.Data(data=response.body),
+        h11.EndOfMessage(),
+    ]
+    return b"".join(connection.send(event) or b"" for event in events)
 
 
 async def main() -> None:
-    toy = Toy()
-    for port in BOXES:
-        await asyncio.start_server(lambda r, w, port=port: toy.box(port, r, w), HOST, port)
-    for port in (DISCOVERY, ORIGIN):
-        await asyncio.start_server(toy.http, HOST, port)
-    print(f"discovery {DISCOVERY}, origin {ORIGIN}, boxes {BOXES}", flush=True)
+    """Serve until the process is ended."""
+    fleet = ToyFleet()
+    for port in BOX_PORTS:
+        await asyncio.start_server(partial(fleet.serve_cache, port), HOST, port)
+    for port in (DISCOVERY_PORT, ORIGIN_PORT):
+        await asyncio.start_server(fleet.serve_http, HOST, port)
+    print(f"discovery {DISCOVERY_PORT}, origin {ORIGIN_PORT}, boxes {BOX_PORTS}", flush=True)
     await asyncio.Event().wait()
 
 
