--- a/benchmarks/budget_days.py
+++ b/benchmarks/budget_days.py
@@ -6,34 +6,35 @@
 what all may use was ever over the budget, looked at each 20 ms and by each process's own clock.
 """
 
-import argparse
 import sys
 import time
 from concurrent.futures import ProcessPoolExecutor
 
+from benchmarks import harness
 from flintridge.lab.partial.lending import random_day
 
 
 def main() -> None:
-    parser = argparse.ArgumentParser(description=__doc__)
+    """Play what the arguments ask for and print it."""
+    parser = harness.argument_parser(__doc__)
     parser.add_argument("--days", type=int, default=500)
-    parser.add_argument("--first", type=int, default=1, help="the first seed")
+    harness.add_first_seed(parser)
     parser.add_argument("--count", type=int, default=20)
-    parser.add_argument("--jobs", type=int, default=4)
-    asked = parser.parse_args()
+    harness.add_jobs(parser, 4)
+    arguments = parser.parse_args()
     began = time.perf_counter()
-    seeds = range(asked.first, asked.first + asked.days)
-    with ProcessPoolExecutor(asked.jobs) as pool:
-        days = list(pool.map(random_day, seeds, [asked.count] * asked.days, chunksize=4))
+    seeds = range(arguments.first, arguments.first + arguments.days)
+    with ProcessPoolExecutor(arguments.jobs) as pool:
+        days = list(pool.map(random_day, seeds, [arguments.count] * arguments.days, chunksize=4))
     over = [day for day in days if day.over]
     deeds: dict[str, int] = {}
     for day in days:
         for name, count in day.deeds.items():
             deeds[name] = deeds.get(name, 0) + count
-    print(f"{len(days)} days of {asked.count} nodes and 30 s, seeds {seeds[0]} to {seeds[-1]}")
+    print(f"{len(days)} days of {arguments.count} nodes and 30 s, seeds {seeds[0]} to {seeds[-1]}")
     print(f"loans granted: {sum(day.granted for day in days):,}; days without any:", end=" ")
     print(sum(not day.granted for day in days))
-    print(f"greatest sum of one budget, in parts of {asked.count}: {max(day.most for day in days):.3f}")
+    print(f"greatest sum of one budget, in parts of {arguments.count}: {max(day.most for day in days):.3f}")
     print("what happened:", ", ".join(f"{name} {count:,}" for name, count in sorted(deeds.items())))
     print(f"days over: {len(over)}; {time.perf_counter() - began:.0f} s")
     for day in over[:10]:
--- a/benchmarks/budget_process_days.py
+++ b/benchmarks/budget_process_days.py
@@ -8,7 +8,6 @@
 a busy machine may seem to break in real time (late answers), are counted beside it.
 """
 
-import argparse
 import json
 import subprocess
 import sys
@@ -21,10 +20,14 @@
 
 import tomli_w
 
-NODES, LENGTH_S = 5, 12.0
+from benchmarks import harness
+
+NODES = 5
+LENGTH_S = 12.0
 
 
 def day(seed: int) -> dict[str, Any]:
+    """The scenario of a seed: load beyond the even parts of one zone, and faults at random."""
     rng = Random(seed)
     faults: list[dict[str, Any]] = []
     at = 0.0
@@ -60,6 +63,7 @@
 
 
 def play(seed: int) -> dict[str, Any]:
+    """The result of a day, or why it was not played."""
     with tempfile.TemporaryDirectory() as folder:
         scenario, result = Path(folder, "day.toml"), Path(folder, "day.json")
         scenario.write_text(tomli_w.dumps(day(seed)))
@@ -71,17 +75,19 @@
         )
         if not result.exists():
             return {"seed": seed, "not_played": done.stderr[-300:]}
-        return {"seed": seed} | json.loads(result.read_text())
+        figures: dict[str, Any] = json.loads(result.read_text())
+        return {"seed": seed} | figures
 
 
 def main() -> None:
-    parser = argparse.ArgumentParser(description=__doc__)
+    """Play what the arguments ask for and print it."""
+    parser = harness.argument_parser(__doc__)
     parser.add_argument("--days", type=int, default=50)
-    parser.add_argument("--first", type=int, default=1, help="the first seed")
-    parser.add_argument("--jobs", type=int, default=3)
-    asked = parser.parse_args()
-    with ThreadPoolExecutor(asked.jobs) as pool:
-        days = list(pool.map(play, range(asked.first, asked.first + asked.days)))
+    harness.add_first_seed(parser)
+    harness.add_jobs(parser, 3)
+    arguments = parser.parse_args()
+    with ThreadPoolExecutor(arguments.jobs) as pool:
+        days = list(pool.map(play, range(arguments.first, arguments.first + arguments.days)))
     failed = [one for one in days if "not_played" in one or one["ended"] != "whole"]
     whole = [one for one in days if one not in failed]
     rules: Counter[str] = Counter()
--- a/benchmarks/budgets_cold.py
+++ b/benchmarks/budgets_cold.py
@@ -16,16 +16,14 @@
 request; `borrowed`: even parts a node, the mean of all looks from 2 s on.
 """
 
-import argparse
 from collections import Counter
-from concurrent.futures import ProcessPoolExecutor
 from pathlib import Path
 from tempfile import TemporaryDirectory
 from typing import Any
 
-import orjson
 from msgspec.structs import replace
 
+from benchmarks import harness
 from flintridge.lab.experiment.stats import mean
 from flintridge.lab.judge.facts import AttemptOutcome, History
 from flintridge.lab.judge.rules.fleet import _windows, capacity
@@ -38,7 +36,10 @@
 from flintridge.policy.server_selection import ServerSelection
 
 MODES = {"off": [], "cold": ["peers={}", "budgets={cold=true}"]}
-AT_S, LENGTH_S, WARMUP_S, WORK_MS = 2.0, 13.0, 9.0, 60.0
+AT_S = 2.0
+LENGTH_S = 13.0
+WARMUP_S = 9.0
+WORK_MS = 60.0
 FIGURES = (
     "fallen",
     "rule",
@@ -77,7 +78,8 @@
     def __init__(self) -> None:
         self.met: set[str] = set()
         self.walked: set[str] = set()
-        self.looks = self.dealt = 0
+        self.looks = 0
+        self.dealt = 0
         is_within_budget = ServerSelection.is_within_budget
 
         def counted(selection: ServerSelection, server: Server, request: OpenRequest, now: int) -> bool:
@@ -86,22 +88,25 @@
             if slow_start.warmth(server.endpoint, now) < 1:
                 self.met.add(request.event.id)
                 self.looks += 1
-                self.dealt += slow_start.node_work() > slow_start.warm_work
+                if slow_start.node_work() > slow_start.warm_work:
+                    self.dealt += 1
                 if not free:
                     self.walked.add(request.event.id)
             return free
 
-        self._undo = lambda: setattr(ServerSelection, "is_within_budget", is_within_budget)
+        self._is_within_budget = is_within_budget
         setattr(ServerSelection, "is_within_budget", counted)  # noqa: B010  mypy refuses an assignment
 
     def close(self) -> None:
-        self._undo()
+        """Let the decisions go uncounted again."""
+        setattr(ServerSelection, "is_within_budget", self._is_within_budget)  # noqa: B010
 
 
 def one(job: tuple[dict[str, Any], str, float, int]) -> dict[str, Any]:
     """A day played: the figures."""
     args, mode, skew, seed = job
-    scenario, walks = scenario_of(args, mode, skew), Walks()
+    scenario = scenario_of(args, mode, skew)
+    walks = Walks()
     try:
         with TemporaryDirectory() as folder:
             events = Path(folder) / "events"
@@ -114,7 +119,9 @@
     by_server: dict[str, list[AttemptOutcome]] = {}
     for sent in caches:
         by_server.setdefault(sent.record.server, []).append(sent)
-    rules, used, most = scenario.rules, [], 0.0
+    rules = scenario.rules
+    used = []
+    most = 0.0
     for starts in day.starts.values():
         for start in (start for start in starts if start.at_ms > 0):
             mine = [
@@ -136,8 +143,11 @@
                     * rules.overload_window_ms
                 )
                 most = max(most, work / budget)
-    held = [one for one in day.records if isinstance(one, LeaseReported) and one.at_ms > AT_S * 1000]
-    lent, looks = [one.borrowed for one in held], {one.at_ms for one in held}
+    held = [
+        record for record in day.records if isinstance(record, LeaseReported) and record.at_ms > AT_S * 1000
+    ]
+    lent = [report.borrowed for report in held]
+    report_times = {report.at_ms for report in held}
     outcomes = Counter(sent.made.outcome for sent in caches if sent.made is not None)
     return {
         "args": args,
@@ -155,7 +165,7 @@
         "origin": result.origin_per_request,
         "goodput": result.goodput,
         "p99": result.latency_ms.p99,
-        "borrowed": sum(lent) / (max(1, len(looks)) * args["nodes"]),
+        "borrowed": sum(lent) / (max(1, len(report_times)) * args["nodes"]),
         "ended": result.end_reason,
         "rules": {rule: count for rule, count in result.rules.items() if count},
         "wall_s": result.wall_s,
@@ -163,7 +173,8 @@
 
 
 def main() -> None:
-    parser = argparse.ArgumentParser()
+    """Play what the arguments ask for and print it."""
+    parser = harness.argument_parser(__doc__)
     parser.add_argument("--nodes", type=int, default=60)
     parser.add_argument("--servers", type=int, default=60)
     parser.add_argument("--replaced", type=int, default=12)
@@ -171,28 +182,24 @@
     parser.add_argument("--quota", type=float, default=0.0)
     parser.add_argument("--skews", default="0,0.4")
     parser.add_argument("--seeds", type=int, default=2)
-    parser.add_argument("--jobs", type=int, default=2)
-    parser.add_argument("--json", type=Path, help="keeps the figures; what is there is not played again")
-    asked = parser.parse_args()
-    args = {name: getattr(asked, name) for name in ("nodes", "servers", "replaced", "rate", "quota")}
-    skews = [float(skew) for skew in asked.skews.split(",")]
-    jobs = [(args, mode, s, seed) for s in skews for seed in range(1, asked.seeds + 1) for mode in MODES]
-    rows: list[dict[str, Any]] = []
-    if asked.json is not None and asked.json.exists():
-        rows = [row for row in orjson.loads(asked.json.read_bytes()) if row["args"] == args]
-    known = {(row["mode"], row["skew"], row["seed"]) for row in rows}
+    harness.add_jobs(parser, 2)
+    harness.add_json(parser)
+    arguments = parser.parse_args()
+    args = {name: getattr(arguments, name) for name in ("nodes", "servers", "replaced", "rate", "quota")}
+    skews = [float(skew) for skew in arguments.skews.split(",")]
+    jobs = [(args, mode, s, seed) for s in skews for seed in range(1, arguments.seeds + 1) for mode in MODES]
+    kept = harness.KeptRows(arguments.json)
+    kept.select(["args"], [args])
+    known = kept.keys(["mode", "skew", "seed"])
     print(f"{'skew':>5} {'mode':5} {'seed':>4}" + "".join(f"{name:>10}" for name in FIGURES))
-    for row in rows:
+    for row in kept.rows:
+        tell(row)
+    for row in kept.play(one, [job for job in jobs if job[1:] not in known], arguments.jobs):
         tell(row)
-    with ProcessPoolExecutor(asked.jobs) as pool:
-        for row in pool.map(one, [job for job in jobs if job[1:] not in known]):
-            rows.append(row)
-            if asked.json is not None:
-                asked.json.write_bytes(orjson.dumps(rows))
-            tell(row)
 
 
 def tell(row: dict[str, Any]) -> None:
+    """Print a row."""
     figures = "".join(f"{row[name]:>10.4g}" for name in FIGURES)
     print(
         f"{row['skew']:>5} {row['mode']:5} {row['seed']:>4}{figures}  {row['ended']} {row['rules']}",
--- a/benchmarks/budgets_cost.py
+++ b/benchmarks/budgets_cost.py
@@ -20,11 +20,15 @@
 from flintridge.policy.balancer import Balancer
 
 MS = 1_000_000
-ROUNDS, REQUESTS, SERVERS, TENANTS = 21, 2_000, 20, 3
+ROUNDS = 21
+REQUESTS = 2_000
+SERVERS = 20
+TENANTS = 3
 EVERY = 50 * MS  # ns between two events that carry holdings
 PACES = (100, 1_000)  # requests a second at a node
 COUNTS = (20, 200)
-SETTLE, LOOKED = 10_000.0, 10_000.0  # ms: until it is looked at, and for how long
+SETTLE_MS = 10_000.0
+MEASURED_MS = 10_000.0
 
 
 class Quiet(Lenders):
@@ -35,6 +39,7 @@
 
 
 def settings() -> api.Settings:
+    """Tenants with quotas in a fleet of ten."""
     tenants = tuple(api.Tenant(quota_per_s=200.0) for _ in range(TENANTS))
     return api.Settings(tenants=tenants, fleet_size=10)
 
@@ -44,14 +49,19 @@
 
     def __init__(self, per_s: int, told: bool) -> None:
         self._module = Balancer(settings(), 1)
-        self._step, self._told = 1000 * MS // per_s, told
-        self._now, self._number, self._next = 1000 * MS, 0, 0
+        self._step = 1000 * MS // per_s
+        self._told = told
+        self._now = 1000 * MS
+        self._number = 0
+        self._next = 0
         members = tuple(api.Endpoint(f"s{i}") for i in range(SERVERS))
         self._module.handle(self._now, api.EndpointUpdate(api.UpdateKind.FULL, 1, members))
 
     def round(self) -> float:
         """Microseconds a request, the events with holdings among them."""
-        handle, now, took = self._module.handle, self._now, 0.0
+        handle = self._module.handle
+        now = self._now
+        took = 0.0
         for i in range(self._number, self._number + REQUESTS):
             uid = f"r{i}"
             now += self._step
@@ -76,13 +86,17 @@
                     began = time.thread_time()
                     handle(now, ended)
                     took += time.thread_time() - began
-        self._number, self._now = self._number + REQUESTS, now
+        self._number += REQUESTS
+        self._now = now
         return took / REQUESTS * 1e6
 
 
 def module(per_s: int) -> None:
-    off, on = Played(per_s, False), Played(per_s, True)
-    off.round(), on.round()
+    """Print the cost of the decisions of a request at so many a second, with and without allocations."""
+    off = Played(per_s, False)
+    on = Played(per_s, True)
+    off.round()
+    on.round()
     pairs = [(off.round(), on.round()) for _ in range(ROUNDS)]
     without, told = (statistics.median(column) for column in zip(*pairs, strict=True))
     low, ratio, high = statistics.quantiles([b / a for a, b in pairs], n=4)
@@ -107,21 +121,23 @@
 
 def fleet(fleet: Machines) -> tuple[float, float]:
     """Bytes a node a second, and milliseconds of CPU a node a second."""
-    fleet.run(SETTLE)
+    fleet.run(SETTLE_MS)
     before = sent(fleet)
     began = time.thread_time()
-    fleet.run(LOOKED)
+    fleet.run(MEASURED_MS)
     took = time.thread_time() - began
-    each = len(fleet.names) * LOOKED / 1000
+    each = len(fleet.names) * MEASURED_MS / 1000
     return (sent(fleet) - before) / each, took * 1000 / each
 
 
 def sent(fleet: Machines) -> int:
+    """Bytes that all processes have sent."""
     processes = [process for found in fleet.processes.values() for process in found]
     return sum(sum(one.seconds.values()) + sum(one.exchanged.values()) for one in processes)
 
 
 def lease_managers(count: int) -> None:
+    """Print what lease managers cost so many nodes, beside peers alone."""
     alone = fleet(Machines(count, 1))
     lenders = Quiet(count, 1, LeaseTerms(EVEN_FRACTION_UNITS, 250, 4_000.0))
     for i, name in enumerate(lenders.names):
@@ -135,6 +151,7 @@
 
 
 def main() -> None:
+    """Play what the arguments ask for and print it."""
     for per_s in PACES:
         module(per_s)
     hook()
--- a/benchmarks/budgets_gain.py
+++ b/benchmarks/budgets_gain.py
@@ -12,14 +12,12 @@
 to, and of that what it got: `min(got, quota) / min(asked, quota)`, by requests. Intervals: 95%, paired.
 """
 
-import argparse
-from concurrent.futures import ProcessPoolExecutor
 from pathlib import Path
 from typing import Any
 
-import orjson
 from msgspec.structs import replace
 
+from benchmarks import harness
 from flintridge.lab.experiment.stats import bootstrap, mean
 from flintridge.lab.partial.oracle import Dealing
 from flintridge.lab.run import play
@@ -93,6 +91,7 @@
 
 
 def tell(day: str, modes: list[str], rows: list[dict[str, Any]]) -> None:
+    """Print the means of a day by mode, and how they differ from even parts."""
     names = [name for name in rows[0] if name not in ("day", "mode", "seed", "set", "rules", "ended")]
     by_mode = {mode: [row for row in rows if row["mode"] == mode] for mode in modes}
     same = set.intersection(*({row["seed"] for row in found} for found in by_mode.values()))
@@ -116,30 +115,27 @@
 
 
 def main() -> None:
-    parser = argparse.ArgumentParser()
+    """Play what the arguments ask for and print it."""
+    parser = harness.argument_parser(__doc__)
     parser.add_argument("--days", default="uneven,zones")
     parser.add_argument("--modes", default="level,even,quotas,floors,oracle")
     parser.add_argument("--seeds", type=int, default=20)
-    parser.add_argument("--first", type=int, default=1)
-    parser.add_argument("--jobs", type=int, default=4)
+    harness.add_first_seed(parser)
+    harness.add_jobs(parser, 4)
     parser.add_argument("--set", action="append", default=[], help="a change of the day, as of `lab run`")
-    parser.add_argument("--json", type=Path, help="keeps the figures; what is there is not played again")
-    args = parser.parse_args()
-    days, modes = args.days.split(","), args.modes.split(",")
-    seeds = range(args.first, args.first + args.seeds)
-    jobs = [(day, mode, seed, args.set) for day in days for seed in seeds for mode in modes]
-    rows: list[dict[str, Any]] = []
-    if args.json is not None and args.json.exists():
-        rows = [row for row in orjson.loads(args.json.read_bytes()) if row["set"] == args.set]
-    known = {(row["day"], row["mode"], row["seed"]) for row in rows}
-    jobs = [job for job in jobs if job[:3] not in known]
-    with ProcessPoolExecutor(args.jobs) as pool:
-        for row in pool.map(one, jobs):
-            rows.append(row)
-            if args.json is not None:
-                args.json.write_bytes(orjson.dumps(rows))
+    harness.add_json(parser)
+    arguments = parser.parse_args()
+    days = arguments.days.split(",")
+    modes = arguments.modes.split(",")
+    seeds = range(arguments.first, arguments.first + arguments.seeds)
+    jobs = [(day, mode, seed, arguments.set) for day in days for seed in seeds for mode in modes]
+    kept = harness.KeptRows(arguments.json)
+    kept.select(["set"], [arguments.set])
+    known = kept.keys(["day", "mode", "seed"])
+    for _ in kept.play(one, [job for job in jobs if job[:3] not in known], arguments.jobs):
+        pass
     for day in days:
-        tell(day, modes, sorted((row for row in rows if row["day"] == day), key=lambda row: row["seed"]))
+        tell(day, modes, sorted((row for row in kept.rows if row["day"] == day), key=lambda row: row["seed"]))
 
 
 if __name__ == "__main__":
--- a/benchmarks/budgets_leaving.py
+++ b/benchmarks/budgets_leaving.py
@@ -11,17 +11,15 @@
 `--holdings`: lease managers alone: the sum, in even parts, that the five that stay of ten may use, over time.
 """
 
-import argparse
 import tempfile
-from collections import Counter
-from concurrent.futures import ProcessPoolExecutor
+from collections import Counter, defaultdict
 from functools import partial
 from pathlib import Path
 from typing import Any
 
-import orjson
 from msgspec.structs import replace
 
+from benchmarks import harness
 from flintridge.lab.experiment.stats import bootstrap, mean
 from flintridge.lab.judge.facts import History
 from flintridge.lab.judge.figures import wishes_of
@@ -34,7 +32,9 @@
 from flintridge.leases.fleet_limit import EVEN_FRACTION_UNITS, LeaseTerms
 
 GONE = (0, 1, 2, 3, 4)  # of zones in turn
-AT_S, LENGTH_S, WARMUP_S = 4.0, 16.0, 9.0
+AT_S = 4.0
+LENGTH_S = 16.0
+WARMUP_S = 9.0
 SPANS = ((0, 4), (4, 5), (5, 6), (6, 8), (8, 10), (10, 12), (12, 16))  # s of the day
 MODES = {"even": [], "lent": ["peers={}", "budgets={tenants=true, floors=true}"]}
 HOWS = ("killed", "left")
@@ -73,7 +73,7 @@
         ):
             borrowed[int(record.at_ms // 1000)] += record.borrowed * VIEW_MS / 1000 / len(scenario.tenants)
     asked: Counter[tuple[int, str]] = Counter()
-    got: Counter[tuple[int, str]] = Counter()
+    got: defaultdict[tuple[int, str], float] = defaultdict(float)
     for wish in wishes.values():
         for i, (since, until) in enumerate(SPANS):
             if since <= wish.due / 1000 < until:
@@ -92,6 +92,7 @@
 
 
 def tell(rows: list[dict[str, Any]]) -> None:
+    """Print the means of each span, and what lending gains in it."""
     heads = "".join(f"{f'{since}-{until} s':>10}" for since, until in SPANS)
     for figure in ("goodput", "due"):
         print(f"\n{figure:18}{heads}")
@@ -126,6 +127,7 @@
 
 
 def usable(how: str, stay: float, go: float, then: float) -> list[float]:
+    """The sum that those that stay may use, in even fractions, at each of AFTER."""
     fleet = Lenders(10, 1, LeaseTerms(EVEN_FRACTION_UNITS, 250, 4_000.0))
     for i, name in enumerate(fleet.names):
         fleet.need(name, go if i in GONE else stay)
@@ -149,28 +151,24 @@
 
 
 def main() -> None:
-    parser = argparse.ArgumentParser()
+    """Play what the arguments ask for and print it."""
+    parser = harness.argument_parser(__doc__)
     parser.add_argument("--seeds", type=int, default=4)
-    parser.add_argument("--first", type=int, default=1)
-    parser.add_argument("--jobs", type=int, default=2)
-    parser.add_argument("--json", type=Path, help="keeps the figures; what is there is not played again")
+    harness.add_first_seed(parser)
+    harness.add_jobs(parser, 2)
+    harness.add_json(parser)
     parser.add_argument("--holdings", action="store_true", help="lease managers alone")
-    args = parser.parse_args()
-    if args.holdings:
+    arguments = parser.parse_args()
+    if arguments.holdings:
         holdings()
         return
-    seeds = range(args.first, args.first + args.seeds)
+    seeds = range(arguments.first, arguments.first + arguments.seeds)
     jobs = [(how, mode, seed) for seed in seeds for how in HOWS for mode in MODES]
-    rows: list[dict[str, Any]] = []
-    if args.json is not None and args.json.exists():
-        rows = orjson.loads(args.json.read_bytes())
-    known = {(row["how"], row["mode"], row["seed"]) for row in rows}
-    with ProcessPoolExecutor(args.jobs) as pool:
-        for row in pool.map(one, [job for job in jobs if job not in known]):
-            rows.append(row)
-            if args.json is not None:
-                args.json.write_bytes(orjson.dumps(rows))
-    tell(sorted((row for row in rows if row["seed"] in seeds), key=lambda row: row["seed"]))
+    kept = harness.KeptRows(arguments.json)
+    known = kept.keys(["how", "mode", "seed"])
+    for _ in kept.play(one, [job for job in jobs if job not in known], arguments.jobs):
+        pass
+    tell(sorted((row for row in kept.rows if row["seed"] in seeds), key=lambda row: row["seed"]))
 
 
 if __name__ == "__main__":
--- a/benchmarks/copies_search.py
+++ b/benchmarks/copies_search.py
@@ -10,6 +10,7 @@
 import time
 from concurrent.futures import ProcessPoolExecutor
 
+from benchmarks import harness
 from flintridge.lab.explore import explore
 from flintridge.lab.explore.copies import Copies, Left
 
@@ -51,23 +52,24 @@
 }
 
 
-def search(name: str) -> str:
+def search(name: str) -> list[str]:
+    """Explore one of SEARCHES: its row."""
     size, written, left = SEARCHES[name]
     began = time.perf_counter()
     found = explore(Copies.begin(size, Left(**NONE | left), written=written), most=60_000)
     took = time.perf_counter() - began
-    whole = "all" if found.whole else "cut short"
-    return (
-        f"| {name} | {found.states:,} | {found.depth} | {whole} | {found.broken or 'nothing'} | {took:.0f} |"
-    )
+    extent = "all" if found.whole else "cut short"
+    broken = found.broken or "nothing"
+    return [name, f"{found.states:,}", str(found.depth), extent, str(broken), f"{took:.0f}"]
 
 
 def main() -> None:
+    """Explore each of SEARCHES and print its row."""
     os.nice(10)
-    print("| what may happen | states | steps | seen | broken | s |\n| --- | --- | --- | --- | --- | --- |")
+    harness.print_table_head(["what may happen", "states", "steps", "seen", "broken", "s"])
     with ProcessPoolExecutor(2) as pool:
-        for line in pool.map(search, SEARCHES):
-            print(line, flush=True)
+        for row in pool.map(search, SEARCHES):
+            harness.print_table_row(row)
 
 
 if __name__ == "__main__":
--- a/benchmarks/crowd_cost.py
+++ b/benchmarks/crowd_cost.py
@@ -13,10 +13,13 @@
 
 from benchmarks.node_cost import Node, cache, silent
 
-COUNT, ROUNDS, ASKING = 2000, 5, 200
+COUNT = 2000
+ROUNDS = 5
+ASKING = 200  # requests of a burst
 
 
 async def ask(node: Node, number: int) -> None:
+    """Send one request on a connection of its own."""
     reader, writer = await asyncio.open_connection("127.0.0.1", node.port)
     writer.write(b"mg key%d v Oc%d Pc=read,d=9000\r\n" % (number % 50, number))
     assert (await reader.readline()).startswith(b"VA 64 ")
@@ -24,6 +27,7 @@
 
 
 async def main() -> None:
+    """Open the connections, then the bursts, and print what they cost."""
     servers = [await asyncio.start_server(serve, "127.0.0.1", 0) for serve in (cache, silent)]
     box, discovery = (server.sockets[0].getsockname()[1] for server in servers)
     node = Node(".", box, discovery)
--- a/benchmarks/fleet_size.py
+++ b/benchmarks/fleet_size.py
@@ -41,6 +41,7 @@
 
 
 def settings() -> api.Settings:
+    """One class of requests, and the rules of slow start."""
     rules = api.Rules(
         slow_start_fraction=0.3, slow_start_ns=10 * S, overload_multiple=3.0, overload_window_ns=S
     )
@@ -79,10 +80,12 @@
             self.add(at, api.RequestReceived(f"r{i}", at + 2 * S, key=key))
 
     def add(self, at: int, event: api.Event) -> None:
+        """Let an event happen at a time."""
         self.order += 1
         heapq.heappush(self.due, (at, self.order, event))
 
     def run(self) -> None:
+        """Play all events in order and note the longest calls."""
         kinds = {api.EndpointUpdate: "change", api.TimerFired: "timer"}
         kind = "first list"
         while self.due:
@@ -96,6 +99,7 @@
             kind = kinds.get(type(self.due[0][2]), "request") if self.due else ""
 
     def carry_out(self, now: int, action: api.Action) -> None:
+        """Let a timer or the end of an attempt follow from an action."""
         if isinstance(action, api.SetTimer):
             self.add(action.at, api.TimerFired(action.token))
         elif isinstance(action, api.Send):
@@ -110,6 +114,7 @@
 
 
 def play(servers: int, replaced: bool) -> dict[str, float]:
+    """The figures of one play, in this process."""
     play = Play(servers, replaced)
     began = time.process_time()
     play.run()
@@ -121,17 +126,21 @@
 
 
 def play_apart(servers: int, replaced: bool, checkout: Path) -> dict[str, float]:
+    """The figures of one play in a process of its own, with a checkout's code."""
     command = [sys.executable, __file__, "--play", str(servers), *([] if replaced else ["--still"])]
     env = {**os.environ, "PYTHONPATH": str(checkout)}
     done = subprocess.run(command, env=env, capture_output=True, text=True, timeout=600, check=True)
-    return json.loads(done.stdout)
+    figures: dict[str, float] = json.loads(done.stdout)
+    return figures
 
 
 def medians(plays: Sequence[dict[str, float]]) -> dict[str, float]:
+    """The medians of each figure."""
     return {name: statistics.median(play[name] for play in plays) for name in plays[0]}
 
 
 def table(sizes: Sequence[int], rounds: int, replaced: bool) -> None:
+    """Print what is measured beside what is allowed, at each size."""
     columns = ("first list ms", "change ms", "timer ms", "request ms", "served")
     print("| servers | CPU s | allowed | peak MB | allowed |", " | ".join(columns), "|")
     print("| --- " * (5 + len(columns)) + "|")
@@ -151,6 +160,7 @@
 
 
 def compare(sizes: Sequence[int], rounds: int, replaced: bool, other: Path) -> None:
+    """Print the CPU time of two checkouts at each size."""
     print("| servers | here, CPU s | there, CPU s | ratio |\n| --- | --- | --- | --- |")
     for size in sizes:
         pairs = []
@@ -164,21 +174,27 @@
 
 
 def main() -> None:
-    parser = argparse.ArgumentParser(description=__doc__, formatter_class=argparse.RawTextHelpFormatter)
+    """Play what the arguments ask for and print it."""
+    # Not by the harness: with --play this file runs beside the packages of another checkout.
+    parser = argparse.ArgumentParser(
+        description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter
+    )
     parser.add_argument("--still", action="store_true", help="no server is replaced")
     parser.add_argument("--sizes", default="", help="N, with commas")
     parser.add_argument("--rounds", type=int, default=3)
     parser.add_argument("--against", type=Path, help="another checkout to alternate with")
     parser.add_argument("--play", type=int, help=argparse.SUPPRESS)  # in its own process
-    asked = parser.parse_args()
-    if asked.play:
-        print(json.dumps(play(asked.play, not asked.still)))
+    arguments = parser.parse_args()
+    if arguments.play:
+        print(json.dumps(play(arguments.play, not arguments.still)))
         return
-    sizes = [int(size) for size in (asked.sizes or ("8,50" if asked.against else "50,200")).split(",")]
-    if asked.against:
-        compare(sizes, asked.rounds, not asked.still, asked.against.resolve())
+    sizes = [
+        int(size) for size in (arguments.sizes or ("8,50" if arguments.against else "50,200")).split(",")
+    ]
+    if arguments.against:
+        compare(sizes, arguments.rounds, not arguments.still, arguments.against.resolve())
     else:
-        table(sizes, asked.rounds, not asked.still)
+        table(sizes, arguments.rounds, not arguments.still)
 
 
 if __name__ == "__main__":
--- a/benchmarks/lab_backends.py
+++ b/benchmarks/lab_backends.py
@@ -5,9 +5,9 @@
 most); with more than a few the machine was too busy to judge by.
 """
 
-import argparse
 import statistics
 
+from benchmarks import harness
 from flintridge.lab.experiment.jobs import Job, JobFailed
 from flintridge.lab.experiment.pool import run_one
 from flintridge.lab.result import Result
@@ -18,6 +18,7 @@
 
 
 def played(day: str, seed: int, backend: str) -> Result:
+    """The result of a day; ends the program if it failed."""
     outcome = run_one(Job(scenario=load(day), seed=seed, backend=backend))
     if isinstance(outcome, JobFailed):
         raise SystemExit(f"{day}, seed {seed}, {backend}: {outcome.why}")
@@ -25,17 +26,18 @@
 
 
 def main() -> None:
-    parser = argparse.ArgumentParser(description=__doc__, formatter_class=argparse.RawTextHelpFormatter)
+    """Play what the arguments ask for and print it."""
+    parser = harness.argument_parser(__doc__)
     parser.add_argument("days", nargs="*", default=DAYS)
     parser.add_argument("--seeds", type=int, default=2)
-    words = parser.parse_args()
+    arguments = parser.parse_args()
     print(
         f"{'day':14} {'backend':9} {'goodput':>8} {'in aim':>7} {'p50':>6} {'p99':>6} {'hits':>6} "
         f"{'attempts':>8} {'broken':>6}  late"
     )
-    for day in words.days:
+    for day in arguments.days:
         goodput: dict[str, list[float]] = {backend: [] for backend in BACKENDS}
-        for seed in range(1, words.seeds + 1):
+        for seed in range(1, arguments.seeds + 1):
             for backend in BACKENDS:
                 run = played(day, seed, backend)
                 goodput[backend].append(run.goodput)
--- a/benchmarks/lab_cost.py
+++ b/benchmarks/lab_cost.py
@@ -5,13 +5,13 @@
 Requests of the warm-up are played as the others are, and counted with them; keys grow with the traffic.
 """
 
-import argparse
 import concurrent.futures
 import multiprocessing
 import time
 
 import msgspec
 
+from benchmarks import harness
 from flintridge.lab.run import play
 from flintridge.lab.scenario.load import load
 from flintridge.lab.scenario.model import Group, Scenario
@@ -52,6 +52,7 @@
 
 
 def measure(size: str) -> dict[str, float]:
+    """The figures of one play, in this process."""
     began = time.process_time()
     day = sized(*SIZES[size])
     result = play(day, 1)
@@ -68,7 +69,8 @@
 
 
 def main() -> None:
-    parser = argparse.ArgumentParser(description=__doc__)
+    """Play what the arguments ask for and print it."""
+    parser = harness.argument_parser(__doc__)
     parser.add_argument("--repeats", type=int, default=3)
     repeats = parser.parse_args().repeats
     runs: dict[str, list[dict[str, float]]] = {size: [] for size in SIZES}
--- a/benchmarks/lease_search.py
+++ b/benchmarks/lease_search.py
@@ -9,6 +9,7 @@
 import time
 from concurrent.futures import ProcessPoolExecutor
 
+from benchmarks import harness
 from flintridge.lab.explore import explore
 from flintridge.lab.explore.leases import Leases, Left
 
@@ -29,22 +30,23 @@
 }
 
 
-def search(name: str) -> str:
+def search(name: str) -> list[str]:
+    """Explore one of SEARCHES: its row."""
     speeds, left = SEARCHES[name]
     began = time.perf_counter()
     found = explore(Leases.begin(speeds, left))
     took = time.perf_counter() - began
-    whole = "all" if found.whole else "cut short"
-    return (
-        f"| {name} | {found.states:,} | {found.depth} | {whole} | {found.broken or 'nothing'} | {took:.0f} |"
-    )
+    extent = "all" if found.whole else "cut short"
+    broken = found.broken or "nothing"
+    return [name, f"{found.states:,}", str(found.depth), extent, str(broken), f"{took:.0f}"]
 
 
 def main() -> None:
-    print("| what may happen | states | steps | seen | broken | s |\n| --- | --- | --- | --- | --- | --- |")
+    """Explore each of SEARCHES and print its row."""
+    harness.print_table_head(["what may happen", "states", "steps", "seen", "broken", "s"])
     with ProcessPoolExecutor(6) as pool:
-        for line in pool.map(search, SEARCHES):
-            print(line, flush=True)
+        for row in pool.map(search, SEARCHES):
+            harness.print_table_row(row)
 
 
 if __name__ == "__main__":
--- a/benchmarks/long_values.py
+++ b/benchmarks/long_values.py
@@ -15,12 +15,16 @@
 
 from benchmarks.node_cost import Node, silent
 
-READERS, WRITERS, LENGTH = 60, 20, 4 * 1024 * 1024
-PIECE, PAUSE_S = 256 * 1024, 0.1
+READERS = 60
+WRITERS = 20
+LENGTH = 4 * 1024 * 1024  # bytes of a value
+PIECE = 256 * 1024  # bytes
+PAUSE_S = 0.1  # after each piece
 LIMITS = {"memory_mb": 80, "sockets": 384}
 
 
 async def cache(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    """A cache server that sends a long value for each line."""
     while line := await reader.readline():
         uid = line.split(b" O")[1].split()[0]
         writer.write(b"VA %d O%b h1\r\n" % (LENGTH, uid))
@@ -32,6 +36,7 @@
 
 
 async def origin(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    """An origin that takes each write."""
     while head := await reader.readuntil(b"\r\n\r\n"):
         length = int(head.lower().split(b"content-length: ")[1].split(b"\r\n")[0])
         await reader.readexactly(length)
@@ -39,6 +44,7 @@
 
 
 async def read(node: Node, number: int) -> str:
+    """Read a value slowly: how it ended."""
     reader, writer = await asyncio.open_connection("127.0.0.1", node.port, limit=PIECE)
     writer.write(b"mg key%d v Or%d Pc=read,d=9000\r\n" % (number, number))
     line = await reader.readline()
@@ -51,6 +57,7 @@
 
 
 async def write(node: Node, number: int) -> str:
+    """Write a value in pieces: how it ended."""
     reader, writer = await asyncio.open_connection("127.0.0.1", node.port)
     writer.write(b"ms key%d %d Ow%d Pc=read,d=9000\r\n" % (number, LENGTH, number))
     for _ in range(LENGTH // PIECE):
@@ -74,6 +81,7 @@
 
 
 def free_port() -> int:
+    """A port that nothing listens on."""
     with socket.socket() as one:
         one.bind(("127.0.0.1", 0))
         port: int = one.getsockname()[1]
@@ -81,14 +89,15 @@
 
 
 async def main() -> None:
+    """Let all clients read and write at once, and print what the node held."""
     servers = [await asyncio.start_server(serve, "127.0.0.1", 0) for serve in (cache, origin, silent)]
     ports = [server.sockets[0].getsockname()[1] for server in servers]
     node = Node(".", ports[0], ports[2])
     member = {"id": "o", "host_port": f"127.0.0.1:{ports[1]}", "flavor": "origin", "phase": "in_service"}
     node.config["known"]["members"].append(member)
     node.config["limits"] = LIMITS
-    door = free_port()
-    node.config["console"] = f"127.0.0.1:{door}"
+    console_port = free_port()
+    node.config["console"] = f"127.0.0.1:{console_port}"
     with tempfile.TemporaryDirectory() as folder:
         await node.start(Path(folder))
         try:
@@ -98,7 +107,8 @@
                 *(read(node, i) for i in range(READERS)), *(write(node, i) for i in range(WRITERS))
             )
             while not asking.done():
-                peak, longest = max(peak, node.memory_mb), max(longest, await call(door))
+                peak = max(peak, node.memory_mb)
+                longest = max(longest, await call(console_port))
                 await asyncio.sleep(0.02)
             said = asking.result()
         finally:
--- a/benchmarks/node_cost.py
+++ b/benchmarks/node_cost.py
@@ -12,8 +12,11 @@
 import sys
 import tempfile
 from pathlib import Path
+from typing import Any
 
-ROUNDS, REQUESTS, CLIENTS = 5, 4000, 8
+ROUNDS = 5
+REQUESTS = 4000  # of a round
+CLIENTS = 8
 TICK = os.sysconf("SC_CLK_TCK")
 SETTINGS = {
     "services": [{"name": "read", "effect": "retryable", "sloNs": 10**9, "hardLimitNs": 10**10}],
@@ -25,6 +28,7 @@
 
 
 async def cache(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    """A cache server that has every key."""
     while line := await reader.readline():
         uid = line.split(b" O")[1].split()[0]
         writer.write(b"VA 64 O%b h1\r\n%b\r\n" % (uid, b"v" * 64))
@@ -32,21 +36,25 @@
 
 
 async def silent(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    """A server that says nothing until the other side is done."""
     await reader.read()
     writer.close()
 
 
 class Node:
+    """The node of a source tree, in a process of its own."""
+
     def __init__(self, tree: str, box: int, discovery: int) -> None:
         self.tree = tree
         member = {"id": "box", "host_port": f"127.0.0.1:{box}", "flavor": "box", "phase": "in_service"}
-        self.config = {
+        self.config: dict[str, Any] = {
             "name": "n1", "listen": "127.0.0.1:0", "discovery": f"127.0.0.1:{discovery}",
             "known": {"revision": 1, "complete": True, "members": [member]}, "settings": SETTINGS,
         }  # fmt: skip
         self.sent = 0
 
     async def start(self, folder: Path) -> None:
+        """Start the process and wait until it serves."""
         path = folder / f"{id(self)}.json"
         path.write_text(json.dumps(self.config))
         self.process = await asyncio.create_subprocess_exec(
@@ -61,20 +69,24 @@
 
     @property
     def cpu_s(self) -> float:
+        """CPU seconds of the process so far."""
         fields = Path(f"/proc/{self.process.pid}/stat").read_text().rpartition(")")[2].split()
         return (int(fields[11]) + int(fields[12])) / TICK
 
     @property
     def memory_mb(self) -> float:
+        """Resident memory of the process."""
         pages = int(Path(f"/proc/{self.process.pid}/statm").read_text().split()[1])
         return pages * os.sysconf("SC_PAGE_SIZE") / 2**20
 
     async def round(self) -> float:
+        """Microseconds of CPU a request, over one round."""
         began = self.cpu_s
         await asyncio.gather(*(self.client(REQUESTS // CLIENTS) for _ in range(CLIENTS)))
         return (self.cpu_s - began) / REQUESTS * 1e6
 
     async def client(self, count: int) -> None:
+        """Read values one after the other over one connection."""
         reader, writer = await asyncio.open_connection("127.0.0.1", self.port)
         for _ in range(count):
             self.sent += 1
@@ -86,6 +98,7 @@
 
 
 async def main(trees: list[str]) -> None:
+    """Measure two trees in turn and print their figures and ratios."""
     box = await asyncio.start_server(cache, "127.0.0.1", 0)
     discovery = await asyncio.start_server(silent, "127.0.0.1", 0)
     ports = [server.sockets[0].getsockname()[1] for server in (box, discovery)]
--- a/benchmarks/peers_cost.py
+++ b/benchmarks/peers_cost.py
@@ -18,17 +18,21 @@
 from flintridge.membership.messages import GossipEntry, Message, MessageCodec
 
 ROOT = Path(__file__).resolve().parent.parent
-COUNT, NAMES, KEY = 20_000, tuple(f"n{i}" for i in range(1, 1001)), b"k" * 32
+COUNT = 20_000  # datagrams
+NAMES = tuple(f"n{i}" for i in range(1, 1001))
+KEY = b"k" * 32
 ENTRIES = tuple(GossipEntry(f"n{i}", i, 0, 0, 5) for i in range(24))
 PEERS = ", ".join(f'n{i} = "127.0.0.1:{7300 + i}"' for i in range(1, 21))
 TABLE = f'\n[peers]\nlisten = "127.0.0.1:7301"\nfleet = "c"\nknown = {{ {PEERS} }}\n'
 
 
 def node(key: bytes | None) -> FailureDetector:
+    """A failure detector with a thousand peers."""
     return FailureDetector("n0", 7, NAMES, MessageCodec("fleet", key), 8_000.0, 0.0, Random(1))
 
 
 def cost(name: str, key: bytes | None, data: bytes, flood: bool = False) -> None:
+    """Print the microseconds that receiving a datagram takes."""
     machine = node(key)
     if not flood:
         machine._datagrams_in.per_second = 1e12  # else all but 400 would be a flood
@@ -39,6 +43,7 @@
 
 
 def message(fleet: str) -> Message:
+    """A gossip message with 24 entries."""
     return Message(fleet, "n1", 9, 0, 1, 1, 5, 1, entries=ENTRIES)
 
 
@@ -62,11 +67,13 @@
 
 
 def ticks(pid: int) -> int:
+    """Clock ticks of CPU that a process has used."""
     fields = Path(f"/proc/{pid}/stat").read_text().rsplit(")", 1)[1].split()
     return int(fields[11]) + int(fields[12])
 
 
 def main() -> None:
+    """Print all costs."""
     cost("no datagram of ours", None, b"GET / HTTP/1.1\r\n" + bytes(584))
     cost("without the right seal", KEY, b"FP\x01" + bytes(597))
     cost("malformed", None, b"FP\x01" + bytes(597))
--- a/benchmarks/peers_processes.py
+++ b/benchmarks/peers_processes.py
@@ -5,13 +5,13 @@
 Each round kills a node and starts it anew; times are seconds until half, and all, of the others logged it.
 """
 
-import argparse
 import asyncio
 import statistics
 from functools import partial
 
 import orjson
 
+from benchmarks import harness
 from flintridge.lab.backend.processes import Process
 from flintridge.lab.partial.rig import Rig
 from flintridge.lab.records import DatagramRelayed
@@ -20,11 +20,13 @@
 
 
 def cpu(process: Process) -> float:
+    """CPU seconds of a process so far."""
     process.look()
     return process.cpu_s
 
 
 async def play(count: int, rounds: int, loss: float) -> None:
+    """Measure an idle fleet, then the rounds, and print the figures."""
     async with Rig(count, seed=1) as rig:
         everyone = range(count)
         if loss:
@@ -73,12 +75,13 @@
 
 
 def main() -> None:
-    parser = argparse.ArgumentParser(description=__doc__)
+    """Play what the arguments ask for and print it."""
+    parser = harness.argument_parser(__doc__)
     parser.add_argument("--count", type=int, default=20)
     parser.add_argument("--rounds", type=int, default=3)
     parser.add_argument("--loss", type=float, default=0.0)
-    asked = parser.parse_args()
-    asyncio.run(play(asked.count, asked.rounds, asked.loss))
+    arguments = parser.parse_args()
+    asyncio.run(play(arguments.count, arguments.rounds, arguments.loss))
 
 
 if __name__ == "__main__":
--- a/benchmarks/peers_scale.py
+++ b/benchmarks/peers_scale.py
@@ -10,7 +10,6 @@
 those of datagrams; "tables" is the most that exchanges of tables took of a second, at the start.
 """
 
-import argparse
 import gc
 import json
 import math
@@ -18,12 +17,15 @@
 import statistics
 import sys
 import time
+from collections.abc import Callable
 from concurrent.futures import ProcessPoolExecutor
 
+from benchmarks import harness
 from flintridge.lab.partial.machines import Link, Machines
 from flintridge.membership.messages import MemberState
 
-SETTLE_S, PATIENCE_MS = 25, 60_000.0
+SETTLE_S = 25
+PATIENCE_MS = 60_000.0
 HEADS = (
     *("nodes", "loss", "begun", "death 1/2", "death 99%", "return 1/2", "return 99%"),
     *("missed", "wrong", "age 99%", "limit", "B/s", "most B/s", "tables", "CPU ms/s"),
@@ -31,6 +33,7 @@
 
 
 def row(job: tuple[int, float, int, int]) -> list[float]:
+    """The figures of one fleet, in the order of HEADS."""
     count, loss, seed, steady_s = job
     gc.disable()  # a million lives, and no cycles among what ends
 
@@ -120,7 +123,7 @@
 _begun: dict[int, float] = {}
 
 
-def _until(machines: Machines, part: float, rest: tuple[str, ...], knows) -> float:
+def _until(machines: Machines, part: float, rest: tuple[str, ...], knows: Callable[[str], bool]) -> float:
     """Seconds from the call with the lesser part on."""
     if part == 0.5:
         _begun[id(machines)] = machines.now
@@ -130,41 +133,45 @@
 
 
 def main() -> None:
-    parser = argparse.ArgumentParser(description=__doc__)
+    """Play what the arguments ask for and print it."""
+    parser = harness.argument_parser(__doc__)
     parser.add_argument("counts", nargs="*", type=int, default=[20, 200])
     parser.add_argument("--seeds", type=int, default=3)
-    parser.add_argument("--jobs", type=int, default=4)
+    harness.add_jobs(parser, 4)
     parser.add_argument("--loss", nargs="*", type=float, default=[0.0, 0.1, 0.3])
     parser.add_argument("--steady", type=int, default=40, help="seconds of calm that are looked at")
     parser.add_argument("--rows", help="a file that keeps rows: those in it are not played again")
     parser.add_argument("--plot", help="an SVG of the times against the number of nodes, of all rows kept")
-    asked = parser.parse_args()
-    seeds = range(1, asked.seeds + 1)
-    jobs = [(n, loss, seed, asked.steady) for n in asked.counts for loss in asked.loss for seed in seeds]
+    arguments = parser.parse_args()
+    seeds = range(1, arguments.seeds + 1)
+    jobs = [
+        (n, loss, seed, arguments.steady)
+        for n in arguments.counts
+        for loss in arguments.loss
+        for seed in seeds
+    ]
     known: dict[tuple[float, ...], list[float]] = {}
-    if asked.rows and os.path.exists(asked.rows):
-        with open(asked.rows) as file:
+    if arguments.rows and os.path.exists(arguments.rows):
+        with open(arguments.rows) as file:
             known = {tuple(job): values for job, values in map(json.loads, file)}
     new = [job for job in jobs if job not in known]
-    with ProcessPoolExecutor(asked.jobs) as pool:
+    with ProcessPoolExecutor(arguments.jobs) as pool:
         for job, values in zip(new, pool.map(row, new), strict=True):
             known[job] = values
-            if asked.rows:
-                with open(asked.rows, "a") as file:
+            if arguments.rows:
+                with open(arguments.rows, "a") as file:
                     file.write(json.dumps([job, values]) + "\n")
     rows = [known[job] for job in jobs]
-    print("| " + " | ".join(HEADS) + " |\n|" + " --- |" * len(HEADS))
-    for n in asked.counts:
-        for loss in asked.loss:
+    harness.print_table_head(HEADS)
+    for n in arguments.counts:
+        for loss in arguments.loss:
             same = [one for one in rows if (one[0], one[1]) == (n, loss)]
             means = [statistics.mean(column) for column in zip(*same, strict=True)]
             for most in (12, 13):
                 means[most] = max(one[most] for one in same)
-            print(
-                "| " + " | ".join(f"{value:.3g}" if value < 100 else f"{value:.0f}" for value in means) + " |"
-            )
-    if asked.plot:
-        _plot([*known.values()], asked.plot)
+            harness.print_table_row([f"{value:.3g}" if value < 100 else f"{value:.0f}" for value in means])
+    if arguments.plot:
+        _plot([*known.values()], arguments.plot)
 
 
 def _plot(rows: list[list[float]], path: str) -> None:
--- a/benchmarks/place_cost.py
+++ b/benchmarks/place_cost.py
@@ -29,17 +29,23 @@
     closing = False
     idle = True
 
-    def evict(self) -> None: ...
+    def evict(self) -> None:
+        """Do nothing."""
 
-    def abort(self) -> None: ...
+    def abort(self) -> None:
+        """Do nothing."""
 
 
 class PassivePolicy:
+    """A policy that does nothing."""
+
     def handle(self, now: int, event: api.Event) -> list[api.Action]:
+        """No actions."""
         return []
 
 
 async def cost(size: int) -> float:
+    """Microseconds a new connection, with so many open."""
     clock = SystemClock(asyncio.get_running_loop())
     log = Log("bench", io.BytesIO())
     counters = Counters()
@@ -60,6 +66,7 @@
 
 
 def main() -> None:
+    """Print the cost at each size."""
     figures = {size: asyncio.run(cost(size)) for size in SIZES}
     first = figures[SIZES[0]]
     for size, us in figures.items():
--- a/benchmarks/replica_converge.py
+++ b/benchmarks/replica_converge.py
@@ -11,12 +11,13 @@
 against a whole copy.
 """
 
-import argparse
 import os
 import statistics
 import time
 from concurrent.futures import ProcessPoolExecutor
+from dataclasses import dataclass
 
+from benchmarks import harness
 from flintridge.lab.partial.copying import Keepers
 from flintridge.replication.comparison import SyncState
 from flintridge.replication.limits import ReplicaLimits
@@ -24,14 +25,32 @@
 from flintridge.replication.replica import Replica
 from flintridge.replication.value_types import encode_body
 
-WARM, CUT, MOST = 15_000.0, 30_000.0, 600_000.0
-WRITES, BOTH = 20, 5
-STEP = 50.0
+WARM = 15_000.0  # ms
+CUT = 30_000.0  # ms
+MOST = 600_000.0  # ms
+WRITES = 20
+BOTH = 5
+STEP = 50.0  # ms
 NOTE = encode_body("note", {"text": "an incident's name, and a line on it"})
 
 
-def day(count: int, seed: int, entries: int, bytes_per_s: float) -> tuple[list[float], float, float, float]:
-    """Each node's time in ms; until all were the same; a node's bytes; those of a whole copy."""
+@dataclass(frozen=True)
+class Convergence:
+    """How a day went on after its cut.
+
+    Attributes:
+        node_ms: Until the last change of each node's copy.
+        node_bytes: What a node sent, the mean.
+        copy_bytes: Of a whole copy.
+    """
+
+    node_ms: list[float]
+    node_bytes: float
+    copy_bytes: float
+
+
+def day(count: int, seed: int, entries: int, bytes_per_s: float) -> Convergence:
+    """Cut a fleet in two, write in both halves, and heal it."""
     # Half of the bytes are for exchanges, as in a node; the machines count the datagrams' half.
     fleet = Keepers(count, seed, ReplicaLimits(max_entries=100_000), bytes_per_s=bytes_per_s / 2)
 
@@ -67,7 +86,7 @@
     none = Replica(("x", 1), one.limits, 0.0)
     chunk = one.make_chunk(none.next_request(one.writer), 1 << 30)
     whole = sum(map(len, encode_chunk(one.writer, chunk, fleet.clock(fleet.names[0]))))
-    return list(last.values()), fleet.now - healed, statistics.fmean(spent), float(whole)
+    return Convergence(list(last.values()), statistics.fmean(spent), float(whole))
 
 
 def returned(count: int, entries: int, bytes_per_s: float) -> tuple[float, float]:
@@ -99,42 +118,63 @@
 
 
 def main() -> None:
-    asked = argparse.ArgumentParser(description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter)
-    asked.add_argument("counts", type=int, nargs="*", default=[5, 20])
-    asked.add_argument("--seeds", type=int, default=10)
-    asked.add_argument("--entries", type=int, default=200)
-    asked.add_argument("--bytes-per-s", type=float, default=16_000.0)
-    asked.add_argument("--returned", action="store_true", help="a node that starts empty, by size of state")
-    given = asked.parse_args()
+    """Play what the arguments ask for and print it."""
+    parser = harness.argument_parser(__doc__)
+    parser.add_argument("counts", type=int, nargs="*", default=[5, 20])
+    parser.add_argument("--seeds", type=int, default=10)
+    parser.add_argument("--entries", type=int, default=200)
+    parser.add_argument("--bytes-per-s", type=float, default=16_000.0)
+    parser.add_argument("--returned", action="store_true", help="a node that starts empty, by size of state")
+    arguments = parser.parse_args()
     os.nice(10)
-    if given.returned:
-        print("| entries | bytes a second | until `mn`, s | bytes sent |\n| --- | --- | --- | --- |")
+    if arguments.returned:
+        harness.print_table_head(["entries", "bytes a second", "until `mn`, s", "bytes sent"])
         for entries in (100, 1_000, 10_000):
             for rate in (16_000.0, 128_000.0):
                 ms, sent = returned(5, entries, rate)
-                print(f"| {entries:,} | {rate:,.0f} | {ms / 1000:.1f} | {sent:,.0f} |", flush=True)
+                harness.print_table_row([f"{entries:,}", f"{rate:,.0f}", f"{ms / 1000:.1f}", f"{sent:,.0f}"])
         return
-    print("| nodes | days | entries | median s | p99 s | longest s | bytes a node | whole copy | took s |")
-    print("| --- | --- | --- | --- | --- | --- | --- | --- | --- |")
+    harness.print_table_head(
+        [
+            "nodes",
+            "days",
+            "entries",
+            "median s",
+            "p99 s",
+            "longest s",
+            "bytes a node",
+            "whole copy",
+            "took s",
+        ]
+    )
     with ProcessPoolExecutor(2) as pool:
-        for count in given.counts:
+        for count in arguments.counts:
             began = time.perf_counter()
-            seeds = range(given.seeds)
+            seeds = range(arguments.seeds)
             rest = (
-                [count] * given.seeds,
+                [count] * arguments.seeds,
                 seeds,
-                [given.entries] * given.seeds,
-                [given.bytes_per_s] * given.seeds,
+                [arguments.entries] * arguments.seeds,
+                [arguments.bytes_per_s] * arguments.seeds,
             )
             days = list(pool.map(day, *rest))
-            times = sorted(ms / 1000 for one in days for ms in one[0])
+            times = sorted(ms / 1000 for outcome in days for ms in outcome.node_ms)
             p99 = times[min(len(times) - 1, int(0.99 * len(times)))]
-            spent, whole = (statistics.fmean(one[i] for one in days) for i in (2, 3))
+            spent = statistics.fmean(outcome.node_bytes for outcome in days)
+            whole = statistics.fmean(outcome.copy_bytes for outcome in days)
             took = time.perf_counter() - began
-            print(
-                f"| {count} | {given.seeds} | {given.entries} | {statistics.median(times):.1f} | {p99:.1f} |"
-                f" {times[-1]:.1f} | {spent:,.0f} | {whole:,.0f} | {took:.0f} |",
-                flush=True,
+            harness.print_table_row(
+                [
+                    f"{count}",
+                    f"{arguments.seeds}",
+                    f"{arguments.entries}",
+                    f"{statistics.median(times):.1f}",
+                    f"{p99:.1f}",
+                    f"{times[-1]:.1f}",
+                    f"{spent:,.0f}",
+                    f"{whole:,.0f}",
+                    f"{took:.0f}",
+                ]
             )
 
 
--- a/benchmarks/replica_days.py
+++ b/benchmarks/replica_days.py
@@ -5,23 +5,24 @@
 Exit code 1 where an acknowledged write is lost, one that was deleted is back, or the copies stay different.
 """
 
-import argparse
 import os
 import sys
 from concurrent.futures import ProcessPoolExecutor
 from functools import partial
 
+from benchmarks import harness
 from flintridge.lab.partial.copying import random_day
 
 
 def main() -> None:
-    asked = argparse.ArgumentParser(description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter)
-    asked.add_argument("--days", type=int, default=200)
-    asked.add_argument("--count", type=int, default=5)
-    given = asked.parse_args()
+    """Play what the arguments ask for and print it."""
+    parser = harness.argument_parser(__doc__)
+    parser.add_argument("--days", type=int, default=200)
+    parser.add_argument("--count", type=int, default=5)
+    arguments = parser.parse_args()
     os.nice(10)
     with ProcessPoolExecutor(2) as pool:
-        days = list(pool.map(partial(random_day, count=given.count), range(given.days)))
+        days = list(pool.map(partial(random_day, count=arguments.count), range(arguments.days)))
     for one in days:
         for line in one.wrong:
             print(f"seed {one.seed}: {line}")
@@ -29,7 +30,7 @@
         name: sum(getattr(one, name) for one in days) for name in ("writes", "acknowledged", "kills", "cuts")
     }
     settled = sorted(one.settled_ms / 1000 for one in days)
-    print(f"{len(days)} days of {given.count} nodes: {sums}")
+    print(f"{len(days)} days of {arguments.count} nodes: {sums}")
     print(f"alike after the last fault: median {settled[len(days) // 2]:.1f} s, longest {settled[-1]:.1f} s")
     sys.exit(any(one.wrong for one in days))
 
--- a/benchmarks/ring_cost.py
+++ b/benchmarks/ring_cost.py
@@ -8,7 +8,6 @@
 it is installed.
 """
 
-import argparse
 import gc
 import itertools
 import random
@@ -22,6 +21,7 @@
 from types import FunctionType, MethodType
 from typing import Any, Protocol
 
+from benchmarks import harness
 from flintridge.policy.hash_ring import HashRing, points, position_of
 
 SIZES = (8, 50, 200, 1_000, 5_000, 10_000)
@@ -32,8 +32,11 @@
 class Ring(Protocol):
     """Whatever is measured."""
 
-    def replace(self, numbers: dict[str, int]) -> None: ...
-    def walk(self, place: int) -> Iterator[int]: ...
+    def replace(self, numbers: dict[str, int]) -> None:
+        """Keep these servers, by their numbers."""
+
+    def walk(self, place: int) -> Iterator[int]:
+        """All entries clockwise from a place."""
 
 
 class Loop:
@@ -44,6 +47,7 @@
         self.numbers: dict[str, int] = {}
 
     def replace(self, numbers: dict[str, int]) -> None:
+        """Keep these servers, by their numbers."""
         if set(self.numbers) != set(numbers):
             stay = {number for server, number in numbers.items() if server in self.numbers}
             ring = [entry for entry in self.entries if entry >> 8 & NUMBER_MASK in stay]
@@ -54,6 +58,7 @@
             self.numbers = dict(numbers)
 
     def walk(self, place: int) -> Iterator[int]:
+        """All entries clockwise from a place."""
         entries = self.entries
         start = bisect_left(entries, place)
         for i in itertools.chain(range(start, len(entries)), range(start)):
@@ -64,6 +69,7 @@
     """One array of all entries, changed by insort."""
 
     def replace(self, numbers: dict[str, int]) -> None:
+        """Keep these servers, by their numbers."""
         if not self.numbers:  # one by one it takes minutes
             self.entries = array("Q", sorted(e for s, n in numbers.items() for e in points(s, n)))
         else:
@@ -86,6 +92,7 @@
         self.entries = SortedList()
 
     def replace(self, numbers: dict[str, int]) -> None:
+        """Keep these servers, by their numbers."""
         for server in set(numbers) - set(self.numbers):
             self.entries.update(points(server, numbers[server]))
         for server in set(self.numbers) - set(numbers):
@@ -94,6 +101,7 @@
         self.numbers = dict(numbers)
 
     def walk(self, place: int) -> Iterator[int]:
+        """All entries clockwise from a place."""
         return itertools.chain(self.entries.irange(place), self.entries.irange(maximum=place))
 
 
@@ -122,6 +130,7 @@
 
 
 def measure(kind: Callable[[], Ring], size: int, repeats: int) -> dict[str, float]:
+    """The figures of one structure at one size."""
     ring = kind()
     numbers = {f"s-{i:08x}": i for i in range(size)}
     began = time.perf_counter()
@@ -148,17 +157,17 @@
 
 
 def main() -> None:
-    parser = argparse.ArgumentParser(description=__doc__)
+    """Play what the arguments ask for and print it."""
+    parser = harness.argument_parser(__doc__)
     parser.add_argument("--quick", action="store_true", help="up to 1,000 servers only")
     parser.add_argument("--candidates", action="store_true", help="the others that were weighed, too")
-    asked = parser.parse_args()
-    sizes = SIZES[:4] if asked.quick else SIZES
+    arguments = parser.parse_args()
+    sizes = SIZES[:4] if arguments.quick else SIZES
     rows: list[tuple[str, int, dict[str, float]]] = []
-    kind: Callable[[], Ring]
     for size in sizes:
-        for kind in (Loop, HashRing):
-            rows.append((kind.__name__, size, measure(kind, size, 5 if size >= 1000 else 30)))
-    if asked.candidates:
+        repeats = 5 if size >= 1000 else 30
+        rows += [(kind.__name__, size, measure(kind, size, repeats)) for kind in (Loop, HashRing)]
+    if arguments.candidates:
         kinds: list[Callable[[], Ring]] = [OneArray]
         if find_spec("sortedcontainers"):  # not among the project's libraries
             kinds.append(Sorted)
--- a/benchmarks/system_calls.py
+++ b/benchmarks/system_calls.py
@@ -7,11 +7,11 @@
 connections are accepted and made.
 """
 
-import argparse
 from dataclasses import dataclass
 
 import msgspec
 
+from benchmarks import harness
 from flintridge.lab.experiment.jobs import Job, JobFailed
 from flintridge.lab.experiment.pool import run_one
 from flintridge.lab.result import Result
@@ -61,27 +61,36 @@
 
 def played(scenario: Scenario, seed: int, backend: str, tries: int) -> tuple[Result, int]:
     """The result, and how many times the day was played."""
-    for nth in range(1, tries + 1):
+    nth = 0
+    while True:
+        nth += 1
         outcome = run_one(Job(scenario=scenario, seed=seed, backend=backend))
         if isinstance(outcome, JobFailed):
             raise SystemExit(f"{scenario.faults}: {outcome.why}")
-        if nth == tries or outcome.lateness_ms.get("p99_ms", 0.0) <= LATE_MS:
-            break
-    return outcome, nth
+        if nth >= tries or outcome.lateness_ms.get("p99_ms", 0.0) <= LATE_MS:
+            return outcome, nth
 
 
-def line(row: Row, run: Result, nth: int) -> str:
+def line(row: Row, run: Result, nth: int) -> list[str]:
+    """A row's cells."""
     caused = sum(counts.get(f"injected_{row.call}", 0) for counts in run.counters.values())
     rules = ", ".join(f"{rule} {count}" for rule, count in run.rules.items() if count) or "none"
     late = run.lateness_ms.get("p99_ms", 0.0)
-    return (
-        f"| {row.call} | {row.error} | {row.share:.0%} | {caused} | {run.goodput:.4f} | {rules} | "
-        f"{late:.1f} | {nth} |"
-    )
+    return [
+        row.call,
+        row.error,
+        f"{row.share:.0%}",
+        str(caused),
+        f"{run.goodput:.4f}",
+        rules,
+        f"{late:.1f}",
+        str(nth),
+    ]
 
 
 def main() -> None:
-    parser = argparse.ArgumentParser(description=__doc__, formatter_class=argparse.RawTextHelpFormatter)
+    """Play what the arguments ask for and print it."""
+    parser = harness.argument_parser(__doc__)
     parser.add_argument("--calls", nargs="*", choices=list(ERRORS), default=list(ERRORS))
     parser.add_argument("--errors", nargs="*", help="only these")
     parser.add_argument("--shares", nargs="*", type=float, default=SHARES)
@@ -90,18 +99,19 @@
     parser.add_argument("--rate-per-s", type=float, default=150.0)
     parser.add_argument("--seed", type=int, default=1)
     parser.add_argument("--tries", type=int, default=3, help="of a day on which the lab's timers were late")
-    words = parser.parse_args()
-    print("| call | error | share | caused | goodput | rules broken | late, ms | played |")
-    print("| --- | --- | --- | --- | --- | --- | --- | --- |", flush=True)
-    for call in words.calls:
+    arguments = parser.parse_args()
+    harness.print_table_head(
+        ["call", "error", "share", "caused", "goodput", "rules broken", "late, ms", "played"]
+    )
+    for call in arguments.calls:
         for error in ERRORS[call]:
-            if words.errors and error not in words.errors:
+            if arguments.errors and error not in arguments.errors:
                 continue
-            for share in words.shares:
+            for share in arguments.shares:
                 row = Row(call, error, share)
-                day = row.day(words.length_s, words.rate_per_s)
-                run, nth = played(day, words.seed, words.backend, words.tries)
-                print(line(row, run, nth), flush=True)
+                day = row.day(arguments.length_s, arguments.rate_per_s)
+                run, nth = played(day, arguments.seed, arguments.backend, arguments.tries)
+                harness.print_table_row(line(row, run, nth))
 
 
 if __name__ == "__main__":
