--- a/flintridge/lab/backend/faulty_node.py
+++ b/flintridge/lab/backend/faulty_node.py
@@ -14,7 +14,7 @@
 from typing import Any
 
 from flintridge.lab.backend.fault_channel import FaultChannel
-from flintridge.lab.faults.injection import SOUND, Injector, SystemState
+from flintridge.lab.faults.injection import NO_FAULTS, Injector, SystemState
 
 PROGRAM = "flintridge"
 FOLDER_PREFIX = "flintridge-"  # of the folder in TMPDIR in which the processes of a node meet
@@ -48,14 +48,14 @@
                 self._channel.add(name, more)
 
     def _state_known(self) -> None:
-        self._injector.state = self._channel.news() or SOUND
-        if self._injector.state.clock_ms:
+        self._injector.state = self._channel.news() or NO_FAULTS
+        if self._injector.state.clock_offset_ms:
             self._injector.counts["injected_clock_step"] += 1
         self.tell()
 
     def _take(self, state: SystemState) -> None:
         before, self._injector.state = self._injector.state, state
-        if state.clock_ms != before.clock_ms:
+        if state.clock_offset_ms != before.clock_offset_ms:
             self._injector.counts["injected_clock_step"] += 1
         if state.folder != before.folder:
             self._leave_half_written(sum(folder.half_written for folder in state.folder))
@@ -171,8 +171,8 @@
 
 def replace_clock(system: FaultySystem) -> None:
     """Have the wall clock step; the monotonic one stays as it is."""
-    time.time = lambda: _real_time() + system.now().state.clock_ms / 1000
-    time.time_ns = lambda: _real_time_ns() + round(system.now().state.clock_ms * 1e6)
+    time.time = lambda: _real_time() + system.now().state.clock_offset_ms / 1000
+    time.time_ns = lambda: _real_time_ns() + round(system.now().state.clock_offset_ms * 1e6)
 
 
 def replace_folder_calls(system: FaultySystem) -> None:
--- a/flintridge/lab/backend/virtual.py
+++ b/flintridge/lab/backend/virtual.py
@@ -19,7 +19,7 @@
 from flintridge.config.node_file import budgets_config
 from flintridge.config.platform_config import node_config
 from flintridge.lab.fabric import Links, Listener, RunClock
-from flintridge.lab.faults.injection import SOUND, Injector, SystemState
+from flintridge.lab.faults.injection import NO_FAULTS, Injector, SystemState
 from flintridge.lab.partial.views import FLEET, KEY, VIEW_MS, datagram_of, held_of, view_of
 from flintridge.lab.records import ConnectionCount, NodeLogLine, NodeStateChanged, RecordLog
 from flintridge.lab.scenario.model import Budgets, Peers
@@ -322,16 +322,16 @@
             drawn_seed = self._lives[node].config.get("seed") if node in self._lives else ""
             self._injectors[node] = Injector(f"{node}/{drawn_seed}")
         injector = self._injectors[node]
-        if state.clock_ms != injector.state.clock_ms:
+        if state.clock_offset_ms != injector.state.clock_offset_ms:
             injector.counts["injected_clock_step"] += 1
         injector.state = state
-        quiet = msgspec.structs.replace(state, clock_ms=0.0) == SOUND
+        quiet = msgspec.structs.replace(state, clock_offset_ms=0.0) == NO_FAULTS
         self._fabric.network.host(node).system_call_faults = None if quiet else injector
 
     def _wall_ms(self, node: str) -> float:
         """Unix time as a node's machine has it."""
         injector = self._injectors.get(node)
-        ahead = 0.0 if injector is None else injector.state.clock_ms
+        ahead = 0.0 if injector is None else injector.state.clock_offset_ms
         return self._fabric.clock.unix_ms(self._fabric.clock.now()) + ahead
 
     def _call(self, name: str, said: str, call: Callable[[Node], object]) -> None:
--- a/flintridge/lab/faults/__init__.py
+++ b/flintridge/lab/faults/__init__.py
@@ -1,1 +1,1 @@
-"""What goes wrong, and when."""
+"""Faults of a scenario on a fleet that runs."""
--- /dev/null
+++ b/flintridge/lab/faults/server_replacement.py
@@ -0,0 +1,122 @@
+"""Faults that replace servers: by others at once, or one after another (churn)."""
+
+import random
+from collections.abc import Awaitable, Callable, Sequence
+from dataclasses import dataclass, field
+from functools import partial
+
+from flintridge.lab.fabric import RunClock
+from flintridge.lab.faults.step_queue import StepPhase, StepQueue
+from flintridge.lab.scenario import model as m
+from flintridge.lab.world.fleet import World
+from flintridge.lab.world.fleet_plan import Spec
+
+SPARE_MS = 500.0  # that a churned server drains beyond the notice and the nodes' grace
+
+
+@dataclass(slots=True, frozen=True)
+class _RemovedServer:
+    spec: Spec
+    address_of: str  # the party at whose address it listened
+
+
+@dataclass(slots=True)
+class _ChurnRun:
+    fault: m.Churn
+    rng: random.Random
+    remaining: list[str] = field(default_factory=list)  # servers in the order of their turns, last first
+
+
+class ServerReplacement:
+    """Removes servers and starts others for them, maybe at the same addresses."""
+
+    def __init__(
+        self,
+        fleet: World,
+        clock: RunClock,
+        steps: StepQueue,
+        apply: Callable[[], Awaitable[None]],
+        record_end: Callable[[int], None],
+    ) -> None:
+        """Replace servers of a fleet.
+
+        Args:
+            fleet: The fleet.
+            clock: The run's clock.
+            steps: Where later steps are scheduled.
+            apply: Brings the fleet to what the active faults make of it.
+            record_end: Records the end of the fault of a number.
+        """
+        self._fleet = fleet
+        self._clock = clock
+        self._steps = steps
+        self._apply = apply
+        self._record_end = record_end
+        self._removed: dict[int, list[_RemovedServer]] = {}  # by the fault's number
+
+    async def start_replacement(self, number: int, servers: Sequence[str], fault: m.Replace) -> None:
+        """Remove servers at once, and schedule the start of those that replace them.
+
+        Args:
+            number: The fault's number in the scenario.
+            servers: Their ids.
+            fault: The fault.
+        """
+        # All addresses are read before the first is removed.
+        addresses = [self._fleet.servers[server].listen_as for server in servers]
+        self._removed[number] = [
+            _RemovedServer(self._fleet.remove(server), address)
+            for server, address in zip(servers, addresses, strict=True)
+        ]
+        await self._apply()
+        end_ms = fault.at_s * 1000 + fault.for_s * 1000
+        self._steps.add(end_ms, StepPhase.END, partial(self._end_replacement, number, fault.same_address))
+
+    async def _end_replacement(self, number: int, same_address: bool) -> None:
+        for removed in self._removed.pop(number):
+            await self._fleet.replace(removed.spec, removed.address_of if same_address else None)
+        self._record_end(number)
+        await self._apply()
+
+    def start_churn(self, fault: m.Churn, rng: random.Random) -> None:
+        """Schedule the drains of one server after another.
+
+        Args:
+            fault: The fault; its end is for the caller to schedule.
+            rng: The fault's own generator.
+        """
+        start_ms = fault.at_s * 1000
+        interval_ms = fault.every_s * 1000
+        churn = _ChurnRun(fault, rng)
+        count = int(fault.for_s * 1000 / interval_ms + 1e-9)
+        for index in range(max(1, count)):
+            step = partial(self._drain_next, churn)
+            self._steps.add(start_ms + index * interval_ms, StepPhase.START, step)
+
+    async def _drain_next(self, churn: _ChurnRun) -> None:
+        """Drain the next server in an order that comes to each once, and then to what replaced them."""
+        servers = self._fleet.servers
+        for _ in range(2):
+            while churn.remaining:
+                server = churn.remaining.pop()
+                if server in servers and servers[server].up and not servers[server].model.draining:
+                    self._fleet.drain(server)
+                    at_ms = self._clock.now() + self._drain_ms()
+                    self._steps.add(at_ms, StepPhase.END, partial(self._replace_drained, churn.fault, server))
+                    return
+            churn.remaining.extend(churn.rng.sample(list(servers), len(servers)))
+
+    async def _replace_drained(self, fault: m.Churn, server: str) -> None:
+        host = self._fleet.servers.get(server)
+        if host is None:  # another fault has replaced it meanwhile
+            return
+        address_of = host.listen_as if fault.same_address else None
+        await self._fleet.replace(self._fleet.remove(server), address_of)
+        await self._apply()
+
+    def _drain_ms(self) -> float:
+        """Long enough for every node to be notified and to end what it has there."""
+        scenario = self._fleet.scenario
+        notice = scenario.discovery.notice_s
+        max_notice_s = max(notice) if isinstance(notice, tuple) else notice
+        return max_notice_s * 1000 + scenario.rules.drain_grace_ms + SPARE_MS
--- a/tests/lab/virtual/test_system_call_faults.py
+++ b/tests/lab/virtual/test_system_call_faults.py
@@ -51,7 +51,7 @@
 @pytest.mark.parametrize(
     ("state", "least_pieces"),
     [
-        (SystemState(short_part=1.0, short_bytes=3), 30),
+        (SystemState(short_io_fraction=1.0, short_io_bytes=3), 30),
         (failing("read", "EINTR", 0.5), 1),
         (failing("write", "EINTR", 0.5), 1),
         (failing("accept", "ECONNABORTED", 0.9), 1),
@@ -102,7 +102,7 @@
 
 
 def test_stall_when_drawn_then_time_advances_for_that_host_alone_before_its_bytes_leave():
-    faults = Injector("x", SystemState(stall_part=1.0, stall_ms=100.0))
+    faults = Injector("x", SystemState(stall_fraction=1.0, max_stall_ms=100.0))
 
     async def main():
         loop = asyncio.get_running_loop()
--- a/tests/test_lab_fleet.py
+++ b/tests/test_lab_fleet.py
@@ -13,10 +13,12 @@
 
 from flintridge.config.platform_config import node_config
 from flintridge.lab.backend.virtual import VirtualFabric
-from flintridge.lab.faults.active import Active, Knobs, On, burst_factor
+from flintridge.lab.faults.active_faults import ActiveFault, ActiveFaults, ServerImpairments
+from flintridge.lab.faults.bursts import burst_factor
 from flintridge.lab.faults.check import check
-from flintridge.lab.faults.choose import Candidate, choose_nodes, choose_servers, generators
-from flintridge.lab.faults.nodes import patience_ms
+from flintridge.lab.faults.link_effects import zone_isolations, zone_link_delays, zone_link_states
+from flintridge.lab.faults.node_reconciler import termination_grace_ms
+from flintridge.lab.faults.target_selection import Candidate, fault_generators, select_nodes, select_servers
 from flintridge.lab.faults.timeline import Timeline
 from flintridge.lab.records import (
     EndpointNotified,
@@ -361,19 +363,19 @@
 @pytest.mark.parametrize("named, count", NAMED)
 def test_servers_are_chosen_among_those_that_fit(named, count):
     fault = m.Crash(**named)
-    chosen = choose_servers(fault, THERE, random.Random(1))
-    assert len(chosen) == count and chosen == choose_servers(fault, THERE, random.Random(1))
+    chosen = select_servers(fault, THERE, random.Random(1))
+    assert len(chosen) == count and chosen == select_servers(fault, THERE, random.Random(1))
     fits = [c.id for c in THERE if named.get("zone", c.zone) == c.zone]
     assert set(chosen) <= {c.id for c in THERE if c.id in fits and named.get("kind", c.kind) == c.kind}
 
 
 def test_a_faults_draws_move_with_no_other_fault():
     one, two = m.Crash(at_s=1.0, count=2), m.Drain(at_s=1.0, count=2)
-    alone, among = generators([one], Seeds(1)), generators([two, one, one], Seeds(1))
+    alone, among = fault_generators([one], Seeds(1)), fault_generators([two, one, one], Seeds(1))
     draws = [rng.random() for rng in (alone[0], *among)]
     assert draws[0] == draws[2] and len(set(draws)) == 3
-    assert choose_nodes((1, 1, 7), 0, ["n0", "n1"], among[0]) == ["n1"]
-    assert choose_nodes((), 0, ["n0", "n1"], among[0]) == ["n0", "n1"]
+    assert select_nodes((1, 1, 7), 0, ["n0", "n1"], among[0]) == ["n1"]
+    assert select_nodes((), 0, ["n0", "n1"], among[0]) == ["n0", "n1"]
 
 
 # Overlaps
@@ -389,29 +391,49 @@
 MANY += [m.BadClients(per_s=2.0, kinds=("flood",))]
 
 
-def state(active: Active) -> list[object]:
-    servers = [getattr(active, name)("a") for name in ("knobs", "down", "draining", "vanished", "unheard")]
-    links = [active.isolations(), active.pairs(["east", "west"]), active.delays()]
-    services = [active.origin_down("west"), active.discovery_down("east"), active.stale_since()]
-    rest = [active.node_held("n0"), active.node_paused("n0"), active.hot_part(), active.bad_clients()]
+def state(active: ActiveFaults) -> list[object]:
+    servers = [
+        getattr(active, name)("a")
+        for name in (
+            "server_impairments",
+            "server_down",
+            "server_draining",
+            "server_unreachable",
+            "server_unobserved",
+        )
+    ]
+    links = [zone_isolations(active), zone_link_states(active, ["east", "west"]), zone_link_delays(active)]
+    services = [
+        active.origin_failure("west"),
+        active.discovery_failure("east"),
+        active.discovery_stale_since(),
+    ]
+    rest = [
+        active.node_down("n0"),
+        active.node_paused("n0"),
+        active.hot_key_fraction(),
+        active.malformed_clients(),
+    ]
     return [*servers, *links, *services, *rest]
 
 
 @FIXED
 @given(st.permutations(range(len(MANY))), st.permutations(range(len(MANY))))
 def test_the_end_of_one_fault_undoes_no_other(begin, end):
-    active, fresh = Active(), state(Active())
+    active, fresh = ActiveFaults(), state(ActiveFaults())
     for number in begin:
-        active.on[number] = On(MANY[number], ("a",), ("n0",))
-    everything = active.knobs("a")
-    assert everything.slow == 20.0 and everything.error_part == 0.75
-    assert (everything.stale_after_ms, everything.stale_silent) == (200.0, True)
-    assert active.knobs("b") == Knobs() and active.origin_down("west") == "refuses"
-    assert active.pairs(["east", "west"])["east", "west"] == "silent"
+        active.by_number[number] = ActiveFault(MANY[number], ("a",), ("n0",))
+    everything = active.server_impairments("a")
+    assert everything.slowdown == 20.0 and everything.error_fraction == 0.75
+    assert (everything.stale_after_ms, everything.stale_unresponsive) == (200.0, True)
+    assert (
+        active.server_impairments("b") == ServerImpairments() and active.origin_failure("west") == "refuses"
+    )
+    assert zone_link_states(active, ["east", "west"])["east", "west"] == "silent"
     for i, number in enumerate(end):
-        del active.on[number]
-        again = Active()
-        again.on = {n: on for n, on in active.on.items() if n not in end[: i + 1]}
+        del active.by_number[number]
+        again = ActiveFaults()
+        again.by_number = {n: on for n, on in active.by_number.items() if n not in end[: i + 1]}
         assert state(active) == state(again)
     assert state(active) == fresh
 
@@ -774,7 +796,7 @@
     async def test(one):
         one.runner.slow_to_end = True
         await one.line.run()
-        at = 1000 + round(patience_ms(SCENE))
+        at = 1000 + round(termination_grace_ms(SCENE))
         said = [s[:2] for s in one.runner.said if s[2] == "n0"]
         assert said[1:] == [(1000, "term"), (at, "killed"), (at, "started")]
 
--- a/tests/test_lab_system_faults.py
+++ b/tests/test_lab_system_faults.py
@@ -12,9 +12,9 @@
 from flintridge.lab.backend.fault_channel import FaultChannel
 from flintridge.lab.backend.faulty_node import FaultySocket, FaultySystem
 from flintridge.lab.backend.node_faults import NodeFaults
-from flintridge.lab.faults.active import Active, On
+from flintridge.lab.faults.active_faults import ActiveFault, ActiveFaults
 from flintridge.lab.faults.check import check
-from flintridge.lab.faults.injection import SOUND, CallErrors, FolderState, Injector, SystemState
+from flintridge.lab.faults.injection import NO_FAULTS, CallErrors, FolderState, Injector, SystemState
 from flintridge.lab.run import play
 from flintridge.lab.scenario import model as m
 from flintridge.lab.scenario.load import load
@@ -118,7 +118,7 @@
 
 
 def test_active_when_faults_overlap_then_shares_combine_and_steps_add_up():
-    active = Active()
+    active = ActiveFaults()
     faults = [
         m.ShortIo(part=0.5, most_bytes=9),
         m.ShortIo(part=0.5, most_bytes=5),
@@ -126,11 +126,15 @@
         m.ClockStep(seconds=10.0),
         m.ClockStep(seconds=-3.0),
     ]
-    active.on = {i: On(fault, nodes=("n0",)) for i, fault in enumerate(faults)}
-    assert active.system("n0") == SystemState(
-        short_part=0.75, short_bytes=5, stall_part=0.1, stall_ms=30.0, clock_ms=7000.0
+    active.by_number = {i: ActiveFault(fault, nodes=("n0",)) for i, fault in enumerate(faults)}
+    assert active.system_state("n0") == SystemState(
+        short_io_fraction=0.75,
+        short_io_bytes=5,
+        stall_fraction=0.1,
+        max_stall_ms=30.0,
+        clock_offset_ms=7000.0,
     )
-    assert active.system("n1") == SOUND
+    assert active.system_state("n1") == NO_FAULTS
 
 
 # The draws
@@ -154,8 +158,8 @@
 
 def test_injector_when_a_folder_is_full_then_only_calls_that_make_something_fail():
     injector = Injector("x", SystemState(folder=(FolderState(("ENOSPC",), 1.0, 0),)))
-    assert injector.folder_error(makes=False) is None
-    assert injector.folder_error(makes=True).errno == errno.ENOSPC
+    assert injector.folder_error(allocates=False) is None
+    assert injector.folder_error(allocates=True).errno == errno.ENOSPC
 
 
 # Loopback: the calls of the process itself
@@ -201,7 +205,7 @@
 
 
 def test_socket_when_io_is_short_then_takes_a_part_and_holds_no_buffer(lab_side):
-    lab_side.tell(SystemState(short_part=1.0, short_bytes=2))
+    lab_side.tell(SystemState(short_io_fraction=1.0, short_io_bytes=2))
     opened, accepted = pair()
     with opened, accepted:
         data = bytearray(b"abcdef")
@@ -224,7 +228,7 @@
     opened, accepted = pair()
     slept = []
     monkeypatch.setattr(faulty_node.time, "sleep", slept.append)
-    lab_side.tell(SystemState(stall_part=1.0, stall_ms=150.0))
+    lab_side.tell(SystemState(stall_fraction=1.0, max_stall_ms=150.0))
     with opened, accepted:
         opened.send(b"x")
     assert len(slept) == 1 and 0 < slept[0] <= 0.15
@@ -237,11 +241,11 @@
     monkeypatch.setattr(faulty_node.time, "time_ns", time.time_ns)
     faulty_node.replace_clock(FaultySocket.system)
     wall_ms, monotonic_s = time.time() * 1000, time.monotonic()
-    lab_side.tell(SystemState(clock_ms=-3_600_000.0))
+    lab_side.tell(SystemState(clock_offset_ms=-3_600_000.0))
     assert time.time() * 1000 - wall_ms < -3_500_000 and time.time_ns() / 1e6 - wall_ms < -3_500_000
     assert time.monotonic() >= monotonic_s
     again = FaultySystem(FaultChannel(tmp_path / "n0.faults"), "seed")
-    assert again.now().state.clock_ms == -3_600_000.0
+    assert again.now().state.clock_offset_ms == -3_600_000.0
     assert lab_side.counts()["injected_clock_step"] == 2
 
 
@@ -259,7 +263,7 @@
     with pytest.raises(OSError, match="Input/output error"):
         os.open(f"{own}/1-0", os.O_RDWR | os.O_CREAT)
     assert os.listdir(tmp_path)  # another folder
-    lab_side.tell(SOUND)
+    lab_side.tell(NO_FAULTS)
     assert len(os.listdir(own)) == 3
     assert lab_side.counts() == {"injected_folder": 2, "injected_half_written": 3}
 
