--- a/benchmarks/peers_processes.py
+++ b/benchmarks/peers_processes.py
@@ -12,16 +12,16 @@
 
 import orjson
 
-from flintridge.lab.backend.processes import Process
+from flintridge.lab.backend.node_process import NodeProcess
 from flintridge.lab.partial.rig import Rig
 from flintridge.lab.records import DatagramRelayed
 
 IDLE_S = 20.0
 
 
-def cpu(process: Process) -> float:
-    process.look()
-    return process.cpu_s
+def cpu(process: NodeProcess) -> float:
+    process.resources.sample()
+    return process.resources.cpu_s
 
 
 async def play(count: int, rounds: int, loss: float) -> None:
@@ -30,10 +30,10 @@
         if loss:
             rig.ways(everyone, everyone, loss=loss)
         await rig.until(rig.all_hear, 60)
-        before = {name: cpu(rig.nodes._lives[name][-1]) for name in rig.names}
+        before = {name: cpu(rig.nodes.process(name)) for name in rig.names}
         began = rig.fabric.clock.now()
         await asyncio.sleep(IDLE_S)
-        took = [cpu(rig.nodes._lives[name][-1]) - before[name] for name in rig.names]
+        took = [cpu(rig.nodes.process(name)) - before[name] for name in rig.names]
         seconds: dict[tuple[str, int], int] = {}
         for record in rig.log.records:
             if isinstance(record, DatagramRelayed) and record.at_ms >= began and record.outcome != "doubled":
--- a/flintridge/lab/backend/__init__.py
+++ b/flintridge/lab/backend/__init__.py
@@ -1,1 +1,1 @@
-"""Where a day is played: in virtual time or on loopback in real time with real node processes."""
+"""Backends of the lab: virtual time, or real processes on loopback."""
--- a/flintridge/lab/backend/faulty_node.py
+++ b/flintridge/lab/backend/faulty_node.py
@@ -1,7 +1,9 @@
-"""The node's program on a faulty operating system: python -m flintridge.lab.backend.faulty_node CHANNEL SEED
+"""The node's program on a faulty operating system.
 
-It puts functions of its own in the place of those of `socket`, `os` and `time`, which fail, take less, take
-longer or tell another time as the lab says on the channel, and runs `python -m flintridge` unchanged.
+    python -m flintridge.lab.backend.faulty_node CHANNEL SEED
+
+It replaces functions of `socket`, `os` and `time` by its own, which fail, transfer less, take longer or have
+another time as the lab sets it on the channel, and runs `python -m flintridge` unchanged.
 """
 
 import os
@@ -17,66 +19,86 @@
 from flintridge.lab.faults.injection import NO_FAULTS, Injector, SystemState
 
 PROGRAM = "flintridge"
-FOLDER_PREFIX = "flintridge-"  # of the folder in TMPDIR in which the processes of a node meet
+FOLDER_PREFIX = "flintridge-"  # of the folder in TMPDIR that the processes of a node share
 HALF_WRITTEN = b'{"pid": '
-INTERNET = (socket.AF_INET, socket.AF_INET6)
+INTERNET_FAMILIES = (socket.AF_INET, socket.AF_INET6)
 
-_real_time, _real_time_ns = time.time, time.time_ns
-_real_open, _real_utime = os.open, os.utime
+_real_time = time.time
+_real_time_ns = time.time_ns
+_real_open = os.open
+_real_utime = os.utime
 
 
 class FaultySystem:
-    """What this process's operating system does wrong, kept up to date by the channel."""
+    """What is wrong with this process's operating system, as the channel has it."""
 
     def __init__(self, channel: FaultChannel, seed: str) -> None:
+        """Begin with the state on the channel.
+
+        Args:
+            channel: To the lab.
+            seed: Of the draws.
+        """
         self._channel = channel
         self._injector = Injector(f"{seed}/{os.getpid()}")
-        self._told: dict[str, int] = {}
-        self._state_known()
+        self._reported: dict[str, int] = {}
+        self._load_state()
 
-    def now(self) -> Injector:
-        """The injector as the lab has it at this moment, for one call."""
-        if (news := self._channel.news()) is not None:
-            self._take(news)
+    def current(self) -> Injector:
+        """Return the injector with the lab's current state, for one call."""
+        if (state := self._channel.changed_state()) is not None:
+            self._change_state(state)
         return self._injector
 
-    def tell(self) -> None:
-        """Tell the lab what was caused since the last time."""
+    def report(self) -> None:
+        """Report the faults injected since the last time to the lab."""
         for name, count in self._injector.counts.items():
-            if more := count - self._told.get(name, 0):
-                self._told[name] = count
-                self._channel.add(name, more)
+            if increment := count - self._reported.get(name, 0):
+                self._reported[name] = count
+                self._channel.add(name, increment)
 
-    def _state_known(self) -> None:
-        self._injector.state = self._channel.news() or NO_FAULTS
+    def _load_state(self) -> None:
+        self._injector.state = self._channel.changed_state() or NO_FAULTS
         if self._injector.state.clock_offset_ms:
             self._injector.counts["injected_clock_step"] += 1
-        self.tell()
+        self.report()
 
-    def _take(self, state: SystemState) -> None:
-        before, self._injector.state = self._injector.state, state
+    def _change_state(self, state: SystemState) -> None:
+        before = self._injector.state
+        self._injector.state = state
         if state.clock_offset_ms != before.clock_offset_ms:
             self._injector.counts["injected_clock_step"] += 1
         if state.folder != before.folder:
             self._leave_half_written(sum(folder.half_written for folder in state.folder))
-        self.tell()
+        self.report()
 
     def _leave_half_written(self, files: int) -> None:
-        """Files as a process leaves them that was killed while it wrote."""
+        """Leave files as a process does that was killed while it wrote."""
         for folder in Path(os.environ["TMPDIR"]).glob(f"{FOLDER_PREFIX}*"):
-            for nth in range(files):
-                (folder / f"{os.getpid()}-half-{nth}").write_bytes(HALF_WRITTEN)
+            for index in range(files):
+                (folder / f"{os.getpid()}-half-{index}").write_bytes(HALF_WRITTEN)
                 self._injector.counts["injected_half_written"] += 1
 
 
 class FaultySocket(socket.socket):
-    """A socket whose calls go wrong where it is a TCP socket."""
+    """A socket whose calls fail, transfer less or take longer where it is a TCP socket.
 
-    __slots__ = ("_opened",)
-    system: FaultySystem  # of the process
+    Attributes:
+        system: What is wrong with this process's operating system.
+    """
 
-    def __init__(self, family: int = -1, type: int = -1, proto: int = -1, fileno: int | None = None) -> None:
-        if fileno is None and family in INTERNET and type & socket.SOCK_STREAM:
+    __slots__ = ("_opened",)
+    system: FaultySystem
+
+    def __init__(
+        self,
+        family: int = -1,
+        type: int = -1,  # noqa: A002, RUF100
+        proto: int = -1,
+        fileno: int | None = None,
+    ) -> None:
+        """As a socket does, or fail where a new one is to be made."""
+        if fileno is None and family in INTERNET_FAMILIES and type & socket.SOCK_STREAM:
             _fail(self.system, "socket")
         super().__init__(family, type, proto, fileno)
         self._opened = False  # by this process, not accepted
@@ -112,7 +134,7 @@
         taken = self._before_write(size)
         if taken == size:
             return super().send(data, flags)
-        with memoryview(data) as view, view[:taken] as part:  # let go: the caller's buffer shrinks by it
+        with memoryview(data) as view, view[:taken] as part:  # released: the caller shrinks its buffer
             return super().send(part, flags)
 
     def sendmsg(self, buffers: Iterable[Any], *rest: Any) -> int:
@@ -122,7 +144,7 @@
 
     def sendto(self, data: Any, *rest: Any) -> int:
         """As a socket does, later."""
-        if self.family in INTERNET:
+        if self.family in INTERNET_FAMILIES:
             _stall(self.system)
         return super().sendto(data, *rest)
 
@@ -141,14 +163,14 @@
 
 
 def _is_tcp(sock: socket.socket) -> bool:
-    return sock.family in INTERNET and bool(sock.type & socket.SOCK_STREAM)
+    return sock.family in INTERNET_FAMILIES and bool(sock.type & socket.SOCK_STREAM)
 
 
 def _fail(system: FaultySystem, call: Any, opened: bool = True) -> None:
-    """Raises OSError where the call is to fail."""
-    error = system.now().error(call, opened)
+    """Raise OSError where the call is to fail."""
+    error = system.current().error(call, opened)
     if error is not None:
-        system.tell()
+        system.report()
         try:
             raise error
         finally:
@@ -156,35 +178,35 @@
 
 
 def _short(system: FaultySystem, size: int) -> int:
-    taken = system.now().short(size)
+    taken = system.current().short(size)
     if taken < size:
-        system.tell()
+        system.report()
     return taken
 
 
 def _stall(system: FaultySystem) -> None:
-    stall_s = system.now().stall_s()
+    stall_s = system.current().stall_s()
     if stall_s:
-        system.tell()
+        system.report()
         time.sleep(stall_s)
 
 
 def replace_clock(system: FaultySystem) -> None:
-    """Have the wall clock step; the monotonic one stays as it is."""
-    time.time = lambda: _real_time() + system.now().state.clock_offset_ms / 1000
-    time.time_ns = lambda: _real_time_ns() + round(system.now().state.clock_offset_ms * 1e6)
+    """Have the wall clock be ahead as the lab sets it; the monotonic one stays as it is."""
+    time.time = lambda: _real_time() + system.current().state.clock_offset_ms / 1000
+    time.time_ns = lambda: _real_time_ns() + round(system.current().state.clock_offset_ms * 1e6)
 
 
 def replace_folder_calls(system: FaultySystem) -> None:
-    """Have calls on the node's own folder fail, and its new files carry the time of the stepped clock."""
-    own = os.path.join(os.environ["TMPDIR"], FOLDER_PREFIX)
+    """Have calls on the node's own folder fail, and its new files have the time of the stepped clock."""
+    own_prefix = os.path.join(os.environ["TMPDIR"], FOLDER_PREFIX)
 
-    def guard(call: Callable[..., Any], makes: Callable[..., bool]) -> Callable[..., Any]:
+    def guard(call: Callable[..., Any], allocates: Callable[..., bool]) -> Callable[..., Any]:
         def guarded(path: Any, *arguments: Any, **named: Any) -> Any:
-            if isinstance(path, str) and path.startswith(own):
-                error = system.now().folder_error(makes(*arguments))
+            if isinstance(path, str) and path.startswith(own_prefix):
+                error = system.current().folder_error(allocates(*arguments))
                 if error is not None:
-                    system.tell()
+                    system.report()
                     raise error
             return call(path, *arguments, **named)
 
@@ -192,7 +214,7 @@
 
     def stamped_open(path: Any, flags: int, *arguments: Any, **named: Any) -> int:
         descriptor = _real_open(path, flags, *arguments, **named)
-        if flags & os.O_CREAT and isinstance(path, str) and path.startswith(own):
+        if flags & os.O_CREAT and isinstance(path, str) and path.startswith(own_prefix):
             _real_utime(descriptor, ns=(time.time_ns(), time.time_ns()))
         return descriptor
 
@@ -203,9 +225,13 @@
 
 
 def main(arguments: list[str]) -> None:
-    """Run the node's program; it ends the process."""
-    channel, seed = arguments
-    system = FaultySystem(FaultChannel(Path(channel)), seed)
+    """Run the node's program; it ends the process.
+
+    Args:
+        arguments: The channel's file, and the seed of the draws.
+    """
+    channel_path, seed = arguments
+    system = FaultySystem(FaultChannel(Path(channel_path)), seed)
     FaultySocket.system = system
     socket.socket = FaultySocket  # type: ignore[misc]
     replace_clock(system)
--- /dev/null
+++ b/flintridge/lab/backend/virtual/observation.py
@@ -0,0 +1,84 @@
+"""What is recorded of nodes in virtual time at regular intervals."""
+
+import asyncio
+from collections.abc import Callable, Iterable
+
+from flintridge.lab.backend.virtual.fabric import VirtualFabric
+from flintridge.lab.backend.virtual.process import VirtualProcess
+from flintridge.lab.partial.views import VIEW_MS, held_of, view_of
+from flintridge.lab.records import ConnectionCount, RecordLog
+
+CONNECTION_INTERVAL_MS = 1000.0
+
+
+class ConnectionSampler:
+    """Records how many connections each node has."""
+
+    def __init__(
+        self, fabric: VirtualFabric, log: RecordLog, running: Callable[[], Iterable[VirtualProcess]]
+    ) -> None:
+        """Record from now on, until `close`.
+
+        Args:
+            fabric: The network.
+            log: The run's records.
+            running: Returns the processes that run.
+        """
+        self._fabric = fabric
+        self._log = log
+        self._running = running
+        self._timer = fabric.clock.call_later(CONNECTION_INTERVAL_MS, self._sample)
+
+    def close(self) -> None:
+        """End the sampling."""
+        self._timer.cancel()
+
+    def _sample(self) -> None:
+        self._timer = self._fabric.clock.call_later(CONNECTION_INTERVAL_MS, self._sample)
+        for process in self._running():
+            connections = self._fabric.open_connections(process.name)
+            self._log.add(
+                ConnectionCount(
+                    at_ms=self._fabric.clock.now(),
+                    node=process.name,
+                    server_side=connections.with_servers,
+                    client_side=connections.with_clients,
+                )
+            )
+
+
+class FleetStateSampler:
+    """Records each node's view of the membership, and the leases that it holds."""
+
+    def __init__(
+        self, fabric: VirtualFabric, log: RecordLog, running: Callable[[], Iterable[VirtualProcess]]
+    ) -> None:
+        """Record now and from now on, until `close`.
+
+        Args:
+            fabric: The network.
+            log: The run's records.
+            running: Returns the processes that run.
+        """
+        self._fabric = fabric
+        self._log = log
+        self._running = running
+        self._timer: asyncio.TimerHandle
+        self._sample()
+
+    def close(self) -> None:
+        """End the sampling."""
+        self._timer.cancel()
+
+    def _sample(self) -> None:
+        self._timer = self._fabric.clock.call_later(VIEW_MS, self._sample)
+        now = self._fabric.clock.now()
+        for process in self._running():
+            node = process.node
+            if node is None:
+                continue
+            if node.membership is not None and not self._fabric.network.host(process.name).paused:
+                self._log.add(view_of(now, process.name, node.membership.admin_view().fields))
+            if node.leases is not None:  # also of one that is paused: it may use them once it goes on
+                for lease in held_of(now, process.name, node.leases.admin_status().fields):
+                    self._log.add(lease)
--- /dev/null
+++ b/flintridge/lab/backend/virtual/peers.py
@@ -0,0 +1,67 @@
+"""Configuration of nodes in virtual time that know one another."""
+
+from collections.abc import Callable
+from dataclasses import dataclass
+
+import msgspec
+
+from flintridge.config.address import Address
+from flintridge.config.model import Budgets as NodeBudgets
+from flintridge.config.node_config import BudgetsConfig, PeersConfig
+from flintridge.config.node_file import budgets_config
+from flintridge.lab.backend.virtual.fabric import VirtualFabric
+from flintridge.lab.partial.views import FLEET, KEY, datagram_of
+from flintridge.lab.records import RecordLog
+from flintridge.lab.scenario.model import Budgets, Peers
+from flintridge.membership.messages import MessageCodec
+
+
+@dataclass(slots=True, frozen=True)
+class VirtualPeers:
+    """How the nodes of a run reach one another, and the limits that they share.
+
+    Attributes:
+        settings: The scenario's table of peers.
+        names: The names of all nodes.
+        entropy: Returns so many random bytes, for the nodes' own draws.
+        budgets: The scenario's table of shared limits; None: they share none.
+    """
+
+    settings: Peers
+    names: tuple[str, ...]
+    entropy: Callable[[int], bytes]
+    budgets: Budgets | None = None
+
+    def shared(self) -> BudgetsConfig | None:
+        """The shared limits for `NodeConfig.budgets`."""
+        if self.budgets is None:
+            return None
+        return budgets_config(msgspec.convert(msgspec.to_builtins(self.budgets), NodeBudgets))
+
+    def config(self, fabric: VirtualFabric, node: str) -> PeersConfig:
+        """Return a node's configuration of its peers.
+
+        Args:
+            fabric: It has the addresses.
+            node: The node's name.
+        """
+        known = tuple((name, Address(*fabric.address("peers", name))) for name in self.names)
+        listen = Address(*fabric.address("peers", node))
+        return PeersConfig(listen, known, FLEET, self._key(), self.settings.bytes_per_s)
+
+    def recorder(self, fabric: VirtualFabric, log: RecordLog) -> Callable[[str, str, bytes, str], None]:
+        """Return what records each datagram: called with source, target, content and outcome.
+
+        Args:
+            fabric: It has the clock.
+            log: The run's records.
+        """
+        codec = MessageCodec(FLEET, self._key())
+
+        def record(source: str, target: str, data: bytes, outcome: str) -> None:
+            log.add(datagram_of(codec, fabric.clock.now(), source, target, data, outcome))
+
+        return record
+
+    def _key(self) -> bytes | None:
+        return KEY if self.settings.sealed else None
--- a/flintridge/lab/fabric.py
+++ b/flintridge/lab/fabric.py
@@ -9,6 +9,7 @@
 from collections.abc import Callable
 from typing import Any, Protocol
 
+from flintridge.lab.backend.usage import RunUsage
 from flintridge.lab.faults.injection import SystemState
 
 
@@ -109,5 +110,5 @@
     async def close(self) -> None:
         """End all; nothing is left running."""
 
-    def usage(self) -> dict[str, Any]:
-        """What the nodes took: `node_cpu_s`, `node_memory_mb` (most), `counters` by node, where known."""
+    def usage(self) -> RunUsage:
+        """What the nodes used, where known."""
--- a/flintridge/lab/run.py
+++ b/flintridge/lab/run.py
@@ -10,6 +10,7 @@
 from pathlib import Path
 from typing import Any
 
+from flintridge.lab.backend.usage import RunUsage
 from flintridge.lab.backend.virtual import VirtualFabric, VirtualNodes, VirtualPeers
 from flintridge.lab.defects import DEFECTS
 from flintridge.lab.fabric import Fabric, NodeRunner
@@ -84,14 +85,14 @@
     result.digest = log.digest()
     result.records = len(log)
     result.wall_s = time.perf_counter() - began
-    result.node_cpu_s = usage["node_cpu_s"]
-    result.lab_cpu_s = time.process_time() - cpu - (usage["node_cpu_s"] if backend == "virtual" else 0.0)
-    result.node_memory_mb = usage["node_memory_mb"]
+    result.node_cpu_s = usage.node_cpu_s
+    result.lab_cpu_s = time.process_time() - cpu - (usage.node_cpu_s if backend == "virtual" else 0.0)
+    result.node_memory_mb = usage.node_memory_mb
     result.peak_memory_mb = resource.getrusage(resource.RUSAGE_SELF).ru_maxrss / 1024
-    result.counters = usage["counters"]
-    result.histograms = usage.get("histograms", {})
-    result.lab_problems = usage.get("troubles", [])
-    result.lateness_ms = usage.get("lateness", {})
+    result.counters = usage.counters
+    result.histograms = usage.histograms
+    result.lab_problems = usage.lab_problems
+    result.lateness_ms = usage.lateness_ms
     result.expectation = _unmet(scenario, result)
     return result
 
@@ -176,7 +177,8 @@
     async def close(self) -> None:
         await self._runner.close()
 
-    def usage(self) -> dict[str, Any]:
+    def usage(self) -> RunUsage:
+        """As the runner that it announces for."""
         return self._runner.usage()
 
 
@@ -187,7 +189,7 @@
     defect: str | None,
     playing: Callable[..., Any],
     dealing: Dealing | None = None,
-) -> tuple[str, dict[str, Any]]:
+) -> tuple[str, RunUsage]:
     seeds = Seeds(seed)
     links = LinkTable(scenario.links, seeds)
     loop = VirtualLoop(Network(links.link))
@@ -212,7 +214,7 @@
                 each(node)
 
         nodes = VirtualNodes(fabric, log, start_ms, world.node_config, plant, sockets, peers)
-        nodes.keeps_lines = keeps_lines(scenario)
+        nodes.records_log_lines = keeps_lines(scenario)
         made.append(nodes)
         return made[0]
 
@@ -228,7 +230,7 @@
             now = fabric.clock.now()
             text = str(livelock)[:MAX_LIVELOCK_CHARACTERS]
             log.add(NodeStateChanged(at_ms=now, node=livelock.host, state="stuck", text=text))
-    usage = made[0].usage() if made else {"node_cpu_s": 0.0, "node_memory_mb": 0.0, "counters": {}}
+    usage = made[0].usage() if made else RunUsage()
     return ended, usage
 
 
--- a/tests/leases/test_lease_processes.py
+++ b/tests/leases/test_lease_processes.py
@@ -44,7 +44,7 @@
             await check(rig)
             assert table or excesses(rig, count) == []
             assert not expect_no_breaches or [breach.text for breach in rig.breaches()] == []
-            assert not rig.nodes.unexpected
+            assert not rig.nodes.unexpected_ends
             pids = [rig.nodes.pid(name) for name in rig.names]
         for pid in pids:
             with pytest.raises(ProcessLookupError):
@@ -79,7 +79,7 @@
     """
     times = arrivals(rig)
     found = []
-    incarnations = processes + sum(1 for one in rig.nodes._lives.values() for _ in one[1:])
+    incarnations = processes + sum(1 for one in rig.nodes._processes.values() for _ in one[1:])
     for seconds in (1, 2, 5, 10):
         most = 1.5 * QUOTA * (seconds + 0.1) + 8 * incarnations + 1.5 * QUOTA
         begin = 0
--- a/tests/membership/test_membership_processes.py
+++ b/tests/membership/test_membership_processes.py
@@ -24,7 +24,7 @@
             await work(rig)
             if quiet:
                 assert [breach.text for breach in rig.breaches()] == []
-            assert not rig.nodes.unexpected
+            assert not rig.nodes.unexpected_ends
             return [rig.nodes.pid(name) for name in rig.names]
 
     for pid in asyncio.run(asyncio.wait_for(play(), 120)):
@@ -249,12 +249,12 @@
     async def work(rig):
         await rig.until(rig.all_hear)
         for number in signals[:-1]:
-            rig.nodes._lives["n0"][-1].send(number)
+            rig.nodes.process("n0").send_signal(number)
         rig.nodes.term("n0")
         await rig.until(lambda: not rig.nodes.running("n0"))
         await rig.until(lambda: rig.standings("n1", "n0") == ["left"])
-        assert rig.nodes._lives["n0"][-1].popen.returncode == 0
-        counters = rig.nodes._lives["n0"][-1].counters
+        assert rig.nodes.process("n0").popen.returncode == 0
+        counters = rig.nodes.process("n0").output.counters
         assert counters["peers_datagrams_out"] > 0
         assert counters["peers_syncs_completed"] == 1
         assert (await rig.console("n1"))["sealed"] is True
--- a/tests/replication/test_replication_processes.py
+++ b/tests/replication/test_replication_processes.py
@@ -34,7 +34,7 @@
             await rig.until(rig.all_hear)
             await fleet.until_all(lambda state: state["standing"] == "caught")
             await steps(fleet)
-            assert not rig.nodes.unexpected
+            assert not rig.nodes.unexpected_ends
 
     asyncio.run(asyncio.wait_for(play(), 120))
 
--- a/tests/test_lab_loopback.py
+++ b/tests/test_lab_loopback.py
@@ -10,6 +10,7 @@
 import sys
 import textwrap
 
+import msgspec
 import pytest
 from hypothesis import given, settings
 from hypothesis import strategies as st
@@ -152,7 +153,7 @@
         # The node's kernel needed no time for the handshake; the links take theirs: there, back and there.
         assert loop.time() >= before + 0.060
         assert before <= end.sent_at[0] <= loop.time() - 0.020
-        assert fabric.lateness()["samples"] > 0
+        assert fabric.lateness.summary()["samples"] > 0
 
     on_fabric(test, Ways(delay_ms=20.0))
 
@@ -174,7 +175,7 @@
         listener.close()
         with pytest.raises(ConnectionRefusedError):
             await asyncio.open_connection(*fabric.address("late", "n0"))
-        assert fabric.troubles == []
+        assert fabric.problems == []
 
     on_fabric(test)
 
@@ -388,9 +389,9 @@
             *(("killed", -9), ("started", 0), ("term", 0), ("exited", 0)),
         ]
         usage = nodes.usage()
-        assert usage["unexpected"] == [] and usage["node_cpu_s"] > 0
-        assert usage["node_memory_mb"] < 200 and usage["nodes"]["n0"]["lives"] == 2
-        assert usage["counters"]["n0"]["log_serving"] == 2
+        assert usage.unexpected_ends == [] and usage.node_cpu_s > 0
+        assert usage.node_memory_mb < 200 and usage.nodes["n0"].processes == 2
+        assert usage.counters["n0"]["log_serving"] == 2
 
     on_nodes(test)
 
@@ -405,7 +406,7 @@
         await nodes.ended("n1")
         ends = [one for one in said() if one[1] == "exited"]
         assert sorted(ends) == [("n1", "exited", -9), ("n7", "exited", 2)]
-        told = sorted(nodes.usage()["unexpected"])
+        told = sorted(nodes.usage().unexpected_ends)
         assert told[0].startswith("n1 exited with -9") and "latency_objective_ns" in told[1]
         assert not nodes.running("n1")
 
@@ -419,14 +420,14 @@
         await nodes.start("n0")
         nodes.pause("n0")
         nodes.resume("n0")
-        await until(lambda: nodes.lines("n0") and nodes.usage()["nodes"]["n0"]["busiest"] > 0.1)
+        await until(lambda: nodes.lines("n0") and nodes.usage().nodes["n0"].peak_cores > 0.1)
         pid = nodes.pid("n0")
         await nodes.close()
-        assert said()[-1][1] == "stuck" and "did not end" in nodes.usage()["unexpected"][0]
+        assert said()[-1][1] == "stuck" and "did not end" in nodes.usage().unexpected_ends[0]
         with pytest.raises(ProcessLookupError):
             os.kill(pid, 0)
 
-    on_nodes(test, command=(*PYTHON, stubborn), leave_s=SHORT_S)
+    on_nodes(test, command=(*PYTHON, stubborn), close_grace_s=SHORT_S)
 
 
 LAB = """
@@ -488,8 +489,10 @@
         await asyncio.sleep(3600)
 
     ended, usage = play_loopback(Scenario(wall_limit_s=1.5), 1, log, day)
-    assert ended == "wall limit: 1.5 s" and usage["unexpected"] == [] and usage["lateness"]["samples"] > 0
-    assert json.dumps(usage) and [r.state for r in log if isinstance(r, NodeStateChanged)] == ["started"]
+    assert ended == "wall limit: 1.5 s" and usage.unexpected_ends == [] and usage.lateness_ms["samples"] > 0
+    assert msgspec.json.encode(usage) and [r.state for r in log if isinstance(r, NodeStateChanged)] == [
+        "started"
+    ]
     with pytest.raises(RuntimeError, match="a mistake"):
         play_loopback(Scenario(), 2, log, day)
     with pytest.raises(ProcessLookupError):
@@ -516,4 +519,4 @@
     monkeypatch.setattr("flintridge.lab.backend.loopback.ProcessNodes", SlowToEnd)
     monkeypatch.setattr("flintridge.lab.backend.loopback.LEAD_S", 0.0)
     ended, usage = play_loopback(Scenario(warmup_s=0.0, wall_limit_s=0.05), 1, RecordLog(), day)
-    assert ended == "wall limit: 0.05 s" and usage["lateness"]["samples"] > 0
+    assert ended == "wall limit: 0.05 s" and usage.lateness_ms["samples"] > 0
--- a/tests/test_lab_system_faults.py
+++ b/tests/test_lab_system_faults.py
@@ -197,7 +197,7 @@
         "read": lambda: opened.recv(10),
         "write": lambda: opened.send(b"x"),
     }
-    lab_side.tell(failing(call, "ENOMEM"))
+    lab_side.set_state(failing(call, "ENOMEM"))
     with opened, accepted, pytest.raises(OSError, match="memory") as caught:
         calls[call]()
     assert caught.value.errno == errno.ENOMEM
@@ -205,7 +205,7 @@
 
 
 def test_socket_when_io_is_short_then_takes_a_part_and_holds_no_buffer(lab_side):
-    lab_side.tell(SystemState(short_io_fraction=1.0, short_io_bytes=2))
+    lab_side.set_state(SystemState(short_io_fraction=1.0, short_io_bytes=2))
     opened, accepted = pair()
     with opened, accepted:
         data = bytearray(b"abcdef")
@@ -219,7 +219,7 @@
 
 
 def test_socket_when_connecting_is_interrupted_then_the_connection_still_comes_up(lab_side):
-    lab_side.tell(failing("connect", "EINTR"))
+    lab_side.set_state(failing("connect", "EINTR"))
     with pytest.raises(InterruptedError):
         pair()
 
@@ -228,7 +228,7 @@
     opened, accepted = pair()
     slept = []
     monkeypatch.setattr(faulty_node.time, "sleep", slept.append)
-    lab_side.tell(SystemState(stall_fraction=1.0, max_stall_ms=150.0))
+    lab_side.set_state(SystemState(stall_fraction=1.0, max_stall_ms=150.0))
     with opened, accepted:
         opened.send(b"x")
     assert len(slept) == 1 and 0 < slept[0] <= 0.15
@@ -241,11 +241,11 @@
     monkeypatch.setattr(faulty_node.time, "time_ns", time.time_ns)
     faulty_node.replace_clock(FaultySocket.system)
     wall_ms, monotonic_s = time.time() * 1000, time.monotonic()
-    lab_side.tell(SystemState(clock_offset_ms=-3_600_000.0))
+    lab_side.set_state(SystemState(clock_offset_ms=-3_600_000.0))
     assert time.time() * 1000 - wall_ms < -3_500_000 and time.time_ns() / 1e6 - wall_ms < -3_500_000
     assert time.monotonic() >= monotonic_s
     again = FaultySystem(FaultChannel(tmp_path / "n0.faults"), "seed")
-    assert again.now().state.clock_offset_ms == -3_600_000.0
+    assert again.current().state.clock_offset_ms == -3_600_000.0
     assert lab_side.counts()["injected_clock_step"] == 2
 
 
@@ -257,19 +257,19 @@
     faulty_node.replace_folder_calls(FaultySocket.system)
     own = str(tmp_path / "flintridge-127.0.0.1-80")
     os.makedirs(own)
-    lab_side.tell(SystemState(folder=(FolderState(("EIO",), 1.0, 3),)))
+    lab_side.set_state(SystemState(folder=(FolderState(("EIO",), 1.0, 3),)))
     with pytest.raises(OSError, match="Input/output error"):
         os.listdir(own)
     with pytest.raises(OSError, match="Input/output error"):
         os.open(f"{own}/1-0", os.O_RDWR | os.O_CREAT)
     assert os.listdir(tmp_path)  # another folder
-    lab_side.tell(NO_FAULTS)
+    lab_side.set_state(NO_FAULTS)
     assert len(os.listdir(own)) == 3
     assert lab_side.counts() == {"injected_folder": 2, "injected_half_written": 3}
 
 
 def test_nodes_when_no_fault_may_hit_them_then_are_started_as_ever(tmp_path):
     faults = NodeFaults(tmp_path, day_of(m.Stall(nodes=(1,))))
-    assert [faults.may_hit(node) for node in ("n0", "n1")] == [False, True]
-    assert not NodeFaults(tmp_path, day_of(m.Crash(count=1))).may_hit("n0")
+    assert [faults.may_affect(node) for node in ("n0", "n1")] == [False, True]
+    assert not NodeFaults(tmp_path, day_of(m.Crash(count=1))).may_affect("n0")
     assert faults.counts("n0") == {}
