--- a/flintridge/lab/backend/loopback.py
+++ b/flintridge/lab/backend/loopback.py
@@ -86,7 +86,7 @@
 
 
 async def _play(scenario: Scenario, seed: int, log: RecordLog, run: Run) -> Outcome:
-    from flintridge.lab.world.links import LinkTable
+    from flintridge.lab.world.link_table import LinkTable
 
     seeds = Seeds(seed)
     thresholds = gc.get_threshold()
--- a/flintridge/lab/faults/check_faults.py
+++ b/flintridge/lab/faults/check_faults.py
@@ -7,7 +7,7 @@
 from flintridge.lab.faults.target_selection import Candidate, matching_servers
 from flintridge.lab.scenario import model as m
 from flintridge.lab.scenario.system_faults import ERRORS_OF_CALL, MAX_STEP_S, NodeFault
-from flintridge.lab.world.fleet_plan import server_zones
+from flintridge.lab.world.fleet_plan import placed_servers
 
 # Those for which `for_s = 0` has a meaning: they never end, or do not wait
 ZERO_DURATION_FAULTS = (m.Crash, m.NodeKill, m.Drain, m.Replace, m.NodeRestart)
@@ -44,8 +44,8 @@
     Args:
         scenario: The scenario.
     """
-    servers = server_zones(scenario)
-    return [Candidate(f"s{i}", f"s{i}", zone, group.kind) for i, (group, zone) in enumerate(servers)]
+    servers = placed_servers(scenario)
+    return [Candidate(f"s{i}", f"s{i}", server.zone, server.group.kind) for i, server in enumerate(servers)]
 
 
 def _check_server_fault(scenario: m.Scenario, fault: m.ServerFault) -> Iterator[str]:
--- a/flintridge/lab/faults/fleet_reconciler.py
+++ b/flintridge/lab/faults/fleet_reconciler.py
@@ -14,10 +14,11 @@
     zone_link_states,
 )
 from flintridge.lab.records import LinkFaultChanged
-from flintridge.lab.world.cache import CacheModel
 from flintridge.lab.world.cache_host import CacheHost
-from flintridge.lab.world.fleet import NOWHERE, World
-from flintridge.lab.world.links import SOUND, LinkFault, LinkTable
+from flintridge.lab.world.fault_controls import FaultControls
+from flintridge.lab.world.fleet import NO_ZONE, SimulatedFleet
+from flintridge.lab.world.link import NO_FAULT, LinkFault
+from flintridge.lab.world.link_table import LinkTable
 
 _UNIMPAIRED = ServerImpairments()
 
@@ -25,7 +26,7 @@
 class FleetReconciler:
     """Applies the active faults to a fleet: only what differs from before is changed."""
 
-    def __init__(self, fleet: World, fabric: Fabric, active: ActiveFaults) -> None:
+    def __init__(self, fleet: SimulatedFleet, fabric: Fabric, active: ActiveFaults) -> None:
         """Begin with a fleet without faults.
 
         Args:
@@ -36,7 +37,7 @@
         self._fleet = fleet
         self._fabric = fabric
         self._active = active
-        self._zones = [*fleet.scenario.zones, NOWHERE]
+        self._zones = [*fleet.scenario.zones, NO_ZONE]
         self._impairments: dict[str, ServerImpairments] = {}
         self._stopped_by_faults: dict[str, None] = {}  # servers, in the order in which faults stopped them
         self._party_states: dict[str, str] = {}
@@ -71,7 +72,7 @@
     async def _apply_server(self, server: str, host: CacheHost, start: bool, cold: bool) -> None:
         active = self._active
         fleet = self._fleet
-        self._impair(server, host.model)
+        self._impair(server, host.model.faults)
         was_unobserved = fleet.is_silent(server)
         unobserved = active.server_unobserved(server)
         if was_unobserved and not unobserved:
@@ -91,27 +92,27 @@
             fleet.drain(server)
         fleet.set_silent(server, unobserved)
 
-    def _impair(self, server: str, model: CacheModel) -> None:
+    def _impair(self, server: str, controls: FaultControls) -> None:
         impairments = self._active.server_impairments(server)
         before = self._impairments.get(server, _UNIMPAIRED)
         self._impairments[server] = impairments
         # Each is set only where it differs: some setters have the model compute its rates anew.
         if impairments.slowdown != before.slowdown:
-            model.slow = impairments.slowdown
+            controls.slowdown = impairments.slowdown
         if impairments.error_fraction != before.error_fraction:
-            model.error_part = impairments.error_fraction
+            controls.error_fraction = impairments.error_fraction
         if impairments.reset_fraction != before.reset_fraction:
-            model.reset_part = impairments.reset_fraction
+            controls.reset_fraction = impairments.reset_fraction
         if impairments.corrupted_fraction != before.corrupted_fraction:
-            model.spoilt_part = impairments.corrupted_fraction
+            controls.corrupted_fraction = impairments.corrupted_fraction
         if impairments.lost_fraction != before.lost_fraction:
-            model.lost_part = impairments.lost_fraction
+            controls.lost_fraction = impairments.lost_fraction
         if impairments.contention_fraction != before.contention_fraction:
-            model.crowd_part = impairments.contention_fraction
+            controls.contention_fraction = impairments.contention_fraction
         if impairments.stale_after_ms != before.stale_after_ms:
-            model.stale_after_ms = impairments.stale_after_ms
+            controls.stale_after_ms = impairments.stale_after_ms
         if impairments.stale_unresponsive != before.stale_unresponsive:
-            model.stale_silent = impairments.stale_unresponsive
+            controls.stale_unresponsive = impairments.stale_unresponsive
 
     # Links
 
@@ -132,7 +133,7 @@
     def _apply_link_states(self, links: LinkTable) -> None:
         active = self._active
         party_states = {
-            host.listen_as: "silent"
+            host.party: "silent"
             for server, host in self._fleet.servers.items()
             if active.server_unreachable(server)
         }
@@ -157,10 +158,10 @@
     def _apply_peer_faults(self, links: LinkTable) -> None:
         faults = peer_link_faults(self._active)
         for link in self._peer_faults | faults:
-            fault = faults.get(link, SOUND)
-            if fault != self._peer_faults.get(link, SOUND):
+            fault = faults.get(link, NO_FAULT)
+            if fault != self._peer_faults.get(link, NO_FAULT):
                 source, target = link
-                links.set_peer(source, target, fault)
+                links.set_fault(source, target, fault)
                 now = self._fabric.clock.now()
                 self._fleet.log.add(
                     LinkFaultChanged(at_ms=now, source=source, target=target, **asdict(fault))
@@ -175,15 +176,15 @@
         self._apply_origin()
         active = self._active
         discovery = self._fleet.discovery
-        discovery.model.slow = active.discovery_slowdown()
-        discovery.model.stale_since = active.discovery_stale_since()
-        zone = self._fleet.scenario.discovery.zone or NOWHERE
+        discovery.model.calls.slow = active.discovery_slowdown()
+        discovery.model.endpoints.stale_since = active.discovery_stale_since()
+        zone = self._fleet.scenario.discovery.zone or NO_ZONE
         await discovery.set_down(active.discovery_failure(zone))
-        discovery.poke()
+        discovery.update()
 
     def _apply_origin(self) -> None:
         slowdown = self._active.origin_slowdown()
-        failure = self._active.origin_failure(self._fleet.scenario.origin.zone or NOWHERE)
+        failure = self._active.origin_failure(self._fleet.scenario.origin.zone or NO_ZONE)
         if (slowdown, failure) != (self._origin_slowdown, self._origin_failure):
             self._origin_slowdown = slowdown
             self._origin_failure = failure
--- a/flintridge/lab/faults/link_effects.py
+++ b/flintridge/lab/faults/link_effects.py
@@ -5,7 +5,7 @@
 
 from flintridge.lab.faults.active_faults import ActiveFaults, union_fraction
 from flintridge.lab.scenario import model as m
-from flintridge.lab.world.links import SOUND, LinkFault
+from flintridge.lab.world.link import NO_FAULT, LinkFault
 
 UP = "up"
 _LINK_STATE_RANKS = {UP: 0, "reset": 1, "silent": 2}
@@ -77,7 +77,7 @@
         if not isinstance(fault, m.PeerLink):
             continue
         for link in active.links:
-            before = found.get(link, SOUND)
+            before = found.get(link, NO_FAULT)
             rates = [rate for rate in (before.bytes_per_s, fault.bytes_per_s) if rate]
             found[link] = LinkFault(
                 cut=before.cut or fault.cut,
--- a/flintridge/lab/faults/node_reconciler.py
+++ b/flintridge/lab/faults/node_reconciler.py
@@ -6,7 +6,7 @@
 from flintridge.lab.faults.active_faults import ActiveFaults
 from flintridge.lab.faults.injection import NO_FAULTS, SystemState
 from flintridge.lab.scenario.model import Scenario
-from flintridge.lab.world.fleet import World
+from flintridge.lab.world.fleet import SimulatedFleet
 
 MAX_DEADLINE_MS = 3000.0  # what a node that ends may take for the requests it has, at most
 LINGER_MS = 700.0  # in which it is still sent requests
@@ -25,7 +25,9 @@
 class NodeReconciler:
     """Applies the active faults to the nodes: kills, ends, pauses and starts their processes."""
 
-    def __init__(self, fleet: World, nodes: NodeRunner, active: ActiveFaults, clock: RunClock) -> None:
+    def __init__(
+        self, fleet: SimulatedFleet, nodes: NodeRunner, active: ActiveFaults, clock: RunClock
+    ) -> None:
         """Begin with nodes without faults.
 
         Args:
@@ -67,7 +69,7 @@
         if node in self._paused:
             del self._paused[node]
             self._killed_while_paused[node] = None
-        self._fleet.node_ended(node)
+        self._fleet.node_stopped(node)
 
     def term(self, node: str) -> None:
         """Send a node SIGTERM where it runs."""
@@ -97,7 +99,7 @@
         except TimeoutError:
             self.kill(node)
             await self._nodes.ended(node)
-        self._fleet.node_ended(node)
+        self._fleet.node_stopped(node)
 
     async def reload(self, node: str) -> None:
         """Give a node another address of discovery, by SIGHUP."""
@@ -105,7 +107,7 @@
             return
         await self._fleet.discovery.move(node)
         self._nodes.reload(node, self._fleet.reload_config(node))
-        self._fleet.discovery.model.deemed.reloaded(self._clock.now(), node)
+        self._fleet.discovery.model.notifications.reloaded(self._clock.now(), node)
 
     def _apply_system(self, node: str) -> None:
         state = self._active.system_state(node)
@@ -127,4 +129,4 @@
         else:
             del self._paused[node]
             self._nodes.resume(node)
-        self._fleet.discovery.model.deemed.paused(self._clock.now(), node, paused)
+        self._fleet.discovery.model.notifications.paused(self._clock.now(), node, paused)
--- a/flintridge/lab/faults/server_replacement.py
+++ b/flintridge/lab/faults/server_replacement.py
@@ -8,15 +8,15 @@
 from flintridge.lab.fabric import RunClock
 from flintridge.lab.faults.step_queue import StepPhase, StepQueue
 from flintridge.lab.scenario import model as m
-from flintridge.lab.world.fleet import World
-from flintridge.lab.world.fleet_plan import Spec
+from flintridge.lab.world.fleet import SimulatedFleet
+from flintridge.lab.world.fleet_plan import ServerPlan
 
 SPARE_MS = 500.0  # that a churned server drains beyond the notice and the nodes' grace
 
 
 @dataclass(slots=True, frozen=True)
 class _RemovedServer:
-    spec: Spec
+    plan: ServerPlan
     address_of: str  # the party at whose address it listened
 
 
@@ -32,7 +32,7 @@
 
     def __init__(
         self,
-        fleet: World,
+        fleet: SimulatedFleet,
         clock: RunClock,
         steps: StepQueue,
         apply: Callable[[], Awaitable[None]],
@@ -63,7 +63,7 @@
             fault: The fault.
         """
         # All addresses are read before the first is removed.
-        addresses = [self._fleet.servers[server].listen_as for server in servers]
+        addresses = [self._fleet.servers[server].party for server in servers]
         self._removed[number] = [
             _RemovedServer(self._fleet.remove(server), address)
             for server, address in zip(servers, addresses, strict=True)
@@ -74,7 +74,7 @@
 
     async def _end_replacement(self, number: int, same_address: bool) -> None:
         for removed in self._removed.pop(number):
-            await self._fleet.replace(removed.spec, removed.address_of if same_address else None)
+            await self._fleet.replace(removed.plan, removed.address_of if same_address else None)
         self._record_end(number)
         await self._apply()
 
@@ -110,7 +110,7 @@
         host = self._fleet.servers.get(server)
         if host is None:  # another fault has replaced it meanwhile
             return
-        address_of = host.listen_as if fault.same_address else None
+        address_of = host.party if fault.same_address else None
         await self._fleet.replace(self._fleet.remove(server), address_of)
         await self._apply()
 
--- a/flintridge/lab/faults/targets.py
+++ b/flintridge/lab/faults/targets.py
@@ -7,13 +7,13 @@
 from flintridge.lab.faults.target_selection import Candidate, select_nodes, select_servers
 from flintridge.lab.scenario import model as m
 from flintridge.lab.scenario.system_faults import NodeFault
-from flintridge.lab.world.fleet import World
+from flintridge.lab.world.fleet import SimulatedFleet
 
 # Faults that name nodes, or have some drawn
 NODE_FAULTS = (m.NodeKill, m.NodeRestart, m.NodeDrain, m.NodePause, m.Reload, NodeFault, m.ClockStep)
 
 
-def resolve_targets(fault: m.AnyFault, fleet: World, rng: random.Random) -> ActiveFault:
+def resolve_targets(fault: m.AnyFault, fleet: SimulatedFleet, rng: random.Random) -> ActiveFault:
     """Return a fault with the servers, nodes or links that it affects.
 
     Args:
@@ -34,9 +34,9 @@
     return ActiveFault(fault)
 
 
-def _candidates(fleet: World) -> list[Candidate]:
+def _candidates(fleet: SimulatedFleet) -> list[Candidate]:
     return [
-        Candidate(name, fleet.specs[name].label, host.zone, host.kind.name)
+        Candidate(name, fleet.plans[name].label, host.zone, host.kind.name)
         for name, host in fleet.servers.items()
     ]
 
--- a/flintridge/lab/faults/timeline.py
+++ b/flintridge/lab/faults/timeline.py
@@ -19,7 +19,7 @@
 from flintridge.lab.faults.triggers import TriggerWait
 from flintridge.lab.scenario import model as m
 from flintridge.lab.seeds import Seeds
-from flintridge.lab.world.fleet import World
+from flintridge.lab.world.fleet import SimulatedFleet
 
 RESTART_MS = 1000.0  # from a drained server's end to its start, where it comes back
 
@@ -31,7 +31,7 @@
         self,
         scenario: m.Scenario,
         seeds: Seeds,
-        fleet: World,
+        fleet: SimulatedFleet,
         fabric: Fabric,
         nodes: NodeRunner,
         load_controls: LoadControls,
@@ -117,7 +117,7 @@
         self._recorder.start(number, active)
         match fault:
             case m.Flush():
-                self._fleet.objects.void(fault.part, str(number))
+                self._fleet.objects.invalidate(fault.part, str(number))
                 self._recorder.end(number)
             case m.ClockStep():
                 self._active.by_number[number] = active  # it never ends
--- /dev/null
+++ b/tests/lab/backend/test_processes.py
@@ -0,0 +1,138 @@
+"""Nodes as real processes, which are never left behind."""
+
+import asyncio
+import json
+import os
+import signal
+import sys
+
+import pytest
+from support.loopback import SHORT_S, End, on_fabric, until
+from support.program import SETTINGS
+
+from flintridge.lab.backend.processes import ProcessNodes
+from flintridge.lab.records import NodeStateChanged, RecordLog
+from flintridge.lab.scenario.model import Scenario
+
+PYTHON = (sys.executable, "-c")
+
+
+class Discovery(asyncio.Protocol):
+    """Lists one server that nobody ever asks; a watch waits for good."""
+
+    def connection_made(self, transport):
+        self.transport = transport
+
+    def data_received(self, data):
+        if b"after=1&" not in data:
+            box = {"id": "s1", "host_port": "127.0.0.1:9", "flavor": "box", "phase": "in_service"}
+            body = json.dumps({"revision": 1, "complete": True, "members": [box]}).encode()
+            self.transport.write(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%b" % (len(body), body))
+
+
+def on_nodes(test, **how):
+    async def run(fabric):
+        def config(node):
+            discovery = "{}:{}".format(*fabric.address("discovery", node))
+            return {"discovery": discovery, "seed": "5", "settings": settings_of.get(node, SETTINGS)}
+
+        settings_of, log = {"n7": {"services": [{"sloNs": -4}]}}, RecordLog()
+        nodes = ProcessNodes(fabric, log, fabric.clock, config, Scenario(), **how)
+        try:
+            for node in ("n0", "n1"):
+                await fabric.listen("discovery", node, Discovery)
+            await test(
+                fabric,
+                nodes,
+                lambda: [(r.node, r.state, r.code) for r in log if isinstance(r, NodeStateChanged)],
+            )
+        finally:
+            await nodes.close()
+            assert not nodes.folder.exists()
+
+    on_fabric(run)
+
+
+async def ready(fabric, node):
+    """Until the node can serve."""
+    answers = []
+    while answers != [b"MN\r\n"]:
+        try:
+            transport = await fabric.connect("c0", node, End)
+        except ConnectionError:
+            await asyncio.sleep(0.01)
+            continue
+        answers = transport.get_protocol().got
+        transport.write(b"mn\r\n")
+        while not answers:
+            await asyncio.sleep(0.001)
+        transport.close()
+
+
+def test_a_node_is_started_paused_reloaded_and_ends_well_and_is_started_anew_after_a_kill():
+    async def test(fabric, nodes, said):
+        await nodes.start("n0")
+        with pytest.raises(RuntimeError):
+            await nodes.start("n0")
+        await ready(fabric, "n0")
+        nodes.pause("n0")
+        question = asyncio.ensure_future(ready(fabric, "n0"))
+        await asyncio.wait([question], timeout=SHORT_S)
+        assert not question.done()
+        nodes.resume("n0")
+        await question
+        discovery = "{}:{}".format(*fabric.address("discovery2", "n0"))
+        nodes.reload("n0", {"discovery": discovery, "seed": "5", "settings": SETTINGS})
+        await until(lambda: any('"reloaded"' in line for line in nodes.lines("n0")))
+        nodes.kill("n0")
+        assert not nodes.running("n0")
+        await nodes.start("n0")
+        await ready(fabric, "n0")
+        nodes.term("n0")
+        assert nodes.running("n0")
+        await nodes.ended("n0")
+        states = [(state, code) for _, state, code in said()]
+        assert states == [
+            *((state, 0) for state in ("started", "paused", "resumed", "hup")),
+            *(("killed", -9), ("started", 0), ("term", 0), ("exited", 0)),
+        ]
+        usage = nodes.usage()
+        assert usage.unexpected_ends == [] and usage.node_cpu_s > 0
+        assert usage.node_memory_mb < 200 and usage.nodes["n0"].processes == 2
+        assert usage.counters["n0"]["log_serving"] == 2
+
+    on_nodes(test)
+
+
+def test_an_end_that_nobody_asked_for_is_recorded_and_told():
+    async def test(fabric, nodes, said):
+        await nodes.start("n7")  # its configuration is bad
+        await nodes.start("n1")
+        await ready(fabric, "n1")
+        os.kill(nodes.pid("n1"), signal.SIGKILL)
+        await nodes.ended("n7")
+        await nodes.ended("n1")
+        ends = [one for one in said() if one[1] == "exited"]
+        assert sorted(ends) == [("n1", "exited", -9), ("n7", "exited", 2)]
+        told = sorted(nodes.usage().unexpected_ends)
+        assert told[0].startswith("n1 exited with -9") and "latency_objective_ns" in told[1]
+        assert not nodes.running("n1")
+
+    on_nodes(test)
+
+
+def test_a_node_that_burns_a_core_and_minds_no_sigterm_shows_and_is_killed_at_the_end():
+    stubborn = "import signal; signal.signal(15, signal.SIG_IGN); print('on', flush=True)\nwhile True: pass"
+
+    async def test(fabric, nodes, said):
+        await nodes.start("n0")
+        nodes.pause("n0")
+        nodes.resume("n0")
+        await until(lambda: nodes.lines("n0") and nodes.usage().nodes["n0"].peak_cores > 0.1)
+        pid = nodes.pid("n0")
+        await nodes.close()
+        assert said()[-1][1] == "stuck" and "did not end" in nodes.usage().unexpected_ends[0]
+        with pytest.raises(ProcessLookupError):
+            os.kill(pid, 0)
+
+    on_nodes(test, command=(*PYTHON, stubborn), close_grace_s=SHORT_S)
