--- /dev/null
+++ b/tests/lab/backend/test_loopback.py
@@ -0,0 +1,113 @@
+"""Runs against real nodes: how they end, and that nothing outlives them."""
+
+import asyncio
+import os
+import select
+import signal
+import subprocess
+import sys
+import textwrap
+
+import msgspec
+import pytest
+from support.paths import ROOT
+from support.signals import restore_default_signals
+
+from flintridge.lab.backend.loopback import play_loopback
+from flintridge.lab.backend.processes import ProcessNodes
+from flintridge.lab.records import NodeStateChanged, RecordLog
+from flintridge.lab.scenario.model import Scenario
+
+PYTHON = (sys.executable, "-c")
+
+
+LAB = """
+    import asyncio, sys
+    from flintridge.lab.backend.loopback import play_loopback
+    from flintridge.lab.records import RecordLog
+    from flintridge.lab.scenario.model import Scenario
+
+    class World:
+        def node_config(self, node):
+            return {"settings": {}, "discovery": "127.0.0.1:1"}
+
+    async def day(scenario, seeds, log, fabric, truth, make_nodes):
+        nodes = make_nodes(World())
+        await nodes.start("n0")
+        print(nodes.pid("n0"), flush=True)
+        await asyncio.sleep(3600)
+
+    play_loopback(Scenario(), 1, RecordLog(), day)
+"""
+
+
+@pytest.mark.parametrize("number", [signal.SIGKILL, signal.SIGTERM, signal.SIGINT])
+def test_no_node_outlives_the_lab_whatever_ends_it(number, tmp_path):
+    env = {**os.environ, "TMPDIR": str(tmp_path)}
+    lab = subprocess.Popen(
+        [*PYTHON, textwrap.dedent(LAB)],
+        cwd=ROOT,
+        env=env,
+        stdout=subprocess.PIPE,
+        stderr=subprocess.DEVNULL,
+        preexec_fn=restore_default_signals,
+    )
+    try:
+        assert select.select([lab.stdout], [], [], 30)[0]
+        pidfd = os.pidfd_open(int(lab.stdout.readline()))
+        lab.send_signal(number)
+        assert select.select([pidfd], [], [], 20)[0]  # it has ended
+        os.close(pidfd)
+        lab.wait(20)
+        assert number == signal.SIGKILL or list(tmp_path.iterdir()) == []
+    finally:
+        lab.kill()
+        lab.communicate(timeout=20)
+
+
+def test_a_day_beyond_its_wall_limit_is_ended_and_says_so_and_a_raise_leaves_nothing():
+    log, seen = RecordLog(), {}
+
+    class World:
+        def node_config(self, _node):
+            return {"settings": {}, "discovery": "127.0.0.1:1"}
+
+    async def day(scenario, seeds, log, fabric, truth, make_nodes):
+        seen["nodes"] = nodes = make_nodes(World())
+        await nodes.start("n0")
+        if seeds.seed == 2:
+            raise RuntimeError("a mistake")
+        await asyncio.sleep(3600)
+
+    ended, usage = play_loopback(Scenario(wall_limit_s=1.5), 1, log, day)
+    assert ended == "wall limit: 1.5 s" and usage.unexpected_ends == [] and usage.lateness_ms["samples"] > 0
+    assert msgspec.json.encode(usage) and [r.state for r in log if isinstance(r, NodeStateChanged)] == [
+        "started"
+    ]
+    with pytest.raises(RuntimeError, match="a mistake"):
+        play_loopback(Scenario(), 2, log, day)
+    with pytest.raises(ProcessLookupError):
+        os.kill(seen["nodes"].pid("n0"), 0)
+
+
+def test_lateness_when_the_nodes_end_only_after_the_warm_up_would_have_begun_is_still_reported(monkeypatch):
+    fabrics = []
+
+    class SlowToEnd(ProcessNodes):
+        async def close(self):
+            await fabrics[0].clock.sleep_until(1.0)  # past the instant at which sampling would start anew
+            await super().close()
+
+    class World:
+        def node_config(self, _node):
+            return {"settings": {}, "discovery": "127.0.0.1:1"}
+
+    async def day(scenario, seeds, log, fabric, truth, make_nodes):
+        fabrics.append(fabric)
+        await make_nodes(World()).start("n0")
+        await asyncio.sleep(3600)
+
+    monkeypatch.setattr("flintridge.lab.backend.loopback.ProcessNodes", SlowToEnd)
+    monkeypatch.setattr("flintridge.lab.backend.loopback.LEAD_S", 0.0)
+    ended, usage = play_loopback(Scenario(warmup_s=0.0, wall_limit_s=0.05), 1, RecordLog(), day)
+    assert ended == "wall limit: 0.05 s" and usage.lateness_ms["samples"] > 0
