--- a/tests/test_wall_clock.py
+++ b/tests/test_wall_clock.py
@@ -28,7 +28,7 @@
 }
 READERS = {
     "lab/backend/faulty_node.py",
-    "lab/backend/loopback_fabric.py",
+    "lab/backend/loopback_clock.py",
     "replication/driver.py",
     "runtime/clock.py",
 }
