--- a/benchmarks/lab_backends.py
+++ b/benchmarks/lab_backends.py
@@ -20,7 +20,7 @@
 def played(day: str, seed: int, backend: str) -> Result:
     outcome = run_one(Job(scenario=load(day), seed=seed, backend=backend))
     if isinstance(outcome, JobFailed):
-        raise SystemExit(f"{day}, seed {seed}, {backend}: {outcome.why}")
+        raise SystemExit(f"{day}, seed {seed}, {backend}: {outcome.reason}")
     return outcome
 
 
--- a/benchmarks/system_calls.py
+++ b/benchmarks/system_calls.py
@@ -64,7 +64,7 @@
     for nth in range(1, tries + 1):
         outcome = run_one(Job(scenario=scenario, seed=seed, backend=backend))
         if isinstance(outcome, JobFailed):
-            raise SystemExit(f"{scenario.faults}: {outcome.why}")
+            raise SystemExit(f"{scenario.faults}: {outcome.reason}")
         if nth == tries or outcome.lateness_ms.get("p99_ms", 0.0) <= LATE_MS:
             break
     return outcome, nth
--- a/flintridge/cli/lab_compare.py
+++ b/flintridge/cli/lab_compare.py
@@ -61,7 +61,7 @@
     """
     claim([json_file, report], force)
     from flintridge.lab.experiment import output
-    from flintridge.lab.experiment.compare import Side, as_json, compare
+    from flintridge.lab.experiment.compare import Variant, as_json, compare
     from flintridge.lab.experiment.worker import NoTree, check_tree
     from flintridge.lab.report import tables
     from flintridge.lab.scenario.load import load
@@ -74,8 +74,8 @@
         except NoTree as error:
             raise Wrong(str(error)) from error
     b_name = other or scenario
-    a = Side(label=_label(scenario, of_a), scenario=load(scenario, [*overrides, *of_a]))
-    b = Side(
+    a = Variant(label=_label(scenario, of_a), scenario=load(scenario, [*overrides, *of_a]))
+    b = Variant(
         label=_label(b_name, of_b, tree),
         scenario=load(b_name, [*overrides, *of_b]),
         tree="" if tree is None else str(tree.resolve()),
--- a/flintridge/cli/lab_run.py
+++ b/flintridge/cli/lab_run.py
@@ -55,7 +55,7 @@
     from flintridge.lab.experiment import output
     from flintridge.lab.experiment.jobs import Job, JobFailed
     from flintridge.lab.experiment.pool import run_one
-    from flintridge.lab.experiment.stats import faults_of
+    from flintridge.lab.experiment.stats import unsound_reasons
     from flintridge.lab.report import tables
     from flintridge.lab.result import as_json
     from flintridge.lab.scenario.load import dump, load
@@ -92,7 +92,7 @@
         from flintridge.lab.report.html import run_report
 
         output.write(report, run_report(outcome, day, dump(day)))
-    unsound = faults_of(outcome, day.expect)
+    unsound = unsound_reasons(outcome, day.expect)
     tables.print_run(outcome, unsound, day.expect.breaks)
     if unsound:
         sys.exit(BROKEN)
--- a/flintridge/cli/lab_shrink.py
+++ b/flintridge/cli/lab_shrink.py
@@ -63,15 +63,14 @@
     import msgspec
 
     from flintridge.lab.experiment import output
-    from flintridge.lab.experiment.shrink import (
+    from flintridge.lab.experiment.failure_predicates import (
         Breaks,
+        DidNotComplete,
         DoesNotFail,
+        GoodputBelow,
         Predicate,
-        Step,
-        Under,
-        Unfinished,
-        shrink,
     )
+    from flintridge.lab.experiment.shrink import Step, shrink
     from flintridge.lab.report import tables
     from flintridge.lab.scenario.load import dump, load
 
@@ -79,9 +78,9 @@
     if rule is not None:
         predicate = Breaks(rule)
     elif goodput_under is not None:
-        predicate = Under(goodput_under)
+        predicate = GoodputBelow(goodput_under)
     elif unfinished:
-        predicate = Unfinished()
+        predicate = DidNotComplete()
 
     def told(step: Step) -> None:
         if step.taken:
@@ -94,7 +93,7 @@
             seed,
             predicate,
             budget=budget,
-            tries=tries,
+            seeds_per_candidate=tries,
             backend=backend,
             defect=defect,
             workers=workers,
--- a/flintridge/lab/experiment/jobs.py
+++ b/flintridge/lab/experiment/jobs.py
@@ -10,12 +10,24 @@
 
 PLAY = "flintridge.lab.run:play"
 Runner = Callable[..., Result]
-HEAD = 8  # bytes of a frame's length, big-endian
+FRAME_LENGTH_BYTES = 8  # big-endian
 
 
 class Job(msgspec.Struct, kw_only=True, frozen=True):
-    """One run. `tree` names another source tree to take the node from; `limit_s` of real time is by default
-    the scenario's own limit and some seconds."""
+    """One run for a worker.
+
+    Attributes:
+        scenario: The scenario to play.
+        seed: Its seed.
+        label: For messages and failures.
+        backend: `virtual` or `loopback`.
+        defect: The seeded defect to play with, if any.
+        events: A file for the records, if any.
+        trace: A file for the trace, if any.
+        tree: Another source tree to take the node from; this one where empty.
+        limit_s: Real time in seconds; the scenario's own limit and some seconds where absent.
+        runner: `module:name` of the function that plays it.
+    """
 
     scenario: Scenario
     seed: int
@@ -30,17 +42,31 @@
 
 
 class JobFailed(msgspec.Struct, kw_only=True, frozen=True):
-    """A run without a result."""
+    """A run without a result.
+
+    Attributes:
+        label: The job's label.
+        seed: The job's seed.
+        mode: `raised`, `died` (the worker's process ended) or `hung` (killed at its limit).
+        reason: One line.
+        trace: The traceback, where there is one.
+    """
 
     label: str
     seed: int
-    how: str  # raised, died (the worker's process ended), hung (killed at its limit)
-    why: str  # one line
+    mode: str
+    reason: str
     trace: str = ""
 
 
 class Reply(msgspec.Struct, kw_only=True):
-    """What a worker writes: a result, or the last line and the whole of a traceback."""
+    """What a worker writes.
+
+    Attributes:
+        result: The result, absent where the run raised.
+        error: The last line of the traceback.
+        trace: The whole traceback.
+    """
 
     result: Result | None = None
     error: str = ""
@@ -51,23 +77,28 @@
 
 
 def runner_name(runner: str | Runner) -> str:
-    """`module:name` of a function at a module's top level, for a worker to import. Raises ValueError."""
+    """Return `module:name` of a function, for a worker to import.
+
+    Raises:
+        ValueError: The function is not at the top level of a module that can be imported.
+    """
     if isinstance(runner, str):
         return runner
-    module, name = runner.__module__, getattr(runner, "__qualname__", "<unnamed>")
+    module = runner.__module__
+    name = getattr(runner, "__qualname__", "<unnamed>")
     if module == "__main__" or "<" in name:
         raise ValueError(f"{module}:{name}: a worker can import functions at a module's top level only")
     return f"{module}:{name}"
 
 
 def frame(message: Any) -> bytes:
-    """A message behind its length."""
+    """Encode a message behind its length."""
     body = msgspec.json.encode(message)
-    return len(body).to_bytes(HEAD, "big") + body
+    return len(body).to_bytes(FRAME_LENGTH_BYTES, "big") + body
 
 
 def failure(outcome: Outcome) -> str:
-    """Why this outcome's figures must not be used; empty when they may be."""
+    """Return why this outcome's metrics must not be used; empty when they may be."""
     if isinstance(outcome, JobFailed):
-        return f"{outcome.how}: {outcome.why}"
+        return f"{outcome.mode}: {outcome.reason}"
     return "" if outcome.end_reason == "whole" else f"cut short: {outcome.end_reason}"
--- a/flintridge/lab/experiment/output.py
+++ b/flintridge/lab/experiment/output.py
@@ -1,4 +1,4 @@
-"""Files that commands write: whole or not at all, and never over what is there without being told to."""
+"""Files that commands write: whole or not at all, and never over what is there without being asked to."""
 
 import os
 import tempfile
@@ -9,7 +9,15 @@
 
 
 def write(path: Path, content: str | bytes) -> None:
-    """Put the file there in one step, readable as the umask has it; raises OSError."""
+    """Write a file in one step, with the permissions that the umask allows.
+
+    Args:
+        path: The file, replaced where it exists.
+        content: Bytes, or text that is encoded as UTF-8.
+
+    Raises:
+        OSError: It cannot be written; what was there is unchanged.
+    """
     data = content.encode() if isinstance(content, str) else content
     handle, temporary = tempfile.mkstemp(dir=path.parent, prefix=f".{path.name}.")
     try:
@@ -25,7 +33,7 @@
 
 
 def write_new(path: Path, content: str | bytes) -> bool:
-    """The same, but leaves alone what is there; whether it wrote."""
+    """Write a file as `write` does unless it exists; return whether it was written."""
     if path.exists():
         return False
     write(path, content)
@@ -33,5 +41,5 @@
 
 
 def json_text(value: Any) -> bytes:
-    """Indented JSON with a line end."""
+    """Return indented JSON with a line end."""
     return orjson.dumps(value, option=orjson.OPT_INDENT_2 | orjson.OPT_SORT_KEYS) + b"\n"
--- a/flintridge/lab/experiment/pool.py
+++ b/flintridge/lab/experiment/pool.py
@@ -15,26 +15,36 @@
 import msgspec
 
 import flintridge
-from flintridge.lab.experiment.jobs import HEAD, Job, JobFailed, Outcome, Reply, frame
+from flintridge.lab.experiment.jobs import FRAME_LENGTH_BYTES, Job, JobFailed, Outcome, Reply, frame
 from flintridge.lab.experiment.worker import kill_tree
 
 GRACE_S = 20.0  # beyond the scenario's own limit: to start, to judge, to end by itself
-JOBS_A_WORKER = 40  # then a new process, so that memory of earlier runs goes
+JOBS_PER_WORKER = 40  # then a new process, so that memory of earlier runs goes
 OnDone = Callable[[int, Job, Outcome], None]
 
 
 class Worker:
-    """A worker's process and its pipes."""
+    """A worker's process and its pipes.
+
+    Attributes:
+        tree: The source tree that its node comes from; this one where empty.
+        remaining_jobs: Jobs that it may still play.
+    """
 
     def __init__(self, tree: str) -> None:
+        """Prepare a worker; `start` starts its process."""
         self.tree = tree
-        self.left = JOBS_A_WORKER
-        self._said: deque[str] = deque(maxlen=50)
+        self.remaining_jobs = JOBS_PER_WORKER
+        self._error_lines: deque[str] = deque(maxlen=50)
         self._process: asyncio.subprocess.Process | None = None
         self._reading: asyncio.Task[None] | None = None
 
     async def start(self) -> None:
-        """Start the process. Raises OSError."""
+        """Start the process.
+
+        Raises:
+            OSError: It cannot be started.
+        """
         home = str(Path(flintridge.__file__).parent.parent)
         paths = [home, *(path for path in sys.path if path)]
         # One thread for numpy: the processes are what runs at once. No current folder on the path (-P): it
@@ -57,23 +67,27 @@
         rest = b""
         while block := await process.stderr.read(65536):
             *lines, rest = (rest + block).split(b"\n")
-            self._said.extend(line.decode(errors="replace") for line in lines if line.strip())
+            self._error_lines.extend(line.decode(errors="replace") for line in lines if line.strip())
             rest = rest[-4096:]
 
     async def call(self, job: Job) -> Reply:
-        """Play a job. Raises EOFError with a reason when the process dies."""
+        """Play a job.
+
+        Raises:
+            EOFError: The process died, or its reply cannot be read; the message says why.
+        """
         process = self._process
         assert process is not None and process.stdin is not None and process.stdout is not None
-        self.left -= 1
+        self.remaining_jobs -= 1
         try:
             process.stdin.write(frame(job))
             await process.stdin.drain()
-            size = int.from_bytes(await process.stdout.readexactly(HEAD), "big")
+            size = int.from_bytes(await process.stdout.readexactly(FRAME_LENGTH_BYTES), "big")
             return msgspec.json.decode(await process.stdout.readexactly(size), type=Reply)
         except (OSError, asyncio.IncompleteReadError):
             code = await process.wait()
-            said = self._said[-1] if self._said else "it said nothing"
-            raise EOFError(f"the worker ended with {code}: {said}") from None
+            last_line = self._error_lines[-1] if self._error_lines else "it said nothing"
+            raise EOFError(f"the worker ended with {code}: {last_line}") from None
         except msgspec.MsgspecError as error:
             raise EOFError(f"the result cannot be read: {error}") from None
 
@@ -97,17 +111,22 @@
 
 
 class Slot:
-    """One place of the pool: plays jobs one after another, in workers that it replaces as needed."""
+    """Plays jobs one after another, in workers that it replaces as needed.
+
+    Attributes:
+        worker: The current worker, absent before the first job and after a failure.
+    """
 
     def __init__(self) -> None:
+        """Begin without a worker."""
         self.worker: Worker | None = None
 
     async def play(self, job: Job) -> Outcome:
-        """What came of the job; its limit covers a worker's start as well."""
+        """Play a job; its limit covers a worker's start as well."""
         limit = job.scenario.wall_limit_s + GRACE_S if job.limit_s is None else job.limit_s
         try:
             async with asyncio.timeout(limit):
-                worker = await self._fitting(job.tree)
+                worker = await self._worker_for(job.tree)
                 reply = await worker.call(job)
         except TimeoutError:
             await self.close()
@@ -119,8 +138,9 @@
             return _failed(job, "raised", reply.error, reply.trace)
         return reply.result
 
-    async def _fitting(self, tree: str) -> Worker:
-        if self.worker is not None and (self.worker.tree != tree or not self.worker.left):
+    async def _worker_for(self, tree: str) -> Worker:
+        """Return a worker for this tree that may play another job."""
+        if self.worker is not None and (self.worker.tree != tree or not self.worker.remaining_jobs):
             await self.close()
         if self.worker is None:
             self.worker = Worker(tree)
@@ -128,24 +148,32 @@
         return self.worker
 
     async def close(self) -> None:
+        """End the worker, if there is one."""
         if self.worker is not None:
             await self.worker.close()
             self.worker = None
 
 
 class Pool:
-    """Workers that stay between calls of `run`; a context manager, at whose end none of them is left."""
+    """Workers that stay between calls of `run`; a context manager, at whose end none of them is left.
+
+    Attributes:
+        size: Jobs played at once.
+    """
 
     def __init__(self, workers: int | None = None) -> None:
+        """Make a pool of so many workers, one a core where absent; they start when needed."""
         self.size = max(1, workers or os.cpu_count() or 1)
         self._slots = [Slot() for _ in range(self.size)]
         self._runner = asyncio.Runner()
 
     def __enter__(self) -> "Pool":
+        """Enter the event loop that the workers' pipes belong to."""
         self._runner.__enter__()
         return self
 
     def __exit__(self, *_: object) -> None:
+        """End all workers."""
         # First all kills, which cannot be interrupted half-way by another Ctrl-C, then the waiting.
         for slot in self._slots:
             if slot.worker is not None:
@@ -166,40 +194,50 @@
         show: bool = False,
         title: str = "runs",
     ) -> list[Outcome | None]:
-        """Play jobs, as many at once as there are workers; outcomes in the order of the jobs.
+        """Play jobs, as many at once as there are workers.
 
         Jobs on loopback run last and one at a time: they keep real time, and others would make them late.
-        `on_done` is told of each as it ends, in whatever order; what it raises ends everything. Once `stop`
-        says so no further job is begun, and those left are None. With `show` a display of the progress goes
-        to standard error where that is a terminal. After an exception, also Ctrl-C, the pool must be left.
+        After an exception, also Ctrl-C, the pool must be left.
+
+        Args:
+            jobs: The jobs.
+            on_done: Called with index, job and outcome as each ends, in any order; what it raises ends
+                everything.
+            stop: Once it returns true no further job is started.
+            show: Whether to show progress on standard error where that is a terminal.
+            title: The title of that display.
+
+        Returns:
+            The outcomes in the order of the jobs, None for those that were not started.
         """
         listed = list(jobs)
-        done: list[Outcome | None] = [None] * len(listed)
-        together = [i for i, job in enumerate(listed) if job.backend != "loopback"]
-        alone = [i for i, job in enumerate(listed) if job.backend == "loopback"]
+        outcomes: list[Outcome | None] = [None] * len(listed)
+        concurrent = [i for i, job in enumerate(listed) if job.backend != "loopback"]
+        sequential = [i for i, job in enumerate(listed) if job.backend == "loopback"]
         with _progress(show, len(listed), title) as advance:
 
             async def drain(slot: Slot, indexes: Iterator[int]) -> None:
                 for index in indexes:
                     if stop():
                         return
-                    outcome = done[index] = await slot.play(listed[index])
+                    outcome = await slot.play(listed[index])
+                    outcomes[index] = outcome
                     if on_done is not None:
                         on_done(index, listed[index], outcome)
                     advance()
 
-            async def whole() -> None:
-                for indexes, slots in ((together, self._slots), (alone, self._slots[:1])):
-                    left = iter(indexes)  # shared: each slot takes the next one that nobody has
+            async def run_all() -> None:
+                for indexes, slots in ((concurrent, self._slots), (sequential, self._slots[:1])):
+                    remaining = iter(indexes)  # shared: each slot takes the next one
                     async with asyncio.TaskGroup() as group:
                         for slot in slots[: len(indexes)]:
-                            group.create_task(drain(slot, left))
+                            group.create_task(drain(slot, remaining))
 
             try:
-                self._runner.run(whole())
+                self._runner.run(run_all())
             except BaseExceptionGroup as group:
                 raise group.exceptions[0] from None
-        return done
+        return outcomes
 
 
 def run_jobs(
@@ -211,26 +249,27 @@
     show: bool = False,
     title: str = "runs",
 ) -> list[Outcome | None]:
-    """`Pool.run` in a pool of its own."""
+    """Call `Pool.run` in a pool of its own, of so many workers."""
     listed = list(jobs)
     with Pool(min(len(listed), workers or os.cpu_count() or 1)) as pool:
         return pool.run(listed, on_done=on_done, stop=stop, show=show, title=title)
 
 
 def run_one(job: Job) -> Outcome:
-    """A single run in a worker, bounded like the others."""
+    """Play a single job in a worker, with the same limits."""
     outcome = run_jobs([job])[0]
     assert outcome is not None
     return outcome
 
 
-def _failed(job: Job, how: str, why: str, trace: str = "") -> JobFailed:
-    return JobFailed(label=job.label, seed=job.seed, how=how, why=why, trace=trace)
+def _failed(job: Job, mode: str, reason: str, trace: str = "") -> JobFailed:
+    """Return the outcome of a job without a result."""
+    return JobFailed(label=job.label, seed=job.seed, mode=mode, reason=reason, trace=trace)
 
 
 @contextmanager
 def _progress(show: bool, total: int, title: str) -> Iterator[Callable[[], None]]:
-    """A bar on standard error, where somebody can see it."""
+    """Show a progress bar on standard error where that is a terminal; yields what advances it."""
     if not (show and total and sys.stderr.isatty()):
         yield lambda: None
         return
--- a/flintridge/lab/experiment/sweep.py
+++ b/flintridge/lab/experiment/sweep.py
@@ -10,11 +10,12 @@
 
 from flintridge.lab.experiment.jobs import PLAY, Job, Outcome, Runner, failure, runner_name
 from flintridge.lab.experiment.pool import run_jobs
-from flintridge.lab.experiment.stats import FIGURES, bootstrap, mean, rule_totals
+from flintridge.lab.experiment.stats import METRICS, bootstrap, mean, rule_totals
 from flintridge.lab.result import Result
 from flintridge.lab.scenario.model import Scenario
 
-MOST_VALUES = 1000  # of a parameter: more is a slip of the keyboard
+MAX_VALUES = 1000  # of a parameter: more is a typing error
+WHOLE_TOLERANCE = 1e-9
 
 
 class BadSweep(ValueError):
@@ -22,14 +23,25 @@
 
 
 class Parameter(msgspec.Struct, kw_only=True, frozen=True):
-    """A path of the scenario, and its values as written in TOML."""
+    """A parameter of the scenario that is varied.
+
+    Attributes:
+        path: Its path in the scenario's format, as `load.rate_per_s`.
+        values: Its values as written in TOML.
+    """
 
     path: str
     values: tuple[str, ...]
 
 
-class Spread(msgspec.Struct, kw_only=True, frozen=True):
-    """A figure over the seeds of a point: its mean and a bootstrap 95% interval of it."""
+class MetricSummary(msgspec.Struct, kw_only=True, frozen=True):
+    """A metric over the seeds of a point.
+
+    Attributes:
+        mean: The mean.
+        low: The lower end of a bootstrap 95% interval of the mean.
+        high: The upper end of it.
+    """
 
     mean: float
     low: float
@@ -37,17 +49,33 @@
 
 
 class Point(msgspec.Struct, kw_only=True):
-    """The seeds of one combination of values."""
+    """The runs of one combination of values.
+
+    Attributes:
+        values: A value for each parameter.
+        complete_runs: The seeds whose run completed.
+        metrics: Over those runs, by name; empty where none completed.
+        violations: Violations over all results, by broken rule.
+        failures: A line for each run that did not complete.
+    """
 
     values: list[str]
-    seeds: int  # with a whole result
-    figures: dict[str, Spread] = {}
-    broken: dict[str, int] = {}
+    complete_runs: int = msgspec.field(name="seeds")
+    metrics: dict[str, MetricSummary] = msgspec.field(default_factory=dict, name="figures")
+    violations: dict[str, int] = msgspec.field(default_factory=dict, name="broken")
     failures: list[str] = []
 
 
 class Sweep(msgspec.Struct, kw_only=True, tag_field="what", tag="sweep"):
-    """All points, the last parameter running fastest."""
+    """The result of a sweep, as `--json` prints it.
+
+    Attributes:
+        scenario: The scenario's name.
+        backend: The backend of all runs.
+        seeds: The seeds of each point.
+        parameters: What is varied.
+        points: All combinations, the last parameter varying fastest.
+    """
 
     scenario: str
     backend: str
@@ -57,13 +85,20 @@
 
     @property
     def sound(self) -> bool:
-        return not any(point.broken or point.failures for point in self.points)
+        """Return whether no rule was broken and every run completed."""
+        return not any(point.violations or point.failures for point in self.points)
 
 
 def parameter(text: str) -> Parameter:
-    """`path=v1,v2,...` or `path=low:high:steps`, with `:log` behind it for equal ratios.
+    """Parse `path=v1,v2,...` or `path=low:high:steps`, with `:log` behind it for equal ratios.
+
+    Steps are values, both ends included; whole numbers stay whole where all of them are.
 
-    Raises BadSweep. Steps are values, both ends included; whole numbers stay whole where all of them are.
+    Args:
+        text: The parameter as the command line has it.
+
+    Raises:
+        BadSweep: It cannot be read, or has too many, equal or empty values.
     """
     path, equals, values = text.partition("=")
     path = path.strip()
@@ -78,45 +113,54 @@
 
 
 def _range(text: str, values: str) -> list[str]:
+    """Return the values of `low:high:steps` or `low:high:steps:log`; `text` is for messages."""
     low_text, *rest = (part.strip() for part in values.split(":"))
     log = len(rest) == 3 and rest[2] == "log"
     try:
-        low, high, steps = float(low_text), float(rest[0]), int(rest[1])
+        low = float(low_text)
+        high = float(rest[0])
+        steps = int(rest[1])
     except (ValueError, IndexError):
         raise BadSweep(f"{text!r}: a range is LOW:HIGH:STEPS, three numbers, or LOW:HIGH:STEPS:log") from None
     if len(rest) > 2 and not log:
         raise BadSweep(f"{text!r}: only ':log' may follow LOW:HIGH:STEPS")
-    if not 2 <= steps <= MOST_VALUES:
-        raise BadSweep(f"{text!r}: {steps} steps, may be 2 to {MOST_VALUES}")
+    if not 2 <= steps <= MAX_VALUES:
+        raise BadSweep(f"{text!r}: {steps} steps, may be 2 to {MAX_VALUES}")
     if low == high or (log and min(low, high) <= 0) or not abs(high - low) < float("inf"):
         raise BadSweep(f"{text!r}: the ends must be two numbers (above 0 for log)")
     if log:
-        found = [low * (high / low) ** (i / (steps - 1)) for i in range(steps)]
+        numbers = [low * (high / low) ** (i / (steps - 1)) for i in range(steps)]
     else:
-        found = [low + (high - low) * i / (steps - 1) for i in range(steps)]
-    found[-1] = high
-    written = "." not in low_text + rest[0] and "e" not in (low_text + rest[0]).lower()
-    if written and all(abs(value - round(value)) < 1e-9 for value in found):
-        return [str(round(value)) for value in found]
-    texts = [f"{value:.12g}" for value in found]
+        numbers = [low + (high - low) * i / (steps - 1) for i in range(steps)]
+    numbers[-1] = high
+    ends = low_text + rest[0]
+    ends_are_whole = "." not in ends and "e" not in ends.lower()
+    if ends_are_whole and all(abs(value - round(value)) < WHOLE_TOLERANCE for value in numbers):
+        return [str(round(value)) for value in numbers]
+    texts = [f"{value:.12g}" for value in numbers]
     return [text if set(text) & set(".e") else f"{text}.0" for text in texts]
 
 
 def _split(values: str) -> list[str]:
-    """At commas outside of brackets, braces and quotes."""
-    found, depth, quote = [""], 0, ""
-    for letter in values:
+    """Split at commas outside of brackets, braces and quotes."""
+    items = [""]
+    depth = 0
+    quote = ""
+    for character in values:
         if quote:
-            quote = "" if letter == quote else quote
-        elif letter in "\"'":
-            quote = letter
-        elif letter == "," and depth == 0:
-            found.append("")
+            if character == quote:
+                quote = ""
+        elif character in "\"'":
+            quote = character
+        elif character == "," and depth == 0:
+            items.append("")
             continue
-        else:
-            depth += (letter in "[{") - (letter in "]}")
-        found[-1] += letter
-    return [value.strip() for value in found]
+        elif character in "[{":
+            depth += 1
+        elif character in "]}":
+            depth -= 1
+        items[-1] += character
+    return [item.strip() for item in items]
 
 
 def sweep(
@@ -130,10 +174,23 @@
     runner: str | Runner = PLAY,
     show: bool = False,
 ) -> Sweep:
-    """Play every combination under every seed.
-
-    `build` makes the scenario of a combination from its overrides (`path=value`); all are made before the
-    first run, so that a wrong value is told at once, by whatever `build` raises.
+    """Play every combination of values under every seed.
+
+    All scenarios are built before the first run, so that a wrong value is reported at once.
+
+    Args:
+        name: The scenario's name.
+        parameters: One or two parameters.
+        build: Makes the scenario of a combination from its overrides (`path=value`); what it raises is not
+            caught.
+        seeds: The seeds of each combination.
+        backend: `virtual` or `loopback`.
+        workers: Worker processes; one a core where absent.
+        runner: The function that plays a scenario.
+        show: Whether to show progress on a terminal.
+
+    Raises:
+        BadSweep: There are no parameters, more than two, or one of them twice.
     """
     if not 1 <= len(parameters) <= 2 or len({p.path for p in parameters}) < len(parameters):
         raise BadSweep("a sweep is over one or two different parameters")
@@ -155,57 +212,64 @@
         seeds=list(seeds),
         parameters=list(parameters),
         points=[
-            _point(values, seeds, found)
-            for values, found in zip(combinations, _batches(outcomes, len(seeds)), strict=True)
+            _point(values, seeds, batch)
+            for values, batch in zip(combinations, _batches(outcomes, len(seeds)), strict=True)
         ],
     )
 
 
 def _batches(outcomes: Sequence[Outcome | None], size: int) -> list[Sequence[Outcome | None]]:
-    return [outcomes[at : at + size] for at in range(0, len(outcomes), size)]
+    """Split into batches of one size, in order."""
+    return [outcomes[start : start + size] for start in range(0, len(outcomes), size)]
 
 
 def _point(values: Sequence[str], seeds: Sequence[int], outcomes: Sequence[Outcome | None]) -> Point:
-    whole, failures = [], []
+    """Summarize the outcomes of one combination, one for each seed."""
+    complete = []
+    failures = []
     for seed, outcome in zip(seeds, outcomes, strict=True):
-        why = "not played" if outcome is None else failure(outcome)
-        if why:
-            failures.append(f"seed {seed}: {why}")
+        reason = "not played" if outcome is None else failure(outcome)
+        if reason:
+            failures.append(f"seed {seed}: {reason}")
         elif isinstance(outcome, Result):
-            whole.append(outcome)
+            complete.append(outcome)
     totals = rule_totals([outcome for outcome in outcomes if isinstance(outcome, Result)])
+    metrics = {}
+    if complete:
+        metrics = {metric.name: _summary([metric.of(result) for result in complete]) for metric in METRICS}
     return Point(
         values=list(values),
-        seeds=len(whole),
-        figures={f.name: _spread([f.of(r) for r in whole]) for f in FIGURES} if whole else {},
-        broken={name: count for name, count in totals.items() if count},
+        complete_runs=len(complete),
+        metrics=metrics,
+        violations={name: count for name, count in totals.items() if count},
         failures=failures,
     )
 
 
-def _spread(values: Sequence[float]) -> Spread:
-    low, high = bootstrap(values)
-    return Spread(mean=mean(values), low=low, high=high)
+def _summary(values: Sequence[float]) -> MetricSummary:
+    """Return the mean of a metric and the interval of it."""
+    interval = bootstrap(values)
+    return MetricSummary(mean=mean(values), low=interval.low, high=interval.high)
 
 
 def as_json(swept: Sweep) -> dict[str, Any]:
-    """Plain values."""
+    """Return the sweep as plain values."""
     built: dict[str, Any] = msgspec.to_builtins(swept)
     return built
 
 
 def as_csv(swept: Sweep) -> str:
-    """A line a point: its values, seeds, the mean and interval of each figure, breaches."""
+    """Return a line for each point: its values, seeds, the mean and interval of each metric, violations."""
     file = io.StringIO()
     writer = csv.writer(file, lineterminator="\n")
-    names = [figure.name for figure in FIGURES]
+    names = [metric.name for metric in METRICS]
     columns = [f"{name}{end}" for name in names for end in ("", "_low", "_high")]
     writer.writerow([*(p.path for p in swept.parameters), "seeds", *columns, "broken", "failures"])
     for point in swept.points:
         cells: list[float | str] = []
         for name in names:
-            spread = point.figures.get(name)
-            cells += ["", "", ""] if spread is None else [spread.mean, spread.low, spread.high]
-        broken = " ".join(f"{name}:{count}" for name, count in point.broken.items())
-        writer.writerow([*point.values, point.seeds, *cells, broken, "; ".join(point.failures)])
+            summary = point.metrics.get(name)
+            cells += ["", "", ""] if summary is None else [summary.mean, summary.low, summary.high]
+        broken = " ".join(f"{name}:{count}" for name, count in point.violations.items())
+        writer.writerow([*point.values, point.complete_runs, *cells, broken, "; ".join(point.failures)])
     return file.getvalue()
--- a/flintridge/lab/experiment/worker.py
+++ b/flintridge/lab/experiment/worker.py
@@ -1,4 +1,4 @@
-"""A worker process: takes jobs on its standard input, plays them one by one, writes what came of them.
+"""A worker process: takes jobs on its standard input, plays them one by one, writes the replies.
 
 With `--tree DIR` the node's modules come from DIR while the lab stays this one. Only the standard library is
 imported at the top: whatever would import the node has to wait for `graft`.
@@ -16,7 +16,7 @@
 from pathlib import Path
 from typing import Any
 
-NODE_PARTS = ("api", "policy", "node.py", "config", "upstream")
+NODE_MODULES = ("api", "policy", "node.py", "config", "upstream")
 
 
 class NoTree(Exception):
@@ -24,16 +24,23 @@
 
 
 def check_tree(tree: Path) -> None:
-    """Raises NoTree naming what is missing: a part of ours in its place would make a mixture of two nodes."""
-    missing = [name for name in ("__init__.py", *NODE_PARTS) if not (tree / "flintridge" / name).exists()]
+    """Check that a source tree holds a whole node: modules of this tree would make a mixture of two nodes.
+
+    Raises:
+        NoTree: A module is missing; it is named.
+    """
+    missing = [name for name in ("__init__.py", *NODE_MODULES) if not (tree / "flintridge" / name).exists()]
     if missing:
         raise NoTree(f"{tree}: no node to play: flintridge/{missing[0]} is missing")
 
 
 def graft(tree: Path) -> None:
-    """Take `flintridge` and all its parts but the lab from `tree`, in this process and those it starts.
+    """Take `flintridge` and all its modules but the lab from `tree`, in this process and those it starts.
+
+    Must come before anything of the lab that imports the node.
 
-    Must come before anything of the lab that imports the node. Raises NoTree.
+    Raises:
+        NoTree: The tree holds no whole node.
     """
     import flintridge
 
@@ -45,7 +52,7 @@
             # And from the package: `from flintridge import api` would find ours there, and one node would
             # be made of two sets of classes.
             vars(flintridge).pop(name.split(".")[1], None)
-    # `flintridge.lab` is loaded and stays ours; every other part is looked for in the tree first.
+    # `flintridge.lab` is loaded and stays ours; every other module is looked for in the tree first.
     flintridge.__path__ = [str(package), *flintridge.__path__]
     init = package / "__init__.py"
     exec(compile(init.read_bytes(), str(init), "exec"), vars(flintridge))
@@ -55,7 +62,7 @@
 
 
 def descendants(pid: int) -> list[int]:
-    """All processes below this one, nearest first; those in sessions of their own too."""
+    """Return all processes below this one, nearest first; those in sessions of their own too."""
     found = [pid]
     for parent in found:
         try:
@@ -70,18 +77,18 @@
 
 def kill_tree(pid: int) -> None:
     """Kill a worker, its process group, and whatever it started elsewhere."""
-    below = descendants(pid)
+    children = descendants(pid)
     with suppress(ProcessLookupError, PermissionError):
         os.killpg(pid, signal.SIGKILL)
-    for child in below:
+    for child in children:
         with suppress(ProcessLookupError, PermissionError):
             os.kill(child, signal.SIGKILL)
 
 
-def _watch(inbox: io.BufferedReader, orders: "queue.SimpleQueue[bytes]") -> None:
+def _watch(inbox: io.BufferedReader, jobs: "queue.SimpleQueue[bytes]") -> None:
     """Read jobs; at the pipe's end whoever gave them is gone, and nothing of this group may stay."""
     while len(head := inbox.read(8)) == 8:
-        orders.put(inbox.read(int.from_bytes(head, "big")))
+        jobs.put(inbox.read(int.from_bytes(head, "big")))
     for child in descendants(os.getpid()):
         with suppress(ProcessLookupError, PermissionError):
             os.kill(child, signal.SIGKILL)
@@ -91,6 +98,7 @@
 
 
 def _play(body: bytes) -> Any:
+    """Play an encoded job and return the reply."""
     import msgspec
 
     from flintridge.lab.experiment.jobs import Job, Reply
@@ -99,16 +107,19 @@
         job = msgspec.json.decode(body, type=Job)
         module, _, name = job.runner.partition(":")
         run = getattr(importlib.import_module(module), name)
-        asked: dict[str, Any] = {"backend": job.backend, "defect": job.defect}
-        asked |= {name: Path(path) for name in ("events", "trace") if (path := getattr(job, name))}
-        return Reply(result=run(job.scenario, job.seed, **asked))
+        options: dict[str, Any] = {"backend": job.backend, "defect": job.defect}
+        if job.events:
+            options["events"] = Path(job.events)
+        if job.trace:
+            options["trace"] = Path(job.trace)
+        return Reply(result=run(job.scenario, job.seed, **options))
     except Exception as error:
-        last = traceback.format_exception_only(error)[-1].strip()
-        return Reply(error=last, trace=traceback.format_exc())
+        last_line = traceback.format_exception_only(error)[-1].strip()
+        return Reply(error=last_line, trace=traceback.format_exc())
 
 
 def main(arguments: list[str]) -> int:
-    """Serve until the input ends; 2 for a tree without a node."""
+    """Serve until the input ends; return 2 for a tree without a node."""
     if arguments[:1] == ["--tree"]:
         try:
             graft(Path(arguments[1]))
@@ -116,16 +127,17 @@
             print(error, file=sys.stderr)
             return 2
     # The pipes move away from 0 and 1: what a run prints, or its child reads, must not get between frames.
-    inbox, outbox = os.fdopen(os.dup(0), "rb"), os.fdopen(os.dup(1), "wb")
-    nothing = os.open(os.devnull, os.O_RDONLY)
-    os.dup2(nothing, 0)
+    inbox = os.fdopen(os.dup(0), "rb")
+    outbox = os.fdopen(os.dup(1), "wb")
+    null_input = os.open(os.devnull, os.O_RDONLY)
+    os.dup2(null_input, 0)
     os.dup2(2, 1)
-    orders: queue.SimpleQueue[bytes] = queue.SimpleQueue()
-    threading.Thread(target=_watch, args=(inbox, orders), daemon=True).start()
+    jobs: queue.SimpleQueue[bytes] = queue.SimpleQueue()
+    threading.Thread(target=_watch, args=(inbox, jobs), daemon=True).start()
     from flintridge.lab.experiment.jobs import frame
 
     while True:
-        outbox.write(frame(_play(orders.get())))
+        outbox.write(frame(_play(jobs.get())))
         outbox.flush()
 
 
--- a/flintridge/lab/report/html.py
+++ b/flintridge/lab/report/html.py
@@ -8,7 +8,7 @@
 
 from flintridge.lab.experiment.compare import Comparison
 from flintridge.lab.experiment.search import Day, Search, ranked
-from flintridge.lab.experiment.stats import FIGURES, faults_of
+from flintridge.lab.experiment.stats import METRICS, unsound_reasons
 from flintridge.lab.experiment.sweep import Point, Sweep
 from flintridge.lab.report.plots import Plot, compare_plots, run_plots, sweep_plots
 from flintridge.lab.report.tables import number
@@ -62,7 +62,7 @@
         Page(
             title=result.scenario,
             about=about,
-            unsound=faults_of(result, expect),
+            unsound=unsound_reasons(result, expect),
             cards=_cards(result),
             rules=_rules(result, expect),
             violations=result.violations,
@@ -92,7 +92,7 @@
                 ],
                 TONES[one.verdict],
             )
-            for one in comparison.figures
+            for one in comparison.metrics
             if comparison.pairs
         ],
         f"Means over {len(comparison.pairs)} pairs of runs, each pair under one seed.",
@@ -124,18 +124,18 @@
 def sweep_report(swept: Sweep) -> str:
     """A sweep's report."""
     paths = [parameter.path for parameter in swept.parameters]
-    names = [figure.name for figure in FIGURES]
+    names = [metric.name for metric in METRICS]
     rows = []
     for point in swept.points:
-        cells = [number(point.figures[f.name].mean, f.unit) if point.figures else "-" for f in FIGURES]
-        broken = ", ".join(f"{name}: {count}" for name, count in point.broken.items())
-        tone = "bad" if point.broken or point.failures else ""
-        rows.append(Row([*point.values, str(point.seeds), *cells, broken], tone))
+        cells = [number(point.metrics[f.name].mean, f.unit) if point.metrics else "-" for f in METRICS]
+        broken = ", ".join(f"{name}: {count}" for name, count in point.violations.items())
+        tone = "bad" if point.violations or point.failures else ""
+        rows.append(Row([*point.values, str(point.complete_runs), *cells, broken], tone))
 
     def place(point: Point) -> str:
         return ", ".join(f"{path}={value}" for path, value in zip(paths, point.values, strict=True))
 
-    unsound = [f"{place(p)}: rule {name} broken" for p in swept.points for name in p.broken]
+    unsound = [f"{place(p)}: rule {name} broken" for p in swept.points for name in p.violations]
     unsound += [f"{place(p)}: {line}" for p in swept.points for line in p.failures]
     return _filled(
         Page(
--- a/flintridge/lab/report/plots.py
+++ b/flintridge/lab/report/plots.py
@@ -348,7 +348,7 @@
 
 def _forest(comparison: Comparison) -> Plot:
     """Differences as shares of A's mean: figures of all units on one axis."""
-    figures = [f for f in comparison.figures if f.a]
+    figures = [f for f in comparison.metrics if f.a]
     colours = {"better": GREEN, "worse": RED, "even": GREY, "unsure": GREY}
     with _figure(0.7 + 0.34 * len(figures)) as (figure, axes):
         for row, one in enumerate(figures):
@@ -386,7 +386,7 @@
 
 def sweep_plots(swept: Sweep) -> list[Plot]:
     """Over the one parameter, or a map of two."""
-    if not any(point.figures for point in swept.points):
+    if not any(point.metrics for point in swept.points):
         return []
     if len(swept.parameters) == 2:
         return [_sweep_map(swept, name) for name in ("goodput", "p99", "attempts_per_request")]
@@ -405,14 +405,14 @@
     values = [point.values[0] for point in swept.points]
     numbers = _numbers(values)
     at = numbers if numbers is not None else [float(i) for i in range(len(values))]
-    spreads = [point.figures.get(name) for point in swept.points]
+    spreads = [point.metrics.get(name) for point in swept.points]
     nothing = float("nan")
     with _figure(2.6) as (figure, axes):
         low = [nothing if s is None else s.low for s in spreads]
         high = [nothing if s is None else s.high for s in spreads]
         axes.fill_between(at, low, high, color=BLUE, alpha=0.18, linewidth=0)
         axes.plot(at, [nothing if s is None else s.mean for s in spreads], "o-", color=BLUE, markersize=4)
-        broken = [(x, s) for x, s, p in zip(at, spreads, swept.points, strict=True) if p.broken and s]
+        broken = [(x, s) for x, s, p in zip(at, spreads, swept.points, strict=True) if p.violations and s]
         if broken:
             xs, ys = [x for x, _ in broken], [s.mean for _, s in broken]
             axes.plot(xs, ys, "x", color=RED, markersize=9, markeredgewidth=2, label="a rule broken")
@@ -427,7 +427,7 @@
 
 def _sweep_map(swept: Sweep, name: str) -> Plot:
     rows, columns = (parameter.values for parameter in swept.parameters)
-    found = [p.figures[name].mean if name in p.figures else float("nan") for p in swept.points]
+    found = [p.metrics[name].mean if name in p.metrics else float("nan") for p in swept.points]
     grid = np.array(found).reshape(len(rows), len(columns))
     with _figure(min(6.0, 1.3 + 0.34 * len(rows))) as (figure, axes):
         image = axes.imshow(grid, aspect="auto", cmap="viridis", interpolation="nearest")
@@ -450,5 +450,5 @@
         row, column = divmod(i, grid.shape[1])
         value = grid[row, column]
         dark = high > low and (value - low) / (high - low) < 0.6
-        text = "-" if np.isnan(value) else f"{value:.3g}" + (" (!)" if point.broken else "")
+        text = "-" if np.isnan(value) else f"{value:.3g}" + (" (!)" if point.violations else "")
         axes.text(column, row, text, ha="center", va="center", fontsize=8, color="white" if dark else "black")
--- a/flintridge/lab/report/tables.py
+++ b/flintridge/lab/report/tables.py
@@ -10,7 +10,7 @@
 from flintridge.lab.experiment.jobs import JobFailed
 from flintridge.lab.experiment.search import Day, Search, ranked
 from flintridge.lab.experiment.shrink import Shrunk
-from flintridge.lab.experiment.stats import FIGURES, Difference
+from flintridge.lab.experiment.stats import METRICS, Difference
 from flintridge.lab.experiment.sweep import Sweep
 from flintridge.lab.result import Result, Violation
 
@@ -115,7 +115,7 @@
     out = console(error=True)
     if failed.trace:
         out.print(failed.trace.rstrip(), markup=False, soft_wrap=True)
-    out.print(f"flintridge: the run {failed.how}: {failed.why}", markup=False, soft_wrap=True)
+    out.print(f"flintridge: the run {failed.mode}: {failed.reason}", markup=False, soft_wrap=True)
 
 
 def _change(figure: Difference) -> list[str]:
@@ -137,7 +137,7 @@
     _title(out, f"A: {comparison.a}   B: {comparison.b}")
     out.print(f"{len(comparison.pairs)} of {len(comparison.seeds)} seeds on both sides")
     table = _grid("", "A", "B", "B - A", "95% of it", "B is", "sign p")
-    for figure in comparison.figures if comparison.pairs else ():
+    for figure in comparison.metrics if comparison.pairs else ():
         table.add_row(*_change(figure))
     out.print(table)
     rules = _grid("rule", "A", "B", "")
@@ -156,14 +156,16 @@
 def print_sweep(swept: Sweep) -> None:
     """A line a point."""
     out = console()
-    shown = [f for f in FIGURES if f.name != "p50"]
+    shown = [f for f in METRICS if f.name != "p50"]
     names = [parameter.path for parameter in swept.parameters]
     _title(out, swept.scenario)
     table = _grid(*names, "seeds", *(f.name for f in shown), "broken")
     for point in swept.points:
-        cells = [number(point.figures[f.name].mean, f.unit) if point.figures else "-" for f in shown]
-        broken = " ".join(f"{name}:{count}" for name, count in point.broken.items())
-        table.add_row(*map(escape, point.values), str(point.seeds), *cells, f"[bold red]{escape(broken)}")
+        cells = [number(point.metrics[f.name].mean, f.unit) if point.metrics else "-" for f in shown]
+        broken = " ".join(f"{name}:{count}" for name, count in point.violations.items())
+        table.add_row(
+            *map(escape, point.values), str(point.complete_runs), *cells, f"[bold red]{escape(broken)}"
+        )
     out.print(table)
     failures = [f"{' '.join(point.values)}, {line}" for point in swept.points for line in point.failures]
     _print_failures(out, failures)
@@ -206,7 +208,7 @@
         table.add_row(name, f"{value:g}", f"{shrunk.after[name]:g}")
     out.print(table)
     taken = sum(step.taken for step in shrunk.steps)
-    out.print(f"{shrunk.runs} runs, {taken} steps taken; {shrunk.ended}")
+    out.print(f"{shrunk.runs} runs, {taken} steps taken; {shrunk.end_reason}")
 
 
 def _print_failures(out: Console, failures: Sequence[str]) -> None:
--- a/tests/test_lab_found.py
+++ b/tests/lab/experiment/test_kept_scenarios.py
@@ -1,4 +1,4 @@
-"""Days that the search kept, shrunk to the least that still went wrong: what they found is mended.
+"""Scenarios that the search kept, shrunk to the least that still went wrong: what they found is mended.
 
 Each file of `tests/kept_days` is an ordinary scenario. Its name is RULE_WORDS-SEED.toml (`goodput` for one
 that fell behind, which then expects more), and its `about` says what was wrong. To play one by hand:
@@ -12,16 +12,16 @@
 from flintridge.lab.run import play
 from flintridge.lab.scenario.load import load
 
-FOUND = sorted((Path(__file__).parent / "kept_days").glob("*.toml"))
+KEPT_SCENARIOS = sorted((Path(__file__).parents[2] / "kept_days").glob("*.toml"))
 
 
-def test_days_are_kept():
-    """Guards against a folder that is not in the checkout: no day would be played, and nothing would fail."""
-    assert len(FOUND) >= 4
+def test_kept_scenarios_are_there():
+    """Guard against a folder that is missing in the checkout: with no scenario to play, no test would fail."""
+    assert len(KEPT_SCENARIOS) >= 4
 
 
-@pytest.mark.parametrize("path", FOUND, ids=lambda path: path.stem)
-def test_what_was_found_stays_mended(path):
+@pytest.mark.parametrize("path", KEPT_SCENARIOS, ids=lambda path: path.stem)
+def test_a_kept_scenario_violates_no_rule(path):
     rule, _, seed = path.stem.rpartition("-")
     result = play(load(path), int(seed))
     kind = rule.split("_")[0]
--- a/tests/test_lab_report.py
+++ b/tests/test_lab_report.py
@@ -12,7 +12,7 @@
 
 from flintridge.cli.main import main
 from flintridge.lab.experiment import pool
-from flintridge.lab.experiment.compare import Side, compare
+from flintridge.lab.experiment.compare import Variant, compare
 from flintridge.lab.experiment.search import Day, Search
 from flintridge.lab.experiment.sweep import parameter, sweep
 from flintridge.lab.report import html, plots, tables
@@ -118,7 +118,7 @@
 
 
 def test_reports_of_experiments_from_their_json():
-    sides = Side(label="a", scenario=Scenario()), Side(label="b", scenario=load_rate(600))
+    sides = Variant(label="a", scenario=Scenario()), Variant(label="b", scenario=load_rate(600))
     compared = compare(*sides, [1, 2], runner=fake)
     one = sweep("s", [parameter("x=1,2")], lambda values: load_rate(50), [1], runner=fake)
     values = iter([50, 50, 600, 600])
