--- a/flintridge/cli/lab_compare.py
+++ b/flintridge/cli/lab_compare.py
@@ -62,7 +62,7 @@
     claim([json_file, report], force)
     from flintridge.lab.experiment import output
     from flintridge.lab.experiment.compare import Variant, as_json, compare
-    from flintridge.lab.experiment.worker import NoTree, check_tree
+    from flintridge.lab.experiment.worker import NodeTreeError, check_tree
     from flintridge.lab.report import tables
     from flintridge.lab.scenario.load import load
 
@@ -71,7 +71,7 @@
     if tree is not None:
         try:
             check_tree(tree)
-        except NoTree as error:
+        except NodeTreeError as error:
             raise Wrong(str(error)) from error
     b_name = other or scenario
     a = Variant(label=_label(scenario, of_a), scenario=load(scenario, [*overrides, *of_a]))
--- a/flintridge/cli/lab_search.py
+++ b/flintridge/cli/lab_search.py
@@ -55,7 +55,8 @@
     """
     claim([report], force)
     from flintridge.lab.experiment import output
-    from flintridge.lab.experiment.search import BadDirectory, search
+    from flintridge.lab.experiment.search import search
+    from flintridge.lab.experiment.search_directory import SearchDirectoryError
     from flintridge.lab.report import tables
     from flintridge.lab.scenario.load import dump
 
@@ -71,7 +72,7 @@
             dump=dump,
             show=True,
         )
-    except BadDirectory as error:
+    except SearchDirectoryError as error:
         raise Wrong(str(error)) from error
     if report is not None:
         from flintridge.lab.report.html import search_report
--- a/flintridge/cli/lab_shrink.py
+++ b/flintridge/cli/lab_shrink.py
@@ -66,9 +66,9 @@
     from flintridge.lab.experiment.failure_predicates import (
         Breaks,
         DidNotComplete,
-        DoesNotFail,
         GoodputBelow,
         Predicate,
+        ScenarioDoesNotFailError,
     )
     from flintridge.lab.experiment.shrink import Step, shrink
     from flintridge.lab.report import tables
@@ -100,7 +100,7 @@
             on_step=told,
             limit_s=limit_s,
         )
-    except DoesNotFail as error:
+    except ScenarioDoesNotFailError as error:
         raise Wrong(f"{scenario}: {error}") from error
     output.write(out, dump(found.scenario))
     if log is not None:
--- a/flintridge/cli/lab_sweep.py
+++ b/flintridge/cli/lab_sweep.py
@@ -47,7 +47,7 @@
     """
     claim([json_file, csv_file, report], force)
     from flintridge.lab.experiment import output
-    from flintridge.lab.experiment.sweep import BadSweep, as_csv, as_json, parameter, sweep
+    from flintridge.lab.experiment.sweep import SweepParameterError, as_csv, as_json, parameter, sweep
     from flintridge.lab.report import tables
     from flintridge.lab.scenario.load import load
 
@@ -61,7 +61,7 @@
             workers=workers,
             show=True,
         )
-    except BadSweep as error:
+    except SweepParameterError as error:
         raise Wrong(str(error)) from error
     if json_file is not None:
         output.write(json_file, output.json_text(as_json(found)))
--- a/flintridge/lab/experiment/failure_predicates.py
+++ b/flintridge/lab/experiment/failure_predicates.py
@@ -10,7 +10,7 @@
 MAX_NAME_PREFIX_CHARACTERS = 57  # leaves room for the suffix within the format's limit of a name
 
 
-class DoesNotFail(ValueError):
+class ScenarioDoesNotFailError(ValueError):
     """The scenario does not fail in the way that was asked for."""
 
 
@@ -36,7 +36,8 @@
     """Goodput is below `goodput` on a run that ended by itself.
 
     A smaller fleet under the same load would get there without any fault, so a candidate must be fair:
-    neither more loaded nor harder hit by its faults than the scenario that was given (`fluid.py`).
+    neither more loaded (`fluid.py`) nor harder hit by its faults (`fault_severity.py`) than the scenario that
+    was given.
 
     Attributes:
         goodput: The bound, a fraction from 0 to 1.
@@ -78,7 +79,7 @@
         complete.
 
     Raises:
-        DoesNotFail: The run completed and broke no rule.
+        ScenarioDoesNotFailError: The run completed and broke no rule.
     """
     if isinstance(outcome, Result):
         broken = [(-count, name) for name, count in outcome.rules.items() if count]
@@ -86,7 +87,7 @@
             return Breaks(min(broken)[1])
     if failure(outcome):
         return DidNotComplete()
-    raise DoesNotFail("the run is whole and breaks no rule; name a goodput it should fall under")
+    raise ScenarioDoesNotFailError("the run is whole and breaks no rule; name a goodput it should fall under")
 
 
 def with_expectation(scenario: Scenario, predicate: Predicate, original_name: str, seed: int) -> Scenario:
--- a/flintridge/lab/experiment/pool.py
+++ b/flintridge/lab/experiment/pool.py
@@ -77,7 +77,9 @@
             EOFError: The process died, or its reply cannot be read; the message says why.
         """
         process = self._process
-        assert process is not None and process.stdin is not None and process.stdout is not None
+        assert process is not None
+        assert process.stdin is not None
+        assert process.stdout is not None
         self.remaining_jobs -= 1
         try:
             process.stdin.write(frame(job))
--- a/flintridge/lab/experiment/shrink.py
+++ b/flintridge/lab/experiment/shrink.py
@@ -14,13 +14,14 @@
 import msgspec
 
 from flintridge.lab.experiment.failure_predicates import (
-    DoesNotFail,
     GoodputBelow,
     Predicate,
+    ScenarioDoesNotFailError,
     default_predicate,
     with_expectation,
 )
-from flintridge.lab.experiment.fluid import flows, severity
+from flintridge.lab.experiment.fault_severity import severity
+from flintridge.lab.experiment.fluid import flows
 from flintridge.lab.experiment.jobs import PLAY, Job, Outcome, Runner, failure, runner_name
 from flintridge.lab.experiment.pool import Pool
 from flintridge.lab.experiment.shrink_passes import PASSES, CandidateGenerator, server_count
@@ -152,7 +153,7 @@
         The smallest scenario found and the steps to it.
 
     Raises:
-        DoesNotFail: The scenario as given does not fail in this way.
+        ScenarioDoesNotFailError: The scenario as given does not fail in this way.
     """
     play = runner_name(runner)
     template = Job(scenario=scenario, seed=seed, backend=backend, defect=defect, runner=play, limit_s=limit_s)
@@ -185,13 +186,13 @@
 
 
 def _require_failure(predicate: Predicate, outcome: Outcome) -> None:
-    """Raise DoesNotFail, with what the run showed, unless the outcome satisfies the predicate."""
+    """Raise ScenarioDoesNotFailError unless the outcome satisfies the predicate."""
     if predicate(outcome):
         return
     observed = failure(outcome)
     if not observed and isinstance(outcome, Result):
         observed = f"goodput {outcome.goodput:.4f}"
-    raise DoesNotFail(f"does not fail as asked ({predicate}): {observed}")
+    raise ScenarioDoesNotFailError(f"does not fail as asked ({predicate}): {observed}")
 
 
 class Shrinker:
--- a/flintridge/lab/experiment/sweep.py
+++ b/flintridge/lab/experiment/sweep.py
@@ -18,7 +18,7 @@
 WHOLE_TOLERANCE = 1e-9
 
 
-class BadSweep(ValueError):
+class SweepParameterError(ValueError):
     """A parameter that cannot be read."""
 
 
@@ -98,17 +98,17 @@
         text: The parameter as the command line has it.
 
     Raises:
-        BadSweep: It cannot be read, or has too many, equal or empty values.
+        SweepParameterError: It cannot be read, or has too many, equal or empty values.
     """
     path, equals, values = text.partition("=")
     path = path.strip()
     if not equals or not path or not values.strip():
-        raise BadSweep(f"{text!r}: wants PATH=V1,V2,... or PATH=LOW:HIGH:STEPS")
+        raise SweepParameterError(f"{text!r}: wants PATH=V1,V2,... or PATH=LOW:HIGH:STEPS")
     listed = _range(text, values) if ":" in values and not set(values) & set('"[{,') else _split(values)
     if len(set(listed)) < len(listed):
-        raise BadSweep(f"{text!r}: names a value twice")
+        raise SweepParameterError(f"{text!r}: names a value twice")
     if not listed or "" in listed:
-        raise BadSweep(f"{text!r}: has an empty value")
+        raise SweepParameterError(f"{text!r}: has an empty value")
     return Parameter(path=path, values=tuple(listed))
 
 
@@ -121,13 +121,15 @@
         high = float(rest[0])
         steps = int(rest[1])
     except (ValueError, IndexError):
-        raise BadSweep(f"{text!r}: a range is LOW:HIGH:STEPS, three numbers, or LOW:HIGH:STEPS:log") from None
+        raise SweepParameterError(
+            f"{text!r}: a range is LOW:HIGH:STEPS, three numbers, or LOW:HIGH:STEPS:log"
+        ) from None
     if len(rest) > 2 and not log:
-        raise BadSweep(f"{text!r}: only ':log' may follow LOW:HIGH:STEPS")
+        raise SweepParameterError(f"{text!r}: only ':log' may follow LOW:HIGH:STEPS")
     if not 2 <= steps <= MAX_VALUES:
-        raise BadSweep(f"{text!r}: {steps} steps, may be 2 to {MAX_VALUES}")
+        raise SweepParameterError(f"{text!r}: {steps} steps, may be 2 to {MAX_VALUES}")
     if low == high or (log and min(low, high) <= 0) or not abs(high - low) < float("inf"):
-        raise BadSweep(f"{text!r}: the ends must be two numbers (above 0 for log)")
+        raise SweepParameterError(f"{text!r}: the ends must be two numbers (above 0 for log)")
     if log:
         numbers = [low * (high / low) ** (i / (steps - 1)) for i in range(steps)]
     else:
@@ -190,10 +192,10 @@
         show: Whether to show progress on a terminal.
 
     Raises:
-        BadSweep: There are no parameters, more than two, or one of them twice.
+        SweepParameterError: There are no parameters, more than two, or one of them twice.
     """
     if not 1 <= len(parameters) <= 2 or len({p.path for p in parameters}) < len(parameters):
-        raise BadSweep("a sweep is over one or two different parameters")
+        raise SweepParameterError("a sweep is over one or two different parameters")
     play = runner_name(runner)
     combinations = list(itertools.product(*(p.values for p in parameters)))
     scenarios = [
--- a/flintridge/lab/experiment/worker.py
+++ b/flintridge/lab/experiment/worker.py
@@ -19,7 +19,7 @@
 NODE_MODULES = ("api", "policy", "node.py", "config", "upstream")
 
 
-class NoTree(Exception):
+class NodeTreeError(Exception):
     """The directory holds no node that could be played."""
 
 
@@ -27,11 +27,11 @@
     """Check that a source tree holds a whole node: modules of this tree would make a mixture of two nodes.
 
     Raises:
-        NoTree: A module is missing; it is named.
+        NodeTreeError: A module is missing; it is named.
     """
     missing = [name for name in ("__init__.py", *NODE_MODULES) if not (tree / "flintridge" / name).exists()]
     if missing:
-        raise NoTree(f"{tree}: no node to play: flintridge/{missing[0]} is missing")
+        raise NodeTreeError(f"{tree}: no node to play: flintridge/{missing[0]} is missing")
 
 
 def graft(tree: Path) -> None:
@@ -40,7 +40,7 @@
     Must come before anything of the lab that imports the node.
 
     Raises:
-        NoTree: The tree holds no whole node.
+        NodeTreeError: The tree holds no whole node.
     """
     import flintridge
 
@@ -123,7 +123,7 @@
     if arguments[:1] == ["--tree"]:
         try:
             graft(Path(arguments[1]))
-        except (NoTree, SyntaxError) as error:
+        except (NodeTreeError, SyntaxError) as error:
             print(error, file=sys.stderr)
             return 2
     # The pipes move away from 0 and 1: what a run prints, or its child reads, must not get between frames.
--- a/flintridge/lab/report/html.py
+++ b/flintridge/lab/report/html.py
@@ -7,7 +7,7 @@
 import msgspec
 
 from flintridge.lab.experiment.compare import Comparison
-from flintridge.lab.experiment.search import Day, Search, ranked
+from flintridge.lab.experiment.search_results import Search, SearchRun, ranked
 from flintridge.lab.experiment.stats import METRICS, unsound_reasons
 from flintridge.lab.experiment.sweep import Point, Sweep
 from flintridge.lab.report.plots import Plot, compare_plots, run_plots, sweep_plots
@@ -153,33 +153,45 @@
     rows = [
         Row(
             [
-                day.name,
-                *(f"{value:.3f}" if value >= 0 else "-" for value in figures_of(day)),
-                " ".join(f"{name}:{count}" for name, count in {**day.calm_rules, **day.rules}.items())
-                or day.failed,
-                ", ".join(day.faults),
+                run.name,
+                *(f"{value:.3f}" if value >= 0 else "-" for value in metrics_of(run)),
+                " ".join(
+                    f"{name}:{count}"
+                    for name, count in {**run.fault_free_violations, **run.violations}.items()
+                )
+                or run.failure,
+                ", ".join(run.faults),
             ],
-            "bad" if day.broken or day.failed else "",
+            "bad" if run.violation_count or run.failure else "",
         )
-        for day in ranked(found.days)
+        for run in ranked(found.runs)
     ]
     head = ["day", "goodput", "calm", "reference", "severity", "load", "behind", "broken", "faults"]
     bad = [
-        f"{day.name}: {day.failed or 'a rule is broken'}" for day in found.days if day.broken or day.failed
+        f"{run.name}: {run.failure or 'a rule is broken'}"
+        for run in found.runs
+        if run.violation_count or run.failure
     ]
     return _filled(
         Page(
             title=f"Search with seed {found.seed}",
-            about=[f"{len(found.days)} random days in {found.minutes:.1f} minutes, {len(found.kept)} kept."],
+            about=[f"{len(found.runs)} random days in {found.minutes:.1f} minutes, {len(found.kept)} kept."],
             unsound=bad,
             tables=[Table("Days", head, rows, "Worst first.", (0, 7, 8))],
         )
     )
 
 
-def figures_of(day: Day) -> tuple[float, ...]:
+def metrics_of(run: SearchRun) -> tuple[float, ...]:
     """A search day's figures, in the order of the columns."""
-    return day.goodput, day.calm, day.reference, day.severity, day.load, day.behind
+    return (
+        run.goodput,
+        run.fault_free_goodput,
+        run.reference,
+        run.severity,
+        run.load,
+        run.unexplained_shortfall,
+    )
 
 
 def _filled(page: Page) -> str:
--- a/flintridge/lab/report/tables.py
+++ b/flintridge/lab/report/tables.py
@@ -8,7 +8,7 @@
 
 from flintridge.lab.experiment.compare import Comparison
 from flintridge.lab.experiment.jobs import JobFailed
-from flintridge.lab.experiment.search import Day, Search, ranked
+from flintridge.lab.experiment.search_results import Search, SearchRun, ranked
 from flintridge.lab.experiment.shrink import Shrunk
 from flintridge.lab.experiment.stats import METRICS, Difference
 from flintridge.lab.experiment.sweep import Sweep
@@ -174,29 +174,36 @@
 def print_search(found: Search, directory: str, most: int = 20) -> None:
     """The worst days first."""
     out = console()
-    days = ranked(found.days)
+    runs = ranked(found.runs)
     _title(out, "worst days")
     table = _grid("day", "goodput", "calm", "reference", "severity", "load", "behind", "requests", "what")
-    for day in days[:most]:
-        values = (day.goodput, day.calm, day.reference, day.severity, day.load, day.behind)
+    for run in runs[:most]:
+        values = (
+            run.goodput,
+            run.fault_free_goodput,
+            run.reference,
+            run.severity,
+            run.load,
+            run.unexplained_shortfall,
+        )
         cells = [f"{value:.3f}" if value >= 0 else "-" for value in values]
-        table.add_row(day.name, *cells, str(day.requests), _what(day))
+        table.add_row(run.name, *cells, str(run.requests), _what(run))
     out.print(table)
-    broken = sum(1 for day in found.days if day.broken)
-    failed = sum(1 for day in found.days if day.failed)
+    broken = sum(1 for run in found.runs if run.violation_count)
+    failed = sum(1 for run in found.runs if run.failure)
     text = (
-        f"{len(found.days)} days: {broken} broke a rule, {failed} did not finish; {len(found.kept)} kept in "
+        f"{len(found.runs)} days: {broken} broke a rule, {failed} did not finish; {len(found.kept)} kept in "
     )
     out.print(f"{text}{directory}/kept", markup=False, soft_wrap=True)
-    if found.stopped:
-        out.print(f"not all were played: {found.stopped}", markup=False)
+    if found.stop_reason:
+        out.print(f"not all were played: {found.stop_reason}", markup=False)
 
 
-def _what(day: Day) -> str:
-    rules = [f"{name}:{count}" for name, count in {**day.calm_rules, **day.rules}.items()]
-    if rules or day.failed:
-        return f"[bold red]{escape(' '.join(rules) or day.failed[:60])}"
-    return escape(", ".join(day.faults))
+def _what(run: SearchRun) -> str:
+    rules = [f"{name}:{count}" for name, count in {**run.fault_free_violations, **run.violations}.items()]
+    if rules or run.failure:
+        return f"[bold red]{escape(' '.join(rules) or run.failure[:60])}"
+    return escape(", ".join(run.faults))
 
 
 def print_shrunk(shrunk: Shrunk) -> None:
--- a/tests/lab/experiment/test_experiment_worker.py
+++ b/tests/lab/experiment/test_experiment_worker.py
@@ -7,7 +7,7 @@
 import pytest
 
 from flintridge.lab.experiment.compare import Variant, compare
-from flintridge.lab.experiment.worker import NODE_MODULES, NoTree, check_tree
+from flintridge.lab.experiment.worker import NODE_MODULES, NodeTreeError, check_tree
 from flintridge.lab.result import Result
 from flintridge.lab.scenario.model import Scenario
 
@@ -43,5 +43,5 @@
     assert [pair.b["goodput"] for pair in found.pairs] == [1, 1]
     assert all(pair.a["goal"] == pair.b["goal"] == 1 for pair in found.pairs)
     (copy / "node.py").unlink()
-    with pytest.raises(NoTree, match=r"node\.py"):
+    with pytest.raises(NodeTreeError, match=r"node\.py"):
         check_tree(tmp_path)
--- a/tests/lab/experiment/test_kept_scenarios.py
+++ b/tests/lab/experiment/test_kept_scenarios.py
@@ -16,7 +16,7 @@
 
 
 def test_kept_scenarios_are_there():
-    """Guard against a folder that is missing in the checkout: with no scenario to play, no test would fail."""
+    """Guard against a folder missing in the checkout: with no scenario to play, no test would fail."""
     assert len(KEPT_SCENARIOS) >= 4
 
 
--- a/tests/lab/experiment/test_search.py
+++ b/tests/lab/experiment/test_search.py
@@ -6,7 +6,8 @@
 import pytest
 from support.lab_fake_runs import fake
 
-from flintridge.lab.experiment.search import BadDirectory, search
+from flintridge.lab.experiment.search import search
+from flintridge.lab.experiment.search_directory import SearchDirectoryError
 from flintridge.lab.scenario import model
 from flintridge.lab.scenario.model import Scenario
 
@@ -33,15 +34,15 @@
 def test_search_keeps_what_fails_and_goes_on_where_it_was(tmp_path):
     where = tmp_path / "found"
     first = hunted(where, runs=5)
-    assert [day.number for day in first.days] == [0, 1, 2, 3, 4]
+    assert [day.number for day in first.runs] == [0, 1, 2, 3, 4]
     assert first.kept == ["d3", "d4"] and not first.sound
     marks = {path: path.stat().st_mtime_ns for path in where.rglob("d*.*")}
     second = hunted(where, runs=7)
-    assert [day.number for day in second.days] == list(range(7)) and second.kept == ["d3", "d4", "d5"]
+    assert [day.number for day in second.runs] == list(range(7)) and second.kept == ["d3", "d4", "d5"]
     assert {path: path.stat().st_mtime_ns for path in marks} == marks  # nothing was written over
-    behind = second.days[5]
-    assert behind.reference == pytest.approx(1 - 0.001 + 6e-4) and behind.shortfall == pytest.approx(0.2)
-    assert 0 < behind.behind < 0.2
+    run = second.runs[5]
+    assert run.reference == pytest.approx(1 - 0.001 + 6e-4) and run.shortfall == pytest.approx(0.2)
+    assert 0 < run.unexplained_shortfall < 0.2
     assert sorted(path.name for path in (where / "kept").iterdir()) == [
         *("d3.json", "d3.toml", "d4.toml", "d5.json", "d5.toml")
     ]
@@ -51,11 +52,11 @@
 
 def test_search_refuses_folders_that_are_not_its_own(tmp_path):
     (tmp_path / "mine.txt").write_text("keep")
-    with pytest.raises(BadDirectory, match="not empty"):
+    with pytest.raises(SearchDirectoryError, match="not empty"):
         hunted(tmp_path, runs=1)
     hunted(tmp_path / "a", runs=1)
-    with pytest.raises(BadDirectory, match="seed 1"):
+    with pytest.raises(SearchDirectoryError, match="seed 1"):
         search(tmp_path / "a", runs=1, seed=2, dump=str, runner=fake)
     (tmp_path / "a" / "search.json").write_text("{")
-    with pytest.raises(BadDirectory, match="cannot be read"):
+    with pytest.raises(SearchDirectoryError, match="cannot be read"):
         hunted(tmp_path / "a", runs=1)
--- a/tests/lab/experiment/test_shrink.py
+++ b/tests/lab/experiment/test_shrink.py
@@ -51,9 +51,9 @@
 def test_a_budget_is_kept_and_what_does_not_fail_is_refused():
     found = shrink.shrink(big(), 3, failure_predicates.Breaks("drain"), budget=4, workers=8, runner=fake)
     assert found.runs == 4 and found.end_reason == "the budget is used up"
-    with pytest.raises(failure_predicates.DoesNotFail, match="lost"):
+    with pytest.raises(failure_predicates.ScenarioDoesNotFailError, match="lost"):
         shrink.shrink(big(), 3, failure_predicates.Breaks("lost"), runner=fake)
-    with pytest.raises(failure_predicates.DoesNotFail, match="whole"):
+    with pytest.raises(failure_predicates.ScenarioDoesNotFailError, match="whole"):
         shrink.shrink(Scenario(), 3, runner=fake)
     unfinished = shrink.shrink(msgspec.structs.replace(big(), about="raise"), 3, budget=60, runner=fake)
     assert unfinished.fails == "run not finished" and unfinished.scenario.faults == ()
--- a/tests/lab/experiment/test_space.py
+++ b/tests/lab/experiment/test_space.py
@@ -6,7 +6,8 @@
 from hypothesis import strategies as st
 
 from flintridge.lab.experiment import space
-from flintridge.lab.experiment.fluid import flows, severity
+from flintridge.lab.experiment.fault_severity import severity
+from flintridge.lab.experiment.fluid import flows
 from flintridge.lab.scenario import model
 
 quick = settings(derandomize=True, deadline=None, database=None, max_examples=60)
@@ -20,7 +21,7 @@
     assert day == space.draw(random.Random(seed), "day")
     servers, flow = sum(group.count for group in day.servers), flows(day)
     assert 1 <= day.nodes.count <= 5 and 3 <= servers <= 40 and 8 <= day.length_s <= 25
-    assert day.load.rate_per_s * (day.length_s + day.warmup_s) <= space.MOST_REQUESTS * 1.01
+    assert day.load.rate_per_s * (day.length_s + day.warmup_s) <= space.MAX_REQUESTS * 1.01
     assert 0.15 <= flow.cache_load <= 1.2 and flow.origin_load <= 1.2 and 0 < flow.bound <= 1
     assert 0 <= severity(day) <= 0.95 and len(day.faults) <= 5
     assert all(fault.at_s < day.length_s for fault in day.faults)
--- a/tests/lab/experiment/test_sweep.py
+++ b/tests/lab/experiment/test_sweep.py
@@ -3,7 +3,7 @@
 import pytest
 from support.lab_fake_runs import fake
 
-from flintridge.lab.experiment.sweep import BadSweep, as_csv, parameter, sweep
+from flintridge.lab.experiment.sweep import SweepParameterError, as_csv, parameter, sweep
 from flintridge.lab.scenario import model
 from flintridge.lab.scenario.model import Scenario
 
@@ -32,7 +32,7 @@
     ],
 )
 def test_parameters_that_are_refused(text):
-    with pytest.raises(BadSweep):
+    with pytest.raises(SweepParameterError):
         parameter(text)
 
 
--- a/tests/test_lab_report.py
+++ b/tests/test_lab_report.py
@@ -13,7 +13,7 @@
 from flintridge.cli.main import main
 from flintridge.lab.experiment import pool
 from flintridge.lab.experiment.compare import Variant, compare
-from flintridge.lab.experiment.search import Day, Search
+from flintridge.lab.experiment.search_results import Search, SearchRun
 from flintridge.lab.experiment.sweep import parameter, sweep
 from flintridge.lab.report import html, plots, tables
 from flintridge.lab.result import Latency, Result, Violation, Window, as_json
@@ -125,7 +125,8 @@
     both = [parameter("x=1,2"), parameter('y="p","q"')]
     two = sweep("s", both, lambda _: load_rate(next(values)), [1], runner=fake)
     words = sweep("s", [parameter('y="p","q"')], lambda _: Scenario(name="raises"), [1], runner=fake)
-    found = Search(seed=1, space=1, days=[Day(number=0, seed=2, name=NASTY, rules={"drain": 1}, behind=0.1)])
+    run = SearchRun(number=0, seed=2, name=NASTY, violations={"drain": 1}, unexplained_shortfall=0.1)
+    found = Search(seed=1, space_version=1, runs=[run])
     for value in (compared, one, two, words, found):
         data = msgspec.json.encode(value)
         page = parts_of(html.of_json(data))
@@ -144,7 +145,7 @@
 def test_tables_print_whatever_a_result_holds(capsys):
     tables.print_run(result(), ["rule drain broken 1 time"], ())
     tables.print_search(
-        Search(seed=1, space=1, days=[Day(number=0, seed=2, name=NASTY, failed=NASTY)]), NASTY
+        Search(seed=1, space_version=1, runs=[SearchRun(number=0, seed=2, name=NASTY, failure=NASTY)]), NASTY
     )
     said = capsys.readouterr().out
     assert "unsound: rule drain" in said and "[bold] {{ 7*7 }}" in said
