--- a/flintridge/cli/lab_report.py
+++ b/flintridge/cli/lab_report.py
@@ -30,12 +30,12 @@
     import msgspec
 
     from flintridge.lab.experiment import output
-    from flintridge.lab.report.html import of_json
+    from flintridge.lab.report.html import report_of_json
     from flintridge.lab.scenario.load import dump, load
 
     day = None if scenario is None else load(scenario)
     try:
-        page = of_json(data, day, "" if day is None else dump(day))
+        page = report_of_json(data, day, "" if day is None else dump(day))
     except (msgspec.MsgspecError, ValueError) as error:
         raise Wrong(f"{saved}: is no result of the lab: {error}") from error
     output.write(out, page)
--- a/flintridge/lab/experiment/search.py
+++ b/flintridge/lab/experiment/search.py
@@ -5,7 +5,7 @@
 
 import random
 import time
-from collections.abc import Callable, Iterable
+from collections.abc import Callable, Iterable, Sequence
 from pathlib import Path
 from typing import NamedTuple
 
@@ -94,19 +94,16 @@
     remaining = [number for number in range(runs) if number not in completed]
     try:
         with Pool(workers) as pool:
-            size = BATCH_RUNS_PER_WORKER * pool.size
-            found.stop_reason = ""
-            # Fault-free runs of one batch go with the runs of the next: no worker waits for them.
-            for start in range(0, len(remaining) + size, size):
-                jobs = progress.jobs(remaining[start : start + size])
-                title = f"days {min(len(completed) + start, runs)} of {runs}"
-                pool.run(jobs, on_done=progress.on_done, stop=time_is_over, show=show, title=title)
-                if time_is_over():
-                    found.stop_reason = f"the {minutes:g} minutes were over"
-                    pool.run(
-                        progress.jobs([]), on_done=progress.on_done, show=show, title="days without faults"
-                    )
-                    break
+            _play_batches(
+                pool,
+                progress,
+                found,
+                remaining,
+                total=runs,
+                is_over=time_is_over,
+                time_limit_reason="" if minutes is None else f"the {minutes:g} minutes were over",
+                show=show,
+            )
     except KeyboardInterrupt:
         found.stop_reason = "interrupted"
         raise
@@ -117,6 +114,32 @@
     return found
 
 
+def _play_batches(
+    pool: Pool,
+    progress: "SearchProgress",
+    found: Search,
+    numbers: Sequence[int],
+    *,
+    total: int,
+    is_over: Callable[[], bool],
+    time_limit_reason: str,
+    show: bool,
+) -> None:
+    """Play runs in batches until none remains or the time is over; `total` is that of the whole search."""
+    size = BATCH_RUNS_PER_WORKER * pool.size
+    completed = len(found.runs)
+    found.stop_reason = ""
+    # Fault-free runs of one batch go with the runs of the next: no worker waits for them.
+    for start in range(0, len(numbers) + size, size):
+        jobs = progress.jobs(numbers[start : start + size])
+        title = f"days {min(completed + start, total)} of {total}"
+        pool.run(jobs, on_done=progress.on_done, stop=is_over, show=show, title=title)
+        if is_over():
+            found.stop_reason = time_limit_reason
+            pool.run(progress.jobs([]), on_done=progress.on_done, show=show, title="days without faults")
+            break
+
+
 class SearchProgress:
     """The runs of a search: those done, and those whose fault-free run is awaited."""
 
--- a/flintridge/lab/experiment/shrink.py
+++ b/flintridge/lab/experiment/shrink.py
@@ -172,14 +172,20 @@
         limits = ShrinkLimits(width=pool.size, budget=budget, seeds_per_candidate=seeds_per_candidate)
         shrinker = Shrinker(given, predicate, first, run, limits, on_step)
         shrinker.run_until_no_progress()
-    smallest = with_expectation(shrinker.smallest.scenario, predicate, scenario.name, shrinker.smallest.seed)
+    return _shrunk(scenario, predicate, shrinker, budget)
+
+
+def _shrunk(given: Scenario, predicate: Predicate, shrinker: "Shrinker", budget: int) -> Shrunk:
+    """Return the result of a shrinking that came to its end."""
+    found = shrinker.smallest
+    smallest = with_expectation(found.scenario, predicate, given.name, found.seed)
     return Shrunk(
         scenario=smallest,
-        seed=shrinker.smallest.seed,
+        seed=found.seed,
         fails=str(predicate),
         runs=shrinker.runs,
         steps=shrinker.steps,
-        before=scenario_sizes(scenario),
+        before=scenario_sizes(given),
         after=scenario_sizes(smallest),
         end_reason=BUDGET_USED_UP if shrinker.runs >= budget else NOTHING_SMALLER,
     )
--- a/flintridge/lab/report/tables.py
+++ b/flintridge/lab/report/tables.py
@@ -14,24 +14,36 @@
 from flintridge.lab.experiment.sweep import Sweep
 from flintridge.lab.result import Result, Violation
 
+FILE_WIDTH_COLUMNS = 140
 COLOURS = {"better": "green", "worse": "red", "even": "dim", "unsure": "yellow"}
 
 
 def console(*, error: bool = False) -> Console:
-    """For tables: never narrower than they need where the output is a file or a pipe."""
-    made = Console(stderr=error, highlight=False)
-    return made if made.is_terminal else Console(stderr=error, highlight=False, width=140)
+    """Return a console for tables, wide enough for them where the output is a file or a pipe.
+
+    Args:
+        error: Whether to print on standard error.
+    """
+    terminal = Console(stderr=error, highlight=False)
+    return (
+        terminal if terminal.is_terminal else Console(stderr=error, highlight=False, width=FILE_WIDTH_COLUMNS)
+    )
 
 
 def number(value: float, unit: str = "") -> str:
-    """With as many digits as can matter: milliseconds to a tenth, shares to four places."""
+    """Format a value: milliseconds to a tenth, fractions to four places, great ones with separators.
+
+    Args:
+        value: The value.
+        unit: `ms`, or empty for a number without a unit.
+    """
     if unit == "ms":
         return f"{value:.1f} ms" if abs(value) < 1000 else f"{value:,.0f} ms"
     return f"{value:.4f}" if abs(value) < 100 else f"{value:,.1f}"
 
 
 def _grid(*columns: str) -> Table:
-    """The first column to the left, figures to the right."""
+    """Return an empty table, the first column aligned to the left, the others to the right."""
     table = Table(header_style="bold")
     for i, column in enumerate(columns):
         table.add_column(column, justify="left" if i == 0 else "right")
@@ -39,14 +51,16 @@
 
 
 def _title(out: Console, text: str) -> None:
+    """Print a heading."""
     out.print(f"[bold]{escape(text)}", soft_wrap=True)
 
 
 def run_table(result: Result) -> Table:
-    """The figures of one run."""
+    """Return the metrics of one run."""
     table = _grid("", "")
     table.show_header = False
-    late, latency = result.served - result.served_within_objective, result.latency_ms
+    late = result.served - result.served_within_objective
+    latency = result.latency_ms
     rows = [
         ("goodput", number(result.goodput)),
         ("goal", number(result.goal)),
@@ -70,75 +84,92 @@
         table.add_row(name, value)
     if result.end_reason != "whole":
         table.add_row("[bold red]cut short", f"[bold red]{escape(result.end_reason)}")
-    for trouble in result.lab_problems:  # of the lab itself, in real time
-        table.add_row("[yellow]trouble", f"[yellow]{escape(trouble)}")
+    for problem in result.lab_problems:  # of the lab itself, in real time
+        table.add_row("[yellow]trouble", f"[yellow]{escape(problem)}")
     return table
 
 
 def rules_table(rules: dict[str, int], expected: Iterable[str] = ()) -> Table:
-    """Breaches of each rule."""
+    """Return the violations of each rule; those of expected rules are marked."""
     known = tuple(expected)
     table = _grid("rule", "breaches")
     for name, count in sorted(rules.items()):
-        style = "dim" if not count else "yellow" if name in known else "bold red"
-        text = f"{count} (expected)" if count and name in known else str(count)
+        style = "dim"
+        text = str(count)
+        if count and name in known:
+            style = "yellow"
+            text = f"{count} (expected)"
+        elif count:
+            style = "bold red"
         table.add_row(f"[{style}]{escape(name)}", f"[{style}]{text}")
     return table
 
 
-def breach_lines(breaches: Sequence[Violation], most: int = 8) -> list[str]:
-    """One line a breach: when, which rule, the sentence."""
-    lines = [f"{breach.at_ms / 1000:9.3f} s  {breach.rule}: {breach.text}" for breach in breaches[:most]]
-    return lines + [f"... and {len(breaches) - most} more"] * (len(breaches) > most)
+def violation_lines(violations: Sequence[Violation], maximum: int = 8) -> list[str]:
+    """Return a line for each of the first violations: when, which rule, the sentence."""
+    lines = [
+        f"{violation.at_ms / 1000:9.3f} s  {violation.rule}: {violation.text}"
+        for violation in violations[:maximum]
+    ]
+    if len(violations) > maximum:
+        lines.append(f"... and {len(violations) - maximum} more")
+    return lines
 
 
-def print_run(result: Result, faults: Sequence[str], expected: Iterable[str] = ()) -> None:
-    """The whole of a run on standard output; `faults` are the lines that make it unsound."""
+def print_run(result: Result, unsound: Sequence[str], expected: Iterable[str] = ()) -> None:
+    """Print a run on standard output.
+
+    Args:
+        result: The run's result.
+        unsound: Why it is not sound, a line for each reason.
+        expected: The rules that the scenario expects to be broken.
+    """
     out = console()
     _title(out, f"{result.scenario}, seed {result.seed}, {result.backend}")
     out.print(run_table(result))
     broken = {name: count for name, count in result.rules.items() if count}
     if broken:
         out.print(rules_table(broken, expected))
-        for line in breach_lines(result.violations):
+        for line in violation_lines(result.violations):
             out.print(f"  {line}", markup=False, soft_wrap=True)
     else:
         out.print(f"{len(result.rules)} rules, none broken")
-    for line in faults:
+    for line in unsound:
         out.print(f"[bold red]unsound:[/] {escape(line)}", soft_wrap=True)
-    if not faults:
+    if not unsound:
         out.print("[green]sound")
 
 
 def print_failure(failed: JobFailed) -> None:
-    """A run without a result, on standard error: its one line, and the traceback where there is one."""
+    """Print a run without a result on standard error: the traceback where there is one, and the reason."""
     out = console(error=True)
     if failed.trace:
         out.print(failed.trace.rstrip(), markup=False, soft_wrap=True)
     out.print(f"flintridge: the run {failed.mode}: {failed.reason}", markup=False, soft_wrap=True)
 
 
-def _change(figure: Difference) -> list[str]:
-    colour = COLOURS[figure.verdict]
+def _difference_cells(difference: Difference) -> list[str]:
+    """Return the cells of one metric's row."""
+    colour = COLOURS[difference.verdict]
     return [
-        figure.name,
-        number(figure.a, figure.unit),
-        number(figure.b, figure.unit),
-        f"[{colour}]{figure.mean:+.4g}",
-        f"{figure.low:+.4g} to {figure.high:+.4g}",
-        f"[{colour}]{figure.verdict}",
-        f"{figure.sign_p:.2f}",
+        difference.name,
+        number(difference.a, difference.unit),
+        number(difference.b, difference.unit),
+        f"[{colour}]{difference.mean:+.4g}",
+        f"{difference.low:+.4g} to {difference.high:+.4g}",
+        f"[{colour}]{difference.verdict}",
+        f"{difference.sign_p:.2f}",
     ]
 
 
 def print_compare(comparison: Comparison) -> None:
-    """Means, differences and rules of both sides, on standard output."""
+    """Print means, differences and rules of both variants on standard output."""
     out = console()
     _title(out, f"A: {comparison.a}   B: {comparison.b}")
     out.print(f"{len(comparison.pairs)} of {len(comparison.seeds)} seeds on both sides")
     table = _grid("", "A", "B", "B - A", "95% of it", "B is", "sign p")
-    for figure in comparison.metrics if comparison.pairs else ():
-        table.add_row(*_change(figure))
+    for difference in comparison.metrics if comparison.pairs else ():
+        table.add_row(*_difference_cells(difference))
     out.print(table)
     rules = _grid("rule", "A", "B", "")
     for rule in comparison.rules:
@@ -154,7 +185,7 @@
 
 
 def print_sweep(swept: Sweep) -> None:
-    """A line a point."""
+    """Print a line for each point on standard output."""
     out = console()
     shown = [f for f in METRICS if f.name != "p50"]
     names = [parameter.path for parameter in swept.parameters]
@@ -171,13 +202,19 @@
     _print_failures(out, failures)
 
 
-def print_search(found: Search, directory: str, most: int = 20) -> None:
-    """The worst days first."""
+def print_search(found: Search, directory: str, maximum: int = 20) -> None:
+    """Print the runs of a search on standard output, the worst first.
+
+    Args:
+        found: The search.
+        directory: Where it is kept.
+        maximum: Runs printed at most.
+    """
     out = console()
     runs = ranked(found.runs)
     _title(out, "worst days")
     table = _grid("day", "goodput", "calm", "reference", "severity", "load", "behind", "requests", "what")
-    for run in runs[:most]:
+    for run in runs[:maximum]:
         values = (
             run.goodput,
             run.fault_free_goodput,
@@ -187,7 +224,7 @@
             run.unexplained_shortfall,
         )
         cells = [f"{value:.3f}" if value >= 0 else "-" for value in values]
-        table.add_row(run.name, *cells, str(run.requests), _what(run))
+        table.add_row(run.name, *cells, str(run.requests), _run_note(run))
     out.print(table)
     broken = sum(1 for run in found.runs if run.violation_count)
     failed = sum(1 for run in found.runs if run.failure)
@@ -199,7 +236,8 @@
         out.print(f"not all were played: {found.stop_reason}", markup=False)
 
 
-def _what(run: SearchRun) -> str:
+def _run_note(run: SearchRun) -> str:
+    """Return what is special about a run: broken rules, its failure, or its faults."""
     rules = [f"{name}:{count}" for name, count in {**run.fault_free_violations, **run.violations}.items()]
     if rules or run.failure:
         return f"[bold red]{escape(' '.join(rules) or run.failure[:60])}"
@@ -207,7 +245,7 @@
 
 
 def print_shrunk(shrunk: Shrunk) -> None:
-    """Before and after."""
+    """Print the sizes before and after a shrinking on standard output."""
     out = console()
     _title(out, f"{shrunk.fails}, seed {shrunk.seed}")
     table = _grid("", "before", "after")
@@ -219,5 +257,6 @@
 
 
 def _print_failures(out: Console, failures: Sequence[str]) -> None:
+    """Print a line for each run without a result."""
     for line in failures:
         out.print(f"[bold red]no result:[/] {escape(line)}", soft_wrap=True)
--- /dev/null
+++ b/tests/lab/report/test_report_tables.py
@@ -0,0 +1,27 @@
+"""Tables for the terminal, and what they import."""
+
+import subprocess
+import sys
+from pathlib import Path
+
+from support.lab_reports import NASTY, result
+
+from flintridge.lab.experiment.search_results import Search, SearchRun
+from flintridge.lab.report import tables
+
+
+def test_tables_print_whatever_a_result_holds(capsys):
+    tables.print_run(result(), ["rule drain broken 1 time"], ())
+    tables.print_search(
+        Search(seed=1, space_version=1, runs=[SearchRun(number=0, seed=2, name=NASTY, failure=NASTY)]), NASTY
+    )
+    said = capsys.readouterr().out
+    assert "unsound: rule drain" in said and "[bold] {{ 7*7 }}" in said
+
+
+def test_matplotlib_is_loaded_for_a_report_alone():
+    code = (
+        "import sys, flintridge.lab.report.tables, flintridge.cli.lab_run, flintridge.lab.experiment.shrink\n"
+        "assert 'matplotlib' not in sys.modules and 'jinja2' not in sys.modules"
+    )
+    subprocess.run([sys.executable, "-c", code], check=True, cwd=Path(__file__).parents[3])
