--- a/benchmarks/lab_backends.py
+++ b/benchmarks/lab_backends.py
@@ -21,7 +21,7 @@
     """The result of a day; ends the program if it failed."""
     outcome = run_one(Job(scenario=load(day), seed=seed, backend=backend))
     if isinstance(outcome, JobFailed):
-        raise SystemExit(f"{day}, seed {seed}, {backend}: {outcome.why}")
+        raise SystemExit(f"{day}, seed {seed}, {backend}: {outcome.reason}")
     return outcome
 
 
--- a/flintridge/cli/lab_compare.py
+++ b/flintridge/cli/lab_compare.py
@@ -72,7 +72,7 @@
       flintridge lab compare calm --tree ../old-checkout
     """
     check_outputs([json_file, report], force)
-    from flintridge.lab.experiment.compare import Side, as_json, compare
+    from flintridge.lab.experiment.compare import Variant, as_json, compare
     from flintridge.lab.report import tables
     from flintridge.lab.scenario.load import load
 
@@ -80,8 +80,8 @@
         raise click.UsageError("A and B are the same: name OTHER, --a, --b or --tree")
     _check_tree(tree)
     b_name = other or scenario
-    a = Side(label=_label(scenario, of_a), scenario=load(scenario, [*overrides, *of_a]))
-    b = Side(
+    a = Variant(label=_label(scenario, of_a), scenario=load(scenario, [*overrides, *of_a]))
+    b = Variant(
         label=_label(b_name, of_b, tree),
         scenario=load(b_name, [*overrides, *of_b]),
         tree="" if tree is None else str(tree.resolve()),
@@ -103,11 +103,11 @@
     """Raises CommandError for a folder that holds no node to play."""
     if tree is None:
         return
-    from flintridge.lab.experiment.worker import NoTree, check_tree
+    from flintridge.lab.experiment.worker import NodeTreeError, check_tree
 
     try:
         check_tree(tree)
-    except NoTree as error:
+    except NodeTreeError as error:
         raise CommandError(str(error)) from error
 
 
--- a/flintridge/cli/lab_run.py
+++ b/flintridge/cli/lab_run.py
@@ -59,7 +59,7 @@
     check_outputs([json_file, report, events, trace], force)
     from flintridge.lab.experiment.jobs import Job, JobFailed
     from flintridge.lab.experiment.pool import run_one
-    from flintridge.lab.experiment.stats import faults_of
+    from flintridge.lab.experiment.stats import unsound_reasons
     from flintridge.lab.report import tables
     from flintridge.lab.result import as_json
     from flintridge.lab.scenario.load import load
@@ -88,7 +88,7 @@
     trace_output.publish()
     write_json(json_file, lambda: as_json(result))
     write_text(report, lambda: _report(result, loaded))
-    unsound = faults_of(result, loaded.expect)
+    unsound = unsound_reasons(result, loaded.expect)
     tables.print_run(result, unsound, loaded.expect.breaks)
     exit_unless(not unsound)
 
--- a/flintridge/cli/lab_search.py
+++ b/flintridge/cli/lab_search.py
@@ -10,7 +10,7 @@
 from flintridge.cli.options import backend_option, force_option, seed_option
 
 if TYPE_CHECKING:  # what the command needs is imported when it runs
-    from flintridge.lab.experiment.search import Search
+    from flintridge.lab.experiment.search_results import Search
 
 
 @click.command
@@ -57,7 +57,8 @@
       flintridge lab shrink found/kept/found-7-000042.toml --seed 123 --out small.toml
     """
     check_outputs([report], force)
-    from flintridge.lab.experiment.search import BadDirectory, search
+    from flintridge.lab.experiment.search import search
+    from flintridge.lab.experiment.search_directory import SearchDirectoryError
     from flintridge.lab.report import tables
     from flintridge.lab.scenario.load import dump
 
@@ -73,7 +74,7 @@
             dump=dump,
             show=True,
         )
-    except BadDirectory as error:
+    except SearchDirectoryError as error:
         raise CommandError(str(error)) from error
     write_text(report, lambda: _report(result))
     tables.print_search(result, str(out))
--- a/flintridge/cli/lab_shrink.py
+++ b/flintridge/cli/lab_shrink.py
@@ -18,7 +18,8 @@
 from flintridge.cli.options import backend_option, force_option, scenario_argument, seed_option, set_option
 
 if TYPE_CHECKING:  # what the command needs is imported when it runs
-    from flintridge.lab.experiment.shrink import Predicate, Step
+    from flintridge.lab.experiment.failure_predicates import Predicate
+    from flintridge.lab.experiment.shrink import Step
 
 
 @click.command
@@ -80,7 +81,8 @@
     check_outputs([out, log, json_file], force)
     import msgspec
 
-    from flintridge.lab.experiment.shrink import DoesNotFail, shrink
+    from flintridge.lab.experiment.failure_predicates import ScenarioDoesNotFailError
+    from flintridge.lab.experiment.shrink import shrink
     from flintridge.lab.report import tables
     from flintridge.lab.scenario.load import dump, load
 
@@ -91,14 +93,14 @@
             seed,
             _predicate(rule, goodput_under, unfinished),
             budget=budget,
-            tries=seeds_a_candidate,
+            seeds_per_candidate=seeds_a_candidate,
             backend=backend,
             defect=defect,
             workers=workers,
             on_step=_print_step,
             limit_s=limit_s,
         )
-    except DoesNotFail as error:
+    except ScenarioDoesNotFailError as error:
         raise CommandError(f"{scenario}: {error}") from error
     write_text(out, lambda: dump(shrunk.scenario))
     write_text(log, lambda: "".join(map(_log_line, shrunk.steps)))
@@ -116,14 +118,14 @@
 
 def _predicate(rule: str | None, goodput_under: float | None, unfinished: bool) -> "Predicate | None":
     """What has to stay wrong, by the options; None for the rule that is broken most."""
-    from flintridge.lab.experiment.shrink import Breaks, Under, Unfinished
+    from flintridge.lab.experiment.failure_predicates import Breaks, DidNotComplete, GoodputBelow
 
     if rule is not None:
         return Breaks(rule)
     if goodput_under is not None:
-        return Under(goodput_under)
+        return GoodputBelow(goodput_under)
     if unfinished:
-        return Unfinished()
+        return DidNotComplete()
     return None
 
 
--- a/flintridge/cli/lab_sweep.py
+++ b/flintridge/cli/lab_sweep.py
@@ -59,7 +59,7 @@
       flintridge lab sweep calm nodes.count=1,2,4 load.shape=flat,bursty --seeds 3 --csv nodes.csv
     """
     check_outputs([json_file, csv_file, report], force)
-    from flintridge.lab.experiment.sweep import BadSweep, as_csv, as_json, parameter, sweep
+    from flintridge.lab.experiment.sweep import SweepParameterError, as_csv, as_json, parameter, sweep
     from flintridge.lab.report import tables
     from flintridge.lab.scenario.load import load
 
@@ -73,7 +73,7 @@
             workers=workers,
             show=True,
         )
-    except BadSweep as error:
+    except SweepParameterError as error:
         raise CommandError(str(error)) from error
     write_json(json_file, lambda: as_json(swept))
     write_text(csv_file, lambda: as_csv(swept))
