--- a/flintridge/lab/scenario/faults.py
+++ b/flintridge/lab/scenario/faults.py
@@ -18,9 +18,12 @@
 )
 
 
+@schema_description(
+    "A fault of servers: those with these ids, or so many (or such a share, at least one) drawn by the seed\n"
+    "among those of the zone and the kind."
+)
 class ServerFault(TimedFault, frozen=True):
-    """A fault of servers: those with these ids, or so many (or such a share, at least one) drawn by the seed
-    among those of the zone and the kind."""
+    """A fault of servers: by id, or a count or fraction drawn by the seed among those of a zone and kind."""
 
     ids: tuple[str, ...] = ()
     count: Count = 0
@@ -29,14 +32,23 @@
     kind: str = ""
 
 
+@schema_description(
+    "Processes die: connections reset, new ones refused; after `for_s` they start again, cold and empty\n"
+    "(0: never)."
+)
 class Crash(ServerFault, tag="crash", frozen=True):
-    """Processes die: connections reset, new ones refused; after `for_s` they start again, cold and empty
-    (0: never)."""
+    """Processes die, and start again cold and empty after `for_s` (0: never)."""
 
 
+@schema_description(
+    "Machines vanish: connections stay open and silent, new ones never come up; after `for_s` they are back\n"
+    "with what they held, and old connections are reset."
+)
 class Silence(ServerFault, tag="silence", frozen=True):
-    """Machines vanish: connections stay open and silent, new ones never come up; after `for_s` they are back
-    with what they held, and old connections are reset."""
+    """Machines vanish: connections stay open without a response; after `for_s` old ones are reset.
+
+    They are back with what they held.
+    """
 
 
 class Resets(ServerFault, tag="resets", frozen=True):
@@ -223,9 +235,15 @@
     bytes_per_s: Amount = 0.0  # 0: no bound
 
 
+@schema_description(
+    "SIGHUP with a configuration that names another address of discovery; the old one accepts no more and\n"
+    "closes after 1.5 s."
+)
 class Reload(Fault, tag="reload", frozen=True):
-    """SIGHUP with a configuration that names another address of discovery; the old one accepts no more and
-    closes after 1.5 s."""
+    """SIGHUP with a configuration that names another address of discovery.
+
+    The old address accepts no more and closes after 1.5 s.
+    """
 
     nodes: tuple[Count, ...] = ()
     count: Count = 0  # 0 with no nodes named: all
--- a/flintridge/lab/scenario/system_faults.py
+++ b/flintridge/lab/scenario/system_faults.py
@@ -5,6 +5,7 @@
 
 from msgspec import Meta
 
+from flintridge.config.format_types import schema_description
 from flintridge.lab.scenario.fault_base import Count, Fault, Fraction, TimedFault
 
 MAX_STALL_MS = 150.0  # between reading the clock and writing
@@ -81,9 +82,15 @@
     most_bytes: Annotated[int, Meta(ge=1, le=1_000_000)] = 16
 
 
+@schema_description(
+    "The wall clock of nodes steps, for good; their monotonic clock runs on. Steps add up, and a process\n"
+    "that is started later starts with the stepped clock."
+)
 class ClockStep(Fault, tag="clock_step", kw_only=True, frozen=True):
-    """The wall clock of nodes steps, for good; their monotonic clock runs on. Steps add up, and a process
-    that is started later starts with the stepped clock."""
+    """The wall clock of nodes steps, for good; their monotonic clock runs on.
+
+    Steps add up, and a process that is started later starts with the stepped clock.
+    """
 
     seconds: Annotated[float, Meta(ge=-MAX_STEP_S, le=MAX_STEP_S)]
     nodes: tuple[Count, ...] = ()
@@ -97,9 +104,15 @@
     most_ms: Annotated[float, Meta(gt=0, le=MAX_STALL_MS)] = MAX_STALL_MS  # each draws up to this
 
 
+@schema_description(
+    "Calls on a node's temporary folder fail: all of them by EIO, those that make something by ENOSPC. On\n"
+    "loopback only."
+)
 class FolderErrors(NodeFault, tag="folder_errors", kw_only=True, frozen=True):
-    """Calls on a node's temporary folder fail: all of them by EIO, those that make something by ENOSPC. On
-    loopback only."""
+    """Calls on a node's temporary folder fail. On loopback only.
+
+    All of them by EIO, those that make something by ENOSPC.
+    """
 
     errors: Annotated[tuple[Literal["ENOSPC", "EIO"], ...], Meta(min_length=1)] = ("ENOSPC", "EIO")
     part: Fraction = 1.0
