--- a/flintridge/lab/defects/__init__.py
+++ b/flintridge/lab/defects/__init__.py
@@ -1,8 +1,8 @@
-"""Planted defects: mistakes that a node could have, each with the rules that must catch it.
+"""Planted defects: mistakes that a node could have, each with the rules of the judge that must report it.
 
-A judge that cannot see a mistake is worth nothing; these show that it does. The node knows none of this.
+They prove that the judge detects such mistakes. The node's own code knows nothing of them.
 """
 
-from flintridge.lab.defects.table import DEFECTS, Defect
+from flintridge.lab.defects.catalog import DEFECTS, Defect
 
 __all__ = ["DEFECTS", "Defect"]
--- a/flintridge/lab/defects/lending.py
+++ b/flintridge/lab/defects/leases.py
@@ -1,4 +1,4 @@
-"""Mistakes that an allocation could have, one for each clause of its rule; the explorer must find each."""
+"""Defects that an allocation could have, one for each clause of its rule; the exploration must find each."""
 
 from dataclasses import dataclass, replace
 
@@ -8,7 +8,7 @@
 
 @dataclass(slots=True)
 class CreditBeforeDebit(Allocation):
-    """It grants without taking the lease off its entitlement."""
+    """It grants a lease without debiting it."""
 
     def _grant(self, now: float, lessee: ProcessId, request: LeaseRequest, demand: int) -> LeaseGrant | None:
         amount = min(request.amount, self.grantable(now, demand))
@@ -17,7 +17,7 @@
 
 @dataclass(slots=True)
 class LeaseFromArrival(Allocation):
-    """The lessee counts its lease from when the grant came in."""
+    """The lessee counts its lease from the arrival of the grant."""
 
     def _accept_grant(self, now: float, grantor: str, grant: LeaseGrant) -> None:
         Allocation._accept_grant(self, now, grantor, replace(grant, requested_at=now))
@@ -25,7 +25,7 @@
 
 @dataclass(slots=True)
 class NoMarginForDrift(Allocation):
-    """The grantor counts a lease as expired after `lease_ms`, whatever the lessee's clock does."""
+    """The grantor counts a lease as expired after `lease_ms`, with no margin for the lessee's clock."""
 
     def _grant(self, now: float, lessee: ProcessId, request: LeaseRequest, demand: int) -> LeaseGrant | None:
         grant = Allocation._grant(self, now, lessee, request, demand)
@@ -38,43 +38,46 @@
 
 @dataclass(slots=True)
 class LeasesForgotten(Allocation):
-    """A process that starts anew has its whole entitlement at once."""
+    """A restarted process has its whole entitlement at once, whatever its previous incarnation granted."""
 
     def entitlement(self, now: float) -> int:
+        """See `Allocation.entitlement`."""
         return self.terms.even_fraction
 
 
 @dataclass(slots=True)
 class NoFloor(Allocation):
-    """It lends all that it has."""
+    """It grants all that it has, and keeps no floor."""
 
     def grantable(self, now: float, demand: int = 0) -> int:
+        """See `Allocation.grantable`."""
         return max(0, self.entitlement(now) - self._granted_amount(now))
 
 
 @dataclass(slots=True)
 class UsedAfterRelease(Allocation):
-    """It goes on using what it said it releases."""
+    """It goes on using what it released."""
 
     def release(self, grantor: str, lease_id: int) -> LeaseRelease | None:
+        """See `Allocation.release`."""
         return LeaseRelease(lease_id) if AcquiredLeaseKey(grantor, lease_id) in self.acquired else None
 
 
 @dataclass(slots=True)
-class DoubledGrantCountsTwice(Allocation):
-    """Each grant that comes in is added."""
+class DuplicateGrantCountsTwice(Allocation):
+    """A duplicate of a grant is added to the lease."""
 
     def _accept_grant(self, now: float, grantor: str, grant: LeaseGrant) -> None:
         key = AcquiredLeaseKey(grantor, grant.lease_id)
-        known = self.acquired.get(key)
+        acquired = self.acquired.get(key)
         Allocation._accept_grant(self, now, grantor, grant)
-        if known is not None and key in self.acquired:
-            self.acquired[key] = replace(self.acquired[key], amount=known.amount + grant.amount)
+        if acquired is not None and key in self.acquired:
+            self.acquired[key] = replace(self.acquired[key], amount=acquired.amount + grant.amount)
 
 
 @dataclass(slots=True)
 class LateGrantAfterRelease(Allocation):
-    """A grant counts whether or not the lease is still wanted."""
+    """A grant is accepted after its request was canceled or its lease released."""
 
     def _accept_grant(self, now: float, grantor: str, grant: LeaseGrant) -> None:
         self.requested.setdefault(AcquiredLeaseKey(grantor, grant.lease_id), grant.amount)
@@ -83,9 +86,10 @@
 
 @dataclass(slots=True)
 class RenewedByRequest(Allocation):
-    """A lease goes on as soon as its renewal was requested."""
+    """A lease is extended as soon as its renewal was requested."""
 
     def renewal(self, now: float, grantor: str, lease_id: int) -> LeaseRequest | None:
+        """See `Allocation.renewal`."""
         request = Allocation.renewal(self, now, grantor, lease_id)
         if request is not None:
             key = AcquiredLeaseKey(grantor, lease_id)
@@ -95,7 +99,7 @@
 
 @dataclass(slots=True)
 class RenewalNotCounted(Allocation):
-    """The grantor says yes to a renewal and goes by the first lease."""
+    """The grantor grants a renewal and keeps the old expiry."""
 
     def _grant(self, now: float, lessee: ProcessId, request: LeaseRequest, demand: int) -> LeaseGrant | None:
         before = self.granted.get(GrantedLeaseKey(lessee, request.lease_id))
@@ -107,20 +111,22 @@
 
 @dataclass(slots=True)
 class ExpiryNotChecked(Allocation):
-    """What was borrowed counts until expired leases are removed, also after a pause."""
+    """Expired leases count until they are removed, also after a pause."""
 
     def usable(self, now: float) -> int:
+        """See `Allocation.usable`."""
         acquired = sum(lease.amount for lease in self.acquired.values())
         return max(0, self.entitlement(now) - self._granted_amount(now)) + acquired
 
 
 @dataclass(slots=True)
 class AnotherIncarnationsLeaseEnds(Allocation):
-    """What is released ends all leases of that number."""
+    """A release ends the leases of that number of all lessees."""
 
     def receive(
         self, now: float, sender: ProcessId, message: LeaseMessage, demand: int = 0
     ) -> LeaseMessage | None:
+        """See `Allocation.receive`."""
         if isinstance(message, LeaseRelease):
             self.granted = {
                 key: lease for key, lease in self.granted.items() if key.lease_id != message.lease_id
@@ -129,14 +135,14 @@
         return Allocation.receive(self, now, sender, message, demand)
 
 
-LENDING: tuple[type[Allocation], ...] = (
+LEASE_DEFECTS: tuple[type[Allocation], ...] = (
     CreditBeforeDebit,
     LeaseFromArrival,
     NoMarginForDrift,
     LeasesForgotten,
     NoFloor,
     UsedAfterRelease,
-    DoubledGrantCountsTwice,
+    DuplicateGrantCountsTwice,
     LateGrantAfterRelease,
     RenewedByRequest,
     RenewalNotCounted,
--- a/flintridge/lab/defects/membership.py
+++ b/flintridge/lab/defects/membership.py
@@ -1,8 +1,8 @@
-"""Planted defects in what a node makes of its peers' messages."""
+"""Planted defects in what a node concludes from its peers' messages."""
 
 import itertools
 
-from flintridge.lab.defects.wrapping import put
+from flintridge.lab.defects.interception import replace_attribute
 from flintridge.membership.failure_detector import FailureDetector
 from flintridge.membership.member import Member
 from flintridge.membership.member_table import MemberTable
@@ -10,8 +10,9 @@
 from flintridge.membership.probe_rotation import TargetGroup
 from flintridge.node import Node
 
-UNREACHABLE_PROBED_MS = 5_000  # after which `silent_never_probed` gives them up
-DATAGRAMS_A_TICK = 10  # that `bound_of_bytes_ignored` sends beyond its own
+UNREACHABLE_PROBED_MS = 5_000  # after which `silent_never_probed` ends it
+EXTRA_DATAGRAMS_PER_TICK = 10  # that `bound_of_bytes_ignored` sends beyond its own
+EVIDENCE_MAX_AGE_MS = 3_600_000.0
 
 
 def _failure_detector(node: Node) -> FailureDetector:
@@ -20,17 +21,17 @@
 
 
 def gap_ignored(node: Node) -> None:
-    """After a pause of its own the node goes on with what it knew."""
-    put(_failure_detector(node), "_check_clock_gap", lambda now: None)
+    """After a pause of its own the node trusts what it knew before."""
+    replace_attribute(_failure_detector(node), "_check_clock_gap", lambda now: None)
 
 
 def receipt_taken_for_proof(node: Node) -> None:
     """Whatever is received is taken to have been sent just now."""
-    put(_failure_detector(node), "_proven_sent_at", lambda message, now: now)
+    replace_attribute(_failure_detector(node), "_proven_sent_at", lambda message, now: now)
 
 
 def hearsay_made_young(node: Node) -> None:
-    """The age of gossip entries is left out, so that nodes tell one another of the dead for ever."""
+    """The age of gossip entries is left out, so that nodes gossip of dead processes for ever."""
     table = _failure_detector(node).table
     merge_entry = table.merge_entry
 
@@ -40,61 +41,61 @@
         ageless = GossipEntry(entry.name, entry.incarnation, entry.refutations, entry.state, 0)
         merge_entry(ageless, sent_at, suspicion_ms, now, max_age_ms)
 
-    put(table, "merge_entry", merge_as_new)
+    replace_attribute(table, "merge_entry", merge_as_new)
 
 
 def lives_mixed_up(node: Node) -> None:
-    """A process that starts anew under its name is taken for the one before."""
+    """A restarted process is taken for its previous incarnation."""
     table = _failure_detector(node).table
     find_or_add = MemberTable.find_or_add
 
-    def first_of_name(name: str, incarnation: int, now: float) -> Member | None:
-        known = table.members_named(name)
-        return known[0] if known else find_or_add(table, name, incarnation, now)
+    def find_by_name(name: str, incarnation: int, now: float) -> Member | None:
+        members = table.members_named(name)
+        return members[0] if members else find_or_add(table, name, incarnation, now)
 
-    put(table, "find_or_add", first_of_name)
+    replace_attribute(table, "find_or_add", find_by_name)
 
 
 def silent_never_probed(node: Node) -> None:
-    """Whoever became unreachable is not probed any more."""
+    """Processes that became unreachable are not probed any more."""
     detector = _failure_detector(node)
     rotation = detector.rotation
     refill = rotation.refill
-    began_at = detector._now
+    planted_at = detector._now
 
     def refill_reachable_only(group: TargetGroup) -> None:
         refill(group)
-        if detector._now > began_at + UNREACHABLE_PROBED_MS:
+        if detector._now > planted_at + UNREACHABLE_PROBED_MS:
             rotation.targets[TargetGroup.UNREACHABLE] = []
 
-    put(rotation, "refill", refill_reachable_only)
+    replace_attribute(rotation, "refill", refill_reachable_only)
 
 
 def bound_of_bytes_ignored(node: Node) -> None:
-    """The node tells each of its peers all that it knows, ten times a tick."""
+    """The node sends ten gossip datagrams a tick beyond its byte budget."""
     detector = _failure_detector(node)
-    put(detector.sender.budget, "try_spend", lambda now, amount: True)
-    put(detector.sender.budget, "available", lambda now: 1e9)
+    replace_attribute(detector.sender.budget, "try_spend", lambda now, amount: True)
+    replace_attribute(detector.sender.budget, "available", lambda now: 1e9)
     tick = detector.tick
     names = itertools.cycle(detector.table.peer_names)
 
     def tick_and_gossip(now: float) -> None:
         tick(now)
-        for _ in range(DATAGRAMS_A_TICK):
+        for _ in range(EXTRA_DATAGRAMS_PER_TICK):
             target = ProcessId(next(names), ANY_INCARNATION)
             detector.sender.send(target, MessageKind.GOSSIP, 0, now)
 
-    put(detector, "tick", tick_and_gossip)
+    replace_attribute(detector, "tick", tick_and_gossip)
 
 
 def cut_is_not_felt(node: Node) -> None:
-    """Evidence counts for an hour, so that a node that is cut off believes the fleet is there."""
+    """Evidence of liveness counts for an hour, so that a partitioned node takes the fleet for reachable."""
     detector = _failure_detector(node)
-    put(detector, "max_age_ms", 3_600_000.0)
-    put(detector, "_proven_sent_at", lambda message, now: now)
+    replace_attribute(detector, "max_age_ms", EVIDENCE_MAX_AGE_MS)
+    replace_attribute(detector, "_proven_sent_at", lambda message, now: now)
 
     def renew(member: Member, now: float, max_age_ms: float) -> bool:
         member.direct_alive_at = max(member.direct_alive_at, now - 1.0)
         return True
 
-    put(detector.table, "is_reachable", renew)
+    replace_attribute(detector.table, "is_reachable", renew)
--- a/flintridge/lab/defects/copies.py
+++ b/flintridge/lab/defects/replicas.py
@@ -1,39 +1,39 @@
-"""Defects that a replica could have; the exploration must find each."""
+"""Defects that a replica could have; the exploration of all interleavings must find each."""
 
 from flintridge.replication.comparison import SnapshotChunk
 from flintridge.replication.entry import Entry, Key, Writer, merge
 from flintridge.replication.replica import Replica
 
+ANY_WRITE = 1 << 62  # beyond the number of any write
+
 
 class ArrivalDecides(Replica):
-    """What was received last is what applies."""
+    """The entry that arrives last wins, without a merge."""
 
     def _merged(self, local: Entry, remote: Entry) -> Entry:
         return remote
 
 
 class NewestStampDecides(Replica):
-    """Of two writes that had not seen one another one is dropped."""
+    """Of two concurrent writes the one with the older stamp is dropped."""
 
     def _merged(self, local: Entry, remote: Entry) -> Entry:
-        both = merge(local, remote)
-        return Entry(
-            tuple(sorted(both.versions, key=lambda version: (version.stamp, version.dot))[-1:]),
-            both.version_vector,
-        )
+        merged = merge(local, remote)
+        newest = max(merged.versions, key=lambda version: (version.stamp, version.dot), default=None)
+        return Entry(() if newest is None else (newest,), merged.version_vector)
 
 
 class TombstoneEndsUnseenVersions(Replica):
-    """A tombstone ends versions that its writer had not seen."""
+    """A tombstone deletes versions that its writer had not seen."""
 
     def _merged(self, local: Entry, remote: Entry) -> Entry:
-        both = merge(local, remote)
-        tombstones = tuple(version for version in both.versions if version.deleted)
-        return Entry(tombstones or both.versions, both.version_vector)
+        merged = merge(local, remote)
+        tombstones = tuple(version for version in merged.versions if version.deleted)
+        return Entry(tombstones or merged.versions, merged.version_vector)
 
 
-class ReplacedVersionsKept(Replica):
-    """Versions are only ever added."""
+class ReplacedVersionsRetained(Replica):
+    """Versions that were replaced are kept."""
 
     def _merged(self, local: Entry, remote: Entry) -> Entry:
         versions = {version.dot: version for version in (*local.versions, *remote.versions)}
@@ -41,21 +41,22 @@
 
 
 class VersionVectorNotMerged(Replica):
-    """What other replicas have seen is not merged."""
+    """Version vectors are not merged."""
 
     def _merged(self, local: Entry, remote: Entry) -> Entry:
         return Entry(merge(local, remote).versions, local.version_vector)
 
 
 class EmptyReplicaWins(Replica):
-    """What a source lacks is dropped, whoever it is."""
+    """What a source lacks is dropped, even when that source is empty."""
 
     def _writers(self) -> set[Writer]:
         return {version.dot[0] for entry in self.entries.values() for version in entry.versions}
 
     def apply_chunk(self, now: float, source: Writer, chunk: SnapshotChunk) -> bool:
+        """See `Replica.apply_chunk`."""
         super()._drop_ended(
-            now, chunk._replace(complete_up_to=tuple((writer, 1 << 62) for writer in self._writers()))
+            now, chunk._replace(complete_up_to=tuple((writer, ANY_WRITE) for writer in self._writers()))
         )
         return super().apply_chunk(now, source, chunk)
 
@@ -72,9 +73,10 @@
 
 
 class DuplicateChunkMovesCursor(Replica):
-    """A duplicate chunk moves the cursor on."""
+    """A duplicate chunk advances the cursor of the comparison."""
 
     def apply_chunk(self, now: float, source: Writer, chunk: SnapshotChunk) -> bool:
+        """See `Replica.apply_chunk`."""
         comparison = self.comparisons.get(source)
         if comparison is not None and chunk.number == comparison.number and chunk.first < comparison.cursor:
             end = min(len(self.digests), comparison.cursor + chunk.end - chunk.first)
@@ -83,17 +85,18 @@
 
 
 class DotReused(Replica):
-    """A new incarnation writes as the one before."""
+    """A new incarnation reuses the dots of the one before."""
 
     def __init__(self, writer: Writer, *arguments: object, **options: object) -> None:
         node, _ = writer
         super().__init__((node, 0), *arguments, **options)  # type: ignore[arg-type]
 
 
-class ReturnedNodeBelieved(Replica):
-    """What it received, and was ended, is accepted again from a node that was away."""
+class DeletedVersionAccepted(Replica):
+    """A version that was deleted and forgotten is accepted again from a node that was partitioned."""
 
     def receive(self, now: float, key: Key, entry: Entry) -> bool:
+        """See `Replica.receive`."""
         complete_up_to = self.complete_up_to
         self.complete_up_to = {}
         is_accepted = super().receive(now, key, entry)
@@ -101,33 +104,36 @@
         return is_accepted
 
 
-class EndedKeptByReturnedNode(Replica):
-    """A node that was away keeps what others have ended."""
+class DeletedVersionsRetained(Replica):
+    """A node that was partitioned keeps what the others have deleted and forgotten."""
 
     def _drop_ended(self, now: float, chunk: SnapshotChunk) -> None:
         pass
 
 
 class CompleteAfterFirstChunk(Replica):
-    """After the first chunk it counts all that the source received as received."""
+    """After the first chunk it counts as complete up to where its source is."""
 
     def apply_chunk(self, now: float, source: Writer, chunk: SnapshotChunk) -> bool:
+        """See `Replica.apply_chunk`."""
         is_complete = super().apply_chunk(now, source, chunk)
         self.complete_up_to.update(chunk.complete_up_to)
         return is_complete
 
 
 class SynchronizedByAnySource(Replica):
-    """It has synchronized with a source that has not."""
+    """It counts as synchronized by a source that is not."""
 
     def apply_chunk(self, now: float, source: Writer, chunk: SnapshotChunk) -> bool:
+        """See `Replica.apply_chunk`."""
         return super().apply_chunk(now, source, chunk._replace(source_synchronized=True))
 
 
 class SynchronizedAfterFirstChunk(Replica):
-    """It has synchronized after one chunk."""
+    """It counts as synchronized after one chunk."""
 
     def apply_chunk(self, now: float, source: Writer, chunk: SnapshotChunk) -> bool:
+        """See `Replica.apply_chunk`."""
         is_complete = super().apply_chunk(now, source, chunk)
         if chunk.source_synchronized:
             self.mark_synchronized()
@@ -138,14 +144,14 @@
     ArrivalDecides,
     NewestStampDecides,
     TombstoneEndsUnseenVersions,
-    ReplacedVersionsKept,
+    ReplacedVersionsRetained,
     VersionVectorNotMerged,
     EmptyReplicaWins,
     TombstoneExpiredEarly,
     DuplicateChunkMovesCursor,
     DotReused,
-    ReturnedNodeBelieved,
-    EndedKeptByReturnedNode,
+    DeletedVersionAccepted,
+    DeletedVersionsRetained,
     CompleteAfterFirstChunk,
     SynchronizedByAnySource,
     SynchronizedAfterFirstChunk,
--- a/tests/test_lab_defects.py
+++ b/tests/lab/defects/test_planted.py
@@ -14,7 +14,8 @@
 @pytest.mark.parametrize("name", sorted(DEFECTS))
 def test_each_defect_says_what_it_does(name):
     defect = DEFECTS[name]
-    assert defect.about and defect.caught_by <= set(RULES)
+    assert defect.description
+    assert defect.detecting_rules <= set(RULES)
     assert defect.scenario(name).name == name
 
 
@@ -23,9 +24,9 @@
     from flintridge.lab.run import play
 
     result = play(DEFECTS[name].scenario(name), SEED, defect=name)
-    assert sum(result.rules[rule] for rule in DEFECTS[name].caught_by), result.rules
-    proofs = [breach for breach in result.violations if breach.rule in DEFECTS[name].caught_by]
-    assert proofs and all(breach.text and breach.records for breach in proofs)
+    assert sum(result.rules[rule] for rule in DEFECTS[name].detecting_rules), result.rules
+    proofs = [violation for violation in result.violations if violation.rule in DEFECTS[name].detecting_rules]
+    assert proofs and all(violation.text and violation.records for violation in proofs)
 
 
 @pytest.mark.parametrize("name", sorted(DAYS.values()))
--- a/tests/leases/test_allocation.py
+++ b/tests/leases/test_allocation.py
@@ -5,7 +5,7 @@
 
 import pytest
 
-from flintridge.lab.defects.lending import LENDING
+from flintridge.lab.defects.leases import LEASE_DEFECTS
 from flintridge.lab.explore import explore
 from flintridge.lab.explore.leases import SPEEDS, Leases, Left
 from flintridge.leases.allocation import Allocation, ProcessId
@@ -56,7 +56,7 @@
 EVENTS_THAT_SHOW = {
     "LeasesForgotten": {"asks": 1, "restarts": 1},
     "NoFloor": {"asks": 1, "restarts": 1},
-    "DoubledGrantCountsTwice": {"asks": 1, "doubles": 1},
+    "DuplicateGrantCountsTwice": {"asks": 1, "doubles": 1},
     "LateGrantAfterRelease": {"asks": 1, "doubles": 1},
     "RenewedByRequest": {"asks": 1, "renews": 1},
     "RenewalNotCounted": {"asks": 1, "renews": 1},
@@ -65,7 +65,7 @@
 }
 
 
-@pytest.mark.parametrize("defect", LENDING, ids=lambda defect: defect.__name__)
+@pytest.mark.parametrize("defect", LEASE_DEFECTS, ids=lambda defect: defect.__name__)
 def test_explorer_with_a_planted_defect_finds_it_with_its_story(defect):
     speeds = (4.0, 6.0, 6.0) if defect.__name__ == "AnotherIncarnationsLeaseEnds" else (4.0, 6.0)
     left = Left(**NONE | EVENTS_THAT_SHOW.get(defect.__name__, {"asks": 1}))
--- a/tests/leases/test_lease_manager.py
+++ b/tests/leases/test_lease_manager.py
@@ -8,7 +8,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from flintridge.lab.defects.lending import CreditBeforeDebit, LeaseFromArrival, LeasesForgotten
+from flintridge.lab.defects.leases import CreditBeforeDebit, LeaseFromArrival, LeasesForgotten
 from flintridge.lab.partial.lending import QUOTA, Lenders, random_day
 from flintridge.lab.partial.machines import Link
 from flintridge.leases.allocation import ProcessId
--- a/tests/replication/test_replica_exploration.py
+++ b/tests/replication/test_replica_exploration.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from flintridge.lab.defects.copies import REPLICATION_DEFECTS, EmptyReplicaWins
+from flintridge.lab.defects.replicas import REPLICATION_DEFECTS, EmptyReplicaWins
 from flintridge.lab.explore import explore
 from flintridge.lab.explore.copies import Copies, Left
 from flintridge.lab.partial.copying import random_day
@@ -35,8 +35,8 @@
     "TombstoneExpiredEarly": (2, False, {"writes": 1, "deletes": 1, "doubles": 1, "ticks": 2}),
     "DuplicateChunkMovesCursor": (2, True, {"asks": 1, "doubles": 1, "restarts": 1}),
     "DotReused": (2, False, {"writes": 2, "asks": 2, "restarts": 1}),
-    "ReturnedNodeBelieved": (2, True, {"deletes": 1, "ticks": 2}),
-    "EndedKeptByReturnedNode": (2, True, {"deletes": 1, "ticks": 2, "asks": 2}),
+    "DeletedVersionAccepted": (2, True, {"deletes": 1, "ticks": 2}),
+    "DeletedVersionsRetained": (2, True, {"deletes": 1, "ticks": 2, "asks": 2}),
     "CompleteAfterFirstChunk": (2, True, {"asks": 2, "restarts": 1}),
     "SynchronizedByAnySource": (2, True, {"asks": 2, "restarts": 2}),
     "SynchronizedAfterFirstChunk": (2, True, {"asks": 1, "restarts": 1}),
