--- a/benchmarks/budget_days.py
+++ b/benchmarks/budget_days.py
@@ -2,7 +2,7 @@
 
     python -m benchmarks.budget_days --days 500 --count 20 --jobs 4      # some minutes
 
-Virtual time; `flintridge/lab/partial/lending.py` tells what happens in a day. Exit code 1 if the sum of
+Virtual time; `flintridge/lab/partial/lease_fleet.py` tells what happens in a day. Exit code 1 if the sum of
 what all may use was ever over the budget, looked at each 20 ms and by each process's own clock.
 """
 
@@ -11,7 +11,7 @@
 import time
 from concurrent.futures import ProcessPoolExecutor
 
-from flintridge.lab.partial.lending import random_day
+from flintridge.lab.partial.lease_fleet import random_run
 
 
 def main() -> None:
@@ -24,20 +24,20 @@
     began = time.perf_counter()
     seeds = range(asked.first, asked.first + asked.days)
     with ProcessPoolExecutor(asked.jobs) as pool:
-        days = list(pool.map(random_day, seeds, [asked.count] * asked.days, chunksize=4))
-    over = [day for day in days if day.over]
+        days = list(pool.map(random_run, seeds, [asked.count] * asked.days, chunksize=4))
+    over = [day for day in days if day.violations]
     deeds: dict[str, int] = {}
     for day in days:
-        for name, count in day.deeds.items():
+        for name, count in day.event_counts.items():
             deeds[name] = deeds.get(name, 0) + count
     print(f"{len(days)} days of {asked.count} nodes and 30 s, seeds {seeds[0]} to {seeds[-1]}")
-    print(f"loans granted: {sum(day.granted for day in days):,}; days without any:", end=" ")
-    print(sum(not day.granted for day in days))
-    print(f"greatest sum of one budget, in parts of {asked.count}: {max(day.most for day in days):.3f}")
+    print(f"loans granted: {sum(day.granted_count for day in days):,}; days without any:", end=" ")
+    print(sum(not day.granted_count for day in days))
+    print(f"greatest sum of one budget, in parts of {asked.count}: {max(day.max_usable for day in days):.3f}")
     print("what happened:", ", ".join(f"{name} {count:,}" for name, count in sorted(deeds.items())))
     print(f"days over: {len(over)}; {time.perf_counter() - began:.0f} s")
     for day in over[:10]:
-        print(f"  seed {day.seed}: {day.over[0]}")
+        print(f"  seed {day.seed}: {day.violations[0]}")
     sys.exit(bool(over))
 
 
--- a/benchmarks/budget_silence.py
+++ b/benchmarks/budget_silence.py
@@ -36,10 +36,10 @@
 
 async def play(seconds: float) -> bool:
     async with Rig(3, 1, SCENARIO, loaded=True) as rig:
-        await rig.until(rig.all_hear)
+        await rig.wait_until(rig.all_reachable)
 
         async def usable() -> float:
-            said = await rig.console("n0", "/admin/budgets")
+            said = await rig.request_admin("n0", "/admin/budgets")
             return float("nan") if said is None else said["budgets"][0]["usable"]
 
         while not await usable() > 1.05:
--- a/benchmarks/budgets_cost.py
+++ b/benchmarks/budgets_cost.py
@@ -3,8 +3,8 @@
     python -m benchmarks.budgets_cost
 
 All times are CPU of this process. Of the decisions: medians over ROUNDS rounds of REQUESTS requests, with and
-without in turn. Lease managers run in virtual time on the links of `flintridge/lab/partial/machines.py`, half
-of the nodes needing 1.8 parts and half 0.2; what the lab itself takes for them is in both figures.
+without in turn. Lease managers run in virtual time on the links of `flintridge/lab/partial/virtual_fleet.py`,
+half of the nodes needing 1.8 parts and half 0.2; what the lab itself takes for them is in both figures.
 """
 
 import statistics
@@ -12,8 +12,8 @@
 from typing import Any
 
 from flintridge import api
-from flintridge.lab.partial.lending import Lenders
-from flintridge.lab.partial.machines import Machines
+from flintridge.lab.partial.lease_fleet import LeaseProcesses
+from flintridge.lab.partial.virtual_fleet import MembershipFleet, VirtualFleet
 from flintridge.leases.demand import RequestRate
 from flintridge.leases.driver import LeaseDriver
 from flintridge.leases.fleet_limit import EVEN_FRACTION_UNITS, LeaseTerms
@@ -27,10 +27,10 @@
 SETTLE, LOOKED = 10_000.0, 10_000.0  # ms: until it is looked at, and for how long
 
 
-class Quiet(Lenders):
+class Quiet(LeaseProcesses):
     """Without the lab's own look at the sum."""
 
-    def _look(self) -> None:
+    def _check_sums(self) -> None:
         pass
 
 
@@ -105,7 +105,7 @@
     print(f"the node's hook: {statistics.median(found):.0f} ns a request")
 
 
-def fleet(fleet: Machines) -> tuple[float, float]:
+def fleet(fleet: VirtualFleet[Any]) -> tuple[float, float]:
     """Bytes a node a second, and milliseconds of CPU a node a second."""
     fleet.run(SETTLE)
     before = sent(fleet)
@@ -116,16 +116,16 @@
     return (sent(fleet) - before) / each, took * 1000 / each
 
 
-def sent(fleet: Machines) -> int:
+def sent(fleet: VirtualFleet[Any]) -> int:
     processes = [process for found in fleet.processes.values() for process in found]
-    return sum(sum(one.seconds.values()) + sum(one.exchanged.values()) for one in processes)
+    return sum(sum(one.datagram_bytes.values()) + sum(one.transfer_bytes.values()) for one in processes)
 
 
 def lease_managers(count: int) -> None:
-    alone = fleet(Machines(count, 1))
+    alone = fleet(MembershipFleet(count, 1))
     lenders = Quiet(count, 1, LeaseTerms(EVEN_FRACTION_UNITS, 250, 4_000.0))
     for i, name in enumerate(lenders.names):
-        lenders.need(name, 1.8 if i % 2 else 0.2)
+        lenders.set_demand(name, 1.8 if i % 2 else 0.2)
     both = fleet(lenders)
     held = sum(lenders.usable(name) for name in lenders.names[1::2]) / (count / 2)
     for what, alike, more in zip(("bytes", "ms of CPU"), alone, both, strict=True):
--- a/benchmarks/budgets_gain.py
+++ b/benchmarks/budgets_gain.py
@@ -21,7 +21,7 @@
 from msgspec.structs import replace
 
 from flintridge.lab.experiment.stats import bootstrap, mean
-from flintridge.lab.partial.oracle import Dealing
+from flintridge.lab.partial.allocation_oracle import AllocationMode
 from flintridge.lab.run import play
 from flintridge.lab.scenario.load import load
 from flintridge.lab.scenario.model import PeerLink, Scenario
@@ -32,12 +32,12 @@
 # and before any may have lent.
 CUTS = {"lent-cut": (-60.0, 1), "lent-third": (5.0, 3)}
 PEERS = "peers={}"
-MODES: dict[str, tuple[Dealing | None, list[str]]] = {
+MODES: dict[str, tuple[AllocationMode | None, list[str]]] = {
     "level": (None, []),
     "even": (None, []),
-    "quotas": (Dealing(tenants=True), []),
-    "floors": (Dealing(floors=True), []),
-    "oracle": (Dealing(tenants=True, floors=True), []),
+    "quotas": (AllocationMode(tenants=True), []),
+    "floors": (AllocationMode(floors=True), []),
+    "oracle": (AllocationMode(tenants=True, floors=True), []),
     "heard": (None, [PEERS]),
     "lent": (None, [PEERS, "budgets={tenants=true, floors=true}"]),
     "lent-quotas": (None, [PEERS, "budgets={tenants=true}"]),
--- a/benchmarks/budgets_leaving.py
+++ b/benchmarks/budgets_leaving.py
@@ -25,8 +25,8 @@
 from flintridge.lab.experiment.stats import bootstrap, mean
 from flintridge.lab.judge.facts import History
 from flintridge.lab.judge.figures import wishes_of
-from flintridge.lab.partial.lending import Lenders
-from flintridge.lab.partial.views import VIEW_MS
+from flintridge.lab.partial.admin_records import REPORT_INTERVAL_MS
+from flintridge.lab.partial.lease_fleet import LeaseProcesses
 from flintridge.lab.records import LeaseReported, read_records
 from flintridge.lab.run import play
 from flintridge.lab.scenario.load import load
@@ -71,7 +71,9 @@
             and 0 <= record.at_ms < LENGTH_S * 1000
             and record.limit_name.startswith("quota")
         ):
-            borrowed[int(record.at_ms // 1000)] += record.borrowed * VIEW_MS / 1000 / len(scenario.tenants)
+            borrowed[int(record.at_ms // 1000)] += (
+                record.borrowed * REPORT_INTERVAL_MS / 1000 / len(scenario.tenants)
+            )
     asked: Counter[tuple[int, str]] = Counter()
     got: Counter[tuple[int, str]] = Counter()
     for wish in wishes.values():
@@ -126,9 +128,9 @@
 
 
 def usable(how: str, stay: float, go: float, then: float) -> list[float]:
-    fleet = Lenders(10, 1, LeaseTerms(EVEN_FRACTION_UNITS, 250, 4_000.0))
+    fleet = LeaseProcesses(10, 1, LeaseTerms(EVEN_FRACTION_UNITS, 250, 4_000.0))
     for i, name in enumerate(fleet.names):
-        fleet.need(name, go if i in GONE else stay)
+        fleet.set_demand(name, go if i in GONE else stay)
     fleet.run(20_000.0 + AFTER[0])
     staying = [name for i, name in enumerate(fleet.names) if i not in GONE]
     sums = [sum(fleet.usable(name) for name in staying)]
@@ -140,11 +142,11 @@
         fleet.manager(name).begin_shutdown(fleet.living(name)[-1].clock(fleet.now))
         fleet.at(fleet.now + SERVES_ON, partial(fleet.leave, name))
     for name in staying:
-        fleet.need(name, then)
+        fleet.set_demand(name, then)
     for after in AFTER[1:]:
         fleet.run(20_000.0 + after - fleet.now)
         sums.append(sum(fleet.usable(name) for name in staying))
-    assert not fleet.over, fleet.over[0]
+    assert not fleet.violations, fleet.violations[0]
     return sums
 
 
--- a/benchmarks/peers_processes.py
+++ b/benchmarks/peers_processes.py
@@ -28,8 +28,8 @@
     async with Rig(count, seed=1) as rig:
         everyone = range(count)
         if loss:
-            rig.ways(everyone, everyone, loss=loss)
-        await rig.until(rig.all_hear, 60)
+            rig.set_link_faults(everyone, everyone, loss=loss)
+        await rig.wait_until(rig.all_reachable, 60)
         before = {name: cpu(rig.nodes._lives[name][-1]) for name in rig.names}
         began = rig.fabric.clock.now()
         await asyncio.sleep(IDLE_S)
@@ -46,14 +46,14 @@
             others = [name for name in rig.names if name != node]
             at = rig.fabric.clock.now()
             rig.kill(node)
-            await rig.until(partial(rig.all_hear, others, count - 1), 60)
+            await rig.wait_until(partial(rig.all_reachable, others, count - 1), 60)
             deaths.append(times(rig, others, at, count - 1))
             await rig.nodes.ended(node)
             at = rig.fabric.clock.now()
             await rig.nodes.start(node)
-            await rig.until(rig.all_hear, 60)
+            await rig.wait_until(rig.all_reachable, 60)
             returns.append(times(rig, others, at, count))
-        breaches = rig.breaches()
+        breaches = rig.violations()
     sizes = list(seconds.values())
     cost = statistics.mean(took) / IDLE_S * 1000
     print(f"{count} processes, {loss:.0%} lost: CPU {cost:.1f} ms a node and second,")
@@ -66,7 +66,7 @@
 def times(rig: Rig, others: list[str], at: float, heard: int) -> list[float]:
     """Seconds from `at` until each of them last came to hear so many."""
     found = {}
-    for line in rig.lines("peers_heard"):
+    for line in rig.log_lines("peers_heard"):
         if line.at_ms >= at and line.node in others and orjson.loads(line.fields)["heard"] == heard:
             found[line.node] = (line.at_ms - at) / 1000
     return sorted(found.values())
--- a/benchmarks/peers_scale.py
+++ b/benchmarks/peers_scale.py
@@ -20,7 +20,8 @@
 import time
 from concurrent.futures import ProcessPoolExecutor
 
-from flintridge.lab.partial.machines import Link, Machines
+from flintridge.lab.partial.virtual_fleet import MembershipFleet
+from flintridge.lab.partial.virtual_network import Link
 from flintridge.membership.messages import MemberState
 
 SETTLE_S, PATIENCE_MS = 25, 60_000.0
@@ -38,11 +39,13 @@
         said = " ".join(f"{value:.4g}" for value in values)
         print(f"{count} nodes, {loss}, seed {seed}: {what} {said}", file=sys.stderr, flush=True)
 
-    machines = Machines(count, seed, bytes_per_s=8_000.0, link=Link(loss=loss, jitter=2.0), key=b"k" * 32)
+    machines = MembershipFleet(
+        count, seed, bytes_per_s=8_000.0, link=Link(loss=loss, jitter_ms=2.0), key=b"k" * 32
+    )
     names = machines.names
 
     def hear(least: int) -> bool:
-        return all(machines.machine(name).reachability.reachable >= least for name in names)
+        return all(machines.detector(name).reachability.reachable >= least for name in names)
 
     begun = machines.run(PATIENCE_MS, lambda: hear(max(2, round(0.99 * count))))
     step("begun", machines.now)
@@ -53,29 +56,31 @@
     ages = sorted(
         machines.living(name)[0].clock(machines.now) - one.last_alive_at
         for name in names
-        for one in machines.machine(name).table
+        for one in machines.detector(name).table
     )
     seconds = [
         size
         for name in names
-        for second, size in machines.living(name)[0].seconds.items()
+        for second, size in machines.living(name)[0].datagram_bytes.items()
         if steady_from / 1000 <= second < steady_from / 1000 + steady_s - 1
     ]
-    most = max(max(process.seconds.values()) for name in names for process in machines.processes[name])
+    most = max(max(process.datagram_bytes.values()) for name in names for process in machines.processes[name])
     tables = max(
-        max(process.exchanged.values(), default=0) for name in names for process in machines.processes[name]
+        max(process.transfer_bytes.values(), default=0)
+        for name in names
+        for process in machines.processes[name]
     )
     step("missed, wrong, bytes, most, tables", missed, wrong, statistics.mean(seconds), most, tables)
     step("ages 1/2, 99%, CPU", ages[len(ages) // 2], ages[int(0.99 * len(ages))], cpu / count / steady_s)
     dead, rest = names[0], names[1:]
-    life = machines.machine(dead).table.incarnation
+    life = machines.detector(dead).table.incarnation
     machines.kill(dead)
     death = [
         _until(machines, part, rest, lambda name: not _reaches(machines, name, dead, life))
         for part in (0.5, 0.99)
     ]
     step("death", *death)
-    life = machines.start(dead).machine.table.incarnation
+    life = machines.start(dead).detector.table.incarnation
     back = [
         _until(machines, part, rest, lambda name: _reaches(machines, name, dead, life))
         for part in (0.5, 0.99)
@@ -90,7 +95,7 @@
         missed * 3600 / steady_s / count,
         wrong * 3600 / steady_s / count,
         ages[int(0.99 * len(ages))] / 1000,
-        machines.machine(rest[0]).max_age_ms / 1000,
+        machines.detector(rest[0]).max_age_ms / 1000,
         statistics.mean(seconds),
         most,
         tables,
@@ -98,13 +103,13 @@
     ]
 
 
-def _steady(machines: Machines, steady_s: int) -> tuple[int, int]:
+def _steady(machines: MembershipFleet, steady_s: int) -> tuple[int, int]:
     missed = wrong = 0
-    was = {name: set(machines.machine(name).table.reachable_members) for name in machines.names}
+    was = {name: set(machines.detector(name).table.reachable_members) for name in machines.names}
     for _ in range(steady_s * 2):
         machines.run(500)
         for name in machines.names:
-            reachable = set(machines.machine(name).table.reachable_members)
+            reachable = set(machines.detector(name).table.reachable_members)
             lost = was[name] - reachable
             missed += len(lost)
             wrong += sum(one.state >= MemberState.FAILED for one in lost)
@@ -112,15 +117,15 @@
     return missed, wrong
 
 
-def _reaches(machines: Machines, at: str, name: str, life: int) -> bool:
-    one = machines.machine(at).table.find(name, life)
+def _reaches(machines: MembershipFleet, at: str, name: str, life: int) -> bool:
+    one = machines.detector(at).table.find(name, life)
     return one is not None and one.reachable
 
 
 _begun: dict[int, float] = {}
 
 
-def _until(machines: Machines, part: float, rest: tuple[str, ...], knows) -> float:
+def _until(machines: MembershipFleet, part: float, rest: tuple[str, ...], knows) -> float:
     """Seconds from the call with the lesser part on."""
     if part == 0.5:
         _begun[id(machines)] = machines.now
--- a/benchmarks/replica_converge.py
+++ b/benchmarks/replica_converge.py
@@ -17,7 +17,7 @@
 import time
 from concurrent.futures import ProcessPoolExecutor
 
-from flintridge.lab.partial.copying import Keepers
+from flintridge.lab.partial.replica_fleet import ReplicaProcesses
 from flintridge.replication.comparison import SyncState
 from flintridge.replication.limits import ReplicaLimits
 from flintridge.replication.messages import encode_chunk
@@ -33,14 +33,14 @@
 def day(count: int, seed: int, entries: int, bytes_per_s: float) -> tuple[list[float], float, float, float]:
     """Each node's time in ms; until all were the same; a node's bytes; those of a whole copy."""
     # Half of the bytes are for exchanges, as in a node; the machines count the datagrams' half.
-    fleet = Keepers(count, seed, ReplicaLimits(max_entries=100_000), bytes_per_s=bytes_per_s / 2)
+    fleet = ReplicaProcesses(count, seed, ReplicaLimits(max_entries=100_000), bytes_per_s=bytes_per_s / 2)
 
     def write(copy: Replica, now: float) -> None:
         for i in range(entries):
             copy.write(now, ("note", f"before-{i}"), NOTE, "ann", "so that there is something")
 
     fleet.run(100.0)
-    fleet.fill(write)
+    fleet.initialize(write)
     fleet.run(WARM)
     half = fleet.names[: count // 2], fleet.names[count // 2 :]
     fleet.cut(*half)
@@ -49,21 +49,24 @@
         for side in (0, 1):
             name = half[side][i % len(half[side])]
             key = ("note", f"both-{i}" if i < BOTH else f"half-{side}-{i}")
-            fleet.keeper(name).copy.write(fleet.clock(name), key, NOTE, "bob", "during the cut")
+            fleet.detector(name).replica.write(fleet.clock(name), key, NOTE, "bob", "during the cut")
     fleet.heal()
     healed = fleet.now
     before = [_bytes(fleet, name) for name in fleet.names]
-    roots = {name: fleet.keeper(name).copy.root() for name in fleet.names}
+    roots = {name: fleet.detector(name).replica.root() for name in fleet.names}
     last = dict.fromkeys(fleet.names, 0.0)
-    while not fleet.same() or len(fleet.keeper(fleet.names[0]).copy.entries) < entries + 2 * WRITES - BOTH:
+    while (
+        not fleet.have_equal_roots()
+        or len(fleet.detector(fleet.names[0]).replica.entries) < entries + 2 * WRITES - BOTH
+    ):
         fleet.run(STEP)
         for name in fleet.names:
-            if (root := fleet.keeper(name).copy.root()) != roots[name]:
+            if (root := fleet.detector(name).replica.root()) != roots[name]:
                 roots[name], last[name] = root, fleet.now - healed
         if fleet.now > healed + MOST:
             raise RuntimeError(f"{count} nodes, seed {seed}: not the same after {MOST:g} ms")
     spent = [_bytes(fleet, name) - then for name, then in zip(fleet.names, before, strict=True)]
-    one = fleet.keeper(fleet.names[0]).copy
+    one = fleet.detector(fleet.names[0]).replica
     none = Replica(("x", 1), one.limits, 0.0)
     chunk = one.make_chunk(none.next_request(one.writer), 1 << 30)
     whole = sum(map(len, encode_chunk(one.writer, chunk, fleet.clock(fleet.names[0]))))
@@ -72,7 +75,7 @@
 
 def returned(count: int, entries: int, bytes_per_s: float) -> tuple[float, float]:
     """How long a node that starts empty takes to catch up, in ms; the bytes that were sent for it."""
-    fleet = Keepers(
+    fleet = ReplicaProcesses(
         count, 1, ReplicaLimits(max_entries=100_000, sync_wait_ms=1e9), bytes_per_s=bytes_per_s / 2
     )
 
@@ -81,7 +84,7 @@
             copy.write(now, ("note", f"before-{i}"), NOTE, "ann", "so that there is something")
 
     fleet.run(100.0)
-    fleet.fill(write)
+    fleet.initialize(write)
     fleet.run(WARM)
     name = fleet.names[0]
     fleet.kill(name)
@@ -89,13 +92,13 @@
     sent = sum(_bytes(fleet, other) for other in fleet.names[1:])
     fleet.start(name)
     began = fleet.now
-    fleet.run(MOST, lambda: fleet.keeper(name).copy.sync_state is SyncState.SYNCHRONIZED)
+    fleet.run(MOST, lambda: fleet.detector(name).replica.sync_state is SyncState.SYNCHRONIZED)
     return fleet.now - began, sum(_bytes(fleet, other) for other in fleet.names[1:]) - sent
 
 
-def _bytes(fleet: Keepers, name: str) -> int:
-    keeper = fleet.keeper(name)
-    return keeper.spread.sent + keeper.exchange_bytes
+def _bytes(fleet: ReplicaProcesses, name: str) -> int:
+    keeper = fleet.detector(name)
+    return keeper.spreader.bytes_sent + keeper.exchange_bytes
 
 
 def main() -> None:
--- a/benchmarks/replica_days.py
+++ b/benchmarks/replica_days.py
@@ -11,7 +11,7 @@
 from concurrent.futures import ProcessPoolExecutor
 from functools import partial
 
-from flintridge.lab.partial.copying import random_day
+from flintridge.lab.partial.replica_run import random_run
 
 
 def main() -> None:
@@ -21,17 +21,20 @@
     given = asked.parse_args()
     os.nice(10)
     with ProcessPoolExecutor(2) as pool:
-        days = list(pool.map(partial(random_day, count=given.count), range(given.days)))
+        days = list(pool.map(partial(random_run, count=given.count), range(given.days)))
     for one in days:
-        for line in one.wrong:
+        for line in one.violations:
             print(f"seed {one.seed}: {line}")
     sums = {
-        name: sum(getattr(one, name) for one in days) for name in ("writes", "acknowledged", "kills", "cuts")
+        "writes": sum(one.write_count for one in days),
+        "acknowledged": sum(one.acknowledged_count for one in days),
+        "kills": sum(one.kill_count for one in days),
+        "cuts": sum(one.partition_count for one in days),
     }
-    settled = sorted(one.settled_ms / 1000 for one in days)
+    settled = sorted(one.convergence_ms / 1000 for one in days)
     print(f"{len(days)} days of {given.count} nodes: {sums}")
     print(f"alike after the last fault: median {settled[len(days) // 2]:.1f} s, longest {settled[-1]:.1f} s")
-    sys.exit(any(one.wrong for one in days))
+    sys.exit(any(one.violations for one in days))
 
 
 if __name__ == "__main__":
--- a/flintridge/lab/backend/loopback.py
+++ b/flintridge/lab/backend/loopback.py
@@ -12,8 +12,8 @@
 from flintridge.lab.backend.loopback_fabric import LoopbackFabric, precise_loop, raise_descriptor_limit
 from flintridge.lab.backend.processes import ProcessNodes
 from flintridge.lab.fabric import Fabric, NodeRunner
-from flintridge.lab.partial.peernet import PeerNet
-from flintridge.lab.partial.views import KEY
+from flintridge.lab.partial.admin_records import KEY
+from flintridge.lab.partial.peer_network import PeerNetwork
 from flintridge.lab.records import RecordLog
 from flintridge.lab.scenario.model import Scenario
 from flintridge.lab.seeds import Seeds
@@ -109,7 +109,7 @@
     if scenario.peers is not None:
         key_file = nodes.folder / "key"
         key_file.write_bytes(KEY)
-        nodes.peers = PeerNet(fabric, log, scenario.peers, tuple(world.nodes), str(key_file))
+        nodes.peers = PeerNetwork(fabric, log, scenario.peers, tuple(world.nodes), str(key_file))
         if scenario.budgets is not None:
             nodes.peers.tables["budgets"] = msgspec.to_builtins(scenario.budgets)
     return nodes
--- a/flintridge/lab/backend/processes.py
+++ b/flintridge/lab/backend/processes.py
@@ -23,7 +23,7 @@
 from flintridge.lab.backend.node_faults import NodeFaults
 from flintridge.lab.fabric import Fabric, RunClock
 from flintridge.lab.faults.injection import SystemState
-from flintridge.lab.partial.peernet import PeerNet
+from flintridge.lab.partial.peer_network import PeerNetwork
 from flintridge.lab.records import ConnectionCount, NodeLogLine, NodeStateChanged, RecordLog
 from flintridge.lab.scenario.model import Scenario, keeps_lines
 
@@ -188,7 +188,7 @@
     ) -> None:
         """`command` starts a node; `leave_s` is what nodes are given at the end before they are killed;
         `clients_of` counts the connections that clients hold to a node."""
-        self.peers: PeerNet | None = None  # set before the first start where the nodes hear one another
+        self.peers: PeerNetwork | None = None  # set before the first start where the nodes hear one another
         self._keeps_lines = keeps_lines(scenario)
         longest = max(known.deadline_ms for known in scenario.classes) / 1000
         self._fabric = fabric
@@ -403,7 +403,7 @@
     def _write_config(self, node: str, config: dict[str, Any]) -> None:
         """Whole or not at all: a node that reads it just now must not see half of it."""
         if self.peers is not None:
-            config = self.peers.own(node, config)
+            config = self.peers.node_file(node, config)
         new = self._path(node).with_suffix(".new")
         new.write_text(json.dumps(config))
         new.replace(self._path(node))
--- a/flintridge/lab/backend/virtual.py
+++ b/flintridge/lab/backend/virtual.py
@@ -20,7 +20,14 @@
 from flintridge.config.platform_config import node_config
 from flintridge.lab.fabric import Links, Listener, RunClock
 from flintridge.lab.faults.injection import SOUND, Injector, SystemState
-from flintridge.lab.partial.views import FLEET, KEY, VIEW_MS, datagram_of, held_of, view_of
+from flintridge.lab.partial.admin_records import (
+    FLEET,
+    KEY,
+    REPORT_INTERVAL_MS,
+    datagram_record,
+    lease_records,
+    membership_record,
+)
 from flintridge.lab.records import ConnectionCount, NodeLogLine, NodeStateChanged, RecordLog
 from flintridge.lab.scenario.model import Budgets, Peers
 from flintridge.lab.virtual import Host, VirtualLoop
@@ -152,7 +159,7 @@
         codec = MessageCodec(FLEET, KEY if self.part.sealed else None)
 
         def seen(source: str, target: str, data: bytes, fate: str) -> None:
-            log.add(datagram_of(codec, fabric.clock.now(), source, target, data, fate))
+            log.add(datagram_record(codec, fabric.clock.now(), source, target, data, fate))
 
         return seen
 
@@ -352,17 +359,17 @@
             self._log.add(NodeLogLine(at_ms=self._fabric.clock.now(), node=node, event=event, fields=told))
 
     def _look_at_peers(self) -> None:
-        self._viewer = self._fabric.clock.call_later(VIEW_MS, self._look_at_peers)
+        self._viewer = self._fabric.clock.call_later(REPORT_INTERVAL_MS, self._look_at_peers)
         now = self._fabric.clock.now()
         for name, life in self._lives.items():
             if not self.running(name) or life.node is None:
                 continue
             if life.node.membership is not None and not self._fabric.network.host(name).paused:
                 said = life.node.membership.admin_view().fields
-                self._log.add(view_of(now, name, said))
+                self._log.add(membership_record(now, name, said))
             if life.node.leases is not None:  # also of one that stands still: it may use it once it goes on
                 said = life.node.leases.admin_status().fields
-                for held in held_of(now, name, said):
+                for held in lease_records(now, name, said):
                     self._log.add(held)
 
     def running(self, node: str) -> bool:
--- a/flintridge/lab/partial/__init__.py
+++ b/flintridge/lab/partial/__init__.py
@@ -1,6 +1,7 @@
-"""Several nodes that hear one another, and all that can happen between them.
+"""Several nodes that reach one another, and the partial failures between them.
 
-`machines`: the peers' state machines alone in virtual time, hundreds of them. `relay`: datagrams and streams
-between real processes, each direction of each pair by itself, with faults. `rig`: real processes of the
-unmodified program with relays between any two, and one history of all that was seen, which judges read.
+In virtual time, hundreds of processes without the rest of the node: `virtual_fleet` (failure detectors),
+`replica_fleet` and `replica_run` (replicas), `lease_fleet` (leases), with the faults of `random_faults`.
+With real processes: `relay` (datagrams and streams between them, each direction by itself), `peer_network`
+(all relays, and what the admin APIs report), `rig` (the unmodified program, driven by a test).
 """
--- a/flintridge/lab/partial/relay.py
+++ b/flintridge/lab/partial/relay.py
@@ -1,131 +1,169 @@
 """Relays between real processes, one for each direction of each pair, over the lab's links.
 
-Node `a` knows its peer `b` by the address of the relay from a to b, which passes on what the link from a to b
-lets through, when and as often as that link has it. On a stream the bytes back go by the link from b to a.
+Node `a` reaches its peer `b` by the address of the relay from a to b, which forwards what the link from a to
+b lets through, when and as often as that link does. On a stream the bytes back take the link from b to a.
 """
 
 import asyncio
 from collections.abc import Callable
+from dataclasses import dataclass
 from typing import Any
 
 from flintridge.lab.fabric import RunClock
-from flintridge.lab.world.link import SimulatedLink
+from flintridge.lab.world.link import UP, SimulatedLink
 
-CHUNK = 16 * 1024
-LOOK_MS = 20.0  # how often a stream that passes nothing looks whether its link is up again
+CHUNK_BYTES = 16 * 1024
+CUT_POLL_INTERVAL_MS = 20.0  # how often a stream over a cut link checks whether it is up again
 
-Passed = Callable[[str, str, bytes, str], None]
+SocketAddress = tuple[str, int]
+DatagramObserver = Callable[[str, str, bytes, str], None]  # source, target, data, outcome
+
+
+@dataclass(slots=True, frozen=True)
+class RelayRoute:
+    """From where to where a relay forwards.
+
+    Attributes:
+        source: The node whose datagrams and streams it forwards.
+        target: The node to which they go.
+        listen_address: Where it receives them.
+        target_address: Where that node receives them.
+        forward_link: From `source` to `target`.
+        return_link: Back.
+    """
+
+    source: str
+    target: str
+    listen_address: SocketAddress
+    target_address: SocketAddress
+    forward_link: SimulatedLink
+    return_link: SimulatedLink
 
 
 class Relay:
-    """From `source` to `target`. `passed` is told each datagram's fate: passed, doubled, lost, cut."""
-
-    def __init__(
-        self,
-        source: str,
-        target: str,
-        listen: tuple[str, int],
-        to: tuple[str, int],
-        links: tuple[SimulatedLink, SimulatedLink],
-        clock: RunClock,
-        passed: Passed,
-    ) -> None:
-        """`links`: the way there, and the way back."""
-        self.source, self.target, self.listen, self.to = source, target, listen, to
-        self._out, self._back = links
-        self._clock, self._passed = clock, passed
+    """Forwards datagrams and streams along a route."""
+
+    def __init__(self, route: RelayRoute, clock: RunClock, observe: DatagramObserver) -> None:
+        """Prepare a relay.
+
+        Args:
+            route: From where to where.
+            clock: Of the run.
+            observe: Called with each datagram and its outcome: passed, doubled, lost or cut.
+        """
+        self.route = route
+        self._clock = clock
+        self._observe = observe
         self._transport: asyncio.DatagramTransport | None = None
         self._server: asyncio.Server | None = None
-        self._tasks: dict[asyncio.Task[Any], None] = {}
-        self._closed = False
+        self._stream_tasks: dict[asyncio.Task[Any], None] = {}  # in the order of their start
+        self._is_closed = False
 
     async def open(self) -> None:
-        """Raises OSError where its address can't be had."""
+        """Listen for datagrams and streams.
+
+        Raises:
+            OSError: The address cannot be bound.
+        """
         loop = asyncio.get_running_loop()
-        transport, _ = await loop.create_datagram_endpoint(lambda: _Datagrams(self), local_addr=self.listen)
+        address = self.route.listen_address
+        transport, _ = await loop.create_datagram_endpoint(
+            lambda: _DatagramReceiver(self), local_addr=address
+        )
         self._transport = transport
-        self._server = await asyncio.start_server(self._accepted, *self.listen)
+        self._server = await asyncio.start_server(self._serve_stream, *address)
 
     def close(self) -> None:
-        self._closed = True
+        """Stop listening, and end all streams."""
+        self._is_closed = True
         if self._transport is not None:
             self._transport.close()
         if self._server is not None:
             self._server.close()
-        for task in list(self._tasks):
+        for task in list(self._stream_tasks):
             task.cancel()
 
     @property
-    def streams(self) -> int:
-        """How many are open."""
-        return len(self._tasks)
+    def stream_count(self) -> int:
+        """How many streams are open."""
+        return len(self._stream_tasks)
 
     # Datagrams
 
-    def taken(self, data: bytes) -> None:
-        link = self._out
-        if link.state != "up":
-            self._passed(self.source, self.target, data, "cut")
+    def relay_datagram(self, data: bytes) -> None:
+        """Forward a datagram as the link does: lost, delayed, duplicated."""
+        link = self.route.forward_link
+        if link.state != UP:
+            self._report(data, "cut")
         elif link.lost():
-            self._passed(self.source, self.target, data, "lost")
+            self._report(data, "lost")
         else:
-            fates = ("passed", "doubled") if link.duplicated() else ("passed",)
-            for fate in fates:
-                self._clock.call_later(link.delay(self._clock.now(), len(data)), self._arrive, data, fate)
+            outcomes = ("passed", "doubled") if link.duplicated() else ("passed",)
+            for outcome in outcomes:
+                delay_ms = link.delay(self._clock.now(), len(data))
+                self._clock.call_later(delay_ms, self._deliver, data, outcome)
 
-    def _arrive(self, data: bytes, fate: str) -> None:
-        if self._closed or self._transport is None:
+    def _report(self, data: bytes, outcome: str) -> None:
+        self._observe(self.route.source, self.route.target, data, outcome)
+
+    def _deliver(self, data: bytes, outcome: str) -> None:
+        if self._is_closed or self._transport is None:
+            return
+        if self.route.forward_link.state != UP:  # cut while the datagram was on its way
+            self._report(data, "cut")
             return
-        up = self._out.state == "up"  # it counts when a datagram arrives, too
-        self._passed(self.source, self.target, data, fate if up else "cut")
-        if up:
-            self._transport.sendto(data, self.to)
+        self._report(data, outcome)
+        self._transport.sendto(data, self.route.target_address)
 
     # Streams
 
-    async def _accepted(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def _serve_stream(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         task = asyncio.current_task()
         assert task is not None
-        self._tasks[task] = None
-        there: asyncio.StreamWriter | None = None
+        self._stream_tasks[task] = None
+        target_writer: asyncio.StreamWriter | None = None
+        route = self.route
         try:
-            await self._way(self._out, 0)
-            answers, there = await asyncio.open_connection(*self.to)
+            await self._traverse(route.forward_link, 0)
+            target_reader, target_writer = await asyncio.open_connection(*route.target_address)
             await asyncio.gather(
-                self._pump(reader, there, self._out), self._pump(answers, writer, self._back)
+                self._copy(reader, target_writer, route.forward_link),
+                self._copy(target_reader, writer, route.return_link),
             )
         except OSError:
-            pass  # one side is gone: the other hears of it
+            pass  # one side has closed: the abort below notifies the other
         except asyncio.CancelledError:
-            if not self._closed:
+            if not self._is_closed:
                 raise
         finally:
-            del self._tasks[task]
-            for one in (writer, there):
-                if one is not None:
-                    one.transport.abort()
+            del self._stream_tasks[task]
+            writer.transport.abort()
+            if target_writer is not None:
+                target_writer.transport.abort()
 
-    async def _pump(
+    async def _copy(
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, link: SimulatedLink
     ) -> None:
-        while data := await reader.read(CHUNK):
-            await self._way(link, len(data))
+        while data := await reader.read(CHUNK_BYTES):
+            await self._traverse(link, len(data))
             writer.write(data)
             await writer.drain()
-        await self._way(link, 0)
+        await self._traverse(link, 0)
         if writer.can_write_eof():
             writer.write_eof()
 
-    async def _way(self, link: SimulatedLink, size: int) -> None:
-        """A stream loses nothing: while its link is cut it stands still."""
-        while link.state != "up":
-            await asyncio.sleep(LOOK_MS / 1000)
+    async def _traverse(self, link: SimulatedLink, size: int) -> None:
+        """Wait as long as that many bytes take; a stream loses nothing: it waits while its link is cut."""
+        is_up = link.state == UP
+        while not is_up:
+            await asyncio.sleep(CUT_POLL_INTERVAL_MS / 1000)
+            is_up = link.state == UP
         await asyncio.sleep(link.delay(self._clock.now(), size) / 1000)
 
 
-class _Datagrams(asyncio.DatagramProtocol):
+class _DatagramReceiver(asyncio.DatagramProtocol):
     def __init__(self, relay: Relay) -> None:
         self._relay = relay
 
     def datagram_received(self, data: bytes, addr: Any) -> None:
-        self._relay.taken(data)
+        self._relay.relay_datagram(data)
--- a/flintridge/lab/partial/rig.py
+++ b/flintridge/lab/partial/rig.py
@@ -1,18 +1,20 @@
-"""A rig to drive by hand: real processes of the unmodified program, with faults between them.
+"""A rig for tests: real processes of the unmodified program, with faults between them that the test sets.
 
-It is a day of the lab without its timeline: the same stand-ins, relays, consoles and records. Tests wait for
-what they want to see, with a bound, and judge the records at the end.
+It is a run of the lab without its timeline, with the same simulated servers, relays, admin APIs and records.
+Tests wait for what they want to see, with a bound, and check the records at the end.
 
     async with Rig(5, seed=3) as rig:
-        await rig.until(rig.all_hear)
+        await rig.wait_until(rig.all_reachable)
         rig.cut([0], [1, 2])
-        await rig.until(lambda: rig.heard("n0") == 3)
-        assert not rig.breaches()
+        await rig.wait_until(lambda: rig.reachable_count("n0") == 3)
+        assert not rig.violations()
 """
 
 import asyncio
+import itertools
 import time
-from collections.abc import Callable, Sequence
+from collections.abc import Callable, Mapping, Sequence
+from dataclasses import fields
 from types import TracebackType
 from typing import Any
 
@@ -26,6 +28,8 @@
 from flintridge.lab.judge.rules import budgets as budget_rules
 from flintridge.lab.judge.rules import peers as peer_rules
 from flintridge.lab.load.driver import Load as Clients
+from flintridge.lab.partial.node_file_format import JsonObject
+from flintridge.lab.partial.peer_network import MEMBERSHIP_PATH
 from flintridge.lab.records import LinkFaultChanged, MembershipReported, NodeLogLine, RecordLog
 from flintridge.lab.result import Violation
 from flintridge.lab.run import READY_MS, Announced
@@ -36,36 +40,61 @@
 from flintridge.lab.world.link import NO_FAULT, LinkFault
 from flintridge.lab.world.link_table import LinkTable
 
-PATIENCE_S = 30.0  # for what a test waits for; a machine that is busy with other jobs takes longer
-LOOK_S = 0.05
+WAIT_TIMEOUT_S = 30.0  # of whatever a test waits for; enough on a busy machine
+POLL_INTERVAL_S = 0.05
+REPORT_MAX_AGE_MS = 2_000
+CHECKED_LENGTH_S = 86_400.0  # longer than any test
 
 
 class Rig:
-    """`count` nodes n0, n1 ... as processes; leave the block and nothing of them is left."""
+    """Nodes n0, n1 ... as processes, from the start of an `async with` block to its end.
+
+    Attributes:
+        scenario: Whose servers, links and load there are.
+        names: The nodes.
+        log: All records.
+        links: Between the nodes, within the block.
+        fabric: Of addresses and the clock, within the block.
+        fleet: The simulated servers, within the block.
+        nodes: The processes, within the block.
+        network: Between them, within the block.
+        runner: Starts and ends nodes with notice to the clients, within the block.
+    """
 
     def __init__(
         self,
         count: int,
         seed: int = 1,
         scenario: Scenario | None = None,
-        tables: dict[str, dict[str, Any]] | None = None,
+        tables: Mapping[str, Any] | None = None,
         loaded: bool = False,
-        **parts: Any,
+        **scenario_changes: Any,
     ) -> None:
-        """`scenario`: the day's world, where a test needs another one than the usual of the lab. `parts`: of
-        it, by the names of `Scenario` (`budgets`, `tenants`, `load` ...). `tables`: further tables of each
-        node's configuration. `loaded`: clients send what the scenario says as long as the block lasts."""
+        """Prepare a rig.
+
+        Args:
+            count: How many nodes.
+            seed: Of all random draws.
+            scenario: Where a test needs another one than the lab's usual.
+            tables: Further tables of each node's configuration.
+            loaded: Whether clients send what the scenario says as long as the block lasts.
+            **scenario_changes: By the names of `Scenario` (`budgets`, `tenants`, `load` ...).
+        """
         self.scenario = scenario or Scenario(
-            name="rig", nodes=Nodes(count=count), peers=Peers(), load=Load(rate_per_s=1.0), length_s=3600.0,
+            name="rig",
+            nodes=Nodes(count=count),
+            peers=Peers(),
+            load=Load(rate_per_s=1.0),
+            length_s=3600.0,
             classes=(RequestClass(name="read"),),
-        )  # fmt: skip
-        self.scenario = msgspec.structs.replace(self.scenario, **parts)
+        )
+        self.scenario = msgspec.structs.replace(self.scenario, **scenario_changes)
         self.names = tuple(f"n{i}" for i in range(count))
         self.log = RecordLog()
         self._seed = seed
         self._tables = tables or {}
-        self._loaded = loaded
-        self._load: Clients | None = None
+        self._is_loaded = loaded
+        self._clients: Clients | None = None
         self._sending: asyncio.Task[None] | None = None
 
     async def __aenter__(self) -> "Rig":
@@ -74,31 +103,33 @@
         self.links = LinkTable(self.scenario.links, seeds)
         self.fabric = LoopbackFabric(self.links)
         truth = GroundTruth()
-        self.world = SimulatedFleet(self.scenario, seeds, self.log, self.fabric, truth)
-        self.nodes = process_nodes(self.fabric, self.log, self.scenario, self.world)
+        self.fleet = SimulatedFleet(self.scenario, seeds, self.log, self.fabric, truth)
+        self.nodes = process_nodes(self.fabric, self.log, self.scenario, self.fleet)
         assert self.nodes.peers is not None
-        self.net = self.nodes.peers
-        self.net.tables |= self._tables
+        self.network = self.nodes.peers
+        self.network.tables |= self._tables
         self.runner: NodeRunner = self.nodes
         try:
-            await self.world.open()
-            if self._loaded:
-                world = self.world
-                self._load = Clients(
-                    self.scenario, seeds, self.log, truth, self.fabric, world.nodes, world.node_zones
-                )
-                await self._load.start()
-                self.runner = Announced(self.nodes, self._load)
-            for name in self.names:
-                await self.runner.start(name)
-            if self._load is not None:
-                await self._load.ready(READY_MS)
-                self._sending = asyncio.ensure_future(self._load.run())
+            await self._start(seeds, truth)
         except BaseException:
             await self._close()
             raise
         return self
 
+    async def _start(self, seeds: Seeds, truth: GroundTruth) -> None:
+        await self.fleet.open()
+        if self._is_loaded:
+            self._clients = Clients(
+                self.scenario, seeds, self.log, truth, self.fabric, self.fleet.nodes, self.fleet.node_zones
+            )
+            await self._clients.start()
+            self.runner = Announced(self.nodes, self._clients)
+        for name in self.names:
+            await self.runner.start(name)
+        if self._clients is not None:
+            await self._clients.ready(READY_MS)
+            self._sending = asyncio.ensure_future(self._clients.run())
+
     async def __aexit__(
         self, kind: type[BaseException] | None, error: BaseException | None, trace: TracebackType | None
     ) -> None:
@@ -109,102 +140,136 @@
         if self._sending is not None:
             self._sending.cancel()
             await asyncio.gather(self._sending, return_exceptions=True)
-        if self._load is not None:
-            await self._load.close()
+        if self._clients is not None:
+            await self._clients.close()
         await self.nodes.close()
-        await self.world.close()
+        await self.fleet.close()
         self.fabric.close()
 
     # Faults
 
-    def way(self, source: str, target: str, **wrong: Any) -> None:
-        """What is wrong from now on in that direction, by the names of `LinkFault`; nothing: it is sound."""
-        fault = LinkFault(**wrong)
+    def set_link_fault(self, source: str, target: str, **fault_fields: Any) -> None:
+        """Set the fault of one direction.
+
+        Args:
+            source: The node from which it goes.
+            target: The node to which it goes.
+            **fault_fields: By the names of `LinkFault`; none for a link without fault.
+        """
+        fault = LinkFault(**fault_fields)
         self.links.set_fault(source, target, fault)
-        told = {name: getattr(fault, name) for name in LinkFault.__dataclass_fields__}
-        self.log.add(LinkFaultChanged(at_ms=self.fabric.clock.now(), source=source, target=target, **told))
+        recorded = {field.name: getattr(fault, field.name) for field in fields(LinkFault)}
+        self.log.add(
+            LinkFaultChanged(at_ms=self.fabric.clock.now(), source=source, target=target, **recorded)
+        )
 
-    def ways(self, sources: Sequence[int], targets: Sequence[int], both: bool = True, **wrong: Any) -> None:
-        for a in sources:
-            for b in targets:
-                self.way(self.names[a], self.names[b], **wrong)
-                if both:
-                    self.way(self.names[b], self.names[a], **wrong)
+    def set_link_faults(
+        self, sources: Sequence[int], targets: Sequence[int], both: bool = True, **fault_fields: Any
+    ) -> None:
+        """Set the fault of all links from `sources` to `targets`, nodes by number, and back if `both`."""
+        for source, target in itertools.product(sources, targets):
+            self.set_link_fault(self.names[source], self.names[target], **fault_fields)
+            if both:
+                self.set_link_fault(self.names[target], self.names[source], **fault_fields)
 
     def cut(self, sources: Sequence[int], targets: Sequence[int], both: bool = True) -> None:
-        self.ways(sources, targets, both, cut=True)
+        """Cut all links from `sources` to `targets`, nodes by number, and back if `both`."""
+        self.set_link_faults(sources, targets, both, cut=True)
 
     def heal(self) -> None:
-        for a in self.names:
-            for b in self.names:
-                if a != b and self.links.link(a, b).fault is not NO_FAULT:
-                    self.way(a, b)
+        """End all link faults."""
+        for source, target in itertools.permutations(self.names, 2):
+            if self.links.link(source, target).fault is not NO_FAULT:
+                self.set_link_fault(source, target)
 
     def kill(self, node: str) -> None:
+        """Kill a node's process."""
         self.runner.kill(node)
-        self.world.node_stopped(node)
+        self.fleet.node_stopped(node)
 
-    # What is seen
+    # Observation
 
-    def view(self, node: str, since: float = float("-inf")) -> MembershipReported | None:
-        """The newest view that its console gave, where that is not older than `since` (ms of the day)."""
+    def last_report(self, node: str, since_ms: float = float("-inf")) -> MembershipReported | None:
+        """Return a node's newest report on membership; None where none is as new as `since_ms`."""
         for record in reversed(self.log.records):
-            if record.at_ms < since:
+            if record.at_ms < since_ms:
                 break
             if isinstance(record, MembershipReported) and record.node == node:
                 return record
         return None
 
-    def heard(self, node: str) -> int:
-        """How many names it hears, itself included; 0 where its console has said nothing in the last 2 s."""
-        view = self.view(node, self.fabric.clock.now() - 2_000)
-        return 0 if view is None else view.reachable
+    def reachable_count(self, node: str) -> int:
+        """Return how many nodes are reachable from one, itself included.
+
+        It is 0 where the node has reported nothing in the last `REPORT_MAX_AGE_MS`.
+        """
+        report = self.last_report(node, self.fabric.clock.now() - REPORT_MAX_AGE_MS)
+        return 0 if report is None else report.reachable
 
-    def all_hear(self, nodes: Sequence[str] = (), count: int | None = None) -> bool:
-        want = len(self.names) if count is None else count
-        return all(self.heard(node) == want for node in nodes or self.names)
+    def all_reachable(self, nodes: Sequence[str] = (), count: int | None = None) -> bool:
+        """Whether `count` nodes, or all, are reachable from each of `nodes`, or of all."""
+        required = len(self.names) if count is None else count
+        return all(self.reachable_count(node) == required for node in nodes or self.names)
 
-    def standings(self, node: str, of: str) -> list[str]:
-        """The states of the lives of a name, as that node's console last told them."""
-        view = self.view(node)
-        return [] if view is None else sorted(state for name, _, state, _ in view.members if name == of)
+    def member_states(self, node: str, name: str) -> list[str]:
+        """Return the states of the incarnations of `name`, as `node` last reported them."""
+        report = self.last_report(node)
+        if report is None:
+            return []
+        return sorted(state for member, _, state, _ in report.members if member == name)
 
-    def lines(self, event: str, node: str | None = None) -> list[NodeLogLine]:
+    def log_lines(self, event: str, node: str | None = None) -> list[NodeLogLine]:
+        """Return the lines of that event in a node's log, or in all nodes' logs."""
         return [
             record
             for record in self.log.records
             if isinstance(record, NodeLogLine) and record.event == event and node in (None, record.node)
         ]
 
-    async def until(self, holds: Callable[[], bool], patience_s: float = PATIENCE_S) -> None:
-        """Raises TimeoutError with the last views where it never does."""
-        end = time.monotonic() + patience_s
-        while not holds():
+    async def wait_until(self, condition: Callable[[], bool], timeout_s: float = WAIT_TIMEOUT_S) -> None:
+        """Wait until a condition holds.
+
+        Raises:
+            TimeoutError: It did not within `timeout_s`; the message has the last reports.
+        """
+        end = time.monotonic() + timeout_s
+        while not condition():
             if time.monotonic() > end:
-                views = {node: self.view(node) for node in self.names}
-                told = {
-                    n: v and (v.reachable, v.member_count, [one[:3] for one in v.members])
-                    for n, v in views.items()
-                }
-                raise TimeoutError(f"it did not come to hold within {patience_s:g} s; last views: {told}")
-            await asyncio.sleep(LOOK_S)
-
-    async def console(
-        self, node: str, path: str = "/admin/peers", method: str = "GET", body: bytes = b""
-    ) -> dict[str, Any] | None:
-        return await self.net.ask(node, path, method, body)
-
-    async def told(self, node: str, holds: Callable[[dict[str, int]], bool]) -> None:
-        """Wait until that holds of the counts on a node's console. Raises TimeoutError."""
-        async with asyncio.timeout(PATIENCE_S):
-            while (said := await self.console(node)) is None or not holds(said["counts"]):
-                await asyncio.sleep(LOOK_S)
-
-    def breaches(self) -> list[Violation]:
-        """Of the rules on peers and on budgets, by the records alone."""
-        scenario = msgspec.structs.replace(self.scenario, length_s=86_400.0)
-        day = History(self.log, scenario, "loopback")
+                reports = {node: self._describe_report(node) for node in self.names}
+                raise TimeoutError(f"it did not come to hold within {timeout_s:g} s; last views: {reports}")
+            await asyncio.sleep(POLL_INTERVAL_S)
+
+    def _describe_report(self, node: str) -> str:
+        report = self.last_report(node)
+        if report is None:
+            return "none"
+        members = [member[:3] for member in report.members]
+        return f"{report.reachable} of {report.member_count}: {members}"
+
+    async def request_admin(
+        self, node: str, path: str = MEMBERSHIP_PATH, method: str = "GET", body: bytes = b""
+    ) -> JsonObject | None:
+        """Return what a node's admin API responds; None where it does not in time."""
+        return await self.network.request_admin(node, path, method, body)
+
+    async def wait_for_counters(self, node: str, condition: Callable[[dict[str, int]], bool]) -> None:
+        """Wait until a condition holds of the counters of a node's admin API.
+
+        Raises:
+            TimeoutError: It did not within `WAIT_TIMEOUT_S`.
+        """
+        async with asyncio.timeout(WAIT_TIMEOUT_S):
+            while True:
+                response = await self.request_admin(node)
+                if response is not None and condition(response["counts"]):
+                    return
+                await asyncio.sleep(POLL_INTERVAL_S)
+
+    def violations(self) -> list[Violation]:
+        """Return the violations of the rules on peers and on budgets, by the records alone."""
+        scenario = msgspec.structs.replace(self.scenario, length_s=CHECKED_LENGTH_S)
+        history = History(self.log, scenario, "loopback")
         findings = Findings((*peer_rules.RULES, *budget_rules.RULES))
-        peer_rules.check(day, findings)
-        budget_rules.check(day, findings)
+        peer_rules.check(history, findings)
+        budget_rules.check(history, findings)
         return findings.violations
--- a/flintridge/lab/run.py
+++ b/flintridge/lab/run.py
@@ -19,7 +19,7 @@
 from flintridge.lab.load.driver import Load
 from flintridge.lab.load.requests import Drawn
 from flintridge.lab.load.trace import write as write_trace
-from flintridge.lab.partial.oracle import Dealing, Oracle
+from flintridge.lab.partial.allocation_oracle import AllocationMode, AllocationOracle
 from flintridge.lab.records import NodeStateChanged, RecordLog
 from flintridge.lab.result import Result
 from flintridge.lab.scenario.model import FolderErrors, NodeDrain, Scenario, Span, keeps_lines
@@ -45,7 +45,7 @@
     defect: str | None = None,
     events: Path | None = None,
     trace: Path | None = None,
-    dealing: Dealing | None = None,
+    dealing: AllocationMode | None = None,
 ) -> Result:
     """Play a day and judge it.
 
@@ -186,7 +186,7 @@
     log: RecordLog,
     defect: str | None,
     playing: Callable[..., Any],
-    dealing: Dealing | None = None,
+    dealing: AllocationMode | None = None,
 ) -> tuple[str, dict[str, Any]]:
     seeds = Seeds(seed)
     links = LinkTable(scenario.links, seeds)
@@ -205,7 +205,7 @@
         plants: list[Callable[[Node], object]] = [] if defect is None else [DEFECTS[defect].apply]
         if dealing is not None:
             tenants = [tenant.name for tenant in scenario.tenants]
-            plants.append(Oracle(dealing, log, fabric.clock, list(world.nodes), tenants).plant)
+            plants.append(AllocationOracle(dealing, log, fabric.clock, list(world.nodes), tenants).attach)
 
         def plant(node: Node) -> None:
             for each in plants:
--- a/tests/leases/test_lease_manager.py
+++ b/tests/leases/test_lease_manager.py
@@ -9,8 +9,8 @@
 from hypothesis import strategies as st
 
 from flintridge.lab.defects.leases import CreditBeforeDebit, LeaseFromArrival, LeasesForgotten
-from flintridge.lab.partial.lending import QUOTA, Lenders, random_day
-from flintridge.lab.partial.machines import Link
+from flintridge.lab.partial.lease_fleet import QUOTA, LeaseProcesses, random_run
+from flintridge.lab.partial.virtual_network import Link
 from flintridge.leases.allocation import ProcessId
 from flintridge.leases.demand import RecentPeak, RequestRate
 from flintridge.leases.fleet_limit import (
@@ -351,27 +351,27 @@
 # Processes on links that fail, in virtual time
 
 
-def uneven(count: int, seed: int, **given) -> Lenders:
+def uneven(count: int, seed: int, **given) -> LeaseProcesses:
     """Nodes of which every other needs 1.8 even fractions, and the rest 0.2."""
-    fleet = Lenders(count, seed, TERMS, drift=0.01, **given)
+    fleet = LeaseProcesses(count, seed, TERMS, drift=0.01, **given)
     for i, name in enumerate(fleet.names):
-        fleet.need(name, 0.2 if i % 2 else 1.8)
+        fleet.set_demand(name, 0.2 if i % 2 else 1.8)
     return fleet
 
 
-def crowded(fleet: Lenders) -> float:
+def crowded(fleet: LeaseProcesses) -> float:
     """What those that need more may use on average, in even fractions."""
     return sum(fleet.usable(name) for name in fleet.names[::2]) / len(fleet.names[::2])
 
 
 @pytest.mark.parametrize("loss", [0.0, 0.3])
 def test_ten_nodes_when_half_are_idle_lease_most_of_that_to_the_others(loss):
-    fleet = uneven(10, 1, link=Link(loss=loss, jitter=2.0))
+    fleet = uneven(10, 1, link=Link(loss=loss, jitter_ms=2.0))
     fleet.run(5_000)
     assert all(fleet.usable(name) <= 1.0 for name in fleet.names[1::2])
     fleet.run(15_000)
     assert crowded(fleet) > 1.55
-    assert not fleet.over
+    assert not fleet.violations
     assert min(fleet.usable(name) for name in fleet.names[::2]) > 1.2  # and none of them goes without
 
 
@@ -394,7 +394,7 @@
         fleet.run(1_000)
         assert sum(fleet.usable(name) for name in third) >= 3 - 1e-9
         assert sum(fleet.usable(name) for name in fleet.names[3:]) >= 6 - 1e-9
-    assert not fleet.over
+    assert not fleet.violations
 
 
 def test_node_when_shutting_down_grants_its_entitlement_and_releases_its_leases():
@@ -407,10 +407,10 @@
     fleet.leave("n0")
     fleet.run(TERMS.grantor_lease_ms)  # by then at the latest, should a message be lost
     assert all(peer[0] != "n0" for name in fleet.names[2:] for peer, _ in granted_leases(fleet, name))
-    assert not fleet.over
+    assert not fleet.violations
 
 
-def granted_leases(fleet: Lenders, name: str):
+def granted_leases(fleet: LeaseProcesses, name: str):
     """The leases that a node has granted."""
     return fleet.manager(name).accounts[QUOTA].allocation.granted
 
@@ -423,21 +423,21 @@
         fleet.start(name)
     assert {fleet.usable(name) for name in fleet.names} == {0.25}
     fleet.run(TERMS.grantor_lease_ms + 100)
-    assert fleet.whole() > 5
-    assert not fleet.over
+    assert fleet.usable_sum() > 5
+    assert not fleet.violations
     fleet.run(15_000)
     assert crowded(fleet) > 1.55
-    assert not fleet.over
+    assert not fleet.violations
 
 
 @pytest.mark.parametrize("seed", range(1, 5))
 def test_usable_sum_on_a_random_run_with_faults_never_exceeds_the_limit(seed):
     """Five hundred are a command: benchmarks/budget_days.py."""
-    day = random_day(seed, 8, 20_000.0)
-    assert not day.over
-    assert day.granted > 0
+    day = random_run(seed, 8, 20_000.0)
+    assert not day.violations
+    assert day.granted_count > 0
 
 
 @pytest.mark.parametrize("defect", [CreditBeforeDebit, LeasesForgotten, LeaseFromArrival])
 def test_usable_sum_with_a_planted_defect_exceeds_the_limit_on_some_run(defect):
-    assert any(random_day(seed, 6, 20_000.0, defect).over for seed in range(1, 9))
+    assert any(random_run(seed, 6, 20_000.0, defect).violations for seed in range(1, 9))
--- a/tests/leases/test_lease_processes.py
+++ b/tests/leases/test_lease_processes.py
@@ -40,10 +40,10 @@
         rig = Rig(count, 3, scenario(count, rate_per_s), tables, loaded=True)
         prepare(rig)
         async with rig:
-            await rig.until(rig.all_hear)
+            await rig.wait_until(rig.all_reachable)
             await check(rig)
             assert table or excesses(rig, count) == []
-            assert not expect_no_breaches or [breach.text for breach in rig.breaches()] == []
+            assert not expect_no_breaches or [breach.text for breach in rig.violations()] == []
             assert not rig.nodes.unexpected
             pids = [rig.nodes.pid(name) for name in rig.names]
         for pid in pids:
@@ -93,7 +93,7 @@
 
 async def limit_status(rig, node: str) -> dict:
     """The first limit of a node's GET /admin/budgets; empty if the node does not respond."""
-    body = await rig.console(node, "/admin/budgets")
+    body = await rig.request_admin(node, "/admin/budgets")
     return {} if body is None else body["budgets"][0] | {"counts": body["counts"], "alone": body["alone"]}
 
 
@@ -146,7 +146,7 @@
         await status_when(rig, "n0", has_acquired)
         await status_when(rig, "n1", has_granted)
         begin = rig.fabric.clock.now()
-        await rig.until(lambda: rig.fabric.clock.now() > begin + 4_000)
+        await rig.wait_until(lambda: rig.fabric.clock.now() > begin + 4_000)
         # More than the even fractions of the two crowded nodes come to, with their buckets.
         assert sum(begin < at <= begin + 4_000 for at in arrivals(rig)) > 4 * 30 + 30
         # Cut off while they borrow: within the leases' time each has its even fraction, and leases within its
@@ -249,7 +249,7 @@
         await status_when(rig, "n0", has_acquired)
 
     def late(rig):
-        rig.ways([1, 2], [0], both=False, **wrong)
+        rig.set_link_faults([1, 2], [0], both=False, **wrong)
 
     # At its first request of all: whom it asks first depends on which process has its load first.
     run(3, check, rate_per_s=100.0, prepare=at_message("ask", "n0", None, late))
@@ -282,7 +282,7 @@
             await rig.runner.start(name)
         for name in rig.names:
             assert (await status_when(rig, name, lambda status: True))["usable"] <= 1.0
-        await rig.until(rig.all_hear)
+        await rig.wait_until(rig.all_reachable)
         await status_when(rig, "n0", has_acquired)
 
     run(4, check, rate_per_s=100.0)
@@ -292,15 +292,16 @@
     async def check(rig):
         await status_when(rig, "n0", lambda status: status["own"] == 1.0)
         host, _ = rig.fabric.address("listen", "n0")
-        port = rig.net.console("n0")[1] + 1
+        port = rig.network.admin_address("n0")[1] + 1
         beside = await rig.nodes.start_beside("n0", f"{host}:{port}")
         await status_when(rig, "n0", lambda status: not status["alone"])
         assert (await limit_status(rig, "n0"))["usable"] <= 0.5
-        await rig.until(
-            lambda: rig.lines("leases_process_joined", "n0") and rig.lines("leases_process_joined", beside)
+        await rig.wait_until(
+            lambda: rig.log_lines("leases_process_joined", "n0")
+            and rig.log_lines("leases_process_joined", beside)
         )
         rig.nodes.term("n0")
-        await rig.until(lambda: rig.lines("leases_process_left", beside))
+        await rig.wait_until(lambda: rig.log_lines("leases_process_left", beside))
 
     run(2, check, expect_no_breaches=False)  # the judge of peers knows one process a node
 
@@ -308,16 +309,16 @@
 def test_nodes_when_a_limits_size_differs_lease_one_another_nothing():
     async def check(rig):
         await status_when(rig, "n0", has_acquired)
-        rig.net.own_tables["n1"] = {"tenants": [{"name": "a", "quota_per_s": QUOTA / 2, "share": 1.0}]}
-        rig.nodes.reload("n1", rig.world.node_config("n1"))
-        await rig.until(lambda: rig.lines("reloaded", "n1"))
-        assert "settings" in json.loads(rig.lines("reloaded", "n1")[0].fields)["until_restart"]
+        rig.network.node_tables["n1"] = {"tenants": [{"name": "a", "quota_per_s": QUOTA / 2, "share": 1.0}]}
+        rig.nodes.reload("n1", rig.fleet.node_config("n1"))
+        await rig.wait_until(lambda: rig.log_lines("reloaded", "n1"))
+        assert "settings" in json.loads(rig.log_lines("reloaded", "n1")[0].fields)["until_restart"]
         status = await limit_status(rig, "n1")
         assert status["whole"] == 1.5 * QUOTA  # as it was: a quota waits for a restart
         rig.kill("n1")
         await rig.nodes.ended("n1")
         await rig.runner.start("n1")
-        await rig.until(lambda: rig.lines("lease_terms_differ", "n0"))
+        await rig.wait_until(lambda: rig.log_lines("lease_terms_differ", "n0"))
         await status_when(rig, "n0", lambda status: not status["borrowed"] and status["usable"] == 1.0)
         assert (await status_when(rig, "n1", lambda status: status["own"] == 1.0))["whole"] == 0.75 * QUOTA
 
@@ -343,7 +344,7 @@
             rig, "n0", lambda status: status["name"] == "origin places" and status["own"] == 1.0
         )
         begin = rig.fabric.clock.now()
-        await rig.until(
+        await rig.wait_until(
             lambda: sum(isinstance(one, AttemptReceived) and one.is_origin for one in rig.log) > 200
         )
         assert rig.fabric.clock.now() > begin
--- a/tests/membership/test_member_registry.py
+++ b/tests/membership/test_member_registry.py
@@ -47,7 +47,7 @@
         machines.run(50)
         machines.start(name)
         assert all(
-            len(machines.machine(n).table.members_named(name)) <= MAX_INCARNATIONS for n in machines.names
+            len(machines.detector(n).table.members_named(name)) <= MAX_INCARNATIONS for n in machines.names
         )
     assert machines.run(20_000, lambda: all_reachable(machines)) is not None
 
--- a/tests/membership/test_membership_config.py
+++ b/tests/membership/test_membership_config.py
@@ -18,7 +18,7 @@
 from flintridge.config.platform_config import node_config
 from flintridge.lab.backend.virtual import VirtualFabric
 from flintridge.lab.faults.check import check
-from flintridge.lab.partial.own import own_format
+from flintridge.lab.partial.node_file_format import to_node_file
 from flintridge.lab.records import RecordLog
 from flintridge.lab.run import play
 from flintridge.lab.scenario.load import load, names
@@ -128,7 +128,7 @@
         return made
 
     for config in loop.run(configs()):
-        again = parse_node_file("n.json", json.dumps(own_format(config)).encode(), {})
+        again = parse_node_file("n.json", json.dumps(to_node_file(config)).encode(), {})
         for field in config.__dataclass_fields__:
             if field not in ("settings", "known"):
                 assert getattr(again, field) == getattr(config, field), field
--- a/tests/membership/test_membership_processes.py
+++ b/tests/membership/test_membership_processes.py
@@ -23,7 +23,7 @@
         async with Rig(count, seed) as rig:
             await work(rig)
             if quiet:
-                assert [breach.text for breach in rig.breaches()] == []
+                assert [breach.text for breach in rig.violations()] == []
             assert not rig.nodes.unexpected
             return [rig.nodes.pid(name) for name in rig.names]
 
@@ -33,44 +33,47 @@
 
 def test_reachability_when_one_of_five_nodes_returns_within_200_ms_is_whole_again():
     async def work(rig):
-        await rig.until(rig.all_hear)
-        epoch = (await rig.console("n1"))["epoch"]
+        await rig.wait_until(rig.all_reachable)
+        epoch = (await rig.request_admin("n1"))["epoch"]
         rig.kill("n0")
         await rig.nodes.ended("n0")
         await rig.nodes.start("n0")
-        await rig.until(
-            lambda: {"heard"} <= set(rig.standings("n1", "n0")) and len(rig.standings("n1", "n0")) == 2
+        await rig.wait_until(
+            lambda: {"heard"} <= set(rig.member_states("n1", "n0"))
+            and len(rig.member_states("n1", "n0")) == 2
         )
-        await rig.until(lambda: rig.standings("n1", "n0").count("silent") == 1)
-        await rig.until(rig.all_hear)
-        assert (await rig.console("n1"))["epoch"] > epoch
+        await rig.wait_until(lambda: rig.member_states("n1", "n0").count("silent") == 1)
+        await rig.wait_until(rig.all_reachable)
+        assert (await rig.request_admin("n1"))["epoch"] > epoch
 
     run(5, work)
 
 
 def test_reachability_when_a_link_is_cut_one_way_keeps_both_through_others():
     async def work(rig):
-        await rig.until(rig.all_hear)
+        await rig.wait_until(rig.all_reachable)
         rig.cut([0], [1], both=False)
-        await rig.until(lambda: rig.standings("n1", "n0") == ["through"])
-        assert rig.standings("n0", "n1") in (["heard"], ["through"])
-        await rig.until(rig.all_hear)
+        await rig.wait_until(lambda: rig.member_states("n1", "n0") == ["through"])
+        assert rig.member_states("n0", "n1") in (["heard"], ["through"])
+        await rig.wait_until(rig.all_reachable)
 
     run(4, work)
 
 
 def test_reachability_when_three_partitions_heal_in_another_order_is_whole_again():
     async def work(rig):
-        await rig.until(rig.all_hear)
+        await rig.wait_until(rig.all_reachable)
         for a, b in ((0, 2), (0, 4), (2, 4)):
             rig.cut([a, a + 1], [b, b + 1])
-        await rig.until(lambda: rig.all_hear(count=2))
-        rig.ways([4, 5], [0, 1])
-        await rig.until(lambda: rig.all_hear(("n0", "n1", "n4", "n5"), count=4))
-        rig.ways([2, 3], [4, 5])
-        await rig.until(rig.all_hear)  # through n4 and n5, though n0 and n2 are still cut off from each other
+        await rig.wait_until(lambda: rig.all_reachable(count=2))
+        rig.set_link_faults([4, 5], [0, 1])
+        await rig.wait_until(lambda: rig.all_reachable(("n0", "n1", "n4", "n5"), count=4))
+        rig.set_link_faults([2, 3], [4, 5])
+        await rig.wait_until(
+            rig.all_reachable
+        )  # through n4 and n5, though n0 and n2 are still cut off from each other
         rig.heal()
-        await rig.until(lambda: rig.standings("n0", "n2") == ["heard"])
+        await rig.wait_until(lambda: rig.member_states("n0", "n2") == ["heard"])
 
     run(6, work)
 
@@ -78,76 +81,76 @@
 def test_reachability_when_a_third_of_datagrams_is_lost_follows_an_end():
     async def work(rig):
         everyone = range(len(rig.names))
-        rig.ways(everyone, everyone, loss=0.3, duplication=0.2, jitter_ms=150)
-        await rig.until(rig.all_hear)
-        seen = len(rig.lines("peers_heard"))
+        rig.set_link_faults(everyone, everyone, loss=0.3, duplication=0.2, jitter_ms=150)
+        await rig.wait_until(rig.all_reachable)
+        seen = len(rig.log_lines("peers_heard"))
         rig.kill("n3")
-        await rig.until(lambda: rig.all_hear(("n0", "n1", "n2"), count=3))
-        assert len(rig.lines("peers_heard")) > seen
-        await rig.told("n0", lambda counts: counts.get("dropped_replayed", 0) > 0)  # the doubles
+        await rig.wait_until(lambda: rig.all_reachable(("n0", "n1", "n2"), count=3))
+        assert len(rig.log_lines("peers_heard")) > seen
+        await rig.wait_for_counters("n0", lambda counts: counts.get("dropped_replayed", 0) > 0)  # the doubles
 
     run(4, work)
 
 
 def test_reachability_when_a_process_was_paused_is_reset_and_accuses_nobody():
     async def work(rig):
-        await rig.until(rig.all_hear)
+        await rig.wait_until(rig.all_reachable)
         rig.nodes.pause("n0")
-        await rig.until(lambda: rig.all_hear(rig.names[1:], count=3))
+        await rig.wait_until(lambda: rig.all_reachable(rig.names[1:], count=3))
         rig.nodes.resume("n0")
-        await rig.until(lambda: rig.lines("peers_gap", "n0"))
-        await rig.until(rig.all_hear)
-        assert (await rig.console("n0"))["counts"]["gaps"] >= 1
+        await rig.wait_until(lambda: rig.log_lines("peers_gap", "n0"))
+        await rig.wait_until(rig.all_reachable)
+        assert (await rig.request_admin("n0"))["counts"]["gaps"] >= 1
 
     run(4, work)
 
 
 def test_sync_when_the_peer_is_killed_in_the_middle_fails_and_others_are_reached():
     async def work(rig):
-        await rig.until(rig.all_hear)
+        await rig.wait_until(rig.all_reachable)
         rig.cut([0], [2])
-        rig.ways([0], [1], added_delay_ms=400)  # datagrams come, exchanges take seconds
+        rig.set_link_faults([0], [1], added_delay_ms=400)  # datagrams come, exchanges take seconds
         rig.kill("n0")
         await rig.nodes.ended("n0")
-        relay = rig.net.relays["n0", "n1"]
-        await rig.until(lambda: relay.streams == 0)  # of the process before
+        relay = rig.network.relays["n0", "n1"]
+        await rig.wait_until(lambda: relay.stream_count == 0)  # of the process before
         await rig.nodes.start("n0")
-        await rig.until(lambda: relay.streams > 0)
+        await rig.wait_until(lambda: relay.stream_count > 0)
         rig.kill("n1")
-        await rig.until(lambda: rig.lines("peers_sync_failed", "n0"))
+        await rig.wait_until(lambda: rig.log_lines("peers_sync_failed", "n0"))
         rig.heal()
-        await rig.until(lambda: rig.all_hear(("n0", "n2"), count=2))
+        await rig.wait_until(lambda: rig.all_reachable(("n0", "n2"), count=2))
 
     run(3, work)
 
 
 def test_upgrade_when_the_old_process_ends_hands_the_address_over_to_the_new_one():
     async def work(rig):
-        await rig.until(rig.all_hear)
+        await rig.wait_until(rig.all_reachable)
         host, _ = rig.fabric.address("listen", "n0")
-        console = (host, rig.net.console("n0")[1] + 1)
+        console = (host, rig.network.admin_address("n0")[1] + 1)
         beside = await rig.nodes.start_beside("n0", "{}:{}".format(*console))
-        await rig.until(lambda: rig.standings("n1", "n0") == ["heard", "heard"])
-        assert not rig.lines("peers_own_name")  # an upgrade is no mistake
+        await rig.wait_until(lambda: rig.member_states("n1", "n0") == ["heard", "heard"])
+        assert not rig.log_lines("peers_own_name")  # an upgrade is no mistake
         rig.nodes.term("n0")
-        await rig.until(lambda: rig.standings("n1", "n0") == ["heard", "left"])
-        await rig.until(lambda: rig.lines("peers_address_taken_over", beside))
-        await rig.until(lambda: rig.all_hear(("n1", "n2")))
+        await rig.wait_until(lambda: rig.member_states("n1", "n0") == ["heard", "left"])
+        await rig.wait_until(lambda: rig.log_lines("peers_address_taken_over", beside))
+        await rig.wait_until(lambda: rig.all_reachable(("n1", "n2")))
 
     run(3, work, quiet=False)  # the judge knows one process a node
 
 
 def test_configuration_when_two_nodes_have_one_name_is_logged_and_neither_ends():
     async def work(rig):
-        rig.net.renamed["n2"] = "n1"
+        rig.network.name_overrides["n2"] = "n1"
         rig.kill("n2")
         await rig.nodes.ended("n2")
         await rig.nodes.start("n2")
-        await rig.until(lambda: rig.lines("peers_own_name", "n1"))
-        assert json.loads(rig.lines("peers_own_name", "n1")[0].fields)["answered_by"] in ("n0", "n3")
-        (logged,) = rig.lines("peers_wrong_address", "n0")
+        await rig.wait_until(lambda: rig.log_lines("peers_own_name", "n1"))
+        assert json.loads(rig.log_lines("peers_own_name", "n1")[0].fields)["answered_by"] in ("n0", "n3")
+        (logged,) = rig.log_lines("peers_wrong_address", "n0")
         assert [json.loads(logged.fields)[name] for name in ("peer", "answers")] == ["n2", "n1"]
-        await rig.until(lambda: rig.all_hear(("n0", "n1"), count=3))
+        await rig.wait_until(lambda: rig.all_reachable(("n0", "n1"), count=3))
         assert rig.nodes.running("n1")
         assert rig.nodes.running("n2")
 
@@ -167,26 +170,28 @@
 
 def test_configuration_when_addresses_are_wrong_makes_those_peers_unreachable_only():
     async def work(rig):
-        await rig.until(rig.all_hear)
-        host, port = rig.net.console("n0")
+        await rig.wait_until(rig.all_reachable)
+        host, port = rig.network.admin_address("n0")
         loop = asyncio.get_running_loop()
         echo, _ = await loop.create_datagram_endpoint(Echo, local_addr=("127.0.0.1", 0))
         with contextlib.closing(echo):
-            rig.net.addresses["n0", "n1"] = (host, port + 2)
-            rig.net.addresses["n0", "n2"] = echo.get_extra_info("sockname")
+            rig.network.address_overrides["n0", "n1"] = (host, port + 2)
+            rig.network.address_overrides["n0", "n2"] = echo.get_extra_info("sockname")
             rig.kill("n0")
             await rig.nodes.ended("n0")
             await rig.nodes.start("n0")
 
             def both_unreachable():
-                view = rig.view("n0", rig.fabric.clock.now() - 2_000)
+                view = rig.last_report("n0", rig.fabric.clock.now() - 2_000)
                 return view is not None and {s for n, _, s, _ in view.members if n in ("n1", "n2")} <= {
                     "through", "silent", "suspect",
                 }  # fmt: skip
 
-            await rig.until(lambda: rig.heard("n0") >= 2 and both_unreachable())
-            await rig.told("n0", lambda counts: {"dropped_own", "dropped_foreign"} <= set(counts))
-            await rig.until(lambda: rig.standings("n0", "n3") == ["heard"])
+            await rig.wait_until(lambda: rig.reachable_count("n0") >= 2 and both_unreachable())
+            await rig.wait_for_counters(
+                "n0", lambda counts: {"dropped_own", "dropped_foreign"} <= set(counts)
+            )
+            await rig.wait_until(lambda: rig.member_states("n0", "n3") == ["heard"])
             assert rig.nodes.running("n0")
 
     run(4, work, quiet=False)
@@ -194,25 +199,27 @@
 
 def test_node_when_every_link_is_cut_reaches_itself_alone_and_serves_on():
     async def work(rig):
-        await rig.until(rig.all_hear)
+        await rig.wait_until(rig.all_reachable)
         rig.cut([0], [1, 2])
-        await rig.until(lambda: rig.heard("n0") == 1 and rig.all_hear(("n1", "n2"), count=2))
-        assert (await rig.console("n0", "/admin/health"))["state"] == "serving"
+        await rig.wait_until(
+            lambda: rig.reachable_count("n0") == 1 and rig.all_reachable(("n1", "n2"), count=2)
+        )
+        assert (await rig.request_admin("n0", "/admin/health"))["state"] == "serving"
         host, port = rig.fabric.address("listen", "n0")
         reader, writer = await asyncio.open_connection(host, port)
         writer.write(b"mn\r\n")
         assert await reader.readline() == b"MN\r\n"
         writer.close()
         rig.heal()
-        await rig.until(rig.all_hear)
+        await rig.wait_until(rig.all_reachable)
 
     run(3, work)
 
 
 def test_peers_command_when_nodes_end_shows_them_and_sets_its_exit_code():
     async def work(rig):
-        await rig.until(rig.all_hear)
-        address = "{}:{}".format(*rig.net.console("n0"))
+        await rig.wait_until(rig.all_reachable)
+        address = "{}:{}".format(*rig.network.admin_address("n0"))
         command = [sys.executable, "-m", "flintridge.cli", "peers", "--console", address]
 
         async def call(*more):
@@ -231,7 +238,7 @@
         assert code == 0
         assert {one["name"] for one in json.loads(out)["lives"]} == {"n1", "n2"}
         rig.kill("n1"), rig.kill("n2")
-        await rig.until(lambda: rig.heard("n0") == 1)
+        await rig.wait_until(lambda: rig.reachable_count("n0") == 1)
         code, out, _ = await call("--least", "0.5")
         assert code == 1
         assert "silent" in out
@@ -247,16 +254,16 @@
 @pytest.mark.parametrize("signals", [(signal.SIGTERM,), (signal.SIGHUP, signal.SIGUSR1, signal.SIGTERM)])
 def test_signals_when_a_node_has_peers_end_it_in_order(signals):
     async def work(rig):
-        await rig.until(rig.all_hear)
+        await rig.wait_until(rig.all_reachable)
         for number in signals[:-1]:
             rig.nodes._lives["n0"][-1].send(number)
         rig.nodes.term("n0")
-        await rig.until(lambda: not rig.nodes.running("n0"))
-        await rig.until(lambda: rig.standings("n1", "n0") == ["left"])
+        await rig.wait_until(lambda: not rig.nodes.running("n0"))
+        await rig.wait_until(lambda: rig.member_states("n1", "n0") == ["left"])
         assert rig.nodes._lives["n0"][-1].popen.returncode == 0
         counters = rig.nodes._lives["n0"][-1].counters
         assert counters["peers_datagrams_out"] > 0
         assert counters["peers_syncs_completed"] == 1
-        assert (await rig.console("n1"))["sealed"] is True
+        assert (await rig.request_admin("n1"))["sealed"] is True
 
     run(3, work)
--- a/tests/membership/test_message_sender.py
+++ b/tests/membership/test_message_sender.py
@@ -36,6 +36,6 @@
         max(seconds.values(), default=0) <= 3_000
         for members in machines.processes.values()
         for process in members
-        for seconds in (process.seconds, process.exchanged)
+        for seconds in (process.datagram_bytes, process.transfer_bytes)
     )
     assert all_reachable(machines)
--- a/tests/membership/test_reachability.py
+++ b/tests/membership/test_reachability.py
@@ -4,7 +4,8 @@
 
 from support.membership import MAX_AGE_MS
 
-from flintridge.lab.partial.machines import Link, Machines
+from flintridge.lab.partial.virtual_fleet import MembershipFleet
+from flintridge.lab.partial.virtual_network import Link
 from flintridge.membership.member_table import MemberTable
 
 
@@ -41,7 +42,7 @@
 
 
 def test_update_when_it_examines_only_changed_members_finds_what_a_full_update_finds():
-    machines = Machines(8, 4, link=Link(loss=0.3))
+    machines = MembershipFleet(8, 4, link=Link(loss=0.3))
     for turn in range(120):
         machines.run(250)
         if turn % 10 == 3:
@@ -52,7 +53,7 @@
             machines.heal()
         machines.pause("n6") if turn % 40 == 8 else machines.resume("n6") if turn % 40 == 18 else None
         for name in machines.names:
-            machine, now = machines.machine(name), machines.living(name)[-1].clock(machines.now)
+            machine, now = machines.detector(name), machines.living(name)[-1].clock(machines.now)
             table = machine.table
             table.update_reachability(now, machine.max_age_ms)
             assert all(
--- a/tests/membership/test_topics.py
+++ b/tests/membership/test_topics.py
@@ -2,7 +2,8 @@
 
 import pytest
 
-from flintridge.lab.partial.machines import Link, Machines
+from flintridge.lab.partial.virtual_fleet import MembershipFleet
+from flintridge.lab.partial.virtual_network import Link
 
 
 class FixedPayload:
@@ -24,10 +25,10 @@
 
 
 def test_payloads_when_datagrams_are_doubled_arrive_once_each_and_within_their_budget():
-    machines = Machines(3, 6, link=Link(double=0.5))
+    machines = MembershipFleet(3, 6, link=Link(duplication=0.5))
     topics = {name: FixedPayload(size=100) for name in machines.names}
     for name, topic in topics.items():
-        machines.machine(name).register_topic(topic)
+        machines.detector(name).register_topic(topic)
     machines.run(20_000)
     sent = sum(topic.sent for topic in topics.values())
     received = sum(len(topic.received) for topic in topics.values())
@@ -36,4 +37,4 @@
     )  # doubled on the way, taken once; at first nothing proves their time
     assert all(topic.sent * 100 <= 500 * 21 for topic in topics.values())
     with pytest.raises(ValueError, match="facts is registered"):
-        machines.machine("n0").register_topic(FixedPayload())
+        machines.detector("n0").register_topic(FixedPayload())
--- a/tests/replication/test_replica_exploration.py
+++ b/tests/replication/test_replica_exploration.py
@@ -5,7 +5,7 @@
 from flintridge.lab.defects.replicas import REPLICATION_DEFECTS, EmptyReplicaWins
 from flintridge.lab.explore import explore
 from flintridge.lab.explore.copies import Copies, Left
-from flintridge.lab.partial.copying import random_day
+from flintridge.lab.partial.replica_run import random_run
 
 NO_EVENTS = {"writes": 0, "deletes": 0, "asks": 0}
 
@@ -56,13 +56,13 @@
 @pytest.mark.parametrize("seed", range(2))
 def test_random_run_of_five_nodes_loses_nothing_that_two_had_and_nothing_deleted_returns(seed):
     """More of them are a command: benchmarks/replica_days.py."""
-    run = random_day(seed, length_ms=30_000.0)
-    assert run.acknowledged > 30
-    assert run.kills
-    assert run.cuts
-    assert not run.wrong
+    run = random_run(seed, length_ms=30_000.0)
+    assert run.acknowledged_count > 30
+    assert run.kill_count
+    assert run.partition_count
+    assert not run.violations
 
 
 def test_judge_of_random_runs_when_an_empty_replica_empties_others_reports_a_loss():
-    run = random_day(0, length_ms=30_000.0, make=EmptyReplicaWins)
-    assert "is lost" in run.wrong[0]
+    run = random_run(0, length_ms=30_000.0, build=EmptyReplicaWins)
+    assert "is lost" in run.violations[0]
--- a/tests/replication/test_replication_processes.py
+++ b/tests/replication/test_replication_processes.py
@@ -10,7 +10,7 @@
 
 import orjson
 
-from flintridge.lab.partial.rig import PATIENCE_S, Rig
+from flintridge.lab.partial.rig import WAIT_TIMEOUT_S, Rig
 from flintridge.lab.scenario.model import Load, Nodes, Peers, RequestClass, Scenario
 
 POLL_INTERVAL_S = 0.03
@@ -31,7 +31,7 @@
     async def play():
         async with Rig(node_count, 5, scenario, {"state": table}) as rig:
             fleet = Fleet(rig)
-            await rig.until(rig.all_hear)
+            await rig.wait_until(rig.all_reachable)
             await fleet.until_all(lambda state: state["standing"] == "caught")
             await steps(fleet)
             assert not rig.nodes.unexpected
@@ -49,11 +49,11 @@
 
     async def state(self, node, query=""):
         """What /admin/state of the node says; None where it does not respond."""
-        return await self.rig.console(node, f"/admin/state{query}")
+        return await self.rig.request_admin(node, f"/admin/state{query}")
 
     async def until(self, condition, nodes=()):
         """Wait until the condition holds of each node's state."""
-        async with asyncio.timeout(PATIENCE_S):
+        async with asyncio.timeout(WAIT_TIMEOUT_S):
             for node in nodes or self.names:
                 while (state := await self.state(node)) is None or not condition(state):
                     await asyncio.sleep(POLL_INTERVAL_S)
@@ -64,7 +64,7 @@
 
     async def until_equal(self, nodes=()):
         """Wait until those nodes, or all, hold the same."""
-        async with asyncio.timeout(PATIENCE_S):
+        async with asyncio.timeout(WAIT_TIMEOUT_S):
             while True:
                 states = [await self.state(node) for node in nodes or self.names]
                 if None not in states and len({state["root"] for state in states}) == 1:
@@ -74,11 +74,11 @@
     async def write(self, node, name="cache-1", type_name="hold", why="why", delete=False, holders=0, **body):
         """Write an entry at that node, and wait until as many as `holders` nodes have it."""
         call = {"type": type_name, "name": name, "by": "ann", "why": why, "delete": delete, "body": body}
-        response = await self.rig.console(node, "/admin/state", "POST", orjson.dumps(call))
+        response = await self.rig.request_admin(node, "/admin/state", "POST", orjson.dumps(call))
         assert "write" in response, response
         query = f"/admin/state/had?write={response['write']}"
-        async with asyncio.timeout(PATIENCE_S):
-            while holders > (await self.rig.console(node, query))["had"]:
+        async with asyncio.timeout(WAIT_TIMEOUT_S):
+            while holders > (await self.rig.request_admin(node, query))["had"]:
                 await asyncio.sleep(POLL_INTERVAL_S)
 
     async def hold(self, node, **options):
@@ -91,7 +91,7 @@
 
     def configure_next(self, **table):
         """Change the table `[state]` of processes that start from now on."""
-        self.rig.net.tables["state"] |= table
+        self.rig.network.tables["state"] |= table
 
     async def restart(self, node):
         """Kill the node's process and start another one."""
@@ -101,7 +101,7 @@
 
     def command(self, *arguments, nodes=()):
         """Run `flintridge state` with the admin APIs of those nodes, or of all."""
-        addresses = ["{}:{}".format(*self.rig.net.console(node)) for node in nodes or self.names]
+        addresses = ["{}:{}".format(*self.rig.network.admin_address(node)) for node in nodes or self.names]
         consoles = [argument for address in addresses for argument in ("--console", address)]
         return asyncio.to_thread(
             subprocess.run,
@@ -117,7 +117,7 @@
         assert done.returncode == 0, done.stderr
         assert "3 known to have it" in done.stdout, done.stderr
         await fleet.until_all(lambda state: state["held"] == ["cache-1"])
-        changed = [line for line in fleet.rig.lines("state_changed") if '"why":"disk"' in line.fields]
+        changed = [line for line in fleet.rig.log_lines("state_changed") if '"why":"disk"' in line.fields]
         assert {line.node for line in changed} == set(fleet.names)
         fleet.rig.kill("n0")
         await fleet.rig.nodes.ended("n0")
@@ -136,7 +136,7 @@
     async def steps(fleet):
         await fleet.hold("n0", holders=4)
         fleet.rig.cut([0, 1], [2, 3])
-        await fleet.rig.until(lambda: fleet.rig.all_hear(count=2))
+        await fleet.rig.wait_until(lambda: fleet.rig.all_reachable(count=2))
         await fleet.hold("n0", why="still broken", holders=2)
         await fleet.release("n2", why="mended", holders=2)
         await fleet.until(lambda state: not state["held"], ("n2", "n3"))
@@ -162,7 +162,7 @@
     async def steps(fleet):
         await fleet.hold("n0", holders=3)
         fleet.rig.cut([2], [0, 1])
-        await fleet.rig.until(lambda: fleet.rig.all_hear(("n0", "n1"), count=2))
+        await fleet.rig.wait_until(lambda: fleet.rig.all_reachable(("n0", "n1"), count=2))
         await fleet.release("n0", holders=2)
         fleet.rig.heal()
         await fleet.until_all(lambda state: not state["held"] and not state["conflicts"])
@@ -177,7 +177,7 @@
         fleet.rig.kill("n0")
         await fleet.until(lambda state: state["held"] == ["cache-1"], ("n1", "n2"))
         fleet.rig.cut([1], [2])
-        await fleet.rig.until(lambda: fleet.rig.all_hear(("n1", "n2"), count=1))
+        await fleet.rig.wait_until(lambda: fleet.rig.all_reachable(("n1", "n2"), count=1))
         await fleet.write("n1", "lost", "note", text="x")
         await fleet.rig.nodes.ended("n0")
         await fleet.restart("n1")
@@ -192,7 +192,7 @@
         await fleet.hold("n0", holders=3)
         await fleet.until_equal()
         fleet.rig.cut([2], [0, 1])
-        await fleet.rig.until(lambda: fleet.rig.all_hear(("n0", "n1"), count=2))
+        await fleet.rig.wait_until(lambda: fleet.rig.all_reachable(("n0", "n1"), count=2))
         await fleet.release("n1")
         await fleet.until(lambda state: state["entries"] == 0, ("n0", "n1"))  # forgotten
         await fleet.write("n2", "meanwhile", "note", text="x")
@@ -234,12 +234,12 @@
         fleet.configure_next(wait_ms=60_000)
         for name in ("n0", "n1"):
             await fleet.restart(name)
-        await fleet.rig.until(lambda: fleet.rig.all_hear(("n0", "n1"), count=2))
+        await fleet.rig.wait_until(lambda: fleet.rig.all_reachable(("n0", "n1"), count=2))
         await fleet.write("n0", "x", "note", text="x")
         await fleet.until_equal(("n0", "n1"))
         for name in ("n0", "n1"):
             assert (await fleet.state(name))["standing"] != "caught"
-            assert (await fleet.rig.console(name, "/admin/health"))["state"] == "starting"
+            assert (await fleet.rig.request_admin(name, "/admin/health"))["state"] == "starting"
         fleet.rig.heal()
         await fleet.until_all(lambda state: state["standing"] == "caught" and state["held"] == ["cache-1"])
         await fleet.until_equal()
@@ -256,7 +256,7 @@
         await fleet.restart("n1")
         await fleet.until(lambda state: state["asking"], ("n1",))
         fleet.rig.nodes.pause("n0")
-        await fleet.rig.until(lambda: fleet.rig.all_hear(("n1",), count=1))
+        await fleet.rig.wait_until(lambda: fleet.rig.all_reachable(("n1",), count=1))
         fleet.rig.nodes.resume("n0")
         await fleet.until_all(lambda state: state["standing"] == "caught" and state["entries"] == 100)
 
