--- a/benchmarks/copies_search.py
+++ b/benchmarks/copies_search.py
@@ -11,42 +11,46 @@
 from concurrent.futures import ProcessPoolExecutor
 
 from flintridge.lab.explore import explore
-from flintridge.lab.explore.copies import Copies, Left
+from flintridge.lab.explore.replicas import RemainingSteps, ReplicationState
 
-NONE = {"writes": 0, "deletes": 0, "asks": 0}
+NONE = {"writes": 0, "deletions": 0, "requests": 0}
 # How many processes, whether one entry is in all copies, and what may happen.
 SEARCHES: dict[str, tuple[int, bool, dict[str, int]]] = {
-    "three, two writes, a deletion": (3, False, {"writes": 2, "deletes": 1}),
-    "three, a write, a deletion, two calls": (3, False, {"writes": 1, "deletes": 1, "asks": 2}),
+    "three, two writes, a deletion": (3, False, {"writes": 2, "deletions": 1}),
+    "three, a write, a deletion, two calls": (3, False, {"writes": 1, "deletions": 1, "requests": 2}),
     "three, a write, a deletion, a call, one starts empty": (
         3,
         False,
-        {"writes": 1, "deletes": 1, "asks": 1, "restarts": 1},
+        {"writes": 1, "deletions": 1, "requests": 1, "restarts": 1},
     ),
-    "three, a deletion, a call, a cut, time": (3, True, {"deletes": 1, "asks": 1, "cuts": 1, "ticks": 2}),
-    "three, two writes, a double, a loss": (3, False, {"writes": 2, "doubles": 1, "losses": 1}),
-    "three, two writes, a deletion, a call": (3, False, {"writes": 2, "deletes": 1, "asks": 1}),
+    "three, a deletion, a call, a cut, time": (
+        3,
+        True,
+        {"deletions": 1, "requests": 1, "partitions": 1, "ticks": 2},
+    ),
+    "three, two writes, a double, a loss": (3, False, {"writes": 2, "duplicates": 1, "losses": 1}),
+    "three, two writes, a deletion, a call": (3, False, {"writes": 2, "deletions": 1, "requests": 1}),
     "three, a write, a deletion, two calls, a cut, time": (
         3,
         True,
-        {"writes": 1, "deletes": 1, "asks": 2, "cuts": 1, "ticks": 2},
+        {"writes": 1, "deletions": 1, "requests": 2, "partitions": 1, "ticks": 2},
     ),
     "two, a write, a deletion, two words of what it is, a call, time": (
         2,
         False,
-        {"writes": 1, "deletes": 1, "says": 2, "asks": 1, "ticks": 2},
+        {"writes": 1, "deletions": 1, "summaries": 2, "requests": 1, "ticks": 2},
     ),
-    "two, two writes, a deletion, two calls": (2, False, {"writes": 2, "deletes": 1, "asks": 2}),
-    "two, two writes, two calls, one starts empty": (2, False, {"writes": 2, "asks": 2, "restarts": 1}),
+    "two, two writes, a deletion, two calls": (2, False, {"writes": 2, "deletions": 1, "requests": 2}),
+    "two, two writes, two calls, one starts empty": (2, False, {"writes": 2, "requests": 2, "restarts": 1}),
     "two, a write, a deletion, a call, a cut, time": (
         2,
         True,
-        {"writes": 1, "deletes": 1, "asks": 1, "cuts": 1, "ticks": 3},
+        {"writes": 1, "deletions": 1, "requests": 1, "partitions": 1, "ticks": 3},
     ),
     "two, a write, a deletion, a double, a loss, two calls": (
         2,
         False,
-        {"writes": 1, "deletes": 1, "doubles": 1, "losses": 1, "asks": 2},
+        {"writes": 1, "deletions": 1, "duplicates": 1, "losses": 1, "requests": 2},
     ),
 }
 
@@ -54,12 +58,14 @@
 def search(name: str) -> str:
     size, written, left = SEARCHES[name]
     began = time.perf_counter()
-    found = explore(Copies.begin(size, Left(**NONE | left), written=written), most=60_000)
-    took = time.perf_counter() - began
-    whole = "all" if found.whole else "cut short"
-    return (
-        f"| {name} | {found.states:,} | {found.depth} | {whole} | {found.broken or 'nothing'} | {took:.0f} |"
+    found = explore(
+        ReplicationState.begin(size, RemainingSteps(**NONE | left), has_initial_entry=written),
+        max_states=60_000,
     )
+    took = time.perf_counter() - began
+    whole = "all" if found.is_complete else "cut short"
+    broken = found.violation or "nothing"
+    return f"| {name} | {found.states:,} | {found.depth} | {whole} | {broken} | {took:.0f} |"
 
 
 def main() -> None:
--- a/benchmarks/lease_search.py
+++ b/benchmarks/lease_search.py
@@ -10,34 +10,42 @@
 from concurrent.futures import ProcessPoolExecutor
 
 from flintridge.lab.explore import explore
-from flintridge.lab.explore.leases import Leases, Left
+from flintridge.lab.explore.leases import LeaseState, RemainingSteps
 
-SEARCHES: dict[str, tuple[tuple[float, ...], Left]] = {
-    "two processes, one loan, everything once": ((4.0, 6.0), Left(asks=1)),
+SEARCHES: dict[str, tuple[tuple[float, ...], RemainingSteps]] = {
+    "two processes, one loan, everything once": ((4.0, 6.0), RemainingSteps(requests=1)),
     "two, two loans, a loss, a double, a restart": (
         (4.0, 6.0),
-        Left(renews=0, pauses=0),
+        RemainingSteps(renewals=0, pauses=0),
     ),
-    "two, two loans, a renewal, a pause": ((4.0, 6.0), Left(losses=0, doubles=0, restarts=0)),
+    "two, two loans, a renewal, a pause": ((4.0, 6.0), RemainingSteps(losses=0, duplicates=0, restarts=0)),
     "two, two loans, a call taken back, a double": (
         (4.0, 6.0),
-        Left(renews=0, losses=0, pauses=0, restarts=0, forgoes=1),
+        RemainingSteps(renewals=0, losses=0, pauses=0, restarts=0, cancellations=1),
+    ),
+    "three, two loans": (
+        (4.0, 6.0, 4.0),
+        RemainingSteps(renewals=0, losses=0, duplicates=0, pauses=0, restarts=0),
+    ),
+    "three, two loans, a renewal": (
+        (4.0, 6.0, 6.0),
+        RemainingSteps(losses=0, duplicates=0, pauses=0, restarts=0),
+    ),
+    "three, two loans, a restart": (
+        (4.0, 4.0, 6.0),
+        RemainingSteps(renewals=0, losses=0, duplicates=0, pauses=0),
     ),
-    "three, two loans": ((4.0, 6.0, 4.0), Left(renews=0, losses=0, doubles=0, pauses=0, restarts=0)),
-    "three, two loans, a renewal": ((4.0, 6.0, 6.0), Left(losses=0, doubles=0, pauses=0, restarts=0)),
-    "three, two loans, a restart": ((4.0, 4.0, 6.0), Left(renews=0, losses=0, doubles=0, pauses=0)),
 }
 
 
 def search(name: str) -> str:
     speeds, left = SEARCHES[name]
     began = time.perf_counter()
-    found = explore(Leases.begin(speeds, left))
+    found = explore(LeaseState.begin(speeds, left))
     took = time.perf_counter() - began
-    whole = "all" if found.whole else "cut short"
-    return (
-        f"| {name} | {found.states:,} | {found.depth} | {whole} | {found.broken or 'nothing'} | {took:.0f} |"
-    )
+    whole = "all" if found.is_complete else "cut short"
+    broken = found.violation or "nothing"
+    return f"| {name} | {found.states:,} | {found.depth} | {whole} | {broken} | {took:.0f} |"
 
 
 def main() -> None:
--- a/flintridge/lab/explore/__init__.py
+++ b/flintridge/lab/explore/__init__.py
@@ -1,5 +1,9 @@
-"""All that can happen to a few processes, breadth first, so that what breaks has the shortest story."""
+"""Exhaustive exploration of the replication and lease rules: all interleavings of a few processes.
 
-from flintridge.lab.explore.search import Explored, World, explore
+`search` is the breadth-first search over states, so that a violation has the shortest path; `replicas` and
+`leases` are the states and transitions of the two rules.
+"""
 
-__all__ = ["Explored", "World", "explore"]
+from flintridge.lab.explore.search import ExplorationResult, State, explore
+
+__all__ = ["ExplorationResult", "State", "explore"]
--- a/flintridge/lab/explore/leases.py
+++ b/flintridge/lab/explore/leases.py
@@ -1,237 +1,331 @@
-"""A few processes that lease one another fractions of a limit, over links that lose, double and hold back.
+"""A few processes that lease one another fractions of a limit, over links that lose, duplicate and delay.
 
-Time goes in steps of 5 true units; each process's clock makes 4 or 6 of them, so that two run apart by as
-much as the terms allow. A lease of 10 lasts two or three steps for a lessee, three or four for its grantor.
+Time advances in ticks of 5 true units; each process's clock advances by 4 or 6 of them, so that two drift
+apart by as much as the terms allow. A lease of 10 lasts two or three ticks for a lessee, three or four for
+its grantor.
 """
 
 import itertools
-from collections.abc import Callable, Hashable, Iterator
+from collections.abc import Callable, Hashable, Iterator, Mapping
 from dataclasses import dataclass, replace
-from typing import Self
+from typing import NamedTuple, Self
 
-from flintridge.leases.allocation import Allocation, Lease, ProcessId
+from flintridge.leases.allocation import Allocation, ProcessId
 from flintridge.leases.fleet_limit import LeaseTerms
-from flintridge.leases.messages import LeaseGrant, LeaseMessage, LeaseRelease, LeaseRequest
+from flintridge.leases.messages import LeaseGrant, LeaseMessage
 
-STEP = 5.0
+__all__ = ["CLOCK_SPEEDS", "TERMS", "LeaseState", "RemainingSteps"]
+
+NODE_NAMES = "abcdef"
+TICK = 5.0
 TERMS = LeaseTerms(even_fraction=2, floor=1, lease_ms=10.0, clock_drift=0.2)
 LONG_AGO = 40.0  # before the start: no lease of a previous incarnation counts
+CLOCK_SPEEDS = tuple(itertools.combinations_with_replacement((0.8 * TICK, 1.2 * TICK), 3))
+
+AllocationBuilder = Callable[[LeaseTerms, float], Allocation]
 
 
 @dataclass(slots=True, frozen=True)
-class Process:
+class LeaseProcess:
+    """A process with its allocation.
+
+    Attributes:
+        name: Its node.
+        incarnation: How often it was started.
+        clock: What its clock shows.
+        speed: By how much its clock advances in a tick.
+        allocation: Of the limit.
+        is_paused: Whether it stands still.
+    """
+
     name: str
-    life: int
+    incarnation: int
     clock: float
-    speed: float  # of its clock, a step
+    speed: float
     allocation: Allocation
-    paused: bool = False
+    is_paused: bool = False
 
     @property
-    def peer(self) -> ProcessId:
-        return ProcessId(self.name, self.life)
+    def id(self) -> ProcessId:
+        """What its peers know it by."""
+        return ProcessId(self.name, self.incarnation)
 
 
-Flying = tuple[str, ProcessId, LeaseMessage]  # to whom, from whom
+class MessageInFlight(NamedTuple):
+    """A message on its way to a node."""
 
+    target: str
+    source: ProcessId
+    content: LeaseMessage
 
-@dataclass(slots=True, frozen=True)
-class Left:
-    """How often each may still happen."""
 
-    asks: int = 2
-    renews: int = 1
+@dataclass(slots=True, frozen=True)
+class RemainingSteps:
+    """How often each may still happen.
+
+    Attributes:
+        requests: A process requests a lease.
+        renewals: A process renews a lease.
+        losses: A message is lost.
+        duplicates: A message is duplicated.
+        pauses: A process is paused.
+        restarts: A process is killed and restarted.
+        cancellations: A request is canceled before it is answered.
+    """
+
+    requests: int = 2
+    renewals: int = 1
     losses: int = 1
-    doubles: int = 1
+    duplicates: int = 1
     pauses: int = 1
     restarts: int = 1
-    forgoes: int = 0  # requests canceled before they are answered
+    cancellations: int = 0
 
 
 @dataclass(slots=True, frozen=True)
-class Leases:
-    """`make` builds an allocation, so that a defect may be planted in each."""
+class LeaseState:
+    """A state of the processes and of the messages between them.
+
+    Attributes:
+        terms: Of all leases.
+        processes: All of them.
+        remaining: What may still happen.
+        messages: On their way, in a canonical order.
+        build: Builds an allocation, so that a defect may be planted in each.
+    """
 
     terms: LeaseTerms
-    processes: tuple[Process, ...]
-    left: Left
-    flying: tuple[Flying, ...] = ()
-    make: Callable[[LeaseTerms, float], Allocation] = Allocation
+    processes: tuple[LeaseProcess, ...]
+    remaining: RemainingSteps
+    messages: tuple[MessageInFlight, ...] = ()
+    build: AllocationBuilder = Allocation
 
     @classmethod
     def begin(
         cls,
         speeds: tuple[float, ...],
-        left: Left | None = None,
+        remaining: RemainingSteps | None = None,
         terms: LeaseTerms = TERMS,
-        make: Callable[[LeaseTerms, float], Allocation] = Allocation,
+        build: AllocationBuilder = Allocation,
     ) -> Self:
-        """A process for each of `speeds`, all of which began long ago."""
+        """Build the initial state.
+
+        Args:
+            speeds: Of the clock of each process, all of which started long ago.
+            remaining: What may happen.
+            terms: Of all leases.
+            build: Builds an allocation.
+        """
         processes = tuple(
-            Process("abcdef"[i], 1, LONG_AGO, speed, make(terms, 0.0)) for i, speed in enumerate(speeds)
+            LeaseProcess(NODE_NAMES[index], 1, LONG_AGO, speed, build(terms, 0.0))
+            for index, speed in enumerate(speeds)
         )
-        return cls(terms, processes, left or Left(), (), make)
+        return cls(terms, processes, remaining or RemainingSteps(), (), build)
 
-    # What can happen
+    # Transitions
 
-    def steps(self) -> Iterator[tuple[str, Self]]:
+    def transitions(self) -> Iterator[tuple[str, Self]]:
+        """See `State.transitions`."""
         yield "time goes on", self._tick()
-        for i, process in enumerate(self.processes):
-            yield from self._of_process(i, process)
-        for word in dict.fromkeys(self.flying):
-            yield from self._of_word(word)
-
-    def _of_process(self, i: int, process: Process) -> Iterator[tuple[str, Self]]:
-        left, name = self.left, process.name
-        if process.paused:
-            yield f"{name} goes on", self._with(i, replace(process, paused=False))
-        elif left.pauses:
-            yield f"{name} is stopped", self._with(i, replace(process, paused=True), pauses=-1)
-        if left.restarts:
-            anew = self.make(self.terms, process.clock)
-            life = replace(process, life=process.life + 1, allocation=anew, paused=False)
-            yield f"{name} is killed and starts anew", self._with(i, life, restarts=-1)
-        if process.paused:
+        for index, process in enumerate(self.processes):
+            yield from self._lifecycle_transitions(index, process)
+            if not process.is_paused:
+                yield from self._request_transitions(index, process)
+                yield from self._cancellation_transitions(index, process)
+                yield from self._lease_transitions(index, process)
+        for message in dict.fromkeys(self.messages):
+            yield from self._message_transitions(message)
+
+    def _lifecycle_transitions(self, index: int, process: LeaseProcess) -> Iterator[tuple[str, Self]]:
+        remaining = self.remaining
+        if process.is_paused:
+            yield f"{process.name} goes on", self._with_process(index, replace(process, is_paused=False))
+        elif remaining.pauses:
+            paused = self._with_process(index, replace(process, is_paused=True))
+            yield f"{process.name} is stopped", paused._spending(pauses=1)
+        if remaining.restarts:
+            restarted = replace(
+                process,
+                incarnation=process.incarnation + 1,
+                allocation=self.build(self.terms, process.clock),
+                is_paused=False,
+            )
+            after = self._with_process(index, restarted)._spending(restarts=1)
+            yield f"{process.name} is killed and starts anew", after
+
+    def _request_transitions(self, index: int, process: LeaseProcess) -> Iterator[tuple[str, Self]]:
+        if not self.remaining.requests:
             return
-        for other in self.processes:
-            if other.name != name and left.asks:
-                allocation = process.allocation.copy()
-                request = allocation.request(
-                    process.clock, other.name, self.terms.even_fraction - self.terms.floor
-                )
-                after = self._with(i, replace(process, allocation=allocation), asks=-1)
-                yield f"{name} asks {other.name}", after._send(other.name, process.peer, request)
-        for grantor, id in process.allocation.requested:
-            if (grantor, id) not in process.allocation.acquired and left.forgoes:
-                allocation = process.allocation.copy()
-                cancellation = allocation.cancel(grantor, id)
-                after = self._with(i, replace(process, allocation=allocation), forgoes=-1)
-                yield (
-                    f"{name} cancels its request to {grantor}",
-                    after._send(grantor, process.peer, cancellation),
-                )
-        for grantor, id in process.allocation.acquired:
+        amount = self.terms.even_fraction - self.terms.floor
+        for peer in self.processes:
+            if peer.name == process.name:
+                continue
+            allocation = process.allocation.copy()
+            request = allocation.request(process.clock, peer.name, amount)
+            after = self._with_process(index, replace(process, allocation=allocation))._spending(requests=1)
+            yield f"{process.name} asks {peer.name}", after._send(peer.name, process.id, request)
+
+    def _cancellation_transitions(self, index: int, process: LeaseProcess) -> Iterator[tuple[str, Self]]:
+        if not self.remaining.cancellations:
+            return
+        for key in process.allocation.requested:
+            if key in process.allocation.acquired:
+                continue
             allocation = process.allocation.copy()
-            renewal = allocation.renewal(process.clock, grantor, id) if left.renews else None
-            if renewal is not None:
-                after = self._with(i, replace(process, allocation=allocation), renews=-1)
-                yield f"{name} renews its lease from {grantor}", after._send(grantor, process.peer, renewal)
+            cancellation = allocation.cancel(key.grantor, key.lease_id)
+            after = self._with_process(index, replace(process, allocation=allocation))
+            after = after._spending(cancellations=1)
+            yield (
+                f"{process.name} cancels its request to {key.grantor}",
+                after._send(key.grantor, process.id, cancellation),
+            )
+
+    def _lease_transitions(self, index: int, process: LeaseProcess) -> Iterator[tuple[str, Self]]:
+        """Yield renewals and releases of what the process has leased."""
+        for key in process.allocation.acquired:
+            if self.remaining.renewals:
+                allocation = process.allocation.copy()
+                renewal = allocation.renewal(process.clock, key.grantor, key.lease_id)
+                if renewal is not None:
+                    after = self._with_process(index, replace(process, allocation=allocation))
+                    after = after._spending(renewals=1)
+                    yield (
+                        f"{process.name} renews its lease from {key.grantor}",
+                        after._send(key.grantor, process.id, renewal),
+                    )
             allocation = process.allocation.copy()
-            release = allocation.release(grantor, id)
+            release = allocation.release(key.grantor, key.lease_id)
             if release is not None:
-                after = self._with(i, replace(process, allocation=allocation))
-                yield f"{name} releases a lease of {grantor}", after._send(grantor, process.peer, release)
-
-    def _of_word(self, word: Flying) -> Iterator[tuple[str, Self]]:
-        to, source, said = word
-        what = f"{type(said).__name__} from {source[0]} to {to}"
-        i = next(i for i, process in enumerate(self.processes) if process.name == to)
-        process = self.processes[i]
-        if not process.paused:
+                after = self._with_process(index, replace(process, allocation=allocation))
+                yield (
+                    f"{process.name} releases a lease of {key.grantor}",
+                    after._send(key.grantor, process.id, release),
+                )
+
+    def _message_transitions(self, message: MessageInFlight) -> Iterator[tuple[str, Self]]:
+        source = message.source
+        description = f"{type(message.content).__name__} from {source.name} to {message.target}"
+        index = next(index for index, process in enumerate(self.processes) if process.name == message.target)
+        process = self.processes[index]
+        if not process.is_paused:
             allocation = process.allocation.copy()
-            answer = allocation.receive(process.clock, source, said)
-            after = self._without(word)._with(i, replace(process, allocation=allocation))
-            if answer is not None:
-                after = after._send(source[0], process.peer, answer)
-            yield f"{what} arrives", after
-        if self.left.losses:
-            yield f"{what} is lost", replace(self._without(word), left=self._spend(losses=-1))
-        if self.left.doubles:
-            doubled = tuple(sorted((*self.flying, word), key=repr))
-            yield f"{what} is doubled", replace(self, flying=doubled, left=self._spend(doubles=-1))
+            response = allocation.receive(process.clock, source, message.content)
+            after = self._without(message)._with_process(index, replace(process, allocation=allocation))
+            if response is not None:
+                after = after._send(source.name, process.id, response)
+            yield f"{description} arrives", after
+        if self.remaining.losses:
+            yield f"{description} is lost", self._without(message)._spending(losses=1)
+        if self.remaining.duplicates:
+            duplicated = self._send(message.target, source, message.content)._spending(duplicates=1)
+            yield f"{description} is doubled", duplicated
 
     def _tick(self) -> Self:
-        moved = []
+        processes = []
         for process in self.processes:
-            clock, allocation = process.clock + process.speed, process.allocation
-            if not process.paused:
+            clock = process.clock + process.speed
+            allocation = process.allocation
+            if not process.is_paused:
                 allocation = allocation.copy()
                 allocation.remove_expired(clock)
-            moved.append(replace(process, clock=clock, allocation=allocation))
-        return replace(self, processes=tuple(moved))
+            processes.append(replace(process, clock=clock, allocation=allocation))
+        return replace(self, processes=tuple(processes))
 
-    def _spend(self, **less: int) -> Left:
-        return replace(self.left, **{name: getattr(self.left, name) + by for name, by in less.items()})
+    def _spending(self, **counts: int) -> Self:
+        """Return the state with so many fewer steps of each kind left."""
+        fewer = {name: getattr(self.remaining, name) - count for name, count in counts.items()}
+        return replace(self, remaining=replace(self.remaining, **fewer))
 
-    def _with(self, i: int, process: Process, **less: int) -> Self:
-        processes = (*self.processes[:i], process, *self.processes[i + 1 :])
-        return replace(self, processes=processes, left=self._spend(**less))
+    def _with_process(self, index: int, process: LeaseProcess) -> Self:
+        return replace(self, processes=(*self.processes[:index], process, *self.processes[index + 1 :]))
 
-    def _send(self, to: str, source: ProcessId, word: LeaseMessage) -> Self:
-        return replace(self, flying=tuple(sorted((*self.flying, (to, source, word)), key=repr)))
+    def _send(self, target: str, source: ProcessId, content: LeaseMessage) -> Self:
+        messages = (*self.messages, MessageInFlight(target, source, content))
+        return replace(self, messages=tuple(sorted(messages, key=repr)))
 
-    def _without(self, word: Flying) -> Self:
-        at = self.flying.index(word)
-        return replace(self, flying=self.flying[:at] + self.flying[at + 1 :])
+    def _without(self, message: MessageInFlight) -> Self:
+        index = self.messages.index(message)
+        return replace(self, messages=self.messages[:index] + self.messages[index + 1 :])
 
-    # What must hold
+    # Invariants
 
-    def broken(self) -> str:
-        used = {process.name: process.allocation.usable(process.clock) for process in self.processes}
+    def violated_invariant(self) -> str:
+        """See `State.violated_invariant`."""
+        usable = {process.name: process.allocation.usable(process.clock) for process in self.processes}
         limit = self.terms.even_fraction * len(self.processes)
-        if sum(used.values()) > limit:
-            return f"{used} may be used together, of a limit of {limit}"
-        low = [name for name, amount in used.items() if amount < self.terms.floor]
-        return f"{low[0]} holds less than its floor: {used}" if low else ""
+        if sum(usable.values()) > limit:
+            return f"{usable} may be used together, of a limit of {limit}"
+        for name, amount in usable.items():
+            if amount < self.terms.floor:
+                return f"{name} holds less than its floor: {usable}"
+        return ""
 
-    # What cannot be told apart
+    # Symmetry
 
-    def key(self) -> Hashable:
-        """By times to go, not by the time; the least over all ways to call the processes."""
-        names = [process.name for process in self.processes]
-        keys = []
+    def canonical_key(self) -> Hashable:
+        """See `State.canonical_key`: the least form over all numberings of processes of the same speeds."""
         speeds = [process.speed for process in self.processes]
-        for order in itertools.permutations(range(len(names))):
-            if [speeds[k] for k in order] != speeds:
+        forms = []
+        for order in itertools.permutations(range(len(self.processes))):
+            if [speeds[index] for index in order] != speeds:
                 continue
-            called = {names[i]: j for j, i in enumerate(order)}
-            keys.append(repr((self._state(called, order), self._words(called))))
-        return min(keys), self.left
-
-    def _state(self, called: dict[str, int], order: tuple[int, ...]) -> list[object]:
-        state: list[object] = []
-        lives = {process.name: process.life for process in self.processes}
-        for i in order:
-            process = self.processes[i]
-            now, held = process.clock, process.allocation
-            lent = sorted(
-                (
-                    called[peer.name],
-                    lives[peer.name] - peer.incarnation,
-                    id,
-                    lease.amount,
-                    lease.expires_at - now,
-                )
-                for (peer, id), lease in held.granted.items()
-                if lease.expires_at > now
-            )
-            borrowed = sorted(
-                _owed(called[name], id, lease, now) for (name, id), lease in held.acquired.items()
+            numbers = {self.processes[index].name: number for number, index in enumerate(order)}
+            process_forms = [self._process_form(self.processes[index], numbers) for index in order]
+            forms.append(repr((process_forms, self._message_forms(numbers))))
+        return min(forms), self.remaining
+
+    def _process_form(self, process: LeaseProcess, numbers: Mapping[str, int]) -> object:
+        """Return a process's state by times to go, and with numbers for names."""
+        incarnations = {peer.name: peer.incarnation for peer in self.processes}
+        now = process.clock
+        allocation = process.allocation
+        granted = sorted(
+            (
+                numbers[key.lessee.name],
+                incarnations[key.lessee.name] - key.lessee.incarnation,
+                key.lease_id,
+                lease.amount,
+                lease.expires_at - now,
             )
-            asked = sorted((called[name], id, amount) for (name, id), amount in held.requested.items())
-            young = max(0.0, held.started_at + self.terms.grantor_lease_ms - now)
-            state.append((process.speed, process.paused, young, lent, borrowed, asked, held.last_lease_id))
-        return state
+            for key, lease in allocation.granted.items()
+            if lease.expires_at > now
+        )
+        acquired = sorted(
+            (numbers[key.grantor], key.lease_id, lease.amount, max(0.0, lease.expires_at - now))
+            for key, lease in allocation.acquired.items()
+        )
+        requested = sorted(
+            (numbers[key.grantor], key.lease_id, amount) for key, amount in allocation.requested.items()
+        )
+        floor_only_ms = max(0.0, allocation.started_at + self.terms.grantor_lease_ms - now)
+        return (
+            process.speed,
+            process.is_paused,
+            floor_only_ms,
+            granted,
+            acquired,
+            requested,
+            allocation.last_lease_id,
+        )
 
-    def _words(self, called: dict[str, int]) -> list[str]:
+    def _message_forms(self, numbers: Mapping[str, int]) -> list[str]:
         by_name = {process.name: process for process in self.processes}
-        words: list[str] = []
-        for to, (name, life), word in self.flying:
-            back = by_name[name].life - life
-            # A stamp counts on the clock of whoever asked; beyond a lease it is all the same how old it is.
-            asker = by_name[to] if isinstance(word, LeaseGrant) else by_name[name]
-            stamp = getattr(word, "requested_at", None)
-            age = None if stamp is None else min(asker.clock - stamp, 2 * self.terms.lease_ms)
-            amount = getattr(word, "amount", 0)
-            words.append(
-                repr((called[to], called[name], back, type(word).__name__, word.lease_id, amount, age))
+        forms = []
+        for message in self.messages:
+            source = by_name[message.source.name]
+            content = message.content
+            # A time counts on the clock of the lessee; beyond two leases its age makes no difference.
+            lessee = by_name[message.target] if isinstance(content, LeaseGrant) else source
+            requested_at = getattr(content, "requested_at", None)
+            age = None if requested_at is None else min(lessee.clock - requested_at, 2 * self.terms.lease_ms)
+            form = (
+                numbers[message.target],
+                numbers[message.source.name],
+                source.incarnation - message.source.incarnation,
+                type(content).__name__,
+                content.lease_id,
+                getattr(content, "amount", 0),
+                age,
             )
-        return sorted(words)
-
-
-def _owed(name: int, id: int, lease: Lease, now: float) -> tuple[int, int, int, float]:
-    return name, id, lease.amount, max(0.0, lease.expires_at - now)
-
-
-SPEEDS = tuple(itertools.combinations_with_replacement((0.8 * STEP, 1.2 * STEP), 3))
-__all__ = ["SPEEDS", "TERMS", "LeaseRelease", "LeaseRequest", "Leases", "Left"]
+            forms.append(repr(form))
+        return sorted(forms)
--- a/flintridge/lab/explore/search.py
+++ b/flintridge/lab/explore/search.py
@@ -1,55 +1,83 @@
-"""Breadth-first search over the states of a small world."""
+"""Breadth-first search over the states of a small system."""
 
 from collections import deque
 from collections.abc import Hashable, Iterator
 from dataclasses import dataclass
-from typing import Protocol, Self
+from typing import NamedTuple, Protocol, Self
 
 
-class World(Protocol):
-    """A state. Nothing in it may change once it was handed out."""
+class State(Protocol):
+    """A state of the system. Nothing in it may change once it was handed out."""
 
-    def steps(self) -> Iterator[tuple[str, Self]]:
-        """All that can happen next: what it is, in a few words, and what comes of it."""
+    def transitions(self) -> Iterator[tuple[str, Self]]:
+        """Yield all that can happen next: a description in a few words, and the state after it."""
 
-    def key(self) -> Hashable:
-        """The same for states that cannot be told apart: symmetric ones, those that differ in the time."""
+    def canonical_key(self) -> Hashable:
+        """Return the same key for states that behave the same: symmetric ones, or at another time."""
 
-    def broken(self) -> str:
-        """Which invariant does not hold, in a sentence; empty where all do."""
+    def violated_invariant(self) -> str:
+        """Return which invariant does not hold, in a sentence; empty where all do."""
 
 
 @dataclass(slots=True, frozen=True)
-class Explored:
+class ExplorationResult:
+    """What an exploration found.
+
+    Attributes:
+        states: How many distinct states were reached.
+        depth: How many transitions lead to the farthest.
+        is_complete: Whether all states were reached.
+        violation: The violated invariant; empty where all held.
+        path: The transitions that lead to the violation, as few as there are.
+    """
+
     states: int
-    depth: int  # steps to the farthest state
-    whole: bool  # whether all states were seen
-    broken: str = ""
-    story: tuple[str, ...] = ()  # the steps to where it broke, as few as there are
+    depth: int
+    is_complete: bool
+    violation: str = ""
+    path: tuple[str, ...] = ()
+
+
+class _Arrival(NamedTuple):
+    """From which state, by what transition, a state was first reached."""
+
+    previous_key: Hashable | None
+    transition: str
 
 
-def explore(start: World, most: int = 1_000_000) -> Explored:
-    """Until an invariant breaks, all states were seen, or `most` of them."""
-    came: dict[Hashable, tuple[Hashable | None, str]] = {start.key(): (None, "")}
-    line: deque[tuple[World, Hashable, int]] = deque([(start, start.key(), 0)])
+class _QueuedState(NamedTuple):
+    state: State
+    key: Hashable
+    depth: int
+
+
+def explore(start: State, max_states: int = 1_000_000) -> ExplorationResult:
+    """Search until an invariant is violated, all states were reached, or `max_states` of them."""
+    start_key = start.canonical_key()
+    arrivals: dict[Hashable, _Arrival] = {start_key: _Arrival(None, "")}
+    queue: deque[_QueuedState] = deque([_QueuedState(start, start_key, 0)])
     depth = 0
-    while line:
-        world, key, depth = line.popleft()
-        if broken := world.broken():
-            return Explored(len(came), depth, False, broken, _story(came, key))
-        if len(came) >= most:
-            return Explored(len(came), depth, False)
-        for what, after in world.steps():
-            next_key = after.key()
-            if next_key not in came:
-                came[next_key] = key, what
-                line.append((after, next_key, depth + 1))
-    return Explored(len(came), depth, True)
-
-
-def _story(came: dict[Hashable, tuple[Hashable | None, str]], key: Hashable | None) -> tuple[str, ...]:
-    steps: list[str] = []
-    while key is not None:
-        key, what = came[key]
-        steps.append(what)
-    return tuple(reversed(steps[:-1]))
+    while queue:
+        state, key, depth = queue.popleft()
+        violation = state.violated_invariant()
+        if violation:
+            path = _path(arrivals, key)
+            return ExplorationResult(len(arrivals), depth, is_complete=False, violation=violation, path=path)
+        if len(arrivals) >= max_states:
+            return ExplorationResult(len(arrivals), depth, is_complete=False)
+        for transition, next_state in state.transitions():
+            next_key = next_state.canonical_key()
+            if next_key not in arrivals:
+                arrivals[next_key] = _Arrival(key, transition)
+                queue.append(_QueuedState(next_state, next_key, depth + 1))
+    return ExplorationResult(len(arrivals), depth, is_complete=True)
+
+
+def _path(arrivals: dict[Hashable, _Arrival], key: Hashable) -> tuple[str, ...]:
+    """Return the transitions from the start to the state of that key."""
+    transitions: list[str] = []
+    arrival = arrivals[key]
+    while arrival.previous_key is not None:
+        transitions.append(arrival.transition)
+        arrival = arrivals[arrival.previous_key]
+    return tuple(reversed(transitions))
--- a/tests/leases/test_allocation.py
+++ b/tests/leases/test_allocation.py
@@ -7,7 +7,7 @@
 
 from flintridge.lab.defects.leases import LEASE_DEFECTS
 from flintridge.lab.explore import explore
-from flintridge.lab.explore.leases import SPEEDS, Leases, Left
+from flintridge.lab.explore.leases import CLOCK_SPEEDS, LeaseState, RemainingSteps
 from flintridge.leases.allocation import Allocation, ProcessId
 from flintridge.leases.fleet_limit import LeaseTerms, LeaseTermsError
 from flintridge.leases.messages import LeaseGrant, LeaseMessage, LeaseRelease, LeaseRequest
@@ -33,48 +33,56 @@
 
 # Every interleaving
 
-NONE = {"asks": 0, "renews": 0, "losses": 0, "doubles": 0, "pauses": 0, "restarts": 0, "forgoes": 0}
+NONE = {
+    "requests": 0,
+    "renewals": 0,
+    "losses": 0,
+    "duplicates": 0,
+    "pauses": 0,
+    "restarts": 0,
+    "cancellations": 0,
+}
 
 
 @pytest.mark.parametrize(
     ("speeds", "left", "states"),
     [
-        ((4.0, 6.0, 4.0), {"asks": 2}, 10_000),
-        ((4.0, 6.0), {"asks": 1, "renews": 1, "losses": 1, "pauses": 1, "restarts": 1}, 10_000),
-        ((4.0, 6.0), {"asks": 1, "doubles": 1, "restarts": 1, "forgoes": 1}, 1_000),
+        ((4.0, 6.0, 4.0), {"requests": 2}, 10_000),
+        ((4.0, 6.0), {"requests": 1, "renewals": 1, "losses": 1, "pauses": 1, "restarts": 1}, 10_000),
+        ((4.0, 6.0), {"requests": 1, "duplicates": 1, "restarts": 1, "cancellations": 1}, 1_000),
     ],
 )
 def test_usable_sum_in_every_interleaving_never_exceeds_the_limit(speeds, left, states):
     """The longer searches are a command: benchmarks/lease_search.py."""
-    found = explore(Leases.begin(speeds, Left(**NONE | left)))
-    assert found.whole, found.story
-    assert not found.broken, found.story
+    found = explore(LeaseState.begin(speeds, RemainingSteps(**NONE | left)))
+    assert found.is_complete, found.path
+    assert not found.violation, found.path
     assert found.states > states
 
 
 # What has to happen for a defect to show; two processes and a request do for most.
 EVENTS_THAT_SHOW = {
-    "LeasesForgotten": {"asks": 1, "restarts": 1},
-    "NoFloor": {"asks": 1, "restarts": 1},
-    "DuplicateGrantCountsTwice": {"asks": 1, "doubles": 1},
-    "LateGrantAfterRelease": {"asks": 1, "doubles": 1},
-    "RenewedByRequest": {"asks": 1, "renews": 1},
-    "RenewalNotCounted": {"asks": 1, "renews": 1},
-    "ExpiryNotChecked": {"asks": 1, "pauses": 1},
-    "AnotherIncarnationsLeaseEnds": {"asks": 2},
+    "LeasesForgotten": {"requests": 1, "restarts": 1},
+    "NoFloor": {"requests": 1, "restarts": 1},
+    "DuplicateGrantCountsTwice": {"requests": 1, "duplicates": 1},
+    "LateGrantAfterRelease": {"requests": 1, "duplicates": 1},
+    "RenewedByRequest": {"requests": 1, "renewals": 1},
+    "RenewalNotCounted": {"requests": 1, "renewals": 1},
+    "ExpiryNotChecked": {"requests": 1, "pauses": 1},
+    "AnotherIncarnationsLeaseEnds": {"requests": 2},
 }
 
 
 @pytest.mark.parametrize("defect", LEASE_DEFECTS, ids=lambda defect: defect.__name__)
 def test_explorer_with_a_planted_defect_finds_it_with_its_story(defect):
     speeds = (4.0, 6.0, 6.0) if defect.__name__ == "AnotherIncarnationsLeaseEnds" else (4.0, 6.0)
-    left = Left(**NONE | EVENTS_THAT_SHOW.get(defect.__name__, {"asks": 1}))
-    found = explore(Leases.begin(speeds, left, make=defect))
+    left = RemainingSteps(**NONE | EVENTS_THAT_SHOW.get(defect.__name__, {"requests": 1}))
+    found = explore(LeaseState.begin(speeds, left, build=defect))
     assert defect.__doc__
-    assert found.broken, (defect.__doc__, found.states)
-    assert found.story, (defect.__doc__, found.states)
-    sound = explore(Leases.begin(speeds, left), most=3 * found.states)
-    assert not sound.broken
+    assert found.violation, (defect.__doc__, found.states)
+    assert found.path, (defect.__doc__, found.states)
+    sound = explore(LeaseState.begin(speeds, left), max_states=3 * found.states)
+    assert not sound.violation
 
 
 # Clause by clause
@@ -274,5 +282,5 @@
 
 
 def test_explorer_speeds_cover_all_mixtures_of_slow_and_fast_clocks():
-    assert len(SPEEDS) == 4
-    assert (4.0, 4.0, 6.0) in SPEEDS
+    assert len(CLOCK_SPEEDS) == 4
+    assert (4.0, 4.0, 6.0) in CLOCK_SPEEDS
