--- a/benchmarks/budget_silence.py
+++ b/benchmarks/budget_silence.py
@@ -38,10 +38,10 @@
 async def play(seconds: float) -> bool:
     """Whether the node held its even part, and the servers got no more than the quota."""
     async with Rig(3, 1, SCENARIO, loaded=True) as rig:
-        await rig.until(rig.all_hear)
+        await rig.wait_until(rig.all_reachable)
 
         async def usable() -> float:
-            response = await rig.console("n0", "/admin/budgets")
+            response = await rig.request_admin("n0", "/admin/budgets")
             return float("nan") if response is None else response["budgets"][0]["usable"]
 
         while not await usable() > 1.05:  # noqa: ASYNC110  the console is all there is to ask
@@ -66,7 +66,7 @@
     """Play what the arguments ask for and print it."""
     parser = harness.argument_parser(__doc__)
     parser.add_argument("--seconds", type=float, default=60.0)
-    sys.exit(not asyncio.run(play(parser.parse_args().seconds)))
+    sys.exit(not asyncio.run(play(parser.parse_args().datagram_bytes)))
 
 
 if __name__ == "__main__":
--- a/flintridge/lab/backend/processes.py
+++ b/flintridge/lab/backend/processes.py
@@ -17,7 +17,7 @@
 from flintridge.lab.backend.usage import ProcessUsage, RunUsage
 from flintridge.lab.fabric import Fabric, RunClock
 from flintridge.lab.faults.injection import SystemState
-from flintridge.lab.partial.peernet import PeerNet
+from flintridge.lab.partial.peer_network import PeerNetwork
 from flintridge.lab.records import ConnectionCount, NodeLogLine, NodeStateChanged, RecordLog
 from flintridge.lab.scenario.model import Scenario, keeps_lines
 
@@ -61,7 +61,7 @@
             close_grace_s: What nodes are given at the end before they are killed; None: by the deadlines.
             clients_of: Counts the connections that clients hold to a node.
         """
-        self.peers: PeerNet | None = None
+        self.peers: PeerNetwork | None = None
         self.unexpected_ends: list[str] = []
         self._records_log_lines = keeps_lines(scenario)
         self._log = log
@@ -262,7 +262,7 @@
 
     def _write_config(self, node: str, config: dict[str, Any]) -> None:
         if self.peers is not None:
-            config = self.peers.own(node, config)
+            config = self.peers.node_file(node, config)
         self._launcher.write_config(node, config)
 
     def _watch(self, name: str, process: NodeProcess) -> None:
--- a/flintridge/lab/backend/virtual/observation.py
+++ b/flintridge/lab/backend/virtual/observation.py
@@ -5,7 +5,7 @@
 
 from flintridge.lab.backend.virtual.fabric import VirtualFabric
 from flintridge.lab.backend.virtual.process import VirtualProcess
-from flintridge.lab.partial.views import VIEW_MS, held_of, view_of
+from flintridge.lab.partial.admin_records import REPORT_INTERVAL_MS, lease_records, membership_record
 from flintridge.lab.records import ConnectionCount, RecordLog
 
 CONNECTION_INTERVAL_MS = 1000.0
@@ -71,14 +71,14 @@
         self._timer.cancel()
 
     def _sample(self) -> None:
-        self._timer = self._fabric.clock.call_later(VIEW_MS, self._sample)
+        self._timer = self._fabric.clock.call_later(REPORT_INTERVAL_MS, self._sample)
         now = self._fabric.clock.now()
         for process in self._running():
             node = process.node
             if node is None:
                 continue
             if node.membership is not None and not self._fabric.network.host(process.name).paused:
-                self._log.add(view_of(now, process.name, node.membership.admin_view().fields))
+                self._log.add(membership_record(now, process.name, node.membership.admin_view().fields))
             if node.leases is not None:  # also of one that is paused: it may use them once it goes on
-                for lease in held_of(now, process.name, node.leases.admin_status().fields):
+                for lease in lease_records(now, process.name, node.leases.admin_status().fields):
                     self._log.add(lease)
--- a/flintridge/lab/backend/virtual/peers.py
+++ b/flintridge/lab/backend/virtual/peers.py
@@ -10,7 +10,7 @@
 from flintridge.config.node_config import BudgetsConfig, PeersConfig
 from flintridge.config.node_file import budgets_config
 from flintridge.lab.backend.virtual.fabric import VirtualFabric
-from flintridge.lab.partial.views import FLEET, KEY, datagram_of
+from flintridge.lab.partial.admin_records import FLEET, KEY, datagram_record
 from flintridge.lab.records import RecordLog
 from flintridge.lab.scenario.model import Budgets, Peers
 from flintridge.membership.messages import MessageCodec
@@ -59,7 +59,7 @@
         codec = MessageCodec(FLEET, self._key())
 
         def record(source: str, target: str, data: bytes, outcome: str) -> None:
-            log.add(datagram_of(codec, fabric.clock.now(), source, target, data, outcome))
+            log.add(datagram_record(codec, fabric.clock.now(), source, target, data, outcome))
 
         return record
 
