--- a/flintridge/lab/faults/load_controls.py
+++ b/flintridge/lab/faults/load_controls.py
@@ -14,11 +14,11 @@
             factor: Returns the multiple of the usual rate at a time of the run (ms).
         """
 
-    def hot_key(self, part: float) -> object:
+    def hot_key(self, fraction: float) -> object:
         """Make one unpopular key hot.
 
         Args:
-            part: Fraction of all reads that ask for it.
+            fraction: Of all reads that ask for it.
         """
 
     def cool(self) -> None:
--- a/flintridge/upstream/streaming.py
+++ b/flintridge/upstream/streaming.py
@@ -9,7 +9,7 @@
 from flintridge.telemetry.log import EventLog
 from flintridge.upstream.connection import UpstreamConnection
 
-# A server that sends nothing for so long with_timeout a long value has failed.
+# A server that sends nothing for so long within a long value has failed.
 SERVER_STALL_MS = 10_000.0
 
 
