--- a/tests/leases/test_lease_processes.py
+++ b/tests/leases/test_lease_processes.py
@@ -79,7 +79,7 @@
     """
     times = arrivals(rig)
     found = []
-    incarnations = processes + sum(1 for one in rig.nodes._processes.values() for _ in one[1:])
+    incarnations = processes + sum(1 for one in rig.nodes.processes.values() for _ in one[1:])
     for seconds in (1, 2, 5, 10):
         maximum = 1.5 * QUOTA * (seconds + 0.1) + 8 * incarnations + 1.5 * QUOTA
         begin = 0
