--- a/benchmarks/budget_days.py
+++ b/benchmarks/budget_days.py
@@ -22,7 +22,7 @@
     parser.add_argument("--count", type=int, default=20)
     harness.add_jobs(parser, 4)
     arguments = parser.parse_args()
-    began = time.perf_counter()
+    started_at = time.perf_counter()
     seeds = range(arguments.first, arguments.first + arguments.days)
     with ProcessPoolExecutor(arguments.jobs) as pool:
         days = list(pool.map(random_day, seeds, [arguments.count] * arguments.days, chunksize=4))
@@ -36,7 +36,7 @@
     print(sum(not day.granted for day in days))
     print(f"greatest sum of one budget, in parts of {arguments.count}: {max(day.most for day in days):.3f}")
     print("what happened:", ", ".join(f"{name} {count:,}" for name, count in sorted(deeds.items())))
-    print(f"days over: {len(over)}; {time.perf_counter() - began:.0f} s")
+    print(f"days over: {len(over)}; {time.perf_counter() - started_at:.0f} s")
     for day in over[:10]:
         print(f"  seed {day.seed}: {day.over[0]}")
     sys.exit(bool(over))
--- a/benchmarks/budgets_cold.py
+++ b/benchmarks/budgets_cold.py
@@ -17,6 +17,7 @@
 """
 
 from collections import Counter
+from dataclasses import dataclass
 from pathlib import Path
 from tempfile import TemporaryDirectory
 from typing import Any
@@ -102,20 +103,21 @@
         setattr(ServerSelection, "is_within_budget", self._is_within_budget)  # noqa: B010
 
 
-def one(job: tuple[dict[str, Any], str, float, int]) -> dict[str, Any]:
-    """A day played: the figures."""
-    args, mode, skew, seed = job
-    scenario = scenario_of(args, mode, skew)
-    walks = Walks()
-    try:
-        with TemporaryDirectory() as folder:
-            events = Path(folder) / "events"
-            result = play(scenario, seed, events=events)
-            with events.open("rb") as lines:
-                day = History(read_records(lines), scenario, "virtual")
-    finally:
-        walks.close()
-    caches = [sent for sent in day.sent.values() if not sent.record.is_origin]
+@dataclass(frozen=True)
+class ColdLoad:
+    """The work at cold servers, as fractions of what rule 4 allows in a window.
+
+    Attributes:
+        used: By server and window.
+        most: The greatest of any window that ends with an attempt.
+    """
+
+    used: list[float]
+    most: float
+
+
+def cold_load(day: History, scenario: Scenario, caches: list[AttemptOutcome]) -> ColdLoad:
+    """What came to servers that started during the day, while they were cold."""
     by_server: dict[str, list[AttemptOutcome]] = {}
     for sent in caches:
         by_server.setdefault(sent.record.server, []).append(sent)
@@ -143,6 +145,24 @@
                     * rules.overload_window_ms
                 )
                 most = max(most, work / budget)
+    return ColdLoad(used, most)
+
+
+def play_job(job: tuple[dict[str, Any], str, float, int]) -> dict[str, Any]:
+    """A day played: the figures."""
+    args, mode, skew, seed = job
+    scenario = scenario_of(args, mode, skew)
+    walks = Walks()
+    try:
+        with TemporaryDirectory() as folder:
+            events = Path(folder) / "events"
+            result = play(scenario, seed, events=events)
+            with events.open("rb") as lines:
+                day = History(read_records(lines), scenario, "virtual")
+    finally:
+        walks.close()
+    caches = [sent for sent in day.sent.values() if not sent.record.is_origin]
+    load_of_cold = cold_load(day, scenario, caches)
     held = [
         record for record in day.records if isinstance(record, LeaseReported) and record.at_ms > AT_S * 1000
     ]
@@ -156,8 +176,8 @@
         "seed": seed,
         "fallen": sum(map(len, day.falls.values())),
         "rule": result.rules.get("cold", 0),
-        "used": mean(used),
-        "most": most,
+        "used": mean(load_of_cold.used),
+        "most": load_of_cold.most,
         "met": len(walks.met),
         "walked": len(walks.walked) / max(1, len(walks.met)),
         "dealt": walks.dealt / max(1, walks.looks),
@@ -193,12 +213,12 @@
     known = kept.keys(["mode", "skew", "seed"])
     print(f"{'skew':>5} {'mode':5} {'seed':>4}" + "".join(f"{name:>10}" for name in FIGURES))
     for row in kept.rows:
-        tell(row)
-    for row in kept.play(one, [job for job in jobs if job[1:] not in known], arguments.jobs):
-        tell(row)
+        print_row(row)
+    for row in kept.play(play_job, [job for job in jobs if job[1:] not in known], arguments.jobs):
+        print_row(row)
 
 
-def tell(row: dict[str, Any]) -> None:
+def print_row(row: dict[str, Any]) -> None:
     """Print a row."""
     figures = "".join(f"{row[name]:>10.4g}" for name in FIGURES)
     print(
--- a/benchmarks/budgets_gain.py
+++ b/benchmarks/budgets_gain.py
@@ -63,7 +63,7 @@
     return scenario
 
 
-def one(job: tuple[str, str, int, list[str]]) -> dict[str, Any]:
+def play_job(job: tuple[str, str, int, list[str]]) -> dict[str, Any]:
     """A day played: the figures."""
     day, mode, seed, more = job
     scenario = scenario_of(day, mode, more)
@@ -90,7 +90,7 @@
     }
 
 
-def tell(day: str, modes: list[str], rows: list[dict[str, Any]]) -> None:
+def print_rows(day: str, modes: list[str], rows: list[dict[str, Any]]) -> None:
     """Print the means of a day by mode, and how they differ from even parts."""
     names = [name for name in rows[0] if name not in ("day", "mode", "seed", "set", "rules", "ended")]
     by_mode = {mode: [row for row in rows if row["mode"] == mode] for mode in modes}
@@ -132,10 +132,11 @@
     kept = harness.KeptRows(arguments.json)
     kept.select(["set"], [arguments.set])
     known = kept.keys(["day", "mode", "seed"])
-    for _ in kept.play(one, [job for job in jobs if job[:3] not in known], arguments.jobs):
+    for _ in kept.play(play_job, [job for job in jobs if job[:3] not in known], arguments.jobs):
         pass
     for day in days:
-        tell(day, modes, sorted((row for row in kept.rows if row["day"] == day), key=lambda row: row["seed"]))
+        of_day = [row for row in kept.rows if row["day"] == day]
+        print_rows(day, modes, sorted(of_day, key=lambda row: row["seed"]))
 
 
 if __name__ == "__main__":
--- a/benchmarks/budgets_leaving.py
+++ b/benchmarks/budgets_leaving.py
@@ -53,7 +53,7 @@
     return replace(day, length_s=LENGTH_S, warmup_s=WARMUP_S, tenants=tenants, faults=(gone,))
 
 
-def one(job: tuple[str, str, int]) -> dict[str, Any]:
+def play_job(job: tuple[str, str, int]) -> dict[str, Any]:
     """A day played: goodput and due of each span, and what was lent."""
     how, mode, seed = job
     scenario = scenario_of(how, mode)
@@ -91,7 +91,7 @@
     return found | {"rules": broken, "ended": result.end_reason, "borrowed": borrowed}
 
 
-def tell(rows: list[dict[str, Any]]) -> None:
+def print_rows(rows: list[dict[str, Any]]) -> None:
     """Print the means of each span, and what lending gains in it."""
     heads = "".join(f"{f'{since}-{until} s':>10}" for since, until in SPANS)
     for figure in ("goodput", "due"):
@@ -166,9 +166,9 @@
     jobs = [(how, mode, seed) for seed in seeds for how in HOWS for mode in MODES]
     kept = harness.KeptRows(arguments.json)
     known = kept.keys(["how", "mode", "seed"])
-    for _ in kept.play(one, [job for job in jobs if job not in known], arguments.jobs):
+    for _ in kept.play(play_job, [job for job in jobs if job not in known], arguments.jobs):
         pass
-    tell(sorted((row for row in kept.rows if row["seed"] in seeds), key=lambda row: row["seed"]))
+    print_rows(sorted((row for row in kept.rows if row["seed"] in seeds), key=lambda row: row["seed"]))
 
 
 if __name__ == "__main__":
--- a/benchmarks/copies_search.py
+++ b/benchmarks/copies_search.py
@@ -55,9 +55,9 @@
 def search(name: str) -> list[str]:
     """Explore one of SEARCHES: its row."""
     size, written, left = SEARCHES[name]
-    began = time.perf_counter()
+    started_at = time.perf_counter()
     found = explore(Copies.begin(size, Left(**NONE | left), written=written), most=60_000)
-    took = time.perf_counter() - began
+    took = time.perf_counter() - started_at
     extent = "all" if found.whole else "cut short"
     broken = found.broken or "nothing"
     return [name, f"{found.states:,}", str(found.depth), extent, str(broken), f"{took:.0f}"]
--- a/benchmarks/crowd_cost.py
+++ b/benchmarks/crowd_cost.py
@@ -36,14 +36,14 @@
         await node.start(Path(folder))
         try:
             await ask(node, 0)
-            memory, cpu, began = node.memory_mb, node.cpu_s, time.perf_counter()
+            memory, cpu, started_at = node.memory_mb, node.cpu_s, time.perf_counter()
             crowd = []
             for at in range(0, COUNT, 250):  # the listener's queue holds 512
                 crowd += await asyncio.gather(
                     *(asyncio.open_connection("127.0.0.1", node.port) for _ in range(250))
                 )
                 await ask(node, at + 1)  # answered behind them: all before it are taken in
-            took = time.perf_counter() - began
+            took = time.perf_counter() - started_at
             memory, cpu = node.memory_mb - memory, node.cpu_s - cpu
             for _, writer in crowd:
                 writer.close()
--- a/benchmarks/fleet_size.py
+++ b/benchmarks/fleet_size.py
@@ -90,9 +90,9 @@
         kind = "first list"
         while self.due:
             now, _, event = heapq.heappop(self.due)
-            began = time.thread_time_ns()
+            started_at = time.thread_time_ns()
             actions = self.balancer.handle(now, event)
-            took = time.thread_time_ns() - began
+            took = time.thread_time_ns() - started_at
             self.longest_ns[kind] = max(self.longest_ns[kind], took)
             for action in actions:
                 self.carry_out(now, action)
@@ -116,10 +116,10 @@
 def play(servers: int, replaced: bool) -> dict[str, float]:
     """The figures of one play, in this process."""
     play = Play(servers, replaced)
-    began = time.process_time()
+    started_at = time.process_time()
     play.run()
     figures = {f"{name} ms": ns / MS for name, ns in play.longest_ns.items()}
-    figures["cpu s"] = time.process_time() - began
+    figures["cpu s"] = time.process_time() - started_at
     figures["memory mb"] = resource.getrusage(resource.RUSAGE_SELF).ru_maxrss / 1024
     figures["served"] = len(play.served) / (DURATION_S * REQUESTS_PER_S)
     return figures
--- a/benchmarks/lab_cost.py
+++ b/benchmarks/lab_cost.py
@@ -53,13 +53,13 @@
 
 def measure(size: str) -> dict[str, float]:
     """The figures of one play, in this process."""
-    began = time.process_time()
+    started_at = time.process_time()
     day = sized(*SIZES[size])
     result = play(day, 1)
     requests = result.requests * (day.length_s + day.warmup_s) / day.length_s
     return {
         "requests": requests,
-        "cpu_s": time.process_time() - began,
+        "cpu_s": time.process_time() - started_at,
         "lab_us": 1e6 * result.lab_cpu_s / requests,
         "node_us": 1e6 * result.node_cpu_s / requests,
         "memory_mb": result.peak_memory_mb,
--- a/benchmarks/lease_search.py
+++ b/benchmarks/lease_search.py
@@ -33,9 +33,9 @@
 def search(name: str) -> list[str]:
     """Explore one of SEARCHES: its row."""
     speeds, left = SEARCHES[name]
-    began = time.perf_counter()
+    started_at = time.perf_counter()
     found = explore(Leases.begin(speeds, left))
-    took = time.perf_counter() - began
+    took = time.perf_counter() - started_at
     extent = "all" if found.whole else "cut short"
     broken = found.broken or "nothing"
     return [name, f"{found.states:,}", str(found.depth), extent, str(broken), f"{took:.0f}"]
--- a/benchmarks/long_values.py
+++ b/benchmarks/long_values.py
@@ -72,12 +72,12 @@
 
 async def call(port: int) -> float:
     """Milliseconds until the console had answered."""
-    began = time.perf_counter()
+    started_at = time.perf_counter()
     reader, writer = await asyncio.open_connection("127.0.0.1", port)
     writer.write(b"GET /admin/health HTTP/1.1\r\nHost: n1\r\n\r\n")
     assert (await reader.read()).startswith(b"HTTP/1.1 200")
     writer.close()
-    return (time.perf_counter() - began) * 1000
+    return (time.perf_counter() - started_at) * 1000
 
 
 def free_port() -> int:
--- a/benchmarks/node_cost.py
+++ b/benchmarks/node_cost.py
@@ -81,9 +81,9 @@
 
     async def round(self) -> float:
         """Microseconds of CPU a request, over one round."""
-        began = self.cpu_s
+        started_at = self.cpu_s
         await asyncio.gather(*(self.client(REQUESTS // CLIENTS) for _ in range(CLIENTS)))
-        return (self.cpu_s - began) / REQUESTS * 1e6
+        return (self.cpu_s - started_at) / REQUESTS * 1e6
 
     async def client(self, count: int) -> None:
         """Read values one after the other over one connection."""
--- a/benchmarks/peers_cost.py
+++ b/benchmarks/peers_cost.py
@@ -36,10 +36,10 @@
     machine = node(key)
     if not flood:
         machine._datagrams_in.per_second = 1e12  # else all but 400 would be a flood
-    began = time.perf_counter()
+    started_at = time.perf_counter()
     for i in range(COUNT):
         machine.receive(1.0 + i * 0.001, data)
-    print(f"{name}: {(time.perf_counter() - began) / COUNT * 1e6:.1f} us")
+    print(f"{name}: {(time.perf_counter() - started_at) / COUNT * 1e6:.1f} us")
 
 
 def message(fleet: str) -> Message:
--- a/benchmarks/peers_processes.py
+++ b/benchmarks/peers_processes.py
@@ -33,13 +33,17 @@
             rig.ways(everyone, everyone, loss=loss)
         await rig.until(rig.all_hear, 60)
         before = {name: cpu(rig.nodes._lives[name][-1]) for name in rig.names}
-        began = rig.fabric.clock.now()
+        started_at = rig.fabric.clock.now()
         await asyncio.sleep(IDLE_S)
         took = [cpu(rig.nodes._lives[name][-1]) - before[name] for name in rig.names]
         seconds: dict[tuple[str, int], int] = {}
         for record in rig.log.records:
-            if isinstance(record, DatagramRelayed) and record.at_ms >= began and record.outcome != "doubled":
-                key = record.source, int((record.at_ms - began) // 1000)
+            if (
+                isinstance(record, DatagramRelayed)
+                and record.at_ms >= started_at
+                and record.outcome != "doubled"
+            ):
+                key = record.source, int((record.at_ms - started_at) // 1000)
                 seconds[key] = seconds.get(key, 0) + record.size
         deaths: list[list[float]] = []
         returns: list[list[float]] = []
--- a/benchmarks/replica_converge.py
+++ b/benchmarks/replica_converge.py
@@ -107,9 +107,9 @@
     fleet.run(1_000.0)
     sent = sum(_bytes(fleet, other) for other in fleet.names[1:])
     fleet.start(name)
-    began = fleet.now
+    started_at = fleet.now
     fleet.run(MOST, lambda: fleet.keeper(name).copy.sync_state is SyncState.SYNCHRONIZED)
-    return fleet.now - began, sum(_bytes(fleet, other) for other in fleet.names[1:]) - sent
+    return fleet.now - started_at, sum(_bytes(fleet, other) for other in fleet.names[1:]) - sent
 
 
 def _bytes(fleet: Keepers, name: str) -> int:
@@ -149,7 +149,7 @@
     )
     with ProcessPoolExecutor(2) as pool:
         for count in arguments.counts:
-            began = time.perf_counter()
+            started_at = time.perf_counter()
             seeds = range(arguments.seeds)
             rest = (
                 [count] * arguments.seeds,
@@ -162,7 +162,7 @@
             p99 = times[min(len(times) - 1, int(0.99 * len(times)))]
             spent = statistics.fmean(outcome.node_bytes for outcome in days)
             whole = statistics.fmean(outcome.copy_bytes for outcome in days)
-            took = time.perf_counter() - began
+            took = time.perf_counter() - started_at
             harness.print_table_row(
                 [
                     f"{count}",
--- a/benchmarks/ring_cost.py
+++ b/benchmarks/ring_cost.py
@@ -109,9 +109,9 @@
     """The median, in microseconds."""
     took = []
     for call in calls:
-        began = time.perf_counter()
+        started_at = time.perf_counter()
         call()
-        took.append(time.perf_counter() - began)
+        took.append(time.perf_counter() - started_at)
     return 1e6 * statistics.median(took)
 
 
@@ -133,9 +133,9 @@
     """The figures of one structure at one size."""
     ring = kind()
     numbers = {f"s-{i:08x}": i for i in range(size)}
-    began = time.perf_counter()
+    started_at = time.perf_counter()
     ring.replace(numbers)
-    build_s = time.perf_counter() - began
+    build_s = time.perf_counter() - started_at
     held = memory(ring) / size
     chance = random.Random(size)
     places = [position_of(f"key:{i}") for i in range(200)]
