--- a/benchmarks/budget_silence.py
+++ b/benchmarks/budget_silence.py
@@ -12,9 +12,9 @@
 import time
 
 from benchmarks import harness
-from flintridge.lab.judge.facts import History
 from flintridge.lab.judge.findings import Findings
-from flintridge.lab.judge.rules import budgets as rules
+from flintridge.lab.judge.history import History
+from flintridge.lab.judge.rules import fleet_limits as rules
 from flintridge.lab.partial.rig import Rig
 from flintridge.lab.scenario.model import Budgets, Group, Load, Nodes, Peers, RequestClass, Scenario, Tenant
 
--- a/benchmarks/budgets_cold.py
+++ b/benchmarks/budgets_cold.py
@@ -26,8 +26,9 @@
 
 from benchmarks import harness
 from flintridge.lab.experiment.stats import mean
-from flintridge.lab.judge.facts import AttemptOutcome, History
-from flintridge.lab.judge.rules.fleet import _windows, capacity
+from flintridge.lab.judge.history import History
+from flintridge.lab.judge.observations import AttemptOutcome
+from flintridge.lab.judge.rules.warming_up import capacity, windows
 from flintridge.lab.records import LeaseReported, read_records
 from flintridge.lab.run import play
 from flintridge.lab.scenario.load import load
@@ -124,7 +125,7 @@
     rules = scenario.rules
     used = []
     most = 0.0
-    for starts in day.starts.values():
+    for starts in day.server_starts.values():
         for start in (start for start in starts if start.at_ms > 0):
             mine = [
                 s
@@ -138,7 +139,7 @@
                 used.append(
                     work / (rules.overload_multiple * capacity(start, until) * rules.overload_window_ms)
                 )
-            for window, work in _windows(mine, rules.overload_window_ms):
+            for window, work in windows(mine, rules.overload_window_ms):
                 budget = (
                     rules.overload_multiple
                     * capacity(start, window[-1].record.at_ms)
@@ -161,20 +162,20 @@
                 day = History(read_records(lines), scenario, "virtual")
     finally:
         walks.close()
-    caches = [sent for sent in day.sent.values() if not sent.record.is_origin]
+    caches = [sent for sent in day.outcomes.values() if not sent.record.is_origin]
     load_of_cold = cold_load(day, scenario, caches)
     held = [
         record for record in day.records if isinstance(record, LeaseReported) and record.at_ms > AT_S * 1000
     ]
     lent = [report.borrowed for report in held]
     report_times = {report.at_ms for report in held}
-    outcomes = Counter(sent.made.outcome for sent in caches if sent.made is not None)
+    outcomes = Counter(sent.served.outcome for sent in caches if sent.served is not None)
     return {
         "args": args,
         "mode": mode,
         "skew": skew,
         "seed": seed,
-        "fallen": sum(map(len, day.falls.values())),
+        "fallen": sum(map(len, day.server_overloads.values())),
         "rule": result.rules.get("cold", 0),
         "used": mean(load_of_cold.used),
         "most": load_of_cold.most,
--- a/flintridge/cli/lab_show.py
+++ b/flintridge/cli/lab_show.py
@@ -21,4 +21,4 @@
     """
     from flintridge.lab.scenario.load import dump, load
 
-    click.echo(dump(load(scenario, list(overrides)), whole=with_defaults), nl=False)
+    click.echo(dump(load(scenario, list(overrides)), with_defaults=with_defaults), nl=False)
--- a/flintridge/lab/partial/rig.py
+++ b/flintridge/lab/partial/rig.py
@@ -21,19 +21,19 @@
 from flintridge.lab.backend.loopback import process_nodes
 from flintridge.lab.backend.loopback_fabric import LoopbackFabric, raise_descriptor_limit
 from flintridge.lab.fabric import NodeRunner
-from flintridge.lab.judge.facts import History
 from flintridge.lab.judge.findings import Findings
-from flintridge.lab.judge.rules import budgets as budget_rules
-from flintridge.lab.judge.rules import peers as peer_rules
-from flintridge.lab.load.driver import Load as Clients
+from flintridge.lab.judge.history import History
+from flintridge.lab.judge.rules import fleet_limits, membership
+from flintridge.lab.load.driver import LoadDriver
 from flintridge.lab.records import LinkFaultChanged, MembershipReported, NodeLogLine, RecordLog
 from flintridge.lab.result import Violation
 from flintridge.lab.run import READY_MS, Announced
 from flintridge.lab.scenario.model import Load, Nodes, Peers, RequestClass, Scenario
 from flintridge.lab.seeds import Seeds
 from flintridge.lab.truth import GroundTruth
-from flintridge.lab.world.fleet import World
-from flintridge.lab.world.links import SOUND, LinkFault, LinkTable
+from flintridge.lab.world.fleet import SimulatedFleet
+from flintridge.lab.world.link import NO_FAULT, LinkFault
+from flintridge.lab.world.link_table import LinkTable
 
 PATIENCE_S = 30.0  # for what a test waits for; a machine that is busy with other jobs takes longer
 LOOK_S = 0.05
@@ -64,7 +64,7 @@
         self._seed = seed
         self._tables = tables or {}
         self._loaded = loaded
-        self._load: Clients | None = None
+        self._load: LoadDriver | None = None
         self._sending: asyncio.Task[None] | None = None
 
     async def __aenter__(self) -> "Rig":
@@ -73,7 +73,7 @@
         self.links = LinkTable(self.scenario.links, seeds)
         self.fabric = LoopbackFabric(self.links)
         truth = GroundTruth()
-        self.world = World(self.scenario, seeds, self.log, self.fabric, truth)
+        self.world = SimulatedFleet(self.scenario, seeds, self.log, self.fabric, truth)
         self.nodes = process_nodes(self.fabric, self.log, self.scenario, self.world)
         assert self.nodes.peers is not None
         self.net = self.nodes.peers
@@ -83,7 +83,7 @@
             await self.world.open()
             if self._loaded:
                 world = self.world
-                self._load = Clients(
+                self._load = LoadDriver(
                     self.scenario, seeds, self.log, truth, self.fabric, world.nodes, world.node_zones
                 )
                 await self._load.start()
@@ -91,7 +91,7 @@
             for name in self.names:
                 await self.runner.start(name)
             if self._load is not None:
-                await self._load.ready(READY_MS)
+                await self._load.wait_until_ready(READY_MS)
                 self._sending = asyncio.ensure_future(self._load.run())
         except BaseException:
             await self._close()
@@ -119,7 +119,7 @@
     def way(self, source: str, target: str, **wrong: Any) -> None:
         """What is wrong from now on in that direction, by the names of `LinkFault`; nothing: it is sound."""
         fault = LinkFault(**wrong)
-        self.links.set_peer(source, target, fault)
+        self.links.set_fault(source, target, fault)
         told = {name: getattr(fault, name) for name in LinkFault.__dataclass_fields__}
         self.log.add(LinkFaultChanged(at_ms=self.fabric.clock.now(), source=source, target=target, **told))
 
@@ -136,12 +136,12 @@
     def heal(self) -> None:
         for a in self.names:
             for b in self.names:
-                if a != b and self.links.link(a, b).peer is not SOUND:
+                if a != b and self.links.link(a, b).fault is not NO_FAULT:
                     self.way(a, b)
 
     def kill(self, node: str) -> None:
         self.runner.kill(node)
-        self.world.node_ended(node)
+        self.world.node_stopped(node)
 
     # What is seen
 
@@ -203,7 +203,7 @@
         """Of the rules on peers and on budgets, by the records alone."""
         scenario = msgspec.structs.replace(self.scenario, length_s=86_400.0)
         day = History(self.log, scenario, "loopback")
-        findings = Findings((*peer_rules.RULES, *budget_rules.RULES))
-        peer_rules.check(day, findings)
-        budget_rules.check(day, findings)
+        findings = Findings((*membership.RULES, *fleet_limits.RULES))
+        membership.check(day, findings)
+        fleet_limits.check(day, findings)
         return findings.violations
--- a/flintridge/lab/run.py
+++ b/flintridge/lab/run.py
@@ -10,14 +10,15 @@
 from pathlib import Path
 from typing import Any
 
+from flintridge.lab.backend.usage import RunUsage
 from flintridge.lab.backend.virtual import VirtualFabric, VirtualNodes, VirtualPeers
 from flintridge.lab.defects import DEFECTS
 from flintridge.lab.fabric import Fabric, NodeRunner
 from flintridge.lab.faults.injection import SystemState
 from flintridge.lab.faults.timeline import Timeline
 from flintridge.lab.judge.verdict import judge
-from flintridge.lab.load.driver import Load
-from flintridge.lab.load.requests import Drawn
+from flintridge.lab.load.driver import LoadDriver
+from flintridge.lab.load.generated_requests import GeneratedRequest
 from flintridge.lab.load.trace import write as write_trace
 from flintridge.lab.partial.oracle import Dealing, Oracle
 from flintridge.lab.records import NodeStateChanged, RecordLog
@@ -26,8 +27,8 @@
 from flintridge.lab.seeds import Seeds
 from flintridge.lab.truth import GroundTruth
 from flintridge.lab.virtual import LivelockError, Network, VirtualLoop
-from flintridge.lab.world.fleet import World
-from flintridge.lab.world.links import LinkTable
+from flintridge.lab.world.fleet import SimulatedFleet
+from flintridge.lab.world.link_table import LinkTable
 from flintridge.node import Node
 
 BACKENDS = ("virtual", "loopback")
@@ -66,7 +67,7 @@
         raise ValueError(f"faults: folder_errors: on the loopback backend only, and this is {backend!r}")
     began, cpu = time.perf_counter(), time.process_time()
     log = RecordLog()
-    requests: list[Drawn] = []
+    requests: list[GeneratedRequest] = []
     playing = day if trace is None else partial(day, on_request=requests.append)
     if backend == "virtual":
         ended, usage = _play_virtual(scenario, seed, log, defect, playing, dealing)
@@ -84,14 +85,14 @@
     result.digest = log.digest()
     result.records = len(log)
     result.wall_s = time.perf_counter() - began
-    result.node_cpu_s = usage["node_cpu_s"]
-    result.lab_cpu_s = time.process_time() - cpu - (usage["node_cpu_s"] if backend == "virtual" else 0.0)
-    result.node_memory_mb = usage["node_memory_mb"]
+    result.node_cpu_s = usage.node_cpu_s
+    result.lab_cpu_s = time.process_time() - cpu - (usage.node_cpu_s if backend == "virtual" else 0.0)
+    result.node_memory_mb = usage.node_memory_mb
     result.peak_memory_mb = resource.getrusage(resource.RUSAGE_SELF).ru_maxrss / 1024
-    result.counters = usage["counters"]
-    result.histograms = usage.get("histograms", {})
-    result.lab_problems = usage.get("troubles", [])
-    result.lateness_ms = usage.get("lateness", {})
+    result.counters = usage.counters
+    result.histograms = usage.histograms
+    result.lab_problems = usage.lab_problems
+    result.lateness_ms = usage.lateness_ms
     result.expectation = _unmet(scenario, result)
     return result
 
@@ -102,19 +103,21 @@
     log: RecordLog,
     fabric: Fabric,
     truth: GroundTruth,
-    make_nodes: Callable[[World], NodeRunner],
-    on_request: Callable[[Drawn], object] | None = None,
-) -> tuple[NodeRunner, World]:
+    make_nodes: Callable[[SimulatedFleet], NodeRunner],
+    on_request: Callable[[GeneratedRequest], object] | None = None,
+) -> tuple[NodeRunner, SimulatedFleet]:
     """The whole day on a fabric; the nodes still run at its end, for whoever closes them."""
-    world = World(scenario, seeds, log, fabric, truth)
+    world = SimulatedFleet(scenario, seeds, log, fabric, truth)
     await world.open()
     runner = make_nodes(world)
-    load = Load(scenario, seeds, log, truth, fabric, world.nodes, world.node_zones, on_request=on_request)
+    load = LoadDriver(
+        scenario, seeds, log, truth, fabric, world.nodes, world.node_zones, on_request=on_request
+    )
     await load.start()
     runner = Announced(runner, load)
     for node in world.nodes:
         await runner.start(node)
-    await load.ready(READY_MS)
+    await load.wait_until_ready(READY_MS)
     timeline = Timeline(scenario, seeds, world, fabric, runner, load)
     faults = asyncio.ensure_future(timeline.run())
     try:
@@ -131,20 +134,20 @@
 class Announced:
     """A NodeRunner that tells the front of its nodes' starts and ends, as the platform does."""
 
-    def __init__(self, runner: NodeRunner, load: Load) -> None:
+    def __init__(self, runner: NodeRunner, load: LoadDriver) -> None:
         self._runner = runner
         self._load = load
 
     async def start(self, node: str) -> None:
         await self._runner.start(node)
-        self._load.front.node_started(node)
+        self._load.load_balancer.node_started(node)
 
     def kill(self, node: str) -> None:
         self._runner.kill(node)
-        self._load.front.node_killed(node)
+        self._load.load_balancer.node_killed(node)
 
     def term(self, node: str) -> None:
-        self._load.front.node_term(node)
+        self._load.load_balancer.node_terminating(node)
         self._runner.term(node)
 
     def reload(self, node: str, config: dict[str, Any]) -> None:
@@ -158,7 +161,7 @@
 
     def quiesce(self, node: str) -> None:
         self._runner.quiesce(node)
-        self._load.front.node_quiesced(node)
+        self._load.load_balancer.node_draining(node)
 
     def unquiesce(self, node: str) -> None:
         self._runner.unquiesce(node)
@@ -176,7 +179,8 @@
     async def close(self) -> None:
         await self._runner.close()
 
-    def usage(self) -> dict[str, Any]:
+    def usage(self) -> RunUsage:
+        """As the runner that it announces for."""
         return self._runner.usage()
 
 
@@ -187,7 +191,7 @@
     defect: str | None,
     playing: Callable[..., Any],
     dealing: Dealing | None = None,
-) -> tuple[str, dict[str, Any]]:
+) -> tuple[str, RunUsage]:
     seeds = Seeds(seed)
     links = LinkTable(scenario.links, seeds)
     loop = VirtualLoop(Network(links.link))
@@ -195,7 +199,7 @@
     starts = seeds.of("nodes/start")
     made: list[VirtualNodes] = []
 
-    def make_nodes(world: World) -> NodeRunner:
+    def make_nodes(world: SimulatedFleet) -> NodeRunner:
         start_ms = lambda _: drawn(scenario.nodes.start_ms, starts)  # noqa: E731
         sockets = scenario.nodes.sockets
         peers = None
@@ -212,7 +216,7 @@
                 each(node)
 
         nodes = VirtualNodes(fabric, log, start_ms, world.node_config, plant, sockets, peers)
-        nodes.keeps_lines = keeps_lines(scenario)
+        nodes.records_log_lines = keeps_lines(scenario)
         made.append(nodes)
         return made[0]
 
@@ -228,7 +232,7 @@
             now = fabric.clock.now()
             text = str(livelock)[:MAX_LIVELOCK_CHARACTERS]
             log.add(NodeStateChanged(at_ms=now, node=livelock.host, state="stuck", text=text))
-    usage = made[0].usage() if made else {"node_cpu_s": 0.0, "node_memory_mb": 0.0, "counters": {}}
+    usage = made[0].usage() if made else RunUsage()
     return ended, usage
 
 
--- a/tests/config/test_decoding.py
+++ b/tests/config/test_decoding.py
@@ -15,7 +15,7 @@
 from flintridge.lab.scenario.load import dump, load
 from flintridge.lab.scenario.model import Scenario
 
-SCENARIO = tomllib.loads(dump(load("catastrophe"), whole=True))
+SCENARIO = tomllib.loads(dump(load("catastrophe"), with_defaults=True))
 
 
 def test_decode_when_a_file_has_many_faults_then_reports_each_with_path_value_and_what_is_allowed():
@@ -71,13 +71,13 @@
     try:
         decode_values("f.toml", values, target, validate_fields)
     except ConfigFaultsError as error:
-        refused = error
+        rejected = error
     else:
         return True
-    assert refused.faults
-    assert all(fault.reason for fault in refused.faults)
-    assert len(str(refused).splitlines()) == len(refused.faults)
-    assert "Traceback" not in str(refused)
+    assert rejected.faults
+    assert all(fault.reason for fault in rejected.faults)
+    assert len(str(rejected).splitlines()) == len(rejected.faults)
+    assert "Traceback" not in str(rejected)
     return False
 
 
--- /dev/null
+++ b/tests/lab/backend/test_node_faults.py
@@ -0,0 +1,13 @@
+"""Which nodes may have faults of their operating systems."""
+
+from support.system_faults import day_of
+
+from flintridge.lab.backend.node_faults import NodeFaults
+from flintridge.lab.scenario import model as m
+
+
+def test_nodes_when_no_fault_may_hit_them_then_are_started_as_ever(tmp_path):
+    faults = NodeFaults(tmp_path, day_of(m.Stall(nodes=(1,))))
+    assert [faults.may_affect(node) for node in ("n0", "n1")] == [False, True]
+    assert not NodeFaults(tmp_path, day_of(m.Crash(count=1))).may_affect("n0")
+    assert faults.counts("n0") == {}
--- /dev/null
+++ b/tests/support/loopback.py
@@ -0,0 +1,99 @@
+"""Connections on loopback over links whose states and delays a test sets."""
+
+import asyncio
+import random
+
+from flintridge.lab.backend.loopback_fabric import LoopbackFabric, precise_loop
+
+SHORT_S = 0.2  # of waiting for what must not come
+OPENED = []  # the nodes' ends
+
+
+class Way:
+    def __init__(self, delay_ms=0.0, seed=None):
+        self.state, self.delay_ms, self.random = "up", delay_ms, seed and random.Random(seed)
+
+    def delay(self, _now, _size):
+        return self.random.uniform(0, 2) if self.random else self.delay_ms
+
+    def cuts(self, size):
+        if not self.random or size < 2:
+            return [size]
+        at = sorted({self.random.randrange(1, size) for _ in range(self.random.randrange(4))})
+        return [b - a for a, b in zip([0, *at], [*at, size], strict=True)]
+
+
+class Ways:
+    def __init__(self, delay_ms=0.0, seed=None):
+        self.there, self.back = Way(delay_ms, seed), Way(delay_ms, seed and seed + 1)
+
+    def link(self, _source, target):
+        return self.there if target.startswith("n") else self.back
+
+
+class End(asyncio.Protocol):
+    """The lab's end of a connection: it remembers, and answers what it is told to."""
+
+    def __init__(self, answer=b"", keep=False):
+        self.answer, self.keep = answer, keep
+        self.got, self.sent_at, self.paused = [], [], []
+        self.made, self.ended = asyncio.Event(), asyncio.get_running_loop().create_future()
+
+    def connection_made(self, transport):
+        self.transport = transport
+        self.made.set()
+
+    def data_received(self, data):
+        self.got.append(data)
+        self.sent_at.append(self.transport.get_extra_info("sent_at"))
+        self.transport.write(self.answer)
+
+    def eof_received(self):
+        return self.keep
+
+    def connection_lost(self, exc):
+        self.ended.set_result(exc)
+
+    def pause_writing(self):
+        self.paused.append(True)
+
+    def resume_writing(self):
+        self.paused.append(False)
+
+
+async def until(true):
+    for _ in range(10_000):
+        if true():
+            return
+        await asyncio.sleep(0.001)
+    raise AssertionError("it never came to hold")
+
+
+def on_fabric(test, ways=None):
+    async def run():
+        fabric = LoopbackFabric(ways or Ways(), 3600)  # all within a warm-up: times are negative
+        try:
+            await asyncio.wait_for(test(fabric), 30)
+        finally:
+            fabric.close()
+            while OPENED:
+                OPENED.pop().transport.abort()
+
+    with asyncio.Runner(loop_factory=precise_loop) as runner:
+        runner.run(run())
+
+
+async def joined(fabric, **how):
+    """A server's end of the lab, and the streams of a node's end to it."""
+    end = End(**how)
+    listener = await fabric.listen("box", "n0", lambda: end)
+    reader, writer = await asyncio.open_connection(*fabric.address("box", "n0"))
+    OPENED.append(writer)
+    await end.made.wait()
+    listener.close()
+    return end, reader, writer
+
+
+def change(fabric, state):
+    fabric.links.there.state = fabric.links.back.state = state
+    fabric.links_changed()
