--- a/benchmarks/copies_search.py
+++ b/benchmarks/copies_search.py
@@ -59,12 +59,12 @@
 def search(name: str) -> list[str]:
     """Explore one of SEARCHES: its row."""
     size, written, left = SEARCHES[name]
-    began = time.perf_counter()
+    started_at = time.perf_counter()
     found = explore(
         ReplicationState.begin(size, RemainingSteps(**NONE | left), has_initial_entry=written),
         max_states=60_000,
     )
-    took = time.perf_counter() - began
+    took = time.perf_counter() - started_at
     extent = "all" if found.is_complete else "cut short"
     broken = found.violation or "nothing"
     return [name, f"{found.states:,}", str(found.depth), extent, str(broken), f"{took:.0f}"]
