--- a/flintridge/lab/experiment/random_values.py
+++ b/flintridge/lab/experiment/random_values.py
@@ -11,9 +11,9 @@
 
 def sometimes(generator: random.Random, chance: float, low: float, high: float) -> float:
     """Draw from the range with this probability, 0 otherwise."""
-    drawn = generator.random() < chance
+    nonzero = generator.random() < chance
     value = generator.uniform(low, high)  # drawn in either case: the draws that follow stay the same
-    return round(value, 3) if drawn else 0.0
+    return round(value, 3) if nonzero else 0.0
 
 
 def span_around(generator: random.Random, value: float, deviation: float) -> tuple[float, float]:
--- a/flintridge/lab/experiment/search.py
+++ b/flintridge/lab/experiment/search.py
@@ -84,32 +84,18 @@
     files = SearchDirectory(directory)
     found = files.open(seed)
     completed = {run.number for run in found.runs}
-    play = runner_name(runner)
-    started_s = time.monotonic()
-
-    def time_is_over() -> bool:
-        return minutes is not None and time.monotonic() - started_s > 60 * minutes
-
-    progress = SearchProgress(files, found, draw, backend=backend, runner=play)
+    progress = SearchProgress(files, found, draw, backend=backend, runner=runner_name(runner))
+    limit = TimeLimit(minutes)
     remaining = [number for number in range(runs) if number not in completed]
     try:
         with Pool(workers) as pool:
-            _play_batches(
-                pool,
-                progress,
-                found,
-                remaining,
-                total=runs,
-                is_over=time_is_over,
-                time_limit_reason="" if minutes is None else f"the {minutes:g} minutes were over",
-                show=show,
-            )
+            _play_batches(pool, progress, found, remaining, limit, total=runs, show=show)
     except KeyboardInterrupt:
         found.stop_reason = "interrupted"
         raise
     finally:
         progress.settle()
-        found.minutes += (time.monotonic() - started_s) / 60
+        found.minutes += limit.elapsed_minutes()
         files.finish(found, keep, dump, lambda number: draw(seed, number)[0])
     return found
 
@@ -119,10 +105,9 @@
     progress: "SearchProgress",
     found: Search,
     numbers: Sequence[int],
+    limit: "TimeLimit",
     *,
     total: int,
-    is_over: Callable[[], bool],
-    time_limit_reason: str,
     show: bool,
 ) -> None:
     """Play runs in batches until none remains or the time is over; `total` is that of the whole search."""
@@ -133,13 +118,35 @@
     for start in range(0, len(numbers) + size, size):
         jobs = progress.jobs(numbers[start : start + size])
         title = f"days {min(completed + start, total)} of {total}"
-        pool.run(jobs, on_done=progress.on_done, stop=is_over, show=show, title=title)
-        if is_over():
-            found.stop_reason = time_limit_reason
+        pool.run(jobs, on_done=progress.on_done, stop=limit.is_over, show=show, title=title)
+        if limit.is_over():
+            found.stop_reason = limit.reason
             pool.run(progress.jobs([]), on_done=progress.on_done, show=show, title="days without faults")
             break
 
 
+class TimeLimit:
+    """The real time of a search, from its start.
+
+    Attributes:
+        reason: What its summary says where the time was over, empty without a limit.
+    """
+
+    def __init__(self, minutes: float | None) -> None:
+        """Start the time, with a limit in minutes or none."""
+        self.reason = "" if minutes is None else f"the {minutes:g} minutes were over"
+        self._minutes = minutes
+        self._started_s = time.monotonic()
+
+    def is_over(self) -> bool:
+        """Return whether no further run may be started."""
+        return self._minutes is not None and time.monotonic() - self._started_s > 60 * self._minutes
+
+    def elapsed_minutes(self) -> float:
+        """Return the time since the start."""
+        return (time.monotonic() - self._started_s) / 60
+
+
 class SearchProgress:
     """The runs of a search: those done, and those whose fault-free run is awaited."""
 
--- a/flintridge/lab/experiment/search_directory.py
+++ b/flintridge/lab/experiment/search_directory.py
@@ -47,7 +47,7 @@
         """
         index = self._path / "search.json"
         if not index.exists():
-            return self._begin(seed)
+            return self._create(seed)
         try:
             found = msgspec.json.decode(index.read_bytes(), type=Search)
             paths = sorted((self._path / "days").glob("[0-9]*.json"))
@@ -61,7 +61,7 @@
             )
         return found
 
-    def _begin(self, seed: int) -> Search:
+    def _create(self, seed: int) -> Search:
         """Create the directory of a new search."""
         if self._path.exists() and any(self._path.iterdir()):
             raise SearchDirectoryError(f"{self._path}: not empty, and no search (it has no search.json)")
--- a/flintridge/lab/experiment/shrink_passes.py
+++ b/flintridge/lab/experiment/shrink_passes.py
@@ -80,13 +80,13 @@
     ends += [scenario.length_s * fraction for fraction in LENGTH_FRACTIONS]
     for end_s in dict.fromkeys(round(end, 1) for end in ends):
         if MIN_LENGTH_S <= end_s < scenario.length_s - MIN_TIME_SAVED_S:
-            yield f"{end_s:g} s", _ended_at(scenario, end_s)
+            yield f"{end_s:g} s", _truncated(scenario, end_s)
     for warmup_s in (0.0, round(scenario.warmup_s / 2, 1)):
         if warmup_s < scenario.warmup_s - MIN_TIME_SAVED_S:
             yield f"{warmup_s:g} s of warm-up", replace(scenario, warmup_s=warmup_s)
 
 
-def _ended_at(scenario: Scenario, end_s: float) -> Scenario:
+def _truncated(scenario: Scenario, end_s: float) -> Scenario:
     """End a run earlier; faults that have begun by then end before it."""
     faults = []
     for fault in scenario.faults:
--- a/flintridge/lab/experiment/space.py
+++ b/flintridge/lab/experiment/space.py
@@ -99,8 +99,8 @@
 def _with_memory(generator: Random, scenario: Scenario) -> Scenario:
     """Draw the memory, for a fraction of all keys counted as one cache."""
     servers = sum(group.count for group in scenario.servers)
-    needed_mb = scenario.keys.count * span_mean(scenario.keys.size_bytes) / 1e6
-    each_mb = max(0.3, needed_mb * log_uniform(generator, 0.4, 3) / servers)
+    required_mb = scenario.keys.count * span_mean(scenario.keys.size_bytes) / 1e6
+    each_mb = max(0.3, required_mb * log_uniform(generator, 0.4, 3) / servers)
     kinds = tuple(msgspec.structs.replace(kind, memory_mb=round(each_mb, 3)) for kind in scenario.kinds)
     return msgspec.structs.replace(scenario, kinds=kinds)
 
@@ -117,10 +117,10 @@
     factor = cache_load / flows(scenario).cache_load
     classes = tuple(_with_times(cls, factor, span_mean(scenario.origin.read_ms)) for cls in scenario.classes)
     scenario = msgspec.structs.replace(scenario, classes=classes)
-    needed_slots = flows(scenario).origin_load * scenario.origin.slots / origin_load
-    slots = max(1, round(needed_slots))
+    required_slots = flows(scenario).origin_load * scenario.origin.slots / origin_load
+    slots = max(1, round(required_slots))
     # Their speed makes up for the rounding to whole slots.
-    read_ms = min(400.0, round(span_mean(scenario.origin.read_ms) * slots / needed_slots, 3))
+    read_ms = min(400.0, round(span_mean(scenario.origin.read_ms) * slots / required_slots, 3))
     origin = msgspec.structs.replace(scenario.origin, slots=slots, read_ms=read_ms)
     return msgspec.structs.replace(scenario, origin=origin)
 
--- a/flintridge/lab/experiment/space_faults.py
+++ b/flintridge/lab/experiment/space_faults.py
@@ -16,8 +16,8 @@
 def draw_faults(generator: Random, scenario: Scenario) -> tuple[Any, ...]:
     """Draw up to five faults of a scenario that has none, in the order of their times."""
     count = generator.choices((0, 1, 2, 3, 4, 5), (1, 4, 4, 3, 2, 1))[0]
-    drawn = [maker(generator, scenario) for maker in generator.choices(_FAULT_MAKERS, k=count)]
-    return tuple(sorted((fault for fault in drawn if fault is not None), key=lambda fault: fault.at_s))
+    faults = [maker(generator, scenario) for maker in generator.choices(_FAULT_MAKERS, k=count)]
+    return tuple(sorted((fault for fault in faults if fault is not None), key=lambda fault: fault.at_s))
 
 
 def _fault_time(generator: Random, scenario: Scenario, low: float = 0.5, high: float = 0.5) -> dict[str, Any]:
@@ -94,7 +94,7 @@
         return None
     mode: Literal["silent", "reset", "die"] = generator.choice(("silent", "reset", "die"))
     with_nodes = generator.random() < 0.3
-    cold = generator.random() < 0.6
+    restarts_cold = generator.random() < 0.6
     # With its nodes only where another zone has some.
     node_zones = {scenario.zones[i % len(scenario.zones)] for i in range(scenario.nodes.count)}
     zone = generator.choice(scenario.zones)
@@ -103,7 +103,7 @@
         zone=zone,
         how=mode,
         nodes=with_nodes and bool(node_zones - {zone}),
-        cold=cold,
+        cold=restarts_cold,
     )
 
 
--- a/flintridge/lab/experiment/space_load.py
+++ b/flintridge/lab/experiment/space_load.py
@@ -43,16 +43,16 @@
     if generator.random() < 0.6:
         return ()
     names = ("acme", "birch", "cedar")[: generator.randint(2, 3)]
-    shares = [round(generator.uniform(0.2, 1), 2) for _ in names]
+    weights = [round(generator.uniform(0.2, 1), 2) for _ in names]
     has_quotas = generator.random() < 0.5
     return tuple(
         model.Tenant(
             name=name,
-            share=share,
+            share=weight,
             usage=generator.choice((1.0, 1.0, 0.5, 2.0)),
-            quota_per_s=round(1.1 * rate * share / sum(shares), 1) if has_quotas else 0.0,
+            quota_per_s=round(1.1 * rate * weight / sum(weights), 1) if has_quotas else 0.0,
         )
-        for name, share in zip(names, shares, strict=True)
+        for name, weight in zip(names, weights, strict=True)
     )
 
 
--- a/flintridge/lab/experiment/sweep.py
+++ b/flintridge/lab/experiment/sweep.py
@@ -15,7 +15,7 @@
 from flintridge.lab.scenario.model import Scenario
 
 MAX_VALUES = 1000  # of a parameter: more is a typing error
-WHOLE_TOLERANCE = 1e-9
+INTEGER_TOLERANCE = 1e-9
 
 
 class SweepParameterError(ValueError):
@@ -136,8 +136,8 @@
         numbers = [low + (high - low) * i / (steps - 1) for i in range(steps)]
     numbers[-1] = high
     ends = low_text + rest[0]
-    ends_are_whole = "." not in ends and "e" not in ends.lower()
-    if ends_are_whole and all(abs(value - round(value)) < WHOLE_TOLERANCE for value in numbers):
+    ends_are_integers = "." not in ends and "e" not in ends.lower()
+    if ends_are_integers and all(abs(value - round(value)) < INTEGER_TOLERANCE for value in numbers):
         return [str(round(value)) for value in numbers]
     texts = [f"{value:.12g}" for value in numbers]
     return [text if set(text) & set(".e") else f"{text}.0" for text in texts]
