--- a/benchmarks/copies_search.py
+++ b/benchmarks/copies_search.py
@@ -10,6 +10,7 @@
 import time
 from concurrent.futures import ProcessPoolExecutor
 
+from benchmarks import harness
 from flintridge.lab.explore import explore
 from flintridge.lab.explore.replicas import RemainingSteps, ReplicationState
 
@@ -55,7 +56,8 @@
 }
 
 
-def search(name: str) -> str:
+def search(name: str) -> list[str]:
+    """Explore one of SEARCHES: its row."""
     size, written, left = SEARCHES[name]
     began = time.perf_counter()
     found = explore(
@@ -63,17 +65,18 @@
         max_states=60_000,
     )
     took = time.perf_counter() - began
-    whole = "all" if found.is_complete else "cut short"
+    extent = "all" if found.is_complete else "cut short"
     broken = found.violation or "nothing"
-    return f"| {name} | {found.states:,} | {found.depth} | {whole} | {broken} | {took:.0f} |"
+    return [name, f"{found.states:,}", str(found.depth), extent, str(broken), f"{took:.0f}"]
 
 
 def main() -> None:
+    """Explore each of SEARCHES and print its row."""
     os.nice(10)
-    print("| what may happen | states | steps | seen | broken | s |\n| --- | --- | --- | --- | --- | --- |")
+    harness.print_table_head(["what may happen", "states", "steps", "seen", "broken", "s"])
     with ProcessPoolExecutor(2) as pool:
-        for line in pool.map(search, SEARCHES):
-            print(line, flush=True)
+        for row in pool.map(search, SEARCHES):
+            harness.print_table_row(row)
 
 
 if __name__ == "__main__":
--- a/benchmarks/lease_search.py
+++ b/benchmarks/lease_search.py
@@ -9,6 +9,7 @@
 import time
 from concurrent.futures import ProcessPoolExecutor
 
+from benchmarks import harness
 from flintridge.lab.explore import explore
 from flintridge.lab.explore.leases import LeaseState, RemainingSteps
 
@@ -38,21 +39,23 @@
 }
 
 
-def search(name: str) -> str:
+def search(name: str) -> list[str]:
+    """Explore one of SEARCHES: its row."""
     speeds, left = SEARCHES[name]
     began = time.perf_counter()
     found = explore(LeaseState.begin(speeds, left))
     took = time.perf_counter() - began
-    whole = "all" if found.is_complete else "cut short"
+    extent = "all" if found.is_complete else "cut short"
     broken = found.violation or "nothing"
-    return f"| {name} | {found.states:,} | {found.depth} | {whole} | {broken} | {took:.0f} |"
+    return [name, f"{found.states:,}", str(found.depth), extent, str(broken), f"{took:.0f}"]
 
 
 def main() -> None:
-    print("| what may happen | states | steps | seen | broken | s |\n| --- | --- | --- | --- | --- | --- |")
+    """Explore each of SEARCHES and print its row."""
+    harness.print_table_head(["what may happen", "states", "steps", "seen", "broken", "s"])
     with ProcessPoolExecutor(6) as pool:
-        for line in pool.map(search, SEARCHES):
-            print(line, flush=True)
+        for row in pool.map(search, SEARCHES):
+            harness.print_table_row(row)
 
 
 if __name__ == "__main__":
--- a/flintridge/lab/partial/rig.py
+++ b/flintridge/lab/partial/rig.py
@@ -23,11 +23,10 @@
 from flintridge.lab.backend.loopback import process_nodes
 from flintridge.lab.backend.loopback_fabric import LoopbackFabric, raise_descriptor_limit
 from flintridge.lab.fabric import NodeRunner
-from flintridge.lab.judge.facts import History
 from flintridge.lab.judge.findings import Findings
-from flintridge.lab.judge.rules import budgets as budget_rules
-from flintridge.lab.judge.rules import peers as peer_rules
-from flintridge.lab.load.driver import Load as Clients
+from flintridge.lab.judge.history import History
+from flintridge.lab.judge.rules import fleet_limits, membership
+from flintridge.lab.load.driver import LoadDriver
 from flintridge.lab.partial.node_file_format import JsonObject
 from flintridge.lab.partial.peer_network import MEMBERSHIP_PATH
 from flintridge.lab.records import LinkFaultChanged, MembershipReported, NodeLogLine, RecordLog
@@ -94,7 +93,7 @@
         self._seed = seed
         self._tables = tables or {}
         self._is_loaded = loaded
-        self._clients: Clients | None = None
+        self._clients: LoadDriver | None = None
         self._sending: asyncio.Task[None] | None = None
 
     async def __aenter__(self) -> "Rig":
@@ -119,7 +118,7 @@
     async def _start(self, seeds: Seeds, truth: GroundTruth) -> None:
         await self.fleet.open()
         if self._is_loaded:
-            self._clients = Clients(
+            self._clients = LoadDriver(
                 self.scenario, seeds, self.log, truth, self.fabric, self.fleet.nodes, self.fleet.node_zones
             )
             await self._clients.start()
@@ -127,7 +126,7 @@
         for name in self.names:
             await self.runner.start(name)
         if self._clients is not None:
-            await self._clients.ready(READY_MS)
+            await self._clients.wait_until_ready(READY_MS)
             self._sending = asyncio.ensure_future(self._clients.run())
 
     async def __aexit__(
@@ -269,7 +268,7 @@
         """Return the violations of the rules on peers and on budgets, by the records alone."""
         scenario = msgspec.structs.replace(self.scenario, length_s=CHECKED_LENGTH_S)
         history = History(self.log, scenario, "loopback")
-        findings = Findings((*peer_rules.RULES, *budget_rules.RULES))
-        peer_rules.check(history, findings)
-        budget_rules.check(history, findings)
+        findings = Findings((*membership.RULES, *fleet_limits.RULES))
+        membership.check(history, findings)
+        fleet_limits.check(history, findings)
         return findings.violations
--- a/tests/lab/partial/test_lease_rules.py
+++ b/tests/lab/partial/test_lease_rules.py
@@ -6,9 +6,9 @@
 import pytest
 from support.lease_reports import lease_report
 
-from flintridge.lab.judge.facts import History
 from flintridge.lab.judge.findings import Findings
-from flintridge.lab.judge.rules import budgets as rules
+from flintridge.lab.judge.history import History
+from flintridge.lab.judge.rules import fleet_limits as rules
 from flintridge.lab.records import AttemptReceived, NodeStateChanged, RequestSent
 from flintridge.lab.scenario.model import Scenario
 
