--- a/tests/lab/partial/test_lease_scenarios.py
+++ b/tests/lab/partial/test_lease_scenarios.py
@@ -4,7 +4,7 @@
 
 from flintridge.config.faults import ConfigFaultsError
 from flintridge.config.node_config import BudgetsConfig
-from flintridge.lab.backend.virtual import VirtualPeers
+from flintridge.lab.backend.virtual.peers import VirtualPeers
 from flintridge.lab.partial.rig import Rig
 from flintridge.lab.records import LeaseReported, read_records
 from flintridge.lab.run import play
