--- a/benchmarks/budgets_gain.py
+++ b/benchmarks/budgets_gain.py
@@ -67,7 +67,7 @@
     """A day played: the figures."""
     day, mode, seed, more = job
     scenario = scenario_of(day, mode, more)
-    result = play(scenario, seed, dealing=MODES[mode][0])
+    result = play(scenario, seed, allocation=MODES[mode][0])
     sent = sum(tenant.share * tenant.usage for tenant in scenario.tenants)
     owed = got = 0.0
     for tenant in scenario.tenants:
--- a/flintridge/lab/partial/rig.py
+++ b/flintridge/lab/partial/rig.py
@@ -20,6 +20,7 @@
 
 import msgspec
 
+from flintridge.lab.announcing_runner import AnnouncingRunner
 from flintridge.lab.backend.loopback import process_nodes
 from flintridge.lab.backend.loopback_fabric import LoopbackFabric, raise_descriptor_limit
 from flintridge.lab.fabric import NodeRunner
@@ -31,8 +32,8 @@
 from flintridge.lab.partial.peer_network import MEMBERSHIP_PATH
 from flintridge.lab.records import LinkFaultChanged, MembershipReported, NodeLogLine, RecordLog
 from flintridge.lab.result import Violation
-from flintridge.lab.run import READY_MS, Announced
 from flintridge.lab.scenario.model import Load, Nodes, Peers, RequestClass, Scenario
+from flintridge.lab.scenario_run import READY_TIMEOUT_MS
 from flintridge.lab.seeds import Seeds
 from flintridge.lab.truth import GroundTruth
 from flintridge.lab.world.fleet import SimulatedFleet
@@ -122,11 +123,11 @@
                 self.scenario, seeds, self.log, truth, self.fabric, self.fleet.nodes, self.fleet.node_zones
             )
             await self._clients.start()
-            self.runner = Announced(self.nodes, self._clients)
+            self.runner = AnnouncingRunner(self.nodes, self._clients)
         for name in self.names:
             await self.runner.start(name)
         if self._clients is not None:
-            await self._clients.wait_until_ready(READY_MS)
+            await self._clients.wait_until_ready(READY_TIMEOUT_MS)
             self._sending = asyncio.ensure_future(self._clients.run())
 
     async def __aexit__(
--- /dev/null
+++ b/flintridge/lab/virtual_run.py
@@ -0,0 +1,125 @@
+"""A scenario in virtual time: its event loop, its network, and nodes with what is planted in them."""
+
+from collections.abc import Callable
+from typing import Any
+
+from flintridge.lab.backend.usage import RunUsage
+from flintridge.lab.backend.virtual import VirtualFabric, VirtualNodes, VirtualPeers
+from flintridge.lab.defects import DEFECTS
+from flintridge.lab.fabric import NodeRunner
+from flintridge.lab.partial.allocation_oracle import AllocationMode, AllocationOracle
+from flintridge.lab.records import NodeStateChanged, RecordLog
+from flintridge.lab.scenario.model import Scenario, Span, keeps_lines
+from flintridge.lab.seeds import Seeds
+from flintridge.lab.truth import GroundTruth
+from flintridge.lab.virtual import LivelockError, Network, VirtualLoop
+from flintridge.lab.world.fleet import SimulatedFleet
+from flintridge.lab.world.link_table import LinkTable
+from flintridge.node import Node
+
+LEAD_MS = 2_000.0  # before the warm-up, in which nodes start and get ready
+MAX_LIVELOCK_CHARACTERS = 300  # of its message in the log
+
+
+class VirtualRun:
+    """One scenario in virtual time.
+
+    Args:
+        scenario: What to run.
+        seed: Of all draws.
+        log: Takes the records.
+        defect: The name of a defect to plant in every node; None: none.
+        allocation: What an oracle allocates by demand; None: nothing.
+    """
+
+    def __init__(
+        self,
+        scenario: Scenario,
+        seed: int,
+        log: RecordLog,
+        defect: str | None,
+        allocation: AllocationMode | None,
+    ) -> None:
+        self._scenario = scenario
+        self._seeds = Seeds(seed)
+        self._log = log
+        self._defect = defect
+        self._allocation = allocation
+        links = LinkTable(scenario.links, self._seeds)
+        self._loop = VirtualLoop(Network(links.link))
+        lead_s = (LEAD_MS + scenario.warmup_s * 1000) / 1000
+        self._fabric = VirtualFabric(self._loop, links, self._loop.time() + lead_s)
+        self._start_draws = self._seeds.of("nodes/start")
+        self._nodes: VirtualNodes | None = None
+
+    def play(self, run: Callable[..., Any]) -> tuple[str, RunUsage]:
+        """Run a coroutine function with the arguments of `run_scenario`.
+
+        Returns:
+            Why it ended (`whole`, or what cut it short), and what the nodes used.
+        """
+        scenario = self._scenario
+        end_reason = "whole"
+        try:
+            self._loop.run(
+                run(scenario, self._seeds, self._log, self._fabric, GroundTruth(), self._make_nodes),
+                wall_limit_s=scenario.wall_limit_s,
+            )
+        except LivelockError as livelock:
+            end_reason = f"stuck: {livelock}"
+            self._record_livelock(livelock)
+        usage = RunUsage() if self._nodes is None else self._nodes.usage()
+        return end_reason, usage
+
+    def _record_livelock(self, livelock: LivelockError) -> None:
+        if livelock.host not in {f"n{i}" for i in range(self._scenario.nodes.count)}:
+            return
+        now = self._fabric.clock.now()
+        text = str(livelock)[:MAX_LIVELOCK_CHARACTERS]
+        self._log.add(NodeStateChanged(at_ms=now, node=livelock.host, state="stuck", text=text))
+
+    def _make_nodes(self, fleet: SimulatedFleet) -> NodeRunner:
+        scenario = self._scenario
+        peers = None
+        if scenario.peers is not None:
+            entropy = self._seeds.of("peers").randbytes
+            peers = VirtualPeers(scenario.peers, tuple(fleet.nodes), entropy, scenario.budgets)
+        modifiers = self._modifiers(fleet)
+
+        def modify(node: Node) -> None:
+            for each in modifiers:
+                each(node)
+
+        nodes = VirtualNodes(
+            self._fabric,
+            self._log,
+            lambda _node: draw(scenario.nodes.start_ms, self._start_draws),
+            fleet.node_config,
+            modify,
+            scenario.nodes.sockets,
+            peers,
+        )
+        nodes.records_log_lines = keeps_lines(scenario)
+        self._nodes = nodes
+        return nodes
+
+    def _modifiers(self, fleet: SimulatedFleet) -> list[Callable[[Node], object]]:
+        """What is done to each node before it starts."""
+        modifiers: list[Callable[[Node], object]] = []
+        if self._defect is not None:
+            modifiers.append(DEFECTS[self._defect].apply)
+        if self._allocation is not None:
+            tenants = [tenant.name for tenant in self._scenario.tenants]
+            oracle = AllocationOracle(
+                self._allocation, self._log, self._fabric.clock, list(fleet.nodes), tenants
+            )
+            modifiers.append(oracle.attach)
+        return modifiers
+
+
+def draw(span: Span, random: Any) -> float:
+    """One value of a span, drawn by a generator."""
+    if isinstance(span, tuple):
+        low, high = span
+        return float(random.uniform(low, high))
+    return float(span)
--- a/tests/lab/partial/test_allocation_oracle.py
+++ b/tests/lab/partial/test_allocation_oracle.py
@@ -105,11 +105,11 @@
     small = ["length_s=2", "warmup_s=1", "load.rate_per_s=100", "nodes.count=4", "servers[0].count=1"]
     scenario = load("uneven", small)
     plain = play(scenario, 1)
-    allocated = play(scenario, 1, dealing=AllocationMode(True, True))
+    allocated = play(scenario, 1, allocation=AllocationMode(True, True))
     assert allocated.end_reason == "whole"
     assert not allocated.violation_count
     assert allocated.digest != plain.digest
     assert allocated.requests == plain.requests
     assert not plain.violation_count
-    with pytest.raises(ValueError, match="dealing: on the virtual backend only"):
-        play(scenario, 1, backend="loopback", dealing=AllocationMode())
+    with pytest.raises(ValueError, match="allocation: on the virtual backend only"):
+        play(scenario, 1, backend="loopback", allocation=AllocationMode())
