--- a/benchmarks/budgets_cold.py
+++ b/benchmarks/budgets_cold.py
@@ -29,7 +29,8 @@
 from flintridge.lab.judge.history import History
 from flintridge.lab.judge.observations import AttemptOutcome
 from flintridge.lab.judge.rules.warming_up import capacity, windows
-from flintridge.lab.records import LeaseReported, read_records
+from flintridge.lab.record_log import read_records
+from flintridge.lab.records import LeaseReported
 from flintridge.lab.run import play
 from flintridge.lab.scenario.load import load
 from flintridge.lab.scenario.model import Replace, Scenario, Tenant
--- a/benchmarks/budgets_leaving.py
+++ b/benchmarks/budgets_leaving.py
@@ -25,7 +25,8 @@
 from flintridge.lab.judge.history import History
 from flintridge.lab.partial.admin_records import REPORT_INTERVAL_MS
 from flintridge.lab.partial.lease_fleet import LeaseProcesses
-from flintridge.lab.records import LeaseReported, read_records
+from flintridge.lab.record_log import read_records
+from flintridge.lab.records import LeaseReported
 from flintridge.lab.run import play
 from flintridge.lab.scenario.load import load
 from flintridge.lab.scenario.model import NodeKill, NodeRestart, Scenario
--- a/flintridge/lab/backend/loopback.py
+++ b/flintridge/lab/backend/loopback.py
@@ -16,7 +16,7 @@
 from flintridge.lab.fabric import Fabric, NodeRunner
 from flintridge.lab.partial.admin_records import KEY
 from flintridge.lab.partial.peer_network import PeerNetwork
-from flintridge.lab.records import RecordLog
+from flintridge.lab.record_log import RecordLog
 from flintridge.lab.scenario.model import Scenario
 from flintridge.lab.seeds import Seeds
 from flintridge.lab.truth import GroundTruth
--- a/flintridge/lab/backend/node_recorder.py
+++ b/flintridge/lab/backend/node_recorder.py
@@ -2,7 +2,8 @@
 
 from flintridge.lab.backend.node_output import MAX_TEXT_CHARACTERS
 from flintridge.lab.fabric import RunClock
-from flintridge.lab.records import ConnectionCount, NodeLogLine, NodeStateChanged, RecordLog
+from flintridge.lab.record_log import RecordLog
+from flintridge.lab.records import ConnectionCount, NodeLogLine, NodeStateChanged
 
 
 class NodeRecorder:
--- a/flintridge/lab/backend/processes.py
+++ b/flintridge/lab/backend/processes.py
@@ -17,7 +17,7 @@
 from flintridge.lab.fabric import Fabric, RunClock
 from flintridge.lab.faults.injection import SystemState
 from flintridge.lab.partial.peer_network import PeerNetwork
-from flintridge.lab.records import RecordLog
+from flintridge.lab.record_log import RecordLog
 from flintridge.lab.scenario.model import Scenario, keeps_lines
 
 NODE_COMMAND = (sys.executable, "-m", "flintridge")
--- a/flintridge/lab/backend/virtual/nodes.py
+++ b/flintridge/lab/backend/virtual/nodes.py
@@ -15,7 +15,8 @@
 from flintridge.lab.backend.virtual.peers import VirtualPeers
 from flintridge.lab.backend.virtual.process import NodeEventLog, VirtualProcess
 from flintridge.lab.faults.injection import NO_FAULTS, Injector, SystemState
-from flintridge.lab.records import NodeLogLine, NodeStateChanged, RecordLog
+from flintridge.lab.record_log import RecordLog
+from flintridge.lab.records import NodeLogLine, NodeStateChanged
 from flintridge.lab.virtual.machine import AcceptPauses
 from flintridge.node import Node
 from flintridge.runtime.acceptor import FIRST_PAUSE_MS, MAX_PAUSE_MS
--- a/flintridge/lab/backend/virtual/observation.py
+++ b/flintridge/lab/backend/virtual/observation.py
@@ -6,7 +6,8 @@
 from flintridge.lab.backend.virtual.fabric import VirtualFabric
 from flintridge.lab.backend.virtual.process import VirtualProcess
 from flintridge.lab.partial.admin_records import REPORT_INTERVAL_MS, lease_records, membership_record
-from flintridge.lab.records import ConnectionCount, RecordLog
+from flintridge.lab.record_log import RecordLog
+from flintridge.lab.records import ConnectionCount
 
 CONNECTION_INTERVAL_MS = 1000.0
 
--- a/flintridge/lab/backend/virtual/peers.py
+++ b/flintridge/lab/backend/virtual/peers.py
@@ -11,7 +11,7 @@
 from flintridge.config.node_file import budgets_config
 from flintridge.lab.backend.virtual.fabric import VirtualFabric
 from flintridge.lab.partial.admin_records import FLEET, KEY, datagram_record
-from flintridge.lab.records import RecordLog
+from flintridge.lab.record_log import RecordLog
 from flintridge.lab.scenario.model import Budgets, Peers
 from flintridge.membership.messages import MessageCodec
 
--- a/flintridge/lab/faults/fault_recorder.py
+++ b/flintridge/lab/faults/fault_recorder.py
@@ -5,7 +5,8 @@
 from flintridge.lab.fabric import RunClock
 from flintridge.lab.faults.active_faults import ActiveFault
 from flintridge.lab.faults.target_selection import fault_name
-from flintridge.lab.records import FaultChanged, RecordLog
+from flintridge.lab.record_log import RecordLog
+from flintridge.lab.records import FaultChanged
 from flintridge.lab.scenario import model as m
 
 MAX_NAMES = 20  # in one record
--- a/flintridge/lab/faults/triggers.py
+++ b/flintridge/lab/faults/triggers.py
@@ -4,7 +4,8 @@
 
 from flintridge.lab.fabric import RunClock
 from flintridge.lab.faults.step_queue import Step, StepPhase, StepQueue
-from flintridge.lab.records import AnyRecord, DatagramRelayed, MembershipReported, NodeLogLine, RecordLog
+from flintridge.lab.record_log import RecordLog
+from flintridge.lab.records import AnyRecord, DatagramRelayed, MembershipReported, NodeLogLine
 from flintridge.lab.scenario import model as m
 from flintridge.membership.messages import MessageKind
 
--- a/flintridge/lab/load/attempt_log.py
+++ b/flintridge/lab/load/attempt_log.py
@@ -6,13 +6,8 @@
 from flintridge.lab.load.connection import ClientConnection, ConnectionEnd
 from flintridge.lab.load.generated_requests import GeneratedRequest
 from flintridge.lab.load.responses import Response, ResponseKind, response_record
-from flintridge.lab.records import (
-    RecordLog,
-    RequestAbandoned,
-    RequestNotAccepted,
-    RequestSent,
-    ResponseReceived,
-)
+from flintridge.lab.record_log import RecordLog
+from flintridge.lab.records import RequestAbandoned, RequestNotAccepted, RequestSent, ResponseReceived
 
 
 @dataclass(slots=True, eq=False)
--- a/flintridge/lab/load/client_request.py
+++ b/flintridge/lab/load/client_request.py
@@ -14,7 +14,7 @@
 from flintridge.lab.load.load_balancer import LoadBalancer
 from flintridge.lab.load.responses import Response, kind_for
 from flintridge.lab.load.retry_schedule import RetryPolicy, RetrySchedule
-from flintridge.lab.records import RecordLog
+from flintridge.lab.record_log import RecordLog
 from flintridge.lab.scenario.model import Clients as ClientSettings
 from flintridge.lab.truth import RequestFacts
 
--- a/flintridge/lab/load/commands.py
+++ b/flintridge/lab/load/commands.py
@@ -4,7 +4,7 @@
 from typing import NamedTuple
 
 from flintridge.lab.load.generated_requests import GeneratedRequest
-from flintridge.lab.records import body_digest
+from flintridge.lab.record_log import body_digest
 from flintridge.lab.scenario.model import Scenario
 from flintridge.lab.truth import RequestFacts
 from flintridge.lab.world.draws import lognormal
@@ -21,7 +21,7 @@
     Attributes:
         data: The bytes.
         facts: What they are about.
-        value_digest: Of a write's value, by `records.body_digest`; empty for a read.
+        value_digest: Of a write's value, by `record_log.body_digest`; empty for a read.
     """
 
     data: bytes
--- a/flintridge/lab/load/connection_pool.py
+++ b/flintridge/lab/load/connection_pool.py
@@ -11,7 +11,7 @@
 from flintridge.lab.fabric import Fabric
 from flintridge.lab.load.connection import ClientConnection, ResponseHandler
 from flintridge.lab.load.responses import Response, response_record
-from flintridge.lab.records import RecordLog
+from flintridge.lab.record_log import RecordLog
 
 IDLE_CHECK_INTERVAL_MS = 500.0
 
--- a/flintridge/lab/load/driver.py
+++ b/flintridge/lab/load/driver.py
@@ -13,7 +13,7 @@
 from flintridge.lab.load.generated_requests import GeneratedRequest
 from flintridge.lab.load.load_balancer import LoadBalancer
 from flintridge.lab.load.malformed_clients import MalformedClientContext, MalformedClients
-from flintridge.lab.records import RecordLog
+from flintridge.lab.record_log import RecordLog
 from flintridge.lab.scenario.model import Scenario
 from flintridge.lab.seeds import Seeds
 from flintridge.lab.truth import GroundTruth
--- a/flintridge/lab/load/load_balancer.py
+++ b/flintridge/lab/load/load_balancer.py
@@ -8,7 +8,8 @@
 
 from flintridge.lab.fabric import Fabric
 from flintridge.lab.load.readiness import check_readiness
-from flintridge.lab.records import NodeStateChanged, RecordLog
+from flintridge.lab.record_log import RecordLog
+from flintridge.lab.records import NodeStateChanged
 from flintridge.lab.scenario.model import Span
 from flintridge.lab.seeds import Seeds
 from flintridge.lab.world.draws import draw
--- a/flintridge/lab/load/malformed_clients.py
+++ b/flintridge/lab/load/malformed_clients.py
@@ -18,13 +18,8 @@
     malformed_script,
 )
 from flintridge.lab.load.responses import Response, ResponseParser, response_record
-from flintridge.lab.records import (
-    MalformedClientEnded,
-    RecordLog,
-    RequestAbandoned,
-    RequestSent,
-    ResponseReceived,
-)
+from flintridge.lab.record_log import RecordLog
+from flintridge.lab.records import MalformedClientEnded, RequestAbandoned, RequestSent, ResponseReceived
 from flintridge.lab.truth import RequestFacts
 
 CONNECT_TIMEOUT_MS = 1000.0
--- a/flintridge/lab/load/responses.py
+++ b/flintridge/lab/load/responses.py
@@ -2,7 +2,8 @@
 
 from typing import Literal, NamedTuple
 
-from flintridge.lab.records import ResponseReceived, body_digest
+from flintridge.lab.record_log import body_digest
+from flintridge.lab.records import ResponseReceived
 
 MAX_LINE_BYTES = 2048
 MAX_VALUE_BYTES = 64 * 1024
--- a/flintridge/lab/partial/allocation_oracle.py
+++ b/flintridge/lab/partial/allocation_oracle.py
@@ -15,7 +15,8 @@
 
 from flintridge import api
 from flintridge.lab.fabric import RunClock
-from flintridge.lab.records import AnyRecord, RecordLog, RequestSent
+from flintridge.lab.record_log import RecordLog
+from flintridge.lab.records import AnyRecord, RequestSent
 from flintridge.node import Node
 
 ALLOCATION_INTERVAL_MS = 1000.0
--- a/flintridge/lab/partial/peer_network.py
+++ b/flintridge/lab/partial/peer_network.py
@@ -20,7 +20,7 @@
 )
 from flintridge.lab.partial.node_file_format import JsonObject, to_node_file
 from flintridge.lab.partial.relay import Relay, RelayRoute, SocketAddress
-from flintridge.lab.records import RecordLog
+from flintridge.lab.record_log import RecordLog
 from flintridge.lab.scenario.model import Peers
 from flintridge.lab.world.link_table import LinkTable
 from flintridge.membership.messages import MessageCodec
--- a/flintridge/lab/partial/rig.py
+++ b/flintridge/lab/partial/rig.py
@@ -30,7 +30,8 @@
 from flintridge.lab.load.driver import LoadDriver
 from flintridge.lab.partial.node_file_format import JsonObject
 from flintridge.lab.partial.peer_network import MEMBERSHIP_PATH
-from flintridge.lab.records import LinkFaultChanged, MembershipReported, NodeLogLine, RecordLog
+from flintridge.lab.record_log import RecordLog
+from flintridge.lab.records import LinkFaultChanged, MembershipReported, NodeLogLine
 from flintridge.lab.result import Violation
 from flintridge.lab.scenario.model import Load, Nodes, Peers, RequestClass, Scenario
 from flintridge.lab.scenario_run import READY_TIMEOUT_MS
--- a/flintridge/lab/records.py
+++ b/flintridge/lab/records.py
@@ -1,14 +1,10 @@
-"""The record log: what was seen on both sides of the nodes, as bytes and times. The judge knows nothing else.
+"""Records: what was seen on both sides of the nodes, as bytes and times. The judge knows nothing else.
 
 Nothing here comes from inside a node. Times are float milliseconds since the start of the run; negative ones
 are of the warm-up. A record's place in the log is its order. Encoded names (`tag`, `name`) are read by others
 and stay; the Python names may change.
 """
 
-import hashlib
-from collections.abc import Callable, Iterable, Iterator
-from pathlib import Path
-
 import msgspec
 from msgspec import field
 
@@ -34,7 +30,7 @@
         time_left_ms: The client's time as sent (`d`).
         idempotency_key: As sent (`k`).
         work_ms: What it costs on a core of speed 1.
-        value_digest: Of a write's value, by `body_digest`.
+        value_digest: Of a write's value, by `record_log.body_digest`.
         counted: Whether it counts in the figures: of the regular clients, within the run. The rest is judged
             by the rules alone.
     """
@@ -61,7 +57,7 @@
 
     Attributes:
         kind: served, refused, failed (SERVER_ERROR), error (CLIENT_ERROR), closed, reset or garbled.
-        body_digest: Of the value or receipt, by `body_digest`.
+        body_digest: Of the value or receipt, by `record_log.body_digest`.
         text: The line as it came, cut to 120 characters.
     """
 
@@ -138,7 +134,7 @@
         connection: The server's connection, counted over the run.
         attempt_id: Counted over the run; ties what becomes of the attempt to it.
         time_left_ms: The client's time as the node sent it (`d`).
-        value_digest: Of a write's value, by `body_digest`; it must be the client's.
+        value_digest: Of a write's value, by `record_log.body_digest`; it must be the client's.
     """
 
     started_ms: float = field(name="began")
@@ -384,65 +380,3 @@
     | NodeLogLine
     | DatagramRelayed
 )
-
-_encoder = msgspec.json.Encoder()
-_decoder = msgspec.json.Decoder(AnyRecord)
-
-
-def body_digest(body: bytes) -> str:
-    """The digest of a value or receipt in the log: 16 hex digits of BLAKE2b."""
-    return hashlib.blake2b(body, digest_size=8).hexdigest()
-
-
-class RecordLog:
-    """The ordered log of one run.
-
-    Attributes:
-        records: All of them so far.
-        add: Append a record, and call the watchers with it.
-    """
-
-    def __init__(self) -> None:
-        self.records: list[AnyRecord] = []
-        self.add: Callable[[AnyRecord], None] = self.records.append
-        self._watchers: list[Callable[[AnyRecord], None]] = []
-
-    def watch(self, watcher: Callable[[AnyRecord], None]) -> None:
-        """Call `watcher` with each record from now on, once it is in the log."""
-        self._watchers.append(watcher)
-        self.add = self._add_and_notify
-
-    def _add_and_notify(self, record: AnyRecord) -> None:
-        self.records.append(record)
-        for watcher in self._watchers:
-            watcher(record)
-
-    def __iter__(self) -> Iterator[AnyRecord]:
-        return iter(self.records)
-
-    def __len__(self) -> int:
-        return len(self.records)
-
-    def digest(self) -> str:
-        """A hash over the whole log in its order: equal runs have equal digests."""
-        digest = hashlib.blake2b(digest_size=16)
-        for record in self.records:
-            digest.update(_encoder.encode(record))
-            digest.update(b"\n")
-        return digest.hexdigest()
-
-    def write(self, path: Path) -> None:
-        """One JSON line a record."""
-        with path.open("wb") as file:
-            for record in self.records:
-                file.write(_encoder.encode(record) + b"\n")
-
-
-def read_records(lines: Iterable[bytes]) -> Iterator[AnyRecord]:
-    """Records from their JSON lines.
-
-    Raises:
-        msgspec.DecodeError: A line is not a record.
-    """
-    for line in lines:
-        yield _decoder.decode(line)
--- a/flintridge/lab/run.py
+++ b/flintridge/lab/run.py
@@ -15,7 +15,7 @@
 from flintridge.lab.load.generated_requests import GeneratedRequest
 from flintridge.lab.load.trace import write as write_trace
 from flintridge.lab.partial.allocation_oracle import AllocationMode
-from flintridge.lab.records import RecordLog
+from flintridge.lab.record_log import RecordLog
 from flintridge.lab.result import Result
 from flintridge.lab.scenario.model import FolderErrors, NodeDrain, Scenario
 from flintridge.lab.scenario_run import run_scenario
--- a/flintridge/lab/scenario_run.py
+++ b/flintridge/lab/scenario_run.py
@@ -8,7 +8,7 @@
 from flintridge.lab.faults.timeline import Timeline
 from flintridge.lab.load.driver import LoadDriver
 from flintridge.lab.load.generated_requests import GeneratedRequest
-from flintridge.lab.records import RecordLog
+from flintridge.lab.record_log import RecordLog
 from flintridge.lab.scenario.model import Scenario
 from flintridge.lab.seeds import Seeds
 from flintridge.lab.truth import GroundTruth
--- a/flintridge/lab/virtual_run.py
+++ b/flintridge/lab/virtual_run.py
@@ -8,7 +8,8 @@
 from flintridge.lab.defects import DEFECTS
 from flintridge.lab.fabric import NodeRunner
 from flintridge.lab.partial.allocation_oracle import AllocationMode, AllocationOracle
-from flintridge.lab.records import NodeStateChanged, RecordLog
+from flintridge.lab.record_log import RecordLog
+from flintridge.lab.records import NodeStateChanged
 from flintridge.lab.scenario.model import Scenario, Span, keeps_lines
 from flintridge.lab.seeds import Seeds
 from flintridge.lab.truth import GroundTruth
--- a/flintridge/lab/world/cache_connection.py
+++ b/flintridge/lab/world/cache_connection.py
@@ -4,7 +4,7 @@
 from collections import deque
 from dataclasses import dataclass
 
-from flintridge.lab.records import body_digest
+from flintridge.lab.record_log import body_digest
 from flintridge.lab.world.cache_host import CacheHost
 from flintridge.lab.world.cache_request import CacheRequest
 from flintridge.lab.world.corruption import corrupt
--- a/flintridge/lab/world/discovery_host.py
+++ b/flintridge/lab/world/discovery_host.py
@@ -8,7 +8,8 @@
 import orjson
 
 from flintridge.lab.fabric import Fabric, Listener
-from flintridge.lab.records import EndpointNotified, MalformedMessage, RecordLog
+from flintridge.lab.record_log import RecordLog
+from flintridge.lab.records import EndpointNotified, MalformedMessage
 from flintridge.lab.seeds import Seeds
 from flintridge.lab.world.call_queue import OK, CallResponse
 from flintridge.lab.world.discovery_call import read_target
--- a/flintridge/lab/world/environment.py
+++ b/flintridge/lab/world/environment.py
@@ -3,7 +3,7 @@
 from dataclasses import dataclass
 
 from flintridge.lab.fabric import Fabric
-from flintridge.lab.records import RecordLog
+from flintridge.lab.record_log import RecordLog
 from flintridge.lab.scenario.model import Scenario
 from flintridge.lab.seeds import Seeds
 from flintridge.lab.truth import GroundTruth
--- a/flintridge/lab/world/fleet.py
+++ b/flintridge/lab/world/fleet.py
@@ -4,7 +4,8 @@
 from dataclasses import dataclass, replace
 
 from flintridge.lab.fabric import Fabric
-from flintridge.lab.records import RecordLog, ServerStateChanged
+from flintridge.lab.record_log import RecordLog
+from flintridge.lab.records import ServerStateChanged
 from flintridge.lab.scenario.model import Scenario
 from flintridge.lab.seeds import Seeds
 from flintridge.lab.truth import GroundTruth
--- a/flintridge/lab/world/origin_connection.py
+++ b/flintridge/lab/world/origin_connection.py
@@ -5,7 +5,7 @@
 
 import h11
 
-from flintridge.lab.records import body_digest
+from flintridge.lab.record_log import body_digest
 from flintridge.lab.truth import RequestFacts
 from flintridge.lab.world.memcache import (
     MAX_KEY_BYTES,
--- a/tests/lab/backend/test_loopback.py
+++ b/tests/lab/backend/test_loopback.py
@@ -15,7 +15,8 @@
 
 from flintridge.lab.backend.loopback import play_loopback
 from flintridge.lab.backend.processes import ProcessNodes
-from flintridge.lab.records import NodeStateChanged, RecordLog
+from flintridge.lab.record_log import RecordLog
+from flintridge.lab.records import NodeStateChanged
 from flintridge.lab.scenario.model import Scenario
 
 PYTHON = (sys.executable, "-c")
@@ -24,7 +25,7 @@
 LAB = """
     import asyncio, sys
     from flintridge.lab.backend.loopback import play_loopback
-    from flintridge.lab.records import RecordLog
+    from flintridge.lab.record_log import RecordLog
     from flintridge.lab.scenario.model import Scenario
 
     class World:
--- a/tests/lab/backend/test_processes.py
+++ b/tests/lab/backend/test_processes.py
@@ -11,7 +11,8 @@
 from support.program import SETTINGS
 
 from flintridge.lab.backend.processes import ProcessNodes
-from flintridge.lab.records import NodeStateChanged, RecordLog
+from flintridge.lab.record_log import RecordLog
+from flintridge.lab.records import NodeStateChanged
 from flintridge.lab.scenario.model import Scenario
 
 PYTHON = (sys.executable, "-c")
--- a/tests/lab/load/test_commands.py
+++ b/tests/lab/load/test_commands.py
@@ -8,9 +8,7 @@
 from flintridge.core.request import Request
 from flintridge.lab.load.commands import CommandEncoder
 from flintridge.lab.load.generated_requests import GeneratedRequest
-from flintridge.lab.records import (
-    body_digest,
-)
+from flintridge.lab.record_log import body_digest
 from flintridge.lab.scenario import model
 from flintridge.lab.scenario.model import Clients, RequestClass, Scenario, Tenant
 from flintridge.lab.seeds import Seeds
--- a/tests/lab/load/test_responses.py
+++ b/tests/lab/load/test_responses.py
@@ -8,9 +8,7 @@
 from support.network import FIXED
 
 from flintridge.lab.load.responses import ResponseParser
-from flintridge.lab.records import (
-    body_digest,
-)
+from flintridge.lab.record_log import body_digest
 
 RESPONSES = [
     (b"VA 5 Oa1\r\nhello\r\n", ("served", "a1", body_digest(b"hello"), 0)),
--- a/tests/lab/partial/test_allocation_oracle.py
+++ b/tests/lab/partial/test_allocation_oracle.py
@@ -10,7 +10,8 @@
     AllocationOracle,
     proportional_fractions,
 )
-from flintridge.lab.records import RecordLog, RequestSent
+from flintridge.lab.record_log import RecordLog
+from flintridge.lab.records import RequestSent
 from flintridge.lab.run import play
 from flintridge.lab.scenario.load import load
 
--- a/tests/lab/partial/test_lease_scenarios.py
+++ b/tests/lab/partial/test_lease_scenarios.py
@@ -6,7 +6,8 @@
 from flintridge.config.node_config import BudgetsConfig
 from flintridge.lab.backend.virtual.peers import VirtualPeers
 from flintridge.lab.partial.rig import Rig
-from flintridge.lab.records import LeaseReported, read_records
+from flintridge.lab.record_log import read_records
+from flintridge.lab.records import LeaseReported
 from flintridge.lab.run import play
 from flintridge.lab.scenario.load import load
 from flintridge.lab.scenario.model import Budgets, Peers
--- a/tests/lab/test_lab_run.py
+++ b/tests/lab/test_lab_run.py
@@ -12,7 +12,8 @@
 
 from flintridge.lab import defects
 from flintridge.lab.defects import Defect
-from flintridge.lab.records import ConnectionCount, RecordLog, read_records
+from flintridge.lab.record_log import RecordLog, read_records
+from flintridge.lab.records import ConnectionCount
 from flintridge.lab.run import play
 from flintridge.lab.scenario.load import load, names
 from flintridge.lab.scenario.model import NodeDrain, Scenario
--- a/tests/lab/world/test_cache_connection.py
+++ b/tests/lab/world/test_cache_connection.py
@@ -6,6 +6,7 @@
 import pytest
 from support.lab_world import play
 
+from flintridge.lab.record_log import body_digest
 from flintridge.lab.records import (
     AttemptDropped,
     AttemptExecuted,
@@ -13,7 +14,6 @@
     AttemptServed,
     MalformedMessage,
     ServerStateChanged,
-    body_digest,
 )
 from flintridge.lab.world.cache_host import StopReason
 
--- a/tests/membership/test_membership_config.py
+++ b/tests/membership/test_membership_config.py
@@ -19,7 +19,7 @@
 from flintridge.lab.backend.virtual import VirtualFabric
 from flintridge.lab.faults.check import check
 from flintridge.lab.partial.node_file_format import to_node_file
-from flintridge.lab.records import RecordLog
+from flintridge.lab.record_log import RecordLog
 from flintridge.lab.run import play
 from flintridge.lab.scenario.load import load, names
 from flintridge.lab.scenario.model import Scenario
--- a/tests/support/judge.py
+++ b/tests/support/judge.py
@@ -6,6 +6,7 @@
 
 from flintridge.lab import records as r
 from flintridge.lab.judge.verdict import RULES, judge
+from flintridge.lab.record_log import read_records
 from flintridge.lab.scenario.model import Scenario
 
 CLASSES = [
@@ -126,7 +127,7 @@
     assert tuple(result.rules) == RULES
     for violation in result.violations:
         assert violation.text and violation.records
-        list(r.read_records(line.encode() for line in violation.records))
+        list(read_records(line.encode() for line in violation.records))
     found = {rule: count for rule, count in result.rules.items() if count}
     assert {violation.rule for violation in result.violations} == set(found)
     return found
--- a/tests/support/lab_fleet.py
+++ b/tests/support/lab_fleet.py
@@ -9,9 +9,7 @@
 from flintridge.lab.backend.virtual import VirtualFabric
 from flintridge.lab.faults.check import check
 from flintridge.lab.faults.timeline import Timeline
-from flintridge.lab.records import (
-    RecordLog,
-)
+from flintridge.lab.record_log import RecordLog
 from flintridge.lab.scenario import model as m
 from flintridge.lab.seeds import Seeds
 from flintridge.lab.truth import GroundTruth
--- a/tests/support/lab_world.py
+++ b/tests/support/lab_world.py
@@ -5,10 +5,8 @@
 from typing import TypeVar
 
 from flintridge.lab.backend.virtual import VirtualFabric
-from flintridge.lab.records import (
-    AttemptServed,
-    RecordLog,
-)
+from flintridge.lab.record_log import RecordLog
+from flintridge.lab.records import AttemptServed
 from flintridge.lab.scenario import model as m
 from flintridge.lab.seeds import Seeds
 from flintridge.lab.truth import GroundTruth, RequestFacts
--- a/tests/support/load.py
+++ b/tests/support/load.py
@@ -7,13 +7,8 @@
 from flintridge.lab.backend.virtual import VirtualFabric
 from flintridge.lab.load.driver import LoadDriver
 from flintridge.lab.load.generated_requests import GeneratedRequest
-from flintridge.lab.records import (
-    RecordLog,
-    RequestAbandoned,
-    RequestNotAccepted,
-    RequestSent,
-    ResponseReceived,
-)
+from flintridge.lab.record_log import RecordLog
+from flintridge.lab.records import RequestAbandoned, RequestNotAccepted, RequestSent, ResponseReceived
 from flintridge.lab.scenario.model import Clients, RequestClass, Scenario
 from flintridge.lab.seeds import Seeds
 from flintridge.lab.truth import GroundTruth
