--- a/flintridge/cli/__init__.py
+++ b/flintridge/cli/__init__.py
@@ -2,8 +2,6 @@
 
 import sys
 
-VERSION = "0.1.0"
-
 
 def start() -> None:
     """The console script."""
--- a/flintridge/cli/main.py
+++ b/flintridge/cli/main.py
@@ -2,8 +2,8 @@
 
 import click
 
-from flintridge.cli import VERSION
 from flintridge.cli.lazy import LazyCommand, LazyGroup
+from flintridge.cli.version import VERSION
 
 COMMANDS = {
     "run": LazyCommand("flintridge.cli.run", "Start a node from its configuration file."),
--- /dev/null
+++ b/flintridge/cli/version.py
@@ -0,0 +1,3 @@
+"""The version, which packaging reads from here too."""
+
+VERSION = "0.1.0"
--- a/tests/test_import_layers.py
+++ b/tests/test_import_layers.py
@@ -7,10 +7,6 @@
 from support.paths import ROOT
 
 PACKAGE = ROOT / "flintridge"
-# Circles that stand; this list only shrinks.
-CIRCLES = {
-    frozenset({"flintridge.cli", "flintridge.cli.main"}),
-}
 
 
 def module_name(path) -> str:
@@ -94,4 +90,4 @@
 
 
 def test_modules_import_one_another_in_no_circle():
-    assert circles() <= CIRCLES
+    assert circles() == set()
