--- a/flintridge/lab/backend/lateness.py
+++ b/flintridge/lab/backend/lateness.py
@@ -6,7 +6,7 @@
 
 from flintridge.lab.fabric import RunClock
 
-SAMPLE_MS = 5.0  # how often lateness is measured, whatever else the loop does
+SAMPLE_MS = 5.0  # between two samples, whatever else the loop does
 MAX_LATENESS_US = 60_000_000
 SIGNIFICANT_DIGITS = 3
 PERCENTILES = {"p50_ms": 50.0, "p99_ms": 99.0, "p999_ms": 99.9}
