--- a/flintridge/__main__.py
+++ b/flintridge/__main__.py
@@ -53,7 +53,7 @@
     # What is signalled until the loop goes on is carried out by the handler that is set then.
     loop.add_signal_handler(signal.SIGHUP, early_reloads.append, signal.SIGHUP)
     clock = SystemClock(loop, selector=selector)
-    node = Node(config, clock, log, shared=os.environ.get("TMPDIR") or "/tmp")
+    node = Node(config, clock, log, shared_directory=os.environ.get("TMPDIR") or "/tmp")
     loop.add_signal_handler(signal.SIGHUP, _reload, node)
     loop.add_signal_handler(signal.SIGUSR1, node.log_counters)
     await node.start()
--- a/flintridge/node.py
+++ b/flintridge/node.py
@@ -60,7 +60,7 @@
         log: EventLog,
         counters: Counters | None = None,
         policy: Policy | None = None,
-        shared: str | None = None,
+        shared_directory: str | None = None,
         entropy: Callable[[int], bytes] = os.urandom,
     ) -> None:
         """Put the node together; `start` has it serve.
@@ -71,7 +71,8 @@
             log: Takes the events.
             counters: Takes the counts; None: those of its own.
             policy: Stands in for the decision policy, where a trial needs another one.
-            shared: The folder in which the processes of one node meet; None: there is only this one.
+            shared_directory: Directory that all processes of this node use to find one another; None if the
+                node is a single process.
             entropy: Returns so many random bytes, of which this process's incarnation is made.
 
         Raises:
@@ -98,7 +99,7 @@
         self.replication = self._fleet.replication
         self.downstream.is_ready = self._is_ready
         self._closed = False
-        self._worker_processes = self._make_worker_processes(shared)
+        self._worker_processes = self._make_worker_processes(shared_directory)
 
     # Its parts
 
@@ -162,11 +163,11 @@
             )
         )
 
-    def _make_worker_processes(self, shared: str | None) -> WorkerProcesses | None:
+    def _make_worker_processes(self, shared_directory: str | None) -> WorkerProcesses | None:
         listen = self.config.listen
-        if shared is None or not listen.port:
+        if shared_directory is None or not listen.port:
             return None
-        folder = os.path.join(shared, f"flintridge-{listen.host.replace(':', '_')}-{listen.port}")
+        folder = os.path.join(shared_directory, f"flintridge-{listen.host.replace(':', '_')}-{listen.port}")
         return WorkerProcesses(folder, self.clock, self.log, lambda _: self._apply_limits())
 
     # Start
--- a/tests/downstream/test_half_commands.py
+++ b/tests/downstream/test_half_commands.py
@@ -32,7 +32,7 @@
     async def pass_until(self, after_ms: float) -> None:
         """Let time go on in steps up to so long after the client connected."""
         while self.harness.clock.now() < self.connected_at + after_ms:
-            self.harness.clock.go(min(50.0, self.connected_at + after_ms - self.harness.clock.now()))
+            self.harness.clock.advance(min(50.0, self.connected_at + after_ms - self.harness.clock.now()))
             await run_loop_turns(1)
 
     async def pass_until_due(self) -> bytes:
@@ -65,7 +65,7 @@
             assert received.startswith((b"CLIENT_ERROR", b"SERVER_ERROR"))
             assert harness.core.memory_budget.reserved == 0
             if shutdown is not None:
-                await until(lambda: harness.clock.go(20) or shutdown.done())
+                await until(lambda: harness.clock.advance(20) or shutdown.done())
 
     play(test)
 
