--- a/flintridge/downstream/admin_api.py
+++ b/flintridge/downstream/admin_api.py
@@ -1,6 +1,7 @@
 """Listener of the admin API.
 
-It has a few connections of its own, which no crowd of clients and no silent caller can use up.
+It has a small connection limit of its own, so neither a large number of clients nor callers that send nothing
+can make it unreachable.
 """
 
 import asyncio
@@ -14,12 +15,12 @@
 from flintridge.telemetry.counters import Counters
 from flintridge.telemetry.log import EventLog
 
-CALL_TIMEOUT_MS = 3_000.0  # until which a call must be whole
+CALL_TIMEOUT_MS = 3_000.0  # for a call to arrive completely
 READ_BYTES = 4096
 
 
 class AdminApi(ListeningService):
-    """The operators' HTTP calls, one a connection."""
+    """Serves the operators' HTTP calls, one per connection."""
 
     def __init__(
         self,
@@ -29,24 +30,24 @@
         counters: Counters,
         connection_limit: int = ADMIN_CONNECTIONS_MAX,
     ) -> None:
-        """Prepare it; `listen` opens it.
+        """Prepare the API; `listen` opens the listener.
 
         Args:
-            routes: By path and method, what carries a call out.
-            clock: Gives the time, in float milliseconds.
-            log: Takes its events.
-            counters: Takes its counts.
-            connection_limit: Of callers at a time.
+            routes: The handler of each path and method.
+            clock: The node's clock, in float milliseconds.
+            log: The node's event log.
+            counters: The node's counters.
+            connection_limit: The maximum number of open connections.
         """
         super().__init__(clock, log, counters, shared=False)
         self._routes = routes
         self._connection_limit = connection_limit
-        self._callers: dict[asyncio.StreamWriter, asyncio.Task[None] | None] = {}  # the oldest first
+        self._callers: dict[asyncio.StreamWriter, asyncio.Task[None] | None] = {}  # in the order of arrival
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         if len(self._callers) >= self._connection_limit:
-            # Guards those who call against those who only hold a connection: the oldest has sent nothing
-            # whole so far, as a call is answered at once.
+            # Guards callers against connections that send no complete call. Complete calls get a response
+            # immediately, so the oldest connection has not sent one.
             oldest = next(iter(self._callers))
             self.counters.add("admin_api_evictions")
             self._abort(oldest)
@@ -55,10 +56,10 @@
         try:
             await self._exchange(reader, writer)
         except OSError:
-            pass  # the caller's end of the connection
+            pass  # the caller reset the connection
         except asyncio.CancelledError:
             if writer in self._callers:
-                raise  # else it was evicted, and nobody waits for this task
+                raise  # otherwise it was evicted, and no task awaits this one
         except Exception as error:
             self.counters.add("admin_api_errors")
             self._log.error("admin_api_failed", error)
@@ -78,7 +79,7 @@
             await close_lingering(self.clock, reader, writer)
 
     async def _read_call(self, exchange: AdminExchange, reader: asyncio.StreamReader) -> list[bytes] | None:
-        """The response's buffers; None where the caller ends before its call is whole."""
+        """Read a call and return its response's buffers; None if the caller ends before it is complete."""
         while True:
             data = await reader.read(READ_BYTES)
             if not data:
@@ -94,7 +95,7 @@
         writer.close()
 
     def close(self) -> None:
-        """Close the listener and every connection, at once."""
+        """Close the listener and every connection immediately."""
         if self._listener is not None:
             self._listener.close()
         for writer in list(self._callers):
--- a/flintridge/downstream/admin_exchange.py
+++ b/flintridge/downstream/admin_exchange.py
@@ -1,10 +1,11 @@
 """One HTTP/1.1 call of the admin API and its response, as an I/O-free state machine on h11.
 
-    GET  /admin/health     200 once this process can serve, drained or not; else 503
-    POST /admin/quiesce    end the service, not the process
-    POST /admin/resume     serve again
+    GET  /admin/health     200 if this process can serve, whether or not it is drained; otherwise 503
+    POST /admin/quiesce    start a drain: stop serving without ending the process
+    POST /admin/resume     cancel a drain: serve again
 
-Bodies are JSON objects that say the state. Those of calls are discarded, but for the routes that take one.
+Response bodies are JSON objects that contain the node's state. Request bodies are discarded, except by routes
+that take one.
 """
 
 import h11
@@ -13,7 +14,7 @@
 from flintridge.core.admin_routes import AdminResponse, Routes, RouteWithInput
 
 MAX_HEAD_BYTES = 8 * 1024
-MAX_BODY_BYTES = 64 * 1024  # of a call
+MAX_BODY_BYTES = 64 * 1024  # of a request
 
 BAD_REQUEST = 400
 NOT_FOUND = 404
@@ -24,30 +25,30 @@
 
 
 class AdminExchange:
-    """One call. `feed` gives the response's buffers once the call is whole, or cannot become a good one."""
+    """One call. `feed` returns the response's buffers once the call is complete or found invalid."""
 
     def __init__(self, routes: Routes) -> None:
-        """Await a call.
+        """Wait for a call.
 
         Args:
-            routes: By path and method, what carries the call out.
+            routes: The handler of each path and method.
         """
         self._routes = routes
         self._connection = h11.Connection(h11.SERVER, max_incomplete_event_size=MAX_HEAD_BYTES)
         self._request: h11.Request | None = None
         self._body_bytes = 0
-        self._body = bytearray()  # of a route that takes it
+        self._body = bytearray()  # stays empty unless the route takes a body
         self._takes_body = False
         self._responded = False
 
     def feed(self, data: bytes) -> list[bytes] | None:
-        """Take in what came.
+        """Process bytes of the call.
 
         Args:
-            data: Not empty.
+            data: The bytes that were read; not empty.
 
         Returns:
-            The response's buffers; None while more is to come, and after the response.
+            The response's buffers; None if more bytes are needed, or if the response was already returned.
         """
         if self._responded:
             return None
@@ -61,8 +62,8 @@
             return self._respond_with_error(status, str(error))
 
     def time_out(self) -> list[bytes]:
-        """The response's buffers for a call that did not become whole in time."""
-        return self._respond_with_error(REQUEST_TIMEOUT, "the call was not whole in time")
+        """Return the response's buffers for a call that was not complete in time."""
+        return self._respond_with_error(REQUEST_TIMEOUT, "the call was not complete in time")
 
     def _next_response(self) -> list[bytes] | None:
         while True:
@@ -76,13 +77,13 @@
             elif isinstance(event, h11.Data):
                 self._body_bytes += len(event.data)
                 if self._body_bytes > MAX_BODY_BYTES:
-                    return self._respond_with_error(BODY_TOO_LARGE, f"a body over {MAX_BODY_BYTES} bytes")
+                    return self._respond_with_error(BODY_TOO_LARGE, f"body exceeds {MAX_BODY_BYTES} bytes")
                 if self._takes_body:
                     self._body += event.data
             elif isinstance(event, h11.EndOfMessage):
-                return self._carry_out()
+                return self._dispatch_call()
 
-    def _carry_out(self) -> list[bytes]:
+    def _dispatch_call(self) -> list[bytes]:
         assert self._request is not None
         path, _, query = self._request.target.partition(b"?")
         methods = self._routes.get(path)
@@ -112,7 +113,7 @@
             (b"Connection", b"close"),
             *(extra_headers or ()),
         ]
-        # h11 itself would not write after an error of the caller's head; the head is written by a fresh one.
+        # After a malformed head h11 refuses to write to the connection, so a new one writes the response.
         writer = self._connection
         if writer.our_state is h11.ERROR or writer.their_state is h11.ERROR:
             writer = h11.Connection(h11.SERVER)
--- a/flintridge/downstream/command_input.py
+++ b/flintridge/downstream/command_input.py
@@ -1,4 +1,4 @@
-"""Input of a client connection: bytes read, the commands in them, and the limits of one that is not whole."""
+"""Input of a client connection: reads bytes, parses commands, and times out partial ones."""
 
 import asyncio
 
@@ -16,11 +16,12 @@
 
 
 class CommandInput:
-    """What is read from one client.
+    """The input of one client connection.
 
     Attributes:
-        arrival: When the bytes of the last read may have arrived.
-        value_memory: Reserved for the long value that is read, and then passed on with its command.
+        arrival: Tracks when the bytes of the last read may have arrived.
+        value_memory: The memory that is reserved for the long value being read; the reservation is then
+            handed over together with the value's command.
     """
 
     __slots__ = ("_parser", "_reader", "_timer", "_transport", "arrival", "value_memory")
@@ -33,14 +34,14 @@
         clock: Clock,
         memory_budget: MemoryBudget,
     ) -> None:
-        """Begin with a connection that was just accepted.
+        """Start with a newly accepted connection.
 
         Args:
-            reader: Its input.
-            transport: Carries it.
-            settings: Of the service.
-            clock: Of the node.
-            memory_budget: For long values.
+            reader: Reads the connection's input.
+            transport: The connection's transport.
+            settings: The node's settings.
+            clock: The node's clock.
+            memory_budget: The budget for the memory of long values.
         """
         self.value_memory = ValueMemory(memory_budget, clock)
         self._reader = reader
@@ -50,15 +51,15 @@
         self.arrival = InputArrival(clock, reader.queued_since)
 
     @property
-    def has_half_command(self) -> bool:
-        """Whether something of a command was parsed that is not whole yet."""
+    def has_partial_command(self) -> bool:
+        """Whether a command has been received in part."""
         return not self._parser.idle
 
     async def read(self) -> bytes:
-        """What comes next; empty where the client has ended its sending.
+        """Read the next bytes; returns none if the client has shut down its write side.
 
         Raises:
-            OSError: The connection broke.
+            OSError: The connection failed.
         """
         self.arrival.before_read(self._reader.has_unread, self._transport.is_reading())
         data = await self._reader.read(READ_BYTES)
@@ -66,48 +67,48 @@
         return data
 
     def parse(self, data: bytes, now: float) -> list[Command]:
-        """The commands that bytes complete, in order.
+        """Parse bytes and return the commands that they complete, in order.
 
         Args:
-            data: What was read.
-            now: The clock's time.
+            data: The bytes that were read.
+            now: The node's clock, in milliseconds.
         """
-        self._timer.bytes_read(now, self._parser.idle)
+        self._timer.record_read(now, self._parser.idle)
         commands = self._parser.feed(data)
         if commands:
-            self._timer.command_read(now)
+            self._timer.record_complete_command(now)
         return commands
 
     async def reserve_memory(self, length: int) -> bool:
-        """Wait until memory is free for a long value, before any byte of it is read.
+        """Reserve memory for a long value before it is read, waiting until enough is free.
 
-        Nothing is read meanwhile: the client's own buffers hold it up.
+        Nothing is read meanwhile, so backpressure holds the bytes on the client's side.
 
         Args:
-            length: Of the value, in bytes.
+            length: The length of the value, in bytes.
 
         Returns:
-            Whether it is reserved now.
+            Whether the memory was reserved.
         """
         granted = await self.value_memory.reserve(bytes_to_reserve(length))
-        self._timer.memory_waited(self.value_memory.wait_ms)
+        self._timer.record_memory_wait(self.value_memory.wait_ms)
         return granted
 
     def admit_long_value(self, admitted: bool) -> list[Command]:
-        """Read the long value that was announced, or skip it; the commands that are complete now."""
+        """Read or skip the long value that was announced; returns the commands that are now complete."""
         return self._parser.admit_long_value(admitted)
 
     def timed_out(self, now: float) -> bool:
-        """Whether the command that is not whole has taken too long at the time `now`."""
+        """Whether the partial command has timed out at the time `now`."""
         return self._timer.timed_out(now, self._parser.in_long_value)
 
-    def drop(self, empty_parser: CommandParser) -> None:
-        """Parse nothing more.
+    def stop_parsing(self, empty_parser: CommandParser) -> None:
+        """Discard the parser with its partial command, and parse nothing more.
 
-        Guards memory: half a command holds some for as long as its connection lingers.
+        Guards memory: a partial command would occupy some until the end of the connection's lingering close.
 
         Args:
-            empty_parser: Takes the place of the connection's own.
+            empty_parser: Replaces the connection's own parser.
         """
         self._parser = empty_parser
         self.value_memory.release()
--- a/flintridge/downstream/command_timer.py
+++ b/flintridge/downstream/command_timer.py
@@ -1,16 +1,18 @@
-"""Time limits of a command that is not whole yet: a client that stops half way is told so, and soon.
+"""Time limits of a partial command, which give an early error to a client that stops in its middle.
 
-Such a client is owed an error or a close within 3 s of connecting. The limits leave room in that for the
-sweep that looks at them (250 ms) and for a node that is held up before it writes (150 ms).
+Such a client must get an error or a close within 3 s of connecting. Within these 3 s the limits leave room
+for the interval of the sweep that checks them (250 ms) and for a node that stalls before it writes (150 ms).
 """
 
-COMMAND_TIMEOUT_MS = 2_500.0  # for half a command: a good client may take 2 s for a head
-VALUE_TIMEOUT_MS = 20_000.0  # nor may a long value take longer than this to come
-STALL_MS = 500.0  # a first command that came late may go on after COMMAND_TIMEOUT_MS while it keeps coming
+COMMAND_TIMEOUT_MS = 2_500.0  # for a partial command; a well-behaved client may take 2 s to send a head
+VALUE_TIMEOUT_MS = 20_000.0  # for a long value to arrive completely
+# A first command that began late may exceed COMMAND_TIMEOUT_MS after the connect, as long as its bytes keep
+# arriving at intervals shorter than this.
+STALL_MS = 500.0
 
 
 class CommandTimer:
-    """When the command that a client is writing began, and went on. Times are float milliseconds."""
+    """Tracks when a partial command began and when it last progressed. Times are in float milliseconds."""
 
     __slots__ = ("_connected_at", "_is_first", "_last_read_at", "_memory_wait_ms", "_started_at")
 
@@ -21,30 +23,32 @@
         self._memory_wait_ms = 0.0
         self._is_first = True
 
-    def bytes_read(self, now: float, begins_command: bool) -> None:
-        """Bytes were read; `begins_command`: nothing of a command had come before them."""
+    def record_read(self, now: float, begins_command: bool) -> None:
+        """Record that bytes were read; `begins_command` if no partial command preceded them."""
         self._last_read_at = now
         if begins_command:
             self._start(now)
 
-    def command_read(self, now: float) -> None:
-        """A command is whole: what is behind it is the next one."""
+    def record_complete_command(self, now: float) -> None:
+        """Record that a command is complete, so that bytes after it belong to the next command."""
         self._is_first = False
         self._start(now)
 
-    def memory_waited(self, wait_ms: float) -> None:
-        """Nothing was read for so long, as no memory was free for the value.
+    def record_memory_wait(self, wait_ms: float) -> None:
+        """Record that nothing was read for `wait_ms` while the value waited for memory.
 
-        Guards the 3 s of a client that stopped before: the wait was not its own, but it counts for them.
+        Guards the limit of 3 s for a client that had stopped sending before: the node caused the wait, but
+        the wait counts towards the limit all the same.
         """
         self._memory_wait_ms += wait_ms
 
     def timed_out(self, now: float, in_long_value: bool) -> bool:
-        """Whether the command has taken too long.
+        """Whether the partial command has timed out.
 
         Args:
-            now: The clock's time.
-            in_long_value: Whether it is one that may come slowly; but it holds memory, so it has to go on.
+            now: The node's clock, in milliseconds.
+            in_long_value: Whether a long value is being received. It may arrive slowly, but it occupies
+                memory and therefore must not stall.
         """
         stalled_ms = now - self._last_read_at
         if in_long_value:
@@ -53,7 +57,7 @@
             return now - self._started_at >= VALUE_TIMEOUT_MS
         if now - self._started_at >= COMMAND_TIMEOUT_MS:
             return True
-        # Its client rested before it began, and has stopped.
+        # The client was idle before it began its first command, and has stalled within it.
         late = self._is_first and now - self._connected_at >= COMMAND_TIMEOUT_MS
         return late and stalled_ms >= STALL_MS
 
--- a/flintridge/downstream/connection.py
+++ b/flintridge/downstream/connection.py
@@ -1,4 +1,4 @@
-"""A client connection: commands in, responses out in their order, timeouts, and its end."""
+"""A client connection: reads commands, writes responses in order, enforces timeouts, and closes."""
 
 import asyncio
 from collections import deque
@@ -14,22 +14,26 @@
 from flintridge.runtime.clock import DeadlineExceededError
 from flintridge.runtime.streams import TrackingReader, limit_read_size, peer_has_closed
 
-MAX_UNREAD_RESPONSE_BYTES = 128 * 1024  # that a client has yet to read; it is read no further beyond this
-WRITE_AHEAD_BYTES = 32 * 1024  # of a long value, unread by the client; no more is taken from the server then
+# While the client has more response bytes than this to read, no further command of it is processed.
+MAX_UNREAD_RESPONSE_BYTES = 128 * 1024
+# High-water mark of the write buffer: while more bytes of a long value than this are unread by the client,
+# no more of the value is read from the server.
+WRITE_AHEAD_BYTES = 32 * 1024
 IDLE_TIMEOUT_MS = 2_000.0  # a connection with nothing pending is closed after this
 
 
 class ClientConnection:
     """One client's connection.
 
-    It ends in order (`close`): the responses are written, the sending half shut, what still comes discarded
-    within bounds, and only then is it closed. What was read before the shutdown is answered, what comes after
-    it never sent on: its client has no response and sees the end, and sends it again elsewhere.
+    `close` is orderly: the responses are written, the write side is shut down, further input is discarded
+    within bounds, and only then is the socket closed. Requests that were read before the shutdown get a
+    response. Requests that arrive after it are never forwarded: the client sees the end of the stream without
+    a response, and retries them elsewhere.
 
     Attributes:
-        last_used_at: When something was read or written last.
-        has_requested: Whether a request ever came whole.
-        has_sent_command: Whether any command ever came whole.
+        last_used_at: When bytes were last read or written, in milliseconds of the node's clock.
+        has_requested: Whether a complete request was ever received.
+        has_sent_command: Whether any complete command was ever received.
     """
 
     def __init__(
@@ -38,12 +42,12 @@
         reader: TrackingReader,
         writer: asyncio.StreamWriter,
     ) -> None:
-        """Take over an accepted connection; `serve` runs it.
+        """Wrap an accepted connection; `serve` runs it.
 
         Args:
-            owner: The listener that accepted it.
-            reader: Its input.
-            writer: Its output.
+            owner: The listener that accepted the connection.
+            reader: Reads the connection's input.
+            writer: Writes the connection's output.
         """
         self._owner = owner
         self._reader = reader
@@ -59,9 +63,9 @@
         )
         self._executor = CommandExecutor(owner, self._input, self._pipeline)
         self._orderly_close = OrderlyClose(writer, owner.clock, owner.counters)
-        self._close_when_responded = False  # it closes once all pending responses are written
-        self._closed = False  # its client has left, or it was closed
-        self._processing = False  # commands that were read are being processed: there may be more of them
+        self._close_when_responded = False  # reads no more commands, closes after the pending responses
+        self._closed = False  # the client has disconnected, or the connection was closed
+        self._processing = False  # commands are being processed, and more that were read may follow them
         self._transport.set_write_buffer_limits(high=WRITE_AHEAD_BYTES)
         limit_read_size(self._transport)
         reader.on_end = self._on_closed
@@ -69,66 +73,66 @@
     # State
 
     @property
-    def has_half_command(self) -> bool:
-        """Whether something of a command was parsed that is not whole yet."""
-        return self._input.has_half_command
+    def has_partial_command(self) -> bool:
+        """Whether a command has been received in part."""
+        return self._input.has_partial_command
 
     @property
     def idle(self) -> bool:
-        """Between requests: nothing is pending and nothing more has arrived, as far as was read."""
-        return not self.has_pending and not self._input.has_half_command
+        """Whether the connection is between requests: nothing is pending and no partial command was read."""
+        return not self.has_pending and not self._input.has_partial_command
 
     @property
     def has_pending(self) -> bool:
-        """Whether a command awaits its response or its turn, or bytes that were read may hold one."""
+        """Whether a command awaits processing or its response, or received bytes may contain a command."""
         return self._processing or len(self._pipeline) > 0 or self._reader.has_unread
 
     @property
     def blocked(self) -> bool:
-        """Whether something is pending while nothing is read."""
+        """Whether reading is paused while commands or responses are pending."""
         return self.has_pending and not self._transport.is_reading()
 
     @property
     def closing(self) -> bool:
-        """Whether it is being closed."""
+        """Whether the connection is being closed."""
         return self._orderly_close.started or self._writer.is_closing()
 
-    # What its owner asks of it
+    # Called by the owner
 
     def stop_reading(self) -> None:
-        """Read nothing more but the rest of half a command; it closes after the pending responses."""
+        """Stop reading, except for the rest of a partial command; closes after the pending responses."""
         if self._orderly_close.started or self._processing:
             return
-        if not self._input.has_half_command and not self._reader.has_unread:
+        if not self._input.has_partial_command and not self._reader.has_unread:
             self._transport.pause_reading()
 
     def resume_reading(self) -> None:
-        """Read on: the drain that stopped the reading was called off."""
+        """Read again: the drain that had stopped the reading was cancelled."""
         if not self._orderly_close.started:
             self._transport.resume_reading()
 
     def check_disconnected(self) -> None:
-        """See whether the client has disconnected by now.
+        """Check whether the client has disconnected, and clean up if so.
 
-        Guards what is pending, or is about to be sent on, against a client whose end the system holds: behind
-        bytes that nobody reads now, or in a turn of the event loop that is still to come.
+        Guards against executing requests of a client that has left while the kernel still holds the end of
+        its stream: behind bytes that are not read now, or until a later iteration of the event loop.
         """
         if not self._closed and peer_has_closed(self._transport):
             self._owner.counters.add("disconnects_behind_unread_input")
             self._on_closed()
 
     def close_if_timed_out(self, now: float) -> None:
-        """Close it if it has been of no use for too long: idle, or half a command and no more.
+        """Close the connection if it was idle for too long, or its partial command has timed out.
 
-        Guards the descriptors against clients that say nothing, by the hundred, or keep what they never
-        use again. A client whose request crosses this sends it once more, on a new connection.
+        Guards the file descriptors against hundreds of clients that send nothing, or keep connections that
+        they never use again. A client whose request crosses the close retries it on a new connection.
 
         Args:
-            now: The clock's time.
+            now: The node's clock, in milliseconds.
         """
         if self.has_pending or self._close_when_responded or self.closing:
             return
-        if self._input.has_half_command:
+        if self._input.has_partial_command:
             if self._input.timed_out(now):
                 self._owner.counters.add("connections_command_timeout")
                 self._writer.writelines(encode_client_error("command not finished in time"))
@@ -138,22 +142,22 @@
             self.evict()
 
     def evict(self) -> None:
-        """Close it, for another one or as it is of no use.
+        """Close the connection, either because it is idle or to make room for another one.
 
-        One that never requested is rejected, as its first request may be coming, and so is half a command; a
-        client whose connection had served sends its next one again.
+        Where a request may be on its way, because the connection has sent none yet or a part of one, the
+        client first gets a `busy` rejection. A client whose connection has served requests retries by itself.
         """
-        may_request = not self.has_requested or self._input.has_half_command
-        # One that closes after an error has had that, and nothing more may be written to it.
+        may_request = not self.has_requested or self._input.has_partial_command
+        # A connection that closes after an error has sent that error; nothing may be written after it.
         if may_request and not self._close_when_responded and not self.closing:
             self._writer.writelines(encode_rejection(0.0))
         self.close()
 
-    def end(self) -> None:
-        """Read nothing more at all, and close it if nothing that was read awaits its response.
+    def end_input(self) -> None:
+        """Stop reading entirely, and close the connection unless a command that was read awaits its response.
 
-        Guards the requests that would come before SIGKILL, of a client that is never between commands, or
-        whose value waits for memory: they would be read and not answered any more.
+        Guards the requests that arrive shortly before SIGKILL, from a client that is never between commands
+        or whose value waits for memory: they would be read, but the process would end before the response.
         """
         if self.closing:
             return
@@ -164,14 +168,15 @@
     # Commands
 
     async def serve(self) -> None:
-        """Process what comes until the connection ends. Raises nothing for what the client does."""
+        """Process commands until the connection ends. Nothing that the client does raises an error."""
         try:
             await self._read_until_end()
         except DeadlineExceededError:
             self._owner.counters.add("slow_readers")
             self._transport.abort()
-        except OSError as error:  # the client's end of the connection: gone like any other
-            error.with_traceback(None)  # the reader keeps it, and with its frames this connection
+        except OSError as error:  # the client reset the connection, which is handled like any disconnect
+            # The reader keeps the exception, whose traceback would keep this connection alive.
+            error.with_traceback(None)
         finally:
             self._on_closed()
 
@@ -181,30 +186,30 @@
             if not data:
                 return
             if self._orderly_close.started:
-                # Guards a request that crossed the close of its connection: its client sends it again,
-                # and processed here as well it would run twice, and the second be told `id in use`.
-                if not self._orderly_close.discards(len(data)):
+                # Guards against executing a request twice that crossed the close: its client retries it, and
+                # if it were processed here as well, the retry would be rejected with `id in use`.
+                if not self._orderly_close.discard(len(data)):
                     return
             else:
                 await self._process_input(data)
 
     async def _process_input(self, data: bytes) -> None:
-        self._touch()
+        self._record_activity()
         commands = self._input.parse(data, self.last_used_at)
         if commands:
             self.has_sent_command = True
         self._processing = True
-        goes_on = await self._process_commands(deque(commands))
+        keep_open = await self._process_commands(deque(commands))
         self._processing = False
-        if not goes_on:  # what is behind it is not processed: it may be evicted
+        if not keep_open:  # the commands that follow are not processed, so the connection may be evicted
             await self._finish()
         elif self._owner.reading_stopped:
             self.stop_reading()
         self._owner.close_if_draining(self)
 
     async def _process_commands(self, commands: deque[Command]) -> bool:
-        """Whether the connection goes on."""
-        # Of a client that has left, or that gets no response any more, nothing further is processed.
+        """Process commands in order; returns False if the connection has to close after the responses."""
+        # Commands that can't be responded to are not processed: after a disconnect or the start of a close.
         while commands and not self._closed and not self._orderly_close.started:
             command = commands.popleft()
             if isinstance(command, LongValueAnnounced):
@@ -212,24 +217,24 @@
                 if self._closed or self._orderly_close.started:
                     self._input.value_memory.release()
                     break
-                self._touch()
+                self._record_activity()
                 commands.extend(self._input.admit_long_value(granted))
             elif not self._executor.execute(command, self):
                 return False
-            # Asked after each one, not after each read: a single read can hold hundreds of commands, whose
-            # responses would all be retained for a client that reads none of them.
+            # Checked after each command, not after each read: a single read can contain hundreds of commands,
+            # and all their responses would be retained for a client that reads none of them.
             await self._pipeline.wait_until_not_full()
             if self._transport.get_write_buffer_size() > MAX_UNREAD_RESPONSE_BYTES:
                 await self.wait_until_read()
         return True
 
     async def _finish(self) -> None:
-        """Framing is lost, or too many commands were bad: close after the pending responses."""
+        """Close after the pending responses, because framing is lost or too many commands were bad."""
         self._close_when_responded = True
         await self._pipeline.wait_until_empty()
         self.close()
 
-    def _touch(self) -> None:
+    def _record_activity(self) -> None:
         self.last_used_at = self._owner.clock.now()
         self._owner.eviction_order.touch(self)
 
@@ -244,49 +249,51 @@
         self._pipeline.start_next_stream()
 
     def write(self, buffers: list[bytes]) -> None:
-        """Write to the client at once; nothing where the connection closes."""
+        """Write to the client without waiting; does nothing if the connection is being closed."""
         if not self.closing:
             self._writer.writelines(buffers)
-            self._touch()
+            self._record_activity()
 
     async def wait_until_read(self) -> None:
         """Wait until the client has read most of what was written.
 
         Raises:
-            DeadlineExceededError: It reads nothing at all.
+            DeadlineExceededError: The client reads nothing at all.
             OSError: The connection has ended.
         """
         await wait_until_read(self._owner.clock, self._writer)
 
-    # Its end
+    # Close
 
     def close(self) -> None:
-        """End it in order. Nothing may be pending on it, but responses may still wait to go out."""
+        """Start an orderly close. No response may be pending, but written ones may still be in the buffer."""
         if self.closing:
             return
         self._orderly_close.started = True
         self._owner.eviction_order.touch(self)
-        self._input.drop(self._owner.empty_parser)
+        self._input.stop_parsing(self._owner.empty_parser)
         self._orderly_close.shut_down(self._owner.run_in_background)
 
     def abort_stream(self) -> None:
-        """End it in the middle of a value: no response behind that can be written any more."""
+        """Close the connection in the middle of a value: no later response can be written any more."""
         self._abandon_pending()
         self.close()
 
     def abort(self) -> None:
-        """Close it now: its client has had its time, or there is none to give."""
+        """Close the connection immediately, because the client's time is over or none can be granted."""
         self._orderly_close.abort()
 
     def _on_closed(self) -> None:
-        """Its client has left, or it is closed: nothing is pending any more, and nothing more is sent on.
+        """Abandon everything pending, since the client has disconnected or the connection was closed.
 
-        Called the moment the end is seen, whatever still awaits its turn or its response.
+        Called as soon as the end of the stream is detected, even while commands await processing or their
+        responses. Nothing more is forwarded.
         """
         if self._closed:
             return
         self._closed = True
-        # Guards memory: the two would hold one another until the collector comes, seldom on a long day.
+        # Guards memory: reader and connection would reference each other until the garbage collector runs,
+        # which is seldom in a process that runs for long.
         self._reader.on_end = None
         self._orderly_close.cancel_timer()
         self._abandon_pending()
--- a/flintridge/downstream/connection_owner.py
+++ b/flintridge/downstream/connection_owner.py
@@ -1,4 +1,4 @@
-"""What a client connection needs of the listener that accepted it."""
+"""The interface that a client connection uses of the listener that accepted it."""
 
 from collections.abc import Coroutine
 from typing import Protocol
@@ -11,13 +11,13 @@
 
 
 class ConnectionOwner(ExecutorOwner, Protocol[ConnectionT]):
-    """The owner of client connections: what they share, and what they report to it.
+    """The owner of client connections: the state that they share, and the calls that they make to it.
 
     Attributes:
         settings: The node's settings.
-        clock: Gives the time, in float milliseconds.
-        eviction_order: In which the connections are evicted.
-        empty_parser: Of all connections that read no command any more.
+        clock: The node's clock, in float milliseconds.
+        eviction_order: The order in which connections are evicted.
+        empty_parser: A parser that replaces those of connections that read no more commands.
     """
 
     settings: Settings
@@ -27,10 +27,10 @@
 
     @property
     def reading_stopped(self) -> bool:
-        """Whether connections are read no further, as the node drains."""
+        """Whether no connection is read any further, because the node drains."""
 
     def run_in_background(self, work: Coroutine[None, None, None]) -> None:
-        """Run `work` as a task that is held until it ends."""
+        """Run `work` as a task that is referenced until it ends."""
 
     def close_if_draining(self, connection: ConnectionT) -> None:
-        """Close a connection that is between requests if the node drains."""
+        """If the node drains, close `connection` if it is between requests."""
--- a/flintridge/downstream/eviction.py
+++ b/flintridge/downstream/eviction.py
@@ -1,31 +1,31 @@
-"""Connection eviction: the order in which client connections are closed for new ones.
+"""Connection eviction: the order in which client connections are closed to make room for new ones.
 
-Its cost is the same however many are open.
+The cost of an operation does not grow with the number of open connections.
 """
 
 from typing import Generic, Protocol, TypeVar
 
 
 class EvictableConnection(Protocol):
-    """A client connection, as far as its eviction goes.
+    """The state of a client connection that decides about its eviction.
 
     Attributes:
-        has_requested: Whether a request ever came whole on it.
+        has_requested: Whether a complete request was ever received on it.
     """
 
     has_requested: bool
 
     @property
     def closing(self) -> bool:
-        """Whether it is being closed."""
+        """Whether the connection is being closed."""
 
     @property
     def has_pending(self) -> bool:
-        """Whether a command awaits its response, or its turn."""
+        """Whether a command awaits processing or its response."""
 
     @property
     def idle(self) -> bool:
-        """Whether it is between requests."""
+        """Whether the connection is between requests."""
 
 
 ConnectionT = TypeVar("ConnectionT", bound=EvictableConnection)
@@ -34,24 +34,25 @@
 class EvictionOrder(Generic[ConnectionT]):
     """Connections in the order of their eviction.
 
-    First those that close, then those that have requested, then those that never did; of each kind the least
-    recently used first.
+    Connections that are closing come first, then those that have sent a request, then those that never did;
+    within each group the least recently used comes first.
 
-    The first request on a connection closed unread has failed, while a client whose connection was closed
-    between requests sends its next one again. Guards new connections, each of which would otherwise be closed
-    for the next one while idle ones that had requested stay open.
+    A client whose connection is closed between requests retries its next request, whereas the first request
+    on a connection that is closed without reading it has failed. The order protects new connections: each of
+    them would otherwise be closed for the next one, while idle connections that have sent requests stay open.
 
-    Kept in order, and not searched: at the connection limit each new connection needs the first of them.
+    The order is maintained rather than searched, since at the connection limit each new connection needs its
+    first element.
     """
 
     def __init__(self) -> None:
-        # Dicts, as they keep their order, the least recently used first.
+        # Dicts keep their insertion order; the least recently used connection comes first.
         self._closing: dict[ConnectionT, None] = {}
         self._requested: dict[ConnectionT, None] = {}
         self._never_requested: dict[ConnectionT, None] = {}
 
     def touch(self, connection: ConnectionT) -> None:
-        """It was opened just now, was used, or begins to close."""
+        """Move a connection to the end of its group: it was opened, was used, or begins to close."""
         self.remove(connection)
         if connection.closing:
             self._closing[connection] = None
@@ -61,13 +62,13 @@
             self._never_requested[connection] = None
 
     def remove(self, connection: ConnectionT) -> None:
-        """It is no longer to be evicted, or not open any more."""
+        """Remove a connection that has ended or can no longer be evicted."""
         self._never_requested.pop(connection, None)
         self._requested.pop(connection, None)
         self._closing.pop(connection, None)
 
     def first_evictable(self) -> ConnectionT | None:
-        """The connection to evict; None where each of them has a response pending, or is about to."""
+        """Return the connection to evict; None if each of them has a command or a response pending."""
         for connection in self._closing:
             return connection
         for connection in self._requested:
--- a/flintridge/downstream/lingering_close.py
+++ b/flintridge/downstream/lingering_close.py
@@ -1,4 +1,4 @@
-"""Lingering close of connections that the other side opened, so that no response is lost by a reset."""
+"""Lingering close of accepted connections, so that a reset does not destroy the last responses."""
 
 import asyncio
 
@@ -6,23 +6,23 @@
 from flintridge.runtime.clock import Clock, DeadlineExceededError, with_timeout
 from flintridge.runtime.streams import discard_input
 
-# So long, and so much, is discarded of the input of a connection that is closed. Guards its last responses:
-# closed with input unread it would be reset, and what the other side has not read yet lost.
+# Limits on the input that is discarded while a connection is closed. Guards its last responses: closing a
+# connection with unread input resets it, and the peer loses the responses that it has not read yet.
 LINGERING_CLOSE_MS = 500.0
 LINGERING_CLOSE_MAX_BYTES = 256 * 1024
-SLOW_READER_TIMEOUT_MS = 5_000.0  # so long the other side may read nothing of what was written
+SLOW_READER_TIMEOUT_MS = 5_000.0  # how long the peer may read nothing of what was written
 READ_BYTES = 64 * 1024
 
 
 class ConnectionClosedError(FlintridgeError, ConnectionResetError):
-    """The connection was closed at this end while somebody waited for it."""
+    """The connection was closed by this process while a task waited for the peer to read."""
 
 
 async def wait_until_read(clock: Clock, writer: asyncio.StreamWriter) -> None:
-    """Wait until so much of what was written has gone out as the transport's write limits say.
+    """Wait until the write buffer has drained as far as the transport's write limits require.
 
     Raises:
-        DeadlineExceededError: The other side reads nothing at all for SLOW_READER_TIMEOUT_MS.
+        DeadlineExceededError: The peer reads nothing at all for SLOW_READER_TIMEOUT_MS.
         OSError: The connection has ended.
     """
     transport = writer.transport
@@ -39,21 +39,22 @@
 
 
 async def close_lingering(clock: Clock, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-    """Close a connection in order.
+    """Close a connection in an orderly way.
 
-    All that was written goes out, then the sending half is shut, then input is discarded within bounds.
-    Raises nothing for what the other side does: it is the end of this connection either way.
+    The write buffer is flushed, then the write side is shut down, then input is discarded within bounds.
+    Errors that the peer causes are not raised, since the connection is closed in any case.
     """
-    writer.transport.set_write_buffer_limits(high=0)  # `drain` waits until all is written
+    writer.transport.set_write_buffer_limits(high=0)  # makes `drain` wait until the buffer is empty
     try:
         await wait_until_read(clock, writer)
         if writer.can_write_eof():
             writer.write_eof()
         await with_timeout(clock, LINGERING_CLOSE_MS, _discard_input(reader))
     except DeadlineExceededError:
-        pass  # it goes on sending, or reads nothing
+        pass  # the peer keeps sending, or reads nothing
     except OSError as error:
-        error.with_traceback(None)  # the reader keeps it, and with its frames this connection
+        # The reader keeps the exception, whose traceback would keep this connection alive.
+        error.with_traceback(None)
     finally:
         abort_connection(writer)
 
@@ -68,6 +69,6 @@
 
 
 def abort_connection(writer: asyncio.StreamWriter) -> None:
-    """Close a connection now, with no time for a lingering close; what lies unread is discarded first."""
+    """Close a connection immediately, without a lingering close; unread input is discarded first."""
     discard_input(writer.transport, LINGERING_CLOSE_MAX_BYTES)
     writer.close()
--- a/flintridge/downstream/listener.py
+++ b/flintridge/downstream/listener.py
@@ -1,4 +1,4 @@
-"""Listener for clients: their connections, a sweep of idle ones, and graceful shutdown."""
+"""The listener for clients: accepts connections, sweeps idle ones, and closes them during a shutdown."""
 
 import asyncio
 from collections.abc import Callable, Coroutine
@@ -19,20 +19,21 @@
 from flintridge.telemetry.log import EventLog
 
 SWEEP_INTERVAL_MS = 250.0
-DRAIN_FIRST_COMMAND_TIMEOUT_MS = 300.0  # of a connection that comes while others are closed
+# Time for the first command of a connection that is accepted while idle connections are being closed.
+DRAIN_FIRST_COMMAND_TIMEOUT_MS = 300.0
 
 
 class Downstream(ListeningService):
     """All client connections of a process, and their listener.
 
     Attributes:
-        core: Takes the requests.
+        core: Executes the requests.
         settings: The node's settings.
-        shutdown: Says what is due at the end of the service.
-        connections: Those of clients that are open.
-        eviction_order: In which the connections are evicted.
-        empty_parser: Of all connections that read no command any more.
-        is_ready: What else has to be true before `mn` is answered.
+        shutdown: The state machine that schedules the steps of a drain or termination.
+        connections: The open client connections.
+        eviction_order: The order in which connections are evicted.
+        empty_parser: A parser that replaces those of connections that read no more commands.
+        is_ready: A further condition of readiness; until it returns True, `mn` gets an error.
     """
 
     def __init__(
@@ -46,17 +47,17 @@
         counters: Counters,
         shutdown: GracefulShutdown | None = None,
     ) -> None:
-        """Begin to sweep; `listen` opens the listener.
+        """Start the periodic sweep; `listen` opens the listener.
 
         Args:
-            core: Takes the requests.
+            core: Executes the requests.
             settings: The node's settings.
-            endpoints: Without a ready one, `mn` is answered no.
-            clock: Gives the time, in float milliseconds.
-            connection_limit: Of client connections at a time.
-            log: Takes the events.
-            counters: Takes the counts.
-            shutdown: That of the node; None for one of its own.
+            endpoints: The known endpoints; while none of them is ready, `mn` gets an error.
+            clock: The node's clock, in float milliseconds.
+            connection_limit: The maximum number of open client connections.
+            log: The node's event log.
+            counters: The node's counters.
+            shutdown: The node's shutdown state; None creates one for this listener.
         """
         super().__init__(clock, log, counters, shared=True)
         self.core = core
@@ -75,26 +76,26 @@
 
     @property
     def serving(self) -> bool:
-        """Whether this process can serve: it listens, knows endpoints that are ready, and `is_ready`."""
+        """Whether this process can serve: it listens, an endpoint is ready, and `is_ready` returns True."""
         if self._listener is None or not self._listener.is_open:
             return False
         return self._endpoints.any_ready and self.is_ready()
 
     @property
-    def hello_response(self) -> bytes:
-        """The response to `mn`."""
+    def no_op_response(self) -> bytes:
+        """The response to a no-op command, `mn`."""
         if not self.shutdown.accepts_clients:
             return DRAINING_RESPONSE
         return NO_OP_RESPONSE if self.serving else STARTING_RESPONSE
 
     @property
     def connection_count(self) -> int:
-        """Of client connections that are open, without those that were rejected or evicted."""
+        """The number of open client connections, without those that were rejected or evicted."""
         return len(self.connections)
 
     @property
     def reading_stopped(self) -> bool:
-        """Whether connections are read no further, as the node drains."""
+        """Whether no connection is read any further, because the node drains."""
         return not self.shutdown.accepts_clients and self.shutdown.stops_reading(self.clock.now())
 
     # Connections
@@ -114,10 +115,10 @@
             self._log.error("connection_failed", error)
         finally:
             self.connections.remove(connection)
-            self._note_if_drained()
+            self._finish_drain_if_empty()
 
     def run_in_background(self, work: Coroutine[None, None, None]) -> None:
-        """Run `work` as a task that is held until it ends; the event loop itself would forget it."""
+        """Run `work` as a task, referenced until it ends; the event loop itself references it only weakly."""
         task = asyncio.ensure_future(work)
         self._tasks[task] = None
         task.add_done_callback(self._tasks.pop)
@@ -130,12 +131,15 @@
                 connection.check_disconnected()
             connection.close_if_timed_out(now)
             self.close_if_draining(connection)
-        self._note_if_drained()
+        self._finish_drain_if_empty()
 
     # Drain
 
     def close_if_draining(self, connection: ClientConnection) -> None:
-        """If the node drains, close a connection between requests, or whose first command does not come."""
+        """Close `connection` if the node drains and the connection is idle.
+
+        A connection that has not sent any command yet has DRAIN_FIRST_COMMAND_TIMEOUT_MS to do so.
+        """
         if self.shutdown.accepts_clients or not connection.idle:
             return
         now = self.clock.now()
@@ -147,25 +151,26 @@
             connection.evict()
 
     def redirect_new_connections(self, position: int) -> bool:
-        """Have the kernel give new connections to another process of this node.
+        """Have the kernel assign new connections to another process of this node.
 
         Args:
-            position: Of that process's listener, counted from 0 in the order in which they were opened.
+            position: The index of that process's listener, from 0, in the order in which the listeners were
+                opened.
 
         Returns:
-            Whether the kernel does so.
+            Whether the kernel supports this; if not, nothing changes.
         """
         if self._listener is None or not self._listener.is_open:
             return False
         return self._listener.divert_to(position)
 
     def start_drain(self) -> None:
-        """The end of the service was asked for: schedule what falls due."""
+        """Schedule the steps of a drain that was requested."""
         for due_at in self.shutdown.deadlines(self.clock.now()):
             self.clock.call_at(due_at, self._advance_drain)
 
     def cancel_drain(self) -> None:
-        """The service goes on after all: what was read no further is read on."""
+        """Cancel a drain: resume reading from the connections on which it was stopped."""
         for connection in self.connections:
             connection.resume_reading()
 
@@ -174,16 +179,16 @@
             if self.reading_stopped:
                 connection.stop_reading()
             self.close_if_draining(connection)
-        self._note_if_drained()
+        self._finish_drain_if_empty()
 
-    def _note_if_drained(self) -> None:
+    def _finish_drain_if_empty(self) -> None:
         if not self.connections and self.shutdown.connections_closed(self.clock.now()):
             self._log.event("drained")
 
-    # The end of the process
+    # Termination
 
     async def leave(self) -> None:
-        """After SIGTERM: serve on for a while, then close each connection between requests."""
+        """Terminate after SIGTERM: keep serving for a while, then close each connection between requests."""
         now = self.clock.now()
         self.shutdown.terminate(now)
         termination = Termination(
@@ -199,7 +204,7 @@
         await termination.run()
 
     def close(self) -> None:
-        """Close the listener and every connection, at once; what was answered is still written out."""
+        """Close the listener and every connection immediately; written responses are still flushed."""
         self._sweep_timer.cancel()
         if self._listener is not None:
             self._listener.close()
--- a/flintridge/downstream/listening_service.py
+++ b/flintridge/downstream/listening_service.py
@@ -1,4 +1,4 @@
-"""What a node serves at an address of its own: opened once, each connection handed to a task."""
+"""Base class for services that listen at their own address and serve each connection in a task."""
 
 import asyncio
 from abc import ABC, abstractmethod
@@ -14,17 +14,17 @@
     """A service with one listener.
 
     Attributes:
-        clock: Gives the time, in float milliseconds.
-        counters: Takes the counts.
+        clock: The node's clock, in float milliseconds.
+        counters: The node's counters.
     """
 
     def __init__(self, clock: Clock, log: EventLog, counters: Counters, *, shared: bool) -> None:
-        """Prepare it; `listen` opens it.
+        """Prepare the service; `listen` opens the listener.
 
         Args:
-            clock: Gives the time, in float milliseconds.
-            log: Takes the events.
-            counters: Takes the counts.
+            clock: The node's clock, in float milliseconds.
+            log: The node's event log.
+            counters: The node's counters.
             shared: Whether other processes may listen at the same address.
         """
         self.clock = clock
@@ -37,10 +37,10 @@
         """Open the listener.
 
         Returns:
-            The port.
+            The port that the listener is bound to.
 
         Raises:
-            ListenError: It can't be opened.
+            ListenError: The listener can't be opened.
         """
         self._listener = await open_listener(
             self._serve, address, self._shared, self.clock, self._log, self.counters
@@ -49,4 +49,4 @@
 
     @abstractmethod
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        """Serve an accepted connection until its end."""
+        """Serve an accepted connection until it ends."""
--- a/flintridge/downstream/open_connections.py
+++ b/flintridge/downstream/open_connections.py
@@ -1,4 +1,4 @@
-"""The open client connections of a process: their limit, and how one yields to another beyond it."""
+"""The open client connections of a process, and their limit, beyond which they are evicted or rejected."""
 
 import asyncio
 from collections.abc import Iterator
@@ -10,7 +10,8 @@
 from flintridge.runtime.clock import Clock
 from flintridge.telemetry.counters import Counters
 
-# Connections beyond the limit, on the spare descriptors, that are in a lingering close at a time.
+# Maximum number of connections in a lingering close beyond the connection limit; they use the spare
+# file descriptors.
 MAX_LINGERING_BEYOND_LIMIT = 4
 
 
@@ -18,25 +19,26 @@
     """Client connections that are open, without those that were rejected or evicted.
 
     Attributes:
-        limit: So many may be open at a time; what is open beyond a lowered limit is evicted as others come.
-        eviction_order: In which they are evicted.
-        lingering_rejected: How many that were rejected are in their lingering close.
-        lingering_evicted: Those that were evicted and are in their lingering close, the first evicted first.
+        limit: The maximum number of open connections. After it is lowered, connections beyond it are evicted
+            as new ones arrive.
+        eviction_order: The order in which connections are evicted.
+        lingering_rejected: The number of rejected connections that are in their lingering close.
+        lingering_evicted: Evicted connections that are in their lingering close, in the order of eviction.
     """
 
     def __init__(self, limit: int, clock: Clock, counters: Counters) -> None:
-        """Begin with none.
+        """Start without connections.
 
         Args:
-            limit: So many may be open at a time.
-            clock: Of the node.
-            counters: Of the node.
+            limit: The maximum number of open connections.
+            clock: The node's clock.
+            counters: The node's counters.
         """
         self.limit = limit
         self.eviction_order: EvictionOrder[ClientConnection] = EvictionOrder()
         self.lingering_rejected = 0
         self.lingering_evicted: dict[ClientConnection, None] = {}
-        # A dict, not a set: it is walked in the order of arrival, and two nodes given the same do the same.
+        # A dict, not a set: iteration follows the order of arrival, so nodes behave the same for equal input.
         self._open: dict[ClientConnection, None] = {}
         self._clock = clock
         self._counters = counters
@@ -45,26 +47,26 @@
         return len(self._open)
 
     def __iter__(self) -> Iterator[ClientConnection]:
-        """In the order of arrival; what is walked may change meanwhile."""
+        """Iterate over a copy in the order of arrival; connections may be added or removed meanwhile."""
         return iter(list(self._open))
 
     def add(self, connection: ClientConnection) -> None:
-        """A connection was accepted."""
+        """Add an accepted connection."""
         self._open[connection] = None
         self.eviction_order.touch(connection)
 
     def remove(self, connection: ClientConnection) -> None:
-        """A connection has ended, evicted or not."""
+        """Remove a connection that has ended, whether it was evicted or not."""
         self._open.pop(connection, None)
         self.eviction_order.remove(connection)
         self.lingering_evicted.pop(connection, None)
 
     def ensure_capacity(self) -> bool:
-        """Evict one if the limit is reached; False where it is and none may be evicted."""
+        """Evict a connection if the limit is reached; returns False if none can be evicted."""
         return len(self._open) < self.limit or self.evict_one()
 
     def evict_one(self) -> bool:
-        """Evict the first connection in the eviction order; False where none may be."""
+        """Evict the first connection in the eviction order; returns False if none can be evicted."""
         connection = self.eviction_order.first_evictable()
         if connection is None:
             return False
@@ -73,14 +75,15 @@
         self.lingering_evicted[connection] = None
         connection.evict()
         self.eviction_order.remove(connection)
-        self._bound_lingering()
+        self._limit_lingering()
         return True
 
     async def reject(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        """Say to a client that the connection limit is reached, and close its connection.
+        """Send a `busy` rejection, since the connection limit is reached, and close the connection.
 
-        Guards the request that is on its way: closed without a word it would be lost to its client, which
-        may come again if it was rejected. Nothing of it is read, so it was never executed.
+        Guards the request that may be on its way: if the connection were closed without a response, the
+        request would be lost, whereas a rejected client may retry. The request is never read, so it was not
+        executed.
         """
         self._counters.add("connections_rejected")
         writer.writelines(encode_rejection(0.0))
@@ -88,21 +91,22 @@
             abort_connection(writer)
             return
         self.lingering_rejected += 1
-        self._bound_lingering()
+        self._limit_lingering()
         try:
             await close_lingering(self._clock, reader, writer)
         finally:
             self.lingering_rejected -= 1
 
     def abort_all(self) -> None:
-        """Close every connection at once; what was responded is still written out."""
+        """Close every connection immediately; written responses are still flushed."""
         for connection in [*self._open, *self.lingering_evicted]:
             connection.abort()
 
-    def _bound_lingering(self) -> None:
+    def _limit_lingering(self) -> None:
         """Abort evicted connections beyond MAX_LINGERING_BEYOND_LIMIT.
 
-        Guards the spare descriptors: what was evicted yields to what was rejected and may be asking.
+        Guards the spare file descriptors: evicted connections yield to rejected ones, which may carry a
+        request.
         """
         while self.lingering_evicted:
             if self.lingering_rejected + len(self.lingering_evicted) <= MAX_LINGERING_BEYOND_LIMIT:
--- a/flintridge/downstream/orderly_close.py
+++ b/flintridge/downstream/orderly_close.py
@@ -1,4 +1,4 @@
-"""Orderly close of a client connection: what was written goes out, then input is discarded for a while."""
+"""Orderly close of a client connection: flushes the output, then discards input for a limited time."""
 
 import asyncio
 from collections.abc import Coroutine
@@ -15,28 +15,28 @@
 
 
 class BackgroundRunner(Protocol):
-    """Runs what goes on behind the caller's back."""
+    """Starts background tasks."""
 
     def __call__(self, work: Coroutine[None, None, None]) -> None:
-        """Run `work` as a task that is held until it ends."""
+        """Run `work` as a task that is referenced until it ends."""
 
 
 class OrderlyClose:
     """The close of one connection.
 
     Attributes:
-        started: Whether nothing more is written to the connection, nor processed of its input.
+        started: Whether the close has begun: no more output is written, and no more input is processed.
     """
 
     __slots__ = ("_clock", "_counters", "_discardable_bytes", "_timer", "_transport", "_writer", "started")
 
     def __init__(self, writer: asyncio.StreamWriter, clock: Clock, counters: Counters) -> None:
-        """Await the close.
+        """Prepare the close; `shut_down` starts it.
 
         Args:
-            writer: The connection's output.
-            clock: Of the node.
-            counters: Of the node.
+            writer: Writes the connection's output.
+            clock: The node's clock.
+            counters: The node's counters.
         """
         assert isinstance(writer.transport, asyncio.Transport)
         self.started = False
@@ -44,51 +44,51 @@
         self._transport = writer.transport
         self._clock = clock
         self._counters = counters
-        self._discardable_bytes = LINGERING_CLOSE_MAX_BYTES  # of input, after the shutdown
-        self._timer: Timer | None = None  # when the lingering close ends
+        self._discardable_bytes = LINGERING_CLOSE_MAX_BYTES  # of input after the shutdown
+        self._timer: Timer | None = None  # fires when the lingering close ends
 
     def shut_down(self, run_in_background: BackgroundRunner) -> None:
-        """Shut the sending half once all that was written has gone out.
+        """Shut down the write side once the write buffer has been flushed.
 
         Args:
-            run_in_background: Runs what waits for that.
+            run_in_background: Runs the task that waits for the flush.
         """
         if self._transport.get_write_buffer_size():
-            self._transport.pause_reading()  # what is read before the shutdown would need a response
+            self._transport.pause_reading()  # a request read before the shutdown would need a response
             run_in_background(self._shut_down_when_written())
         else:
             self._shut_down_sending()
 
-    def discards(self, count: int) -> bool:
-        """Input came after the shutdown.
+    def discard(self, count: int) -> bool:
+        """Count input that arrived after the shutdown and was discarded.
 
         Args:
-            count: Bytes.
+            count: The number of bytes.
 
         Returns:
-            Whether more of it will be discarded.
+            Whether further input may be discarded as well.
         """
         self._discardable_bytes -= count
         return self._discardable_bytes > 0
 
     def abort(self) -> None:
-        """Close it now: its client has had its time, or there is none to give."""
+        """Close the connection immediately, because the client's time is over or none can be granted."""
         abort_connection(self._writer)
 
     def cancel_timer(self) -> None:
-        """The connection has ended by itself."""
+        """Cancel the timer of the lingering close, since the connection has ended."""
         if self._timer is not None:
             self._timer.cancel()
 
     async def _shut_down_when_written(self) -> None:
-        self._transport.set_write_buffer_limits(high=0)  # `drain` waits until all is written
+        self._transport.set_write_buffer_limits(high=0)  # makes `drain` wait until the buffer is empty
         try:
             await wait_until_read(self._clock, self._writer)
         except DeadlineExceededError:
             self._counters.add("slow_readers")
             self._transport.abort()
         except OSError:
-            pass  # it has ended: gone like any other
+            pass  # the connection has ended
         else:
             self._shut_down_sending()
 
@@ -97,8 +97,8 @@
             return
         try:
             self._writer.write_eof()
-        except OSError:  # its client has reset it
+        except OSError:  # the client has reset the connection
             self.abort()
             return
         self._timer = self._clock.call_at(self._clock.now() + LINGERING_CLOSE_MS, self.abort)
-        self._transport.resume_reading()  # no matter why it was paused
+        self._transport.resume_reading()  # for whatever reason reading was paused
--- a/flintridge/downstream/pipeline.py
+++ b/flintridge/downstream/pipeline.py
@@ -1,4 +1,4 @@
-"""Pipelined commands of a client connection: their responses, written in the order of the commands."""
+"""Responses to the pipelined commands of a client connection, written in the order of the commands."""
 
 import asyncio
 from collections import deque
@@ -14,37 +14,39 @@
 from flintridge.core.response import Response
 from flintridge.downstream.streaming import ClientStream
 
-MAX_PIPELINED_COMMANDS = 16  # that may await their responses; the connection is read no further meanwhile
+# Maximum number of commands of a connection that await their responses; at this limit the connection is not
+# read any further.
+MAX_PIPELINED_COMMANDS = 16
 
 
 class PipelineConnection(Protocol):
     """The client connection that pending responses belong to."""
 
     def check_disconnected(self) -> None:
-        """See whether the client has disconnected by now."""
+        """Check whether the client has disconnected."""
 
     def flush(self) -> None:
         """Write the responses that are complete, up to the first that is not."""
 
     def write(self, buffers: list[bytes]) -> None:
-        """Write to the client at once."""
+        """Write to the client without waiting."""
 
     async def wait_until_read(self) -> None:
         """Wait until the client has read most of what was written."""
 
     def abort_stream(self) -> None:
-        """End the connection in the middle of a value."""
+        """Close the connection in the middle of a value."""
 
 
 class PendingResponse:
-    """The place of one command's response among those of its connection; the `Responder` of its request.
+    """The slot for one command's response in its connection's pipeline; the `Responder` of a request.
 
     Attributes:
         connection: The client connection.
-        id: Of the request, as the client sent it; empty for other commands.
-        open_request_id: Of the request, while the request core has it open.
-        buffers: The response, once it is complete.
-        stream: While a long value is streamed.
+        id: The request ID as the client sent it; empty for commands that are not requests.
+        open_request_id: The request ID while the request core has the request open, else None.
+        buffers: The response once it is complete, else None.
+        stream: The long value that is being streamed as the response, if any.
     """
 
     __slots__ = ("buffers", "connection", "id", "open_request_id", "stream")
@@ -56,10 +58,10 @@
         self.buffers: list[bytes] | None = None
         self.stream: ClientStream | None = None
 
-    # As the request core's responder
+    # Responder, called by the request core
 
     def check_client(self) -> None:
-        """See whether the client has disconnected by now."""
+        """Check whether the client has disconnected."""
         self.connection.check_disconnected()
 
     def start_stream(self, length: int) -> ClientStream:
@@ -70,23 +72,23 @@
         return self.stream
 
     def respond(self, response: Response) -> None:
-        """Respond as a server did."""
+        """Forward the response of a server."""
         self.complete(encode_response(self.id, response))
 
     def reject(self, retry_after_ms: float) -> None:
-        """Reject the request: not executed; come again after `retry_after_ms` (0: not said)."""
+        """Reject the request, which was not executed; retry after `retry_after_ms` (0 sends no time)."""
         self.complete(encode_rejection(retry_after_ms))
 
     def fail(self) -> None:
-        """Fail the request, with nothing said about whether it was executed."""
+        """Fail the request, without stating whether it was executed."""
         self.complete([FAILED_RESPONSE])
 
     def complete(self, buffers: list[bytes]) -> None:
-        """Set the whole response, or the end of a streamed one; it is written in its turn."""
+        """Set the complete response, or the end of a streamed one, to be written after all earlier ones."""
         self.buffers = buffers
         self.connection.flush()
 
-    # As the channel of its stream
+    # StreamChannel, called by the stream
 
     async def wait_until_read(self) -> None:
         """Wait until the client has read most of what was written.
@@ -98,7 +100,7 @@
         await self.connection.wait_until_read()
 
     def write(self, buffers: list[bytes]) -> None:
-        """Write to the client at once."""
+        """Write to the client without waiting."""
         self.connection.write(buffers)
 
     def complete_stream(self) -> None:
@@ -107,7 +109,7 @@
         self.complete([CRLF])
 
     def abort_stream(self) -> None:
-        """The end of the value is never written: what came is fewer bytes than its head announced."""
+        """Close the connection without the end of the value: the client got fewer bytes than announced."""
         self.stream = None
         self.connection.abort_stream()
 
@@ -119,21 +121,21 @@
 
     def __init__(self) -> None:
         self._pending: deque[PendingResponse] = deque()
-        self._changed = asyncio.Event()  # a response was taken out
+        self._changed = asyncio.Event()  # set when a response was removed
 
     def __len__(self) -> int:
         return len(self._pending)
 
     def append(self, pending: PendingResponse) -> None:
-        """Add the response to a further command."""
+        """Add the pending response to the next command."""
         self._pending.append(pending)
 
     def last(self) -> PendingResponse:
-        """The response to the command that came last."""
+        """Return the pending response to the most recent command."""
         return self._pending[-1]
 
     async def wait_until_not_full(self) -> None:
-        """Wait until a further command may be processed."""
+        """Wait until another command may be processed."""
         while len(self._pending) >= MAX_PIPELINED_COMMANDS:
             await self._wait_for_change()
 
@@ -147,7 +149,7 @@
         await self._changed.wait()
 
     def take_completed(self) -> list[bytes]:
-        """Take out the responses that are complete, up to the first that is not; their buffers."""
+        """Remove the complete responses up to the first incomplete one, and return their buffers."""
         completed: list[bytes] = []
         while self._pending:
             buffers = self._pending[0].buffers
@@ -159,18 +161,18 @@
         return completed
 
     def start_next_stream(self) -> None:
-        """Have the first pending response written as it comes, if it is streamed."""
+        """Start writing the first pending response if it is a stream."""
         if self._pending:
             stream = self._pending[0].stream
             if stream is not None:
                 stream.start()
 
     def take_all(self) -> deque[PendingResponse]:
-        """Take out every response, complete or not; `notify_waiting` is left to the caller."""
+        """Remove and return all responses, complete or not; the caller has to call `notify_waiting`."""
         pending = self._pending
         self._pending = deque()
         return pending
 
     def notify_waiting(self) -> None:
-        """Wake whoever waits for a change."""
+        """Wake the tasks that wait for responses to be removed."""
         self._changed.set()
--- a/flintridge/downstream/streaming.py
+++ b/flintridge/downstream/streaming.py
@@ -1,4 +1,4 @@
-"""Long values streamed to a client, each in its turn and no faster than the client reads."""
+"""Long values streamed to a client in the order of its commands, no faster than the client reads."""
 
 import asyncio
 from typing import Protocol
@@ -19,38 +19,38 @@
         """
 
     def write(self, buffers: list[bytes]) -> None:
-        """Write to the client at once."""
+        """Write to the client without waiting."""
 
     def complete_stream(self) -> None:
-        """The value is whole."""
+        """Write the end of the value, which is complete."""
 
     def abort_stream(self) -> None:
-        """The value stays incomplete."""
+        """Close the connection with the value incomplete."""
 
 
 class ClientStream:
-    """A long value on its way to a client. Written from its turn on, which comes with `start`."""
+    """A long value that is streamed to a client once `start` was called."""
 
     def __init__(self, channel: StreamChannel, head: bytes) -> None:
-        """Wait for the turn.
+        """Prepare a stream.
 
         Args:
-            channel: The pending response that it belongs to.
-            head: What stands before the value; written with the first chunks.
+            channel: The pending response that the stream belongs to.
+            head: The response line before the value; written with the first chunks.
         """
         self._channel = channel
         self._head = head
         self._started = asyncio.Event()
 
     def start(self) -> None:
-        """All responses before it are written, or the connection has ended."""
+        """Allow writing: all earlier responses are written, or the connection has ended."""
         self._started.set()
 
     async def wait_writable(self) -> None:
-        """Wait until it is this value's turn and the client has read most of what was written.
+        """Wait until the stream was started and the client has read most of what was written.
 
         Raises:
-            DownstreamClosedError: The client is gone, or reads nothing for too long.
+            DownstreamClosedError: The client has disconnected, or has read nothing for too long.
         """
         await self._started.wait()
         try:
@@ -67,9 +67,9 @@
             self._channel.write(chunks)
 
     def end(self) -> None:
-        """The value is complete."""
+        """Complete the value."""
         self._channel.complete_stream()
 
     def abort(self) -> None:
-        """End it incomplete: the client has fewer bytes than the head announced, and sees the end."""
+        """End the value incomplete: the client gets fewer bytes than announced, and the end of the stream."""
         self._channel.abort_stream()
--- a/flintridge/downstream/termination.py
+++ b/flintridge/downstream/termination.py
@@ -1,4 +1,4 @@
-"""The client side's part in the end of a process: what was taken in is answered, then connections close."""
+"""Termination of the client side: responds to all requests that were read, then closes the connections."""
 
 from collections.abc import Callable
 
@@ -8,16 +8,16 @@
 from flintridge.runtime.listener import Listener
 from flintridge.shutdown import SHUTDOWN_ACCEPT_MS, SHUTDOWN_COMMAND_TIMEOUT_MS, ShutdownTimes
 
-# From SHUTDOWN_ACCEPT_MS on, for connections that wait where accept() fails. The process may be killed as
-# early as 100 ms after that, where all deadlines are that short.
+# How long accept() is retried after SHUTDOWN_ACCEPT_MS if it fails while connections wait. The process may be
+# killed as early as 100 ms after SHUTDOWN_ACCEPT_MS, if all deadlines are that short.
 SHUTDOWN_ACCEPT_RETRY_MS = 50.0
 SHUTDOWN_WRITE_TIMEOUT_MS = 3_000.0  # at the end, for responses that clients are still reading
 SHUTDOWN_POLL_MS = 20.0
-SHUTDOWN_LAST_POLL_MS = 5.0  # once all responses are due
+SHUTDOWN_LAST_POLL_MS = 5.0  # poll interval once all responses are due
 
 
 class Termination:
-    """What happens from SIGTERM to the end of the last client connection."""
+    """The termination sequence, from SIGTERM to the end of the last client connection."""
 
     def __init__(
         self,
@@ -29,15 +29,15 @@
         started_at: float,
         advance_drain: Callable[[], None],
     ) -> None:
-        """Have all requests responded to in time, those that are open and those to come.
+        """Set the time by which open and future requests must have their responses.
 
         Args:
-            core: Has the open requests.
-            connections: Those of clients.
-            listener: Accepts them.
-            times: When what falls due.
-            clock: Of the node.
-            started_at: The time of SIGTERM.
+            core: Holds the open requests.
+            connections: The open client connections.
+            listener: The listener that accepts client connections.
+            times: The delays of the shutdown steps.
+            clock: The node's clock.
+            started_at: The time of SIGTERM, in milliseconds of `clock`.
             advance_drain: Closes the connections that are between requests.
         """
         self._core = core
@@ -47,11 +47,11 @@
         self._advance_drain = advance_drain
         self._last_command_at = started_at + SHUTDOWN_COMMAND_TIMEOUT_MS
         self._last_response_at = started_at + times.last_response_ms
-        # What comes last must have its response before the process may be killed.
+        # Even the last request to arrive must have its response before the process may be killed.
         core.respond_all_by(self._last_response_at)
 
     async def run(self) -> None:
-        """Serve on for a while, then close each connection between requests; respond to all."""
+        """Keep serving for a while, then close each connection between requests; respond to every request."""
         await sleep(self._clock, SHUTDOWN_ACCEPT_MS)
         if self._listener is not None:
             self._listener.close(SHUTDOWN_ACCEPT_RETRY_MS)
@@ -61,26 +61,27 @@
             await sleep(self._clock, SHUTDOWN_POLL_MS)
 
     async def _wait_for_responses(self) -> None:
-        """Wait until all that was taken in is responded to and every connection closes.
+        """Wait until every request that was read has its response and every connection is closing.
 
-        Each request's own deadline bounds this, and so does the instant at which all responses are due.
+        The wait is bounded by each request's own deadline, and by the instant at which all responses are due.
         """
         while True:
-            # Again each time: a connection that came meanwhile and stays unused must not take a request
-            # that this program would end upon.
+            # Repeated in every iteration: an unused connection that was accepted meanwhile must not read a
+            # request that the end of the process would interrupt.
             self._advance_drain()
             now = self._clock.now()
-            if self._ends_reading(now):
+            if self._must_end_input(now):
                 for connection in self._connections:
-                    connection.end()
+                    connection.end_input()
             if self._all_responded() and not self._requests_may_come():
                 return
             await sleep(self._clock, self._poll_interval_ms(now))
 
-    def _ends_reading(self, now: float) -> bool:
-        """Whether nothing more is read at all.
+    def _must_end_input(self, now: float) -> bool:
+        """Whether no connection may read any further input.
 
-        Guards the connections that were accepted last: their first request is on its way, or half here.
+        Until then, the connections that were accepted last keep reading: their first request may be on its
+        way or received in part.
         """
         if now >= self._last_response_at:
             return True
--- a/flintridge/downstream/value_memory.py
+++ b/flintridge/downstream/value_memory.py
@@ -1,17 +1,17 @@
-"""Memory of the long value that a client connection reads: waited for, held, passed on or released."""
+"""The memory reservation for the long value that a client connection reads."""
 
 from flintridge.core.memory_budget import MemoryBudget
 from flintridge.runtime.clock import Clock
 
-MEMORY_WAIT_MS = 1_000.0  # so long a long value may wait for memory
+MEMORY_WAIT_MS = 1_000.0  # how long a long value may wait for memory
 
 
 class ValueMemory:
     """The reservation of one connection, for one value at a time.
 
     Attributes:
-        awaited: Whether it is being waited for, before any byte of the value is read.
-        wait_ms: How long the last one was waited for.
+        awaited: Whether a value is waiting for memory; none of its bytes are read before that is reserved.
+        wait_ms: How long the last value waited for memory, in milliseconds.
     """
 
     __slots__ = ("_budget", "_clock", "_reserved_bytes", "awaited", "wait_ms")
@@ -24,7 +24,7 @@
         self._reserved_bytes = 0
 
     async def reserve(self, count: int) -> bool:
-        """Reserve `count` bytes; False where they are not free within MEMORY_WAIT_MS."""
+        """Reserve `count` bytes; returns False if they do not become free within MEMORY_WAIT_MS."""
         requested_at = self._clock.now()
         self.awaited = True
         try:
@@ -36,11 +36,11 @@
         return granted
 
     def take(self) -> int:
-        """Pass on what is reserved: how many bytes the caller has to release from now on."""
+        """Hand the reservation over to the caller, who has to release the returned number of bytes."""
         reserved_bytes = self._reserved_bytes
         self._reserved_bytes = 0
         return reserved_bytes
 
     def release(self) -> None:
-        """Release what is reserved, if anything is."""
+        """Release the reservation, if there is one."""
         self._budget.release(self.take())
--- a/tests/downstream/test_close_paths.py
+++ b/tests/downstream/test_close_paths.py
@@ -60,7 +60,7 @@
         async with DownstreamHarness() as harness:
             reader, writer = await harness.stream_client(b"mg key7 v Or1 Pc=read")
             connection = await only_connection(harness)
-            await until(lambda: connection.has_half_command)
+            await until(lambda: connection.has_partial_command)
             shutdown = asyncio.ensure_future(harness.downstream.leave())
             await run_loop_turns(1)
             harness.clock.go(SHUTDOWN_ACCEPT_MS)
@@ -85,13 +85,13 @@
         async with DownstreamHarness() as harness:
             reader, writer = await harness.stream_client(READ % b"r1", b"mg key7 v O")
             connection = await only_connection(harness)
-            await until(lambda: harness.request_count == 1 and connection.has_half_command)
-            connection.end()
+            await until(lambda: harness.request_count == 1 and connection.has_partial_command)
+            connection.end_input()
             writer.write(b"r2 Pc=read,t=acme,d=480\r\n" + READ % b"r3")
             await run_loop_turns()
             assert harness.request_count == 1 and not connection.closing
             harness.fail("r1")
-            connection.end()
+            connection.end_input()
             assert await reader.read() == FAILED + BUSY  # the half one can't become whole any more
             await run_loop_turns()
             assert harness.request_count == 1
--- a/tests/downstream/test_command_executor.py
+++ b/tests/downstream/test_command_executor.py
@@ -25,7 +25,7 @@
 
 
 class Owner:
-    hello_response = NO_OP_RESPONSE
+    no_op_response = NO_OP_RESPONSE
 
     def __init__(self) -> None:
         self.clock = HandClock()
@@ -98,8 +98,8 @@
 
 
 def test_connection_when_its_commands_are_bad_then_ends_with_the_last_that_is_allowed(executed):
-    goes_on = [executed.execute(InvalidCommand("bad key")) for _ in range(MAX_BAD_COMMANDS)]
-    assert goes_on == [*[True] * (MAX_BAD_COMMANDS - 1), False]
+    keep_open = [executed.execute(InvalidCommand("bad key")) for _ in range(MAX_BAD_COMMANDS)]
+    assert keep_open == [*[True] * (MAX_BAD_COMMANDS - 1), False]
 
 
 def test_connection_when_framing_is_lost_then_ends_at_once(executed):
--- a/tests/downstream/test_connection.py
+++ b/tests/downstream/test_connection.py
@@ -25,7 +25,7 @@
 
 async def send_half_command(harness) -> bytes:
     reader, _ = await harness.stream_client(b"ms key7 500 Oa1 Pc=put\r\nhalf")
-    await until(lambda: any(c.has_half_command for c in harness.downstream.connections))
+    await until(lambda: any(c.has_partial_command for c in harness.downstream.connections))
     harness.clock.go(COMMAND_TIMEOUT_MS + 250 + 250)
     return await reader.read()
 
@@ -232,7 +232,7 @@
     async def test():
         async with DownstreamHarness(connection_limit=2, endpoints_known=False) as harness:
             half, _ = await harness.stream_client(b"mg key7")
-            await until(lambda: any(c.has_half_command for c in harness.downstream.connections))
+            await until(lambda: any(c.has_partial_command for c in harness.downstream.connections))
             for i in range(2):
                 await harness.stream_client(READ % b"r%d" % i)
                 await until(lambda i=i: harness.request_count == i + 1)
@@ -270,7 +270,7 @@
     async def test():
         async with DownstreamHarness(connection_limit=2, endpoints_known=False) as harness:
             half, _ = await harness.stream_client(b"mg key7 v O")
-            await until(lambda: any(c.has_half_command for c in harness.downstream.connections))
+            await until(lambda: any(c.has_partial_command for c in harness.downstream.connections))
             shutdown = asyncio.ensure_future(harness.downstream.leave())
             await asyncio.sleep(0)
             harness.clock.go(SHUTDOWN_ACCEPT_MS)
--- a/tests/downstream/test_connection_termination.py
+++ b/tests/downstream/test_connection_termination.py
@@ -353,7 +353,7 @@
             harness.clock.go(IDLE_CLOSE_DELAY_MS)
             reader, writer = await asyncio.open_connection("127.0.0.1", harness.port)
             writer.write(b"ms key7 2 Oa1 Pc=put,t=acme,d=3000\r\n")  # the rest comes late
-            await until(lambda: any(c.has_half_command for c in harness.downstream.connections))
+            await until(lambda: any(c.has_partial_command for c in harness.downstream.connections))
             harness.clock.go(SHUTDOWN_ACCEPT_MS)
             await run_loop_turns()
             writer.write(b"hi\r\n")
--- a/tests/downstream/test_half_commands.py
+++ b/tests/downstream/test_half_commands.py
@@ -54,7 +54,7 @@
     async def test():
         async with DownstreamHarness() as harness:
             stopped = await stopped_client(harness, half)
-            await until(lambda: any(c.has_half_command for c in harness.downstream.connections))
+            await until(lambda: any(c.has_partial_command for c in harness.downstream.connections))
             shutdown = None
             if service == "draining":
                 harness.downstream.shutdown.start_drain(harness.clock.now())
@@ -117,7 +117,7 @@
             stopped = await stopped_client(harness)
             await stopped.pass_until(1_900)
             harness.clients[0].write(HALF_READ)
-            await until(lambda: any(c.has_half_command for c in harness.downstream.connections))
+            await until(lambda: any(c.has_partial_command for c in harness.downstream.connections))
             assert await stopped.pass_until_due() == NOT_FINISHED
 
     play(test)
