--- a/flintridge/codec/__init__.py
+++ b/flintridge/codec/__init__.py
@@ -1,1 +1,1 @@
-"""Wire protocols as state machines that are fed bytes and do no I/O."""
+"""Wire protocols as I/O-free state machines that are fed bytes."""
--- a/flintridge/codec/errors.py
+++ b/flintridge/codec/errors.py
@@ -1,7 +1,7 @@
-"""The error of all codecs: what a peer sent cannot be read."""
+"""The error that all codecs raise for malformed input."""
 
 from flintridge.errors import FlintridgeError
 
 
 class MalformedError(FlintridgeError, ValueError):
-    """What a peer sent breaks its protocol, or a limit of ours."""
+    """Input from a peer violates its protocol, or a limit of this implementation."""
--- a/flintridge/codec/http/__init__.py
+++ b/flintridge/codec/http/__init__.py
@@ -1,1 +1,1 @@
-"""HTTP/1.1 as a client, over h11."""
+"""The client side of HTTP/1.1, on h11."""
--- a/flintridge/codec/http/date.py
+++ b/flintridge/codec/http/date.py
@@ -1,8 +1,8 @@
-"""HTTP dates in their one current form, as in `Date: Sun, 06 Nov 1994 08:49:37 GMT` (RFC 9110, 5.6.7).
+"""Parser for HTTP dates in IMF-fixdate form, as in `Sun, 06 Nov 1994 08:49:37 GMT` (RFC 9110, 5.6.7).
 
-A numeric offset in place of `GMT` is read too, as e-mail has it.
+A numeric offset, as in e-mail, is accepted in place of `GMT`. The obsolete date formats are not accepted.
 
-The standard library's `email.utils` reads these too, but costs a node 1.4 MB of memory.
+The standard library's `email.utils` parses these dates too, but costs a node 1.4 MB of memory.
 """
 
 import re
@@ -17,13 +17,13 @@
 
 
 def parse_date_ms(value: bytes) -> float | None:
-    """An HTTP date as Unix time in milliseconds.
+    """Parse an HTTP date into Unix time in milliseconds.
 
     Args:
-        value: The field's value.
+        value: The value of the header field.
 
     Returns:
-        None where it is no date of this form, or there is no such instant.
+        The Unix time, or None if the value has another form or names an instant that does not exist.
     """
     match = IMF_FIXDATE.fullmatch(value)
     if match is None:
@@ -36,16 +36,16 @@
             int(day),
             int(hour),
             int(minute),
-            min(int(second), 59),  # a leap second
-            tzinfo=_zone(offset),
+            min(int(second), 59),  # a leap second counts as second 59
+            tzinfo=_parse_offset(offset),
         )
     except ValueError:
         return None
     return date.timestamp() * MS_PER_S
 
 
-def _zone(offset: bytes | None) -> timezone:
-    """Of an offset as `+0130`; raises ValueError where it is a day or more."""
+def _parse_offset(offset: bytes | None) -> timezone:
+    """Parse an offset such as `+0130`; None is UTC. Raises ValueError for an offset of a day or more."""
     if offset is None:
         return UTC
     minutes = int(offset[1:3]) * 60 + int(offset[3:])
--- a/flintridge/codec/http/exchange.py
+++ b/flintridge/codec/http/exchange.py
@@ -1,4 +1,4 @@
-"""One HTTP/1.1 request and its response: a state machine over h11 that is fed bytes, with bounded memory."""
+"""One HTTP/1.1 request and its response, as an I/O-free state machine on h11 with bounded memory."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -14,7 +14,7 @@
 
 
 class HttpResponseError(FlintridgeError, h11.RemoteProtocolError):
-    """The response is no HTTP/1, or breaks a limit of ours."""
+    """The response is not HTTP/1, or exceeds a limit of this implementation."""
 
 
 @dataclass(slots=True, frozen=True)
@@ -22,8 +22,8 @@
     """A complete response.
 
     Attributes:
-        head: Its status and headers.
-        body: Empty where the body was streamed.
+        head: The status and the headers.
+        body: The body; empty if it was streamed.
     """
 
     head: h11.Response
@@ -31,7 +31,12 @@
 
 
 def header_value(head: h11.Response, name: bytes) -> bytes | None:
-    """The value of a response's first header of this name, which is in lower case; None if it has none."""
+    """Return the value of a response's first header of this name, or None if it has no such header.
+
+    Args:
+        head: The response head.
+        name: The header name, in lower case.
+    """
     return next((value for key, value in head.headers if key == name), None)
 
 
@@ -40,7 +45,7 @@
 
     Attributes:
         reusable: Whether the connection may carry another exchange.
-        streamed_value: The long value that has begun to come, if any.
+        streamed_value: The long value that is being received, if any.
     """
 
     def __init__(
@@ -55,20 +60,20 @@
         """Prepare a request.
 
         Args:
-            method: Of the request.
-            target: Of the request, quoted.
-            headers: Of the request.
-            body: Of the request.
-            max_body_bytes: A response's body may have so many.
-            stream_body: Called with a response's head; gives the reader if its body is a long value, to which
-                `max_body_bytes` does not apply.
+            method: The request method.
+            target: The request target, percent-encoded.
+            headers: The request headers.
+            body: The request body.
+            max_body_bytes: The maximum size of the response body, in bytes.
+            stream_body: Called with the response head. Returns a reader if the body is a long value, to which
+                `max_body_bytes` does not apply; otherwise None.
         """
         self._request = h11.Request(method=method, target=target, headers=headers)
         self._request_body = body
         self._max_body_bytes = max_body_bytes
         self._stream_body = stream_body
         self._connection = h11.Connection(h11.CLIENT, max_incomplete_event_size=MAX_HEAD_BYTES)
-        self._start = b""  # the response's first bytes
+        self._start = b""  # the first bytes of the response, to compare with RESPONSE_START
         self._head: h11.Response | None = None
         self._body_chunks: list[bytes] = []
         self._body_bytes = 0
@@ -76,23 +81,26 @@
         self.reusable = False
 
     def encode_request(self) -> list[bytes | bytearray]:
-        """The request's bytes, in pieces."""
+        """Encode the request as a list of buffers."""
         send = self._connection.send_with_data_passthrough
         pieces: list[bytes | bytearray] = list(send(self._request) or ())
         if self._request_body:
-            body = h11.Data(data=self._request_body)  # type: ignore[arg-type]  # passed through as it is
+            body = h11.Data(data=self._request_body)  # type: ignore[arg-type]  # h11 passes it through unchanged
             pieces += send(body) or ()
         pieces += send(h11.EndOfMessage()) or ()
         return pieces
 
     def feed(self, data: bytes) -> HttpResponse | None:
-        """Take bytes of the response; none where the other side ended its sending.
+        """Process bytes of the response.
+
+        Args:
+            data: The next bytes; empty if the server has shut down its write side.
 
         Returns:
-            The response once it is complete.
+            The response once it is complete, otherwise None.
 
         Raises:
-            h11.RemoteProtocolError: They are malformed, or more than the limits allow.
+            h11.RemoteProtocolError: The response is malformed, or exceeds a limit.
         """
         self._check_start(data)
         self._connection.receive_data(data)
@@ -110,12 +118,12 @@
                 return self._complete()
 
     def _check_start(self, data: bytes) -> None:
-        """Guards against noise, in which h11 would wait for the end of a head."""
+        """Reject data that is not HTTP/1 by its first bytes; h11 would wait for the end of a head in it."""
         if len(self._start) >= len(RESPONSE_START):
             return
         self._start += data[: len(RESPONSE_START) - len(self._start)]
         if not RESPONSE_START.startswith(self._start):
-            raise HttpResponseError("not HTTP/1")
+            raise HttpResponseError("response does not start with HTTP/1.")
 
     def _take_body(self, chunk: bytes) -> None:
         if self.streamed_value is not None:
@@ -126,7 +134,7 @@
             return
         self._body_bytes += len(chunk)
         if self._body_bytes > self._max_body_bytes:
-            raise HttpResponseError("body too large")
+            raise HttpResponseError("response body is too large")
         self._body_chunks.append(chunk)
 
     def _complete(self) -> HttpResponse:
--- a/flintridge/codec/http/origin.py
+++ b/flintridge/codec/http/origin.py
@@ -1,4 +1,4 @@
-"""Exchanges with the origin over HTTP: a forwarded request or a health check, and the response to it."""
+"""HTTP exchanges with the origin: forwarded requests and health checks, with their responses."""
 
 from urllib.parse import quote
 
@@ -19,28 +19,28 @@
 
 
 class _SingleResponseExchange:
-    """An exchange over HTTP. After a malformed response the request may have been executed."""
+    """Base class for HTTP exchanges. After a malformed response, the request may have been executed."""
 
     def __init__(self, http: HttpExchange) -> None:
         self._http = http
-        self.names_request = False  # HTTP itself ties no response to its request
+        self.names_request = False  # HTTP itself does not identify a response's request
 
     @property
     def reusable(self) -> bool:
-        """As in `Exchange`."""
+        """See `Exchange.reusable`."""
         return self._http.reusable
 
     @property
     def streamed_value(self) -> LongValueReader | None:
-        """As in `Exchange`."""
+        """See `Exchange.streamed_value`."""
         return self._http.streamed_value
 
     def encode_request(self) -> list[bytes | bytearray]:
-        """As in `Exchange`."""
+        """See `Exchange.encode_request`."""
         return self._http.encode_request()
 
     def feed(self, data: bytes) -> AttemptResult | None:
-        """As in `Exchange`."""
+        """See `Exchange.feed`."""
         try:
             response = self._http.feed(data)
         except h11.RemoteProtocolError:
@@ -48,7 +48,7 @@
         return self._result(response) if response is not None else None
 
     def end(self) -> AttemptResult | None:
-        """As in `Exchange`. A body without a length ends with the connection; anything else is incomplete."""
+        """See `Exchange.end`. Only a body without a length may end with the connection."""
         try:
             response = self._http.feed(b"")
         except h11.RemoteProtocolError:
@@ -66,9 +66,9 @@
         """Prepare the request.
 
         Args:
-            request: What is forwarded.
-            host: Of the origin, with its port.
-            timeout_ms: What remains of the client's timeout, which the origin is told, in milliseconds.
+            request: The client's request to forward.
+            host: The origin's host and port.
+            timeout_ms: The remaining time of the client's timeout, in milliseconds; sent to the origin.
         """
         options = b"".join(request.options_with_timeout(timeout_ms))
         headers = [(b"Host", host.encode()), (b"Req-Id", request.id), (b"Req-Extra", options)]
@@ -82,7 +82,7 @@
         super().__init__(HttpExchange(method, target, headers, request.value or b"", stream_body=stream_body))
 
     def _long_value(self, head: h11.Response) -> LongValueReader | None:
-        """The reader of a long value: its length is named, and all else is as it has to be."""
+        """Return a reader if the response is a valid long value with a Content-Length, otherwise None."""
         if head.status_code != STATUS_OK or header_value(head, b"req-id") not in (None, self._id):
             return None
         length = header_value(head, b"content-length") or b""
@@ -102,21 +102,21 @@
             return AttemptResult(Outcome.ERROR, malformed=True)
         if head.status_code == STATUS_OK:
             if self._write and not (response.body and is_token(response.body)):
-                # No receipt that could be forwarded in a line.
+                # The body is not a receipt that could be forwarded in a response line.
                 return AttemptResult(Outcome.ERROR, malformed=True)
             return AttemptResult(Outcome.OK, Response(response.body, receipt=self._write), load=load)
-        # Only what the origin says itself proves that it was never executed: a bare 503 may come from
-        # anything in between.
+        # Only the origin's own header proves that the request was never executed: a bare 503 may come from
+        # any intermediary.
         may_decline = head.status_code in (STATUS_UNAVAILABLE, STATUS_GATEWAY_TIMEOUT)
         declined = may_decline and header_value(head, b"srv-declined") == b"1"
         return AttemptResult(Outcome.FULL if declined else Outcome.ERROR, load=load)
 
 
 class OriginHealthCheck(_SingleResponseExchange):
-    """Asks the origin for its load report."""
+    """A health check that asks the origin for its load report."""
 
     def __init__(self, host: str) -> None:
-        """Prepare the request; `host` is the origin's, with its port."""
+        """Prepare the request; `host` is the origin's host and port."""
         super().__init__(HttpExchange(b"GET", b"/-/load", [(b"Host", host.encode())]))
 
     def _result(self, response: HttpResponse) -> AttemptResult:
--- a/flintridge/codec/load_report.py
+++ b/flintridge/codec/load_report.py
@@ -4,7 +4,7 @@
 
 
 def parse_load_report(text: bytes) -> dict[str, float]:
-    """The finite numbers of a report by their names; anything else in it is ignored.
+    """Parse a load report into its finite numbers by name; everything else in it is ignored.
 
     Args:
         text: `name=number` pairs, separated by commas.
--- a/flintridge/codec/long_value.py
+++ b/flintridge/codec/long_value.py
@@ -1,44 +1,44 @@
-"""Reader for a long value in a server's response, which is forwarded in chunks while it arrives."""
+"""Reader for a long value in a server's response, which is forwarded in chunks as it arrives."""
 
 from flintridge.codec.errors import MalformedError
 from flintridge.core.response import AttemptResult
 
-# A value beyond this is long: it is forwarded in chunks, and one that a client writes needs reserved memory.
+# A larger value is a long value: it is forwarded in chunks when read, and needs reserved memory when written.
 LONG_VALUE_BYTES = 64 * 1024
 MAX_VALUE_BYTES = 4 * 1024 * 1024
 
 
 class LongValueReader:
-    """A long value as it arrives. Its last byte is withheld until its terminator was seen.
+    """Splits an arriving long value into chunks, and withholds its last byte until its terminator is valid.
 
-    Guards the client against taking a value for complete whose terminator was malformed: the client does not
-    get the last byte then.
+    Guards the client against accepting a value as complete although its terminator was malformed: in that
+    case the client never gets the last byte.
 
     Attributes:
-        length: Of the value, in bytes.
-        result: What the server said ahead of the value, which is not part of it.
+        length: The length of the value, in bytes.
+        result: The attempt's result according to the response head, without the value itself.
     """
 
     def __init__(self, length: int, result: AttemptResult) -> None:
         self.length = length
         self.result = result
         self._bytes_missing = length
-        self._terminator = b""  # as far as it has come
+        self._terminator = b""  # the bytes of the terminator that have arrived
         self._chunks: list[bytes] = []
         self._last_byte = b""
 
     def feed(self, data: bytes, terminator: bytes) -> bytes | None:
-        """Take bytes of the value and of what ends it.
+        """Process bytes of the value and of its terminator.
 
         Args:
             data: The next bytes of the response.
-            terminator: What has to follow the value; may be empty.
+            terminator: The bytes that must follow the value; may be empty.
 
         Returns:
-            The bytes behind the terminator once it is complete, else None.
+            The bytes after the terminator once it is complete, otherwise None.
 
         Raises:
-            MalformedError: Something else follows the value.
+            MalformedError: The value is not followed by the terminator.
         """
         if self._bytes_missing:
             data = self._take_value_bytes(data)
@@ -55,7 +55,7 @@
         return data[missing:]
 
     def _take_value_bytes(self, data: bytes) -> bytes:
-        """Take what `data` has of the value; the rest of it."""
+        """Consume the value's bytes at the start of `data`, and return the rest."""
         chunk = data[: self._bytes_missing]
         rest = data[self._bytes_missing :]
         self._bytes_missing -= len(chunk)
@@ -67,7 +67,7 @@
         return rest
 
     def take_chunks(self) -> list[bytes]:
-        """The chunks that have come since the last call; they are the caller's."""
+        """Remove and return the chunks that have arrived since the last call."""
         chunks = self._chunks
         self._chunks = []
         return chunks
--- a/flintridge/codec/memcache/__init__.py
+++ b/flintridge/codec/memcache/__init__.py
@@ -1,1 +1,1 @@
-"""The meta commands of the memcache protocol, for both sides: clients' commands and servers' responses."""
+"""The meta commands of the memcache protocol, both towards clients and towards cache servers."""
--- a/flintridge/codec/memcache/command_parser.py
+++ b/flintridge/codec/memcache/command_parser.py
@@ -1,4 +1,4 @@
-"""Parser for the commands of a memcache client: an incremental state machine that is fed bytes."""
+"""Incremental parser for the commands of a memcache client."""
 
 import enum
 
@@ -20,7 +20,7 @@
 
 
 class _State(enum.Enum):
-    """What the next bytes are.
+    """What the next bytes contain.
 
     COMMAND_LINE -> SHORT_VALUE, AWAITING_ADMISSION or FAILED
     SHORT_VALUE -> COMMAND_LINE or FAILED
@@ -38,22 +38,22 @@
 
 
 class CommandParser:
-    """The commands of one connection. An invalid one is reported and skipped as long as the framing holds."""
+    """Parses the commands of one connection. Reports and skips invalid commands if the framing is intact."""
 
     def __init__(self, settings: Settings) -> None:
         self._request_parser = RequestParser(settings)
         self._state = _State.COMMAND_LINE
         self._buffer = bytearray()
-        self._position = 0  # in the buffer: what stands before it is parsed
-        self._searched = 0  # in the buffer: no line ends before it
-        self._tokens: list[bytes] = []  # of the `ms` command whose value is awaited
-        self._value_length = 0  # of that command
-        self._long_value = bytearray()  # with its CRLF, as far as it has come
+        self._position = 0  # in the buffer; the bytes before it have been parsed
+        self._search_start = 0  # in the buffer; no unparsed line ends before it
+        self._tokens: list[bytes] = []  # of the `ms` command whose value is being received
+        self._value_length = 0  # of that command, in bytes
+        self._long_value = bytearray()  # the bytes that have arrived, including those of its CRLF
         self._bytes_to_skip = 0
 
     @property
     def idle(self) -> bool:
-        """Whether no byte of a further command has arrived, and no value is being skipped."""
+        """Whether no part of another command has arrived, and no value is being skipped."""
         return not self._buffer and self._state in (_State.COMMAND_LINE, _State.FAILED)
 
     @property
@@ -62,10 +62,10 @@
         return self._state in (_State.LONG_VALUE, _State.SKIPPING_VALUE)
 
     def feed(self, data: bytes) -> list[Command]:
-        """Take the next bytes, whatever they are.
+        """Parse the next bytes, which may be any input.
 
         Returns:
-            The commands that are complete now, in order.
+            The commands that are now complete, in order.
         """
         if self._state is _State.LONG_VALUE and not self._buffer:
             return self._feed_long_value(data)
@@ -73,13 +73,13 @@
         return self._parse_buffer()
 
     def admit_long_value(self, admitted: bool) -> list[Command]:
-        """Go on after `LongValueAnnounced`.
+        """Continue parsing after a `LongValueAnnounced`.
 
         Args:
-            admitted: Whether the value shall be read; else it is skipped.
+            admitted: Whether to read the value; otherwise it is skipped.
 
         Returns:
-            The commands that are complete now, in order.
+            The commands that are now complete, in order.
         """
         assert self._state is _State.AWAITING_ADMISSION
         if admitted:
@@ -102,12 +102,12 @@
             self._long_value = bytearray()
         else:
             del self._buffer[: self._position]
-            self._searched -= min(self._position, self._searched)
+            self._search_start -= min(self._position, self._search_start)
         self._position = 0
         return commands
 
     def _next_command(self) -> Command | None:
-        """The next command of the buffer; None while more bytes are needed for it."""
+        """Parse the next command of the buffer; returns None if more bytes are needed."""
         if self._state is _State.COMMAND_LINE:
             return self._read_line()
         if self._state is _State.SHORT_VALUE:
@@ -123,13 +123,13 @@
     def _read_line(self) -> Command | None:
         buffer = self._buffer
         start = self._position
-        end = buffer.find(CRLF, max(start, self._searched - 1))
+        end = buffer.find(CRLF, max(start, self._search_start - 1))
         if end < 0:
-            self._searched = len(buffer)
+            self._search_start = len(buffer)
             if len(buffer) - start > MAX_LINE_BYTES:
                 return self._fail("line too long")
             return None
-        self._searched = end + len(CRLF)
+        self._search_start = end + len(CRLF)
         if end - start > MAX_LINE_BYTES:
             return self._fail("line too long")
         self._position = end + len(CRLF)
@@ -169,7 +169,7 @@
         return self._parse_request(self._tokens, bytes(memoryview(buffer)[start:end]))
 
     def _feed_long_value(self, data: bytes) -> list[Command]:
-        """Take bytes without the way through the buffer. Guards memory: a long value exists once."""
+        """Append bytes to the value, bypassing the buffer. Guards memory: a long value exists only once."""
         missing = self._value_length + len(CRLF) - len(self._long_value)
         if len(data) < missing:
             self._long_value += data
--- a/flintridge/codec/memcache/commands.py
+++ b/flintridge/codec/memcache/commands.py
@@ -1,4 +1,4 @@
-"""What the command parser makes of a client's bytes: requests and the other commands."""
+"""The commands that the command parser produces: requests and others."""
 
 from dataclasses import dataclass
 
@@ -7,16 +7,16 @@
 
 @dataclass(slots=True, frozen=True)
 class NoOp:
-    """`mn`: may requests be sent?"""
+    """`mn`: asks whether the node accepts requests."""
 
 
 @dataclass(slots=True, frozen=True)
 class InvalidCommand:
-    """A command to be answered with CLIENT_ERROR.
+    """An invalid command, which gets a CLIENT_ERROR response.
 
     Attributes:
-        reason: For the client.
-        fatal: Whether the framing is lost, so that the connection has to end after the response.
+        reason: The error message for the client.
+        fatal: Whether the framing is lost, so that the connection must be closed after the response.
     """
 
     reason: str
@@ -25,10 +25,10 @@
 
 @dataclass(slots=True, frozen=True)
 class LongValueAnnounced:
-    """A long value is to come. The parser waits until `CommandParser.admit_long_value` is called.
+    """A long value follows. The parser stops until `CommandParser.admit_long_value` is called.
 
     Attributes:
-        length: Of the value, in bytes.
+        length: The length of the value, in bytes.
     """
 
     length: int
@@ -36,7 +36,7 @@
 
 @dataclass(slots=True, frozen=True)
 class LongValueSkipped:
-    """A long value that was not admitted has been read past; its command is to be rejected."""
+    """A long value that was not admitted has been skipped; its command must be rejected."""
 
 
 Command = Request | NoOp | InvalidCommand | LongValueAnnounced | LongValueSkipped
--- a/flintridge/codec/memcache/exchange.py
+++ b/flintridge/codec/memcache/exchange.py
@@ -1,4 +1,4 @@
-"""Exchanges with a cache server: a forwarded command or a health check, and the response to it."""
+"""Exchanges with a cache server: forwarded commands and health checks, with their responses."""
 
 from flintridge.api import Outcome
 from flintridge.codec.errors import MalformedError
@@ -17,7 +17,7 @@
 
 
 def _cache_status(flags: list[bytes]) -> int | None:
-    """As in `AttemptEnded`: 1 a hit, 2 a miss, 3 a miss while a fetch is out."""
+    """Return the cache status as in `AttemptEnded`: 1 hit, 2 miss, 3 miss while a fetch is in progress."""
     if b"h1" in flags:
         return 1
     if b"h0" not in flags:
@@ -30,24 +30,24 @@
 
 
 class CacheExchange:
-    """One command that is forwarded to a cache server. After a malformed response it may have been executed.
+    """A command that is forwarded to a cache server. After a malformed response, it may have been executed.
 
     Attributes:
-        reusable: As in `Exchange`.
-        names_request: As in `Exchange`.
+        reusable: See `Exchange.reusable`.
+        names_request: See `Exchange.names_request`.
     """
 
     def __init__(self, request: Request, timeout_ms: float) -> None:
         """Prepare the command.
 
         Args:
-            request: What is forwarded.
-            timeout_ms: What remains of the client's timeout, which the server is told, in milliseconds.
+            request: The client's request to forward.
+            timeout_ms: The remaining time of the client's timeout, in milliseconds; sent to the server.
         """
         self._request = request
         self._timeout_ms = timeout_ms
         self._parser = ResponseParser()
-        self._value_head: AttemptResult | None = None  # set while the value behind it is awaited
+        self._value_head: AttemptResult | None = None  # set while the value after it is awaited
         self._value_length = 0
         self._long_value: LongValueReader | None = None
         self.reusable = False
@@ -55,11 +55,11 @@
 
     @property
     def streamed_value(self) -> LongValueReader | None:
-        """As in `Exchange`."""
+        """See `Exchange.streamed_value`."""
         return self._long_value
 
     def encode_request(self) -> list[bytes | bytearray]:
-        """As in `Exchange`."""
+        """See `Exchange.encode_request`."""
         request = self._request
         options = [b" P", *request.options_with_timeout(self._timeout_ms)] if request.options else []
         if request.value is None:
@@ -68,7 +68,7 @@
         return [b"ms ", request.key, length, request.id, *options, CRLF, request.value, CRLF]
 
     def feed(self, data: bytes) -> AttemptResult | None:
-        """As in `Exchange`."""
+        """See `Exchange.feed`."""
         try:
             if self._long_value is None:
                 self._parser.feed(data)
@@ -81,7 +81,7 @@
             return AttemptResult(Outcome.ERROR, malformed=True)
 
     def end(self) -> AttemptResult | None:
-        """As in `Exchange`: no response ends with its connection."""
+        """See `Exchange.end`. No memcache response is delimited by the end of the connection."""
         return None
 
     def _feed_long_value(self, value: LongValueReader, data: bytes) -> AttemptResult | None:
@@ -112,7 +112,7 @@
         return AttemptResult(Outcome.OK, Response(body, receipt=False), head.cache_status, head.load)
 
     def _parse_line(self, line: bytes) -> AttemptResult | None:
-        """The result, or None if a value is to follow."""
+        """Parse a response line; returns its result, or None if a value follows."""
         tokens = line.split(b" ")
         kind = tokens[0]
         flags = tokens[1:]
@@ -125,39 +125,39 @@
         if kind == b"VA":
             self._value_length = self._parse_length(flags)
         if not self.names_request or flags[:1] != [b"O" + self._request.id]:
-            raise MalformedError("not a response to this command")
+            raise MalformedError("response does not carry the ID of the command")
         cache_status = _cache_status(flags)
         load = _load(flags)
         if kind == b"EN":
             return AttemptResult(Outcome.MISS, None, cache_status, load)
         if (kind == b"HD") != self._request.write:
-            raise MalformedError("a response of another kind")
+            raise MalformedError("kind of response does not match the command")
         if kind == b"VA":
             self._value_head = AttemptResult(Outcome.OK, None, cache_status, load)
             return None
         receipt = next((flag[1:] for flag in flags if flag[:1] == b"c"), None)
         if receipt is None:
-            raise MalformedError("no receipt")
+            raise MalformedError("response has no receipt")
         return AttemptResult(Outcome.OK, Response(receipt, receipt=True), cache_status, load)
 
     @staticmethod
     def _parse_length(flags: list[bytes]) -> int:
-        """Take the value's length off `flags`."""
+        """Remove the value's length from the front of `flags`, and parse it."""
         if not flags or not flags[0].isdigit() or len(flags[0]) > MAX_LENGTH_DIGITS:
-            raise MalformedError("bad length")
+            raise MalformedError("invalid value length")
         length = int(flags.pop(0))
         if length > MAX_VALUE_BYTES:
-            raise MalformedError("bad length")
+            raise MalformedError("invalid value length")
         return length
 
 
 class CacheHealthCheck:
-    """`stats load`: asks a cache server for its load report.
+    """A health check, `stats load`, that asks a cache server for its load report.
 
     Attributes:
-        reusable: As in `Exchange`.
-        names_request: As in `Exchange`: never.
-        streamed_value: As in `Exchange`: a load report is no long value.
+        reusable: See `Exchange.reusable`.
+        names_request: See `Exchange.names_request`; always False.
+        streamed_value: See `Exchange.streamed_value`; always None, since a load report is not a long value.
     """
 
     def __init__(self) -> None:
@@ -168,11 +168,11 @@
         self.streamed_value = None
 
     def encode_request(self) -> list[bytes | bytearray]:
-        """As in `Exchange`."""
+        """See `Exchange.encode_request`."""
         return [b"stats load\r\n"]
 
     def feed(self, data: bytes) -> AttemptResult | None:
-        """As in `Exchange`."""
+        """See `Exchange.feed`."""
         self._parser.feed(data)
         try:
             while True:
@@ -186,11 +186,11 @@
             return AttemptResult(Outcome.ERROR)
 
     def end(self) -> AttemptResult | None:
-        """As in `Exchange`: no response ends with its connection."""
+        """See `Exchange.end`. No memcache response is delimited by the end of the connection."""
         return None
 
     def _parse_line(self, line: bytes) -> AttemptResult | None:
-        """The result; None if further lines are to follow."""
+        """Parse a line; returns the result, or None if more lines follow."""
         match line.split(b" "):
             case [b"STAT", name, value] if len(self._load) < MAX_LOAD_FIELDS:
                 self._load |= parse_load_report(name + b"=" + value)
--- a/flintridge/codec/memcache/request_parser.py
+++ b/flintridge/codec/memcache/request_parser.py
@@ -1,4 +1,4 @@
-"""Parser that makes a request of the tokens and the value of one `mg` or `ms` command."""
+"""Parser that turns the tokens and the value of an `mg` or `ms` command into a request."""
 
 import re
 
@@ -7,7 +7,7 @@
 from flintridge.codec.memcache.syntax import MAX_KEY_BYTES, is_token
 from flintridge.core.request import Request
 
-# Plain digits only: float() would take underscores and `nan` too.
+# Plain ASCII numbers only: float() would also accept underscores and `nan`.
 NUMBER = re.compile(rb"[0-9]{1,15}(?:\.[0-9]{1,15})?(?:[eE][+-]?[0-9]{1,2})?")
 NUMBER_LIMIT = 1e15
 FLAGS = (b"v", b"O", b"P")
@@ -15,10 +15,10 @@
 
 
 def parse_number(text: bytes) -> float:
-    """A finite number that is not negative.
+    """Parse a finite, non-negative number.
 
     Raises:
-        MalformedError: `text` is none, or too large.
+        MalformedError: `text` is not such a number, or the number is too large.
     """
     if not NUMBER.fullmatch(text):
         raise MalformedError("bad number")
@@ -29,21 +29,21 @@
 
 
 class RequestParser:
-    """Checks the tokens of commands against the settings' request classes and tenants."""
+    """Parses requests, and resolves their request classes and tenants by the settings."""
 
     def __init__(self, settings: Settings) -> None:
         self._classes = {c.name.encode(): i for i, c in enumerate(settings.classes)}
         self._tenants = {t.name.encode(): i for i, t in enumerate(settings.tenants)}
 
     def parse(self, tokens: list[bytes], value: bytes | bytearray | None) -> Request:
-        """The request of one command.
+        """Parse the request of one command.
 
         Args:
-            tokens: The command's line, without the length of a value.
-            value: What an `ms` stores; None for an `mg`.
+            tokens: The tokens of the command line, without the length of the value.
+            value: The value that an `ms` command stores; None for an `mg` command.
 
         Raises:
-            MalformedError: A token is not as it has to be; the message is for the client.
+            MalformedError: A token is invalid; the message is sent to the client.
         """
         if len(tokens) < 2 or not 0 < len(tokens[1]) <= MAX_KEY_BYTES or not is_token(tokens[1]):
             raise MalformedError("bad key")
--- a/flintridge/codec/memcache/response_parser.py
+++ b/flintridge/codec/memcache/response_parser.py
@@ -5,33 +5,33 @@
 
 
 class ResponseParser:
-    """Lines and data blocks, out of bytes that arrive in any cuts."""
+    """Splits bytes, which may arrive in arbitrary pieces, into lines and data blocks."""
 
     def __init__(self) -> None:
         self._buffer = bytearray()
 
     @property
     def empty(self) -> bool:
-        """Whether all that was fed has been taken."""
+        """Whether all bytes that were fed have been taken."""
         return not self._buffer
 
     def feed(self, data: bytes) -> None:
-        """Take the next bytes."""
+        """Append the next bytes of the response."""
         self._buffer += data
 
     def take_line(self, prefixes: tuple[bytes, ...]) -> bytes | None:
-        """The next line without its CRLF; None while it is incomplete.
+        """Remove and return the next line without its CRLF; returns None while it is incomplete.
 
         Args:
-            prefixes: The line has to begin with one of them. Noise shows by its first bytes, so its end is
-                not awaited.
+            prefixes: The valid starts of a line. Garbage is rejected by its first bytes, without waiting for
+                the end of a line.
 
         Raises:
-            MalformedError: It begins otherwise, or is too long.
+            MalformedError: The line has another start, or is too long.
         """
         end = self._buffer.find(CRLF)
         if not any(self._buffer.startswith(prefix[: len(self._buffer)]) for prefix in prefixes):
-            raise MalformedError("no line of a response")
+            raise MalformedError("line does not start like a response")
         if end < 0 and len(self._buffer) <= MAX_LINE_BYTES:
             return None
         if not 0 <= end <= MAX_LINE_BYTES:
@@ -41,10 +41,10 @@
         return line
 
     def take_block(self, length: int) -> bytes | None:
-        """The next `length` bytes, without the CRLF that has to follow; None while they are incomplete.
+        """Remove and return the next `length` bytes, without the CRLF after them; None while incomplete.
 
         Raises:
-            MalformedError: Something else follows them.
+            MalformedError: The bytes are not followed by CRLF.
         """
         end = length + len(CRLF)
         if len(self._buffer) < end:
@@ -56,7 +56,7 @@
         return block
 
     def take_rest(self) -> bytes:
-        """All that has been fed and not taken yet."""
+        """Remove and return all bytes that have not been taken yet."""
         rest = bytes(self._buffer)
         self._buffer = bytearray()
         return rest
