--- a/tests/codec/test_all_exchanges.py
+++ b/tests/codec/test_all_exchanges.py
@@ -1,4 +1,4 @@
-"""What all codecs have in common: random cuts of what is valid, and random garbage."""
+"""Tests of all codecs with valid input that is split at random, and with random garbage."""
 
 import pytest
 from hypothesis import given
@@ -28,14 +28,14 @@
         (CacheHealthCheck, STATS),
         (lambda: OriginExchange(make_request(), "o:1", 100.0), HTTP),
     ):
-        whole, parted = make(), make()
-        assert whole.encode_request() == parted.encode_request()
-        expected = feed_all(whole, [text])
+        unsplit, split = make(), make()
+        assert unsplit.encode_request() == split.encode_request()
+        expected = feed_all(unsplit, [text])
         assert expected is not None
         assert expected.outcome is Outcome.OK
-        assert feed_all(parted, [p for p in cut(text, cuts) if p]) == expected
-        assert parted.reusable
-        assert whole.reusable
+        assert feed_all(split, [p for p in cut(text, cuts) if p]) == expected
+        assert split.reusable
+        assert unsplit.reusable
 
 
 def test_response_when_it_cannot_be_read_is_malformed_and_informational_ones_are_skipped():
--- a/tests/codec/test_cache_exchange.py
+++ b/tests/codec/test_cache_exchange.py
@@ -1,4 +1,4 @@
-"""Exchanges with cache servers: what is forwarded, and what each response means."""
+"""Tests of exchanges with cache servers: forwarded commands, and the results of responses."""
 
 import pytest
 from support.codec import READ, WRITE, parse_commands
@@ -22,13 +22,13 @@
         (b"VA 0 Oa1 h1\r\n\r\n", Outcome.OK, 1),
         (b"SERVER_ERROR failed\r\n", Outcome.ERROR, None),
         (b"SERVER_ERROR busy\r\n", Outcome.FULL, None),
-        (b"VA 0 Oother\r\n\r\n", Outcome.ERROR, None),  # a response to another command is never passed on
+        (b"VA 0 Oother\r\n\r\n", Outcome.ERROR, None),  # a response to another command is never forwarded
         (b"HD Oa1 c7\r\n", Outcome.ERROR, None),
         (b"VA 4194305 Oa1\r\n", Outcome.ERROR, None),
         (b"VA 2 Oa1\r\nabcd", Outcome.ERROR, None),
         (b"VA 2 Oa1 " + b"x" * 3000, Outcome.ERROR, None),
         (b"VA 3000000000 Oa1\r\n", Outcome.ERROR, None),
-        (b"\x93", Outcome.ERROR, None),  # noise is not waited upon to its end
+        (b"\x93", Outcome.ERROR, None),  # garbage is rejected without waiting for its end
         # A load report that cannot be read does not invalidate the response.
         (b"VA 2 Oa1 h1 L\xff=,qps=\r\nok\r\n", Outcome.OK, 1),
     ],
@@ -38,7 +38,7 @@
     assert (result.outcome, result.cache_status) == (outcome, cache_status)
 
 
-def test_cache_response_when_more_follows_makes_the_connection_not_reusable():
+def test_cache_response_when_more_bytes_follow_makes_the_connection_not_reusable():
     exchange = CacheExchange(make_request(), 1.0)
     assert exchange.feed(b"EN Oa1\r\nEN").outcome is Outcome.MISS
     assert not exchange.reusable
--- a/tests/codec/test_command_parser.py
+++ b/tests/codec/test_command_parser.py
@@ -1,4 +1,4 @@
-"""Commands of memcache clients: valid, invalid, and cut anywhere."""
+"""Tests of the command parser: commands that are valid, invalid, or split at any position."""
 
 import pytest
 from hypothesis import given
--- a/tests/codec/test_encoder.py
+++ b/tests/codec/test_encoder.py
@@ -1,4 +1,4 @@
-"""Responses as memcache clients get them."""
+"""Tests of the responses to memcache clients."""
 
 from flintridge.codec.memcache.encoder import encode_rejection, encode_response
 from flintridge.core.response import Response
--- a/tests/codec/test_http_date.py
+++ b/tests/codec/test_http_date.py
@@ -1,4 +1,4 @@
-"""HTTP dates."""
+"""Tests of the parser for HTTP dates."""
 
 from datetime import UTC, datetime
 from email.utils import format_datetime
@@ -20,7 +20,7 @@
     assert parse_date_ms(b"Sat, 31 Dec 2016 23:59:60 GMT") == parse_date_ms(b"Sat, 31 Dec 2016 23:59:59 GMT")
 
 
-def test_date_when_it_has_an_offset_then_that_counts():
+def test_date_when_it_has_an_offset_then_it_is_applied():
     at_gmt = parse_date_ms(b"Sun, 06 Nov 1994 08:49:37 GMT")
     assert parse_date_ms(b"Sun, 06 Nov 1994 10:19:37 +0130") == at_gmt
     assert parse_date_ms(b"Sun, 06 Nov 1994 07:49:37 -0100") == at_gmt
@@ -41,5 +41,5 @@
         b"\xff" * 29,
     ],
 )
-def test_date_when_it_is_no_instant_then_is_none(value):
+def test_date_when_it_is_not_a_valid_instant_then_is_none(value):
     assert parse_date_ms(value) is None
--- a/tests/codec/test_http_exchange.py
+++ b/tests/codec/test_http_exchange.py
@@ -1,4 +1,4 @@
-"""Exchanges with the origin over HTTP, and their limits."""
+"""Tests of HTTP exchanges with the origin, and of their limits."""
 
 import h11
 import pytest
@@ -15,7 +15,8 @@
     [
         (b"200 OK\r\nContent-Length: 2", Outcome.OK),
         (b"500 No\r\nContent-Length: 2", Outcome.ERROR),
-        (b"503 No\r\nContent-Length: 2", Outcome.ERROR),  # without the origin's word it may have run
+        # Without Srv-Declined the request may have been executed.
+        (b"503 No\r\nContent-Length: 2", Outcome.ERROR),
         (b"503 No\r\nSrv-Declined: 1\r\nContent-Length: 2", Outcome.FULL),
         (b"504 No\r\nSrv-Declined: 1\r\nContent-Length: 2", Outcome.FULL),
         (b"200 OK\r\nContent-Length: 70000", None),
--- a/tests/codec/test_load_report.py
+++ b/tests/codec/test_load_report.py
@@ -1,4 +1,4 @@
-"""Load reports of servers."""
+"""Tests of the parser for load reports."""
 
 import pytest
 
--- a/tests/codec/test_long_values.py
+++ b/tests/codec/test_long_values.py
@@ -1,4 +1,4 @@
-"""Long values: whatever the cuts and the ends."""
+"""Tests of long values that are split at any position, with valid and malformed terminators."""
 
 import pytest
 from hypothesis import given
@@ -16,7 +16,7 @@
 
 
 def feed_all(exchange, pieces: list[bytes]):
-    """The chunks of the value that each piece gives, and the result."""
+    """Feed all pieces; returns the chunks of the value after each piece, and the result."""
     out, result = [], None
     for piece in pieces:
         assert result is None
@@ -29,7 +29,7 @@
 @pytest.mark.parametrize("kind", ["cache", "origin"])
 @FIXED
 @given(CUTS)
-def test_long_value_when_cut_anywhere_comes_out_unchanged_and_at_once(kind, cuts):
+def test_long_value_when_cut_anywhere_is_returned_unchanged_and_without_delay(kind, cuts):
     cache = kind == "cache"
     exchange = CacheExchange(make_request(), 100.0) if cache else OriginExchange(make_request(), "o:1", 100.0)
     exchange.encode_request()
@@ -42,7 +42,7 @@
         if exchange.streamed_value is not None:
             assert exchange.streamed_value.length == LENGTH
             out += sum(map(len, exchange.streamed_value.take_chunks()))
-        # All that came is let out, but for the last byte until the end was seen.
+        # All bytes that arrived are returned, except the last one until the terminator was seen.
         assert out == max(0, min(fed - head, LENGTH - (0 if result else 1)))
     assert result is not None
     assert result.outcome is Outcome.OK
@@ -59,7 +59,7 @@
     assert b"".join(out) == VALUE[:-1]
 
 
-def test_long_value_when_more_follows_is_served_on_a_connection_that_is_not_reusable():
+def test_long_value_when_more_bytes_follow_is_served_on_a_connection_that_is_not_reusable():
     exchange = CacheExchange(make_request(), 100.0)
     assert exchange.feed(ANSWER + b"VA 2").outcome is Outcome.OK
     assert not exchange.reusable
@@ -83,7 +83,7 @@
         b"HTTP/1.1 500 Oh\r\nContent-Length: 70000\r\n\r\n",
     ],
 )
-def test_origin_response_when_it_is_no_valid_long_value_is_not_streamed(head):
+def test_origin_response_when_it_is_not_a_valid_long_value_is_not_streamed(head):
     exchange = OriginExchange(make_request(), "o:1", 100.0)
     result = exchange.feed(head + b"x" * 70000)
     assert exchange.streamed_value is None
@@ -93,7 +93,7 @@
 
 @FIXED
 @given(CUTS, st.booleans())
-def test_long_write_when_admitted_or_not_is_complete_or_skipped_and_parsing_goes_on(cuts, admitted):
+def test_long_write_when_admitted_or_not_is_complete_or_skipped_and_parsing_continues(cuts, admitted):
     parser, found, announced = CommandParser(SETTINGS), [], 0
     for piece in pieces_of(LONG_WRITE + b"mn\r\n" + LONG_WRITE + b"mn\r\n", cuts):
         todo = parser.feed(piece)
--- a/tests/downstream/test_admin_api.py
+++ b/tests/downstream/test_admin_api.py
@@ -1,4 +1,4 @@
-"""The admin API: its exchange given any chunks and garbage, its sockets with callers who send nothing."""
+"""Tests of the admin API: the exchange with split and malformed input, and callers that send nothing."""
 
 import asyncio
 import itertools
@@ -61,7 +61,7 @@
         (b"GET /admin/quiesce HTTP/1.1\r\nHost: n1\r\n\r\n", 405),
         (b"GET /admin/other HTTP/1.1\r\nHost: n1\r\n\r\n", 404),
         (b"GET / HTTP/1.1\r\nHost: n1\r\n\r\n", 404),
-        (b"GET /admin/health HTTP/1.1\r\n\r\n", 400),  # no host
+        (b"GET /admin/health HTTP/1.1\r\n\r\n", 400),  # no Host header
         (b"mn\r\n\r\n", 400),
         (b"GET /" + b"x" * MAX_HEAD_BYTES * 2, 431),
         (
@@ -72,7 +72,7 @@
         (b"POST /admin/quiesce HTTP/1.1\r\nHost: n1\r\nContent-Length: -4\r\n\r\n", 400),
     ],
 )
-def test_exchange_when_given_a_call_then_has_its_status(call, status):
+def test_exchange_when_given_a_call_then_responds_with_its_status(call, status):
     result = status_headers_body(call)
     assert result is not None and result[0] == status
     assert int(result[1][b"Content-Length"]) == len(result[2]) and result[1][b"Connection"] == b"close"
@@ -83,7 +83,7 @@
 
 @FIXED
 @given(st.lists(st.integers(0, 10_000), max_size=8))
-def test_exchange_when_a_call_comes_in_any_chunks_then_is_read(offsets):
+def test_exchange_when_a_call_is_split_into_any_chunks_then_is_parsed(offsets):
     result = status_headers_body(HEALTH, *offsets)
     assert result is not None and result[0] == 200
 
@@ -103,24 +103,25 @@
         port = await admin_api.listen(Address("127.0.0.1", 0))
         silent_callers = [await asyncio.open_connection("127.0.0.1", port) for _ in range(5)]
         silent_callers[3][1].write(HEALTH[:20])
-        for _ in range(4):  # at once, with no time passing
+        for _ in range(4):  # the responses come while the clock stands still
             reader, writer = await asyncio.open_connection("127.0.0.1", port)
             writer.write(HEALTH)
             assert (await reader.read()).startswith(b"HTTP/1.1 200")
         assert counters["admin_api_evictions"] >= 3
-        clock.go(CALL_TIMEOUT_MS)  # and none stays for long
+        clock.go(CALL_TIMEOUT_MS)  # the other calls time out
         for reader, _ in silent_callers:
             response = await reader.read()
             assert response == b"" or response.startswith(b"HTTP/1.1 408")
-        clock.go(LINGERING_CLOSE_MS)  # which they have to end their side
+        clock.go(LINGERING_CLOSE_MS)  # the callers have this long to close their side
         await until(lambda: not admin_api._callers)
-        late = counters["admin_api_timeouts"]
+        timeouts = counters["admin_api_timeouts"]
         reader, writer = await asyncio.open_connection("127.0.0.1", port)
         writer.write(HEALTH)
         assert (await reader.read()).startswith(b"HTTP/1.1 200")
-        clock.go(CALL_TIMEOUT_MS)  # answered, and its caller does not close: that is not late
+        # The call has its response, so it does not time out even if its caller does not close.
+        clock.go(CALL_TIMEOUT_MS)
         await until(lambda: not admin_api._callers)
-        assert counters["admin_api_timeouts"] == late
+        assert counters["admin_api_timeouts"] == timeouts
         admin_api.close()
 
     virtual.run(test())
@@ -141,7 +142,7 @@
     assert node_config(config(tmp_path, console="127.0.0.1:6"), env).console == Address("127.0.0.1", 6)
 
 
-def test_listen_when_the_address_is_in_use_then_the_error_says_so():
+def test_listen_when_the_address_is_in_use_then_the_error_names_it():
     async def test():
         log, counters = quiet()
         with socket.socket() as taken:
@@ -209,7 +210,7 @@
 
 
 def test_shared_address_when_one_of_two_programs_shuts_down_then_no_request_is_lost(tmp_path):
-    """Requests throughout, each on a connection of its own; those that wait as a listener closes too."""
+    """Requests are sent throughout on new connections; some of these wait to be accepted at the close."""
 
     async def test():
         async with Peer(cache) as cache_server, Peer(lambda _: b"") as discovery:
@@ -224,11 +225,11 @@
             try:
                 await programs[0].start()
                 responses: list[bytes] = []
-                crossed: list[int] = []
+                retried: list[int] = []
                 finished = asyncio.Event()
 
                 async def send_request(number: int, retry: bool = True) -> None:
-                    """As clients do it: what a close crossed is sent once more."""
+                    """Send a request as clients do, and retry it once if it crossed a close."""
                     try:
                         reader, writer = await asyncio.open_connection("127.0.0.1", port)
                         writer.write(b"mg kept v Oa%d Pc=read,d=9000\r\n" % number)
@@ -238,7 +239,7 @@
                     else:
                         writer.close()
                     if not line and retry:
-                        crossed.append(number)
+                        retried.append(number)
                         await send_request(number, retry=False)
                         return
                     responses.append(line)
@@ -263,7 +264,7 @@
                 finished.set()
                 await sending
                 assert [line for line in responses if not line.startswith(b"VA 4 Oa")] == []
-                assert crossed == []  # nor had any to be sent again
+                assert retried == []  # and none had to be retried
             finally:
                 for program in programs:
                     if program.process.returncode is None:
@@ -272,7 +273,7 @@
     asyncio.run(test())
 
 
-def test_new_version_when_it_cannot_start_then_says_why_and_the_old_one_serves(tmp_path):
+def test_new_version_when_it_cannot_start_then_reports_why_and_the_old_one_serves(tmp_path):
     async def test():
         async with Peer(cache) as cache_server, Peer(lambda _: b"") as discovery:
             program = Program(tmp_path, {"box": cache_server}, discovery)
@@ -312,35 +313,35 @@
     asyncio.run(test())
 
 
-def test_admin_call_when_the_event_loop_is_never_idle_then_is_answered_in_few_turns():
-    """A thousand callbacks in each turn hold the admin API up only by what they themselves take."""
+def test_admin_call_when_the_event_loop_is_never_idle_then_gets_its_response_in_few_iterations():
+    """A thousand callbacks in each event loop iteration delay the admin API only by their own run time."""
 
     async def test():
         clock, (log, counters) = HandClock(), quiet()
         admin_api = AdminApi(routes(), clock, log, counters)
         port = await admin_api.listen(Address("127.0.0.1", 0))
-        loop, turns, over = asyncio.get_running_loop(), 0, False
+        loop, iterations, finished = asyncio.get_running_loop(), 0, False
 
-        def turn() -> None:
-            nonlocal turns
-            turns += 1
-            if not over:
+        def run_iteration() -> None:
+            nonlocal iterations
+            iterations += 1
+            if not finished:
                 for _ in range(1000):
                     loop.call_soon(int)
-                loop.call_soon(turn)
+                loop.call_soon(run_iteration)
 
         reader, writer = await asyncio.open_connection("127.0.0.1", port)
-        loop.call_soon(turn)
+        loop.call_soon(run_iteration)
         writer.write(HEALTH)
         assert (await reader.read()).startswith(b"HTTP/1.1 200")
-        over = True
-        assert turns <= 100
+        finished = True
+        assert iterations <= 100
         admin_api.close()
 
     asyncio.run(test())
 
 
-def test_listener_when_it_steps_aside_then_another_gets_its_connections_if_there_is_one():
+def test_listener_when_it_diverts_connections_then_another_one_gets_them_if_it_exists():
     async def test():
         accepted = {"first": 0, "second": 0}
 
@@ -361,11 +362,11 @@
 
         context = (HandClock(), *quiet())
         first = await open_listener(counting_acceptor("first"), Address("127.0.0.1", 0), True, *context)
-        assert first.divert_to(1) and await connect(8) == {"first": 8, "second": 0}  # there is no other
+        assert first.divert_to(1) and await connect(8) == {"first": 8, "second": 0}  # no second one exists
         second = await open_listener(
             counting_acceptor("second"), Address("127.0.0.1", first.port), True, *context
         )
-        distribution = await connect(64)  # the new one ended what had been chosen
+        distribution = await connect(64)  # opening the second one reset the choice
         assert distribution["first"] and distribution["second"]
         assert first.divert_to(1) and await connect(16) == {"first": 0, "second": 16}
         assert second.divert_to(0) and await connect(16) == {"first": 16, "second": 0}
--- a/tests/downstream/test_admin_api_termination.py
+++ b/tests/downstream/test_admin_api_termination.py
@@ -1,4 +1,4 @@
-"""How calls of the admin API end."""
+"""Tests of how calls of the admin API end."""
 
 import asyncio
 import socket
@@ -12,7 +12,7 @@
 from flintridge.downstream.lingering_close import LINGERING_CLOSE_MS
 
 
-def test_admin_call_when_incomplete_in_time_then_gets_408_though_more_input_is_unread():
+def test_admin_call_when_it_times_out_then_gets_408_even_with_unread_input():
     async def test():
         clock, (log, counters) = HandClock(), quiet()
         admin_api = AdminApi({}, clock, log, counters)
@@ -21,12 +21,12 @@
         caller.sendall(b"GET /admin/health HTTP/1.1\r\n")
         await until(lambda: admin_api._callers)
         await run_loop_turns()
-        caller.sendall(b"Host: n1\r\n")  # no turn of the loop since
+        caller.sendall(b"Host: n1\r\n")  # the event loop has not run since
         clock.go(CALL_TIMEOUT_MS)
         assert (await read_until_end(caller)).startswith(b"HTTP/1.1 408 ")
         assert not caller.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR)
         await run_loop_turns()
-        assert admin_api._callers  # it has a while to end its side
+        assert admin_api._callers  # the caller has time to close its side
         clock.go(LINGERING_CLOSE_MS)
         await until(lambda: not admin_api._callers)
         caller.close()
--- a/tests/downstream/test_close_paths.py
+++ b/tests/downstream/test_close_paths.py
@@ -1,4 +1,7 @@
-"""What was read is answered, whichever way its connection is closed; what crosses each close is forced."""
+"""Requests that were read get a response, however their connection is closed.
+
+Each test forces input to cross the close.
+"""
 
 import asyncio
 
@@ -19,21 +22,21 @@
 
 
 def run_as_bytes_arrive(connection, before=lambda: None, after=lambda: None) -> None:
-    """Run calls in the step in which the next bytes are taken from the kernel, with none of them parsed."""
+    """Run functions before and after the next bytes are read from the kernel, but before they are parsed."""
     feed = connection._reader.feed_data
 
-    def crossing(data: bytes) -> None:
+    def feed_and_run(data: bytes) -> None:
         connection._reader.feed_data = feed
         before()
         feed(data)
         after()
 
-    connection._reader.feed_data = crossing
+    connection._reader.feed_data = feed_and_run
 
 
 @pytest.mark.parametrize("count", [1, 3])
-def test_eviction_when_requests_were_read_and_not_parsed_then_all_are_answered(play, count):
-    """The one `busy` of an eviction answers one request; what came behind it was read and lost."""
+def test_eviction_when_requests_were_read_and_not_parsed_then_all_get_responses(play, count):
+    """An eviction sends only one `busy`: of several requests that had been read, the others were lost."""
 
     async def test():
         async with DownstreamHarness() as harness:
@@ -53,8 +56,8 @@
     play(test)
 
 
-def test_shutdown_when_a_request_is_read_at_its_very_end_then_is_answered(play):
-    """Taken from the kernel in the step in which the last connections are closed, and not parsed yet."""
+def test_shutdown_when_a_request_is_read_at_its_very_end_then_gets_a_response(play):
+    """It is read from the kernel in the iteration in which the last connections close, but not parsed yet."""
 
     async def test():
         async with DownstreamHarness() as harness:
@@ -78,8 +81,8 @@
     play(test)
 
 
-def test_end_when_a_request_is_pending_then_is_read_no_further_and_closed_once_that_is_answered(play):
-    """Of a client that always has more written: what it reads now could not be answered before SIGKILL."""
+def test_end_input_when_a_request_is_pending_then_reading_stops_and_it_closes_after_the_response(play):
+    """The client always has more requests written; one read now would get no response before SIGKILL."""
 
     async def test():
         async with DownstreamHarness() as harness:
@@ -92,15 +95,15 @@
             assert harness.request_count == 1 and not connection.closing
             harness.fail("r1")
             connection.end_input()
-            assert await reader.read() == FAILED + BUSY  # the half one can't become whole any more
+            assert await reader.read() == FAILED + BUSY  # the partial command can't be completed any more
             await run_loop_turns()
             assert harness.request_count == 1
 
     play(test)
 
 
-def test_idle_timeout_when_nothing_was_ever_requested_then_says_busy(play):
-    """A first request that crosses the close is read past: its client has no other connection to go by."""
+def test_idle_timeout_when_nothing_was_ever_requested_then_sends_busy(play):
+    """A first request that crosses the close is discarded; without `busy` it would be lost to its client."""
 
     async def test():
         async with DownstreamHarness() as harness:
@@ -114,12 +117,12 @@
     play(test)
 
 
-def test_broken_stream_when_commands_behind_wait_for_memory_then_none_is_sent_on(play):
-    """Their responses can't be written any more, and sent on they would run for nobody, or twice."""
+def test_broken_stream_when_later_commands_wait_for_memory_then_none_is_forwarded(play):
+    """Their responses can't be written any more; if forwarded, they would run for no client, or twice."""
 
     async def test():
         async with DownstreamHarness(memory_bytes=LENGTH + 1000, policy=Script()) as harness:
-            assert harness.core.memory_budget.try_reserve(LENGTH)  # by somebody else
+            assert harness.core.memory_budget.try_reserve(LENGTH)  # by another connection
             reader, _ = await harness.stream_client(
                 LONG_DEADLINE_READ % b"r1", LONG_WRITE, LONG_DEADLINE_READ % b"r2"
             )
@@ -138,7 +141,7 @@
     play(test)
 
 
-def test_broken_stream_when_commands_behind_wait_for_a_slow_reader_then_none_is_sent_on(play):
+def test_broken_stream_when_later_commands_wait_for_a_slow_reader_then_none_is_forwarded(play):
     async def test():
         async with DownstreamHarness(policy=Script()) as harness:
             reader, _ = await harness.stream_client(LONG_DEADLINE_READ % b"r1", LONG_DEADLINE_READ % b"r2")
@@ -149,7 +152,7 @@
             while connection._transport.get_write_buffer_size() < 1 << 20:
                 stream.write([b"x" * (1 << 20)])
             harness.clients[0].write(LONG_DEADLINE_READ % b"r3" + LONG_DEADLINE_READ % b"r4")
-            await until(lambda: harness.request_count == 3)  # the next one waits until something is read
+            await until(lambda: harness.request_count == 3)  # the next command waits until the client reads
             await run_loop_turns()
             stream.abort()
             reader._transport.resume_reading()
--- a/tests/downstream/test_command_executor.py
+++ b/tests/downstream/test_command_executor.py
@@ -1,4 +1,4 @@
-"""Execution of commands by itself: what is responded to at once, what goes to the core, what ends it all."""
+"""Unit tests of the command executor: immediate responses, requests for the core, and fatal errors."""
 
 import pytest
 from support.core import Script
@@ -17,7 +17,7 @@
 
 
 class Input:
-    """A connection's input, as far as executing goes."""
+    """A connection's input, reduced to what the executor uses."""
 
     def __init__(self, core, clock) -> None:
         self.value_memory = ValueMemory(core.memory_budget, clock)
@@ -34,7 +34,7 @@
 
 
 class Connection:
-    """A client connection that writes what is complete."""
+    """A client connection that records the complete responses."""
 
     def __init__(self, pipeline: ResponsePipeline) -> None:
         self.pipeline = pipeline
@@ -45,7 +45,7 @@
         self.written += self.pipeline.take_completed()
 
 
-class Executed:
+class ExecutorHarness:
     def __init__(self) -> None:
         self.owner = Owner()
         self.core = self.owner.core
@@ -59,8 +59,8 @@
 
 
 @pytest.fixture
-def executed():
-    return Executed()
+def harness():
+    return ExecutorHarness()
 
 
 @pytest.mark.parametrize(
@@ -71,36 +71,38 @@
         (InvalidCommand("bad key"), encode_client_error("bad key"), "bad_commands"),
     ],
 )
-def test_command_when_it_is_no_request_then_is_responded_to_at_once(executed, command, response, counter):
-    assert executed.execute(command)
-    assert executed.connection.written == response
-    assert not executed.connection.has_requested
-    assert counter is None or executed.owner.counters[counter] == 1
-
-
-def test_request_when_executed_then_is_open_until_the_core_responds(executed):
-    assert executed.execute(make_request("a1"))
-    assert executed.connection.has_requested and executed.connection.written == []
-    executed.core.open_requests.take_unanswered("a1").responder.reject(0.0)
-    assert executed.connection.written == encode_rejection(0.0)
-
-
-def test_request_when_its_id_is_in_use_then_is_a_bad_command_and_its_memory_is_free(executed):
-    assert executed.execute(make_request("a1"))
-    first = executed.connection.pipeline.last()
-    executed.core.memory_budget.try_reserve(VALUE_BYTES)
-    executed.input.value_memory._reserved_bytes = VALUE_BYTES
-    assert executed.execute(make_request("a1"))
-    assert executed.core.memory_budget.reserved == 0
-    assert executed.connection.pipeline.last().open_request_id is None
+def test_command_when_it_is_not_a_request_then_gets_an_immediate_response(
+    harness, command, response, counter
+):
+    assert harness.execute(command)
+    assert harness.connection.written == response
+    assert not harness.connection.has_requested
+    assert counter is None or harness.owner.counters[counter] == 1
+
+
+def test_request_when_executed_then_is_open_until_the_core_responds(harness):
+    assert harness.execute(make_request("a1"))
+    assert harness.connection.has_requested and harness.connection.written == []
+    harness.core.open_requests.take_unanswered("a1").responder.reject(0.0)
+    assert harness.connection.written == encode_rejection(0.0)
+
+
+def test_request_when_its_id_is_in_use_then_is_a_bad_command_and_its_memory_is_released(harness):
+    assert harness.execute(make_request("a1"))
+    first = harness.connection.pipeline.last()
+    harness.core.memory_budget.try_reserve(VALUE_BYTES)
+    harness.input.value_memory._reserved_bytes = VALUE_BYTES
+    assert harness.execute(make_request("a1"))
+    assert harness.core.memory_budget.reserved == 0
+    assert harness.connection.pipeline.last().open_request_id is None
     first.fail()
-    assert executed.connection.written[1:] == encode_client_error("id in use")
+    assert harness.connection.written[1:] == encode_client_error("id in use")
 
 
-def test_connection_when_its_commands_are_bad_then_ends_with_the_last_that_is_allowed(executed):
-    keep_open = [executed.execute(InvalidCommand("bad key")) for _ in range(MAX_BAD_COMMANDS)]
+def test_connection_when_its_commands_are_bad_then_closes_after_the_last_allowed_one(harness):
+    keep_open = [harness.execute(InvalidCommand("bad key")) for _ in range(MAX_BAD_COMMANDS)]
     assert keep_open == [*[True] * (MAX_BAD_COMMANDS - 1), False]
 
 
-def test_connection_when_framing_is_lost_then_ends_at_once(executed):
-    assert not executed.execute(InvalidCommand("bad value", fatal=True))
+def test_connection_when_framing_is_lost_then_closes(harness):
+    assert not harness.execute(InvalidCommand("bad value", fatal=True))
--- a/tests/downstream/test_connection.py
+++ b/tests/downstream/test_connection.py
@@ -1,4 +1,4 @@
-"""Client connections on loopback and in virtual time; deadlines are set by hand."""
+"""Tests of client connections on loopback and in virtual time; the tests advance the clock by hand."""
 
 import asyncio
 
@@ -64,7 +64,8 @@
             assert responses[4] == b"CLIENT_ERROR id in use\r\n"
             harness.endpoints.apply(ENDPOINT_LIST)
             writer.write(b"mn\r\nms k x Oa\r\nmn\r\n")
-            assert await reader.read() == b"MN\r\nCLIENT_ERROR bad data length\r\n"  # framing lost: it ends
+            # Framing is lost, so the connection closes after the error.
+            assert await reader.read() == b"MN\r\nCLIENT_ERROR bad data length\r\n"
 
     play(test)
 
@@ -97,7 +98,7 @@
             for i in range(2):
                 await harness.stream_client(READ % b"r%d" % i)
                 await until(lambda i=i: harness.request_count == i + 1)
-            assert await idle.read() == BUSY  # it never requested: its first request may be on its way
+            assert await idle.read() == BUSY  # it has sent no request yet, but one may be on its way
             for _ in range(MAX_LINGERING_BEYOND_LIMIT + 1):
                 rejected, _ = await harness.stream_client(READ % b"r9")
                 assert await rejected.readline() == BUSY  # rejected, not lost
@@ -111,7 +112,7 @@
     play(test)
 
 
-def test_drain_when_commands_came_together_then_all_are_answered_before_the_close(play):
+def test_drain_when_commands_arrive_together_then_all_get_responses_before_the_close(play):
     async def test():
         async with DownstreamHarness(connection_limit=2, endpoints_known=False) as harness:
             harness.downstream.shutdown.start_drain(harness.clock.now() - IDLE_CLOSE_DELAY_MS)
@@ -141,7 +142,7 @@
             await until(lambda: harness.request_count == 2)
             late.close()
             await until(lambda: harness.counters["clients_disconnected"] == 1)
-            unused, _ = await harness.stream_client()  # came late and asks for nothing
+            unused, _ = await harness.stream_client()  # accepted late, sends nothing
             await until(lambda: harness.counters["connections_accepted"] == 4)
             harness.clock.go(SHUTDOWN_ACCEPT_MS - IDLE_CLOSE_DELAY_MS)
             await until(lambda: not harness.downstream._listener.is_open)
@@ -158,7 +159,7 @@
     ("client", "expected"),
     [
         (send_half_command, b"CLIENT_ERROR command not finished in time\r\n"),
-        (send_nothing, BUSY),  # a first request that crosses the close is read past: its client is told
+        (send_nothing, BUSY),  # a first request that crosses the close is discarded and needs a rejection
         (send_many_bad_commands, b"CLIENT_ERROR unknown command\r\n" * MAX_BAD_COMMANDS),
         (send_huge_value, b"CLIENT_ERROR value too large\r\n"),
     ],
@@ -192,7 +193,7 @@
 
 
 def test_eviction_when_already_closing_after_an_error_then_writes_nothing_more(play):
-    """Guards the new one: an error in the eviction left it open, owned by nobody, one descriptor less."""
+    """Guards the new connection: an error in the eviction leaked it together with its file descriptor."""
 
     async def test():
         async with DownstreamHarness(connection_limit=2, endpoints_known=False) as harness:
@@ -208,8 +209,11 @@
     play(test)
 
 
-def test_eviction_when_a_connection_just_came_then_an_older_idle_one_is_chosen(play):
-    """Guards clients against closing one another: the limit was reached by idle ones that had requested."""
+def test_eviction_when_a_connection_is_new_then_an_older_idle_one_is_chosen(play):
+    """Guards against new connections that evict each other.
+
+    The connection limit had been reached by idle connections that had sent requests.
+    """
 
     async def test():
         async with DownstreamHarness(connection_limit=2, endpoints_known=False) as harness:
@@ -228,7 +232,7 @@
     play(test)
 
 
-def test_eviction_when_a_connection_has_half_a_command_then_is_chosen(play):
+def test_eviction_when_a_connection_has_a_partial_command_then_is_chosen(play):
     async def test():
         async with DownstreamHarness(connection_limit=2, endpoints_known=False) as harness:
             half, _ = await harness.stream_client(b"mg key7")
@@ -241,8 +245,8 @@
     play(test)
 
 
-def test_slow_reader_when_nothing_is_read_then_is_read_no_further_and_aborted(play):
-    """Guards the node's memory: each client could otherwise have it hold all the responses it asks for."""
+def test_slow_reader_when_it_reads_nothing_then_reading_stops_and_it_is_aborted(play):
+    """Guards the node's memory, which would otherwise hold all responses of a client that reads none."""
 
     async def test():
         async with DownstreamHarness(connection_limit=2, endpoints_known=False) as harness:
@@ -264,8 +268,8 @@
     play(test)
 
 
-def test_shutdown_when_half_a_command_is_here_then_ends_in_bounded_time(play):
-    """Found by the lab's crowd: a client that had stopped half way kept the process for 2.6 s."""
+def test_shutdown_when_a_partial_command_was_received_then_ends_in_bounded_time(play):
+    """A client that had stopped in the middle of a command delayed the end of the process by 2.6 s."""
 
     async def test():
         async with DownstreamHarness(connection_limit=2, endpoints_known=False) as harness:
@@ -275,12 +279,11 @@
             await asyncio.sleep(0)
             harness.clock.go(SHUTDOWN_ACCEPT_MS)
             await until(lambda: not harness.downstream._listener.is_open)
-            assert not shutdown.done() and not half._eof  # it may still become whole
+            assert not shutdown.done() and not half._eof  # the command may still be completed
             harness.clock.go(SHUTDOWN_COMMAND_TIMEOUT_MS - SHUTDOWN_ACCEPT_MS)
             await until(lambda: harness.clock.go(20) or shutdown.done())
-            assert (
-                harness.clock.now() < 10_000 + SHUTDOWN_COMMAND_TIMEOUT_MS + LINGERING_CLOSE_MS + 250
-            )  # its client does not close
+            # The client does not close its side, so the lingering close takes its whole time.
+            assert harness.clock.now() < 10_000 + SHUTDOWN_COMMAND_TIMEOUT_MS + LINGERING_CLOSE_MS + 250
             assert await half.read() == BUSY
 
     play(test)
--- a/tests/downstream/test_connection_termination.py
+++ b/tests/downstream/test_connection_termination.py
@@ -1,4 +1,7 @@
-"""How client connections end, with what crosses each end forced: docs/termination.md lists them."""
+"""Tests of how client connections end; docs/termination.md lists the cases.
+
+Each test forces an event to cross the end.
+"""
 
 import asyncio
 import contextlib
@@ -31,7 +34,7 @@
 
 
 def test_lingering_close_when_a_request_crosses_it_then_discards_it_without_a_reset():
-    """The request lies in the kernel as the node closes an idle connection, with a response still unread."""
+    """The request waits in the kernel as the node closes an idle connection with an unread response."""
 
     async def test():
         async with DownstreamHarness() as harness:
@@ -39,14 +42,13 @@
             await until(lambda: harness.request_count == 1)
             harness.fail("r0")
             await run_loop_turns()
-            client.sendall(READ % b"r1")  # no turn of the loop since: the node cannot have read it
+            client.sendall(READ % b"r1")  # the event loop has not run since: the node cannot have read it
             harness.clock.go(IDLE_TIMEOUT_MS + 250)
             assert harness.counters["connections_idle_timeout"] == 1
-            assert await read_until_end(client) == FAILED  # the answer, then an orderly end
+            assert await read_until_end(client) == FAILED  # the response, then an orderly close
             await run_loop_turns()
-            assert (
-                harness.request_count == 1 and len(harness.downstream.connections) == 1
-            )  # it waits for its client's half
+            # The connection waits for the client to close its side.
+            assert harness.request_count == 1 and len(harness.downstream.connections) == 1
             client.close()
             await until(lambda: not harness.downstream.connections)
 
@@ -54,8 +56,8 @@
 
 
 @pytest.mark.parametrize("close_cause", ["unused", "drain"])
-def test_close_when_a_request_was_read_before_then_it_is_answered(play, close_cause):
-    """It was fed to the connection, but not looked at, as the sweep came."""
+def test_close_when_a_request_was_read_before_then_it_gets_a_response(play, close_cause):
+    """It was fed to the connection's reader, but not processed yet, when the sweep ran."""
 
     async def test():
         async with DownstreamHarness() as harness:
@@ -67,13 +69,13 @@
                 connection.has_sent_command = True
                 harness.downstream.shutdown.start_drain(harness.clock.now())
 
-            def crossing(data: bytes) -> None:
+            def feed_and_advance(data: bytes) -> None:
                 feed(data)
                 harness.clock.go(
                     IDLE_TIMEOUT_MS + 250 if close_cause == "unused" else IDLE_CLOSE_DELAY_MS + 250
                 )
 
-            connection._reader.feed_data = crossing
+            connection._reader.feed_data = feed_and_advance
             writer.write(READ % b"r1")
             await until(lambda: harness.request_count == 1)
             connection._reader.feed_data = feed
@@ -90,7 +92,7 @@
 
 
 def test_close_when_the_last_response_is_unwritten_then_nothing_is_read():
-    """What is read before the shutdown would be owed an answer, and the response before it is not out yet."""
+    """A request read before the shutdown would need a response, but the previous one is not flushed yet."""
 
     async def test():
         async with DownstreamHarness() as harness:
@@ -98,7 +100,7 @@
             client.sendall(READ % b"r0")
             await until(lambda: harness.request_count == 1)
             (connection,) = harness.downstream.connections
-            size = 16 << 20  # more than any buffer of the system takes
+            size = 16 << 20  # more than the kernel's socket buffers hold
             harness.take_responder("r0").respond(Response(b"x" * size, receipt=False))
             read = connection._reader.received_bytes
             harness.clock.go(IDLE_TIMEOUT_MS + 250)
@@ -125,11 +127,11 @@
             await run_loop_turns(1)
             harness.clock.go(STOP_READING_DELAY_MS)
             await run_loop_turns()
-            client.sendall(READ % b"r1" + READ % b"r2")  # always the next one written
+            client.sendall(READ % b"r1" + READ % b"r2")  # the client always has the next request written
             await run_loop_turns()
             harness.fail("r0")
             assert await read_until_end(client) == FAILED
-            assert harness.request_count == 1  # its client sends the others again elsewhere
+            assert harness.request_count == 1  # the client retries the others elsewhere
             client.close()
             await until(lambda: harness.clock.go(20) or shutdown.done())
 
@@ -156,7 +158,7 @@
     play(test)
 
 
-def test_lingering_close_when_the_client_goes_on_sending_or_never_ends_then_is_bounded():
+def test_lingering_close_when_the_client_keeps_sending_or_never_closes_then_is_bounded():
     async def test():
         async with DownstreamHarness() as harness:
             unresponsive = await harness.socket_client(READ % b"r0")
@@ -180,7 +182,7 @@
 
 
 def test_rejection_when_more_than_may_linger_then_each_gets_busy_without_a_reset():
-    """Their requests lie in the kernel: closed over these unread, the response would go with the reset."""
+    """Closing while their requests are unread in the kernel would cause a reset, and lose the response."""
 
     async def test():
         async with DownstreamHarness(connection_limit=1) as harness:
@@ -193,9 +195,7 @@
             for number, client in enumerate(rejected):
                 client.sendall(READ % b"late%d" % number)
             await run_loop_turns()
-            assert [await read_until_end(client) for client in rejected] == [BUSY] * len(
-                rejected
-            )  # orderly ends
+            assert [await read_until_end(client) for client in rejected] == [BUSY] * len(rejected)
             assert harness.counters["connections_rejected"] == len(rejected) and harness.request_count == 1
             for client in rejected:
                 client.close()
@@ -209,13 +209,13 @@
             evicted = [await harness.socket_client() for _ in range(harness.downstream.connections.limit)]
             await until(lambda: len(harness.downstream.connections) == harness.downstream.connections.limit)
             for number, client in enumerate(evicted):
-                client.sendall(READ % b"r%d" % number)  # no turn of the loop since
+                client.sendall(READ % b"r%d" % number)  # the event loop has not run since
             while harness.downstream.connections.evict_one():
                 pass
             await run_loop_turns()
             assert [await read_until_end(client) for client in evicted] == [BUSY] * len(evicted)
             assert harness.counters["connections_evicted"] == len(evicted) and harness.request_count == 0
-            # A reset that comes behind the orderly end, which some systems let go before it.
+            # Nor may a reset follow the orderly end: some systems deliver the end of the stream first.
             assert not any(client.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR) for client in evicted)
 
     asyncio.run(test())
@@ -223,8 +223,8 @@
 
 @pytest.mark.parametrize("disconnect", [socket.socket.close, gone_with_a_reset])
 @pytest.mark.parametrize("waiting", [1, MAX_PIPELINED_COMMANDS, MAX_PIPELINED_COMMANDS + 5, 400])
-def test_disconnect_when_commands_are_pending_then_is_seen_at_once(disconnect, waiting):
-    """In flight, behind others on its connection, and while nothing more is read of it."""
+def test_disconnect_when_commands_are_pending_then_is_detected_immediately(disconnect, waiting):
+    """Covers commands in flight, commands queued behind others, and a connection that is not read further."""
 
     async def test():
         async with DownstreamHarness() as harness:
@@ -243,9 +243,10 @@
 @pytest.mark.parametrize("disconnect", [socket.socket.close, gone_with_a_reset])
 @pytest.mark.parametrize("response", [None, BUSY])
 def test_disconnect_when_the_event_loop_has_not_seen_it_then_no_attempt_is_sent(disconnect, response):
-    """Found by the brink days, in a crowd: 0.2 s after its client had left, as both lay there at once.
+    """An attempt was sent 0.2 s after its client had disconnected (found in a lab run with many clients).
 
-    It left before the first attempt, or in the step in which that was rejected and another would follow.
+    The request and the disconnect waited for the event loop at the same time. The client disconnects before
+    the first attempt, or in the iteration in which that is rejected and a second one would follow.
     """
 
     async def test():
@@ -266,7 +267,8 @@
             alone = Alone(discovery, known, settings, kinds=("m2", "origin"))
             core, loop = alone.node.core, asyncio.get_running_loop()
             client = socket.create_connection(("127.0.0.1", await alone.node.start()))
-            for number in range(100):  # until a connection to each server is kept: a send is written at once
+            # Until each server has a pooled connection, on which an attempt is written immediately.
+            for number in range(100):
                 client.sendall(READ.replace(b"key7", b"k%d" % number) % b"w%d" % number)
                 await until(lambda count=number: alone.node.counters["responses_served"] > count)
                 if first_server.connections and second_server.connections:
@@ -277,16 +279,16 @@
             name = "submit" if response is None else "attempt_ended"
             original = getattr(core, name)
 
-            def crossing(*arguments):
+            def disconnect_and_call(*arguments):
                 if client.fileno() >= 0:
-                    disconnect(client)  # no turn of the loop between this and the send
+                    disconnect(client)  # the event loop does not run between this and the send
                 return original(*arguments)
 
             client.send(READ % b"a1")
             if response is None:
-                core.submit = crossing
+                core.submit = disconnect_and_call
             else:
-                alone.node.dispatcher._report_end = crossing
+                alone.node.dispatcher._report_end = disconnect_and_call
             await until(lambda: alone.node.counters["clients_disconnected"] == 1)
             await until(lambda: not alone.node.downstream.connections)
             await run_loop_turns()
@@ -300,13 +302,13 @@
 
 
 @pytest.mark.parametrize("disconnect", [socket.socket.close, gone_with_a_reset])
-def test_disconnect_when_behind_unread_input_then_is_seen_by_the_next_sweep(disconnect):
+def test_disconnect_when_behind_unread_input_then_is_detected_by_the_next_sweep(disconnect):
     async def test():
         async with DownstreamHarness() as harness:
             client = await harness.socket_client(READ % b"r")
             await until(lambda: harness.request_count == 1)
             (connection,) = harness.downstream.connections
-            for number in range(1000):  # until it is read no further, and the system holds what came last
+            for number in range(1000):  # until reading pauses and the kernel holds the last bytes
                 client.sendall(b"".join(READ % b"f%d-%d" % (number, i) for i in range(100)))
                 await run_loop_turns(1)
                 if not connection._transport.is_reading():
@@ -323,8 +325,11 @@
 
 
 @pytest.mark.parametrize("disconnect", [socket.socket.close, gone_with_a_reset])
-def test_connection_when_closed_then_is_freed_without_the_collector(no_collector, disconnect):
-    """Found on the long day: 20 MB in place of 18, as each held its reader and the reader it."""
+def test_connection_when_closed_then_is_freed_without_the_garbage_collector(no_collector, disconnect):
+    """Guards memory: a long run used 20 MB instead of 18 MB.
+
+    Each closed connection and its reader referenced each other.
+    """
 
     async def test():
         async with DownstreamHarness() as harness:
@@ -333,7 +338,8 @@
             reference = weakref.ref(next(iter(harness.downstream.connections)))
             harness.fail("r0")
             await run_loop_turns()
-            if disconnect is not gone_with_a_reset:  # closed over an unread answer it would reset as well
+            # A client that closes with an unread response would cause a reset, too.
+            if disconnect is not gone_with_a_reset:
                 assert client.recv(100) == FAILED
             disconnect(client)
             await until(lambda: not harness.downstream.connections)
@@ -342,8 +348,8 @@
     asyncio.run(test())
 
 
-def test_shutdown_when_a_request_comes_late_then_is_answered_before_the_kill(play):
-    """With a class that waits for 2 s and one for 3 s the end may come 3.7 s after SIGTERM."""
+def test_shutdown_when_a_request_arrives_late_then_gets_a_response_before_sigkill(play):
+    """With request classes whose deadlines are 2 s and 3 s, SIGKILL may come 3.7 s after SIGTERM."""
 
     async def test():
         async with DownstreamHarness() as harness:
@@ -352,7 +358,7 @@
             await run_loop_turns(1)
             harness.clock.go(IDLE_CLOSE_DELAY_MS)
             reader, writer = await asyncio.open_connection("127.0.0.1", harness.port)
-            writer.write(b"ms key7 2 Oa1 Pc=put,t=acme,d=3000\r\n")  # the rest comes late
+            writer.write(b"ms key7 2 Oa1 Pc=put,t=acme,d=3000\r\n")  # the rest is sent late
             await until(lambda: any(c.has_partial_command for c in harness.downstream.connections))
             harness.clock.go(SHUTDOWN_ACCEPT_MS)
             await run_loop_turns()
@@ -360,14 +366,15 @@
             await until(lambda: harness.request_count == 1)
             assert harness.clock.now() == started_at + IDLE_CLOSE_DELAY_MS + SHUTDOWN_ACCEPT_MS
             harness.clock.go(SHUTDOWN_ACCEPT_MS + 3_000 - 1 - (harness.clock.now() - started_at))
-            assert await reader.read() == FAILED  # by the net: nobody decides anything here
+            # The shutdown deadline fails the request, since the test's policy decides nothing.
+            assert await reader.read() == FAILED
             writer.close()
             await until(lambda: harness.clock.go(20) or shutdown.done())
 
     play(test)
 
 
-def test_sockets_when_opened_or_accepted_then_have_no_delay_set():
+def test_sockets_when_opened_or_accepted_then_have_tcp_nodelay_set():
     async def test():
         delays: list[int] = []
 
@@ -384,7 +391,8 @@
             await until(lambda: peer.got)
             record_delay(next(iter(upstream.connections)).writer.transport)
             await upstream.dispatcher.close()
-            queued = socket.create_connection(("127.0.0.1", harness.port))  # accepted as the listener closes
+            # This connection is accepted when the listener closes.
+            queued = socket.create_connection(("127.0.0.1", harness.port))
             harness.downstream._listener.close()
             await until(lambda: harness.counters["connections_accepted"] == 2)
             record_delay(list(harness.downstream.connections)[-1]._transport)
--- a/tests/downstream/test_downstream_streaming.py
+++ b/tests/downstream/test_downstream_streaming.py
@@ -1,4 +1,4 @@
-"""Long values to and from clients, in their turn."""
+"""Tests of long values that are streamed to and from clients."""
 
 import asyncio
 
@@ -17,7 +17,7 @@
 
 
 class StreamingHarness(DownstreamHarness):
-    """A listener whose core hands its attempts to the test; at the end no memory may be reserved."""
+    """A listener whose requests are completed by the test; checks at the end that no memory is reserved."""
 
     def __init__(self, memory_bytes: int) -> None:
         super().__init__(memory_bytes=memory_bytes, policy=Script(), endpoints_known=False)
@@ -37,7 +37,7 @@
             second = harness.take_responder("a2").start_stream(10)
             waiting = asyncio.ensure_future(second.wait_writable())
             await asyncio.sleep(0.1)
-            assert not waiting.done()  # the first answer is still owed
+            assert not waiting.done()  # the first response is still pending
             harness.take_responder("a1").fail()
             await waiting
             second.write([b"0123"])
@@ -97,7 +97,7 @@
             await asyncio.sleep(0.2)
             harness.clock.go(MEMORY_WAIT_MS)
             responses = b"SERVER_ERROR busy\r\nSERVER_ERROR starting\r\n"
-            assert await rejected.readexactly(len(responses)) == responses  # framing held
+            assert await rejected.readexactly(len(responses)) == responses  # framing is intact
             waiting, _ = await harness.stream_client(LONG_WRITE.replace(b"Oa1", b"Oa3"))
             await asyncio.sleep(0.2)
             half_writer.write(LONG_WRITE[5000:])
@@ -105,7 +105,7 @@
             assert bytes(harness.core.open_requests.get("a1").request.value) == VALUE
             harness.fail("a1")
             assert await half.readline() == b"SERVER_ERROR failed\r\n"
-            await until(lambda: harness.request_count == 2)  # it had waited for its room
+            await until(lambda: harness.request_count == 2)  # it had waited for memory
             harness.fail("a3")
             assert await waiting.readline() == b"SERVER_ERROR failed\r\n"
             assert harness.core.memory_budget.reserved == 0
--- a/tests/downstream/test_eviction.py
+++ b/tests/downstream/test_eviction.py
@@ -1,4 +1,4 @@
-"""Connection eviction: the order, and what it costs to find the first."""
+"""Tests of connection eviction: the order, and the cost of finding its first connection."""
 
 from hypothesis import given
 from hypothesis import strategies as st
@@ -28,7 +28,7 @@
 
 
 def expected_victim(connections: list[Connection]) -> Connection | None:
-    """The rule, looked for among all."""
+    """The connection that the order requires, found by a search through all."""
     evictable = [c for c in connections if c.closing or (not c.pending and (c.idle or not c.has_requested))]
     return min(evictable, key=lambda c: (not c.closing, not c.has_requested, c.last_used_at), default=None)
 
@@ -39,11 +39,11 @@
 )
 
 
-def act(order: EvictionOrder, connection: Connection, action: str, now: int) -> None:
-    """Have one of the open connections do something, but for its removal."""
+def apply_action(order: EvictionOrder, connection: Connection, action: str, now: int) -> None:
+    """Apply an action other than a removal to an open connection."""
     if action == "pend":
         connection.pending = not connection.pending
-        return  # it is neither read nor written by that
+        return  # the connection is neither read nor written
     if action == "half":
         connection.half_command = True
     connection.has_requested |= action == "request"
@@ -55,7 +55,7 @@
 
 @FIXED
 @given(st.lists(ACTIONS, max_size=40))
-def test_order_when_anything_happens_then_is_that_of_the_rule(actions):
+def test_order_when_connections_change_then_matches_a_search_through_all(actions):
     order = EvictionOrder()
     connections: list[Connection] = []
     for now, (action, index) in enumerate(actions, 1):
@@ -73,12 +73,15 @@
             removed = connections.pop(index % len(connections))
             order.remove(removed)
         elif connections:
-            act(order, connections[index % len(connections)], action, now)
+            apply_action(order, connections[index % len(connections)], action, now)
         assert order.first_evictable() is expected_victim(connections)
 
 
-def test_first_evictable_when_thousands_are_open_then_looks_at_few():
-    """Guards a node in a crowd: the walk over all took half of its time, and requests lay there meanwhile."""
+def test_first_evictable_when_thousands_are_open_then_checks_few():
+    """Guards a node with many clients: a search through all connections took half of its time.
+
+    Requests had to wait meanwhile.
+    """
     order = EvictionOrder()
     connections = [Connection(number) for number in range(5_000)]
     for connection in connections:
--- a/tests/downstream/test_half_commands.py
+++ b/tests/downstream/test_half_commands.py
@@ -1,4 +1,7 @@
-"""A client that stops in the middle of a request and stays: an error or a close is due 3 s after it came."""
+"""Tests of clients that stop in the middle of a command and stay connected.
+
+Such a client must get an error or a close within 3 s of connecting.
+"""
 
 import asyncio
 
@@ -10,47 +13,47 @@
 from flintridge.downstream.value_memory import MEMORY_WAIT_MS
 
 DUE_MS = 3_000.0
-HELD_UP_MS = 150.0  # so long a node may be held up before it writes
+NODE_STALL_MS = 150.0  # how long a node may stall before it writes
 NOT_FINISHED = b"CLIENT_ERROR command not finished in time\r\n"
-HALF_READ = b"mg key7 v Oh1 Pc=read"
-HALF_WRITE = b"ms key7 500 Oh1 Pc=put\r\nhalf"
-HALF_LONG_WRITE = LONG_WRITE[:5_000]
-HALF_IN_PIECES = LONG_WRITE[:60_000]  # more than is read at a time: the rest is read once there is memory
-each_half = pytest.mark.parametrize(
-    "half", [HALF_READ, HALF_WRITE, HALF_LONG_WRITE], ids=["head", "value", "long_value"]
+PARTIAL_READ = b"mg key7 v Oh1 Pc=read"
+PARTIAL_WRITE = b"ms key7 500 Oh1 Pc=put\r\nhalf"
+PARTIAL_LONG_WRITE = LONG_WRITE[:5_000]
+PARTIAL_IN_SEVERAL_READS = LONG_WRITE[:60_000]  # larger than one read: the rest is read once memory is free
+each_partial_command = pytest.mark.parametrize(
+    "half", [PARTIAL_READ, PARTIAL_WRITE, PARTIAL_LONG_WRITE], ids=["head", "value", "long_value"]
 )
 
 
-class Stopped:
-    """A client that stopped half way, and the node that it is connected to."""
+class StoppedClient:
+    """A client that stopped in the middle of a command, and the node that it is connected to."""
 
     def __init__(self, harness: DownstreamHarness, reader: asyncio.StreamReader) -> None:
         self.harness = harness
         self.reader = reader
         self.connected_at = harness.clock.now()
 
-    async def pass_until(self, after_ms: float) -> None:
-        """Let time go on in steps up to so long after the client connected."""
+    async def advance_until(self, after_ms: float) -> None:
+        """Advance the clock in steps until `after_ms` after the client connected."""
         while self.harness.clock.now() < self.connected_at + after_ms:
             self.harness.clock.go(min(50.0, self.connected_at + after_ms - self.harness.clock.now()))
             await run_loop_turns(1)
 
-    async def pass_until_due(self) -> bytes:
-        """What it has received when its error or close is due."""
-        await self.pass_until(DUE_MS - HELD_UP_MS)
+    async def receive_until_due(self) -> bytes:
+        """Return what the client has received when its error or close is due."""
+        await self.advance_until(DUE_MS - NODE_STALL_MS)
         await run_loop_turns()
         return await asyncio.wait_for(self.reader.read(1 << 16), 5)
 
 
-async def stopped_client(harness: DownstreamHarness, *parts: bytes) -> Stopped:
+async def stopped_client(harness: DownstreamHarness, *parts: bytes) -> StoppedClient:
     reader, _ = await harness.stream_client(*parts)
     await until(lambda: harness.counters["connections_accepted"] == len(harness.clients))
-    return Stopped(harness, reader)
+    return StoppedClient(harness, reader)
 
 
-@each_half
+@each_partial_command
 @pytest.mark.parametrize("service", ["serving", "draining", "leaving"])
-def test_half_command_when_its_client_stays_then_ends_in_time_whatever_the_node_is_at(play, half, service):
+def test_partial_command_when_its_client_stays_then_ends_in_time_in_any_service_state(play, half, service):
     async def test():
         async with DownstreamHarness() as harness:
             stopped = await stopped_client(harness, half)
@@ -61,7 +64,7 @@
                 harness.downstream.start_drain()
             elif service == "leaving":
                 shutdown = asyncio.ensure_future(harness.downstream.leave())
-            received = await stopped.pass_until_due()
+            received = await stopped.receive_until_due()
             assert received.startswith((b"CLIENT_ERROR", b"SERVER_ERROR"))
             assert harness.core.memory_budget.reserved == 0
             if shutdown is not None:
@@ -70,32 +73,32 @@
     play(test)
 
 
-def test_half_value_when_it_waited_for_memory_first_then_the_wait_counts(play):
+def test_partial_value_when_it_waited_for_memory_first_then_the_wait_counts(play):
     async def test():
         async with DownstreamHarness(memory_bytes=LENGTH + 1000) as harness:
-            assert harness.core.memory_budget.try_reserve(LENGTH)  # by somebody else
-            stopped = await stopped_client(harness, HALF_IN_PIECES)
-            await stopped.pass_until(MEMORY_WAIT_MS - 50)
+            assert harness.core.memory_budget.try_reserve(LENGTH)  # by another connection
+            stopped = await stopped_client(harness, PARTIAL_IN_SEVERAL_READS)
+            await stopped.advance_until(MEMORY_WAIT_MS - 50)
             harness.core.memory_budget.release(LENGTH)
-            assert await stopped.pass_until_due() == NOT_FINISHED
+            assert await stopped.receive_until_due() == NOT_FINISHED
             assert harness.core.memory_budget.reserved == 0
 
     play(test)
 
 
-def test_half_value_when_it_is_skipped_for_want_of_memory_then_the_wait_counts(play):
+def test_partial_value_when_it_is_skipped_for_lack_of_memory_then_the_wait_counts(play):
     async def test():
         async with DownstreamHarness(memory_bytes=LENGTH + 1000) as harness:
             assert harness.core.memory_budget.try_reserve(LENGTH)
-            stopped = await stopped_client(harness, HALF_IN_PIECES)
-            assert (await stopped.pass_until_due()) == NOT_FINISHED
+            stopped = await stopped_client(harness, PARTIAL_IN_SEVERAL_READS)
+            assert (await stopped.receive_until_due()) == NOT_FINISHED
 
     play(test)
 
 
-@each_half
-def test_half_command_when_requests_before_it_were_pending_then_ends_in_time(play, half):
-    """The last of them has its response late; written, it must not begin the time of the half anew."""
+@each_partial_command
+def test_partial_command_when_requests_before_it_were_pending_then_ends_in_time(play, half):
+    """Writing the late response to the last of them must not restart the timeout of the partial command."""
 
     async def test():
         async with DownstreamHarness() as harness:
@@ -104,35 +107,35 @@
             )
             await until(lambda: harness.request_count == 2)
             harness.fail("r1")
-            await stopped.pass_until(1_700)
+            await stopped.advance_until(1_700)
             harness.fail("r2")
-            assert await stopped.pass_until_due() == FAILED * 2 + NOT_FINISHED
+            assert await stopped.receive_until_due() == FAILED * 2 + NOT_FINISHED
 
     play(test)
 
 
-def test_half_command_when_its_client_rested_before_it_then_ends_in_time(play):
+def test_partial_command_when_its_client_was_idle_before_it_then_ends_in_time(play):
     async def test():
         async with DownstreamHarness() as harness:
             stopped = await stopped_client(harness)
-            await stopped.pass_until(1_900)
-            harness.clients[0].write(HALF_READ)
+            await stopped.advance_until(1_900)
+            harness.clients[0].write(PARTIAL_READ)
             await until(lambda: any(c.has_partial_command for c in harness.downstream.connections))
-            assert await stopped.pass_until_due() == NOT_FINISHED
+            assert await stopped.receive_until_due() == NOT_FINISHED
 
     play(test)
 
 
-def test_command_when_it_begins_late_but_keeps_coming_then_is_taken(play):
-    """A good client may take 2 s for a head, also where it rested before."""
+def test_command_when_it_begins_late_but_keeps_arriving_then_is_executed(play):
+    """A well-behaved client may take 2 s to send a head, even if it was idle before."""
 
     async def test():
         async with DownstreamHarness() as harness:
             stopped = await stopped_client(harness)
-            await stopped.pass_until(1_500)
+            await stopped.advance_until(1_500)
             parts = [b"mg key7 v O", b"slow Pc=", b"read,t=a", b"cme,d=", b"48", b"0\r\n"]
             for number, part in enumerate(parts):
-                await stopped.pass_until(1_500 + number * 400)
+                await stopped.advance_until(1_500 + number * 400)
                 harness.clients[0].write(part)
                 await run_loop_turns()
             await until(lambda: harness.request_count == 1)
@@ -142,11 +145,11 @@
     play(test)
 
 
-def test_half_value_when_its_client_leaves_as_it_waits_for_memory_then_none_stays_reserved(play):
+def test_partial_value_when_its_client_disconnects_while_it_waits_for_memory_then_none_stays_reserved(play):
     async def test():
         async with DownstreamHarness(memory_bytes=LENGTH + 1000) as harness:
-            assert harness.core.memory_budget.try_reserve(LENGTH)  # by somebody else
-            await stopped_client(harness, HALF_LONG_WRITE)
+            assert harness.core.memory_budget.try_reserve(LENGTH)  # by another connection
+            await stopped_client(harness, PARTIAL_LONG_WRITE)
             await until(lambda: any(c.has_pending for c in harness.downstream.connections))
             harness.clients[0].close()
             await run_loop_turns()
--- a/tests/downstream/test_input_arrival.py
+++ b/tests/downstream/test_input_arrival.py
@@ -1,4 +1,4 @@
-"""The lower bound of the arrival of a connection's input."""
+"""Tests of the lower bound for the arrival time of a connection's input."""
 
 from support.network import HandClock
 
@@ -20,7 +20,7 @@
     return arrival.arrived_after
 
 
-def test_input_when_it_is_read_as_it_comes_then_arrived_in_this_iteration():
+def test_input_when_it_is_read_on_arrival_then_arrived_in_this_iteration():
     clock = LateClock()
     arrival = InputArrival(clock)
     clock.go(500.0)
@@ -28,7 +28,7 @@
     assert read(arrival) == clock.now() - 20.0
 
 
-def test_input_when_it_waited_in_the_reader_then_may_have_come_since_the_read_before():
+def test_input_when_it_waited_in_the_reader_then_may_have_arrived_since_the_previous_read():
     clock = LateClock()
     arrival = InputArrival(clock)
     read_at = clock.now()
@@ -39,7 +39,7 @@
     assert read(arrival) == clock.now()
 
 
-def test_input_when_the_transport_was_paused_then_what_the_system_held_may_be_as_old():
+def test_input_when_the_transport_was_paused_then_bytes_in_the_kernel_may_be_as_old():
     clock = LateClock()
     arrival = InputArrival(clock)
     read_at = clock.now()
@@ -47,12 +47,12 @@
     clock.go(300.0)
     assert read(arrival, has_unread=True, is_reading=False) == read_at
     clock.go(1.0)
-    assert read(arrival) == read_at  # the system's part
+    assert read(arrival) == read_at  # the bytes that waited in the kernel
     clock.go(1.0)
     assert read(arrival) == clock.now()
 
 
-def test_input_when_it_flows_without_an_end_then_its_bound_moves_on_with_each_read():
+def test_input_when_it_arrives_continuously_then_its_bound_advances_with_each_read():
     clock = LateClock()
     arrival = InputArrival(clock)
     for _ in range(5):
@@ -62,7 +62,7 @@
     assert read(arrival, has_unread=True) == last_read_at
 
 
-def test_input_when_it_waited_with_its_connection_then_is_as_old_and_the_next_is_new():
+def test_input_when_its_connection_waited_for_accept_then_is_as_old_and_the_next_is_new():
     clock = LateClock()
     queued_since = clock.now()
     clock.go(200.0)
--- a/tests/downstream/test_open_connections.py
+++ b/tests/downstream/test_open_connections.py
@@ -1,4 +1,4 @@
-"""The connection limit by itself: who is evicted for another, and how many may linger beyond it."""
+"""Unit tests of the connection limit: which connection is evicted, and how many may linger beyond it."""
 
 import pytest
 from support.network import HandClock, quiet
@@ -9,7 +9,7 @@
 
 
 class Connection:
-    """A client connection that remembers what is asked of it."""
+    """A client connection that records the calls to it."""
 
     idle = True
     closing = False
@@ -60,7 +60,7 @@
     assert list(connections) == added
 
 
-def test_limit_when_lowered_then_stays_open_what_is_until_others_come(connections):
+def test_limit_when_lowered_then_connections_stay_open_until_others_arrive(connections):
     fill(connections)
     connections.limit = 1
     assert len(connections) == LIMIT
@@ -68,7 +68,7 @@
     assert len(connections) == LIMIT - 1
 
 
-def test_eviction_when_more_linger_than_may_then_the_first_evicted_is_aborted(connections):
+def test_eviction_when_more_linger_than_allowed_then_the_first_evicted_is_aborted(connections):
     added = fill(connections, MAX_LINGERING_BEYOND_LIMIT + 1)
     while connections.evict_one():
         pass
