--- a/flintridge/codec/http/origin.py
+++ b/flintridge/codec/http/origin.py
@@ -113,7 +113,7 @@
 
 
 class OriginHealthCheck(_SingleResponseExchange):
-    """A health check that asks the origin for its load report."""
+    """A health check that requests the origin's load report."""
 
     def __init__(self, host: str) -> None:
         """Prepare the request; `host` is the origin's host and port."""
--- a/flintridge/codec/memcache/command_parser.py
+++ b/flintridge/codec/memcache/command_parser.py
@@ -44,11 +44,11 @@
         self._request_parser = RequestParser(settings)
         self._state = _State.COMMAND_LINE
         self._buffer = bytearray()
-        self._position = 0  # in the buffer; the bytes before it have been parsed
-        self._search_start = 0  # in the buffer; no unparsed line ends before it
-        self._tokens: list[bytes] = []  # of the `ms` command whose value is being received
-        self._value_length = 0  # of that command, in bytes
-        self._long_value = bytearray()  # the bytes that have arrived, including those of its CRLF
+        self._position = 0  # index in the buffer; the bytes before it have been parsed
+        self._search_start = 0  # index in the buffer; no unparsed line ends before it
+        self._tokens: list[bytes] = []  # tokens of the `ms` command whose value is being received
+        self._value_length = 0  # length of that value, in bytes
+        self._long_value = bytearray()  # the part of a long value and its CRLF that has arrived
         self._bytes_to_skip = 0
 
     @property
--- a/flintridge/codec/memcache/commands.py
+++ b/flintridge/codec/memcache/commands.py
@@ -7,7 +7,7 @@
 
 @dataclass(slots=True, frozen=True)
 class NoOp:
-    """`mn`: asks whether the node accepts requests."""
+    """The no-op command, `mn`, by which clients check whether the node accepts requests."""
 
 
 @dataclass(slots=True, frozen=True)
--- a/flintridge/codec/memcache/encoder.py
+++ b/flintridge/codec/memcache/encoder.py
@@ -7,8 +7,8 @@
 
 FAILED_RESPONSE = b"SERVER_ERROR failed\r\n"
 NO_OP_RESPONSE = b"MN\r\n"
-STARTING_RESPONSE = b"SERVER_ERROR starting\r\n"  # to a no-op, before the node is ready
-DRAINING_RESPONSE = b"SERVER_ERROR draining\r\n"  # to a no-op, when the node drains
+STARTING_RESPONSE = b"SERVER_ERROR starting\r\n"  # response to a no-op before the node is ready
+DRAINING_RESPONSE = b"SERVER_ERROR draining\r\n"  # response to a no-op while the node drains
 
 
 def encode_response(request_id: bytes, response: Response) -> list[bytes]:
--- a/flintridge/codec/memcache/exchange.py
+++ b/flintridge/codec/memcache/exchange.py
@@ -152,7 +152,7 @@
 
 
 class CacheHealthCheck:
-    """A health check, `stats load`, that asks a cache server for its load report.
+    """A health check that requests a cache server's load report by `stats load`.
 
     Attributes:
         reusable: See `Exchange.reusable`.
--- a/flintridge/downstream/admin_api.py
+++ b/flintridge/downstream/admin_api.py
@@ -1,6 +1,6 @@
 """Listener of the admin API.
 
-It has a small connection limit of its own, so neither a large number of clients nor callers that send nothing
+The API has its own small connection limit. Neither a large number of clients nor callers that send nothing
 can make it unreachable.
 """
 
@@ -15,7 +15,7 @@
 from flintridge.telemetry.counters import Counters
 from flintridge.telemetry.log import EventLog
 
-CALL_TIMEOUT_MS = 3_000.0  # for a call to arrive completely
+CALL_TIMEOUT_MS = 3_000.0  # time limit for a call to arrive completely
 READ_BYTES = 4096
 
 
@@ -42,7 +42,8 @@
         super().__init__(clock, log, counters, shared=False)
         self._routes = routes
         self._connection_limit = connection_limit
-        self._callers: dict[asyncio.StreamWriter, asyncio.Task[None] | None] = {}  # in the order of arrival
+        # The task of each open connection, in the order of arrival.
+        self._callers: dict[asyncio.StreamWriter, asyncio.Task[None] | None] = {}
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         if len(self._callers) >= self._connection_limit:
@@ -59,7 +60,7 @@
             pass  # the caller reset the connection
         except asyncio.CancelledError:
             if writer in self._callers:
-                raise  # otherwise it was evicted, and no task awaits this one
+                raise  # otherwise `_abort` cancelled this task, which no other task awaits
         except Exception as error:
             self.counters.add("admin_api_errors")
             self._log.error("admin_api_failed", error)
@@ -79,7 +80,7 @@
             await close_lingering(self.clock, reader, writer)
 
     async def _read_call(self, exchange: AdminExchange, reader: asyncio.StreamReader) -> list[bytes] | None:
-        """Read a call and return its response's buffers; None if the caller ends before it is complete."""
+        """Read a call and return its response's buffers; None if the caller closes too early."""
         while True:
             data = await reader.read(READ_BYTES)
             if not data:
--- a/flintridge/downstream/admin_exchange.py
+++ b/flintridge/downstream/admin_exchange.py
@@ -4,8 +4,8 @@
     POST /admin/quiesce    start a drain: stop serving without ending the process
     POST /admin/resume     cancel a drain: serve again
 
-Response bodies are JSON objects that contain the node's state. Request bodies are discarded, except by routes
-that take one.
+Response bodies are JSON objects that contain the node's state. Request bodies are discarded unless the route
+takes one.
 """
 
 import h11
@@ -14,7 +14,7 @@
 from flintridge.core.admin_routes import AdminResponse, Routes, RouteWithInput
 
 MAX_HEAD_BYTES = 8 * 1024
-MAX_BODY_BYTES = 64 * 1024  # of a request
+MAX_BODY_BYTES = 64 * 1024  # limit for a request body, even if it is discarded
 
 BAD_REQUEST = 400
 NOT_FOUND = 404
--- a/flintridge/downstream/command_input.py
+++ b/flintridge/downstream/command_input.py
@@ -56,7 +56,7 @@
         return not self._parser.idle
 
     async def read(self) -> bytes:
-        """Read the next bytes; returns none if the client has shut down its write side.
+        """Read the next bytes; the result is empty if the client has shut down its write side.
 
         Raises:
             OSError: The connection failed.
--- a/flintridge/downstream/command_timer.py
+++ b/flintridge/downstream/command_timer.py
@@ -4,8 +4,8 @@
 for the interval of the sweep that checks them (250 ms) and for a node that stalls before it writes (150 ms).
 """
 
-COMMAND_TIMEOUT_MS = 2_500.0  # for a partial command; a well-behaved client may take 2 s to send a head
-VALUE_TIMEOUT_MS = 20_000.0  # for a long value to arrive completely
+COMMAND_TIMEOUT_MS = 2_500.0  # limit for a partial command; a well-behaved client may take 2 s for a head
+VALUE_TIMEOUT_MS = 20_000.0  # limit for a long value, even if it keeps arriving
 # A first command that began late may exceed COMMAND_TIMEOUT_MS after the connect, as long as its bytes keep
 # arriving at intervals shorter than this.
 STALL_MS = 500.0
@@ -57,7 +57,7 @@
             return now - self._started_at >= VALUE_TIMEOUT_MS
         if now - self._started_at >= COMMAND_TIMEOUT_MS:
             return True
-        # The client was idle before it began its first command, and has stalled within it.
+        # The client was idle before its first command, and the command has stalled.
         late = self._is_first and now - self._connected_at >= COMMAND_TIMEOUT_MS
         return late and stalled_ms >= STALL_MS
 
--- a/flintridge/downstream/connection.py
+++ b/flintridge/downstream/connection.py
@@ -27,8 +27,8 @@
 
     `close` is orderly: the responses are written, the write side is shut down, further input is discarded
     within bounds, and only then is the socket closed. Requests that were read before the shutdown get a
-    response. Requests that arrive after it are never forwarded: the client sees the end of the stream without
-    a response, and retries them elsewhere.
+    response. Requests that arrive after the shutdown are never forwarded: the client sees the end of the
+    stream without a response, and retries them elsewhere.
 
     Attributes:
         last_used_at: When bytes were last read or written, in milliseconds of the node's clock.
@@ -144,8 +144,8 @@
     def evict(self) -> None:
         """Close the connection, either because it is idle or to make room for another one.
 
-        Where a request may be on its way, because the connection has sent none yet or a part of one, the
-        client first gets a `busy` rejection. A client whose connection has served requests retries by itself.
+        A client that has sent no request yet, or only a part of one, first gets a `busy` rejection, since its
+        request may be in transit. A client whose connection has served requests retries by itself.
         """
         may_request = not self.has_requested or self._input.has_partial_command
         # A connection that closes after an error has sent that error; nothing may be written after it.
--- a/flintridge/downstream/connection_owner.py
+++ b/flintridge/downstream/connection_owner.py
@@ -1,4 +1,4 @@
-"""The interface that a client connection uses of the listener that accepted it."""
+"""The part of the listener's interface that its client connections use."""
 
 from collections.abc import Coroutine
 from typing import Protocol
@@ -11,13 +11,13 @@
 
 
 class ConnectionOwner(ExecutorOwner, Protocol[ConnectionT]):
-    """The owner of client connections: the state that they share, and the calls that they make to it.
+    """The owner of client connections: their shared state, and the methods that they call.
 
     Attributes:
         settings: The node's settings.
         clock: The node's clock, in float milliseconds.
         eviction_order: The order in which connections are evicted.
-        empty_parser: A parser that replaces those of connections that read no more commands.
+        empty_parser: A shared parser for connections that read no more commands.
     """
 
     settings: Settings
--- a/flintridge/downstream/input_arrival.py
+++ b/flintridge/downstream/input_arrival.py
@@ -22,7 +22,7 @@
         Args:
             clock: The node's clock.
             queued_since: The earliest time at which bytes may have arrived while the connection waited to be
-                accepted; None if none arrived before it was accepted.
+                accepted; None if no bytes arrived before the accept.
         """
         self._clock = clock
         self.arrived_after = clock.earliest_arrival() if queued_since is None else queued_since
--- a/flintridge/downstream/listener.py
+++ b/flintridge/downstream/listener.py
@@ -32,7 +32,7 @@
         shutdown: The state machine that schedules the steps of a drain or termination.
         connections: The open client connections.
         eviction_order: The order in which connections are evicted.
-        empty_parser: A parser that replaces those of connections that read no more commands.
+        empty_parser: A shared parser for connections that read no more commands.
         is_ready: A further condition of readiness; until it returns True, `mn` gets an error.
     """
 
@@ -170,7 +170,7 @@
             self.clock.call_at(due_at, self._advance_drain)
 
     def cancel_drain(self) -> None:
-        """Cancel a drain: resume reading from the connections on which it was stopped."""
+        """Cancel a drain: resume reading where it was stopped."""
         for connection in self.connections:
             connection.resume_reading()
 
--- a/flintridge/downstream/open_connections.py
+++ b/flintridge/downstream/open_connections.py
@@ -19,8 +19,8 @@
     """Client connections that are open, without those that were rejected or evicted.
 
     Attributes:
-        limit: The maximum number of open connections. After it is lowered, connections beyond it are evicted
-            as new ones arrive.
+        limit: The maximum number of open connections. If the limit is lowered, connections beyond it are
+            evicted as new ones arrive.
         eviction_order: The order in which connections are evicted.
         lingering_rejected: The number of rejected connections that are in their lingering close.
         lingering_evicted: Evicted connections that are in their lingering close, in the order of eviction.
@@ -81,9 +81,9 @@
     async def reject(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         """Send a `busy` rejection, since the connection limit is reached, and close the connection.
 
-        Guards the request that may be on its way: if the connection were closed without a response, the
-        request would be lost, whereas a rejected client may retry. The request is never read, so it was not
-        executed.
+        Guards the request that may be in transit: if the connection were closed without a response, the
+        request would be lost, whereas a rejected client may retry. No request is read from the connection, so
+        none was executed.
         """
         self._counters.add("connections_rejected")
         writer.writelines(encode_rejection(0.0))
--- a/flintridge/downstream/orderly_close.py
+++ b/flintridge/downstream/orderly_close.py
@@ -44,7 +44,7 @@
         self._transport = writer.transport
         self._clock = clock
         self._counters = counters
-        self._discardable_bytes = LINGERING_CLOSE_MAX_BYTES  # of input after the shutdown
+        self._discardable_bytes = LINGERING_CLOSE_MAX_BYTES  # remaining limit for input after the shutdown
         self._timer: Timer | None = None  # fires when the lingering close ends
 
     def shut_down(self, run_in_background: BackgroundRunner) -> None:
@@ -101,4 +101,4 @@
             self.abort()
             return
         self._timer = self._clock.call_at(self._clock.now() + LINGERING_CLOSE_MS, self.abort)
-        self._transport.resume_reading()  # for whatever reason reading was paused
+        self._transport.resume_reading()  # reading may be paused, for example by a drain or by `shut_down`
--- a/flintridge/downstream/termination.py
+++ b/flintridge/downstream/termination.py
@@ -11,7 +11,7 @@
 # How long accept() is retried after SHUTDOWN_ACCEPT_MS if it fails while connections wait. The process may be
 # killed as early as 100 ms after SHUTDOWN_ACCEPT_MS, if all deadlines are that short.
 SHUTDOWN_ACCEPT_RETRY_MS = 50.0
-SHUTDOWN_WRITE_TIMEOUT_MS = 3_000.0  # at the end, for responses that clients are still reading
+SHUTDOWN_WRITE_TIMEOUT_MS = 3_000.0  # final wait for responses that clients are still reading
 SHUTDOWN_POLL_MS = 20.0
 SHUTDOWN_LAST_POLL_MS = 5.0  # poll interval once all responses are due
 
@@ -57,7 +57,7 @@
             self._listener.close(SHUTDOWN_ACCEPT_RETRY_MS)
         await self._wait_for_responses()
         until = self._clock.now() + SHUTDOWN_WRITE_TIMEOUT_MS
-        while self._is_writing() and self._clock.now() < until:
+        while self._has_open_connections() and self._clock.now() < until:
             await sleep(self._clock, SHUTDOWN_POLL_MS)
 
     async def _wait_for_responses(self) -> None:
@@ -73,15 +73,15 @@
             if self._must_end_input(now):
                 for connection in self._connections:
                     connection.end_input()
-            if self._all_responded() and not self._requests_may_come():
+            if self._all_responded() and not self._may_receive_requests():
                 return
             await sleep(self._clock, self._poll_interval_ms(now))
 
     def _must_end_input(self, now: float) -> bool:
         """Whether no connection may read any further input.
 
-        Until then, the connections that were accepted last keep reading: their first request may be on its
-        way or received in part.
+        Before that instant, even the connections that were accepted last keep reading, because their first
+        request may be in transit or received in part.
         """
         if now >= self._last_response_at:
             return True
@@ -98,10 +98,10 @@
             connection.has_pending for connection in self._connections if not connection.closing
         )
 
-    def _requests_may_come(self) -> bool:
+    def _may_receive_requests(self) -> bool:
         if self._listener is not None and self._listener.has_handovers:
             return True
         return any(not connection.closing for connection in self._connections)
 
-    def _is_writing(self) -> bool:
+    def _has_open_connections(self) -> bool:
         return len(self._connections) > 0 or len(self._connections.lingering_evicted) > 0
--- a/flintridge/downstream/value_memory.py
+++ b/flintridge/downstream/value_memory.py
@@ -10,7 +10,7 @@
     """The reservation of one connection, for one value at a time.
 
     Attributes:
-        awaited: Whether a value is waiting for memory; none of its bytes are read before that is reserved.
+        awaited: Whether a value is waiting for memory. The connection is not read meanwhile.
         wait_ms: How long the last value waited for memory, in milliseconds.
     """
 
--- a/tests/downstream/test_admin_api.py
+++ b/tests/downstream/test_admin_api.py
@@ -103,7 +103,7 @@
         port = await admin_api.listen(Address("127.0.0.1", 0))
         silent_callers = [await asyncio.open_connection("127.0.0.1", port) for _ in range(5)]
         silent_callers[3][1].write(HEALTH[:20])
-        for _ in range(4):  # the responses come while the clock stands still
+        for _ in range(4):  # the responses arrive without the clock advancing
             reader, writer = await asyncio.open_connection("127.0.0.1", port)
             writer.write(HEALTH)
             assert (await reader.read()).startswith(b"HTTP/1.1 200")
@@ -189,7 +189,7 @@
                 assert await reader.read() == b"VA 4 Oa1\r\nmenu\r\n"  # served, then closed
                 await program.event("drained")
                 program.process.send_signal(signal.SIGHUP)
-                await program.event("reloaded")  # and it stays drained
+                await program.event("reloaded")  # a reload does not end the drain
                 status, response = await call(admin_port, "GET", "/admin/health")
                 assert (status, response["state"]) == (200, "drained")
                 assert await call(admin_port, "POST", "/admin/resume") == (200, {"state": "serving"})
@@ -210,7 +210,7 @@
 
 
 def test_shared_address_when_one_of_two_programs_shuts_down_then_no_request_is_lost(tmp_path):
-    """Requests are sent throughout on new connections; some of these wait to be accepted at the close."""
+    """Requests are sent throughout on new connections; some wait to be accepted as the listener closes."""
 
     async def test():
         async with Peer(cache) as cache_server, Peer(lambda _: b"") as discovery:
@@ -264,7 +264,7 @@
                 finished.set()
                 await sending
                 assert [line for line in responses if not line.startswith(b"VA 4 Oa")] == []
-                assert retried == []  # and none had to be retried
+                assert retried == []  # no request had to be retried
             finally:
                 for program in programs:
                     if program.process.returncode is None:
--- a/tests/downstream/test_close_paths.py
+++ b/tests/downstream/test_close_paths.py
@@ -103,7 +103,7 @@
 
 
 def test_idle_timeout_when_nothing_was_ever_requested_then_sends_busy(play):
-    """A first request that crosses the close is discarded; without `busy` it would be lost to its client."""
+    """A first request that crosses the close is discarded; without `busy` the request is lost."""
 
     async def test():
         async with DownstreamHarness() as harness:
@@ -122,7 +122,7 @@
 
     async def test():
         async with DownstreamHarness(memory_bytes=LENGTH + 1000, policy=Script()) as harness:
-            assert harness.core.memory_budget.try_reserve(LENGTH)  # by another connection
+            assert harness.core.memory_budget.try_reserve(LENGTH)  # on behalf of another connection
             reader, _ = await harness.stream_client(
                 LONG_DEADLINE_READ % b"r1", LONG_WRITE, LONG_DEADLINE_READ % b"r2"
             )
--- a/tests/downstream/test_connection.py
+++ b/tests/downstream/test_connection.py
@@ -98,7 +98,7 @@
             for i in range(2):
                 await harness.stream_client(READ % b"r%d" % i)
                 await until(lambda i=i: harness.request_count == i + 1)
-            assert await idle.read() == BUSY  # it has sent no request yet, but one may be on its way
+            assert await idle.read() == BUSY  # its first request may be in transit
             for _ in range(MAX_LINGERING_BEYOND_LIMIT + 1):
                 rejected, _ = await harness.stream_client(READ % b"r9")
                 assert await rejected.readline() == BUSY  # rejected, not lost
@@ -137,7 +137,7 @@
             harness.clock.go(IDLE_CLOSE_DELAY_MS - 1)
             assert not idle.at_eof()
             harness.clock.go(1)
-            assert await idle.read() == BUSY  # its first request may be on its way
+            assert await idle.read() == BUSY  # its first request may be in transit
             _, late = await harness.stream_client(READ % b"r2")  # still served
             await until(lambda: harness.request_count == 2)
             late.close()
--- a/tests/downstream/test_half_commands.py
+++ b/tests/downstream/test_half_commands.py
@@ -76,7 +76,7 @@
 def test_partial_value_when_it_waited_for_memory_first_then_the_wait_counts(play):
     async def test():
         async with DownstreamHarness(memory_bytes=LENGTH + 1000) as harness:
-            assert harness.core.memory_budget.try_reserve(LENGTH)  # by another connection
+            assert harness.core.memory_budget.try_reserve(LENGTH)  # on behalf of another connection
             stopped = await stopped_client(harness, PARTIAL_IN_SEVERAL_READS)
             await stopped.advance_until(MEMORY_WAIT_MS - 50)
             harness.core.memory_budget.release(LENGTH)
@@ -148,7 +148,7 @@
 def test_partial_value_when_its_client_disconnects_while_it_waits_for_memory_then_none_stays_reserved(play):
     async def test():
         async with DownstreamHarness(memory_bytes=LENGTH + 1000) as harness:
-            assert harness.core.memory_budget.try_reserve(LENGTH)  # by another connection
+            assert harness.core.memory_budget.try_reserve(LENGTH)  # on behalf of another connection
             await stopped_client(harness, PARTIAL_LONG_WRITE)
             await until(lambda: any(c.has_pending for c in harness.downstream.connections))
             harness.clients[0].close()
