--- a/tests/downstream/test_connection_termination.py
+++ b/tests/downstream/test_connection_termination.py
@@ -18,9 +18,9 @@
     DownstreamHarness,
     run_loop_turns,
 )
-from support.downstream_termination import gone_with_a_reset, read_until_end
-from support.network import SETTINGS, Peer, until
-from support.node import Alone, whole
+from support.downstream_termination import read_until_end, reset_connection
+from support.network import SETTINGS, ScriptedServer, until
+from support.node import NodeHarness, endpoint_list
 from support.upstream import UpstreamHarness
 
 from flintridge import api
@@ -43,7 +43,7 @@
             harness.fail("r0")
             await run_loop_turns()
             client.sendall(READ % b"r1")  # the event loop has not run since: the node cannot have read it
-            harness.clock.go(IDLE_TIMEOUT_MS + 250)
+            harness.clock.advance(IDLE_TIMEOUT_MS + 250)
             assert harness.counters["connections_idle_timeout"] == 1
             assert await read_until_end(client) == FAILED  # the response, then an orderly close
             await run_loop_turns()
@@ -71,7 +71,7 @@
 
             def feed_and_advance(data: bytes) -> None:
                 feed(data)
-                harness.clock.go(
+                harness.clock.advance(
                     IDLE_TIMEOUT_MS + 250 if close_cause == "unused" else IDLE_CLOSE_DELAY_MS + 250
                 )
 
@@ -82,7 +82,7 @@
             assert harness.counters["connections_idle_timeout"] == 0
             harness.fail("r1")
             assert await reader.readline() == FAILED
-            harness.clock.go(IDLE_TIMEOUT_MS + 250)
+            harness.clock.advance(IDLE_TIMEOUT_MS + 250)
             assert await reader.read() == b""
             assert harness.counters["connections_idle_timeout"] == (close_cause == "unused")
             writer.close()
@@ -103,7 +103,7 @@
             size = 16 << 20  # more than the kernel's socket buffers hold
             harness.take_responder("r0").respond(Response(b"x" * size, receipt=False))
             read = connection._reader.received_bytes
-            harness.clock.go(IDLE_TIMEOUT_MS + 250)
+            harness.clock.advance(IDLE_TIMEOUT_MS + 250)
             assert connection._transport.get_write_buffer_size()
             client.sendall(READ % b"r1")
             await run_loop_turns()
@@ -125,7 +125,7 @@
             await until(lambda: harness.request_count == 1)
             shutdown = asyncio.ensure_future(harness.downstream.leave())
             await run_loop_turns(1)
-            harness.clock.go(STOP_READING_DELAY_MS)
+            harness.clock.advance(STOP_READING_DELAY_MS)
             await run_loop_turns()
             client.sendall(READ % b"r1" + READ % b"r2")  # the client always has the next request written
             await run_loop_turns()
@@ -133,7 +133,7 @@
             assert await read_until_end(client) == FAILED
             assert harness.request_count == 1  # the client retries the others elsewhere
             client.close()
-            await until(lambda: harness.clock.go(20) or shutdown.done())
+            await until(lambda: harness.clock.advance(20) or shutdown.done())
 
     asyncio.run(test())
 
@@ -146,7 +146,7 @@
             await until(lambda: harness.request_count == 1)
             harness.downstream.shutdown.start_drain(harness.clock.now())
             harness.downstream.start_drain()
-            harness.clock.go(STOP_READING_DELAY_MS)
+            harness.clock.advance(STOP_READING_DELAY_MS)
             writer.write(READ % b"r1")
             await run_loop_turns()
             assert harness.request_count == 1
@@ -167,14 +167,14 @@
             for uid in ("r0", "r1"):
                 harness.fail(uid)
             await run_loop_turns()
-            harness.clock.go(IDLE_TIMEOUT_MS + 250)
+            harness.clock.advance(IDLE_TIMEOUT_MS + 250)
             endless.setblocking(False)
             with contextlib.suppress(ConnectionError):
                 async with asyncio.timeout(10):
                     while True:
                         await asyncio.get_running_loop().sock_sendall(endless, b"x" * 65536)
             await until(lambda: len(harness.downstream.connections) == 1)
-            harness.clock.go(LINGERING_CLOSE_MS)
+            harness.clock.advance(LINGERING_CLOSE_MS)
             await until(lambda: not harness.downstream.connections)
             assert await read_until_end(unresponsive) == FAILED
 
@@ -221,7 +221,7 @@
     asyncio.run(test())
 
 
-@pytest.mark.parametrize("disconnect", [socket.socket.close, gone_with_a_reset])
+@pytest.mark.parametrize("disconnect", [socket.socket.close, reset_connection])
 @pytest.mark.parametrize("waiting", [1, MAX_PIPELINED_COMMANDS, MAX_PIPELINED_COMMANDS + 5, 400])
 def test_disconnect_when_commands_are_pending_then_is_detected_immediately(disconnect, waiting):
     """Covers commands in flight, commands queued behind others, and a connection that is not read further."""
@@ -240,7 +240,7 @@
     asyncio.run(test())
 
 
-@pytest.mark.parametrize("disconnect", [socket.socket.close, gone_with_a_reset])
+@pytest.mark.parametrize("disconnect", [socket.socket.close, reset_connection])
 @pytest.mark.parametrize("response", [None, BUSY])
 def test_disconnect_when_the_event_loop_has_not_seen_it_then_no_attempt_is_sent(disconnect, response):
     """An attempt was sent 0.2 s after its client had disconnected (found in a lab run with many clients).
@@ -257,14 +257,14 @@
             return response if uid == b"a1" else b"VA 2 O%b\r\nok\r\n" % uid
 
         async with (
-            Peer(lambda _: b"") as discovery,
-            Peer(respond_to) as first_server,
-            Peer(respond_to) as second_server,
+            ScriptedServer(lambda _: b"") as discovery,
+            ScriptedServer(respond_to) as first_server,
+            ScriptedServer(respond_to) as second_server,
         ):
-            known = whole(1, s1="in_service", s2="in_service")
+            known = endpoint_list(1, s1="in_service", s2="in_service")
             for entry, peer in zip(known["members"], (first_server, second_server), strict=True):
                 entry |= {"host_port": f"127.0.0.1:{peer.port}", "flavor": "m2"}
-            alone = Alone(discovery, known, settings, kinds=("m2", "origin"))
+            alone = NodeHarness(discovery, known, settings, kinds=("m2", "origin"))
             core, loop = alone.node.core, asyncio.get_running_loop()
             client = socket.create_connection(("127.0.0.1", await alone.node.start()))
             # Until each server has a pooled connection, on which an attempt is written immediately.
@@ -275,7 +275,7 @@
                     break
             client.setblocking(False)
             await loop.sock_recv(client, 1 << 16)
-            sent = len(first_server.got) + len(second_server.got)
+            sent = len(first_server.received) + len(second_server.received)
             name = "submit" if response is None else "attempt_ended"
             original = getattr(core, name)
 
@@ -293,7 +293,8 @@
             await until(lambda: not alone.node.downstream.connections)
             await run_loop_turns()
             assert (
-                len(first_server.got) + len(second_server.got) == sent + (response is not None) and core.idle
+                len(first_server.received) + len(second_server.received) == sent + (response is not None)
+                and core.idle
             )
             assert alone.node.counters["attempts_expired_unsent"] == 1
             await alone.node.close()
@@ -301,7 +302,7 @@
     asyncio.run(test())
 
 
-@pytest.mark.parametrize("disconnect", [socket.socket.close, gone_with_a_reset])
+@pytest.mark.parametrize("disconnect", [socket.socket.close, reset_connection])
 def test_disconnect_when_behind_unread_input_then_is_detected_by_the_next_sweep(disconnect):
     async def test():
         async with DownstreamHarness() as harness:
@@ -316,7 +317,7 @@
             assert harness.request_count == MAX_PIPELINED_COMMANDS and not connection._transport.is_reading()
             disconnect(client)
             await run_loop_turns()
-            harness.clock.go(SWEEP_INTERVAL_MS)
+            harness.clock.advance(SWEEP_INTERVAL_MS)
             assert harness.counters["clients_disconnected"] == MAX_PIPELINED_COMMANDS
             await until(lambda: not harness.downstream.connections)
             assert harness.request_count == MAX_PIPELINED_COMMANDS
@@ -324,7 +325,7 @@
     asyncio.run(test())
 
 
-@pytest.mark.parametrize("disconnect", [socket.socket.close, gone_with_a_reset])
+@pytest.mark.parametrize("disconnect", [socket.socket.close, reset_connection])
 def test_connection_when_closed_then_is_freed_without_the_garbage_collector(no_collector, disconnect):
     """Guards memory: a long run used 20 MB instead of 18 MB.
 
@@ -339,7 +340,7 @@
             harness.fail("r0")
             await run_loop_turns()
             # A client that closes with an unread response would cause a reset, too.
-            if disconnect is not gone_with_a_reset:
+            if disconnect is not reset_connection:
                 assert client.recv(100) == FAILED
             disconnect(client)
             await until(lambda: not harness.downstream.connections)
@@ -356,20 +357,20 @@
             started_at = harness.clock.now()
             shutdown = asyncio.ensure_future(harness.downstream.leave())
             await run_loop_turns(1)
-            harness.clock.go(IDLE_CLOSE_DELAY_MS)
+            harness.clock.advance(IDLE_CLOSE_DELAY_MS)
             reader, writer = await asyncio.open_connection("127.0.0.1", harness.port)
             writer.write(b"ms key7 2 Oa1 Pc=put,t=acme,d=3000\r\n")  # the rest is sent late
             await until(lambda: any(c.has_partial_command for c in harness.downstream.connections))
-            harness.clock.go(SHUTDOWN_ACCEPT_MS)
+            harness.clock.advance(SHUTDOWN_ACCEPT_MS)
             await run_loop_turns()
             writer.write(b"hi\r\n")
             await until(lambda: harness.request_count == 1)
             assert harness.clock.now() == started_at + IDLE_CLOSE_DELAY_MS + SHUTDOWN_ACCEPT_MS
-            harness.clock.go(SHUTDOWN_ACCEPT_MS + 3_000 - 1 - (harness.clock.now() - started_at))
+            harness.clock.advance(SHUTDOWN_ACCEPT_MS + 3_000 - 1 - (harness.clock.now() - started_at))
             # The shutdown deadline fails the request, since the test's policy decides nothing.
             assert await reader.read() == FAILED
             writer.close()
-            await until(lambda: harness.clock.go(20) or shutdown.done())
+            await until(lambda: harness.clock.advance(20) or shutdown.done())
 
     play(test)
 
@@ -382,13 +383,13 @@
             opened = transport.get_extra_info("socket")
             delays.append(opened.getsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY))
 
-        async with DownstreamHarness() as harness, Peer(lambda _: b"") as peer:
+        async with DownstreamHarness() as harness, ScriptedServer(lambda _: b"") as peer:
             await harness.socket_client()
             (connection,) = harness.downstream.connections
             record_delay(connection._transport)
             upstream = UpstreamHarness(peer.port)
             await upstream.start()
-            await until(lambda: peer.got)
+            await until(lambda: peer.received)
             record_delay(next(iter(upstream.connections)).writer.transport)
             await upstream.dispatcher.close()
             # This connection is accepted when the listener closes.
--- a/tests/downstream/test_half_commands.py
+++ b/tests/downstream/test_half_commands.py
@@ -35,7 +35,7 @@
     async def advance_until(self, after_ms: float) -> None:
         """Advance the clock in steps until `after_ms` after the client connected."""
         while self.harness.clock.now() < self.connected_at + after_ms:
-            self.harness.clock.go(min(50.0, self.connected_at + after_ms - self.harness.clock.now()))
+            self.harness.clock.advance(min(50.0, self.connected_at + after_ms - self.harness.clock.now()))
             await run_loop_turns(1)
 
     async def receive_until_due(self) -> bytes:
@@ -68,7 +68,7 @@
             assert received.startswith((b"CLIENT_ERROR", b"SERVER_ERROR"))
             assert harness.core.memory_budget.reserved == 0
             if shutdown is not None:
-                await until(lambda: harness.clock.go(20) or shutdown.done())
+                await until(lambda: harness.clock.advance(20) or shutdown.done())
 
     play(test)
 
--- a/tests/downstream/test_shutdown_deadlines.py
+++ b/tests/downstream/test_shutdown_deadlines.py
@@ -36,7 +36,7 @@
     async def steps_until(self, end: float):
         """Advance the clock in steps until `end`; yields after each step."""
         while self.harness.clock.now() < end:
-            self.harness.clock.go(min(STEP_MS, end - self.harness.clock.now()))
+            self.harness.clock.advance(min(STEP_MS, end - self.harness.clock.now()))
             await run_loop_turns(2)
             yield
 
@@ -49,7 +49,7 @@
         return self.harness.core.idle and all(each.closing for each in connections)
 
     async def finish(self) -> None:
-        await until(lambda: self.harness.clock.go(20) or self.shutdown.done())
+        await until(lambda: self.harness.clock.advance(20) or self.shutdown.done())
 
 
 each_deadline = pytest.mark.parametrize("deadline_ms", [100.0, 150.0, 500.0, 2_000.0, 10_000.0])
