--- a/flintridge/fleet.py
+++ b/flintridge/fleet.py
@@ -105,7 +105,7 @@
         if self.membership is not None:
             self.membership.publish_counters()
         if self.leases is not None:
-            self.leases.export_counters()
+            self.leases.publish_counters()
         if self.replication is not None:
             self.replication.publish_counters()
 
--- a/flintridge/lab/defects/replicas.py
+++ b/flintridge/lab/defects/replicas.py
@@ -55,7 +55,7 @@
 
     def apply_chunk(self, now: float, source: Writer, chunk: SnapshotChunk) -> bool:
         """See `Replica.apply_chunk`."""
-        super()._drop_ended(
+        super()._drop_superseded(
             now, chunk._replace(complete_up_to=tuple((writer, ANY_WRITE) for writer in self._writers()))
         )
         return super().apply_chunk(now, source, chunk)
@@ -107,7 +107,7 @@
 class DeletedVersionsRetained(Replica):
     """A node that was partitioned keeps what the others have deleted and forgotten."""
 
-    def _drop_ended(self, now: float, chunk: SnapshotChunk) -> None:
+    def _drop_superseded(self, now: float, chunk: SnapshotChunk) -> None:
         pass
 
 
--- a/flintridge/leases/driver.py
+++ b/flintridge/leases/driver.py
@@ -206,7 +206,7 @@
         }
         return AdminResponse(200, fields)
 
-    def export_counters(self) -> None:
+    def publish_counters(self) -> None:
         """Add the manager's counts to the process's counters."""
         for name, count in self.manager.counts.items():
             counter = f"leases_{name}"
--- a/flintridge/replication/replica.py
+++ b/flintridge/replication/replica.py
@@ -135,7 +135,7 @@
             return False
         if chunk.source_synchronized:
             self.synchronization.receive_synchronized_chunk(now)
-        self._drop_ended(now, chunk)
+        self._drop_superseded(now, chunk)
         accepted = [self.receive(now, key, entry) for key, entry in chunk.entries]
         comparison = self.synchronization.advance(source, chunk, rejected_entries=not all(accepted))
         if chunk.end < len(self.digests):
@@ -157,7 +157,7 @@
         """The source is gone; what was accepted stays, and another one is asked for the rest."""
         self.synchronization.abandon(source)
 
-    def _drop_ended(self, now: float, chunk: SnapshotChunk) -> None:
+    def _drop_superseded(self, now: float, chunk: SnapshotChunk) -> None:
         """Drop what the source received and does not hold any more: it was replaced or deleted there."""
         source_dots = {key: {version.dot for version in entry.versions} for key, entry in chunk.entries}
         source_complete = dict(chunk.complete_up_to)
