--- a/flintridge/leases/__init__.py
+++ b/flintridge/leases/__init__.py
@@ -1,6 +1,7 @@
-"""Fleet-wide limits that processes lease one another: the sum of what all may use never exceeds the limit.
+"""Leases of fleet-wide limits.
 
-`allocation` holds the rule, `lease_manager` chooses whom to ask and what to release, `messages` encodes what
-is exchanged; none of them has I/O. `driver` gives them a clock, the peers and the policy. The reasons are in
-docs/design/leases.md.
+Processes lease parts of a limit to one another, and the sum of what all of them may use never exceeds the
+limit. `allocation` enforces that; `lessee` and `grantor` decide which leases a process requests and grants;
+`lease_manager` combines them for all limits; `messages` has the encoding. None of these does I/O. `driver`
+connects them to the clock, the peers and the policy. docs/design/leases.md gives the reasons.
 """
--- a/flintridge/leases/account.py
+++ b/flintridge/leases/account.py
@@ -1,4 +1,4 @@
-"""The state of one fleet-wide limit at one process: its allocation, its demand, open requests and offers."""
+"""The state of one fleet-wide limit at one process: its allocation, demand, pending requests and offers."""
 
 import math
 from collections.abc import Callable
@@ -7,21 +7,22 @@
 from flintridge.leases.allocation import AcquiredLeaseKey, Allocation, ProcessId
 from flintridge.leases.fleet_limit import EVEN_FRACTION_UNITS, FleetLimit
 
-MIN_LEASE_UNITS = 50  # less is not worth a lease's messages
-# Hysteresis: requested is this much more than the demand, and released only what leaves still so much more.
-# Guards against leases that come and go by chance.
+MIN_LEASE_UNITS = 50  # a smaller lease is not worth its messages
+# A process requests leases until it may use REQUEST_TARGET times its demand, and releases a lease only if it
+# may still use RELEASE_TARGET times its demand without it. The difference is hysteresis: random variations of
+# the demand don't move leases back and forth.
 REQUEST_TARGET = 1.15
 RELEASE_TARGET = 1.4
 
 
 @dataclass(slots=True)
 class Offer:
-    """What another process can grant.
+    """Units that another process can grant.
 
     Attributes:
-        incarnation: The grantor's.
-        amount: Units.
-        offered_at: The earliest instant at which it may have said so.
+        incarnation: Incarnation of the grantor.
+        amount: Units that the grantor can grant.
+        offered_at: Earliest time at which the grantor can have sent the offer.
     """
 
     incarnation: int
@@ -31,13 +32,13 @@
 
 @dataclass(slots=True)
 class PendingRequest:
-    """A request that nobody has answered yet.
+    """A request that has not been answered yet.
 
     Attributes:
-        incarnation: The grantor's.
-        amount: Units.
-        sent_at: When it was last sent.
-        attempts: How often it was sent.
+        incarnation: Incarnation of the grantor.
+        amount: Requested units.
+        sent_at: Time of the latest attempt.
+        attempts: Number of attempts so far.
     """
 
     incarnation: int
@@ -48,46 +49,46 @@
 
 @dataclass(slots=True, frozen=True)
 class DeniedLessee:
-    """A process that requested a lease here in vain.
+    """A process whose request for a lease was denied here.
 
     Attributes:
-        denied_at: When.
-        usable: Units that it said it may use.
+        denied_at: Time of the denial.
+        usable: Units that the process could use, according to its request.
     """
 
     denied_at: float
     usable: int
 
 
-def _nothing() -> float:
+def _no_units_in_use() -> float:
     return 0.0
 
 
 @dataclass(slots=True)
 class Account:
-    """One limit at this process. Amounts are units, instants float milliseconds.
+    """One limit at this process. Amounts are in units, times in float milliseconds.
 
     Attributes:
         limit: The limit.
-        allocation: What of it may be used here.
-        shutting_down: Whether this process shuts down, and needs nothing more.
-        demand: Units that are needed here, as last reported.
-        in_use: Returns units that cannot be given away at this instant.
-        offers: What others can grant, by the grantor's name.
-        pending: Requests that nobody has answered.
-        grantor_incarnations: Of the leases that were taken.
-        renewal_sent_at: When the renewal of a lease was last requested.
-        unrenewable: Leases whose renewal was denied.
-        denied_lessees: Processes that lately requested a lease here in vain.
-        handover_until: By then a lease that goes to another process has expired.
-        next_request_to_exhausted: When a grantor that has nothing left to grant may be asked again.
+        allocation: Decides how many units of the limit this process may use.
+        shutting_down: Whether this process is shutting down, and therefore has no demand.
+        demand: Demand of this process in units, as last reported.
+        in_use: Returns the units in use, which can't be granted or released at the moment.
+        offers: Latest offers of other processes, by the grantor's name.
+        pending: Requests that have not been answered yet.
+        grantor_incarnations: Incarnation of the grantor of each acquired lease.
+        renewal_sent_at: Time at which the renewal of each lease was last requested.
+        unrenewable: Acquired leases whose renewal was denied.
+        denied_lessees: Processes whose requests for a lease were denied here recently.
+        handover_until: Time by which the lease that is being handed over to another process has expired.
+        next_request_to_exhausted: Earliest time of the next request to a grantor with nothing left to grant.
     """
 
     limit: FleetLimit
     allocation: Allocation
     shutting_down: bool = False
     demand: float = EVEN_FRACTION_UNITS
-    in_use: Callable[[], float] = _nothing
+    in_use: Callable[[], float] = _no_units_in_use
     offers: dict[str, Offer] = field(default_factory=dict)
     pending: dict[AcquiredLeaseKey, PendingRequest] = field(default_factory=dict)
     grantor_incarnations: dict[AcquiredLeaseKey, int] = field(default_factory=dict)
@@ -99,32 +100,32 @@
 
     @property
     def demand_or_use(self) -> float:
-        """Units that are needed here or cannot be given away; no lease is renewed that keeps them out."""
+        """Units that this process needs or has in use. A renewal must leave it as many."""
         return max(self.demand, self.in_use())
 
     @property
     def grant_reserve(self) -> float:
-        """Units that a new lease must leave here."""
+        """Units that must remain here when a new lease is granted."""
         target = 0.0 if self.shutting_down else REQUEST_TARGET * self.demand + MIN_LEASE_UNITS
         return max(self.in_use(), target)
 
     @property
     def release_reserve(self) -> float:
-        """Units that the release of a lease must leave here."""
+        """Units that must remain usable here when a lease is released."""
         target = 0.0 if self.shutting_down else RELEASE_TARGET * self.demand + MIN_LEASE_UNITS
         return max(self.in_use(), target)
 
     def grantable(self, now: float) -> int:
-        """Units that may be granted at this instant."""
+        """Units that may be granted at `now`."""
         return self.allocation.grantable(now, math.ceil(self.grant_reserve))
 
     def forget_lease(self, key: AcquiredLeaseKey) -> int | None:
-        """Drop what is known of an acquired lease besides the lease itself, however it ended.
+        """Remove the records about an acquired lease that has ended, which the allocation does not keep.
 
-        Guards against growth over a long run.
+        Without this, the records would grow over a long run.
 
         Returns:
-            The grantor's incarnation, if it was known.
+            Incarnation of the grantor; None if it is unknown.
         """
         self.renewal_sent_at.pop(key, None)
         self.unrenewable.discard(key)
--- a/flintridge/leases/allocation.py
+++ b/flintridge/leases/allocation.py
@@ -1,17 +1,19 @@
-"""One process's allocation of a fleet-wide limit: its entitlement, the leases that it granted and took.
-
-The rule: at every instant the sum of what all processes may use is at most the limit, whatever is lost,
-doubled, late, reordered, paused, killed or restarted, with clocks that share no time and are off by at most
-`clock_drift`.
-
-- A process is entitled to an even fraction, though it reaches nobody. `floor` of it is never granted.
-- The grantor takes a lease off its entitlement before it sends the grant, and counts it as granted for
-  `grantor_lease_ms`, longer than the lease by what two clocks can run apart, by its own clock from the grant
-  on.
-- The lessee counts its lease by its own clock from when it *requested* it, which was before the grant.
-- A process that has just started has its floor alone, for as long as a lease may last that its previous
-  incarnation granted.
-- What is released counts no more at the lessee before it says so.
+"""One process's allocation of a fleet-wide limit: its entitlement, and its granted and acquired leases.
+
+The invariant: at every moment, all processes together may use at most the limit. It holds when messages are
+lost, duplicated, delayed or reordered, and when processes are paused, killed or restarted. The processes'
+clocks need no common time; each may run too fast or too slow by at most `clock_drift`.
+
+- A process is entitled to an even fraction of the limit, even if it reaches no other process. It never grants
+  the `floor` of that fraction.
+- The grantor deducts a lease from its entitlement before it sends the grant. From the grant on it counts the
+  lease as granted for `grantor_lease_ms` of its own clock, which exceeds the lease by as much as two clocks
+  can drift apart.
+- The lessee counts its lease, by its own clock, from the time when it *requested* the lease, which was before
+  the grant.
+- A process that has just started has only its floor until any lease that its previous incarnation granted has
+  expired.
+- The lessee stops using a lease before it sends the release.
 
 Times are float milliseconds of the process's own monotonic clock, amounts are whole units of the limit.
 """
@@ -24,21 +26,21 @@
 
 
 class ProcessId(NamedTuple):
-    """One incarnation of a node: the process of that name which drew that number at its start."""
+    """A process: the name of its node, and the incarnation number that it drew at its start."""
 
     name: str
     incarnation: int
 
 
 class GrantedLeaseKey(NamedTuple):
-    """Names a lease that this process granted."""
+    """Identifies a lease that this process granted."""
 
     lessee: ProcessId
     lease_id: int
 
 
 class AcquiredLeaseKey(NamedTuple):
-    """Names a lease that this process requested."""
+    """Identifies a lease that this process requested."""
 
     grantor: str
     lease_id: int
@@ -46,7 +48,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Lease:
-    """An amount of units until an instant."""
+    """An amount of units that may be used until the lease expires."""
 
     amount: int
     expires_at: float
@@ -54,17 +56,20 @@
 
 @dataclass(slots=True)
 class Allocation:
-    """What one incarnation may use of one limit. Messages that fit nothing are dropped.
+    """The units of one limit that one incarnation may use. Messages about unknown leases are ignored.
 
     Attributes:
-        terms: The terms of the limit's leases.
-        started_at: Since when the process counts its entitlement.
-        sole_process: False while another process of this node runs: each then uses half, and grants nothing.
-        unusable_until: Nothing is used before: the other process of this node has not noticed this one yet.
-        granted: Leases that others have from this process.
-        acquired: Leases that this process has from others.
-        requested: Amounts of requests that are open or granted.
-        last_lease_id: The number of the latest request.
+        terms: Terms of the limit's leases.
+        started_at: Time of the start. Until leases that were granted before it have expired, the entitlement
+            is only the floor.
+        sole_process: False while a second process of this node runs; each then uses half of its units and
+            grants nothing.
+        unusable_until: Until this time the process uses nothing, because the other process of its node has
+            not noticed it yet.
+        granted: Leases that this process granted to others.
+        acquired: Leases that others granted to this process.
+        requested: Requested units of each request that is pending or was granted.
+        last_lease_id: Lease id of the latest request.
     """
 
     terms: LeaseTerms
@@ -77,50 +82,51 @@
     last_lease_id: int = 0
 
     def copy(self) -> Self:
-        """An independent copy."""
+        """Return an independent copy."""
         return replace(
             self, granted=dict(self.granted), acquired=dict(self.acquired), requested=dict(self.requested)
         )
 
-    # What may be used
+    # Usable units
 
     def usable(self, now: float) -> int:
-        """Units that may be used at this instant.
+        """Units that may be used at `now`.
 
-        To be called at each use: a process that was stopped finds its leases expired.
+        Call it at each use, since leases may have expired while the process was stopped.
         """
         if now < self.unusable_until:
             return 0
         acquired = sum(lease.amount for lease in self.acquired.values() if now < lease.expires_at)
         return self._for_one_process(self._ungranted(now) + acquired)
 
-    def usable_after_leases(self, now: float) -> int:
-        """Units that may be used at any later instant if no message comes.
+    def usable_without_leases(self, now: float) -> int:
+        """Units that may be used at any later time, even if no message arrives.
 
-        Nothing that is acquired, and no more of the entitlement than now.
+        Counts no acquired lease, and of the entitlement only what is available at `now`.
         """
         if now < self.unusable_until:
             return 0
         return self._for_one_process(self._ungranted(now))
 
     def first_expiry(self, now: float) -> float:
-        """When the first of the acquired leases expires; infinite if there is none."""
+        """Time at which the first acquired lease expires; infinite if there is none."""
         return min(
             (lease.expires_at for lease in self.acquired.values() if now < lease.expires_at),
             default=float("inf"),
         )
 
     def entitlement(self, now: float) -> int:
-        """Units of this process before any lease.
+        """Units of this process before any leases.
 
-        At first its floor: the previous incarnation may have granted the rest, and nobody remembers.
+        After a start that is only the floor. The previous incarnation may have granted the rest, and this one
+        has no record of it.
         """
         if now >= self.started_at + self.terms.grantor_lease_ms:
             return self.terms.even_fraction
         return self.terms.floor
 
     def grantable(self, now: float, demand: int = 0) -> int:
-        """Units beyond the floor, and beyond the `demand` of this process."""
+        """Units that may be granted: those beyond the floor and beyond this process's own `demand`."""
         if not self.sole_process:
             return 0
         return max(0, self.entitlement(now) - self._granted_amount(now) - max(self.terms.floor, demand))
@@ -137,22 +143,22 @@
     # Messages
 
     def request(self, now: float, grantor: str, amount: int) -> LeaseRequest:
-        """A request for a new lease, which is open from now on."""
+        """Create a request for a new lease, and record it as pending."""
         self.last_lease_id += 1
         self.requested[AcquiredLeaseKey(grantor, self.last_lease_id)] = amount
         return LeaseRequest(self.last_lease_id, amount, now)
 
     def renewal(self, now: float, grantor: str, lease_id: int) -> LeaseRequest | None:
-        """A request to renew a lease; None if there is no such lease, or it has expired."""
+        """Create a request to renew a lease; None if there is no such lease or it has expired."""
         lease = self.acquired.get(AcquiredLeaseKey(grantor, lease_id))
         if lease is None or now >= lease.expires_at:
             return None
         return LeaseRequest(lease_id, lease.amount, now)
 
     def release(self, grantor: str, lease_id: int) -> LeaseRelease | None:
-        """End an acquired lease; None if there is none.
+        """End an acquired lease; None if there is no such lease.
 
-        It counts no more from here on, whether or not the grantor receives the message.
+        Its units are unusable from now on, whether or not the grantor receives the message.
         """
         key = AcquiredLeaseKey(grantor, lease_id)
         self.requested.pop(key, None)
@@ -160,9 +166,10 @@
         return LeaseRelease(lease_id) if lease is not None else None
 
     def cancel(self, grantor: str, lease_id: int) -> LeaseRelease:
-        """End a lease or take back a request that nobody answered.
+        """End a lease, or cancel a request that was not answered.
 
-        A grant that comes later counts nothing here, and the grantor need not wait for its expiry.
+        A grant that arrives later is ignored. With the returned message the grantor need not wait for the
+        expiry.
         """
         key = AcquiredLeaseKey(grantor, lease_id)
         self.requested.pop(key, None)
@@ -175,13 +182,13 @@
         """Apply a message.
 
         Args:
-            now: The instant.
-            sender: Who sent it.
-            message: What was sent.
+            now: The current time.
+            sender: The process that sent the message.
+            message: The message.
             demand: Units that this process keeps for itself.
 
         Returns:
-            The response to it, if any.
+            The response; None if there is none.
         """
         match message:
             case LeaseRequest():
@@ -198,7 +205,7 @@
         lease = self.granted.get(key)
         if lease is not None and now < lease.expires_at:
             entitlement = self.entitlement(now)
-            # Guards this process's own demand: what it granted comes back at the expiry, and no earlier.
+            # Deny the renewal if this process needs the units: it regains them only at the expiry.
             if not self.sole_process or entitlement - self._granted_amount(now) < min(demand, entitlement):
                 return None
             self.granted[key] = Lease(lease.amount, max(lease.expires_at, expires_at))
@@ -206,26 +213,26 @@
         amount = min(request.amount, self.grantable(now, demand))
         if amount <= 0:
             return None
-        self.granted[key] = Lease(amount, expires_at)  # before the grant goes out
+        self.granted[key] = Lease(amount, expires_at)  # recorded before the grant is sent
         return LeaseGrant(request.lease_id, amount, request.requested_at)
 
     def _accept_grant(self, now: float, grantor: str, grant: LeaseGrant) -> None:
         key = AcquiredLeaseKey(grantor, grant.lease_id)
         if key not in self.requested:
-            return  # nobody requested it, or it was released since
+            return  # never requested, or released in the meantime
         expires_at = grant.requested_at + self.terms.usable_ms
         if now >= expires_at:
-            return  # it came too late
+            return  # the grant arrived after the lease expired
         lease = self.acquired.get(key)
         if lease is None:
             self.acquired[key] = Lease(grant.amount, expires_at)
         else:
             self.acquired[key] = Lease(min(lease.amount, grant.amount), max(lease.expires_at, expires_at))
 
-    # Time and the other process of this node
+    # Expiry, and the other process of this node
 
     def remove_expired(self, now: float) -> None:
-        """Drop leases that have expired; they count no more anyway, this bounds memory."""
+        """Remove expired leases to bound memory; they are no longer counted in any case."""
         self.granted = {key: lease for key, lease in self.granted.items() if now < lease.expires_at}
         expired = [key for key, lease in self.acquired.items() if now >= lease.expires_at]
         for key in expired:
@@ -233,21 +240,22 @@
             self.requested.pop(key, None)
 
     def process_joined(self, now: float, notice_ms: float = 0.0) -> None:
-        """Another process of this node runs.
+        """Record that a second process of this node runs.
 
         Args:
-            now: The instant.
-            notice_ms: At the process that has just started: how long until the other has noticed as well.
-                Nothing is used here before, nor while what the other began may go on.
+            now: The current time.
+            notice_ms: At the process that has just started, the time until the other one has noticed it; 0 at
+                the other one. This process uses nothing during that time, and for another `completion_ms`
+                after it, in which work that the other process began may still go on.
         """
         self.sole_process = False
         if notice_ms:
             self.unusable_until = now + notice_ms + self.terms.completion_ms
 
     def process_left(self, now: float) -> None:
-        """This process is the node's only one again.
+        """Record that this process is the node's only one again.
 
-        What the other granted nobody here remembers: the entitlement is as after a start.
+        It has no record of the leases that the other process granted, so the entitlement is as after a start.
         """
         if not self.sole_process:
             self.sole_process = True
--- a/flintridge/leases/configured_limits.py
+++ b/flintridge/leases/configured_limits.py
@@ -20,13 +20,12 @@
 
 @dataclass(slots=True, frozen=True)
 class ConfiguredLimits:
-    """The limits that a node leases parts of.
+    """The fleet-wide limits of which a node leases parts.
 
     Attributes:
-        quota_names: The names of the limits of tenants' quotas, by the tenant's position.
-        rates: The limits on what is done a second.
-        permits: The limits on attempts in flight and what is taken up of them, by whether these are at the
-            origin.
+        quota_names: Names of the limits on tenants' quotas, by the tenant's position in the settings.
+        rates: Limits on rates.
+        permits: Limits on attempts in flight with their usage, by whether the attempts are at the origin.
     """
 
     quota_names: dict[int, str]
@@ -34,20 +33,20 @@
     permits: dict[bool, PermitUsage]
 
     def all(self) -> tuple[FleetLimit, ...]:
-        """The limits in the order in which processes report them."""
+        """All limits, in the order in which processes report them."""
         return (*self.rates, *(usage.limit for usage in self.permits.values()))
 
 
 def configured_limits(
     config: BudgetsConfig, settings: api.Settings, even_quotas: dict[int, float], now: float
 ) -> ConfiguredLimits:
-    """The limits that a node's configuration leases.
+    """Build the limits that a node's configuration enables.
 
     Args:
         config: The table [budgets].
         settings: The policy's settings.
-        even_quotas: An even fraction of each tenant's quota, in requests a second, by position.
-        now: The time, in milliseconds.
+        even_quotas: Even fraction of each tenant's quota in requests a second, by the tenant's position.
+        now: The current time in milliseconds.
     """
     quota_names = _quota_names(config, settings, even_quotas)
     return ConfiguredLimits(
@@ -60,7 +59,7 @@
 def _quota_names(
     config: BudgetsConfig, settings: api.Settings, even_quotas: dict[int, float]
 ) -> dict[int, str]:
-    """The names of the limits of tenants' quotas, by the tenant's position."""
+    """Names of the limits on tenants' quotas, by the tenant's position."""
     return {
         tenant: f"quota {tenant_settings.name}"
         for tenant, tenant_settings in enumerate(settings.tenants)
@@ -79,7 +78,7 @@
     quota_names: dict[int, str],
     even_quotas: dict[int, float],
 ) -> tuple[FleetLimit, ...]:
-    """The limits on what is done a second."""
+    """Build the limits on rates."""
     terms = _terms(config)
     nodes = settings.fleet_size
     limits = [
@@ -96,8 +95,8 @@
 
 
 def _permit_usages(config: BudgetsConfig, settings: api.Settings, now: float) -> dict[bool, PermitUsage]:
-    """The limits on attempts in flight, by whether they are at the origin."""
-    # What is in flight when a lease expires stays in flight for as long as its client waits.
+    """Build the limits on attempts in flight, by whether the attempts are at the origin."""
+    # An attempt that is in flight when its lease expires may go on until the deadline of its request.
     completion_ms = max(to_ms(request_class.deadline_ns) for request_class in settings.classes)
     nodes = settings.fleet_size
     usages = {}
--- a/flintridge/leases/demand.py
+++ b/flintridge/leases/demand.py
@@ -1,4 +1,4 @@
-"""Estimators of demand that rise quickly and fall slowly: a rate of requests, and a recent peak."""
+"""Estimators of demand that rise quickly and fall slowly: a request rate and a recent peak."""
 
 import math
 
@@ -8,25 +8,26 @@
 
 
 class RequestRate:
-    """Requests a second: the greater of two exponentially weighted moving averages.
+    """Request rate: the greater of two exponentially weighted moving averages.
 
-    A node asks for more as soon as more comes, and releases only what it has not needed for a while. Guards
-    against leases that are passed to and fro by chance alone. Times are float milliseconds, passed in.
+    A node requests more units as soon as its rate rises, and releases units only after it has not needed them
+    for a while. This keeps random variations from moving leases back and forth. The caller passes all times,
+    in float milliseconds.
     """
 
     def __init__(self, now: float) -> None:
-        """Counting begins at `now`."""
+        """Start counting at `now`."""
         self._sampled_at = now
         self._count = 0
         self._fast_per_s = 0.0
         self._slow_per_s = 0.0
 
     def add(self, count: int = 1) -> None:
-        """Count requests."""
+        """Count `count` more requests."""
         self._count += count
 
     def update(self, now: float) -> None:
-        """Take a sample; does nothing if the last one is younger than MIN_SAMPLE_MS."""
+        """Take a sample, unless the previous one is younger than MIN_SAMPLE_MS."""
         elapsed_ms = now - self._sampled_at
         if elapsed_ms < MIN_SAMPLE_MS:
             return
@@ -38,24 +39,24 @@
 
     @property
     def per_s(self) -> float:
-        """The estimate."""
+        """The estimated rate in requests a second."""
         return max(self._fast_per_s, self._slow_per_s)
 
 
 class RecentPeak:
-    """The greatest value of late: rises at once, and halves every SLOW_HALF_LIFE_MS.
+    """Recent maximum of a value: rises with it immediately, and otherwise halves every SLOW_HALF_LIFE_MS.
 
     Attributes:
-        value: The estimate.
+        value: The estimated peak.
     """
 
     def __init__(self, now: float) -> None:
-        """Nothing was seen before `now`."""
+        """Start at `now` with a peak of 0."""
         self._updated_at = now
         self.value = 0.0
 
     def update(self, now: float, current: float) -> None:
-        """Take in the current value."""
+        """Update the peak with the current value."""
         decayed = self.value * math.pow(0.5, (now - self._updated_at) / SLOW_HALF_LIFE_MS)
         self.value = max(current, decayed)
         self._updated_at = now
--- a/flintridge/leases/demand_meter.py
+++ b/flintridge/leases/demand_meter.py
@@ -1,4 +1,4 @@
-"""What a node's requests and attempts need of each fleet-wide limit, as the request core reports them."""
+"""Measures the demand for each fleet-wide limit, from the requests and attempts that the core reports."""
 
 import contextlib
 
@@ -19,13 +19,13 @@
         endpoints: EndpointList,
         now: float,
     ) -> None:
-        """Counting begins at `now`.
+        """Start counting at `now`.
 
         Args:
-            limits: The limits that are leased.
-            even_quotas: An even fraction of each tenant's quota, in requests a second, by position.
-            endpoints: Which servers are the origin.
-            now: The time.
+            limits: The leased limits.
+            even_quotas: Even fraction of each tenant's quota in requests a second, by the tenant's position.
+            endpoints: The endpoint list, which shows whether a server is an origin.
+            now: The current time.
         """
         self._quota_names = limits.quota_names
         self._permits = limits.permits
@@ -35,25 +35,25 @@
         self._request_rate = RequestRate(now)
 
     def on_new_request(self, tenant: int) -> None:
-        """A request of a tenant, by position, was received."""
+        """Count a new request of the tenant at that position."""
         self._request_rate.add()
         rate = self._tenant_rates.get(tenant)
         if rate is not None:
             rate.add()
 
     def on_attempts_changed(self, attempt: UpstreamAttempt, change: int) -> None:
-        """An attempt began, where `change` is positive, or has ended."""
+        """Record that an attempt has begun (`change` is positive) or ended (`change` is negative)."""
         if change < 0:
             for usage in self._permits.values():
                 usage.end(attempt)
             return
-        with contextlib.suppress(EndpointNotListedError):  # it cannot be sent
+        with contextlib.suppress(EndpointNotListedError):  # an attempt to an unlisted server can't be sent
             limited = self._permits.get(self._endpoints[attempt.server].origin)
             if limited is not None:
                 limited.start(attempt)
 
     def report(self, now: float, manager: LeaseManager) -> None:
-        """Report the request rate and the demand for each limit; no demand of a process that shuts down."""
+        """Report the request rate and, unless the process is shutting down, the demand for each limit."""
         self._request_rate.update(now)
         manager.requests_per_s = self._request_rate.per_s
         for tenant, rate in self._tenant_rates.items():
@@ -66,7 +66,7 @@
                 manager.set_demand(usage.limit.name, peak)
 
     def used(self, name: str) -> float:
-        """What was used of a limit of late, in its unit; requests a second where these show its demand."""
+        """Recent use of a limit, in its unit; the request rate if the limit's demand follows from that."""
         for usage in self._permits.values():
             if usage.limit.name == name:
                 return float(usage.count)
--- a/flintridge/leases/driver.py
+++ b/flintridge/leases/driver.py
@@ -1,6 +1,7 @@
-"""Drives the lease manager: its timer, its messages over the peers' datagrams, its updates to the policy.
+"""Drives the lease manager: its timer, its messages in the peers' datagrams, its updates to the policy.
 
-It decides nothing. A request is only counted here, and takes from what the policy was last notified of.
+The driver makes no decisions and only counts requests. The policy decides on each request within the amounts
+of the last update that it received.
 """
 
 import math
@@ -25,17 +26,18 @@
 from flintridge.telemetry.log import EventLog
 
 TICK_MS = 50.0
-NOTICE_MS = 4 * COUNT_INTERVAL_MS  # within which an older process of this node has noticed that another runs
-RETRIES_INDEX = -1  # of `AllocationUpdate.tenants`, where the policy finds its allocation of retries
-ROUNDING = 1e-9  # a permit more is whole if not more than this is missing
+# Time within which an older process of this node has noticed that a second one runs.
+NOTICE_MS = 4 * COUNT_INTERVAL_MS
+RETRIES_INDEX = -1  # key of the allocation of retries in `AllocationUpdate.tenants`
+ROUNDING_TOLERANCE = 1e-9  # a permit counts as whole if no more than this fraction of it is missing
 
 
 class LeaseDriver:
-    """The leases of one process, with their I/O and timers. Times are float milliseconds of `clock`.
+    """The leases of one process with their I/O and timers. Times are float milliseconds of `clock`.
 
     Attributes:
         config: The table [budgets].
-        manager: Decides on leases.
+        manager: Decides which leases to request, grant and release.
     """
 
     def __init__(
@@ -51,19 +53,19 @@
         counters: Counters,
         entropy: Callable[[int], bytes],
     ) -> None:
-        """Register with the peers and the core; nothing is notified before `start`.
+        """Register with the peers and the core; the policy is not notified before `start`.
 
         Args:
             config: The table [budgets].
             settings: The policy's settings.
-            even_quotas: An even fraction of each tenant's quota, in requests a second, by position.
+            even_quotas: Even fraction of each tenant's quota in requests a second, by the tenant's position.
             membership: Exchanges datagrams with the peers.
-            endpoints: Which servers are the origin.
-            core: Reports requests and attempts, and takes updates.
+            endpoints: The endpoint list, which shows whether a server is an origin.
+            core: Reports requests and attempts, and passes updates to the policy.
             clock: The process's clock.
             log: The process's log.
             counters: The process's counters.
-            entropy: Returns so many random bytes.
+            entropy: Returns the given number of random bytes.
         """
         self.config = config
         self._clock = clock
@@ -95,7 +97,7 @@
             self._core.on_attempts_changed = self._demand.on_attempts_changed
 
     def start(self) -> None:
-        """Notify the policy of what may be used, from now on at each change."""
+        """Notify the policy of the usable amounts, now and at each change."""
         self._started = True
         names = list(self.manager.accounts)
         self._log.event("leases_started", names=names, floor=self.config.floor, lease_ms=self.config.lease_ms)
@@ -107,12 +109,12 @@
             self._timer.cancel()
 
     def begin_shutdown(self) -> None:
-        """Release what is acquired; others may lease this node's entitlement beyond its floor."""
+        """Release acquired leases, and let others lease this process's entitlement beyond its floor."""
         self.manager.begin_shutdown(self._clock.now())
         self._send_messages()
 
     def process_count_changed(self, count: int) -> None:
-        """So many processes of this node run, this one included."""
+        """Apply the number of processes of this node that run, this one included."""
         now = self._clock.now()
         if count > 1 and self._process_count == 1:
             self.manager.process_joined(now, 0.0 if self._started else NOTICE_MS)
@@ -130,7 +132,7 @@
             self.manager.tick(now)
             self._send_messages()
             self._notify_policy()
-        except Exception as error:  # the node must serve on whatever fails here
+        except Exception as error:  # the node must go on serving, whatever fails here
             self._counters.add("leases_errors")
             self._log.error("leases_failed", error)
 
@@ -144,23 +146,24 @@
                 self._membership.send_payloads(member)
 
     def _notify_policy(self) -> None:
-        """Notify of a change of what may be used.
+        """Send the policy an update if the usable amounts have changed.
 
-        The update also has what holds from the first expiry on, if no other update comes before.
+        The update also contains the amounts that apply from the first expiry of a lease on, in case no other
+        update is sent before.
         """
         now = self._clock.now()
         manager = self.manager
         expiry = manager.first_expiry(now)
         update = self._update(lambda name: manager.usable(name, now))
         if expiry != float("inf"):
-            fallback = self._update(lambda name: manager.usable_after_leases(name, now))
+            fallback = self._update(lambda name: manager.usable_without_leases(name, now))
             update = replace(update, valid_until=int(expiry * NS_PER_MS), fallback=fallback)
         if update != self._last_update:
             self._last_update = update
             self._core.notify(update)
 
     def _update(self, usable: Callable[[str], float]) -> api.AllocationUpdate:
-        """The update in which `usable` gives what may be used of a limit, in even fractions."""
+        """Build an update; `usable` returns the usable amount of a limit in even fractions."""
         amounts = {name: usable(name) for name in self.manager.accounts}
         tenants = {tenant: amounts[name] for tenant, name in self._quota_names.items()}
         if self._retries_per_s:
@@ -181,12 +184,12 @@
         if usage is None:
             return math.inf
         limit = usage.limit
-        return math.floor(amounts[limit.name] * limit.total / limit.nodes + ROUNDING)
+        return math.floor(amounts[limit.name] * limit.total / limit.nodes + ROUNDING_TOLERANCE)
 
     # The admin API and counters
 
     def admin_status(self) -> AdminResponse:
-        """The response to GET /admin/budgets."""
+        """Respond to GET /admin/budgets."""
         now = self._clock.now()
         reachable = self._membership.reachability
         fields = {
@@ -207,7 +210,7 @@
         return AdminResponse(200, fields)
 
     def publish_counters(self) -> None:
-        """Add the manager's counts to the process's counters."""
+        """Update the process's counters to the manager's counts."""
         for name, count in self.manager.counts.items():
             counter = f"leases_{name}"
             self._counters.add(counter, count - self._counters[counter])
--- a/flintridge/leases/fleet_limit.py
+++ b/flintridge/leases/fleet_limit.py
@@ -1,35 +1,35 @@
-"""Fleet-wide limits: their names, their sizes, and the terms under which processes lease parts of them."""
+"""Fleet-wide limits: their names, their sizes, and the terms on which processes lease parts of them."""
 
 import hashlib
 from dataclasses import dataclass
 
 from flintridge.errors import FlintridgeError
 
-EVEN_FRACTION_UNITS = 1_000  # an even fraction of any limit is counted in so many units
+EVEN_FRACTION_UNITS = 1_000  # number of units in an even fraction of any limit
 
-# Names of limits. They are hashed into the digests that processes exchange and shown by GET /admin/budgets.
-FLOORS = "floors"  # what the concurrency limiters let through at least
-SLOW_START = "cold servers"  # the work for servers that are warming up
+# Names of limits. They are part of the digests that processes exchange, and GET /admin/budgets shows them.
+FLOORS = "floors"  # lower bounds of the concurrency limiters
+SLOW_START = "cold servers"  # work sent to servers that are warming up
 RETRIES = "repeats"
 CACHE_PERMITS = "cache places"  # attempts in flight at the cache servers
 ORIGIN_PERMITS = "origin places"
 
 
 class LeaseTermsError(FlintridgeError, ValueError):
-    """Terms of leases that contradict one another."""
+    """The terms of a limit's leases contradict one another."""
 
 
 @dataclass(slots=True, frozen=True)
 class LeaseTerms:
-    """The terms of a limit's leases, the same at all processes.
+    """The terms of a limit's leases, which are the same at all processes.
 
     Attributes:
         even_fraction: Units to which each process is entitled: the limit divided by the number of nodes.
-        floor: Units of it that are never granted.
-        lease_ms: How long a lease lasts by the lessee's clock.
-        clock_drift: Most by which a clock runs faster or slower than true time, as a fraction.
-        completion_ms: For how long work that began under a lease may still go on; none begins in the last
-            `completion_ms` of a lease.
+        floor: Units of the even fraction that are never granted.
+        lease_ms: Duration of a lease by the lessee's clock.
+        clock_drift: Largest deviation of a clock's speed from true time, as a fraction.
+        completion_ms: Longest time for which work that began under a lease may go on. No work begins in the
+            last `completion_ms` of a lease.
     """
 
     even_fraction: int
@@ -39,10 +39,10 @@
     completion_ms: float = 0.0
 
     def __post_init__(self) -> None:
-        """Check that the terms fit together.
+        """Check that the terms are consistent.
 
         Raises:
-            LeaseTermsError: They do not.
+            LeaseTermsError: The terms contradict one another.
         """
         if not 0 <= self.floor <= self.even_fraction:
             raise LeaseTermsError(
@@ -61,14 +61,15 @@
 
     @property
     def usable_ms(self) -> float:
-        """For how long a lease may be used, by the lessee's clock."""
+        """Time for which a lease may be used, by the lessee's clock."""
         return self.lease_ms - self.completion_ms
 
     @property
     def grantor_lease_ms(self) -> float:
-        """For how long the grantor counts a lease, by its own clock.
+        """Time for which the grantor counts a lease as granted, by its own clock.
 
-        After that time by any clock, the lease is over by every other clock that began no later.
+        When this time has passed by one clock, `lease_ms` has passed by every other clock that was started no
+        later.
         """
         return self.lease_ms * (1 + self.clock_drift) / (1 - self.clock_drift)
 
@@ -78,11 +79,11 @@
     """A limit on what all nodes together may use.
 
     Attributes:
-        name: Its name, the same at all nodes.
-        total: What all nodes together may use, in `unit`.
-        unit: For operators, such as "requests a second".
-        nodes: The number of even fractions into which it is divided.
-        terms: The terms of its leases.
+        name: Name of the limit, the same at all nodes.
+        total: Amount that all nodes together may use, in `unit`.
+        unit: Unit as shown to operators, such as "requests a second".
+        nodes: Number of even fractions into which the limit is divided, one for each node.
+        terms: Terms of the limit's leases.
     """
 
     name: str
@@ -93,9 +94,9 @@
 
     @property
     def digest(self) -> bytes:
-        """Four bytes that stand for the limit and its terms.
+        """Four bytes that identify the limit and its terms.
 
-        The floor is left out: how much of its own fraction a process grants is its own choice.
+        The floor is left out, since each process may choose how much of its own even fraction it grants.
         """
         terms = self.terms
         text = (
@@ -106,5 +107,5 @@
 
     @property
     def even_amount(self) -> float:
-        """One even fraction, in `unit`."""
+        """Size of an even fraction, in `unit`."""
         return self.total / self.nodes
--- a/flintridge/leases/grantor.py
+++ b/flintridge/leases/grantor.py
@@ -1,4 +1,4 @@
-"""How a process answers requests for leases: whether it can grant them, and whose turn it is."""
+"""How a process answers requests for leases: whether it can grant them, and which lessee has priority."""
 
 import math
 from collections import Counter
@@ -10,7 +10,7 @@
 
 
 class Grantor:
-    """Answers requests for leases. Keeps no state of its own: that is in the accounts."""
+    """Answers requests for leases. The accounts hold all state; this class has none of its own."""
 
     def __init__(
         self, send: Callable[[ProcessId, Account, LeaseMessage], None], counts: Counter[str]
@@ -19,23 +19,23 @@
 
         Args:
             send: Sends a message about an account's limit to a process.
-            counts: Where grants and denials are counted.
+            counts: Counts grants and denials, by outcome.
         """
         self._send = send
         self._counts = counts
 
     def on_request(self, account: Account, lessee: ProcessId, request: LeaseRequest, now: float) -> None:
-        """Grant a request, for a new lease or a renewal, or deny it."""
+        """Grant or deny a request for a new lease or for a renewal."""
         allocation = account.allocation
         lease = allocation.granted.get(GrantedLeaseKey(lessee, request.lease_id))
         demand = account.grant_reserve if lease is None else account.demand_or_use
-        in_turn = self._is_in_turn(account, lessee, request, lease, now)
-        enough = lease is not None or account.grantable(now) >= min(MIN_LEASE_UNITS, request.amount)
+        has_priority = self._has_priority(account, lessee, request, lease, now)
+        has_enough = lease is not None or account.grantable(now) >= min(MIN_LEASE_UNITS, request.amount)
         grant = None
-        if in_turn and enough:
+        if has_priority and has_enough:
             grant = allocation.receive(now, lessee, request, math.ceil(demand))
         if grant is None:
-            self._counts["refused_need" if in_turn else "refused_turn"] += 1
+            self._counts["refused_need" if has_priority else "refused_turn"] += 1
             if lease is None:
                 account.denied_lessees[lessee] = DeniedLessee(now, request.usable)
             grant = LeaseGrant(request.lease_id, 0, request.requested_at)
@@ -45,14 +45,16 @@
         self._send(lessee, account, grant)
 
     @staticmethod
-    def _is_in_turn(
+    def _has_priority(
         account: Account, lessee: ProcessId, request: LeaseRequest, lease: Lease | None, now: float
     ) -> bool:
-        """Whether no other process goes before this lessee.
+        """Whether no other process has priority over this lessee.
 
-        Another does that requested a lease here in vain and may use less, by so much that a lease may change
-        hands. Guards who comes late against those that have acquired all there is to grant, and renew it.
-        Only one lease at a time changes hands: meanwhile it is of no use to anybody.
+        A process whose request was denied here has priority over a lessee that may use more units. A renewal
+        is denied only if the lessee may still use at least as much as that process once the lease has been
+        handed over. Without this rule, processes that acquired all available leases would renew them and
+        leave nothing to a process that comes later. Only one lease at a time is handed over, because no
+        process can use its units until it expires.
         """
         retention_ms = account.limit.terms.grantor_lease_ms
         account.denied_lessees = {
@@ -63,12 +65,12 @@
         amount = 0 if lease is None else lease.amount
         if amount and now < account.handover_until:
             return True
-        someone_is_first = any(
+        another_has_priority = any(
             denied.usable + amount <= request.usable - amount and denied.usable < request.usable
             for process, denied in account.denied_lessees.items()
             if process != lessee
         )
-        if not someone_is_first:
+        if not another_has_priority:
             return True
         if amount:
             account.handover_until = now + retention_ms
--- a/flintridge/leases/lease_manager.py
+++ b/flintridge/leases/lease_manager.py
@@ -1,8 +1,8 @@
-"""One process's leases of all fleet-wide limits: what it needs, from whom it requests it, what it may use.
+"""One process's leases of all fleet-wide limits: its demand, its requests and grants, and its usable amounts.
 
-A state machine without I/O over the allocations, which keep the limits whatever this one does: it only
-chooses. Its messages are one topic of the peers' datagrams; nothing waits for a response. Times are float
-milliseconds of the process's own clock; amounts at the public interface are multiples of an even fraction.
+A state machine without I/O. It only chooses leases; the allocations enforce the limits whatever it chooses.
+Its messages are one topic of the peers' datagrams, and nothing waits for a response. Times are float
+milliseconds of the process's own clock; amounts in the public interface are multiples of an even fraction.
 """
 
 import math
@@ -26,10 +26,10 @@
 from flintridge.leases.messages import (
     MAX_MESSAGES,
     MAX_OFFERS,
-    LeaseFact,
     LeaseGrant,
     LeaseMessage,
     LeaseOffer,
+    LeasePayload,
     LeaseRelease,
     LeaseRequest,
     LimitMessage,
@@ -39,7 +39,8 @@
 from flintridge.leases.outbox import Outbox
 from flintridge.membership.member import Member
 
-# Limits of which a node needs as much as its request rate is to the mean of all that are reachable.
+# Limits for which a node's demand, in even fractions, is its request rate over the mean rate of all reachable
+# nodes.
 LIMITS_BY_REQUEST_RATE = (FLOORS, SLOW_START, RETRIES)
 REQUEST_RATE_MAX_AGE_MS = 20_000.0
 
@@ -51,19 +52,19 @@
 
 
 def _ignore_event(event: str, **fields: object) -> None:
-    """Log nothing."""
+    """Ignore the event, where no log is given."""
 
 
 class LeaseManager:
     """The leases of one process.
 
     Attributes:
-        name: Of its topic in the peers' datagrams.
-        bytes_per_s: What the topic may send.
-        accounts: The limits, by name.
-        counts: What happened since the start, by the names that GET /admin/budgets gives.
-        requests_per_s: Requests a second here, as last reported.
-        shutting_down: Whether this process shuts down.
+        name: Name of the topic in the peers' datagrams.
+        bytes_per_s: Bytes a second that the topic may send.
+        accounts: Account of each limit, by the limit's name.
+        counts: Number of events of each kind since the start, by the names that GET /admin/budgets shows.
+        requests_per_s: Request rate of this process in requests a second, as last reported.
+        shutting_down: Whether this process is shutting down.
     """
 
     name = "budgets"
@@ -82,12 +83,12 @@
 
         Args:
             peers: Names of the other nodes.
-            limits: The limits that are leased.
-            bytes_per_s: What the topic may send.
-            now: The instant.
-            rng: Draws whom to ask.
-            log_event: Called with an event's name and fields, for what operators should see.
-            make_allocation: Makes the allocation of a limit from its terms and the instant.
+            limits: The leased limits.
+            bytes_per_s: Bytes a second that the topic may send.
+            now: The current time.
+            rng: Randomizes the choice of grantors.
+            log_event: Called with the name and the fields of each event that operators should see.
+            make_allocation: Creates the allocation of a limit from its terms and the current time.
         """
         self.bytes_per_s = bytes_per_s
         self.accounts = {limit.name: Account(limit, make_allocation(limit.terms, now)) for limit in limits}
@@ -103,50 +104,50 @@
         self._lessee = Lessee(rng, self._send, self.counts, log_event)
         self._grantor = Grantor(self._send, self.counts)
 
-    # What may be used
+    # Usable amounts
 
     def usable(self, name: str, now: float) -> float:
-        """What may be used of that limit at this instant, in even fractions."""
+        """Amount of a limit that may be used at `now`, in even fractions."""
         return self.accounts[name].allocation.usable(now) / EVEN_FRACTION_UNITS
 
-    def usable_after_leases(self, name: str, now: float) -> float:
-        """What may be used of it at any later instant if no message comes, in even fractions."""
-        return self.accounts[name].allocation.usable_after_leases(now) / EVEN_FRACTION_UNITS
+    def usable_without_leases(self, name: str, now: float) -> float:
+        """Amount that may be used at any later time, even if no message arrives, in even fractions."""
+        return self.accounts[name].allocation.usable_without_leases(now) / EVEN_FRACTION_UNITS
 
     def first_expiry(self, now: float) -> float:
-        """When the first acquired lease expires; infinite if there is none."""
+        """Time at which the first acquired lease expires; infinite if there is none."""
         return min(
             (account.allocation.first_expiry(now) for account in self.accounts.values()), default=math.inf
         )
 
-    # What is needed
+    # Demand
 
     def set_demand(self, name: str, even_fractions: float) -> None:
-        """Report how much of that limit is needed here."""
+        """Set this process's demand for a limit, in even fractions."""
         account = self.accounts[name]
         account.demand = min(even_fractions, account.limit.nodes) * EVEN_FRACTION_UNITS
 
     def track_usage(self, name: str, in_use: Callable[[], float]) -> None:
-        """Let `in_use` say how much of that limit, in even fractions, is taken up at an instant.
+        """Register `in_use`, which returns how much of a limit is in use, in even fractions.
 
-        For permits, which come free only when what was begun with them has ended.
+        For limits on permits: a permit is freed only when the attempt that uses it has ended.
         """
         self.accounts[name].in_use = lambda: in_use() * EVEN_FRACTION_UNITS
 
-    # Time, and processes that come and go
+    # The timer, the shutdown, and a second process of this node
 
     def tick(self, now: float) -> None:
-        """Do all that is due; to be called every 50 ms or so."""
+        """Do all that is due. Call it about every 50 ms."""
         if not self.shutting_down:
             self._set_demand_by_request_rate(now)
         for account in self.accounts.values():
             self._lessee.tick(account, now)
 
     def begin_shutdown(self, now: float) -> None:
-        """This process shuts down.
+        """Begin the shutdown of this process.
 
-        What is acquired is released as soon as nothing takes it up, and its own entitlement is granted beyond
-        its floor, until the leases expire.
+        Acquired leases are released as soon as their units are not in use. The entitlement beyond the floor
+        may be granted to others, for the duration of their leases.
         """
         self.shutting_down = True
         for account in self.accounts.values():
@@ -157,13 +158,13 @@
             self._lessee.release_surplus(account, now)
 
     def process_joined(self, now: float, notice_ms: float = 0.0) -> None:
-        """Another process of this node runs; see `Allocation.process_joined`."""
+        """Record that a second process of this node runs; see `Allocation.process_joined`."""
         for account in self.accounts.values():
             account.allocation.process_joined(now, notice_ms)
         self._log_event("leases_process_joined")
 
     def process_left(self, now: float) -> None:
-        """This process is the node's only one again."""
+        """Record that this process is the node's only one again."""
         for account in self.accounts.values():
             account.allocation.process_left(now)
         self._log_event("leases_process_left")
@@ -182,15 +183,15 @@
     # The topic of the peers' datagrams
 
     def receivers(self) -> list[ProcessId]:
-        """Processes for which there are messages, which need not wait for the next datagram."""
+        """Processes with queued messages, which may be sent before the next regular datagram."""
         return self._outbox.receivers()
 
     def drop_messages(self, peer: ProcessId) -> None:
-        """Drop the messages to a process that is not reachable (any more), as a datagram would be lost."""
+        """Drop the messages queued for an unreachable process; a datagram to it would be lost as well."""
         self._outbox.drop(peer)
 
     def payload_for(self, now: float, to: Member, max_bytes: int) -> bytes | None:
-        """The fact for a datagram to that process, in at most `max_bytes` bytes; None if there is none."""
+        """The payload of a datagram to a process, of at most `max_bytes` bytes; None if there is none."""
         peer = ProcessId(to.name, to.incarnation)
         messages = self._outbox.queued_for(peer)[:MAX_MESSAGES]
         offers = self._offers(now)
@@ -207,15 +208,15 @@
         return data
 
     def receive_payload(self, now: float, name: str, incarnation: int, as_of: float, data: bytes) -> None:
-        """Take in the fact of a peer's datagram, which was said at `as_of` or later."""
-        fact = decode(data)
-        if fact is None or name not in self._peers:
+        """Apply the payload of a peer's datagram, which was sent at `as_of` or later."""
+        payload = decode(data)
+        if payload is None or name not in self._peers:
             self.counts["malformed"] += 1
             return
-        self._peer_rates[name] = _ReportedRate(fact.requests_per_s, as_of)
-        self._receive_offers(name, incarnation, as_of, fact.offers)
+        self._peer_rates[name] = _ReportedRate(payload.requests_per_s, as_of)
+        self._receive_offers(name, incarnation, as_of, payload.offers)
         sender = ProcessId(name, incarnation)
-        for limit_message in fact.messages:
+        for limit_message in payload.messages:
             account = self._accounts_by_digest.get(limit_message.limit_digest)
             if account is None:
                 self.counts["refused_terms"] += 1
@@ -224,7 +225,7 @@
                 self.receive(account, sender, limit_message.message, now)
 
     def receive(self, account: Account, sender: ProcessId, message: LeaseMessage, now: float) -> None:
-        """Take in a message about the limit of `account`."""
+        """Apply a message about the limit of `account`."""
         match message:
             case LeaseRequest():
                 self._grantor.on_request(account, sender, message, now)
@@ -246,13 +247,21 @@
                 limit_account.offers[grantor] = Offer(incarnation, offer.amount, as_of)
 
     def _on_differing_terms(self, peer: str) -> None:
-        """Guards the sum: a fraction of a limit of another size is not the same amount."""
+        """Log, once for each peer, that its limits or their terms differ from those of this process.
+
+        Nothing is leased then: a fraction of a limit of another size is another amount, and the sum could
+        exceed the limit.
+        """
         if peer not in self._peers_with_differing_terms:
             self._peers_with_differing_terms.add(peer)
             self._log_event("lease_terms_differ", peer=peer)
 
     def _offers(self, now: float) -> list[LeaseOffer]:
-        """What can be granted. Who has granted all offers what little is left, to be asked all the same."""
+        """The amounts that can be granted.
+
+        A process that has granted leases also offers what little is left, so that others still request leases
+        from it.
+        """
         offers = []
         for digest, account in self._accounts_by_digest.items():
             amount = account.grantable(now)
@@ -261,7 +270,7 @@
         return offers[:MAX_OFFERS]
 
     def _encode(self, offers: list[LeaseOffer], messages: list[LimitMessage]) -> bytes:
-        return encode(LeaseFact(round(self.requests_per_s, 1), tuple(offers), tuple(messages)))
+        return encode(LeasePayload(round(self.requests_per_s, 1), tuple(offers), tuple(messages)))
 
     def _send(self, peer: ProcessId, account: Account, message: LeaseMessage) -> None:
         self._outbox.add(peer, LimitMessage(account.limit.digest, message))
--- a/flintridge/leases/lessee.py
+++ b/flintridge/leases/lessee.py
@@ -1,4 +1,4 @@
-"""How a process acquires leases: whom it asks for how much, which leases it renews, and which it releases."""
+"""How a process acquires leases: from whom it requests how much, and which leases it renews and releases."""
 
 import math
 from collections import Counter
@@ -10,15 +10,15 @@
 from flintridge.leases.allocation import AcquiredLeaseKey, ProcessId
 from flintridge.leases.messages import LeaseGrant, LeaseMessage, LeaseRequest
 
-MAX_LEASE_UNITS = 250  # of one lease: a grantor gets its entitlement back in pieces
-MAX_PENDING_REQUESTS = 4  # of one limit
-RETRY_INTERVAL_MS = 300.0  # between attempts of a request, and of a renewal
+MAX_LEASE_UNITS = 250  # in one lease; with small leases a grantor regains its entitlement gradually
+MAX_PENDING_REQUESTS = 4  # for each limit
+RETRY_INTERVAL_MS = 300.0  # between attempts of a request or of a renewal
 MAX_REQUEST_ATTEMPTS = 3
-# Between requests to grantors that have nothing left: so they learn who goes without.
+# Between requests to grantors that have nothing left to grant. The requests show which processes lack units.
 EXHAUSTED_INTERVAL_MS = 1_000.0
-RENEW_AT_FRACTION = 0.5  # of the time for which a lease may be used
+RENEW_AT_FRACTION = 0.5  # of the time for which a lease may be used, `usable_ms`
 OFFER_MAX_AGE_MS = 10_000.0
-REQUEST_THRESHOLD = 0.9  # more is requested where this fraction of what may be used is needed
+REQUEST_THRESHOLD = 0.9  # leases are requested if the demand reaches this fraction of the usable units
 
 
 @dataclass(slots=True, frozen=True)
@@ -28,7 +28,7 @@
 
 
 class Lessee:
-    """Requests, renews and releases leases. Keeps no state of its own: that is in the accounts."""
+    """Requests, renews and releases leases. The accounts hold all state; this class has none of its own."""
 
     def __init__(
         self,
@@ -40,10 +40,10 @@
         """Create a lessee.
 
         Args:
-            rng: Draws whom to ask.
+            rng: Randomizes the choice of grantors.
             send: Sends a message about an account's limit to a process.
-            counts: Where requests and their outcomes are counted.
-            log_event: Called with an event's name and fields.
+            counts: Counts requests and their outcomes.
+            log_event: Called with the name and the fields of each event that operators should see.
         """
         self._rng = rng
         self._send = send
@@ -51,7 +51,7 @@
         self._log_event = log_event
 
     def tick(self, account: Account, now: float) -> None:
-        """Do all that is due; a process that shuts down requests and renews nothing."""
+        """Do all that is due. A process that is shutting down requests and renews nothing."""
         self._remove_expired(account, now)
         self._repeat_requests(account, now)
         self.release_surplus(account, now)
@@ -60,7 +60,7 @@
             self._request_missing(account, now)
 
     def cancel(self, account: Account, key: AcquiredLeaseKey) -> None:
-        """End a lease, or take back a request."""
+        """End a lease, or cancel a request."""
         pending = account.pending.pop(key, None)
         incarnation = account.forget_lease(key)
         if pending is not None:
@@ -79,7 +79,7 @@
                 self.cancel(account, key)
 
     def on_grant(self, account: Account, grantor: ProcessId, grant: LeaseGrant, now: float) -> None:
-        """Take in a grant, or a denial."""
+        """Apply a grant, or a denial: a grant of 0 units."""
         key = AcquiredLeaseKey(grantor.name, grant.lease_id)
         if grant.amount == 0:
             self._on_denial(account, key)
@@ -166,9 +166,9 @@
         self._counts["asked"] += 1
 
     def _draw_grantors(self, account: Account, now: float) -> list[_GrantorOffer]:
-        """Offers that still count in a random order, larger ones likelier first.
+        """The offers that have not expired, in random order; larger ones are more likely to come first.
 
-        Guards the grantor with the largest offer against all who need.
+        The random order keeps all lessees from requesting from the grantor with the largest offer at once.
         """
         pending_grantors = {key.grantor for key in account.pending}
         account.offers = {
--- a/flintridge/leases/messages.py
+++ b/flintridge/leases/messages.py
@@ -1,8 +1,9 @@
 """Messages by which processes lease fractions of fleet-wide limits, and their encoding.
 
-All that one process has for another travels as one fact of the peers' datagrams. A limit is named by four
-bytes that stand for its name and all of its terms: processes that are configured with another size, another
-number of nodes or another lease do not mean the same by a fraction of it, and lease one another nothing.
+All messages for one receiver travel as one payload in a datagram between peers. A limit is identified by a
+digest of four bytes, made of its name, its size and its terms except the floor. A fraction of the limit is a
+different amount for processes that are configured with another size, number of nodes or lease; their digests
+differ, and they lease one another nothing.
 """
 
 from dataclasses import dataclass
@@ -12,12 +13,12 @@
 import msgspec
 from msgspec import Meta
 
-MAX_OFFERS = 64  # of one fact
-MAX_MESSAGES = 32  # of one fact
+MAX_OFFERS = 64  # in one payload
+MAX_MESSAGES = 32  # in one payload
 
 
 class MessageKind(IntEnum):
-    """The kinds of lease messages, as they are numbered on the wire."""
+    """The kinds of lease messages, with their numbers on the wire."""
 
     REQUEST = 0
     GRANT = 1
@@ -26,13 +27,13 @@
 
 @dataclass(slots=True, frozen=True)
 class LeaseRequest:
-    """Asks for a lease; repeated with a later timestamp it renews lease `lease_id`, whose amount stays.
+    """Requests a lease. Repeated with a later timestamp, it renews lease `lease_id` with the same amount.
 
     Attributes:
-        lease_id: Numbers the lease; never used again by one incarnation of the lessee.
-        amount: Units that are asked for.
-        requested_at: When, in milliseconds of the lessee's clock; the grant repeats it.
-        usable: Units that the lessee may use now, by which a grantor chooses who gets a lease.
+        lease_id: Number of the lease, which one incarnation of the lessee never uses twice.
+        amount: Requested units.
+        requested_at: Time of the request in milliseconds of the lessee's clock; the grant repeats it.
+        usable: Units that the lessee may use now; the grantor decides by them which lessee has priority.
     """
 
     lease_id: int
@@ -43,12 +44,12 @@
 
 @dataclass(slots=True, frozen=True)
 class LeaseGrant:
-    """Grants a request.
+    """Grants or denies a request.
 
     Attributes:
-        lease_id: That of the request.
-        amount: Units that are granted; 0 denies the request.
-        requested_at: That of the request.
+        lease_id: The `lease_id` of the request.
+        amount: Granted units; 0 denies the request.
+        requested_at: The `requested_at` of the request.
     """
 
     lease_id: int
@@ -58,7 +59,7 @@
 
 @dataclass(slots=True, frozen=True)
 class LeaseRelease:
-    """Ends a lease: the lessee uses nothing of it any more."""
+    """Ends a lease, which the lessee no longer uses."""
 
     lease_id: int
 
@@ -68,7 +69,7 @@
 
 @dataclass(slots=True, frozen=True)
 class LimitMessage:
-    """A message and the digest of the limit that it is about."""
+    """A message, and the digest of the limit to which it applies."""
 
     limit_digest: bytes
     message: LeaseMessage
@@ -76,20 +77,20 @@
 
 @dataclass(slots=True, frozen=True)
 class LeaseOffer:
-    """How many units of a limit the sender can grant."""
+    """The number of units of a limit that the sender can grant."""
 
     limit_digest: bytes
     amount: int
 
 
 @dataclass(slots=True, frozen=True)
-class LeaseFact:
-    """All that one datagram carries about leases.
+class LeasePayload:
+    """All that one datagram contains about leases.
 
     Attributes:
-        requests_per_s: Requests a second at the sender, lately.
-        offers: What it can grant.
-        messages: Its messages to the receiver.
+        requests_per_s: Recent request rate of the sender, in requests a second.
+        offers: Amounts that the sender can grant.
+        messages: Messages of the sender to the receiver.
     """
 
     requests_per_s: float
@@ -115,8 +116,8 @@
     usable: _Units
 
 
-class _WireFact(msgspec.Struct, array_like=True, frozen=True, gc=False):
-    """A fact as it is encoded. What a later version adds stands at the end, where this one does not look."""
+class _WirePayload(msgspec.Struct, array_like=True, frozen=True, gc=False):
+    """A payload as it is encoded. Later versions append fields, which this version ignores."""
 
     requests_per_s: Annotated[float, Meta(ge=0, le=1e9)]
     offers: Annotated[tuple[_WireOffer, ...], Meta(max_length=MAX_OFFERS)] = ()
@@ -124,27 +125,27 @@
 
 
 _encoder = msgspec.msgpack.Encoder()
-_decoder = msgspec.msgpack.Decoder(_WireFact)
+_decoder = msgspec.msgpack.Decoder(_WirePayload)
 
 
-def encode(fact: LeaseFact) -> bytes:
-    """The fact as msgpack."""
+def encode(payload: LeasePayload) -> bytes:
+    """Encode a payload as msgpack."""
     return _encoder.encode(
-        _WireFact(
-            fact.requests_per_s,
-            tuple(_WireOffer(offer.limit_digest, offer.amount) for offer in fact.offers),
-            tuple(_to_wire(message) for message in fact.messages),
+        _WirePayload(
+            payload.requests_per_s,
+            tuple(_WireOffer(offer.limit_digest, offer.amount) for offer in payload.offers),
+            tuple(_to_wire(message) for message in payload.messages),
         )
     )
 
 
-def decode(data: bytes) -> LeaseFact | None:
-    """The fact that `encode` made into these bytes; None if they are malformed."""
+def decode(data: bytes) -> LeasePayload | None:
+    """Decode a payload; None if it is malformed."""
     try:
         wire = _decoder.decode(data)
     except (msgspec.MsgspecError, UnicodeDecodeError, RecursionError):
         return None
-    return LeaseFact(
+    return LeasePayload(
         wire.requests_per_s,
         tuple(LeaseOffer(offer.limit_digest, offer.amount) for offer in wire.offers),
         tuple(_from_wire(message) for message in wire.messages),
--- a/flintridge/leases/outbox.py
+++ b/flintridge/leases/outbox.py
@@ -1,4 +1,4 @@
-"""Lease messages that wait for the next datagram to their receiver."""
+"""Lease messages that are queued for the next datagram to their receiver."""
 
 from dataclasses import dataclass, field
 from typing import NamedTuple
@@ -8,7 +8,7 @@
 
 
 class _Slot(NamedTuple):
-    """What a newer message replaces the older one of."""
+    """Identifies messages of which only the newest is kept."""
 
     limit_digest: bytes
     kind: type[LeaseMessage]
@@ -17,14 +17,14 @@
 
 @dataclass(slots=True)
 class Outbox:
-    """For each receiver the newest message of each kind, limit and lease, oldest first."""
+    """For each receiver, the newest message of each kind, limit and lease, with the oldest message first."""
 
     _queued: dict[ProcessId, dict[_Slot, LimitMessage]] = field(default_factory=dict)
 
     def add(self, receiver: ProcessId, limit_message: LimitMessage) -> None:
-        """Queue a message; the oldest is dropped where there are more than MAX_MESSAGES.
+        """Queue a message; if the receiver then has more than MAX_MESSAGES, drop the oldest.
 
-        A dropped message is lost like any other: requests are repeated, leases expire.
+        A dropped message has the same effect as a lost datagram: requests are repeated, and leases expire.
         """
         queued = self._queued.setdefault(receiver, {})
         queued[_slot(limit_message)] = limit_message
@@ -32,11 +32,11 @@
             queued.pop(next(iter(queued)))
 
     def queued_for(self, receiver: ProcessId) -> list[LimitMessage]:
-        """The messages to that process, oldest first."""
+        """The messages queued for a process, oldest first."""
         return list(self._queued.get(receiver, {}).values())
 
     def mark_sent(self, receiver: ProcessId, sent: list[LimitMessage]) -> None:
-        """Drop messages that are in a datagram now."""
+        """Remove messages that were put into a datagram."""
         queued = self._queued.get(receiver, {})
         for limit_message in sent:
             queued.pop(_slot(limit_message), None)
@@ -44,11 +44,11 @@
             self._queued.pop(receiver, None)
 
     def receivers(self) -> list[ProcessId]:
-        """Processes for which there are messages."""
+        """The processes with queued messages."""
         return list(self._queued)
 
     def drop(self, receiver: ProcessId) -> None:
-        """Drop all messages to that process."""
+        """Drop all messages queued for a process."""
         self._queued.pop(receiver, None)
 
 
--- a/flintridge/leases/status.py
+++ b/flintridge/leases/status.py
@@ -1,7 +1,6 @@
 """The status of one limit, as GET /admin/budgets shows it.
 
-The encoded names are those that clients of the admin API read; amounts are in even fractions where nothing
-else is said.
+The encoded names are part of the admin API. Amounts are in even fractions unless stated otherwise.
 """
 
 from typing import Any
@@ -15,7 +14,7 @@
 class GrantedLeaseStatus(
     msgspec.Struct, frozen=True, kw_only=True, rename={"lessee": "to", "incarnation": "life"}
 ):
-    """A lease that another process has from this one."""
+    """A lease that this process granted to another one."""
 
     lessee: str
     incarnation: str  # hexadecimal
@@ -24,7 +23,7 @@
 
 
 class AcquiredLeaseStatus(msgspec.Struct, frozen=True, kw_only=True, rename={"grantor": "from"}):
-    """A lease that this process has from another one."""
+    """A lease that this process acquired from another one."""
 
     grantor: str
     amount: float
@@ -53,18 +52,18 @@
     entitlement: float
     usable: float
     demand: float
-    used: float  # of late, in `unit`
+    used: float  # recent use, in `unit`
     granted: list[GrantedLeaseStatus]
     acquired: list[AcquiredLeaseStatus]
 
 
 def limit_status(account: Account, used: float, now: float) -> dict[str, Any]:
-    """The JSON object of a limit.
+    """Build the JSON object of a limit.
 
     Args:
-        account: The limit at this process.
-        used: What was used of late, in the limit's unit.
-        now: The instant, in milliseconds of the process's clock.
+        account: Account of the limit at this process.
+        used: Recent use of the limit, in its unit.
+        now: The current time in milliseconds of the process's clock.
     """
     limit = account.limit
     allocation = account.allocation
--- a/tests/leases/test_allocation.py
+++ b/tests/leases/test_allocation.py
@@ -1,4 +1,4 @@
-"""Allocations: the sum over all processes in every interleaving, planted defects, each clause of the rule."""
+"""Allocations: the usable sum in every interleaving, planted defects, and each clause of the invariant."""
 
 import random
 from dataclasses import dataclass, replace
@@ -19,12 +19,12 @@
 
 
 def two_allocations() -> tuple[Allocation, Allocation]:
-    """Two that started long ago."""
+    """Two allocations of processes that started long ago."""
     return Allocation(TERMS, LONG_AGO), Allocation(TERMS, LONG_AGO)
 
 
 def granted_lease(amount=60, now=0.0) -> tuple[Allocation, Allocation, LeaseGrant]:
-    """The grantor, the lessee and the grant of a lease."""
+    """Grant a lease; return the grantor, the lessee and the grant."""
     grantor, lessee = two_allocations()
     grant = grantor.receive(now, B, lessee.request(now, "a", amount))
     lessee.receive(now, A, grant)
@@ -33,7 +33,7 @@
 
 # Every interleaving
 
-NONE = {
+NO_STEPS = {
     "requests": 0,
     "renewals": 0,
     "losses": 0,
@@ -53,15 +53,15 @@
     ],
 )
 def test_usable_sum_in_every_interleaving_never_exceeds_the_limit(speeds, left, states):
-    """The longer searches are a command: benchmarks/lease_search.py."""
-    found = explore(LeaseState.begin(speeds, RemainingSteps(**NONE | left)))
+    """The longer searches are in benchmarks/lease_search.py."""
+    found = explore(LeaseState.begin(speeds, RemainingSteps(**NO_STEPS | left)))
     assert found.is_complete, found.path
     assert not found.violation, found.path
     assert found.states > states
 
 
-# What has to happen for a defect to show; two processes and a request do for most.
-EVENTS_THAT_SHOW = {
+# Steps that a defect needs to show its effect. For the others, two processes and one request are enough.
+STEPS_THAT_EXPOSE = {
     "LeasesForgotten": {"requests": 1, "restarts": 1},
     "NoFloor": {"requests": 1, "restarts": 1},
     "DuplicateGrantCountsTwice": {"requests": 1, "duplicates": 1},
@@ -74,18 +74,18 @@
 
 
 @pytest.mark.parametrize("defect", LEASE_DEFECTS, ids=lambda defect: defect.__name__)
-def test_explorer_with_a_planted_defect_finds_it_with_its_story(defect):
+def test_explorer_when_a_defect_is_planted_finds_it_and_the_path_to_it(defect):
     speeds = (4.0, 6.0, 6.0) if defect.__name__ == "AnotherIncarnationsLeaseEnds" else (4.0, 6.0)
-    left = RemainingSteps(**NONE | EVENTS_THAT_SHOW.get(defect.__name__, {"requests": 1}))
+    left = RemainingSteps(**NO_STEPS | STEPS_THAT_EXPOSE.get(defect.__name__, {"requests": 1}))
     found = explore(LeaseState.begin(speeds, left, build=defect))
     assert defect.__doc__
     assert found.violation, (defect.__doc__, found.states)
     assert found.path, (defect.__doc__, found.states)
-    sound = explore(LeaseState.begin(speeds, left), max_states=3 * found.states)
-    assert not sound.violation
+    without_defect = explore(LeaseState.begin(speeds, left), max_states=3 * found.states)
+    assert not without_defect.violation
 
 
-# Clause by clause
+# Each clause
 
 
 def test_lease_when_granted_moves_units_beyond_the_floor_until_it_expires():
@@ -93,7 +93,7 @@
     assert grant.amount == 60
     assert (grantor.usable(0), lessee.usable(0)) == (40, 160)
     assert (grantor.usable(999), lessee.usable(999)) == (40, 160)
-    assert (grantor.usable(1001), lessee.usable(1001)) == (40, 100)  # the lessee's expires first
+    assert (grantor.usable(1001), lessee.usable(1001)) == (40, 100)  # the lease expires at the lessee first
     assert grantor.usable(TERMS.grantor_lease_ms) == 100
     assert grantor.grantable(0) == 0
     assert grantor.receive(0.0, B, LeaseRequest(9, 5, 0.0)) is None
@@ -111,23 +111,23 @@
     request = lessee.request(0.0, "a", 60)
     grantor.receive(0.0, B, request)
     assert (grantor.usable(10), lessee.usable(10)) == (40, 100)
-    again = grantor.receive(500.0, B, replace(request, requested_at=400.0))
-    lessee.receive(600.0, A, again)
-    assert again.amount == 60
+    repeated_grant = grantor.receive(500.0, B, replace(request, requested_at=400.0))
+    lessee.receive(600.0, A, repeated_grant)
+    assert repeated_grant.amount == 60
     assert lessee.usable(1399) == 160
     assert lessee.usable(1400) == 100
     assert grantor.usable(500 + TERMS.grantor_lease_ms - 1) == 40
 
 
-def test_grant_that_is_late_unrequested_or_of_a_released_lease_counts_nothing():
+def test_grant_that_is_late_unrequested_or_of_a_released_lease_is_ignored():
     grantor, lessee, grant = granted_lease()
-    late = Allocation(TERMS, LONG_AGO)
-    late.request(0.0, "a", 60)
-    late.receive(1000.0, A, grant)
-    assert late.usable(1000.0) == 100
-    stranger = Allocation(TERMS, LONG_AGO)
-    stranger.receive(0.0, A, grant)
-    assert stranger.usable(0.0) == 100
+    late_lessee = Allocation(TERMS, LONG_AGO)
+    late_lessee.request(0.0, "a", 60)
+    late_lessee.receive(1000.0, A, grant)
+    assert late_lessee.usable(1000.0) == 100
+    without_request = Allocation(TERMS, LONG_AGO)
+    without_request.receive(0.0, A, grant)
+    assert without_request.usable(0.0) == 100
     assert lessee.release("a", 1) == LeaseRelease(1)
     assert lessee.usable(1.0) == 100
     lessee.receive(2.0, A, grant)
@@ -155,14 +155,14 @@
         node_usable = old.usable(now) + new.usable(now)
         assert node_usable + other.usable(now) <= 200, now
     assert old.grantable(3_000) == 0
-    new.process_left(4_000.0)  # the old one has exited: what it lent is not known here
+    new.process_left(4_000.0)  # the old process has exited, and its granted leases are unknown here
     assert new.usable(4_000.0) == 40
     assert new.usable(4_000.0 + TERMS.grantor_lease_ms) == 100
 
 
 @dataclass(frozen=True)
 class InFlight:
-    """A message on its way."""
+    """A message in flight."""
 
     arrives_at: float
     receiver: str
@@ -171,16 +171,16 @@
 
 
 class RandomFleet:
-    """Five processes that lease at random, on links that lose, double and delay."""
+    """Five processes that lease at random, over links that lose, duplicate and delay messages."""
 
     names = "abcde"
 
     def __init__(self, seed):
-        """Draws the clocks, and all that follows, from the seed."""
+        """Draw the clocks and all later choices from the seed."""
         rng = random.Random(seed)
         self.rng = rng
-        self.rates = {name: 1 + 0.02 * rng.uniform(-1, 1) for name in self.names}
-        self.offsets = {name: rng.uniform(0, 1e6) for name in self.names}
+        self.clock_rates = {name: 1 + 0.02 * rng.uniform(-1, 1) for name in self.names}
+        self.clock_offsets = {name: rng.uniform(0, 1e6) for name in self.names}
         self.incarnations = dict.fromkeys(self.names, 1)
         self.now = 0.0
         self.allocations = {name: Allocation(TERMS, LONG_AGO) for name in self.names}
@@ -188,43 +188,45 @@
         self.in_flight: list[InFlight] = []
 
     def clock(self, name):
-        """What that process's clock shows."""
-        return self.offsets[name] + self.now * self.rates[name]
+        """Time by the clock of a process."""
+        return self.clock_offsets[name] + self.now * self.clock_rates[name]
 
     def usable(self):
-        """What each process may use, stopped or not."""
-        return {name: one.usable(self.clock(name)) for name, one in self.allocations.items()}
+        """Units that each process may use, whether or not it is stopped."""
+        return {name: allocation.usable(self.clock(name)) for name, allocation in self.allocations.items()}
 
     def step(self):
-        """Time goes on, messages arrive, one process does something."""
+        """Advance the time, deliver messages, and let one process act."""
         self.now += self.rng.uniform(0, 20)
         self.stopped_until = {name: until for name, until in self.stopped_until.items() if until > self.now}
-        due = [one for one in self.in_flight if one.arrives_at <= self.now]
-        for one in due:
-            if one.receiver not in self.stopped_until:
-                self.deliver(one)
+        due = [message for message in self.in_flight if message.arrives_at <= self.now]
+        for message in due:
+            if message.receiver not in self.stopped_until:
+                self.deliver(message)
         name = self.rng.choice(self.names)
         if name not in self.stopped_until:
             self.act(name)
 
-    def deliver(self, one):
-        """A message arrives; its response is sent."""
-        self.in_flight.remove(one)
-        name = one.receiver
+    def deliver(self, delivery):
+        """Deliver a message, and send the response."""
+        self.in_flight.remove(delivery)
+        name = delivery.receiver
         demand = self.rng.choice((0, 50, 90))
-        response = self.allocations[name].receive(self.clock(name), one.sender, one.message, demand=demand)
+        response = self.allocations[name].receive(
+            self.clock(name), delivery.sender, delivery.message, demand=demand
+        )
         if response is not None:
-            self.send(one.sender.name, name, response)
+            self.send(delivery.sender.name, name, response)
 
     def send(self, receiver, sender, message):
-        """A message leaves; it may be lost, doubled or late."""
+        """Send a message; it may be lost, duplicated or delayed."""
         process = ProcessId(sender, self.incarnations[sender])
         for _ in range(self.rng.choice((0, 1, 1, 1, 1, 2))):
             delay = self.rng.choice((1.0, 20.0, 300.0, 2_000.0)) * self.rng.random()
             self.in_flight.append(InFlight(self.now + delay, receiver, process, message))
 
     def act(self, name):
-        """A process requests, renews or releases, is stopped, or restarts."""
+        """Let a process request, renew or release a lease, be stopped, or restart."""
         allocation = self.allocations[name]
         now = self.clock(name)
         allocation.remove_expired(now)
@@ -241,7 +243,7 @@
             self.incarnations[name] += 1
 
     def renew_or_release(self, name, now):
-        """A process renews or releases one of its leases."""
+        """Let a process renew or release one of its leases."""
         allocation = self.allocations[name]
         key = self.rng.choice(list(allocation.acquired))
         if self.rng.random() < 0.7:
@@ -254,7 +256,7 @@
 
 @pytest.mark.parametrize("seed", range(20))
 def test_usable_sum_on_random_runs_of_five_processes_never_exceeds_the_limit(seed):
-    """Longer stories than the explorer's: thousands of steps, clocks that run apart by 2%."""
+    """Longer runs than the explorer's: thousands of steps, with clocks up to 2% too fast or too slow."""
     fleet = RandomFleet(seed)
     most_usable = 0
     for _ in range(6_000):
@@ -263,7 +265,7 @@
         most_usable = max(most_usable, max(usable.values()))
         assert sum(usable.values()) <= 500, (fleet.now, usable)
         assert min(usable.values()) >= 40, (fleet.now, usable)
-    assert most_usable > 100  # something was lent at all
+    assert most_usable > 100  # some lease was acquired
 
 
 @pytest.mark.parametrize(
--- a/tests/leases/test_demand_meter.py
+++ b/tests/leases/test_demand_meter.py
@@ -1,4 +1,4 @@
-"""The demand for each limit, from the requests and attempts that the core reports."""
+"""The demand for each limit, measured from the requests and attempts that the core reports."""
 
 from types import SimpleNamespace
 
@@ -18,14 +18,14 @@
 
 
 class Endpoints(dict):
-    """Servers by id; whoever is missing is not listed."""
+    """Servers by id; a missing server is not listed."""
 
     def __missing__(self, server):
         raise EndpointNotListedError(server)
 
 
 class Manager:
-    """Records what is reported."""
+    """Records the reported demand."""
 
     def __init__(self) -> None:
         self.requests_per_s = 0.0
@@ -62,7 +62,7 @@
         meter.on_new_request(0)
         meter.on_new_request(1)
     meter.report(1_000.0, manager)
-    # Half of the rate of a second, as the faster average has it.
+    # After a second, the half-life of the fast average, the estimate is half of the true rate.
     assert manager.demand[QUOTA] == pytest.approx(2.0)
     assert manager.requests_per_s == pytest.approx(100.0)
     assert meter.used(QUOTA) == pytest.approx(50.0)
--- a/tests/leases/test_lease_manager.py
+++ b/tests/leases/test_lease_manager.py
@@ -1,4 +1,4 @@
-"""The lease manager: whom a process asks, what it releases, its messages; then runs on links that fail."""
+"""The lease manager: its requests, releases and messages, and runs of several processes over faulty links."""
 
 import random
 from dataclasses import replace
@@ -24,9 +24,9 @@
 from flintridge.leases.lessee import MAX_LEASE_UNITS, MAX_REQUEST_ATTEMPTS, RETRY_INTERVAL_MS
 from flintridge.leases.messages import (
     MAX_MESSAGES,
-    LeaseFact,
     LeaseGrant,
     LeaseOffer,
+    LeasePayload,
     LeaseRelease,
     LeaseRequest,
     LimitMessage,
@@ -42,7 +42,7 @@
 def lease_manager(
     *peers: str, nodes: int = 2, terms: LeaseTerms = TERMS, seed: int = 1, names=(QUOTA,), log_event=None
 ) -> LeaseManager:
-    """A manager of limits of these names, long after its start."""
+    """Create a manager of limits with these names that started long ago."""
     limits = tuple(FleetLimit(name, 100.0 * nodes, "requests a second", nodes, terms) for name in names)
     return LeaseManager(
         peers, limits, 2_000.0, LONG_AGO, random.Random(seed), log_event or (lambda event, **fields: None)
@@ -50,30 +50,30 @@
 
 
 def process(name: str) -> SimpleNamespace:
-    """What the peers pass for a process of that name."""
+    """A stand-in for the member that the membership passes for a process."""
     return SimpleNamespace(name=name, incarnation=1)
 
 
-def pass_fact(
+def deliver_payload(
     now: float, source: tuple[str, LeaseManager], target: tuple[str, LeaseManager], max_bytes: int = MAX_BYTES
 ) -> None:
-    """What one has to say reaches the other."""
+    """Deliver the payload of `source` to `target`, if there is one."""
     data = source[1].payload_for(now, process(target[0]), max_bytes)
     if data is not None:
         target[1].receive_payload(now, source[0], 1, now, data)
 
 
 def exchange(now: float, a: tuple[str, LeaseManager], b: tuple[str, LeaseManager], times: int = 4) -> None:
-    """Both tick, and say what they have to say, so many times."""
+    """Let both tick and exchange their payloads, `times` times."""
     for _ in range(times):
-        for one in (a[1], b[1]):
-            one.tick(now)
-        pass_fact(now, a, b)
-        pass_fact(now, b, a)
+        for manager in (a[1], b[1]):
+            manager.tick(now)
+        deliver_payload(now, a, b)
+        deliver_payload(now, b, a)
 
 
 def two_managers(demand_a: float = 1.8, demand_b: float = 0.2, **changes):
-    """Two named managers that hear one another."""
+    """Two named managers that are peers of each other, with these demands."""
     a = "a", lease_manager("b", **changes)
     b = "b", lease_manager("a", **changes)
     a[1].set_demand(QUOTA, demand_a)
@@ -81,7 +81,7 @@
     return a, b
 
 
-# Whom to ask for what
+# Requests, renewals and releases
 
 
 def test_usable_when_a_node_needs_more_grows_by_what_another_does_not_need():
@@ -90,8 +90,8 @@
         exchange(now, a, b, 1)
     assert a[1].usable(QUOTA, 3_000) == pytest.approx(1.72)
     assert b[1].usable(QUOTA, 3_000) == pytest.approx(0.28)
-    # The grantor keeps what it needs, and some more: 0.2 x 1.15 + 0.05.
-    assert a[1].counts["granted"] >= 3  # in chunks
+    # The grantor keeps its demand and a reserve: 0.2 x 1.15 + 0.05.
+    assert a[1].counts["granted"] >= 3  # in several leases
 
 
 def test_lease_while_needed_is_renewed_and_then_released():
@@ -115,9 +115,9 @@
     account = a[1].accounts[QUOTA]
     assert a[1].counts["given_back"] > 10
     assert a[1].counts["renewed"] > 10
-    live = set(account.allocation.acquired)
-    assert set(account.renewal_sent_at) | set(account.grantor_incarnations) | account.unrenewable <= live
-    assert set(account.allocation.requested) <= live | set(account.pending)
+    current = set(account.allocation.acquired)
+    assert set(account.renewal_sent_at) | set(account.grantor_incarnations) | account.unrenewable <= current
+    assert set(account.allocation.requested) <= current | set(account.pending)
 
 
 def test_grantor_when_it_needs_its_entitlement_again_has_it_at_the_expiry():
@@ -136,25 +136,25 @@
 def test_leases_when_demand_varies_by_a_tenth_do_not_move():
     a, b = two_managers(demand_a=1.3, demand_b=0.3)
     rng = random.Random(3)
-    moved = []
+    lease_changes = []
     for now in range(0, 40_000, 50):
         a[1].set_demand(QUOTA, 1.3 * rng.uniform(0.9, 1.1))
         b[1].set_demand(QUOTA, 0.3 * rng.uniform(0.9, 1.1))
         exchange(now, a, b, 1)
-        moved.append((a[1].counts["granted"], a[1].counts["given_back"]))
-    assert moved[200] == moved[-1]
-    assert moved[-1][0] > 0
+        lease_changes.append((a[1].counts["granted"], a[1].counts["given_back"]))
+    assert lease_changes[200] == lease_changes[-1]
+    assert lease_changes[-1][0] > 0
 
 
 def test_request_when_nobody_answers_is_retried_and_then_canceled():
     a, b = two_managers()
     b[1].tick(0.0)
-    pass_fact(0.0, b, a)  # the offer
+    deliver_payload(0.0, b, a)  # the offer
     sent = []
     for now in range(0, int(RETRY_INTERVAL_MS) * (MAX_REQUEST_ATTEMPTS + 2), 50):
         a[1].tick(now)
         if (data := a[1].payload_for(now, process("b"), MAX_BYTES)) is not None:
-            sent += [one.message for one in decode(data).messages]
+            sent += [limit_message.message for limit_message in decode(data).messages]
     ids = {message.lease_id for message in sent}
     assert [type(message) for message in sent if message.lease_id == min(ids)] == [
         *[LeaseRequest] * MAX_REQUEST_ATTEMPTS,
@@ -162,25 +162,25 @@
     ]
     assert a[1].counts["unanswered"] == len(ids)
     assert not a[1].accounts[QUOTA].pending
-    late = encode(
-        LeaseFact(
+    late_grant = encode(
+        LeasePayload(
             0.0,
             (),
             (LimitMessage(a[1].accounts[QUOTA].limit.digest, LeaseGrant(1, MAX_LEASE_UNITS, 0.0)),),
         )
     )
-    a[1].receive_payload(2_000.0, "b", 1, 2_000.0, late)
+    a[1].receive_payload(2_000.0, "b", 1, 2_000.0, late_grant)
     assert a[1].usable(QUOTA, 2_000.0) == 1.0
 
 
 def test_request_when_denied_is_closed_and_the_offer_dropped():
     a, b = two_managers()
     b[1].tick(0.0)
-    pass_fact(0.0, b, a)
+    deliver_payload(0.0, b, a)
     a[1].tick(0.0)
     b[1].set_demand(QUOTA, 2.0)
-    pass_fact(0.0, a, b)
-    pass_fact(0.0, b, a)
+    deliver_payload(0.0, a, b)
+    deliver_payload(0.0, b, a)
     account = a[1].accounts[QUOTA]
     assert a[1].counts["denied"] >= 1
     assert not account.pending
@@ -189,35 +189,37 @@
     assert b[1].usable(QUOTA, 0.0) == 1.0
 
 
-def test_offers_when_several_count_are_drawn_at_random_and_expire():
+def test_offers_when_there_are_several_are_chosen_at_random_and_expire():
     chosen = set()
     for seed in range(20):
-        one = lease_manager("x", "y", "z", nodes=4, seed=seed)
-        one.set_demand(QUOTA, 1.2)
-        digest = one.accounts[QUOTA].limit.digest
+        manager = lease_manager("x", "y", "z", nodes=4, seed=seed)
+        manager.set_demand(QUOTA, 1.2)
+        digest = manager.accounts[QUOTA].limit.digest
         for name in "xyz":
-            one.receive_payload(0.0, name, 1, 0.0, encode(LeaseFact(0.0, (LeaseOffer(digest, 400),))))
-        one.tick(10.0)
-        chosen |= {name for name, _ in one.receivers()}
+            manager.receive_payload(0.0, name, 1, 0.0, encode(LeasePayload(0.0, (LeaseOffer(digest, 400),))))
+        manager.tick(10.0)
+        chosen |= {name for name, _ in manager.receivers()}
     assert chosen == {"x", "y", "z"}
-    old = lease_manager("x")
-    old.set_demand(QUOTA, 2.0)
-    old.receive_payload(0.0, "x", 1, -10_001.0, encode(LeaseFact(0.0, (LeaseOffer(digest, 400),))))
-    old.tick(0.0)
-    assert not old.receivers()
+    with_old_offer = lease_manager("x")
+    with_old_offer.set_demand(QUOTA, 2.0)
+    with_old_offer.receive_payload(
+        0.0, "x", 1, -10_001.0, encode(LeasePayload(0.0, (LeaseOffer(digest, 400),)))
+    )
+    with_old_offer.tick(0.0)
+    assert not with_old_offer.receivers()
 
 
 def test_demand_of_floors_when_peers_report_rates_follows_the_local_rate():
-    one = lease_manager("b", "c", nodes=3, names=(FLOORS,))
-    one.requests_per_s = 300.0
-    one.tick(0.0)
-    assert one.accounts[FLOORS].demand == EVEN_FRACTION_UNITS  # nobody heard: an even fraction
+    manager = lease_manager("b", "c", nodes=3, names=(FLOORS,))
+    manager.requests_per_s = 300.0
+    manager.tick(0.0)
+    assert manager.accounts[FLOORS].demand == EVEN_FRACTION_UNITS  # no peer has reported its rate
     for name, requests_per_s in (("b", 30.0), ("c", 60.0)):
-        one.receive_payload(0.0, name, 1, 0.0, encode(LeaseFact(requests_per_s)))
-    one.tick(50.0)
-    assert one.accounts[FLOORS].demand == pytest.approx(EVEN_FRACTION_UNITS * 300 / 130)
-    one.tick(30_000.0)
-    assert one.accounts[FLOORS].demand == EVEN_FRACTION_UNITS
+        manager.receive_payload(0.0, name, 1, 0.0, encode(LeasePayload(requests_per_s)))
+    manager.tick(50.0)
+    assert manager.accounts[FLOORS].demand == pytest.approx(EVEN_FRACTION_UNITS * 300 / 130)
+    manager.tick(30_000.0)
+    assert manager.accounts[FLOORS].demand == EVEN_FRACTION_UNITS
 
 
 # Permits
@@ -227,11 +229,11 @@
     terms = LeaseTerms(EVEN_FRACTION_UNITS, floor=250, lease_ms=6_000.0, completion_ms=2_500.0)
     a, b = two_managers(terms=terms)
     in_use = {"a": 0.0, "b": 0.9}
-    for name, one in (a, b):
-        one.track_usage(QUOTA, lambda name=name: in_use[name])
+    for name, manager in (a, b):
+        manager.track_usage(QUOTA, lambda name=name: in_use[name])
     for now in range(0, 1_000, 50):
         exchange(now, a, b, 1)
-    assert b[1].usable(QUOTA, 1_000) >= 0.9  # it needs 0.2, but 0.9 are out
+    assert b[1].usable(QUOTA, 1_000) >= 0.9  # its demand is 0.2, but 0.9 are in use
     in_use["b"] = 0.0
     for now in range(1_000, 2_000, 50):
         exchange(now, a, b, 1)
@@ -277,7 +279,9 @@
             LimitMessage(digest, LeaseRequest(1, 100, 0.0)),
             LimitMessage(digest, LeaseGrant(2, 100, 0.0)),
         )
-        a[1].receive_payload(0.0, "b", 1, 0.0, encode(LeaseFact(0.0, (LeaseOffer(digest, 500),), messages)))
+        a[1].receive_payload(
+            0.0, "b", 1, 0.0, encode(LeasePayload(0.0, (LeaseOffer(digest, 500),), messages))
+        )
     assert a[1].counts["refused_terms"] == 4
     assert events == [("lease_terms_differ", {"peer": "b"})]
     assert a[1].usable(QUOTA, 0.0) == 1.0
@@ -304,32 +308,33 @@
 
 @settings(derandomize=True, deadline=None)
 @given(
-    st.binary(max_size=200) | st.builds(lambda fact: encode(fact)[:-1], st.builds(LeaseFact, st.just(1.0)))
+    st.binary(max_size=200)
+    | st.builds(lambda payload: encode(payload)[:-1], st.builds(LeasePayload, st.just(1.0)))
 )
-def test_fact_when_malformed_is_counted_and_changes_nothing(data):
-    one = lease_manager("b")
-    one.receive_payload(0.0, "b", 1, 0.0, data)
-    one.receive_payload(0.0, "stranger", 1, 0.0, encode(LeaseFact(1.0)))
-    assert one.counts["malformed"] >= 1
-    assert one.usable(QUOTA, 0.0) == 1.0
+def test_payload_when_malformed_is_counted_and_changes_nothing(data):
+    manager = lease_manager("b")
+    manager.receive_payload(0.0, "b", 1, 0.0, data)
+    manager.receive_payload(0.0, "stranger", 1, 0.0, encode(LeasePayload(1.0)))
+    assert manager.counts["malformed"] >= 1
+    assert manager.usable(QUOTA, 0.0) == 1.0
 
 
-def test_fact_when_much_is_queued_fits_its_size_and_the_queue_is_bounded():
+def test_payload_when_many_messages_are_queued_fits_its_size_and_the_queue_is_bounded():
     names = tuple(f"quota {i}" for i in range(100))
-    one = lease_manager("b", names=names)
+    manager = lease_manager("b", names=names)
     for name in names:
-        one.set_demand(name, 0.0)
-    for account in one.accounts.values():
+        manager.set_demand(name, 0.0)
+    for account in manager.accounts.values():
         for lease_id in range(3):
-            one.receive(account, ProcessId("b", 1), LeaseRequest(lease_id, 100, 1.0), 0.0)
-    assert one.receivers() == [("b", 1)]
-    assert len(one._outbox.queued_for(ProcessId("b", 1))) <= MAX_MESSAGES
+            manager.receive(account, ProcessId("b", 1), LeaseRequest(lease_id, 100, 1.0), 0.0)
+    assert manager.receivers() == [("b", 1)]
+    assert len(manager._outbox.queued_for(ProcessId("b", 1))) <= MAX_MESSAGES
     for max_bytes in (10, 40, 200, 1_000):
-        data = one.payload_for(0.0, process("b"), max_bytes)
+        data = manager.payload_for(0.0, process("b"), max_bytes)
         assert data is None or len(data) <= max_bytes
-    assert one.payload_for(0.0, process("b"), 1_000) is not None
-    one.drop_messages(ProcessId("b", 1))
-    assert not one.receivers()
+    assert manager.payload_for(0.0, process("b"), 1_000) is not None
+    manager.drop_messages(ProcessId("b", 1))
+    assert not manager.receivers()
 
 
 def test_estimators_when_demand_changes_rise_quickly_and_fall_slowly():
@@ -348,35 +353,35 @@
     assert 3 < peak.value < 7
 
 
-# Processes on links that fail, in virtual time
+# Processes over faulty links, in virtual time
 
 
-def uneven(count: int, seed: int, **given) -> LeaseProcesses:
-    """Nodes of which every other needs 1.8 even fractions, and the rest 0.2."""
-    fleet = LeaseProcesses(count, seed, TERMS, drift=0.01, **given)
+def uneven_fleet(count: int, seed: int, **options) -> LeaseProcesses:
+    """Create nodes of which every other one, from the first on, needs 1.8 even fractions and the rest 0.2."""
+    fleet = LeaseProcesses(count, seed, TERMS, drift=0.01, **options)
     for i, name in enumerate(fleet.names):
         fleet.set_demand(name, 0.2 if i % 2 else 1.8)
     return fleet
 
 
-def crowded(fleet: LeaseProcesses) -> float:
-    """What those that need more may use on average, in even fractions."""
+def mean_busy_usable(fleet: LeaseProcesses) -> float:
+    """Amount that the nodes with the higher demand may use on average, in even fractions."""
     return sum(fleet.usable(name) for name in fleet.names[::2]) / len(fleet.names[::2])
 
 
 @pytest.mark.parametrize("loss", [0.0, 0.3])
-def test_ten_nodes_when_half_are_idle_lease_most_of_that_to_the_others(loss):
-    fleet = uneven(10, 1, link=Link(loss=loss, jitter_ms=2.0))
+def test_ten_nodes_when_half_are_idle_lease_most_of_their_fractions_to_the_others(loss):
+    fleet = uneven_fleet(10, 1, link=Link(loss=loss, jitter_ms=2.0))
     fleet.run(5_000)
     assert all(fleet.usable(name) <= 1.0 for name in fleet.names[1::2])
     fleet.run(15_000)
-    assert crowded(fleet) > 1.55
+    assert mean_busy_usable(fleet) > 1.55
     assert not fleet.violations
-    assert min(fleet.usable(name) for name in fleet.names[::2]) > 1.2  # and none of them goes without
+    assert min(fleet.usable(name) for name in fleet.names[::2]) > 1.2  # each of them has acquired leases
 
 
 def test_usable_when_every_link_is_cut_from_the_start_is_the_even_fraction():
-    fleet = uneven(6, 2)
+    fleet = uneven_fleet(6, 2)
     fleet.cut(fleet.names, fleet.names)
     fleet.run(5_000)
     for _ in range(20):
@@ -384,8 +389,8 @@
         assert {fleet.usable(name) for name in fleet.names} == {1.0}
 
 
-def test_third_of_the_nodes_when_cut_off_has_its_even_fractions_and_leases_within():
-    fleet = uneven(9, 3)
+def test_third_of_the_nodes_when_cut_off_has_its_even_fractions_and_leases_among_itself():
+    fleet = uneven_fleet(9, 3)
     fleet.run(10_000)
     third = fleet.names[:3]
     fleet.cut(third, fleet.names[3:])
@@ -398,14 +403,14 @@
 
 
 def test_node_when_shutting_down_grants_its_entitlement_and_releases_its_leases():
-    fleet = uneven(6, 4)
+    fleet = uneven_fleet(6, 4)
     fleet.run(10_000)
-    before = crowded(fleet)
+    before = mean_busy_usable(fleet)
     fleet.leave("n1")
     fleet.run(500)
-    assert crowded(fleet) >= before
+    assert mean_busy_usable(fleet) >= before
     fleet.leave("n0")
-    fleet.run(TERMS.grantor_lease_ms)  # by then at the latest, should a message be lost
+    fleet.run(TERMS.grantor_lease_ms)  # the leases have expired by then, even if a release was lost
     assert all(peer[0] != "n0" for name in fleet.names[2:] for peer, _ in granted_leases(fleet, name))
     assert not fleet.violations
 
@@ -416,7 +421,7 @@
 
 
 def test_nodes_when_all_restart_at_once_have_their_floors_and_then_lease_again():
-    fleet = uneven(6, 5)
+    fleet = uneven_fleet(6, 5)
     fleet.run(10_000)
     for name in fleet.names:
         fleet.kill(name)
@@ -426,16 +431,16 @@
     assert fleet.usable_sum() > 5
     assert not fleet.violations
     fleet.run(15_000)
-    assert crowded(fleet) > 1.55
+    assert mean_busy_usable(fleet) > 1.55
     assert not fleet.violations
 
 
 @pytest.mark.parametrize("seed", range(1, 5))
 def test_usable_sum_on_a_random_run_with_faults_never_exceeds_the_limit(seed):
-    """Five hundred are a command: benchmarks/budget_days.py."""
-    day = random_run(seed, 8, 20_000.0)
-    assert not day.violations
-    assert day.granted_count > 0
+    """benchmarks/budget_days.py does five hundred runs."""
+    run = random_run(seed, 8, 20_000.0)
+    assert not run.violations
+    assert run.granted_count > 0
 
 
 @pytest.mark.parametrize("defect", [CreditBeforeDebit, LeasesForgotten, LeaseFromArrival])
--- a/tests/leases/test_lease_messages.py
+++ b/tests/leases/test_lease_messages.py
@@ -1,4 +1,4 @@
-"""Lease messages and digests as bytes, which processes of two versions exchange during an upgrade."""
+"""The bytes of lease messages and digests, which processes of two versions exchange during an upgrade."""
 
 import msgspec
 import pytest
@@ -13,9 +13,9 @@
     LeaseTerms,
 )
 from flintridge.leases.messages import (
-    LeaseFact,
     LeaseGrant,
     LeaseOffer,
+    LeasePayload,
     LeaseRelease,
     LeaseRequest,
     LimitMessage,
@@ -25,7 +25,7 @@
 
 TERMS = LeaseTerms(EVEN_FRACTION_UNITS, 250, 4_000.0)
 DIGEST = bytes.fromhex("c7797a30")
-FACT = LeaseFact(
+PAYLOAD = LeasePayload(
     12.5,
     (LeaseOffer(DIGEST, 400),),
     (
@@ -50,9 +50,9 @@
     assert (FLOORS, SLOW_START, RETRIES) == ("floors", "cold servers", "repeats")
 
 
-def test_fact_when_encoded_has_the_bytes_of_earlier_versions():
-    assert encode(FACT) == ENCODED
-    assert decode(ENCODED) == FACT
+def test_payload_when_encoded_has_the_bytes_of_earlier_versions():
+    assert encode(PAYLOAD) == ENCODED
+    assert decode(ENCODED) == PAYLOAD
 
 
 @pytest.mark.parametrize(
@@ -65,9 +65,9 @@
         [-1.0],
     ],
 )
-def test_fact_when_an_element_is_out_of_bounds_is_malformed(wire):
+def test_payload_when_an_element_is_out_of_bounds_is_malformed(wire):
     assert decode(msgspec.msgpack.encode(wire)) is None
 
 
-def test_fact_when_a_later_version_appends_an_element_is_read_without_it():
-    assert decode(msgspec.msgpack.encode([1.0, [], [], "later"])) == LeaseFact(1.0)
+def test_payload_when_a_later_version_appends_an_element_is_read_without_it():
+    assert decode(msgspec.msgpack.encode([1.0, [], [], "later"])) == LeasePayload(1.0)
--- a/tests/leases/test_lease_processes.py
+++ b/tests/leases/test_lease_processes.py
@@ -1,7 +1,8 @@
-"""Real processes that lease one another fractions of limits, over relays that fail.
+"""Real processes that lease one another fractions of limits, over relays that inject faults.
 
-The sum is looked at from outside: what arrives at the stand-in servers under strict quotas, and what the
-admin APIs tell. No verdict rests on how long a thing took; each test waits for what it wants to see.
+The sum is checked from outside, by the requests that arrive at the stand-in servers under strict quotas and
+by the responses of the admin APIs. No result depends on how long something takes: each test waits until it
+observes the expected state.
 """
 
 import asyncio
@@ -17,13 +18,13 @@
 
 LEASE_MS = 1_500.0
 GRANTOR_LEASE_MS = LEASE_MS * 1.02 / 0.98
-QUOTA = 40.0  # 60 a second over all nodes
+QUOTA = 40.0  # configured requests a second; the limit of all nodes together is 60
 TABLE = {"tenants": True, "strict": True, "lease_ms": LEASE_MS}
 NAME = "quota a"
 
 
 def scenario(count: int, rate_per_s: float) -> Scenario:
-    """All of the load at the first half of the nodes, which is more than all their even fractions."""
+    """A scenario with all of the load at the first half of the nodes; high rates exceed their fractions."""
     return Scenario(
         name="rig", zones=("a", "b"), nodes=Nodes(count=count), peers=Peers(),
         load=Load(rate_per_s=rate_per_s, zone_skew=0.5), length_s=3600.0, warmup_s=0.0,
@@ -33,9 +34,12 @@
 
 
 def run(count, check, rate_per_s=0.5, table=None, expect_no_breaches=True, prepare=lambda rig: None):
-    """Run `check(rig)` with so many nodes, after `prepare(rig)`; what arrived keeps the quota."""
+    """Run `check(rig)` with `count` nodes, after `prepare(rig)`.
 
-    async def play():
+    With the default table [budgets], also check that the requests that arrived are within the quota.
+    """
+
+    async def run_rig():
         tables = {"budgets": TABLE | (table or {})}
         rig = Rig(count, 3, scenario(count, rate_per_s), tables, loaded=True)
         prepare(rig)
@@ -50,36 +54,36 @@
             with pytest.raises(ProcessLookupError):
                 os.kill(pid, 0)
 
-    asyncio.run(asyncio.wait_for(play(), 150))
+    asyncio.run(asyncio.wait_for(run_rig(), 150))
 
 
 def arrivals(rig) -> list[float]:
-    """When each request first reached a server, whichever node sent it."""
-    requested = {one.request_id for one in rig.log if isinstance(one, RequestSent)}
+    """Times at which each request first reached a server, whichever node sent it."""
+    requested = {record.request_id for record in rig.log if isinstance(record, RequestSent)}
     first = {}
-    for one in rig.log:
-        if isinstance(one, AttemptReceived) and one.request_id in requested:
-            first.setdefault(one.request_id, one.at_ms)
+    for record in rig.log:
+        if isinstance(record, AttemptReceived) and record.request_id in requested:
+            first.setdefault(record.request_id, record.at_ms)
     return sorted(first.values())
 
 
 @dataclass(frozen=True)
 class Excess:
-    """A window in which more arrived than the limit."""
+    """A window in which more requests arrived than allowed."""
 
     ended_at: float
     arrivals: int
 
 
 def excesses(rig, processes: int) -> list[Excess]:
-    """Windows in which more arrived than the limit: 1.5 x quota x T, and a bucket a process.
+    """Windows of T seconds with more arrivals than allowed: 1.5 x quota x T, and one bucket for each process.
 
-    A bucket has 8, or a second's worth of what its process may use; it counts for each process that ever was,
-    also of those of one name that followed one another.
+    A bucket holds 8 requests, or as many as its process may send in a second. Each process that ever ran has
+    one, also those of the same name that followed one another.
     """
     times = arrivals(rig)
     found = []
-    incarnations = processes + sum(1 for one in rig.nodes.processes.values() for _ in one[1:])
+    incarnations = processes + sum(1 for started in rig.nodes.processes.values() for _ in started[1:])
     for seconds in (1, 2, 5, 10):
         maximum = 1.5 * QUOTA * (seconds + 0.1) + 8 * incarnations + 1.5 * QUOTA
         begin = 0
@@ -92,13 +96,13 @@
 
 
 async def limit_status(rig, node: str) -> dict:
-    """The first limit of a node's GET /admin/budgets; empty if the node does not respond."""
+    """The first limit in a node's GET /admin/budgets; empty if the node does not respond."""
     body = await rig.request_admin(node, "/admin/budgets")
     return {} if body is None else body["budgets"][0] | {"counts": body["counts"], "alone": body["alone"]}
 
 
-async def status_when(rig, node: str, condition) -> dict:
-    """Wait until the condition is true of a node's limit as its admin API shows it."""
+async def wait_for_status(rig, node: str, condition) -> dict:
+    """Wait until `condition` is true of a node's first limit in its admin API, and return that limit."""
     async with asyncio.timeout(40):
         status = await limit_status(rig, node)
         while not status or not condition(status):
@@ -108,30 +112,30 @@
 
 
 def has_granted(status: dict) -> bool:
-    """Whether a lease is granted."""
+    """Whether the node has granted a lease."""
     return bool(status["lent"])
 
 
 def has_acquired(status: dict) -> bool:
-    """Whether more than the even fraction may be used."""
+    """Whether the node may use more than its even fraction."""
     return status["usable"] > 1.05
 
 
-def even(status: dict) -> bool:
-    """Whether the even fraction is all there is."""
+def has_even_fraction(status: dict) -> bool:
+    """Whether the node may use its even fraction, and has neither granted nor acquired a lease."""
     return status["usable"] == 1.0 and not status["lent"] and not status["borrowed"]
 
 
 def at_message(kind: str, source: str, target: str | None, action, nth: int = 1):
-    """Prepares `action(rig)` for the moment the n-th such message to another node (None: any) is relayed."""
+    """Prepare a call of `action(rig)` when the n-th such message to a node (None: to any) is relayed."""
 
     def prepare(rig):
         remaining = nth
 
         def watch(record):
             nonlocal remaining
-            same = isinstance(record, DatagramRelayed) and record.source == source
-            if same and target in (None, record.target) and kind in record.lease_messages and remaining:
+            matches = isinstance(record, DatagramRelayed) and record.source == source
+            if matches and target in (None, record.target) and kind in record.lease_messages and remaining:
                 remaining -= 1
                 if not remaining:
                     action(rig)
@@ -143,47 +147,47 @@
 
 def test_busy_node_when_others_are_idle_acquires_leases_and_the_quota_holds():
     async def check(rig):
-        await status_when(rig, "n0", has_acquired)
-        await status_when(rig, "n1", has_granted)
+        await wait_for_status(rig, "n0", has_acquired)
+        await wait_for_status(rig, "n1", has_granted)
         begin = rig.fabric.clock.now()
         await rig.wait_until(lambda: rig.fabric.clock.now() > begin + 4_000)
-        # More than the even fractions of the two crowded nodes come to, with their buckets.
+        # More than the even fractions and the buckets of the two busy nodes allow.
         assert sum(begin < at <= begin + 4_000 for at in arrivals(rig)) > 4 * 30 + 30
-        # Cut off while they borrow: within the leases' time each has its even fraction, and leases within its
-        # side.
+        # A partition while leases are in use: once they have expired, each node has its even fraction and may
+        # lease within its side.
         rig.cut([0, 2], [1, 3])
         for name in ("n1", "n3"):
-            await status_when(rig, name, even)
+            await wait_for_status(rig, name, has_even_fraction)
         rig.heal()
-        await status_when(rig, "n0", has_acquired)
+        await wait_for_status(rig, "n0", has_acquired)
 
     run(4, check, rate_per_s=100.0)
 
 
 def test_lessee_when_stopped_past_its_leases_expiry_resumes_with_its_even_fraction():
     async def check(rig):
-        await status_when(rig, "n0", has_acquired)
+        await wait_for_status(rig, "n0", has_acquired)
         rig.nodes.pause("n0")
         for name in ("n1", "n3"):
-            await status_when(
+            await wait_for_status(
                 rig, name, lambda status: not any(lease["to"] == "n0" for lease in status["lent"])
             )
         rig.cut([0], [1, 2, 3])
-        rig.nodes.resume("n0")  # with all that was sent to it meanwhile
-        woken = await status_when(rig, "n0", lambda status: True)
-        assert woken["usable"] <= 1.0
-        assert not woken["borrowed"]
+        rig.nodes.resume("n0")  # it then receives all that was sent to it during the pause
+        resumed = await wait_for_status(rig, "n0", lambda status: True)
+        assert resumed["usable"] <= 1.0
+        assert not resumed["borrowed"]
 
     run(4, check, rate_per_s=100.0)
 
 
 def test_grant_when_lost_counts_as_granted_until_its_expiry():
     async def check(rig):
-        lent = await status_when(rig, "n1", has_granted)
+        grantor = await wait_for_status(rig, "n1", has_granted)
         lessee = await limit_status(rig, "n0")
         assert lessee["usable"] <= 1.0
-        assert lent["usable"] < 1.0
-        await status_when(rig, "n1", even)
+        assert grantor["usable"] < 1.0
+        await wait_for_status(rig, "n1", has_even_fraction)
 
     run(
         2,
@@ -199,13 +203,13 @@
         assert (await limit_status(rig, "n0"))["usable"] <= 1.0
         rig.heal()
         await rig.runner.start("n1")
-        restarted = await status_when(rig, "n1", lambda status: True)
+        restarted = await wait_for_status(rig, "n1", lambda status: True)
         assert restarted["usable"] == restarted["own"] == 0.25
-        await status_when(rig, "n1", lambda status: status["own"] == 1.0)
+        await wait_for_status(rig, "n1", lambda status: status["own"] == 1.0)
 
     def prepare(rig):
         at_message("ask", "n0", "n1", lambda rig: rig.cut([1], [0], both=False))(rig)
-        # Its debit is made, and nobody received the grant.
+        # By then n1 has deducted the lease, and nobody has received the grant.
         at_message("grant", "n1", "n0", lambda rig: rig.kill("n1"))(rig)
 
     run(2, check, rate_per_s=80.0, prepare=prepare)
@@ -213,11 +217,11 @@
 
 def test_grantor_when_killed_after_its_grant_has_its_floor_until_the_lease_expires():
     async def check(rig):
-        await status_when(rig, "n0", has_acquired)
+        await wait_for_status(rig, "n0", has_acquired)
         rig.kill("n1")
         await rig.nodes.ended("n1")
         await rig.runner.start("n1")
-        # What the previous incarnation lent is known to its lessee alone: the sum of both never exceeds 2.
+        # Only the lessee has a record of the previous incarnation's lease. The sum of both never exceeds 2.
         while True:
             grantor = await limit_status(rig, "n1")
             lessee = await limit_status(rig, "n0")
@@ -226,7 +230,7 @@
                 if grantor["own"] == 1.0:
                     break
             await asyncio.sleep(0.05)
-        await status_when(rig, "n0", has_acquired)
+        await wait_for_status(rig, "n0", has_acquired)
 
     run(2, check, rate_per_s=80.0)
 
@@ -234,37 +238,39 @@
 @pytest.mark.parametrize(
     "wrong", [{"duplication": 1.0, "jitter_ms": 100}, {"added_delay_ms": 1.2 * LEASE_MS}, {"loss": 0.3}]
 )
-def test_grants_when_doubled_late_or_lost_never_exceed_the_limit(wrong):
+def test_grants_when_duplicated_late_or_lost_never_exceed_the_limit(wrong):
     async def check(rig):
         if "added_delay_ms" in wrong:
-            status = await status_when(rig, "n0", lambda status: status["counts"].get("unanswered", 0) >= 2)
+            status = await wait_for_status(
+                rig, "n0", lambda status: status["counts"].get("unanswered", 0) >= 2
+            )
             counts = status["counts"]
-            # All had expired when they came.
+            # All leases had expired when their grants arrived.
             assert not counts.get("granted")
             assert not counts.get("renewed")
             assert (await limit_status(rig, "n0"))["usable"] <= 1.0
         else:
-            await status_when(rig, "n0", lambda status: status["counts"].get("renewed", 0) >= 3)
+            await wait_for_status(rig, "n0", lambda status: status["counts"].get("renewed", 0) >= 3)
         rig.heal()
-        await status_when(rig, "n0", has_acquired)
+        await wait_for_status(rig, "n0", has_acquired)
 
-    def late(rig):
+    def inject_faults(rig):
         rig.set_link_faults([1, 2], [0], both=False, **wrong)
 
-    # At its first request of all: whom it asks first depends on which process has its load first.
-    run(3, check, rate_per_s=100.0, prepare=at_message("ask", "n0", None, late))
+    # From n0's first request on. Which node receives it depends on which process gets its load first.
+    run(3, check, rate_per_s=100.0, prepare=at_message("ask", "n0", None, inject_faults))
 
 
 @pytest.mark.parametrize("both", [True, False])
-def test_leases_when_cut_in_the_middle_of_a_round_expire_and_begin_again(both):
+def test_leases_when_the_lessee_is_cut_off_between_grants_expire_and_are_acquired_again(both):
     async def check(rig):
         for name in rig.names[1:]:
-            await status_when(
+            await wait_for_status(
                 rig, name, lambda status: not any(lease["to"] == "n0" for lease in status["lent"])
             )
-        assert (await status_when(rig, "n0", lambda status: not status["borrowed"]))["usable"] <= 1.0
+        assert (await wait_for_status(rig, "n0", lambda status: not status["borrowed"]))["usable"] <= 1.0
         rig.heal()
-        await status_when(rig, "n0", has_acquired)
+        await wait_for_status(rig, "n0", has_acquired)
 
     def cut(rig):
         rig.cut([0], [1, 2, 3], both=both)
@@ -274,65 +280,67 @@
 
 def test_nodes_when_all_restart_at_once_begin_with_their_floors():
     async def check(rig):
-        await status_when(rig, "n0", has_acquired)
+        await wait_for_status(rig, "n0", has_acquired)
         for name in rig.names:
             rig.kill(name)
         await asyncio.gather(*(rig.nodes.ended(name) for name in rig.names))
         for name in rig.names:
             await rig.runner.start(name)
         for name in rig.names:
-            assert (await status_when(rig, name, lambda status: True))["usable"] <= 1.0
+            assert (await wait_for_status(rig, name, lambda status: True))["usable"] <= 1.0
         await rig.wait_until(rig.all_reachable)
-        await status_when(rig, "n0", has_acquired)
+        await wait_for_status(rig, "n0", has_acquired)
 
     run(4, check, rate_per_s=100.0)
 
 
 def test_processes_of_one_node_when_both_run_use_half_each_and_grant_nothing():
     async def check(rig):
-        await status_when(rig, "n0", lambda status: status["own"] == 1.0)
+        await wait_for_status(rig, "n0", lambda status: status["own"] == 1.0)
         host, _ = rig.fabric.address("listen", "n0")
         port = rig.network.admin_address("n0")[1] + 1
-        beside = await rig.nodes.start_beside("n0", f"{host}:{port}")
-        await status_when(rig, "n0", lambda status: not status["alone"])
+        second_process = await rig.nodes.start_beside("n0", f"{host}:{port}")
+        await wait_for_status(rig, "n0", lambda status: not status["alone"])
         assert (await limit_status(rig, "n0"))["usable"] <= 0.5
         await rig.wait_until(
             lambda: rig.log_lines("leases_process_joined", "n0")
-            and rig.log_lines("leases_process_joined", beside)
+            and rig.log_lines("leases_process_joined", second_process)
         )
         rig.nodes.term("n0")
-        await rig.wait_until(lambda: rig.log_lines("leases_process_left", beside))
+        await rig.wait_until(lambda: rig.log_lines("leases_process_left", second_process))
 
-    run(2, check, expect_no_breaches=False)  # the judge of peers knows one process a node
+    run(2, check, expect_no_breaches=False)  # the judge of peers expects one process for each node
 
 
 def test_nodes_when_a_limits_size_differs_lease_one_another_nothing():
     async def check(rig):
-        await status_when(rig, "n0", has_acquired)
+        await wait_for_status(rig, "n0", has_acquired)
         rig.network.node_tables["n1"] = {"tenants": [{"name": "a", "quota_per_s": QUOTA / 2, "share": 1.0}]}
         rig.nodes.reload("n1", rig.fleet.node_config("n1"))
         await rig.wait_until(lambda: rig.log_lines("reloaded", "n1"))
         assert "settings" in json.loads(rig.log_lines("reloaded", "n1")[0].fields)["until_restart"]
         status = await limit_status(rig, "n1")
-        assert status["whole"] == 1.5 * QUOTA  # as it was: a quota waits for a restart
+        assert status["whole"] == 1.5 * QUOTA  # unchanged: a new quota takes effect at a restart
         rig.kill("n1")
         await rig.nodes.ended("n1")
         await rig.runner.start("n1")
         await rig.wait_until(lambda: rig.log_lines("lease_terms_differ", "n0"))
-        await status_when(rig, "n0", lambda status: not status["borrowed"] and status["usable"] == 1.0)
-        assert (await status_when(rig, "n1", lambda status: status["own"] == 1.0))["whole"] == 0.75 * QUOTA
+        await wait_for_status(rig, "n0", lambda status: not status["borrowed"] and status["usable"] == 1.0)
+        assert (await wait_for_status(rig, "n1", lambda status: status["own"] == 1.0))[
+            "whole"
+        ] == 0.75 * QUOTA
 
     run(2, check, rate_per_s=80.0)
 
 
 def test_isolated_node_under_full_load_has_its_even_fraction():
     async def check(rig):
-        await status_when(rig, "n0", has_acquired)
+        await wait_for_status(rig, "n0", has_acquired)
         rig.cut([0], [1, 2])
-        await status_when(rig, "n0", even)
+        await wait_for_status(rig, "n0", has_even_fraction)
         begin = rig.fabric.clock.now()
-        while rig.fabric.clock.now() < begin + 4 * GRANTOR_LEASE_MS:  # a minute: benchmarks/budget_silence.py
-            assert (await status_when(rig, "n0", lambda status: True))["usable"] == 1.0
+        while rig.fabric.clock.now() < begin + 4 * GRANTOR_LEASE_MS:  # benchmarks/budget_silence.py: a minute
+            assert (await wait_for_status(rig, "n0", lambda status: True))["usable"] == 1.0
             await asyncio.sleep(0.1)
 
     run(3, check, rate_per_s=100.0)
@@ -340,12 +348,12 @@
 
 def test_permits_at_the_origin_under_load_never_exceed_the_limit():
     async def check(rig):
-        await status_when(
+        await wait_for_status(
             rig, "n0", lambda status: status["name"] == "origin places" and status["own"] == 1.0
         )
         begin = rig.fabric.clock.now()
         await rig.wait_until(
-            lambda: sum(isinstance(one, AttemptReceived) and one.is_origin for one in rig.log) > 200
+            lambda: sum(isinstance(record, AttemptReceived) and record.is_origin for record in rig.log) > 200
         )
         assert rig.fabric.clock.now() > begin
         assert most_at_origin(rig) <= 6
@@ -355,12 +363,12 @@
 
 
 def most_at_origin(rig) -> int:
-    """Attempts out at the origin at once, over all nodes, as the origin saw them come and end."""
-    out, most = set(), 0
-    for one in rig.log:
-        if isinstance(one, AttemptReceived) and one.is_origin:
-            out.add(one.attempt_id)
-            most = max(most, len(out))
-        elif hasattr(one, "attempt_id"):
-            out.discard(one.attempt_id)
+    """Most attempts in flight at the origin, over all nodes, as the origin saw them begin and end."""
+    in_flight, most = set(), 0
+    for record in rig.log:
+        if isinstance(record, AttemptReceived) and record.is_origin:
+            in_flight.add(record.attempt_id)
+            most = max(most, len(in_flight))
+        elif hasattr(record, "attempt_id"):
+            in_flight.discard(record.attempt_id)
     return most
--- a/tests/leases/test_leases_config.py
+++ b/tests/leases/test_leases_config.py
@@ -1,4 +1,4 @@
-"""`[budgets]` in configurations: every fault by its place, nothing without it; and `flintridge budgets`."""
+"""The table `[budgets]` of configurations with its defaults and faults, and `flintridge budgets`."""
 
 import json
 import threading
@@ -23,31 +23,31 @@
 [budgets]
 tenants = true
 """
-ALL = THREE + PEERS + BUDGETS
+WITH_BUDGETS = THREE + PEERS + BUDGETS
 
 
 def test_table_when_sound_is_read_with_its_defaults():
-    assert read(ALL).budgets == BudgetsConfig(tenants=True)
+    assert read(WITH_BUDGETS).budgets == BudgetsConfig(tenants=True)
     more = "floors = true\nstrict = true\nfloor = 0.5\nlease_ms = 1500\nbytes_per_s = 4000\n"
-    assert read(ALL + more).budgets == BudgetsConfig(
+    assert read(WITH_BUDGETS + more).budgets == BudgetsConfig(
         tenants=True, floors=True, strict=True, floor=0.5, lease_ms=1500.0, bytes_per_s=4000.0
     )
     assert read(THREE + PEERS).budgets is None
 
 
-def test_example_with_its_tables_switched_on_is_sound():
+def test_example_when_its_tables_are_enabled_is_sound():
     lines = EXAMPLE.replace('name = "n1"', 'name = "n1"\nfleet_size = 3').splitlines()
     begin = lines.index(next(line for line in lines if line.startswith("# [peers]")))
     end = lines.index(next(line for line in lines if line.startswith("# Each name has a part")))
-    on = [line.removeprefix("# ") if "key_file" not in line else "" for line in lines[begin:end]]
-    assert read("\n".join(lines[:begin] + on + lines[end:])).budgets == BudgetsConfig(
+    enabled = [line.removeprefix("# ") if "key_file" not in line else "" for line in lines[begin:end]]
+    assert read("\n".join(lines[:begin] + enabled + lines[end:])).budgets == BudgetsConfig(
         tenants=True, floors=True
     )
 
 
 def test_fleet_size_when_known_names_this_node_counts_it_once():
     table = "known = { "
-    assert read(ALL.replace(table, table + 'n1 = "127.0.0.1:7201", ')).budgets is not None
+    assert read(WITH_BUDGETS.replace(table, table + 'n1 = "127.0.0.1:7201", ')).budgets is not None
 
 
 @pytest.mark.parametrize(
@@ -91,17 +91,17 @@
     ],
 )
 def test_table_with_a_fault_is_rejected_with_the_place(change, fault):
-    assert change[0] in ALL
+    assert change[0] in WITH_BUDGETS
     with pytest.raises(ConfigError) as caught:
-        read(ALL.replace(*change))
+        read(WITH_BUDGETS.replace(*change))
     lines = str(caught.value).splitlines()
     assert len(lines) == 1, lines
     assert fault in lines[0], lines
     assert lines[0].startswith("n.toml: "), lines
 
 
-def test_table_when_the_name_is_the_environments_is_checked_with_it():
-    text = ALL.replace('name = "n1"', "", 1)
+def test_table_when_the_name_comes_from_the_environment_is_checked_with_it():
+    text = WITH_BUDGETS.replace('name = "n1"', "", 1)
     assert read(text, {"PROXY_NAME": "n1"}).budgets is not None
     with pytest.raises(ConfigError, match=r"^n\.toml: fleet_size: 3: must be 2, .* and n2 itself"):
         read(text, {"PROXY_NAME": "n2"})
@@ -109,7 +109,7 @@
 
 def test_check_command_with_several_faults_reports_all(tmp_path):
     file = tmp_path / "n1.toml"
-    file.write_text(ALL)
+    file.write_text(WITH_BUDGETS)
     assert "node n1" in check_file(str(file))
     file.write_text(PLAIN + PEERS + "[budgets]\nstrict = true\nfloor = 2\nbytes_per_s = 9000\n")
     with pytest.raises(ConfigFaultsError) as caught:
@@ -152,13 +152,13 @@
 
 @contextmanager
 def admin_apis(*responses):
-    """A stand-in admin API for each list of responses, which it gives in turn, the last for ever.
+    """Run a stand-in admin API for each list of responses, which it gives in order, repeating the last one.
 
-    Yields the arguments that name them.
+    Yields the command-line options with their addresses.
     """
     servers = []
-    for one in responses:
-        remaining = list(one)
+    for node_responses in responses:
+        remaining = list(node_responses)
 
         class AdminApi(BaseHTTPRequestHandler):
             def do_GET(self, remaining=remaining):
@@ -187,16 +187,16 @@
 
 
 def budgets_command(responses, *more):
-    """The result of `flintridge budgets` for nodes with these responses."""
-    with admin_apis(*responses) as named:
-        return CliRunner().invoke(main, ["budgets", *named, *more], prog_name="flintridge")
+    """Run `flintridge budgets` for nodes with these responses, and return its result."""
+    with admin_apis(*responses) as options:
+        return CliRunner().invoke(main, ["budgets", *options, *more], prog_name="flintridge")
 
 
 def test_budgets_command_for_one_node_prints_its_limits_and_leases():
-    done = budgets_command([[(200, admin_status(alone=False))]])
-    assert done.exit_code == 0, done.output
-    assert done.stderr == "", done.output
-    lines = done.stdout.splitlines()
+    result = budgets_command([[(200, admin_status(alone=False))]])
+    assert result.exit_code == 0, result.output
+    assert result.stderr == "", result.output
+    lines = result.stdout.splitlines()
     assert lines[0].startswith("n1 (1n1): hears 3 of 3 nodes, itself included; loans of 4000 ms, floor 0.25;")
     assert "beside another process" in lines[0]
     assert lines[2].split() == [
@@ -213,45 +213,45 @@
 
 
 def test_budgets_command_with_json_prints_a_line_a_node():
-    done = budgets_command([[(200, admin_status())], [(200, admin_status("n2", 0.5))]], "--json")
-    assert done.exit_code == 0
-    assert done.stderr == ""
-    assert [json.loads(line) for line in done.stdout.splitlines()] == [
+    result = budgets_command([[(200, admin_status())], [(200, admin_status("n2", 0.5))]], "--json")
+    assert result.exit_code == 0
+    assert result.stderr == ""
+    assert [json.loads(line) for line in result.stdout.splitlines()] == [
         admin_status(),
         admin_status("n2", 0.5),
     ]
 
 
 def test_budgets_command_for_several_nodes_sums_each_process_once():
-    done = budgets_command(
+    result = budgets_command(
         [
             [(200, admin_status(usable=1.6))],
             [(200, admin_status(usable=1.6))],
             [(200, admin_status("n2", 1.4))],
         ]
     )
-    assert done.exit_code == 0, done.output
-    assert done.stderr == "", done.output
-    together = done.stdout.splitlines()[-2:]
-    assert together[0] == "together, 2 processes of 2 nodes:"
-    assert together[1].startswith("  quota acme: usable 3 of 3 even parts")
+    assert result.exit_code == 0, result.output
+    assert result.stderr == "", result.output
+    sum_lines = result.stdout.splitlines()[-2:]
+    assert sum_lines[0] == "together, 2 processes of 2 nodes:"
+    assert sum_lines[1].startswith("  quota acme: usable 3 of 3 even parts")
 
 
 @pytest.mark.parametrize(("then", "code"), [(1.0, 0), (1.7, 1)])
 @pytest.mark.parametrize("more", [(), ("--json",)])
-def test_budgets_command_when_the_sum_is_over_fails_if_it_is_over_twice(then, code, more):
+def test_budgets_command_when_the_sum_exceeds_the_limit_fails_if_it_does_so_twice(then, code, more):
     second = [(200, admin_status("n2", 1.7)), (200, admin_status("n2", then))]
-    done = budgets_command([[(200, admin_status())], second], *more)
-    assert done.exit_code == code, done.output
-    first, last = done.stderr.splitlines()
+    result = budgets_command([[(200, admin_status())], second], *more)
+    assert result.exit_code == code, result.output
+    first, last = result.stderr.splitlines()
     assert first == "quota acme: seen over, 3.1 of 3 even parts; looking again"
     assert ("over again" if code else "a loan moved between the looks") in last
 
 
-def test_budgets_command_when_sizes_differ_does_not_sum_them_up():
-    done = budgets_command([[(200, admin_status(usable=2.0))], [(200, admin_status("n2", 2.0, of=4))]])
-    assert done.exit_code == 0
-    assert done.stdout.count("nodes differ on its size") == 2
+def test_budgets_command_when_sizes_differ_does_not_add_them_up():
+    result = budgets_command([[(200, admin_status(usable=2.0))], [(200, admin_status("n2", 2.0, of=4))]])
+    assert result.exit_code == 0
+    assert result.stdout.count("nodes differ on its size") == 2
 
 
 @pytest.mark.parametrize(
@@ -262,7 +262,7 @@
     ],
 )
 def test_budgets_command_when_a_node_has_no_limits_reports_it(response, message):
-    done = budgets_command([[response]])
-    assert done.exit_code == 2
-    assert message in done.stderr
-    assert done.stderr.count("\n") == 1
+    result = budgets_command([[response]])
+    assert result.exit_code == 2
+    assert message in result.stderr
+    assert result.stderr.count("\n") == 1
--- a/tests/leases/test_status.py
+++ b/tests/leases/test_status.py
@@ -1,4 +1,4 @@
-"""The JSON of one limit in GET /admin/budgets, whose names others read."""
+"""The JSON of one limit in GET /admin/budgets, whose names are part of the admin API."""
 
 from flintridge.leases.account import Account
 from flintridge.leases.allocation import Allocation, ProcessId
