--- a/flintridge/replication/admin.py
+++ b/flintridge/replication/admin.py
@@ -1,4 +1,4 @@
-"""The admin API's routes of the replicated state: queries, writes, and who has a write."""
+"""The admin API's routes for the replicated state: queries, writes, and how many nodes have a write."""
 
 import math
 from collections.abc import Callable
@@ -31,7 +31,7 @@
     forbid_unknown_fields=True,
     rename={"type_name": "type", "author": "by", "reason": "why", "lifetime_ms": "lasts_ms"},
 ):
-    """The JSON of a write."""
+    """The JSON body of a write."""
 
     type_name: str
     name: str
@@ -44,11 +44,11 @@
 
 @dataclass(slots=True, frozen=True)
 class ReplicationActivity:
-    """What the driver does just now.
+    """The current activity of the driver.
 
     Attributes:
-        source: The node with which a comparison is under way, if any.
-        taken_out: The servers that operators hold out of service.
+        source: Name of the node with which a comparison is in progress; None if there is none.
+        taken_out: Servers that operators have taken out of service.
     """
 
     source: str | None
@@ -56,7 +56,7 @@
 
 
 class StateAdminApi:
-    """Handlers of the routes below /admin/state. Each takes a query and a body, and returns a response."""
+    """Handlers of the routes below /admin/state, which take a request's query and body."""
 
     def __init__(
         self,
@@ -67,7 +67,7 @@
         counters: Counters,
         activity: Callable[[], ReplicationActivity],
     ) -> None:
-        """`activity` says what the driver does just now."""
+        """Create the handlers; `activity` returns the current activity of the driver."""
         self._replica = replica
         self._gossip = gossip
         self._membership = membership
@@ -83,15 +83,17 @@
         }
 
     def query(self, query: bytes, _body: bytes) -> AdminResponse:
-        """GET /admin/state: the replica as a whole.
+        """Respond to GET /admin/state with a summary of the replica.
 
-        With `type=T[&name=N]`, `bucket=I` or `conflicts=1` also entries, PAGE_ENTRIES at a time; `after` goes
-        on from the `next` of the page before.
+        With `type=T[&name=N]`, `bucket=I` or `conflicts=1` the response also has entries, PAGE_ENTRIES at a
+        time. `after` continues at the `next` of the previous page.
         """
         fields = dict(parse_qsl(query.decode("utf-8", "replace")))
         unknown = sorted(set(fields) - set(QUERY_FIELDS))
         if unknown:
-            return AdminResponse(400, {"error": f"unknown {unknown[0]}; allowed: {', '.join(QUERY_FIELDS)}"})
+            return AdminResponse(
+                400, {"error": f"unknown field {unknown[0]}; allowed: {', '.join(QUERY_FIELDS)}"}
+            )
         view = self._view()
         if "digests" in fields:
             digests = [f"{digest:016x}" for digest in self._replica.digests]
@@ -101,7 +103,7 @@
                 view = self._with_page(view, fields)
             except (ValueError, IndexError):
                 limit = len(self._replica.digests)
-                error = f"bucket and after are numbers; a bucket is under {limit}"
+                error = f"bucket and after must be numbers, and bucket must be less than {limit}"
                 return AdminResponse(400, {"error": error})
         return AdminResponse(200, view.to_json())
 
@@ -143,7 +145,7 @@
         return sorted(key for key in keys if type_name is None or key[0] == type_name)
 
     def write(self, _query: bytes, body: bytes) -> AdminResponse:
-        """POST /admin/state, a `WriteCall` in JSON. Written here at once; nothing waits for other nodes."""
+        """Respond to POST /admin/state, whose body is a `WriteCall`. No other node is waited for."""
         try:
             call = msgspec.json.decode(body, type=WriteCall)
             version = self._write(call)
@@ -165,24 +167,24 @@
 
     def _write(self, call: WriteCall) -> Version:
         if not call.author or not call.reason:
-            raise WriteRejectedError("by and why must say who and for what reason")
+            raise WriteRejectedError("by and why must not be empty")
         if not 0 < len(call.name) <= MAX_NAME_CHARACTERS:
-            raise WriteRejectedError(f"name has 1 to {MAX_NAME_CHARACTERS} characters")
+            raise WriteRejectedError(f"name must have 1 to {MAX_NAME_CHARACTERS} characters")
         body = encode_body(call.type_name, call.body)
         key = call.type_name, call.name
         if call.delete and key not in self._replica.entries:
-            raise WriteRejectedError(f"there is no {call.type_name} {call.name} here")
+            raise WriteRejectedError(f"there is no {call.type_name} {call.name} on this node")
         lifetime_ms = math.inf if call.lifetime_ms is None else call.lifetime_ms
         return self._replica.write(
             self._clock.now(), key, body, call.author, call.reason, lifetime_ms, call.delete
         )
 
     def holder_count(self, query: bytes, _body: bytes) -> AdminResponse:
-        """GET /admin/state/had?write=N: how many nodes are known to have that write of this process."""
+        """Respond to GET /admin/state/had?write=N: how many nodes are known to have this process's write."""
         text = dict(parse_qsl(query.decode("utf-8", "replace"))).get("write", "")
         is_number = text.isdecimal() and len(text) <= MAX_NUMBER_DIGITS
         dot: Dot = (self._replica.writer, int(text) if is_number else 0)
         count = self._gossip.acknowledgements.holder_count(dot)
         if count is None:
-            return AdminResponse(404, {"error": "no such write of this process, or too long ago"})
+            return AdminResponse(404, {"error": "no such write of this process, or it is too old"})
         return AdminResponse(200, {"had": count, "life": f"{self._membership.incarnation:x}"})
--- a/flintridge/replication/admin_view.py
+++ b/flintridge/replication/admin_view.py
@@ -1,6 +1,6 @@
 """A replica and its entries, as GET /admin/state shows them.
 
-The encoded names are those that clients of the admin API read.
+The encoded names are part of the admin API.
 """
 
 import datetime
@@ -25,7 +25,7 @@
     "chunks_out_of_order": "slices_out_of_turn",
     "messages_malformed": "words_bad",
 }
-# A body that another release wrote may hold these: they are left to whoever encodes the response.
+# Types that a body written by another release may contain. They are left to the encoder of the response.
 BODY_TYPES = (bytes, bytearray, memoryview, datetime.datetime)
 
 
@@ -38,11 +38,11 @@
     """One version of an entry."""
 
     dot: str
-    body: Body | None  # None: it cannot be read, as of a type of a later release
+    body: Body | None  # None if it can't be decoded, such as one of a later release
     author: str
     reason: str
     age_ms: int
-    ends_in_ms: int | None  # None: never
+    ends_in_ms: int | None  # None if it never expires
     deleted: bool
 
 
@@ -52,7 +52,7 @@
     kw_only=True,
     rename={"type_name": "type", "active": "holds", "type_known": "known"},
 ):
-    """One entry; the version that takes precedence stands first."""
+    """One entry, with the version that takes precedence first."""
 
     type_name: str
     name: str
@@ -76,7 +76,7 @@
         "next_after": "next",
     },
 ):
-    """The replica as a whole, and what was asked for beside it."""
+    """The replica as a whole, and the digests and entries that were requested."""
 
     name: str
     incarnation: str  # hexadecimal
@@ -91,16 +91,16 @@
     counts: dict[str, int]
     digests: list[str] | UnsetType = UNSET  # hexadecimal
     page: list[EntryView] | UnsetType = UNSET
-    next_after: int | None | UnsetType = UNSET  # None: this page is the last one
+    next_after: int | None | UnsetType = UNSET  # None on the last page
 
     def to_json(self) -> dict[str, Any]:
-        """The JSON object."""
+        """Convert the view to a JSON object."""
         values: dict[str, Any] = msgspec.to_builtins(self, builtin_types=BODY_TYPES)
         return values
 
 
 def view_entry(key: Key, entry: Entry, now: float) -> EntryView:
-    """An entry at `now`, in milliseconds."""
+    """Build the view of an entry at `now`, in milliseconds."""
     type_name, name = key
     versions = by_precedence(type_name, entry, now)
     return EntryView(
--- a/flintridge/replication/anti_entropy.py
+++ b/flintridge/replication/anti_entropy.py
@@ -8,21 +8,23 @@
 from flintridge.replication.entry import Writer
 from flintridge.replication.replica import Replica
 
-SETTLE_MS = 1_500.0  # for which two replicas differ before one asks: what is on its way arrives meanwhile
-UNPRODUCTIVE_PAUSE_MS = 10_000.0  # before one is asked again that had nothing new, as that may go on for long
+# Time for which two replicas must differ before they are compared; writes in flight arrive in the meantime.
+SETTLE_MS = 1_500.0
+# Before the next comparison with a source that had nothing new, since that may remain so for a long time.
+UNPRODUCTIVE_PAUSE_MS = 10_000.0
 COMPARISON_PAUSE_MS = 1_000.0  # between two comparisons
-STATUS_LIFETIME_MS = 30_000.0  # for which a peer's message counts
+STATUS_LIFETIME_MS = 30_000.0  # time for which the status of an unreachable peer is kept
 
 
 @dataclass(slots=True)
 class PeerStatus:
-    """What a process last sent of its replica.
+    """The status of its replica that a process last sent.
 
     Attributes:
-        received_at: When, in milliseconds.
-        synchronized: Whether it has synchronized.
-        differs_since: Since when it holds something else than the local one; infinite where it does not.
-        not_before: When it may be asked, in milliseconds.
+        received_at: Time of the last message, in milliseconds.
+        synchronized: Whether the replica has synchronized.
+        differs_since: Time since which a comparison has been needed, in milliseconds; infinite if none is.
+        not_before: Earliest time of the next comparison with the replica, in milliseconds.
     """
 
     received_at: float
@@ -32,24 +34,24 @@
 
 
 class ComparisonScheduler:
-    """Chooses the sources of comparisons by what peers sent of their replicas."""
+    """Chooses the sources of comparisons by the status that peers sent of their replicas."""
 
     def __init__(self, replica: Replica, rng: Random) -> None:
-        """`replica`: this process's."""
+        """Create the scheduler for this process's `replica`."""
         self._replica = replica
         self._rng = rng
         self._peers: dict[Writer, PeerStatus] = {}
         self._next_at = -math.inf
 
     def receive_status(self, now: float, peer: Writer, synchronized: bool, differs: bool) -> None:
-        """Take in what a peer sent of its replica, and whether that calls for a comparison."""
+        """Record the status that a peer sent of its replica; `differs` is whether a comparison is needed."""
         status = self._peers.setdefault(peer, PeerStatus(now, synchronized))
         status.received_at = now
         status.synchronized = synchronized
         status.differs_since = min(status.differs_since, now) if differs else math.inf
 
     def choose_source(self, now: float, reachable: list[Writer]) -> Writer | None:
-        """Which of the reachable processes to compare with now; None where none is due."""
+        """Choose the reachable process to compare with now; None if no comparison is due."""
         if now < self._next_at:
             return None
         reachable_set = set(reachable)
@@ -63,7 +65,8 @@
         ]
         synchronized = [peer for peer in due if self._peers[peer].synchronized]
         if not synchronized and is_synchronized:
-            # What the others hold in part is what they take from here just now; later they have synchronized.
+            # The peers that have not synchronized are still fetching entries, possibly from here. They are
+            # compared once they have synchronized.
             return None
         candidates = synchronized or due
         return self._rng.choice(sorted(candidates)) if candidates else None
@@ -74,12 +77,12 @@
                 del self._peers[peer]
 
     def finish(self, now: float, peer: Writer, was_productive: bool) -> None:
-        """A comparison with that peer is over; `was_productive` where it changed the replica."""
+        """Record the end of a comparison with a peer; `was_productive` is whether it changed the replica."""
         self._next_at = now + COMPARISON_PAUSE_MS * self._rng.uniform(0.5, 1.5)
         status = self._peers.get(peer)
         if status is None:
             return
         status.differs_since = math.inf
-        # Guards against asking for ever where it is the other side that lacks something, or rejects it.
+        # Prevents endless comparisons if it is the other replica that lacks entries, or rejects them.
         pause_ms = 0.0 if was_productive else UNPRODUCTIVE_PAUSE_MS * self._rng.uniform(0.8, 1.2)
         status.not_before = now + pause_ms
--- a/flintridge/replication/comparison.py
+++ b/flintridge/replication/comparison.py
@@ -1,4 +1,4 @@
-"""What two replicas exchange when they compare themselves: requests by digest, and snapshot chunks."""
+"""The messages of a comparison of two replicas, which are requests with digests and snapshot chunks."""
 
 from enum import IntEnum
 from typing import NamedTuple
@@ -6,7 +6,8 @@
 from flintridge.errors import FlintridgeError
 from flintridge.replication.entry import Entry, Key, Writer
 
-WriteCounts = tuple[tuple[Writer, int], ...]  # of each writer, up to which of its writes all were received
+# For each writer, the number up to which all of its writes were received.
+WriteCounts = tuple[tuple[Writer, int], ...]
 
 
 class SyncState(IntEnum):
@@ -14,20 +15,20 @@
 
     UNSYNCHRONIZED = 0  # no comparison has begun yet
     SYNCHRONIZING = 1
-    SYNCHRONIZED = 2  # it has all that some replica held that had itself synchronized
+    SYNCHRONIZED = 2  # it has all entries that some synchronized replica had
 
 
 class IncompatibleDigestsError(FlintridgeError, ValueError):
-    """The other replica divides its keys into another number of buckets."""
+    """The other replica divides its keys into a different number of buckets."""
 
 
 class DigestRequest(NamedTuple):
-    """Asks for the buckets that differ.
+    """Requests the buckets that differ.
 
     Attributes:
-        digests: One for each bucket of the requester.
-        cursor: The bucket to begin with.
-        number: Of the comparison.
+        digests: Digest of each bucket of the requester.
+        cursor: First bucket to compare.
+        number: Number of the comparison.
     """
 
     digests: tuple[int, ...]
@@ -36,16 +37,17 @@
 
 
 class SnapshotChunk(NamedTuple):
-    """All entries of those buckets from `first` to `end` that differ.
+    """All entries of the buckets that differ, from bucket `first` to the one before `end`.
 
     Attributes:
-        number: Of the comparison.
-        first: The first bucket that was compared.
-        end: The bucket after the last one that was compared.
+        number: Number of the comparison.
+        first: First bucket that was compared.
+        end: Bucket after the last one that was compared.
         source_synchronized: Whether the responding replica has synchronized.
-        complete_up_to: Of each writer, up to which of its writes the responding replica received all.
+        complete_up_to: For each writer, the number up to which the responding replica received all of its
+            writes.
         entries: Keys with their entries.
-        buckets: Those that the chunk contains.
+        buckets: Buckets that differ, and whose entries the chunk contains.
     """
 
     number: int
@@ -58,14 +60,14 @@
 
 
 class Comparison(NamedTuple):
-    """A comparison with one source that is under way.
+    """A comparison with one source that is in progress.
 
     Attributes:
-        number: Of the comparison.
-        cursor: The bucket to go on with.
+        number: Number of the comparison.
+        cursor: Next bucket to compare.
         source_synchronized: Whether the source had synchronized in all chunks so far.
-        rejected_entries: Whether an entry of it was not accepted.
-        complete_up_to: The source's at the first chunk; None before.
+        rejected_entries: Whether any entry of the source was rejected.
+        complete_up_to: The `complete_up_to` of the source's first chunk; None before that chunk.
     """
 
     number: int
@@ -75,7 +77,7 @@
     complete_up_to: WriteCounts | None = None
 
     def after(self, chunk: SnapshotChunk, rejected_entries: bool) -> "Comparison":
-        """The comparison once that chunk is applied."""
+        """Return the comparison as it is once a chunk has been applied."""
         return Comparison(
             self.number,
             chunk.end,
--- a/flintridge/replication/driver.py
+++ b/flintridge/replication/driver.py
@@ -1,8 +1,8 @@
 """The driver of a process's replica: its timer, its topic in the datagrams, and its exchanges with peers.
 
-It makes no decision on requests. A hold by operators reaches the policy as the server's draining, by way of
-the endpoint list; see `flintridge.discovery.overrides`. Quotas and stops are stored and shown;
-`on_limit_change` is where they go from here.
+The driver makes no decisions on requests. A hold by operators reaches the policy as the server's draining,
+through the endpoint list; see `flintridge.discovery.overrides`. Quotas and stops are stored and shown, and
+their changes are passed to `on_limit_change`.
 """
 
 import asyncio
@@ -34,8 +34,9 @@
 from flintridge.telemetry.log import EventLog
 
 TICK_MS = 50.0
-EXPIRY_BUCKETS_PER_TICK = 8  # all of them within two seconds
-# Of the bytes a second that exchanges have, for a chunk: it must be complete within their time limit.
+EXPIRY_BUCKETS_PER_TICK = 8  # covers all buckets within two seconds
+# A chunk has at most the bytes that exchanges may send in this time, since it must be complete within their
+# time limit.
 CHUNK_TIME_S = 2.0
 HOLD = "hold"
 LIMIT_TYPES = ("quota", "stop")
@@ -48,10 +49,10 @@
 
     Attributes:
         config: The table `[state]`.
-        replica: This process's.
-        gossip: Its topic.
-        on_limit_change: Called with type, name and body of a quota or a stop that changed; without a body
-            where it applies no more.
+        replica: The replica of this process.
+        gossip: The replica's topic in the peers' datagrams.
+        on_limit_change: Called with the type, the name and the body of a quota or stop that changed. The body
+            is None if the quota or stop no longer applies.
     """
 
     def __init__(
@@ -64,7 +65,7 @@
         entropy: Callable[[int], bytes],
         take_out: Callable[[frozenset[str]], None],
     ) -> None:
-        """`take_out` is called with the servers that operators hold out of service, at each change."""
+        """Create the driver; `take_out` is called at each change with all servers that are out of service."""
         self.config = config
         self.on_limit_change: Callable[[str, str, Body | None], None] = lambda type_name, name, body: None
         self._membership = membership
@@ -73,11 +74,11 @@
         self._counters = counters
         self._take_out = take_out
         self._taken_out: frozenset[str] = frozenset()
-        self._hold_names: set[str] = set()  # of entries of type hold that may be active
+        self._hold_names: set[str] = set()  # names of entries of type hold that may be active
         self._chunk_bytes = min(CHUNK_BYTES, int(membership.config.bytes_per_s / 2 * CHUNK_TIME_S))
         self._timer: Timer | None = None
         self._comparison_task: asyncio.Task[None] | None = None
-        self._source: Writer | None = None  # of the comparison under way
+        self._source: Writer | None = None  # source of the comparison in progress
         now = clock.now()
         self.replica = Replica(
             (membership.name, membership.incarnation),
@@ -96,12 +97,12 @@
         membership.register_exchange(self.gossip.name, self._respond)
 
     def start(self) -> None:
-        """Begin with the timer."""
+        """Start the timer."""
         self._log.event("state_started", entries=self.config.entries, remember_s=self.config.remember_s)
         self._tick()
 
     async def close(self) -> None:
-        """End the timer and the comparison under way."""
+        """Stop the timer and the comparison in progress."""
         if self._timer is not None:
             self._timer.cancel()
         if self._comparison_task is not None:
@@ -109,15 +110,15 @@
             await asyncio.gather(self._comparison_task, return_exceptions=True)
 
     def routes(self) -> Routes:
-        """The admin API's routes of the state."""
+        """The admin API's routes for the replicated state."""
         return self._admin_api.routes()
 
     def is_synchronized(self) -> bool:
-        """Whether this node may send requests for clients: `mn` is not answered before."""
+        """Whether this node may send requests for clients; until then it does not respond to `mn`."""
         return self.replica.sync_state is SyncState.SYNCHRONIZED
 
     def publish_counters(self) -> None:
-        """Bring the node's counters up to those of the replica and its gossip."""
+        """Update the node's counters to those of the replica and its gossip."""
         for name, count in (self.replica.counts + self.gossip.counts).items():
             counter = f"state_{name}"
             self._counters.add(counter, count - self._counters[counter])
@@ -137,7 +138,7 @@
             reachable = self._reachable()
             self._send_urgent(now, reachable)
             self._compare_if_due(now, reachable)
-        except Exception as error:  # the node must serve on whatever breaks here
+        except Exception as error:  # the node must go on serving, whatever fails here
             self._counters.add("state_errors")
             self._log.error("state_tick_failed", error)
 
@@ -217,7 +218,7 @@
         return encode_chunk(self.replica.writer, chunk, self._clock.now())
 
     async def _compare(self, source: Writer) -> None:
-        """Until the source has sent all that differs; what was accepted stays, whatever happens."""
+        """Fetch all that differs from the source. Accepted entries remain, even if the comparison fails."""
         replica = self.replica
         root_before = replica.root()
         self._source = source
@@ -235,7 +236,7 @@
             self.gossip.comparisons.finish(self._clock.now(), source, was_productive)
 
     async def _fetch_chunk(self, source: Writer) -> bool:
-        """Request a chunk and apply it; whether it was the last one."""
+        """Request a chunk and apply it; return whether it was the last one."""
         requested_at = self._clock.now()
         request = self.replica.next_request(source)
         frames = await self._membership.exchange(source[0], self.gossip.name, encode_request(request))
@@ -243,7 +244,7 @@
         self._counters.add("state_chunks")
         self._counters.add("state_chunk_bytes", sum(map(len, frames)))
         for _, entry in received.chunk.entries:
-            self.gossip.acknowledgements.owe(entry)
+            self.gossip.acknowledgements.add_pending(entry)
         return self.replica.apply_chunk(self._clock.now(), source, received.chunk)
 
 
@@ -261,5 +262,5 @@
     if received is None:
         raise MessageDroppedError("malformed")
     if received.source != source:
-        raise ConnectionResetError("another process answers there")
+        raise ConnectionResetError("another process responded at the address of the source")
     return received
--- a/flintridge/replication/entry.py
+++ b/flintridge/replication/entry.py
@@ -1,8 +1,8 @@
-"""One key of the replicated map: its concurrent versions, and a version vector of all writes it ever saw.
+"""One key of the replicated map: its concurrent versions, and a version vector of all writes it has seen.
 
-`merge` is commutative, associative and idempotent. What decides is which writer had seen which write, never
-the order in which messages arrive nor a time of day; stamps only put versions in an order that all processes
-share.
+`merge` is commutative, associative and idempotent. Its result depends on which writer had seen which write,
+never on the order in which messages arrive or on the time of day. Stamps only put versions in an order that
+all processes share.
 """
 
 import math
@@ -10,8 +10,8 @@
 
 from flintridge.replication.value_types import precedence
 
-# Plain tuples: digests hash their `repr`, and those are compared between nodes of different releases.
-Writer = tuple[str, int]  # a process: its node's name and its incarnation, so that no dot is ever used twice
+# Plain tuples, because digests hash their `repr` and are compared between nodes of different releases.
+Writer = tuple[str, int]  # a process: its node's name, and its incarnation, which keeps each dot unique
 Dot = tuple[Writer, int]  # one write: its writer, and its number among that writer's writes
 Key = tuple[str, str]  # the entry's type and name
 
@@ -21,13 +21,13 @@
 
     Attributes:
         dot: Identifies the write.
-        written_at: When it was written, in milliseconds of the local clock; it travels as an age.
-        stamp: Of a hybrid logical clock.
-        body: The value, encoded; see `value_types`.
-        author: Who wrote it.
-        reason: What for, in the author's words.
-        lifetime_ms: For how long it is active, from `written_at` on.
-        deleted: Whether it is a tombstone.
+        written_at: Time of the write, in milliseconds of the local clock; messages contain it as an age.
+        stamp: Stamp of the write by the writer's hybrid logical clock.
+        body: The encoded value; see `value_types`.
+        author: Author of the write.
+        reason: Reason for the write, in the author's words.
+        lifetime_ms: Time for which the version is active, from `written_at` on.
+        deleted: Whether the version is a tombstone.
     """
 
     dot: Dot
@@ -40,21 +40,21 @@
     deleted: bool = False
 
     def expires_at(self) -> float:
-        """When its lifetime is over, in milliseconds; infinite where it never is."""
+        """End of the lifetime, in milliseconds; infinite if the version never expires."""
         return self.written_at + self.lifetime_ms
 
     def inactive_since(self) -> float:
-        """Since when it is a tombstone or expired, in milliseconds; infinite where it never will be."""
+        """Time since which it is a tombstone or expired, in milliseconds; infinite if it never will be."""
         return self.written_at if self.deleted else self.expires_at()
 
 
 class VectorComponent(NamedTuple):
-    """A component of a version vector: all of that writer's writes up to a number were seen.
+    """A component of a version vector: all of a writer's writes up to a number were seen.
 
     Attributes:
-        writer: The process.
-        up_to: The number of the last write seen.
-        written_at: When that one was written or last replaced, in milliseconds of the local clock.
+        writer: The process that made the writes.
+        up_to: Number of the last write that was seen.
+        written_at: Time at which that write was made or last replaced, in milliseconds of the local clock.
     """
 
     writer: Writer
@@ -63,11 +63,11 @@
 
 
 class Entry(NamedTuple):
-    """What a replica holds of a key; without versions it only remembers what was there.
+    """The content of a replica for one key. Without versions, it only records which writes were seen.
 
     Attributes:
-        versions: Those that nobody who had seen them has replaced, in the order of their dots.
-        version_vector: In the order of the writers.
+        versions: Versions that were not replaced by a writer who had seen them, in the order of their dots.
+        version_vector: Components of the version vector, in the order of their writers.
     """
 
     versions: tuple[Version, ...] = ()
@@ -75,13 +75,13 @@
 
     @property
     def is_permanent(self) -> bool:
-        """Whether it is one version without an end, and time changes nothing about it."""
+        """Whether time does not change the entry: it is a single version that never expires."""
         if len(self.versions) != 1 or len(self.version_vector) != 1:
             return False
         return not self.versions[0].deleted and self.versions[0].lifetime_ms == math.inf
 
     def has_seen(self, dot: Dot) -> bool:
-        """Whether the version vector covers that write."""
+        """Whether the version vector covers a write."""
         writer, count = dot
         return any(
             component.writer == writer and component.up_to >= count for component in self.version_vector
@@ -89,14 +89,14 @@
 
 
 def merge(local: Entry, remote: Entry) -> Entry:
-    """Combine two entries of a key: a version stays where each side has it or has never seen it."""
+    """Combine two entries of a key: a version remains if each side has it or has never seen it."""
     versions: dict[Dot, Version] = {}
     for entry, opposite in ((local, remote), (remote, local)):
         opposite_versions = {version.dot: version for version in opposite.versions}
         for version in entry.versions:
             same_write = opposite_versions.get(version.dot)
             if same_write is not None:
-                # The younger: an age is received too old by up to a trip, never too young.
+                # Keep the younger one: a received age is too high by up to the transit time, never too low.
                 is_younger = version.written_at >= same_write.written_at
                 versions[version.dot] = version if is_younger else same_write
             elif not opposite.has_seen(version.dot):
@@ -112,7 +112,7 @@
 
 
 def with_write(entry: Entry, version: Version) -> Entry:
-    """The entry after a write by somebody who had seen all of it."""
+    """Return the entry after a write whose writer had seen all of the entry."""
     writer, count = version.dot
     replaced_writers = {replaced.dot[0] for replaced in entry.versions}
     vector = {
@@ -126,7 +126,7 @@
 
 
 def without_versions(entry: Entry, dots: set[Dot], now: float) -> Entry:
-    """The entry without those versions: they count as seen, and as replaced from now on."""
+    """Return the entry without some versions, which then count as seen and as replaced at `now`."""
     writers = {dot[0] for dot in dots}
     vector = tuple(
         component._replace(written_at=now) if component.writer in writers else component
@@ -136,12 +136,12 @@
 
 
 def is_active(version: Version, now: float) -> bool:
-    """Whether it is neither a tombstone nor expired at `now`, in milliseconds."""
+    """Whether a version is neither a tombstone nor expired at `now`, in milliseconds."""
     return not version.deleted and now < version.expires_at()
 
 
 def by_precedence(type_name: str, entry: Entry, now: float) -> list[Version]:
-    """The versions, the one that applies first; all processes choose the same."""
+    """Sort the versions by precedence, with the one that applies first; all processes choose the same."""
     return sorted(
         entry.versions,
         key=lambda version: (
@@ -155,7 +155,7 @@
 
 
 def active_version(type_name: str, entry: Entry, now: float) -> Version | None:
-    """The version that applies at `now`; None where it was deleted, has expired, or never was."""
+    """The version that applies at `now`; None if it was deleted, has expired or never existed."""
     versions = by_precedence(type_name, entry, now)
     if versions and is_active(versions[0], now):
         return versions[0]
--- a/flintridge/replication/entry_store.py
+++ b/flintridge/replication/entry_store.py
@@ -1,8 +1,8 @@
-"""The entries that one process holds: its writes, the merging of others' entries, and expiry.
+"""The entries that one process holds: its own writes, merged entries of other processes, and expiry.
 
-Without I/O; times are float milliseconds of the process's own clock. `complete_up_to` says of each writer
-up to which of its writes all were received: one of those that is not here was replaced or deleted, and is not
-accepted again. So nothing deleted returns, however long a process was away.
+Without I/O; times are float milliseconds of the process's own clock. `complete_up_to` has, for each writer,
+the number up to which all of its writes were received. If one of these writes is not here, it was replaced or
+deleted, and is not accepted again. So nothing deleted returns, however long a process was unreachable.
 """
 
 import copy
@@ -32,11 +32,11 @@
 
     Attributes:
         writer: This process.
-        limits: Its bounds.
-        stamps: The clock that stamps its writes.
-        complete_up_to: Of each writer, up to which of its writes all were received.
-        counts: Of what happened, by name.
-        on_change: Called with an entry whose versions changed.
+        limits: Bounds of the store.
+        stamps: Clock that stamps this process's writes.
+        complete_up_to: For each writer, the number up to which all of its writes were received.
+        counts: Number of events of each kind, by name.
+        on_change: Called with the key and the entry whenever an entry's versions have changed.
     """
 
     def __init__(
@@ -50,9 +50,9 @@
 
         Args:
             writer: This process.
-            limits: Its bounds.
-            time_of_day_offset: Makes a time of day in milliseconds of the clock, for stamps alone.
-            log_event: Called with an event's name and fields for what operators should see.
+            limits: Bounds of the store.
+            time_of_day_offset: Milliseconds from the process's clock to the time of day, for stamps only.
+            log_event: Called with the name and the fields of each event that operators should see.
         """
         self.writer = writer
         self.limits = limits
@@ -67,7 +67,7 @@
 
     @property
     def entries(self) -> dict[Key, Entry]:
-        """All entries, those of tombstones included."""
+        """All entries, including those of tombstones."""
         return self._table.entries
 
     @property
@@ -77,20 +77,20 @@
 
     @property
     def write_count(self) -> int:
-        """How many writes this process has made."""
+        """Number of writes that this process has made."""
         return self._write_count
 
     def root(self) -> int:
-        """A digest of all entries, equal for stores that hold the same."""
+        """A digest of all entries, which is equal for stores with the same writes."""
         return self._table.root()
 
     def active_version(self, key: Key, now: float) -> Version | None:
-        """The version of a key that applies at `now`, if any."""
+        """The version of a key that applies at `now`; None if there is none."""
         entry = self.entries.get(key)
         return None if entry is None else active_version(key[0], entry, now)
 
     def sorted_bucket(self, bucket: int) -> list[Key]:
-        """The keys of a bucket.
+        """The keys of a bucket in sorted order.
 
         Raises:
             IndexError: There is no such bucket.
@@ -98,7 +98,7 @@
         return sorted(self._table.keys_in(bucket))
 
     def conflicting_keys(self) -> Iterable[Key]:
-        """The keys of which there are concurrent versions."""
+        """The keys with concurrent versions."""
         return (key for key, entry in self.entries.items() if len(entry.versions) > 1)
 
     def write(
@@ -111,19 +111,19 @@
         lifetime_ms: float = math.inf,
         deleted: bool = False,
     ) -> Version:
-        """Replace what is held of a key, at once.
+        """Replace all versions of a key that are held here.
 
         Args:
-            now: The time, in milliseconds.
-            key: The entry's type and name.
+            now: The current time in milliseconds.
+            key: Type and name of the entry.
             body: The encoded value.
-            author: Who writes.
-            reason: What for.
-            lifetime_ms: For how long it is active.
+            author: Author of the write.
+            reason: Reason for the write.
+            lifetime_ms: Time for which the version is active.
             deleted: Whether to write a tombstone.
 
         Raises:
-            WriteRejectedError: It is beyond a bound; nothing is written.
+            WriteRejectedError: The write exceeds a bound; nothing is written.
         """
         self.limits.check_write(key, body, author, reason)
         if key not in self.entries:
@@ -131,7 +131,7 @@
         if self.writer not in self.complete_up_to:
             check_writer_count(len(self.complete_up_to))
         if not lifetime_ms > 0:
-            raise WriteRejectedError("it must last longer than 0 ms")
+            raise WriteRejectedError("the lifetime must be longer than 0 ms")
         stamp = self.stamps.next_stamp(now)
         self._write_count += 1
         self.complete_up_to[self.writer] = self._write_count
@@ -141,31 +141,31 @@
         return version
 
     def receive(self, now: float, key: Key, entry: Entry) -> bool:
-        """Merge an entry of another process, with its times on the local clock.
+        """Merge an entry of another process, whose times are on the local clock.
 
         Returns:
-            Whether it was accepted.
+            Whether the entry was accepted.
         """
         if any(version.stamp >= MAX_STAMP for version in entry.versions):
-            # Not in part either: what its writer had seen would end what is here, and leave nothing.
+            # Rejected as a whole: its version vector alone would remove the versions here and add none.
             self._report_clock_ahead(key, accepted=False)
             return False
         local = self.entries.get(key, Entry())
         local_dots = {version.dot for version in local.versions}
         new_versions = [version for version in entry.versions if version.dot not in local_dots]
         if any(self.stamps.is_ahead(version.stamp, version.written_at) for version in new_versions):
-            # A clock is wrong, the writer's or this one. That is no reason to lose what an operator said: a
-            # stamp only puts concurrent versions in order.
+            # The clock of the writer or of this process is wrong. The operator's write is accepted all the
+            # same, since a stamp only puts concurrent versions in order.
             self._report_clock_ahead(key, accepted=True)
-        ended_dots = {version.dot for version in new_versions if self._was_received(version.dot)}
-        if ended_dots:
-            self.counts["versions_ended"] += len(ended_dots)
-            remaining = tuple(version for version in entry.versions if version.dot not in ended_dots)
+        superseded_dots = {version.dot for version in new_versions if self._was_received(version.dot)}
+        if superseded_dots:
+            self.counts["versions_ended"] += len(superseded_dots)
+            remaining = tuple(version for version in entry.versions if version.dot not in superseded_dots)
             entry = Entry(remaining, entry.version_vector)
         for version in entry.versions:
             self.stamps.observe(version.stamp)
         merged = self._merged(local, entry)
-        # Guards against tombstones that two replicas send one another for ever, each after expiring them.
+        # Otherwise two replicas would send each other tombstones forever, each after the other expired them.
         self._put(key, self._unexpired(merged, now - self.limits.tombstone_ms))
         return True
 
@@ -197,11 +197,11 @@
         self.on_change(key, entry)
 
     def expire(self, now: float, max_buckets: int | None = None) -> None:
-        """Forget what has been inactive for long enough.
+        """Remove what has been inactive for `tombstone_ms`.
 
         Args:
-            now: The time, in milliseconds.
-            max_buckets: How many buckets to go through, from where the last call ended; None for all.
+            now: The current time in milliseconds.
+            max_buckets: Number of buckets to process, from where the previous call ended; None for all.
         """
         bucket_count = self.limits.bucket_count
         count = bucket_count if max_buckets is None else min(max_buckets, bucket_count)
@@ -213,15 +213,16 @@
             self._next_expiry_bucket = (self._next_expiry_bucket + 1) % bucket_count
 
     def _unexpired(self, entry: Entry, until: float) -> Entry:
-        """The entry without what was inactive before `until`.
+        """Return the entry without what has been inactive since before `until`.
 
-        Only writes of which this process received all may go: it could not tell others from new ones.
+        Only writes that `complete_up_to` covers are removed. Any other one would count as new if it were
+        received again.
         """
         if all(
             version.inactive_since() < until and self._was_received(version.dot) for version in entry.versions
         ):
             entry = Entry((), entry.version_vector)
-        # A write that replaces a version has to say so, however old that is: its writer's component stays.
+        # A write must show which versions it replaces, however old they are: its writer's component stays.
         required_writers = {version.dot[0] for version in entry.versions}
         vector = tuple(
             component
@@ -233,7 +234,7 @@
         return Entry(entry.versions, vector)
 
     def clone(self) -> Self:
-        """A store of its own with the same content, for searches."""
+        """Return an independent store with the same content, for the exploration of interleavings."""
         clone = copy.copy(self)
         clone.stamps = copy.copy(self.stamps)
         clone.complete_up_to = dict(self.complete_up_to)
--- a/flintridge/replication/entry_table.py
+++ b/flintridge/replication/entry_table.py
@@ -1,4 +1,4 @@
-"""The entries of a replica in buckets of keys, with a digest of each bucket and one of all of them."""
+"""The entries of a replica in buckets of keys, with a digest of each bucket and one of all buckets."""
 
 import hashlib
 from typing import NamedTuple, Self
@@ -7,12 +7,12 @@
 
 
 class Difference(NamedTuple):
-    """The entries of those buckets, within a range, of which digests differ.
+    """The entries of the buckets, within a range, whose digests differ.
 
     Attributes:
-        end: The bucket after the last one that was compared.
-        buckets: Those that differ.
-        entries: All of their keys, in order, with their entries.
+        end: Bucket after the last one that was compared.
+        buckets: Buckets that differ.
+        entries: All keys of these buckets, in order, with their entries.
     """
 
     end: int
@@ -21,22 +21,22 @@
 
 
 class EntryTable:
-    """A map of entries with digests that are equal where two tables hold the same writes.
+    """A map of entries with digests, which are equal for tables that hold the same writes.
 
     Attributes:
-        entries: All of them, by key.
-        digests: One for each bucket, in order.
+        entries: All entries, by key.
+        digests: Digest of each bucket, in order.
     """
 
     def __init__(self, bucket_count: int) -> None:
-        """A table without entries; tables with other numbers of buckets can't be compared."""
+        """Create an empty table. Only tables with the same number of buckets can be compared."""
         self.entries: dict[Key, Entry] = {}
         self.digests = [0] * bucket_count
         self._buckets: list[dict[Key, None]] = [{} for _ in range(bucket_count)]
         self._root: int | None = None
 
     def put(self, key: Key, entry: Entry) -> None:
-        """Replace the entry of a key; one that is empty is removed."""
+        """Replace the entry of a key; an empty entry removes the key."""
         before = self.entries.get(key)
         bucket = _hash_63_bits("\0".join(key)) % len(self._buckets)
         self._root = None
@@ -65,12 +65,12 @@
         return list(self._buckets[bucket])
 
     def difference(self, digests: tuple[int, ...], first: int, max_bytes: int) -> Difference:
-        """Compare buckets with another table's digests, of which there are as many.
+        """Compare the buckets with the digests of another table that has as many buckets.
 
         Args:
-            digests: One for each bucket of the other table.
-            first: The bucket to begin with.
-            max_bytes: Of entries; no bucket is begun beyond it, but one is always compared.
+            digests: Digest of each bucket of the other table.
+            first: First bucket to compare.
+            max_bytes: Size of the entries beyond which no further bucket is compared; at least one bucket is.
         """
         buckets: list[int] = []
         entries: list[tuple[Key, Entry]] = []
@@ -87,7 +87,7 @@
         return Difference(end, tuple(buckets), tuple(entries))
 
     def clone(self) -> Self:
-        """A table of its own with the same content."""
+        """Return an independent table with the same content."""
         clone = type(self)(0)
         clone.entries = dict(self.entries)
         clone.digests = list(self.digests)
@@ -97,7 +97,7 @@
 
 
 def entry_digest(key: Key, entry: Entry) -> int:
-    """Of the dots alone, as times differ from one replica to another."""
+    """Digest of an entry's dots or version vector, without times, since these differ between replicas."""
     if entry.versions:
         return _hash_63_bits(f"{key!r}{[version.dot for version in entry.versions]!r}")
     seen = [(component.writer, component.up_to) for component in entry.version_vector]
@@ -105,7 +105,7 @@
 
 
 def approximate_size(key: Key, entry: Entry) -> int:
-    """Bytes of an entry, about."""
+    """Approximate size of an entry in bytes."""
     versions_size = sum(
         len(version.body) + len(version.author) + len(version.reason) + 48 for version in entry.versions
     )
@@ -113,6 +113,6 @@
 
 
 def _hash_63_bits(text: str) -> int:
-    """Of 63 bits, as a field of a message holds no more; nodes of all releases must hash alike."""
+    """Hash a text to 63 bits, the most that a message field holds; nodes of all releases must hash alike."""
     digest = hashlib.blake2b(text.encode(), digest_size=8, person=b"flintridge-copy").digest()
     return int.from_bytes(digest) >> 1
--- a/flintridge/replication/gossip.py
+++ b/flintridge/replication/gossip.py
@@ -1,7 +1,7 @@
-"""Rumor mongering: what is new in one replica goes at once to a few processes, who pass it on.
+"""Rumor mongering: a new entry of a replica is sent immediately to a few processes, which pass it on.
 
-A state machine without I/O over a `Replica`; a topic of the membership's datagrams. Times are float
-milliseconds of the process's own clock. What rumors do not reach is brought by anti-entropy.
+A state machine without I/O over a `Replica`, and a topic of the membership's datagrams. Times are float
+milliseconds of the process's own clock. Anti-entropy delivers the entries that rumors do not.
 """
 
 from collections import Counter
@@ -25,16 +25,17 @@
 )
 from flintridge.replication.replica import Replica
 
-FANOUT = 6  # processes that each one notifies of what is new to it; anti-entropy brings it to the others
-IMMEDIATE_FANOUT = 3  # of them without waiting for the next datagram
+# Processes to which each process sends an entry that is new to it; anti-entropy delivers it to the others.
+FANOUT = 6
+IMMEDIATE_FANOUT = 3  # of these, processes to which it is sent without waiting for the next regular datagram
 RUMOR_LIFETIME_MS = 2_000.0
-MAX_RUMORS = 64  # keys; beyond, anti-entropy does it
-MAX_OVERSIZED_ENTRIES = 4  # entries too long for a datagram that are tried for each
+MAX_RUMORS = 64  # keys; anti-entropy delivers any others
+MAX_OVERSIZED_ENTRIES = 4  # entries that are found too long for a datagram before the search ends
 
 
 @dataclass(slots=True)
 class Rumor:
-    """An entry that is new here, at `since`, and the processes that it was sent to or came from."""
+    """An entry that changed here at `since`, and the processes to which it was sent or from which it came."""
 
     since: float
     sent_to: set[Writer] = field(default_factory=set)
@@ -44,19 +45,19 @@
     """Exchanges rumors and the status of replicas in datagrams.
 
     Attributes:
-        name: Of the topic.
-        replica: This process's.
-        bytes_per_s: What the topic may send.
-        counts: Of what happened, by name.
-        acknowledgements: Who has this process's writes, and whose writes it has.
-        comparisons: When to compare with whom.
-        on_change: Called with an entry whose versions changed.
+        name: Name of the topic.
+        replica: The replica of this process.
+        bytes_per_s: Bytes a second that the topic may send.
+        counts: Number of events of each kind, by name.
+        acknowledgements: Acknowledgements of this process's writes, and those pending for other writers.
+        comparisons: Schedules comparisons with other replicas.
+        on_change: Called with the key and the entry whenever an entry's versions have changed.
     """
 
     name = "state"
 
     def __init__(self, replica: Replica, peers: tuple[str, ...], bytes_per_s: float, rng: Random) -> None:
-        """`peers`: the names of the other nodes."""
+        """Create a spreader for `replica`; `peers` are the names of the other nodes."""
         self.replica = replica
         self.bytes_per_s = bytes_per_s
         self.counts: Counter[str] = Counter()
@@ -75,7 +76,7 @@
         self.on_change(key, entry)
 
     def urgent_targets(self, now: float, reachable: list[Writer]) -> list[Writer]:
-        """Of the reachable processes, those for which there is something that need not wait."""
+        """Choose the reachable processes to which to send a message before the next regular datagram."""
         self._now = now
         self._drop_old_rumors(now)
         targets = [peer for peer in reachable if self.acknowledgements.is_pending(peer)]
@@ -95,7 +96,7 @@
             del self._rumors[key]
 
     def payload_for(self, now: float, to: Member, max_bytes: int) -> bytes | None:
-        """The message for a datagram to that process, in at most `max_bytes`; None where there is none."""
+        """The message for a datagram to a process; None if it does not fit into `max_bytes`."""
         peer = to.name, to.incarnation
         replica = self.replica
         message = GossipMessage(
@@ -111,7 +112,7 @@
         return encode_gossip(message)
 
     def _with_rumors(self, now: float, message: GossipMessage, peer: Writer, max_bytes: int) -> GossipMessage:
-        """The message with the rumors that are new to that process, as many as `max_bytes` have room for."""
+        """Add the rumors that are new to `peer` to a message, as many as fit into `max_bytes`."""
         oversized_entries = 0
         for key, rumor in self._rumors.items():
             if oversized_entries >= MAX_OVERSIZED_ENTRIES:
@@ -123,13 +124,13 @@
             longer_message = msgspec.structs.replace(message, entries=entries)
             if len(encode_gossip(longer_message)) > max_bytes:
                 oversized_entries += 1
-                continue  # a long one goes with the next datagram, or by comparison
+                continue  # it is sent in a later datagram, or by a comparison
             rumor.sent_to.add(peer)
             message = longer_message
         return message
 
     def receive_payload(self, now: float, name: str, incarnation: int, as_of: float, data: bytes) -> None:
-        """Take in a peer's message, which was sent at `as_of` or later, in milliseconds."""
+        """Apply a peer's message, which was sent at `as_of` or later, in milliseconds."""
         message = decode_gossip(data)
         if message is None or name not in self._peers:
             self.counts["messages_malformed"] += 1
@@ -153,4 +154,4 @@
         rumor = self._rumors.get(key)
         if rumor is not None:
             rumor.sent_to.add(peer)
-        self.acknowledgements.owe(entry)
+        self.acknowledgements.add_pending(entry)
--- a/flintridge/replication/limits.py
+++ b/flintridge/replication/limits.py
@@ -1,11 +1,11 @@
-"""The bounds of a replica, and the checks of a write against them."""
+"""The bounds of a replica, and the checks of writes against them."""
 
 from dataclasses import dataclass
 
 from flintridge.replication.entry import Key
 from flintridge.replication.value_types import WriteRejectedError
 
-MAX_WRITERS = 4096  # processes that ever wrote
+MAX_WRITERS = 4096  # processes that have ever made a write
 
 
 @dataclass(slots=True, frozen=True)
@@ -13,12 +13,12 @@
     """The bounds of a replica.
 
     Attributes:
-        max_entries: Keys, those of tombstones included.
-        max_entry_bytes: Of a write: key, author, reason and body.
-        tombstone_ms: For how long tombstones and expired versions are remembered, at the least.
-        sync_wait_ms: For how long a new process waits for one that has synchronized.
-        max_clock_lead_ms: By how much a stamp may be ahead of the local clock without a line in the log.
-        bucket_count: All nodes must have the same.
+        max_entries: Most entries, including those of tombstones.
+        max_entry_bytes: Largest size of a write: its key, author, reason and body.
+        tombstone_ms: Shortest time for which tombstones and expired versions are remembered.
+        sync_wait_ms: Time for which a new process waits for a synchronized peer.
+        max_clock_lead_ms: Time by which a stamp may be ahead of the local clock without a line in the log.
+        bucket_count: Number of buckets of keys, which must be the same at all nodes.
     """
 
     max_entries: int = 10_000
@@ -32,29 +32,29 @@
         """Check the size of a write.
 
         Raises:
-            WriteRejectedError: It is too long.
+            WriteRejectedError: The write is too long.
         """
         size = sum(len(text.encode()) for text in (*key, author, reason)) + len(body)
         if size > self.max_entry_bytes:
-            raise WriteRejectedError(f"{size} bytes are over entry_bytes of {self.max_entry_bytes}")
+            raise WriteRejectedError(f"the write has {size} bytes; entry_bytes allows {self.max_entry_bytes}")
 
     def check_entry_count(self, count: int) -> None:
-        """Check whether there may be one more entry than `count`.
+        """Check that one entry may be added to `count` entries.
 
         Raises:
-            WriteRejectedError: There are as many as may be.
+            WriteRejectedError: There are already as many entries as allowed.
         """
         if count >= self.max_entries:
             raise WriteRejectedError(
-                f"{count} entries are held, deletions included; allowed: {self.max_entries}"
+                f"there are {count} entries already, including deleted ones; allowed: {self.max_entries}"
             )
 
 
 def check_writer_count(count: int) -> None:
-    """Check whether there may be one more writer than `count`.
+    """Check that one writer may be added to `count` writers.
 
     Raises:
-        WriteRejectedError: There are as many as may be.
+        WriteRejectedError: There are already as many writers as allowed.
     """
     if count >= MAX_WRITERS:
-        raise WriteRejectedError(f"{count} processes have written; allowed: {MAX_WRITERS}")
+        raise WriteRejectedError(f"{count} processes have already made writes; allowed: {MAX_WRITERS}")
--- a/flintridge/replication/messages.py
+++ b/flintridge/replication/messages.py
@@ -1,7 +1,7 @@
-"""The messages between replicas, in bytes. Times travel as ages, in whole milliseconds.
+"""The messages between replicas, and their encoding. Times are sent as ages, in whole milliseconds.
 
-What a later release adds stands at the end of a message, where this one does not look. A type of entries that
-is not known here is passed on as it came: its body is bytes to whoever passes it on.
+Later releases append fields to a message, which this release ignores. Entries of a type that is unknown here
+are passed on unchanged, because a body is opaque bytes to the processes that pass it on.
 """
 
 import math
@@ -14,10 +14,10 @@
 from flintridge.replication.comparison import DigestRequest, SnapshotChunk
 from flintridge.replication.entry import Entry, Key, VectorComponent, Version, Writer
 
-FRAME_BYTES = 24 * 1024  # of entries in a frame of an exchange, about
+FRAME_BYTES = 24 * 1024  # approximate size of the entries in one frame of an exchange
 MAX_VERSIONS = 1024
 MAX_VECTOR_COMPONENTS = 4096
-NO_END = -1.0  # as a lifetime
+INFINITE_LIFETIME_MS = -1.0  # an infinite lifetime as it is encoded
 
 Name = Annotated[str, Meta(min_length=1, max_length=64)]
 Text = Annotated[str, Meta(max_length=4096)]
@@ -28,7 +28,7 @@
 
 
 class VersionMessage(msgspec.Struct, array_like=True, frozen=True, gc=False):
-    """A version of an entry: its dot (`node`, `incarnation`, `count`) and what was written."""
+    """A version of an entry: its dot (`node`, `incarnation`, `count`) and the data of the write."""
 
     node: Name
     incarnation: Number
@@ -38,12 +38,12 @@
     body: Annotated[bytes, Meta(max_length=16384)]
     author: Text
     reason: Text
-    lifetime_ms: Annotated[float, Meta(ge=-1)] = NO_END
+    lifetime_ms: Annotated[float, Meta(ge=-1)] = INFINITE_LIFETIME_MS
     deleted: bool = False
 
 
 class VectorComponentMessage(NamedTuple):
-    """A component of a version vector; `age_ms` is that of the last write seen."""
+    """A component of a version vector; `age_ms` is the age of the last write that was seen."""
 
     node: Name
     incarnation: Number
@@ -52,7 +52,7 @@
 
 
 class EntryMessage(msgspec.Struct, array_like=True, frozen=True, gc=False):
-    """An entry of a type and a name."""
+    """An entry with its type and name."""
 
     type_name: Name
     name: Text
@@ -61,14 +61,14 @@
 
 
 class GossipMessage(msgspec.Struct, array_like=True, frozen=True, gc=False):
-    """What a datagram between peers carries.
+    """The message about replicas in a datagram between peers.
 
     Attributes:
-        root: The digest of the whole replica that sends it.
-        synchronized: Whether that replica has synchronized.
-        entries: Rumors.
+        root: Digest of the sender's whole replica.
+        synchronized: Whether the sender's replica has synchronized.
+        entries: Entries that are sent as rumors.
         acknowledged: Numbers of the receiver's own writes that the sender has.
-        write_count: How many writes the sender has made.
+        write_count: Number of writes that the sender has made.
     """
 
     root: Digest
@@ -79,7 +79,7 @@
 
 
 class RequestMessage(msgspec.Struct, array_like=True, frozen=True, gc=False):
-    """A `DigestRequest`."""
+    """A `DigestRequest` as it is encoded."""
 
     digests: Annotated[tuple[Digest, ...], Meta(max_length=4096)]
     cursor: Bucket
@@ -87,7 +87,7 @@
 
 
 class WriteCountMessage(NamedTuple):
-    """Up to which of a process's writes all were received."""
+    """The number up to which all of a process's writes were received."""
 
     node: Name
     incarnation: Number
@@ -95,7 +95,7 @@
 
 
 class ChunkHeader(msgspec.Struct, array_like=True, frozen=True, gc=False):
-    """The first frame of a `SnapshotChunk`, with who sends it; the other frames are arrays of entries."""
+    """The first frame of a `SnapshotChunk`, with its sender; the other frames are arrays of entries."""
 
     node: Name
     incarnation: Number
@@ -124,7 +124,7 @@
 
 
 def make_entry(key: Key, entry: Entry, now: float) -> EntryMessage:
-    """An entry as it travels at `now`, in milliseconds."""
+    """Convert an entry to a message that is sent at `now`, in milliseconds."""
     return EntryMessage(
         type_name=key[0],
         name=key[1],
@@ -144,7 +144,7 @@
         body=version.body,
         author=version.author,
         reason=version.reason,
-        lifetime_ms=NO_END if version.lifetime_ms == math.inf else version.lifetime_ms,
+        lifetime_ms=INFINITE_LIFETIME_MS if version.lifetime_ms == math.inf else version.lifetime_ms,
         deleted=version.deleted,
     )
 
@@ -164,11 +164,11 @@
 
 
 def parse_entry(message: EntryMessage, as_of: float) -> tuple[Key, Entry]:
-    """The key and the entry of a message.
+    """Convert a message to the key and the entry.
 
     Args:
-        message: As it came.
-        as_of: A time of the local clock at which it was sent, or before; milliseconds.
+        message: The received message.
+        as_of: Time of the local clock at which the message was sent, or an earlier one, in milliseconds.
     """
     versions = [_parse_version(version, as_of) for version in message.versions]
     vector = [
@@ -193,12 +193,12 @@
 
 
 def encode_gossip(message: GossipMessage) -> bytes:
-    """The bytes of a message."""
+    """Encode a message."""
     return _encoder.encode(message)
 
 
 def decode_gossip(data: bytes) -> GossipMessage | None:
-    """The message of those bytes; None where they are none."""
+    """Decode a message; None if it is malformed."""
     try:
         return _gossip_decoder.decode(data)
     except DECODE_ERRORS:
@@ -206,12 +206,12 @@
 
 
 def encode_request(request: DigestRequest) -> bytes:
-    """The bytes of a request."""
+    """Encode a request."""
     return _encoder.encode(RequestMessage(request.digests, request.cursor, request.number))
 
 
 def decode_request(data: bytes) -> DigestRequest | None:
-    """The request of those bytes; None where they are none."""
+    """Decode a request; None if it is malformed."""
     try:
         message = _request_decoder.decode(data)
     except DECODE_ERRORS:
@@ -220,12 +220,12 @@
 
 
 def encode_chunk(source: Writer, chunk: SnapshotChunk, now: float) -> list[bytes]:
-    """The frames of a chunk.
+    """Encode a chunk as frames.
 
     Args:
-        source: The process that sends it.
+        source: The process that sends the chunk.
         chunk: The chunk.
-        now: The time, in milliseconds.
+        now: The current time in milliseconds.
     """
     node, incarnation = source
     header = ChunkHeader(
@@ -258,11 +258,11 @@
 
 
 def decode_chunk(frames: list[bytes], as_of: float) -> ReceivedChunk | None:
-    """The chunk of those frames; None where they are none.
+    """Decode the frames of a chunk; None if they are malformed.
 
     Args:
-        frames: As they came.
-        as_of: A time of the local clock at which it was sent, or before; milliseconds.
+        frames: The received frames.
+        as_of: Time of the local clock at which the chunk was sent, or an earlier one, in milliseconds.
     """
     try:
         header = _header_decoder.decode(frames[0])
--- a/flintridge/replication/replica.py
+++ b/flintridge/replication/replica.py
@@ -1,8 +1,8 @@
 """One process's replica of the entries: its own entry store, synchronized with those of other processes.
 
-Without I/O; times are float milliseconds of the process's own clock. A replica compares itself with others
-by digests of buckets of keys, and takes the buckets that differ whole. What a source received and does not
-hold any more was replaced or deleted there, and is dropped here too; see `entry_store`.
+Without I/O; times are float milliseconds of the process's own clock. A replica is compared with others by
+digests of buckets of keys, and fetches the buckets that differ as a whole. A version that a source received
+but no longer holds was replaced or deleted there, and is dropped here too; see `entry_store`.
 """
 
 from collections.abc import Callable
@@ -20,14 +20,14 @@
 from flintridge.replication.limits import ReplicaLimits
 from flintridge.replication.synchronization import Synchronization
 
-CHUNK_BYTES = 16 * 1024  # of entries in a chunk, about; a bucket is never divided
+CHUNK_BYTES = 16 * 1024  # approximate size of the entries in a chunk; a bucket is never divided
 
 
 class Replica(EntryStore):
     """The state machine of one process's replica.
 
     Attributes:
-        synchronization: How far it has synchronized, and its comparisons under way.
+        synchronization: Synchronization state of the replica, and its comparisons in progress.
     """
 
     def __init__(
@@ -42,34 +42,34 @@
 
         Args:
             writer: This process.
-            limits: Its bounds.
-            now: The time, in milliseconds.
-            time_of_day_offset: Makes a time of day in milliseconds of the clock, for stamps alone.
-            log_event: Called with an event's name and fields for what operators should see.
+            limits: Bounds of the replica.
+            now: The current time in milliseconds.
+            time_of_day_offset: Milliseconds from the process's clock to the time of day, for stamps only.
+            log_event: Called with the name and the fields of each event that operators should see.
         """
         super().__init__(writer, limits, time_of_day_offset, log_event)
         self.synchronization = Synchronization(now, limits.sync_wait_ms)
 
     @property
     def sync_state(self) -> SyncState:
-        """Whether it has synchronized."""
+        """Whether the replica has synchronized."""
         return self.synchronization.state
 
     @property
     def comparisons(self) -> dict[Writer, Comparison]:
-        """Those under way, by their sources."""
+        """The comparisons in progress, by their sources."""
         return self.synchronization.comparisons
 
     def mark_synchronized(self) -> None:
-        """There is nobody to synchronize with: what is here is the state."""
+        """Count the replica as synchronized, because there is no peer to synchronize with."""
         self.synchronization.mark_synchronized()
 
     def expire(self, now: float, max_buckets: int | None = None) -> None:
-        """Forget what has been inactive for long enough, and end a wait for a source that is over.
+        """Remove what has been inactive for `tombstone_ms`, and end the wait for a source when it is over.
 
         Args:
-            now: The time, in milliseconds.
-            max_buckets: How many buckets to go through, from where the last call ended; None for all.
+            now: The current time in milliseconds.
+            max_buckets: Number of buckets to process, from where the previous call ended; None for all.
         """
         super().expire(now, max_buckets)
         if not self.synchronization.is_synchronized and self.synchronization.is_wait_over(now):
@@ -80,39 +80,41 @@
     def receive_root(
         self, now: float, peer: Writer, root: int, peer_synchronized: bool, peer_writes: int
     ) -> bool:
-        """Take in what another replica says of itself.
+        """Apply the status that another replica sent.
 
         Args:
-            now: The time, in milliseconds.
-            peer: Its process.
-            root: Its digest.
-            peer_synchronized: Whether it has synchronized.
-            peer_writes: How many writes that process has made.
+            now: The current time in milliseconds.
+            peer: Process of the other replica.
+            root: Digest of the other replica.
+            peer_synchronized: Whether the other replica has synchronized.
+            peer_writes: Number of writes that the other process has made.
 
         Returns:
-            Whether to compare with it.
+            Whether to compare with the other replica.
         """
         if peer_synchronized:
             self.synchronization.receive_synchronized_peer(now)
         differs = root != self.root()
         if peer_writes and not differs:
-            # It holds what is held here: each of its writes until then is here, or was ended.
+            # The replicas are equal: each of the peer's writes so far is here, or was replaced or deleted.
             self._raise_complete_up_to(peer, peer_writes)
         return differs or (peer_synchronized and not self.synchronization.is_synchronized)
 
     def next_request(self, source: Writer) -> DigestRequest:
-        """The next request to that source: its comparison goes on where it stands, or begins."""
+        """The next request to a source; begins a comparison if none is in progress with it."""
         comparison = self.synchronization.begin_or_resume(source)
         return DigestRequest(tuple(self.digests), comparison.cursor, comparison.number)
 
     def make_chunk(self, request: DigestRequest, max_bytes: int = CHUNK_BYTES) -> SnapshotChunk:
-        """The response to another replica's request: about `max_bytes`, and at least one bucket.
+        """Respond to another replica's request with about `max_bytes` of entries from at least one bucket.
 
         Raises:
-            IncompatibleDigestsError: The other replica divides its keys in another way.
+            IncompatibleDigestsError: The other replica divides its keys into a different number of buckets.
         """
         if len(request.digests) != len(self.digests):
-            raise IncompatibleDigestsError(f"{len(request.digests)} digests; allowed: {len(self.digests)}")
+            raise IncompatibleDigestsError(
+                f"the request has {len(request.digests)} digests; expected: {len(self.digests)}"
+            )
         difference = self._table.difference(request.digests, request.cursor, max_bytes)
         return SnapshotChunk(
             number=request.number,
@@ -125,13 +127,13 @@
         )
 
     def apply_chunk(self, now: float, source: Writer, chunk: SnapshotChunk) -> bool:
-        """Merge a chunk, with its entries' times on the local clock.
+        """Merge a chunk, whose entries' times are on the local clock.
 
         Returns:
             Whether the comparison is complete.
         """
         if not self.synchronization.expects(source, chunk):
-            self.counts["chunks_out_of_order"] += 1  # duplicated, late, or of an abandoned comparison
+            self.counts["chunks_out_of_order"] += 1  # duplicate, late, or of an abandoned comparison
             return False
         if chunk.source_synchronized:
             self.synchronization.receive_synchronized_chunk(now)
@@ -154,29 +156,29 @@
             self.synchronization.mark_synchronized()
 
     def abandon_comparison(self, source: Writer) -> None:
-        """The source is gone; what was accepted stays, and another one is asked for the rest."""
+        """End the comparison with a source. Accepted entries remain; another source is asked for the rest."""
         self.synchronization.abandon(source)
 
     def _drop_superseded(self, now: float, chunk: SnapshotChunk) -> None:
-        """Drop what the source received and does not hold any more: it was replaced or deleted there."""
+        """Drop versions that the source received but no longer holds: they were replaced or deleted there."""
         source_dots = {key: {version.dot for version in entry.versions} for key, entry in chunk.entries}
         source_complete = dict(chunk.complete_up_to)
         for bucket in chunk.buckets:
             for key in self._table.keys_in(bucket):
                 entry = self.entries[key]
                 dots_at_source = source_dots.get(key, set())
-                ended_dots = {
+                superseded_dots = {
                     version.dot
                     for version in entry.versions
                     if version.dot not in dots_at_source
                     and source_complete.get(version.dot[0], 0) >= version.dot[1]
                 }
-                if ended_dots:
-                    self.counts["versions_ended"] += len(ended_dots)
-                    self._put(key, without_versions(entry, ended_dots, now))
+                if superseded_dots:
+                    self.counts["versions_ended"] += len(superseded_dots)
+                    self._put(key, without_versions(entry, superseded_dots, now))
 
     def clone(self) -> Self:
-        """A replica of its own with the same content, for searches."""
+        """Return an independent replica with the same content, for the exploration of interleavings."""
         clone = super().clone()
         clone.synchronization = self.synchronization.clone()
         return clone
--- a/flintridge/replication/synchronization.py
+++ b/flintridge/replication/synchronization.py
@@ -1,4 +1,4 @@
-"""How far a replica has synchronized with others: its state, its waits, and the comparisons under way.
+"""The synchronization of a replica with others: its state, its waits, and the comparisons in progress.
 
 Without I/O; times are float milliseconds of the process's own clock.
 """
@@ -10,57 +10,58 @@
 from flintridge.replication.comparison import Comparison, SnapshotChunk, SyncState
 from flintridge.replication.entry import Writer
 
-UNPRODUCTIVE_SOURCE_FACTOR = 6.0  # times the wait: for a source that is reachable, but delivers nothing
+# Multiple of the wait after which a source that is reachable but delivers nothing is no longer waited for.
+UNPRODUCTIVE_SOURCE_FACTOR = 6.0
 
 
 class Synchronization:
     """The synchronization state of one replica.
 
     Attributes:
-        state: Whether it has synchronized.
-        started_at: When its process started, in milliseconds.
-        comparisons: Those under way, by their sources.
+        state: Whether the replica has synchronized.
+        started_at: Time at which the process started, in milliseconds.
+        comparisons: Comparisons in progress, by their sources.
     """
 
     def __init__(self, now: float, wait_ms: float) -> None:
-        """`wait_ms`: for how long to wait for a peer that has synchronized."""
+        """Start at `now`; `wait_ms` is the time for which to wait for a synchronized peer."""
         self.state = SyncState.UNSYNCHRONIZED
         self.started_at = now
         self.comparisons: dict[Writer, Comparison] = {}
         self._wait_ms = wait_ms
-        self._synchronized_peer_at = -math.inf  # when one that has synchronized last sent a message
-        self._last_chunk_at = -math.inf  # when one of those last sent a chunk
+        self._synchronized_peer_at = -math.inf  # time of the last message or chunk of such a peer
+        self._last_chunk_at = -math.inf  # time of the last chunk of such a peer
         self._last_comparison_number = 0
 
     @property
     def is_synchronized(self) -> bool:
-        """Whether the replica has all that some synchronized replica held."""
+        """Whether the replica has all entries that some synchronized replica had."""
         return self.state is SyncState.SYNCHRONIZED
 
     def receive_synchronized_peer(self, now: float) -> None:
-        """A peer that has synchronized sent a message."""
+        """Record a message from a synchronized peer."""
         self._synchronized_peer_at = now
 
     def receive_synchronized_chunk(self, now: float) -> None:
-        """A peer that has synchronized delivered a chunk."""
+        """Record a chunk from a synchronized peer."""
         self._synchronized_peer_at = now
         self._last_chunk_at = now
 
     def is_wait_over(self, now: float) -> bool:
-        """Whether there was no peer to synchronize with for long enough."""
+        """Whether there has been no peer to synchronize with for long enough."""
         without_peer_ms = now - max(self.started_at, self._synchronized_peer_at)
         if without_peer_ms >= self._wait_ms:
             return True
-        # Guards the service against a source that is reachable, but whose exchanges never come through.
+        # A reachable source whose exchanges never succeed must not keep this node out of service.
         without_chunk_ms = now - max(self.started_at, self._last_chunk_at)
         return without_chunk_ms >= UNPRODUCTIVE_SOURCE_FACTOR * self._wait_ms
 
     def mark_synchronized(self) -> None:
-        """What the replica holds from now on is the state."""
+        """Count the replica as synchronized from now on."""
         self.state = SyncState.SYNCHRONIZED
 
     def begin_or_resume(self, source: Writer) -> Comparison:
-        """The comparison with that source, where it stands; a new one where there is none."""
+        """Return the comparison in progress with a source; begin one if there is none."""
         if self.state is SyncState.UNSYNCHRONIZED:
             self.state = SyncState.SYNCHRONIZING
         comparison = self.comparisons.get(source)
@@ -71,24 +72,24 @@
         return comparison
 
     def expects(self, source: Writer, chunk: SnapshotChunk) -> bool:
-        """Whether it is the next chunk of the comparison with that source."""
+        """Whether a chunk is the next one of the comparison with a source."""
         comparison = self.comparisons.get(source)
         if comparison is None:
             return False
         return chunk.number == comparison.number and chunk.first == comparison.cursor
 
     def advance(self, source: Writer, chunk: SnapshotChunk, rejected_entries: bool) -> Comparison:
-        """The comparison with that source, once its next chunk is applied."""
+        """Record that the next chunk from a source has been applied, and return the comparison."""
         comparison = self.comparisons[source].after(chunk, rejected_entries)
         self.comparisons[source] = comparison
         return comparison
 
     def abandon(self, source: Writer) -> None:
-        """Forget the comparison with that source, if there is one."""
+        """Forget the comparison with a source, if there is one."""
         self.comparisons.pop(source, None)
 
     def clone(self) -> Self:
-        """One of its own with the same state."""
+        """Return an independent copy with the same state."""
         clone = copy.copy(self)
         clone.comparisons = dict(self.comparisons)
         return clone
--- a/flintridge/replication/value_types.py
+++ b/flintridge/replication/value_types.py
@@ -1,6 +1,6 @@
 """The types of replicated entries: their fields, and which of two concurrent versions takes precedence.
 
-`VALUE_TYPES` is the rule, and the tests compare the table of docs/design/replication.md with it.
+`VALUE_TYPES` defines them; the tests compare the table in docs/design/replication.md with it.
 """
 
 import math
@@ -19,7 +19,7 @@
 
 
 class WriteRejectedError(FlintridgeError, ValueError):
-    """A write that is not accepted. The text says why and what is allowed, in one line."""
+    """A write was rejected. The text gives the reason and what is allowed, in one line."""
 
 
 @dataclass(slots=True, frozen=True)
@@ -27,13 +27,13 @@
     """A type of entries.
 
     Attributes:
-        name: As it stands in keys.
-        fields: The fields of a body, for the documentation.
+        name: Name of the type, as used in keys.
+        fields: Fields of a body, for the documentation.
         rule: Which of two concurrent versions takes precedence, for the documentation.
         before_synchronized: What applies on a node that has not synchronized yet, for the documentation.
-        validate: Says what is wrong with a body; empty where nothing is.
-        precedence: Of two concurrent versions the one with the higher result applies, then the newer one.
-            Called with the body and the version's lifetime in milliseconds.
+        validate: Returns what is wrong with a body; empty if nothing is.
+        precedence: Called with a body and the version's lifetime in milliseconds. Of two concurrent versions
+            the one with the higher result applies; if the results are equal, the newer one.
     """
 
     name: str
@@ -46,14 +46,14 @@
 
 def _check_number(body: Body, name: str, minimum: float, maximum: float) -> str:
     value = body.get(name)
-    # bool is an int in Python: `true` for a factor would be taken for 1.
+    # bool is a subclass of int in Python; without this check, `true` for a factor would count as 1.
     if isinstance(value, int | float) and not isinstance(value, bool) and minimum <= value <= maximum:
         return ""
-    return f"{name} is a number from {minimum:g} to {maximum:g}"
+    return f"{name} must be a number from {minimum:g} to {maximum:g}"
 
 
 def _check_flag(body: Body, name: str) -> str:
-    return "" if isinstance(body.get(name), bool) else f"{name} is true or false"
+    return "" if isinstance(body.get(name), bool) else f"{name} must be true or false"
 
 
 def _check_names(body: Body, *names: str) -> str:
@@ -91,7 +91,7 @@
 def _validate_note(body: Body) -> str:
     text = body.get("text")
     is_text = isinstance(text, str) and bool(text)
-    return _check_names(body, "text") or ("" if is_text else "text is a text that is not empty")
+    return _check_names(body, "text") or ("" if is_text else "text must be a string that is not empty")
 
 
 def _note_precedence(_body: Body, _lifetime_ms: float) -> Precedence:
@@ -138,9 +138,9 @@
 
 
 def precedence(type_name: str, body: bytes, lifetime_ms: float) -> Precedence:
-    """Of a version among concurrent ones; the higher applies.
+    """The precedence of a version among concurrent ones, of which the one with the highest applies.
 
-    Of a type that this release does not know it is always the same: the newest applies.
+    For a type that this release does not know it is always the same, so that the newest version applies.
     """
     value_type = VALUE_TYPES.get(type_name)
     if value_type is None:
@@ -155,7 +155,7 @@
     """Validate a body and encode it.
 
     Raises:
-        WriteRejectedError: The type is unknown, or the body is not one of it.
+        WriteRejectedError: The type is unknown, or the body is invalid for it.
     """
     value_type = VALUE_TYPES.get(type_name)
     if value_type is None:
@@ -167,16 +167,16 @@
 
 
 def decode_body(body: bytes) -> Body:
-    """Decode a body, of whatever type.
+    """Decode a body of any type.
 
     Raises:
-        msgspec.MsgspecError: It is no map.
+        msgspec.MsgspecError: The body is not a map.
     """
     return msgspec.msgpack.decode(body, type=dict[str, Any])
 
 
 def decode_for_display(body: bytes) -> Body | None:
-    """The body of a version; None where it can't be read, as of a type of a later release."""
+    """Decode the body of a version; None if it can't be decoded, such as one of a later release."""
     try:
         return decode_body(body)
     except (msgspec.MsgspecError, UnicodeDecodeError, RecursionError):
--- a/tests/replication/test_admin.py
+++ b/tests/replication/test_admin.py
@@ -1,4 +1,4 @@
-"""The JSON of /admin/state, whose names tools of operators read."""
+"""The JSON of /admin/state, whose names are part of the admin API."""
 
 import dataclasses
 from random import Random
@@ -20,18 +20,18 @@
 
 @pytest.fixture
 def api():
-    """That of node a, at 100 ms; `replica` is its replica."""
+    """The admin API of node a at 100 ms, with the node's replica as `replica`."""
     replica = make_replica("a", incarnation=255)
     gossip = RumorSpreader(replica, ("b",), 1e9, Random(1))
     membership = SimpleNamespace(name="a", incarnation=255, reachability=SimpleNamespace(reachable=1))
     clock = SimpleNamespace(now=lambda: 100.0)
     activity = ReplicationActivity(source="b", taken_out=frozenset({"s1"}))
-    made = StateAdminApi(replica, gossip, membership, clock, Counters(), lambda: activity)
-    made.replica = replica
-    return made
+    admin_api = StateAdminApi(replica, gossip, membership, clock, Counters(), lambda: activity)
+    admin_api.replica = replica
+    return admin_api
 
 
-def test_query_when_nothing_is_asked_for_has_the_summary_alone(api):
+def test_query_when_nothing_is_requested_has_the_summary_alone(api):
     response = api.query(b"", b"")
     root = response.fields.pop("root")
     assert response.status == 200
@@ -63,7 +63,7 @@
     assert api.query(b"", b"").fields["standing"] == standing
 
 
-def test_query_when_things_were_counted_has_their_public_names(api):
+def test_query_when_events_were_counted_has_their_public_names(api):
     names = ("clock_ahead", "versions_ended", "chunks_out_of_order", "conflicts")
     api.replica.counts.update(dict.fromkeys(names, 2))
     assert api.query(b"", b"").fields["counts"] == {
@@ -104,10 +104,10 @@
 @pytest.mark.parametrize(
     ("change", "status", "message"),
     [
-        ({"by": ""}, 409, "by and why must say who and for what reason"),
-        ({"name": ""}, 409, "name has 1 to 200 characters"),
-        ({"delete": True}, 409, "there is no hold s1 here"),
-        ({"lasts_ms": 0}, 409, "it must last longer than 0 ms"),
+        ({"by": ""}, 409, "by and why must not be empty"),
+        ({"name": ""}, 409, "name must have 1 to 200 characters"),
+        ({"delete": True}, 409, "there is no hold s1 on this node"),
+        ({"lasts_ms": 0}, 409, "the lifetime must be longer than 0 ms"),
         ({"author": "ann"}, 400, "Object contains unknown field `author`"),
         ({"lasts_ms": "x"}, 400, "Expected `float | null`, got `str` - at `$.lasts_ms`"),
     ],
@@ -119,17 +119,17 @@
 
 @pytest.mark.parametrize("query", [b"bucket=x", b"bucket=256", b"entries=1&after=x"])
 def test_query_when_a_number_is_malformed_is_rejected(api, query):
-    message = "bucket and after are numbers; a bucket is under 256"
+    message = "bucket and after must be numbers, and bucket must be less than 256"
     assert api.query(query, b"") == AdminResponse(400, {"error": message})
 
 
 def test_holder_count_when_the_write_is_unknown_is_not_found(api):
-    error = {"error": "no such write of this process, or too long ago"}
+    error = {"error": "no such write of this process, or it is too old"}
     assert api.holder_count(b"write=7", b"") == AdminResponse(404, error)
     assert api.holder_count(b"write=x", b"") == AdminResponse(404, error)
 
 
-def test_query_when_digests_and_entries_are_asked_for_has_them_after_the_summary_a_page_at_a_time(api):
+def test_query_when_digests_and_entries_are_requested_has_them_after_the_summary_a_page_at_a_time(api):
     api.replica.limits = dataclasses.replace(api.replica.limits, max_entries=200)
     for number in range(PAGE_ENTRIES + 1):
         api.replica.write(0.0, ("note", f"{number:03}"), b"\x80", "ann", "why")
@@ -143,7 +143,7 @@
     assert second["next"] is None
 
 
-def test_query_when_a_body_is_of_a_later_release_shows_what_can_be_read(api):
+def test_query_when_a_body_is_of_a_later_release_shows_what_can_be_decoded(api):
     body = msgspec.msgpack.encode({"a": b"bytes", "b": [1, {"c": None}]})
     api.replica.write(0.0, ("later", "x"), body, "ann", "why", lifetime_ms=500.0)
     api.replica.write(0.0, ("later", "y"), b"\xc1", "ann", "why", deleted=True)
--- a/tests/replication/test_clock_steps.py
+++ b/tests/replication/test_clock_steps.py
@@ -1,4 +1,4 @@
-"""The replica's driver while the wall clock is stepped: what operators set lasts for its real time."""
+"""The replica's driver while the wall clock is stepped: lifetimes are measured in real time."""
 
 from types import SimpleNamespace
 
@@ -45,7 +45,7 @@
 
 
 @pytest.mark.parametrize("step_ms", STEPS_MS)
-def test_hold_when_the_wall_clock_is_stepped_lasts_for_its_span_of_real_time(monkeypatch, step_ms):
+def test_hold_when_the_wall_clock_is_stepped_lasts_for_its_lifetime_in_real_time(monkeypatch, step_ms):
     node = SteppedNode(monkeypatch)
     node.write("s1", lasts_ms=20_000)
     node.write("s2")
@@ -71,7 +71,7 @@
 
 
 @pytest.mark.parametrize("step_ms", STEPS_MS)
-def test_tombstone_when_the_wall_clock_is_stepped_is_remembered_for_its_span(monkeypatch, step_ms):
+def test_tombstone_when_the_wall_clock_is_stepped_is_remembered_for_its_whole_time(monkeypatch, step_ms):
     node = SteppedNode(monkeypatch)
     node.write("s1")
     node.write("s1", delete=True)
--- a/tests/replication/test_entry.py
+++ b/tests/replication/test_entry.py
@@ -25,7 +25,8 @@
     "note": [{"text": "x"}, {"text": "y"}],
 }
 MERGE = 3
-# Of each step: which replica, a body or MERGE, whether a write is a tombstone, and the replica to merge with.
+# A step has a replica, the index of a body or MERGE, whether a write is a tombstone, and the replica to merge
+# with.
 STEPS = st.lists(
     st.tuples(st.integers(0, 2), st.integers(0, MERGE), st.booleans(), st.integers(0, 2)),
     min_size=1,
@@ -33,8 +34,8 @@
 )
 
 
-def play_steps(type_name, steps):
-    """The entries that three replicas have of one key after those writes and merges."""
+def apply_steps(type_name, steps):
+    """Apply writes and merges to three replicas, and return their entries for one key."""
     entries = [Entry()] * 3
     count = 0
     for replica, action, deleted, source in steps:
@@ -60,7 +61,7 @@
 @reproducible
 @given(steps=STEPS)
 def test_merge_of_any_entries_is_commutative_associative_and_idempotent(type_name, steps):
-    a, b, c = play_steps(type_name, steps)
+    a, b, c = apply_steps(type_name, steps)
     assert merge(a, b) == merge(b, a)
     assert merge(a, merge(b, c)) == merge(merge(a, b), c)
     assert merge(a, a) == a
@@ -69,7 +70,7 @@
 
 
 def first_of_concurrent(type_name, *writes):
-    """The node whose version applies at 10 ms, of concurrent writes by a and b; b has the newer stamp."""
+    """Return the node, a or b, whose concurrent write applies at 10 ms; that of b has the newer stamp."""
     entries = []
     for stamp, (node, (body, *lifetime_and_deleted)) in enumerate(zip("ab", writes, strict=True)):
         writer = (node, 1)
@@ -86,7 +87,7 @@
     [
         ("hold", ({"held": True},), ({"held": False},)),
         ("hold", ({"held": True},), ({"held": False}, FOREVER, True)),
-        ("hold", ({"held": False},), ({"held": True}, 5.0)),  # expired by then
+        ("hold", ({"held": False},), ({"held": True}, 5.0)),  # expired at 10 ms
         ("quota", ({"factor": 0.2},), ({"factor": 0.5},)),
         ("stop", ({"stopped": True},), ({"stopped": False},)),
         ("stop", ({"stopped": True}, 900.0), ({"stopped": True}, 90.0)),
--- a/tests/replication/test_entry_store.py
+++ b/tests/replication/test_entry_store.py
@@ -30,7 +30,7 @@
 
 def test_write_when_beyond_a_bound_is_rejected_and_nothing_is_written():
     replica = make_replica()
-    with pytest.raises(WriteRejectedError, match=r"bytes are over entry_bytes of 200"):
+    with pytest.raises(WriteRejectedError, match=r"bytes; entry_bytes allows 200"):
         replica.write(0.0, KEY, b"x" * 200, "", "")
     with pytest.raises(WriteRejectedError, match="longer than 0 ms"):
         replica.write(0.0, KEY, b"", "", "", lifetime_ms=0.0)
--- a/tests/replication/test_gossip.py
+++ b/tests/replication/test_gossip.py
@@ -15,7 +15,7 @@
 
 
 def make_spreaders(*nodes):
-    """One for each node, of a fleet of these."""
+    """Create the spreader of each node of a fleet."""
     return {
         node: RumorSpreader(
             make_replica(node, limits=ReplicaLimits(), time_of_day_offset=1e12), nodes, 1e9, Random(1)
@@ -36,7 +36,7 @@
         spreaders[target].receive_payload(now, source, 1, now, message)
 
 
-def test_write_when_new_is_sent_at_once_and_its_holders_are_counted():
+def test_write_when_new_is_sent_immediately_and_its_holders_are_counted():
     spreaders = make_spreaders("a", "b", "c")
     a = spreaders["a"]
     dot = a.replica.write(0.0, KEY, b"", "", "").dot
@@ -68,7 +68,7 @@
     assert b.comparisons.choose_source(2_000.0, [A]) == A
     b.comparisons.finish(2_000.0, A, was_productive=False)
     transmit(spreaders, "a", "b", 4_000.0, max_bytes=100)
-    assert b.comparisons.choose_source(7_000.0, [A]) is None  # it had nothing new
+    assert b.comparisons.choose_source(7_000.0, [A]) is None  # the source had nothing new
 
 
 def test_message_when_its_sender_is_not_configured_is_ignored():
--- a/tests/replication/test_messages.py
+++ b/tests/replication/test_messages.py
@@ -1,4 +1,4 @@
-"""Messages between replicas: round trips, bytes on the wire, and bytes that are no message."""
+"""Messages between replicas: round trips, bytes on the wire, and malformed bytes."""
 
 import math
 
@@ -32,7 +32,7 @@
     assert version.expires_at() == 1_450.0
 
 
-def test_request_and_chunk_when_decoded_are_as_they_were():
+def test_request_and_chunk_when_decoded_are_unchanged():
     source = make_replica("a")
     source.write(100.0, KEY, b"\x80", "ann", "why", lifetime_ms=500.0)
     source.write(100.0, ("later", "x"), b"\xc1", "ann", "why")
@@ -61,7 +61,7 @@
 
 
 @pytest.mark.parametrize("data", [b"", b"\xc1", b"\x90", b"\x92\xff\xc3", b"\x93\x01\xc3\xa1x"])
-def test_bytes_when_they_are_no_message_decode_to_none(data):
+def test_bytes_when_malformed_decode_to_none(data):
     assert decode_gossip(data) is None
     assert decode_request(data) is None
     assert decode_chunk([data], 0.0) is None
--- a/tests/replication/test_replica.py
+++ b/tests/replication/test_replica.py
@@ -1,4 +1,4 @@
-"""Replicas, rule by rule: conflicts, bounds, tombstones, synchronization, clocks, unknown types, digests."""
+"""Replicas: tombstones, synchronization, comparisons, clocks, conflicts, unknown types and digests."""
 
 import pytest
 from support.replication import KEY, make_replica, pull
@@ -15,7 +15,7 @@
 NOTE_Y = ("note", "y")
 
 
-def test_tombstone_when_expired_still_ends_the_version_of_a_replica_that_was_away():
+def test_tombstone_when_expired_still_removes_the_version_from_a_replica_that_was_unreachable():
     a = make_replica("a")
     b = make_replica("b")
     a.mark_synchronized()
@@ -45,7 +45,7 @@
     a.write(1.0, KEY, b"", "", "", deleted=True)
     b.receive(2.0, KEY, a.entries[KEY])
     b.expire(5_000.0)
-    assert KEY in b.entries  # a write of another process may be on its way still
+    assert KEY in b.entries  # a write of another process may still be in flight
     b.receive_root(5_000.0, a.writer, a.root(), peer_synchronized=True, peer_writes=a.write_count)
     b.expire(5_000.0)
     assert KEY not in b.entries
@@ -74,10 +74,10 @@
     pull(replica, unsynchronized, 410.0)
     assert replica.sync_state is SyncState.SYNCHRONIZING
     pull(source, replica, 410.0)
-    assert source.active_version(KEY, 410.0)  # what a source lacks says nothing
+    assert source.active_version(KEY, 410.0)  # an entry that a source lacks is not deleted
     replica.receive_root(600.0, source.writer, source.root(), peer_synchronized=True, peer_writes=1)
     replica.expire(1_000.0)
-    assert replica.sync_state is SyncState.SYNCHRONIZING  # a synchronized one was heard from
+    assert replica.sync_state is SyncState.SYNCHRONIZING  # a synchronized peer has sent a message
     pull(replica, source, 1_000.0)
     assert replica.sync_state is SyncState.SYNCHRONIZED
     assert replica.active_version(KEY, 1_000.0)
@@ -105,7 +105,7 @@
     assert replica.sync_state is SyncState.SYNCHRONIZED
 
 
-def test_comparison_when_its_source_dies_goes_on_with_another_and_nothing_is_sent_twice():
+def test_comparison_when_its_source_dies_continues_with_another_and_nothing_is_sent_twice():
     a = make_replica("a")
     b = make_replica("b")
     a.mark_synchronized()
@@ -145,7 +145,7 @@
     a.mark_synchronized()
     a.write(0.0, KEY, b"", "", "")
     pull(b, a, 1.0)
-    assert b.receive(2.0, KEY, a.entries[KEY])  # a rumor of it that comes again
+    assert b.receive(2.0, KEY, a.entries[KEY])  # the entry arrives again, as a rumor
     assert b.active_version(KEY, 2.0)
     assert b.complete_up_to == {a.writer: 1}
     assert b.counts["clock_ahead"] == 1
@@ -175,10 +175,10 @@
 
 def test_newer_write_when_its_writers_clock_was_stepped_back_an_hour_wins_over_an_older_one_it_never_saw():
     a, b, c = (make_replica(node, time_of_day_offset=1e12) for node in "abc")
-    key = ("note", "n")  # of two concurrent ones the newer is first
+    key = ("note", "n")  # of two concurrent notes the newer one is first
     older = a.write(0.0, key, b"", "", "")
     b.stamps.time_of_day_offset -= HOUR_MS
-    # What b hears of others, though not of that note, is what puts its own words after it.
+    # b has not received a's note, but it observes the later stamp of c, so its own stamps follow both.
     c.write(1_000.0, ("note", "other"), b"", "", "")
     pull(b, c, 1_000.0)
     newer = b.write(60_000.0, key, b"", "", "")
@@ -221,7 +221,7 @@
     assert sum(x != y for x, y in zip(a.digests, b.digests, strict=True)) == 1
 
 
-def test_request_when_its_buckets_are_other_ones_is_rejected():
+def test_request_when_it_has_another_number_of_buckets_is_rejected():
     request = make_replica("a", limits=ReplicaLimits(bucket_count=2)).next_request(("b", 1))
-    with pytest.raises(IncompatibleDigestsError, match="2 digests; allowed: 256"):
+    with pytest.raises(IncompatibleDigestsError, match="has 2 digests; expected: 256"):
         make_replica("b").make_chunk(request)
--- a/tests/replication/test_replica_exploration.py
+++ b/tests/replication/test_replica_exploration.py
@@ -23,7 +23,7 @@
 def test_replicas_in_every_interleaving_become_equal_and_nothing_is_lost_or_returns(
     process_count, events, written, minimum_states
 ):
-    """The longer searches are a command: benchmarks/copies_search.py."""
+    """The longer searches are in benchmarks/copies_search.py."""
     found = explore(
         ReplicationState.begin(process_count, RemainingSteps(**NO_EVENTS | events), has_initial_entry=written)
     )
@@ -32,7 +32,7 @@
     assert found.states > minimum_states
 
 
-# What has to happen for a defect to show, where two writes, a deletion and a comparison do not do.
+# Events that a defect needs to show its effect, if two writes, a deletion and a comparison are not enough.
 EVENTS_OF_DEFECTS = {
     "TombstoneExpiredEarly": (2, False, {"writes": 1, "deletions": 1, "duplicates": 1, "ticks": 2}),
     "DuplicateChunkMovesCursor": (2, True, {"requests": 1, "duplicates": 1, "restarts": 1}),
@@ -47,7 +47,7 @@
 
 
 @pytest.mark.parametrize("defect", REPLICATION_DEFECTS, ids=lambda defect: defect.__name__)
-def test_exploration_when_a_defect_is_planted_finds_it_with_its_story(defect):
+def test_exploration_when_a_defect_is_planted_finds_it_and_the_path_to_it(defect):
     process_count, written, events = EVENTS_OF_DEFECTS.get(defect.__name__, DEFAULT_EVENTS)
     found = explore(
         ReplicationState.begin(process_count, RemainingSteps(**NO_EVENTS | events), defect, written)
@@ -59,7 +59,7 @@
 
 @pytest.mark.parametrize("seed", range(2))
 def test_random_run_of_five_nodes_loses_nothing_that_two_had_and_nothing_deleted_returns(seed):
-    """More of them are a command: benchmarks/replica_days.py."""
+    """benchmarks/replica_days.py does more runs."""
     run = random_run(seed, length_ms=30_000.0)
     assert run.acknowledged_count > 30
     assert run.kill_count
--- a/tests/replication/test_replication_processes.py
+++ b/tests/replication/test_replication_processes.py
@@ -1,6 +1,6 @@
-"""Real processes that replicate state over relays that fail.
+"""Real processes that replicate state over relays that inject faults.
 
-Each test waits for what it wants to see, with a bound that only a broken program reaches.
+Each test waits until it observes the expected state, with a timeout that only a faulty program reaches.
 """
 
 import asyncio
@@ -17,7 +17,7 @@
 
 
 def run(node_count, steps, bytes_per_s=16_000.0, **table):
-    """`steps(fleet)` with so many nodes that reach one another and have synchronized."""
+    """Run `steps(fleet)` with `node_count` nodes, once they reach one another and have synchronized."""
     scenario = Scenario(
         name="rig",
         nodes=Nodes(count=node_count),
@@ -28,7 +28,7 @@
     )
     table = {"wait_ms": 500} | table
 
-    async def play():
+    async def run_rig():
         async with Rig(node_count, 5, scenario, {"state": table}) as rig:
             fleet = Fleet(rig)
             await rig.wait_until(rig.all_reachable)
@@ -36,34 +36,34 @@
             await steps(fleet)
             assert not rig.nodes.unexpected_ends
 
-    asyncio.run(asyncio.wait_for(play(), 120))
+    asyncio.run(asyncio.wait_for(run_rig(), 120))
 
 
 class Fleet:
-    """The nodes of a rig, and what operators do with them."""
+    """The nodes of a rig, and the actions of their operators."""
 
     def __init__(self, rig):
-        """`rig`: of the running nodes."""
+        """Create it for the running nodes of `rig`."""
         self.rig = rig
         self.names = rig.names
 
     async def state(self, node, query=""):
-        """What /admin/state of the node says; None where it does not respond."""
+        """The response of a node's /admin/state; None if the node does not respond."""
         return await self.rig.request_admin(node, f"/admin/state{query}")
 
     async def until(self, condition, nodes=()):
-        """Wait until the condition holds of each node's state."""
+        """Wait until the condition is true of the state of each of those nodes, or of all."""
         async with asyncio.timeout(WAIT_TIMEOUT_S):
             for node in nodes or self.names:
                 while (state := await self.state(node)) is None or not condition(state):
                     await asyncio.sleep(POLL_INTERVAL_S)
 
     async def until_all(self, condition):
-        """Wait until the condition holds of every node's state."""
+        """Wait until the condition is true of every node's state."""
         await self.until(condition)
 
     async def until_equal(self, nodes=()):
-        """Wait until those nodes, or all, hold the same."""
+        """Wait until the replicas of those nodes, or of all, are equal."""
         async with asyncio.timeout(WAIT_TIMEOUT_S):
             while True:
                 states = [await self.state(node) for node in nodes or self.names]
@@ -72,7 +72,7 @@
                 await asyncio.sleep(POLL_INTERVAL_S)
 
     async def write(self, node, name="cache-1", type_name="hold", why="why", delete=False, holders=0, **body):
-        """Write an entry at that node, and wait until as many as `holders` nodes have it."""
+        """Write an entry at a node, and wait until at least `holders` nodes have it."""
         call = {"type": type_name, "name": name, "by": "ann", "why": why, "delete": delete, "body": body}
         response = await self.rig.request_admin(node, "/admin/state", "POST", orjson.dumps(call))
         assert "write" in response, response
@@ -82,19 +82,19 @@
                 await asyncio.sleep(POLL_INTERVAL_S)
 
     async def hold(self, node, **options):
-        """Write at that node that the server is out of service."""
+        """Write at a node that the server is out of service."""
         await self.write(node, held=True, **options)
 
     async def release(self, node, **options):
-        """Write at that node that the server is in service again."""
+        """Write at a node that the server is in service again."""
         await self.write(node, held=False, delete=True, **options)
 
     def configure_next(self, **table):
-        """Change the table `[state]` of processes that start from now on."""
+        """Change the table `[state]` for processes that start from now on."""
         self.rig.network.tables["state"] |= table
 
     async def restart(self, node):
-        """Kill the node's process and start another one."""
+        """Kill a node's process and start another one."""
         self.rig.kill(node)
         await self.rig.nodes.ended(node)
         await self.rig.nodes.start(node)
@@ -113,9 +113,9 @@
 
 def test_hold_when_all_nodes_but_one_restart_is_held_by_all():
     async def steps(fleet):
-        done = await fleet.command("hold", "cache-1", "--by", "ann", "--why", "disk", "--wait", "3")
-        assert done.returncode == 0, done.stderr
-        assert "3 known to have it" in done.stdout, done.stderr
+        result = await fleet.command("hold", "cache-1", "--by", "ann", "--why", "disk", "--wait", "3")
+        assert result.returncode == 0, result.stderr
+        assert "3 known to have it" in result.stdout, result.stderr
         await fleet.until_all(lambda state: state["held"] == ["cache-1"])
         changed = [line for line in fleet.rig.log_lines("state_changed") if '"why":"disk"' in line.fields]
         assert {line.node for line in changed} == set(fleet.names)
@@ -125,9 +125,11 @@
         await fleet.rig.nodes.start("n0")
         await fleet.until_all(lambda state: state["standing"] == "caught" and state["held"] == ["cache-1"])
         assert (await fleet.command("diff")).returncode == 0
-        done = await fleet.command("hold", "x", "--by", "a", "--why", "b", "--wait", "4", "--timeout", "0.3")
-        assert done.returncode == 1
-        assert "3 and not 4 nodes" in done.stderr
+        result = await fleet.command(
+            "hold", "x", "--by", "a", "--why", "b", "--wait", "4", "--timeout", "0.3"
+        )
+        assert result.returncode == 1
+        assert "3 and not 4 nodes" in result.stderr
 
     run(3, steps)
 
@@ -141,17 +143,17 @@
         await fleet.release("n2", why="mended", holders=2)
         await fleet.until(lambda state: not state["held"], ("n2", "n3"))
         await fleet.until(lambda state: state["held"] == ["cache-1"], ("n0", "n1"))
-        done = await fleet.command("diff", "--json")
-        assert done.returncode == 1
-        assert len(json.loads(done.stdout)["differ"]) == 1
+        result = await fleet.command("diff", "--json")
+        assert result.returncode == 1
+        assert len(json.loads(result.stdout)["differ"]) == 1
         fleet.rig.heal()
         await fleet.until_equal()
         await fleet.until_all(lambda state: state["held"] == ["cache-1"] and state["conflicts"] == 1)
-        done = await fleet.command("conflicts", nodes=["n3"])
-        assert done.returncode == 1
-        assert "counts: " in done.stdout
-        assert "still broken" in done.stdout
-        assert "mended" in done.stdout
+        result = await fleet.command("conflicts", nodes=["n3"])
+        assert result.returncode == 1
+        assert "counts: " in result.stdout
+        assert "still broken" in result.stdout
+        assert "mended" in result.stdout
         await fleet.release("n3", why="seen both", holders=4)
         await fleet.until_all(lambda state: not state["held"] and not state["conflicts"])
 
@@ -187,14 +189,14 @@
     run(3, steps)
 
 
-def test_deleted_entry_when_its_tombstone_expired_does_not_return_with_a_node_that_was_away():
+def test_deleted_entry_when_its_tombstone_expired_does_not_return_with_a_node_that_was_unreachable():
     async def steps(fleet):
         await fleet.hold("n0", holders=3)
         await fleet.until_equal()
         fleet.rig.cut([2], [0, 1])
         await fleet.rig.wait_until(lambda: fleet.rig.all_reachable(("n0", "n1"), count=2))
         await fleet.release("n1")
-        await fleet.until(lambda state: state["entries"] == 0, ("n0", "n1"))  # forgotten
+        await fleet.until(lambda state: state["entries"] == 0, ("n0", "n1"))  # the tombstone has expired
         await fleet.write("n2", "meanwhile", "note", text="x")
         assert (await fleet.state("n2"))["held"] == ["cache-1"]
         fleet.rig.heal()
@@ -203,7 +205,7 @@
     run(3, steps, remember_s=1)
 
 
-def test_synchronization_when_its_source_is_killed_three_times_goes_on_with_others():
+def test_synchronization_when_its_source_is_killed_three_times_continues_with_others():
     async def steps(fleet):
         for i in range(400):
             await fleet.write("n0", f"note-{i}", "note", text="t" * 150)
@@ -247,7 +249,7 @@
     run(3, steps)
 
 
-def test_synchronization_when_its_source_is_paused_goes_on_after_it():
+def test_synchronization_when_its_source_is_paused_continues_afterwards():
     async def steps(fleet):
         for i in range(100):
             await fleet.write("n0", f"note-{i}", "note", text="t" * 150)
--- a/tests/replication/test_state_commands.py
+++ b/tests/replication/test_state_commands.py
@@ -14,10 +14,12 @@
 ONE_CONSOLE = ("--console", "127.0.0.1:1")
 
 
-def test_route_when_it_takes_a_body_is_given_it_with_the_query_and_others_are_not():
+def test_route_when_it_takes_a_body_receives_it_with_the_query_and_other_routes_do_not():
     calls = []
-    taking = RouteWithInput(lambda query, body: calls.append((query, body)) or AdminResponse(200, {}))
-    routes = {b"/w": {b"POST": taking, b"GET": lambda: AdminResponse(200, {"plain": True})}}
+    route_with_body = RouteWithInput(
+        lambda query, body: calls.append((query, body)) or AdminResponse(200, {})
+    )
+    routes = {b"/w": {b"POST": route_with_body, b"GET": lambda: AdminResponse(200, {"plain": True})}}
     exchange = AdminExchange(routes)
     head = b"POST /w?a=1 HTTP/1.1\r\nHost: x\r\nContent-Length: 6\r\n\r\n"
     assert exchange.feed(head + b"abc") is None
@@ -32,7 +34,7 @@
 
 
 def run_state(*arguments):
-    """The exit code and the output of `flintridge state`."""
+    """Run `flintridge state`, and return its exit code and output."""
     result = CliRunner().invoke(main, ["state", *arguments])
     return result.exit_code, result.output
 
@@ -48,7 +50,7 @@
         (("diff",), "two or more"),
     ],
 )
-def test_command_when_it_cannot_be_done_says_why_in_a_line_with_exit_code_2(arguments, message):
+def test_command_when_it_cannot_be_executed_prints_the_reason_and_exits_with_code_2(arguments, message):
     code, output = run_state(*arguments, *ONE_CONSOLE)
     assert code == 2
     assert message in output
@@ -56,7 +58,7 @@
 
 
 def respond_with(monkeypatch, *responses):
-    """Let the admin API answer the next calls so."""
+    """Let the admin API give these responses to the next calls."""
     remaining = iter(responses)
     monkeypatch.setattr("flintridge.cli.state.call", lambda *arguments: ConsoleResponse(*next(remaining)))
 
@@ -73,7 +75,7 @@
 
 
 @pytest.mark.parametrize("step_s", [-3_600.0, -5.0, 5.0, 3_600.0])
-def test_wait_when_the_wall_clock_is_stepped_lasts_for_its_span_of_real_time(monkeypatch, step_s):
+def test_wait_when_the_wall_clock_is_stepped_lasts_for_its_timeout_in_real_time(monkeypatch, step_s):
     slept_s = []
     clock = SimpleNamespace(
         monotonic=lambda: 100.0 + sum(slept_s),
@@ -82,8 +84,8 @@
     )
     monkeypatch.setattr("flintridge.cli.state.time", clock)
     written = (200, {"name": "n0", "write": 1, "life": "f"})
-    looks = [(200, {"had": 1, "life": "f"})] * 100
-    respond_with(monkeypatch, written, *looks)
+    polls = [(200, {"had": 1, "life": "f"})] * 100
+    respond_with(monkeypatch, written, *polls)
     arguments = ("hold", "s", "--by", "a", "--why", "b", *ONE_CONSOLE, "--wait", "2")
     assert run_state(*arguments, "--timeout", "1.95")[0] == 1
     assert len(slept_s) == 20
@@ -94,7 +96,7 @@
     written = (200, {"name": "n0", "write": 1, "life": "f"})
     respond_with(monkeypatch, written, (200, {"had": 2, "life": "another"}))
     assert run_state(*arguments)[0] == 2
-    respond_with(monkeypatch, (409, {"error": "10000 entries are held; allowed: 10000"}))
+    respond_with(monkeypatch, (409, {"error": "there are 10000 entries already; allowed: 10000"}))
     code, output = run_state(*arguments)
     assert code == 2
     assert "allowed: 10000" in output
--- a/tests/replication/test_synchronization.py
+++ b/tests/replication/test_synchronization.py
@@ -1,4 +1,4 @@
-"""The synchronization state by itself: waits for a peer, and which chunk a comparison takes next."""
+"""The synchronization state: waits for a peer, and which chunk a comparison expects next."""
 
 import pytest
 
@@ -26,7 +26,7 @@
         (3_900.0, 1_000.0, 4_000.0, True),
     ],
 )
-def test_wait_when_no_peer_is_there_or_none_delivers_is_over(peer_at, chunk_at, now, is_over):
+def test_wait_when_there_is_no_peer_or_none_delivers_chunks_is_over(peer_at, chunk_at, now, is_over):
     synchronization = Synchronization(0.0, WAIT_MS)
     if chunk_at is not None:
         synchronization.receive_synchronized_chunk(chunk_at)
@@ -35,7 +35,7 @@
     assert synchronization.is_wait_over(now) is is_over
 
 
-def test_comparison_when_it_advances_expects_the_chunk_after_the_last_one_alone():
+def test_comparison_when_it_advances_expects_only_the_chunk_after_the_last_one():
     synchronization = Synchronization(0.0, WAIT_MS)
     comparison = synchronization.begin_or_resume(SOURCE)
     first = chunk_of(comparison)
--- a/tests/replication/test_value_types.py
+++ b/tests/replication/test_value_types.py
@@ -1,4 +1,4 @@
-"""Types of entries: the table of the design note, and bodies that are rejected."""
+"""Types of entries: the table in the design document, and bodies that are rejected."""
 
 import re
 
@@ -8,7 +8,7 @@
 from flintridge.replication.value_types import VALUE_TYPES, WriteRejectedError, encode_body
 
 
-def test_table_of_the_design_note_is_the_rule():
+def test_table_in_the_design_document_matches_the_types():
     text = (ROOT / "docs/design/replication.md").read_text()
     rows = {}
     for line in text.splitlines():
