--- a/flintridge/leases/lessee.py
+++ b/flintridge/leases/lessee.py
@@ -10,13 +10,14 @@
 from flintridge.leases.allocation import AcquiredLeaseKey, ProcessId
 from flintridge.leases.messages import LeaseGrant, LeaseMessage, LeaseRequest
 
-MAX_LEASE_UNITS = 250  # in one lease; with small leases a grantor regains its entitlement gradually
+# Largest size of one lease; with small leases a grantor regains its entitlement gradually.
+MAX_LEASE_UNITS = 250
 MAX_PENDING_REQUESTS = 4  # for each limit
 RETRY_INTERVAL_MS = 300.0  # between attempts of a request or of a renewal
 MAX_REQUEST_ATTEMPTS = 3
 # Between requests to grantors that have nothing left to grant. The requests show which processes lack units.
 EXHAUSTED_INTERVAL_MS = 1_000.0
-RENEW_AT_FRACTION = 0.5  # of the time for which a lease may be used, `usable_ms`
+RENEW_AT_FRACTION = 0.5  # a lease is renewed after this fraction of its `usable_ms`
 OFFER_MAX_AGE_MS = 10_000.0
 REQUEST_THRESHOLD = 0.9  # leases are requested if the demand reaches this fraction of the usable units
 
@@ -168,7 +169,7 @@
     def _draw_grantors(self, account: Account, now: float) -> list[_GrantorOffer]:
         """The offers that have not expired, in random order; larger ones are more likely to come first.
 
-        The random order keeps all lessees from requesting from the grantor with the largest offer at once.
+        The random order keeps lessees from all requesting from the grantor with the largest offer.
         """
         pending_grantors = {key.grantor for key in account.pending}
         account.offers = {
--- a/flintridge/leases/outbox.py
+++ b/flintridge/leases/outbox.py
@@ -7,7 +7,7 @@
 from flintridge.leases.messages import MAX_MESSAGES, LeaseMessage, LimitMessage
 
 
-class _Slot(NamedTuple):
+class _MessageKey(NamedTuple):
     """Identifies messages of which only the newest is kept."""
 
     limit_digest: bytes
@@ -19,7 +19,7 @@
 class Outbox:
     """For each receiver, the newest message of each kind, limit and lease, with the oldest message first."""
 
-    _queued: dict[ProcessId, dict[_Slot, LimitMessage]] = field(default_factory=dict)
+    _queued: dict[ProcessId, dict[_MessageKey, LimitMessage]] = field(default_factory=dict)
 
     def add(self, receiver: ProcessId, limit_message: LimitMessage) -> None:
         """Queue a message; if the receiver then has more than MAX_MESSAGES, drop the oldest.
@@ -27,7 +27,7 @@
         A dropped message has the same effect as a lost datagram: requests are repeated, and leases expire.
         """
         queued = self._queued.setdefault(receiver, {})
-        queued[_slot(limit_message)] = limit_message
+        queued[_message_key(limit_message)] = limit_message
         while len(queued) > MAX_MESSAGES:
             queued.pop(next(iter(queued)))
 
@@ -39,7 +39,7 @@
         """Remove messages that were put into a datagram."""
         queued = self._queued.get(receiver, {})
         for limit_message in sent:
-            queued.pop(_slot(limit_message), None)
+            queued.pop(_message_key(limit_message), None)
         if not queued:
             self._queued.pop(receiver, None)
 
@@ -52,6 +52,6 @@
         self._queued.pop(receiver, None)
 
 
-def _slot(limit_message: LimitMessage) -> _Slot:
+def _message_key(limit_message: LimitMessage) -> _MessageKey:
     message = limit_message.message
-    return _Slot(limit_message.limit_digest, type(message), message.lease_id)
+    return _MessageKey(limit_message.limit_digest, type(message), message.lease_id)
--- a/flintridge/replication/admin.py
+++ b/flintridge/replication/admin.py
@@ -145,7 +145,7 @@
         return sorted(key for key in keys if type_name is None or key[0] == type_name)
 
     def write(self, _query: bytes, body: bytes) -> AdminResponse:
-        """Respond to POST /admin/state, whose body is a `WriteCall`. No other node is waited for."""
+        """Apply the `WriteCall` of a POST /admin/state here, without waiting for other nodes."""
         try:
             call = msgspec.json.decode(body, type=WriteCall)
             version = self._write(call)
--- a/flintridge/replication/anti_entropy.py
+++ b/flintridge/replication/anti_entropy.py
@@ -10,7 +10,7 @@
 
 # Time for which two replicas must differ before they are compared; writes in flight arrive in the meantime.
 SETTLE_MS = 1_500.0
-# Before the next comparison with a source that had nothing new, since that may remain so for a long time.
+# Pause before the next comparison with a source that had nothing new, which may be so for a long time.
 UNPRODUCTIVE_PAUSE_MS = 10_000.0
 COMPARISON_PAUSE_MS = 1_000.0  # between two comparisons
 STATUS_LIFETIME_MS = 30_000.0  # time for which the status of an unreachable peer is kept
--- a/flintridge/replication/driver.py
+++ b/flintridge/replication/driver.py
@@ -65,7 +65,7 @@
         entropy: Callable[[int], bytes],
         take_out: Callable[[frozenset[str]], None],
     ) -> None:
-        """Create the driver; `take_out` is called at each change with all servers that are out of service."""
+        """`take_out` is called at each change with all servers that operators hold out of service."""
         self.config = config
         self.on_limit_change: Callable[[str, str, Body | None], None] = lambda type_name, name, body: None
         self._membership = membership
--- a/flintridge/replication/gossip.py
+++ b/flintridge/replication/gossip.py
@@ -27,7 +27,8 @@
 
 # Processes to which each process sends an entry that is new to it; anti-entropy delivers it to the others.
 FANOUT = 6
-IMMEDIATE_FANOUT = 3  # of these, processes to which it is sent without waiting for the next regular datagram
+# The part of FANOUT to which the entry is sent without waiting for the next regular datagram.
+IMMEDIATE_FANOUT = 3
 RUMOR_LIFETIME_MS = 2_000.0
 MAX_RUMORS = 64  # keys; anti-entropy delivers any others
 MAX_OVERSIZED_ENTRIES = 4  # entries that are found too long for a datagram before the search ends
--- a/flintridge/replication/hybrid_clock.py
+++ b/flintridge/replication/hybrid_clock.py
@@ -29,7 +29,7 @@
         return self._last_stamp
 
     def observe(self, stamp: int) -> None:
-        """Make all stamps from now on later than that stamp of another process."""
+        """Make all stamps from now on later than a stamp of another process."""
         self._last_stamp = max(self._last_stamp, stamp)
 
     def is_ahead(self, stamp: int, written_at: float) -> bool:
--- a/flintridge/replication/limits.py
+++ b/flintridge/replication/limits.py
@@ -13,7 +13,7 @@
     """The bounds of a replica.
 
     Attributes:
-        max_entries: Most entries, including those of tombstones.
+        max_entries: Largest number of entries, including those of tombstones.
         max_entry_bytes: Largest size of a write: its key, author, reason and body.
         tombstone_ms: Shortest time for which tombstones and expired versions are remembered.
         sync_wait_ms: Time for which a new process waits for a synchronized peer.
--- a/flintridge/replication/synchronization.py
+++ b/flintridge/replication/synchronization.py
@@ -29,8 +29,8 @@
         self.started_at = now
         self.comparisons: dict[Writer, Comparison] = {}
         self._wait_ms = wait_ms
-        self._synchronized_peer_at = -math.inf  # time of the last message or chunk of such a peer
-        self._last_chunk_at = -math.inf  # time of the last chunk of such a peer
+        self._synchronized_peer_at = -math.inf  # last message or chunk from a synchronized peer
+        self._last_chunk_at = -math.inf  # last chunk from a synchronized peer
         self._last_comparison_number = 0
 
     @property
