--- a/tests/policy/test_admission_queue.py
+++ b/tests/policy/test_admission_queue.py
@@ -1,6 +1,6 @@
-"""The admission queue: priorities, and early rejections.
+"""The admission queue: priorities and early rejections.
 
-Each test fails without the code that answers its failure.
+Each test fails without the code that prevents the failure it describes.
 """
 
 import pytest
@@ -18,7 +18,7 @@
 from flintridge.policy.open_request import OpenRequest, Upstream
 
 
-def test_work_without_a_permit_is_rejected_before_its_latency_objective():
+def test_a_request_without_a_permit_is_rejected_before_the_end_of_its_latency_objective():
     router = Router(count=2)
     request_ids = [router.request(f"k{i}") for i in range(30)]
     waiting = [u for u in request_ids if u not in router.attempts_made]
@@ -27,7 +27,7 @@
     assert all(isinstance(router.final_responses[u], api.Reject) for u in waiting)
 
 
-def test_a_slow_spell_does_not_teach_that_a_class_is_hopeless():
+def test_a_class_is_still_served_after_a_period_of_slow_responses():
     router = Router(count=3)
     for i in range(60):  # served, but far too late
         request_id = router.request(f"k{i}")
@@ -52,8 +52,8 @@
     assert urgent in router.attempts_made and not {plain, newest} & set(router.attempts_made)
 
 
-def test_a_request_without_a_permit_is_rejected_before_half_of_its_time():
-    """Guards clients against being held until it is too late to come again or to try elsewhere."""
+def test_a_request_without_a_permit_is_rejected_before_half_of_its_timeout():
+    """Guards against holding a request until its client has no time left to retry here or elsewhere."""
     router = Router(count=1)
     router.balancer.cache_limiter.limit, router.balancer.cache_limiter.doubling = 1.0, False
     router.request("k0")
@@ -65,24 +65,24 @@
 
 
 def test_a_withdrawn_attempt_does_not_count_as_sent():
-    """Guards against rejections late in a client's time though nothing was ever written for it."""
+    """Guards against rejections late in a client's timeout although no attempt was ever sent."""
     router = Router(count=1, limits=api.Limits(max_attempts=4, cancel=True))
     request_id = router.request(deadline=router.now + 1000 * MS)
-    router.balancer.cache_limiter.max_permits = 0  # no permit before its time is over
+    router.balancer.cache_limiter.max_permits = 0  # no permit before the client's deadline
     router.end_attempt(request_id, Outcome.WITHDRAWN)
     router.advance(460 * MS)
     assert isinstance(router.final_responses.get(request_id), api.Reject)
 
 
-def test_a_class_that_was_slow_is_sent_again_where_there_is_a_permit():
-    """Guards against a class that is rejected for ever: what would show it quick again was never sent."""
+def test_a_class_that_was_slow_is_sent_again_if_there_is_a_permit():
+    """Guards against rejecting a class forever: without attempts, its mean latency could not recover."""
     router = Router(count=3)
-    router.balancer.cache_limiter.latencies_ns[0] = 10 * S  # of a slow spell
-    request_id = router.request(deadline=router.now + 500 * MS)  # 0.45 of it is less than half the objective
+    router.balancer.cache_limiter.latencies_ns[0] = 10 * S  # after a period of slow responses
+    request_id = router.request(
+        deadline=router.now + 500 * MS
+    )  # 0.45 of the timeout is less than half the objective
     assert router.server_of(request_id) and request_id not in router.final_responses
-    late = router.request(
-        deadline=router.now + 100 * MS
-    )  # but not with less time left than half its objective
+    late = router.request(deadline=router.now + 100 * MS)  # the time left is less than half the objective
     assert isinstance(router.final_responses.get(late), api.Reject)
 
 
@@ -94,7 +94,7 @@
 
 
 def admitted(queue: AdmissionQueue, now: int = START, sends=lambda request: True) -> list[OpenRequest]:
-    """Those that are sent; each has its permit for good."""
+    """Returns the requests that are sent; none of them releases its permit."""
     sent: list[OpenRequest] = []
 
     def try_send(request: OpenRequest) -> bool:
@@ -111,7 +111,7 @@
 
 @given(priorities=st.lists(st.sampled_from([0.1, 1.0, 1.0, 8.0]), max_size=80), data=st.data())
 @plain
-def test_the_order_is_that_of_priorities_and_the_newest_first_whoever_leaves(priorities, data):
+def test_requests_are_admitted_by_priority_then_newest_first_after_any_removals(priorities, data):
     queue = make_queue()
     waiting = [(priority, order, open_request()) for order, priority in enumerate(priorities)]
     for priority, order, request in waiting:
@@ -126,7 +126,7 @@
     assert admitted(queue) == [request for _, _, request in staying]
 
 
-def test_requests_without_a_free_server_wait_on_where_they_were():
+def test_requests_without_a_free_server_keep_their_place_in_the_queue():
     queue = make_queue()
     requests = [open_request() for _ in range(MAX_SKIPPED + 2)]
     for order, request in enumerate(requests):
@@ -142,7 +142,7 @@
     assert admitted(queue) == requests[::-1]
 
 
-def test_nobody_is_admitted_without_a_permit_and_the_end_of_a_pause_is_named_once():
+def test_no_request_is_admitted_without_a_permit_and_the_end_of_a_pause_is_returned_once():
     queue = make_queue(permits=0.5)
     first, second = open_request(), open_request()
     queue.push(first, 1.0, 0)
@@ -157,11 +157,11 @@
 @pytest.mark.parametrize(
     ("changes", "usual_ms", "expected_ms"),
     [
-        ({}, 0, 500),  # its objective
-        ({"late_weight_fraction": 0.1}, 0, 900),  # 0.45 of its client's time
+        ({}, 0, 500),  # until its objective
+        ({"late_weight_fraction": 0.1}, 0, 900),  # 0.45 of its client's timeout
         ({"late_weight_fraction": 0.1}, 100, 800),
         ({}, 100, 400),
-        ({}, 400, 250),  # a slow spell counts up to half of the objective
+        ({}, 400, 250),  # the mean latency counts up to half of the objective
         ({"deadline": START + 1000 * MS}, 0, 450),
         ({"first_arrived_at": START - 300 * MS}, 0, 200),  # a retry
     ],
@@ -171,5 +171,5 @@
     queue.limiter.latencies_ns[0] = usual_ms * MS
     request = open_request(**changes)
     assert queue.latest_start(request) == START + expected_ms * MS
-    attempted(request, "s", Outcome.ERROR)  # now it may wait until the end
+    attempted(request, "s", Outcome.ERROR)  # the limit of 0.45 applies only to the first attempt
     assert queue.latest_start(request) >= START + expected_ms * MS
--- a/tests/policy/test_allocations.py
+++ b/tests/policy/test_allocations.py
@@ -1,4 +1,4 @@
-"""What the policy makes of allocations: quotas, floors and permits, retries, and leases that end."""
+"""Allocations: their effect on quotas, floors, permits and retries, and the end of leases."""
 
 from dataclasses import replace
 
@@ -16,11 +16,11 @@
 
 
 def admitted(made: Router, seconds: int, tenant: int = 0, over_quota: float = 0.0) -> int:
-    """How many of a flood are admitted in so long; each is served at once."""
+    """Sends 200 requests a second and returns how many are admitted; each is served immediately."""
     served = 0
     for i in range(seconds * 200):
         made.balancer.quotas.over_quota_admit_fraction = (
-            over_quota  # at 0 what is beyond a quota is rejected, so that it shows
+            over_quota  # at 0, all requests over quota are rejected
         )
         request_id = made.request(f"k{i}", tenant=tenant)
         if request_id not in made.final_responses:
@@ -31,8 +31,8 @@
 
 
 @pytest.mark.parametrize(("part", "least", "most"), [(1.0, 150, 170), (2.0, 300, 330), (0.2, 30, 40)])
-def test_a_quota_is_kept_by_the_allocation(part, least, most):
-    """150 a second and all nodes: 15 a second a node by right."""
+def test_a_quota_follows_the_allocation(part, least, most):
+    """The quota with slack is 150 requests a second for 10 nodes, so the even share of a node is 15."""
     made = router()
     if part != 1.0:
         made.notify(api.AllocationUpdate({0: part}))
@@ -40,7 +40,7 @@
     assert 150 <= admitted(made, 10, tenant=1) <= 170
 
 
-def test_a_lease_ends_by_the_clock_whether_or_not_the_policy_is_notified():
+def test_a_lease_ends_by_the_clock_even_if_the_policy_is_not_notified():
     made = router()
     made.notify(
         api.AllocationUpdate({0: 4.0}, valid_until=made.now + 5 * S, fallback=api.AllocationUpdate({0: 0.4}))
@@ -50,10 +50,10 @@
     assert made.balancer.allocation.tenants == {0: 0.4}
 
 
-def test_time_before_a_lease_counts_by_the_rate_of_before():
-    """Else a node idle for long would have what its lender used meanwhile."""
+def test_time_before_a_lease_is_accounted_at_the_old_rate():
+    """Guards against a node that was idle for long and then uses what its lender has used meanwhile."""
     made = router()
-    made.balancer.quotas.rates_per_s[0] = 100.0  # a bucket deep enough to show
+    made.balancer.quotas.rates_per_s[0] = 100.0  # a bucket that is deep enough to show the difference
     admitted(made, 2)
     made.notify(api.AllocationUpdate({0: 0.0}))
     made.advance(60 * S)
@@ -62,15 +62,15 @@
 
 
 @pytest.mark.parametrize("strict", [False, True])
-def test_what_is_beyond_a_quota_is_rejected_despite_capacity_only_where_quotas_are_strict(strict):
+def test_requests_over_quota_are_rejected_despite_capacity_only_if_quotas_are_strict(strict):
     made = router()
     made.notify(api.AllocationUpdate(strict_quotas=strict))
     served = admitted(made, 4, over_quota=1.0)
     assert served <= 4 * 15 + 15 if strict else served == 800
 
 
-def test_a_strict_quota_is_asked_again_at_each_retry():
-    """What was rejected once is not beyond its quota for ever."""
+def test_a_strict_quota_is_checked_again_for_each_retry():
+    """A request that was rejected once must not count as over quota forever."""
     made = router()
     made.notify(api.AllocationUpdate(strict_quotas=True))
     while (request_id := made.request("k", work_ns=MS)) not in made.final_responses:
@@ -79,7 +79,7 @@
     assert made.request("k", work_ns=MS, retry=True) not in made.final_responses
 
 
-def test_floors_and_steps_of_limiters_follow_the_allocation():
+def test_floors_and_minimum_increases_of_limiters_follow_the_allocation():
     made = Router(count=4, fleet_size=100)
     limiters = made.balancer.cache_limiter, made.balancer.origin_limiter
     assert [limiter.floor for limiter in limiters] == [0.1, 0.1]
@@ -96,7 +96,7 @@
     assert [limiter.floor for limiter in limiters] == pytest.approx([0.4, 0.4])
 
 
-def test_permits_bound_what_is_in_flight_at_the_origin_and_at_the_caches():
+def test_permits_limit_the_attempts_in_flight_at_the_origin_and_at_the_caches():
     made = Router(count=4, mode=api.CacheMode.ASIDE)
     made.notify(api.AllocationUpdate(origin_permits=2, cache_permits=3))
     request_ids = [made.request(f"k{i}") for i in range(10)]
@@ -116,7 +116,7 @@
 
 def test_retries_are_a_fraction_of_first_attempts_and_an_allocated_rate():
     allocation = api.AllocationUpdate({-1: 1.0}, retries_per_s=2.0, retries_per_attempt=0.1)
-    # 300 first attempts in 15 s: 30 by their share, 2 or 6 a second, and 8 in a row at first.
+    # 300 first attempts in 15 s allow 30 retries, plus 2 or 6 a second, plus an initial burst of 8.
     for event, least, most in (
         (None, 300, 900),
         (allocation, 60, 68),
@@ -138,7 +138,7 @@
         assert least <= repeats <= most, event
 
 
-def test_the_way_to_the_origin_after_a_miss_is_no_retry():
+def test_an_attempt_at_the_origin_after_a_miss_is_not_a_retry():
     made = Router(count=3)
     made.notify(api.AllocationUpdate({-1: 0.0}, retries_per_s=0.001))
     for i in range(20):
--- a/tests/policy/test_attempt_feedback.py
+++ b/tests/policy/test_attempt_feedback.py
@@ -1,4 +1,4 @@
-"""Attempt feedback: which mechanism takes in which end of an attempt."""
+"""Attempt feedback: which mechanisms each outcome of an attempt updates."""
 
 import random
 
@@ -13,7 +13,7 @@
 
 
 def after(outcome: Outcome, is_cache: bool) -> tuple[Mechanisms, Server]:
-    """What the mechanisms and a server's record hold after one attempt."""
+    """Returns the mechanisms and the server after one attempt with this outcome."""
     made, server = Mechanisms(settings(), random.Random(1)), Server(api.Endpoint("s"), 0)
     request, attempt = open_request(work_ns=MS), Attempt("s", START, 0)
     made.feedback.record(request, attempt, server, made.cache_limiter, ended(outcome), is_cache, START)
@@ -34,7 +34,9 @@
         (Outcome.WITHDRAWN, 0, 0, False, False),
     ],
 )
-def test_each_outcome_tells_only_those_whom_it_concerns(outcome, counted, slow, costs, fails_connect):
+def test_each_outcome_updates_only_the_mechanisms_that_it_concerns(
+    outcome, counted, slow, costs, fails_connect
+):
     made, server = after(outcome, is_cache=True)
     assert (made.cache_limiter.round_attempts, made.cache_limiter.round_slow) == (counted, slow)
     assert (server.evidence > 0) is costs
--- a/tests/policy/test_attempt_timeout.py
+++ b/tests/policy/test_attempt_timeout.py
@@ -1,4 +1,4 @@
-"""Attempt timeouts: only where another attempt does no harm, adds to no load and can still be in time."""
+"""Attempt timeouts: set only if another attempt does no harm, is no extra load and can be in time."""
 
 import pytest
 from support.policy import MS, START, S, attempted, open_request
@@ -13,20 +13,24 @@
 @pytest.mark.parametrize(
     ("request_changes", "changes", "expected_ms"),
     [
-        ({}, {}, 250),  # half of the objective: slow from then on
+        ({}, {}, 250),  # half of the objective, after which an attempt counts as slow
         ({"work_ns": 100 * MS}, {}, 350),
-        ({}, {"usual_ms": 100}, 400),  # four times the usual
-        ({}, {"usual_ms": 200}, 0),  # the next would be late
+        ({}, {"usual_ms": 100}, 400),  # four times the mean latency
+        ({}, {"usual_ms": 200}, 0),  # the next attempt would be late
         ({}, {"decreased_s": 4}, 0),  # under load
         ({}, {"decreased_s": 6}, 250),
-        ({}, {"decreased_s": 4, "is_stale": True}, 250),  # connections that are lost are no load
-        ({}, {"max_attempts": 2}, 0),  # it is the last one
+        ({}, {"decreased_s": 4, "is_stale": True}, 250),  # lost connections do not indicate load
+        ({}, {"max_attempts": 2}, 0),  # it is the last attempt
         ({"effect": Effect.UNSAFE}, {}, 0),
         ({"effect": Effect.KEYED, "deduplication_window_ns": S}, {}, 250),
-        ({"effect": Effect.KEYED, "deduplication_window_ns": 400 * MS}, {}, 0),  # the window would be over
+        (
+            {"effect": Effect.KEYED, "deduplication_window_ns": 400 * MS},
+            {},
+            0,
+        ),  # the deduplication window would have ended
     ],
 )
-def test_a_timeout_is_set_only_where_another_attempt_is_of_use(request_changes, changes, expected_ms):
+def test_a_timeout_is_set_only_if_another_attempt_is_useful(request_changes, changes, expected_ms):
     queue = AdmissionQueues(None).caches
     queue.limiter.latencies_ns[0] = changes.get("usual_ms", 20) * MS
     if "decreased_s" in changes:
@@ -36,5 +40,5 @@
         stale.stale_after_ns = S
     retries = RetryPolicy(changes.get("max_attempts", 4), 0, has_origin=False)
     request = open_request(**request_changes)
-    attempted(request, "s1", Outcome.CONNECT_FAILED)  # it counts, and was not executed
+    attempted(request, "s1", Outcome.CONNECT_FAILED)  # counts as an attempt, but was not executed
     assert AttemptTimeout(retries, stale).timeout_ns(request, queue, START) == expected_ms * MS
--- a/tests/policy/test_concurrency_limiter.py
+++ b/tests/policy/test_concurrency_limiter.py
@@ -1,6 +1,6 @@
-"""The concurrency limiter: what decreases a limit, and what is no sign of load.
+"""The concurrency limiter: which outcomes decrease a limit and which do not indicate load.
 
-Each test fails without the code that answers its failure.
+Each test fails without the code that prevents the failure it describes.
 """
 
 import math
@@ -24,7 +24,7 @@
 
 
 def test_a_limit_decreases_when_attempts_are_slow_and_increases_again():
-    """Overload answered by more attempts; a limit that never grew back after a spell."""
+    """Guards against more attempts under overload, and against a limit that does not recover."""
     limiter = ConcurrencyLimiter(40.0)
     limiter.inflight = 40
     now = rounds(limiter, 0, slow=True, count=400)
@@ -36,26 +36,26 @@
 
 
 def test_an_unreached_limit_decreases_from_what_is_in_flight():
-    """Many routers, each with few requests out, all far under limits that mean nothing."""
+    """With many nodes, each has few attempts in flight, far below a limit that was never reached."""
     limiter = ConcurrencyLimiter(94.0)
     limiter.inflight = 9
     rounds(limiter, 0, slow=True, count=20)
     assert limiter.limit < 10
 
 
-def test_a_heavy_request_is_no_sign_of_load():
+def test_a_heavy_request_does_not_indicate_load():
     router = Router(count=3)
     router.balancer.cache_limiter.doubling = False
     before = router.balancer.cache_limiter.limit
     for i in range(60):
         request_id = router.request(f"k{i}", work_ns=300 * MS)
-        router.now += 400 * MS  # past half the objective, but most of it its own work
+        router.now += 400 * MS  # over half the objective, but mostly the request's own work
         router.end_attempt(request_id, Outcome.OK)
     assert router.balancer.cache_limiter.limit >= before
 
 
-def test_a_limit_under_one_is_one_attempt_at_a_time_with_pauses():
-    """Hundreds of routers with one attempt out each may be more than the fleet can do."""
+def test_a_limit_below_one_allows_one_attempt_at_a_time_with_pauses():
+    """One attempt in flight at each of hundreds of nodes may exceed the capacity of the fleet."""
     router = Router(count=2, fleet_size=40)
     limiter = router.balancer.cache_limiter
     limiter.doubling, limiter.limit = False, 0.25
@@ -70,7 +70,7 @@
     assert second in router.attempts_made
 
 
-def test_a_lost_server_does_not_decrease_the_limit_for_the_rest():
+def test_a_lost_server_does_not_decrease_the_limit_for_the_others():
     router = Router(count=5, limits=api.Limits(max_attempts=9))
     lost = "10.0.0.2:80"
     for i in range(300):
@@ -85,7 +85,7 @@
     for _ in range(20):
         request_id = router.request("k")
         attempt = router.balancer.open_requests[request_id].attempts[0]
-        router.balancer.servers[attempt.server].inflight -= 1  # as if it had been tried at the lost one
+        router.balancer.servers[attempt.server].inflight -= 1  # as if the attempt was at the lost one
         router.balancer.servers[lost].inflight += 1
         attempt.server = lost
         router.end_attempt(request_id, Outcome.CONNECT_FAILED, final=True)
@@ -102,8 +102,11 @@
     assert router.balancer.cache_limiter.decreased_at == -math.inf
 
 
-def test_the_quick_rejections_of_an_unhealthy_server_decrease_no_limit_while_others_are_well():
-    """One small server left full: a limiter at its floor, a hundred requests waiting, four servers idle."""
+def test_quick_rejections_of_an_unhealthy_server_decrease_no_limit_while_others_are_healthy():
+    """Guards against one small, full server that brings the limit down to its floor.
+
+    A hundred requests waited then, while four servers were idle.
+    """
     router = Router(count=6)
     for i in range(300):
         request_id = router.request(f"k{i}")
@@ -119,7 +122,7 @@
         router.advance(10 * MS)
         router.end_attempt(request_id, Outcome.OK)
     other = router.request(key)
-    assert router.server_of(other) != "10.0.0.0:80"  # to be tried on, not to be filled
+    assert router.server_of(other) != "10.0.0.0:80"  # it is still tried, but not filled
     router.advance(10 * MS)
     router.end_attempt(other, Outcome.OK)
     before = caches.limit = 12.0
@@ -133,15 +136,15 @@
     assert router.server_of(request_id) == "10.0.0.0:80" and caches.limit >= before
 
 
-def test_a_limit_decreases_from_the_most_in_flight_not_from_a_lull():
+def test_a_limit_decreases_from_the_peak_in_flight_and_not_from_a_momentary_low():
     limiter = ConcurrencyLimiter(40.0)
     limiter.peak_inflight, limiter.inflight = 38, 2
     rounds(limiter, 0, slow=True, count=8)
     assert limiter.limit > 20
 
 
-def test_connections_that_break_at_all_servers_alike_are_no_sign_of_load():
-    """Guards limits and shares: with one in eight reset, limits fell and healthy servers lost their keys."""
+def test_connections_that_break_at_all_servers_do_not_indicate_load():
+    """Guards against resets of one connection in eight: limits fell and healthy servers lost their keys."""
     router, same = Router(count=6), 0
     for i in range(400):
         request_id = router.request(f"k{i}")
@@ -152,23 +155,26 @@
             same += router.server_of(request_id) == home
             router.advance(10 * MS)
             router.end_attempt(request_id, Outcome.OK)
-    assert same > 80  # of 100: it has the key
+    assert same > 80  # of 100 retries; this server has the key
     outliers = router.balancer.outliers
     outliers.refresh(router.now)
     assert router.balancer.cache_limiter.decreased_at == -math.inf and min(outliers.fractions.values()) > 0.5
 
 
-def test_a_round_of_a_thin_node_when_half_of_it_is_slow_already_then_ends():
-    """Two attempts a second at a slow origin: a whole round took four seconds, and four of them the limit."""
+def test_a_round_with_few_in_flight_when_half_of_it_is_slow_then_ends():
+    """Guards against a slow reaction with two attempts a second at a slow origin.
+
+    A full round took four seconds there, and the decrease of the limit took four rounds.
+    """
     limiter = ConcurrencyLimiter(8.0, doubling=False)
     limiter.inflight = limiter.peak_inflight = 3
     rounds(limiter, 0, slow=True, count=3)
-    assert limiter.decreased_at == -math.inf  # not by chance
+    assert limiter.decreased_at == -math.inf  # fewer may be chance
     rounds(limiter, 100 * MS, slow=True, count=1)
     assert limiter.limit < 4
 
 
-def test_a_round_of_a_node_with_many_in_flight_when_its_first_are_slow_then_goes_on():
+def test_a_round_with_many_in_flight_when_its_first_attempts_are_slow_then_continues():
     limiter = ConcurrencyLimiter(40.0, doubling=False)
     limiter.inflight = limiter.peak_inflight = 30
     now = rounds(limiter, 0, slow=True, count=6)
@@ -176,7 +182,7 @@
     assert limiter.decreased_at == -math.inf
 
 
-def test_a_limit_when_a_whole_round_is_slow_then_decreases_by_more_than_by_a_few_slow_ones():
+def test_a_limit_when_a_whole_round_is_slow_then_decreases_more_than_after_a_few_slow_attempts():
     decreased = []
     for slow in (3, 10):
         limiter = ConcurrencyLimiter(10.0, doubling=False)
@@ -191,9 +197,9 @@
 @pytest.mark.parametrize(
     ("slow", "inflight", "result", "limit"),
     [
-        (0, 8, RoundResult.GOOD, 11.0),  # a step more
+        (0, 8, RoundResult.GOOD, 11.0),  # increased by `min_increase`
         (1, 8, RoundResult.GOOD, 11.0),
-        (0, 2, RoundResult.GOOD, 10.0),  # not used: it says nothing of a larger one
+        (0, 2, RoundResult.GOOD, 10.0),  # too little of the limit was used
         (2, 8, RoundResult.BAD, 9 * (1 - 0.45 / 16)),
         (8, 8, RoundResult.BAD, 9 * 0.55),
     ],
@@ -208,7 +214,7 @@
 
 @given(steps=st.lists(st.tuples(st.booleans(), st.integers(0, 60)), max_size=300), floor=st.floats(0, 5))
 @settings(derandomize=True, deadline=None, database=None, max_examples=60)
-def test_no_round_brings_a_limit_below_its_floor_and_permits_bound_it(steps, floor):
+def test_no_round_decreases_a_limit_below_its_floor_and_permits_cap_it(steps, floor):
     limiter = ConcurrencyLimiter(50.0, max_permits=30)
     limiter.set_floor(floor)
     assert limiter.floor >= MIN_FLOOR and limiter.min_increase <= 1
--- a/tests/policy/test_connect_backoff.py
+++ b/tests/policy/test_connect_backoff.py
@@ -1,4 +1,4 @@
-"""Connect backoff: how it grows, and what ends it."""
+"""Connect backoff: how it grows and which outcomes end it."""
 
 import random
 
@@ -24,7 +24,7 @@
 
 
 @pytest.mark.parametrize("outcome", [each for each in Outcome if each is not Outcome.CONNECT_FAILED])
-def test_an_outcome_ends_the_backoff_only_where_there_was_a_connection(outcome):
+def test_an_outcome_ends_the_backoff_only_if_there_was_a_connection(outcome):
     is_inconclusive = outcome in (Outcome.CANCELLED, Outcome.WITHDRAWN, Outcome.TIMEOUT)
     backoff = failed(3)
     backoff.record(outcome, START + S, random.Random(1))
--- a/tests/policy/test_hash_ring.py
+++ b/tests/policy/test_hash_ring.py
@@ -1,4 +1,4 @@
-"""The ring against a plain sorted list, and the values that keys and servers have always had."""
+"""The hash ring, compared with a sorted list, and the stability of positions on it."""
 
 import hashlib
 import itertools
@@ -19,29 +19,29 @@
 numbers = st.integers(0, 9)
 zones = st.sampled_from([0, 1, -1])
 changes = st.lists(st.tuples(numbers, st.sampled_from("abc"), st.none() | zones), max_size=30)
-places = st.integers(0, END) | st.sampled_from([0, END]) | st.builds(position_of, st.text(max_size=3))
+positions = st.integers(0, END) | st.sampled_from([0, END]) | st.builds(position_of, st.text(max_size=3))
 
 
-def reference(listed, place, zone=None):
+def reference(listed, position, zone=None):
     entries = sorted(e for n, (s, z) in listed.items() if zone in (None, z) for e in module.points(s, n))
-    return [e for e in entries if e >= place] + [e for e in entries if e < place]
+    return [e for e in entries if e >= position] + [e for e in entries if e < position]
 
 
 def replace(ring, listed, zone=None):
-    """Hold the servers of one zone, or of all."""
+    """Replaces the servers on the ring by those of one zone, or by all."""
     ring.replace({server: number for number, (server, z) in listed.items() if zone in (None, z)})
 
 
 def coarse_points(server, number):
-    """Points at few places, so that many entries are told apart by number and rank only."""
+    """Points at few positions, so that many entries differ only in number and rank."""
     return [entry >> 60 << 60 | entry & LOW_BITS for entry in points(server, number)]
 
 
 @pytest.mark.parametrize(("together", "made"), [(1, points), (4, points), (1, coarse_points)])
-@given(changes=changes, place=places, pick=st.integers(0, 10**6))
+@given(changes=changes, position=positions, pick=st.integers(0, 10**6))
 @plain
-def test_walks_are_those_of_a_sorted_list(together, made, changes, place, pick):
-    """The ring of all servers, and those of one zone's servers each, after every few changes."""
+def test_walks_equal_those_of_a_sorted_list(together, made, changes, position, pick):
+    """Compares a ring of all servers and a ring of each zone, after every few changes."""
     with pytest.MonkeyPatch.context() as patch:
         patch.setattr(module, "points", made)
         listed = {}
@@ -54,17 +54,17 @@
                 for of_zone, ring in rings.items():
                     replace(ring, listed, of_zone)
         everything = reference(listed, 0)
-        if everything and pick % 2:  # at an entry, or just past it
-            place = min(END, everything[pick % len(everything)] + pick % 4 // 2)
+        if everything and pick % 2:  # at an entry or just after it
+            position = min(END, everything[pick % len(everything)] + pick % 4 // 2)
         assert rings[None].numbers == {server: number for number, (server, _) in listed.items()}
         for zone, ring in rings.items():
-            assert list(ring.walk(place)) == reference(listed, place, zone)
+            assert list(ring.walk(position)) == reference(listed, position, zone)
 
 
 @given(order=st.permutations(range(6)), extra=st.lists(numbers.map(lambda n: n + 10), unique=True))
 @plain
-def test_equal_contents_give_equal_walks_whatever_the_order(order, extra):
-    for servers in (range(6), range(1, 6, 2)):  # of all zones, of one
+def test_equal_contents_give_equal_walks_after_any_order_of_changes(order, extra):
+    for servers in (range(6), range(1, 6, 2)):  # servers of all zones, of one zone
         first = HashRing()
         first.replace({f"s{number}": number for number in servers})
         second = HashRing()
@@ -79,7 +79,7 @@
         assert list(first.walk(5)) == list(second.walk(5))
 
 
-def test_equal_places_are_told_apart_by_number_and_rank(monkeypatch):
+def test_entries_at_equal_positions_are_sorted_by_number_and_rank(monkeypatch):
     monkeypatch.setattr(
         module, "points", lambda server, number: [1 << 40 | number << 8 | r for r in range(3)]
     )
@@ -93,7 +93,7 @@
     assert list(ring.walk(0)) == [low | n << 8 | r for n in (0, 2) for r in range(3)]
 
 
-def test_a_large_ring_that_shrinks_and_grows_stays_small_and_right():
+def test_a_large_ring_that_shrinks_becomes_small_and_stays_correct():
     rng, ring = random.Random(4), HashRing()
     listed = {number: (f"s{number}", number % 5) for number in range(300)}
     replace(ring, listed)
@@ -109,7 +109,7 @@
     assert not ring.numbers and not ring.entries and not list(ring.walk(0))
 
 
-def test_a_walk_left_early_takes_only_what_it_gave():
+def test_a_walk_that_ends_early_reads_only_the_entries_that_it_returned():
     ring = HashRing()
     ring.replace({f"s{number}": number for number in range(200)})
     seen = []
@@ -122,7 +122,7 @@
     assert taken == list(ring.walk(position_of("k")))[:20]
 
 
-def test_faults_of_the_caller_change_nothing():
+def test_invalid_arguments_leave_the_ring_unchanged():
     ring = HashRing()
     ring.replace({"a": 1})
     for number in (1, -1, 1 << 24):
@@ -136,12 +136,12 @@
     assert len(list(ring.walk(0))) == 2 * POINTS
     listed = {"b": (1 << 24) - 1}
     ring.replace(listed)
-    listed["c"] = 3  # the caller's own from then on
+    listed["c"] = 3  # the ring has its own copy
     assert list(ring.walk(0)) == sorted(points("b", (1 << 24) - 1)) and ring.numbers == {"b": (1 << 24) - 1}
 
 
-def test_keys_and_servers_stand_where_they_always_did():
-    """Values of the code before this module: a change would move every key of every fleet."""
+def test_keys_and_servers_keep_their_positions():
+    """The values are those of an earlier implementation: a change would move every key of every fleet."""
     known = {"": 16476032582304137216, "menu:17": 6657010179915120640, "käse": 8389782600541011968}
     assert {text: position_of(text) for text in known} == known
     for server, number, first, digest in (
@@ -155,18 +155,20 @@
 
 
 class PlainRing:
-    """The ring as one sorted array, filtered and sorted as a whole for each change: the plain way."""
+    """A simple model of the ring, which sorts all entries for each walk."""
 
     def __init__(self):
         self.numbers = {}
 
-    def walk(self, place):
+    def walk(self, position):
         entries = sorted(e for server, number in self.numbers.items() for e in module.points(server, number))
-        return [e for e in entries if e >= place] + [e for e in entries if e < place]
+        return [e for e in entries if e >= position] + [e for e in entries if e < position]
 
 
 steps = st.lists(
-    st.tuples(st.sampled_from(["add", "add_all", "remove", "look"]), st.lists(numbers, max_size=4), places),
+    st.tuples(
+        st.sampled_from(["add", "add_all", "remove", "look"]), st.lists(numbers, max_size=4), positions
+    ),
     max_size=20,
 )
 
@@ -174,12 +176,12 @@
 @pytest.mark.parametrize("made", [points, coarse_points])
 @given(steps=steps, renamed=st.integers(0, 3))
 @plain
-def test_a_ring_after_any_changes_equals_one_built_anew(made, steps, renamed):
-    """Numbers are used again by servers of other names, in buckets that are sorted and that are not yet."""
+def test_a_ring_after_any_changes_equals_a_new_one(made, steps, renamed):
+    """Servers with other names reuse numbers, in sorted and in unsorted buckets."""
     with pytest.MonkeyPatch.context() as patch:
         patch.setattr(module, "points", made)
         ring, plain_ring = HashRing(), PlainRing()
-        for at, (kind, chosen, place) in enumerate(steps):
+        for at, (kind, chosen, position) in enumerate(steps):
             taken = set(plain_ring.numbers.values())
             coming = {f"s{n}-{at % (renamed + 1)}": n for n in chosen if n not in taken}
             if kind == "remove":
@@ -187,7 +189,7 @@
                     ring.remove(server)
                     del plain_ring.numbers[server]
             elif kind == "look":
-                assert list(itertools.islice(ring.walk(place), 3)) == plain_ring.walk(place)[:3]
+                assert list(itertools.islice(ring.walk(position), 3)) == plain_ring.walk(position)[:3]
             else:
                 if kind == "add_all":
                     ring.add_all(coming)
@@ -195,13 +197,13 @@
                     for server, number in coming.items():
                         ring.add(server, number)
                 plain_ring.numbers.update(coming)
-        anew = HashRing()
-        anew.add_all(plain_ring.numbers)
-        assert list(ring.entries) == list(anew.entries) == plain_ring.walk(0)
+        new_ring = HashRing()
+        new_ring.add_all(plain_ring.numbers)
+        assert list(ring.entries) == list(new_ring.entries) == plain_ring.walk(0)
         assert ring.numbers == plain_ring.numbers
 
 
-def test_a_change_makes_the_points_of_its_own_servers_only(monkeypatch):
+def test_a_change_computes_only_the_points_of_its_own_servers(monkeypatch):
     made = []
     monkeypatch.setattr(
         module, "points", lambda server, number: made.append(server) or points(server, number)
@@ -217,26 +219,26 @@
     assert made == ["new", "s7", "s8"]
 
 
-def test_many_servers_are_sorted_in_bucket_by_bucket_as_they_are_looked_at(monkeypatch):
-    """Guards the event loop: a first list of thousands was sorted as a whole."""
-    looked_at = []
+def test_buckets_are_sorted_one_by_one_when_they_are_read_after_a_bulk_addition(monkeypatch):
+    """Guards the event loop, which was blocked while a first list of thousands was sorted as a whole."""
+    sorted_sizes = []
     monkeypatch.setattr(
-        module, "sorted", lambda entries: looked_at.append(len(entries)) or sorted(entries), raising=False
+        module, "sorted", lambda entries: sorted_sizes.append(len(entries)) or sorted(entries), raising=False
     )
     ring = HashRing()
     ring.add_all({f"s{number}": number for number in range(100)})
     ring.add("one", 100)
     ring.remove("s3")
-    assert not looked_at
+    assert not sorted_sizes
     next(ring.walk(position_of("k")))
     next(ring.walk(position_of("k")))
-    assert len(looked_at) == 1 and looked_at[0] < 100 * POINTS / 100
-    ring.add("two", 101)  # into the sorted bucket at its place, into the others at their ends
-    assert len(looked_at) == 1
-    assert len(ring.entries) == 101 * POINTS and len(looked_at) == module.BUCKETS
+    assert len(sorted_sizes) == 1 and sorted_sizes[0] < 100 * POINTS / 100
+    ring.add("two", 101)  # inserted into the sorted bucket, appended to the others
+    assert len(sorted_sizes) == 1
+    assert len(ring.entries) == 101 * POINTS and len(sorted_sizes) == module.BUCKETS
 
 
-def test_a_server_that_is_there_or_that_is_not_is_refused():
+def test_adding_a_server_twice_and_removing_an_unknown_one_raise_errors():
     ring = HashRing()
     ring.add("a", 1)
     for add in (lambda: ring.add("a", 2), lambda: ring.add("b", 1), lambda: ring.add_all({"c": 3, "d": 3})):
--- a/tests/policy/test_open_request.py
+++ b/tests/policy/test_open_request.py
@@ -9,7 +9,7 @@
 
 
 @pytest.mark.parametrize("outcome", Outcome)
-def test_the_first_attempt_that_may_have_been_executed_is_noted(outcome):
+def test_the_first_attempt_that_may_have_been_executed_is_recorded(outcome):
     request = open_request()
     attempted(request, "s1", outcome, cell=1)
     attempted(request, "s2", Outcome.ERROR, cell=2)
--- a/tests/policy/test_ordinary_path.py
+++ b/tests/policy/test_ordinary_path.py
@@ -1,4 +1,4 @@
-"""The mechanism of the design: ring, cap, clockwise walk, own count."""
+"""The ordinary path of requests: ring, caps, clockwise walk, and own attempts in flight."""
 
 import bisect
 import math
@@ -14,8 +14,8 @@
 
 
 def clockwise(key: str, servers: list[str]) -> list[str]:
-    """Servers in the order of the ring from the key on, worked out afresh."""
-    ring = sorted((place, s) for s in servers for place in points(s, 0))
+    """Returns the servers clockwise from the key on, computed without the ring."""
+    ring = sorted((position, s) for s in servers for position in points(s, 0))
     at = bisect.bisect(ring, (position_of(key), ""))
     return list(dict.fromkeys(s for _, s in ring[at:] + ring[:at]))
 
@@ -84,13 +84,13 @@
     assert router.server_of(router.request("w", cls=1, write=True)) == "10.9.9.9:80"
 
 
-def test_through_mode_keeps_to_the_ring():
+def test_a_write_in_read_through_mode_goes_to_a_server_on_the_ring():
     router = Router(mode=api.CacheMode.THROUGH, origin_kind=-1)
     request_id = router.request("w", cls=1, write=True)
     assert router.server_of(request_id) in [*clockwise("w", CACHES), "10.9.9.9:80"]
 
 
-def test_a_missing_key_is_spread_by_request():
+def test_requests_without_a_key_are_spread_over_the_servers():
     router = Router(count=10)
     used = set()
     for _ in range(60):
@@ -100,7 +100,7 @@
     assert len(used) > 5
 
 
-def test_with_an_empty_list_requests_are_rejected_in_time_and_without_fault():
+def test_with_an_empty_list_requests_are_rejected_in_time_without_an_error():
     router = Router()
     router.notify(api.EndpointUpdate(UpdateKind.FULL, 2, ()))
     router.advance(2_000_000_000)
@@ -118,8 +118,8 @@
     assert isinstance(router.final_responses[request_id], api.Reject)
 
 
-def test_a_malformed_response_is_retried_where_the_key_is_and_ejects_nobody():
-    """Guards the origin: each malformed answer moved keys away, or took the only origin out of reach."""
+def test_a_malformed_response_is_retried_at_the_same_server_and_ejects_no_server():
+    """Guards the origin: each malformed response moved keys away, or excluded the only origin."""
     router = Router()
     for i in range(100):
         request_id = router.request(f"w{i}")
@@ -132,11 +132,11 @@
     router.end_attempt(request_id, Outcome.ERROR, malformed=True)
     assert router.server_of(request_id) == home
     router.end_attempt(request_id, Outcome.ERROR, malformed=True)
-    assert router.server_of(request_id) != home  # twice is enough
+    assert router.server_of(request_id) != home  # not a third time
     request_id = router.request("other")
     router.end_attempt(request_id, Outcome.MISS)
     origin = router.server_of(request_id)
-    router.end_attempt(request_id, Outcome.ERROR, malformed=True)  # it may be stored by now
+    router.end_attempt(request_id, Outcome.ERROR, malformed=True)  # a cache may have stored it
     router.end_attempt(request_id, Outcome.MISS)
     assert router.server_of(request_id) == origin
     for i in range(200):
@@ -150,8 +150,8 @@
     assert min(router.balancer.outliers.fractions.values()) > 0.8
 
 
-def test_a_machine_of_larger_weight_gets_as_many_more_keys_and_more_in_flight():
-    """Guards small machines: with as many keys as large ones they turned a quarter of all away."""
+def test_a_server_gets_keys_in_proportion_to_its_weight_and_more_in_flight():
+    """Guards small servers: with as many keys as large ones, they rejected a quarter of all requests."""
     router = Router(count=0)
     weights = {f"10.0.0.{i}:80": 4.0 if i < 2 else 0.5 for i in range(6)}
     listed = tuple(api.Endpoint(s, weight=w) for s, w in weights.items())
@@ -159,7 +159,7 @@
     keys = servers_of(router, [f"key{i}" for i in range(3000)])
     counts = {s: sum(home == s for home in keys.values()) for s in weights}
     large = counts["10.0.0.0:80"] + counts["10.0.0.1:80"]
-    assert 0.7 < large / len(keys) < 0.9  # of 10 parts 8 are theirs
+    assert 0.7 < large / len(keys) < 0.9  # their weights are 8 of 10
     router.balancer.cache_limiter.limit = 100.0
     for i in range(40):
         router.request(f"held{i}")
--- a/tests/policy/test_outlier_detection.py
+++ b/tests/policy/test_outlier_detection.py
@@ -1,6 +1,6 @@
-"""Outlier detection: costs, health, and what fades.
+"""Outlier detection: costs, health, and the decay of evidence.
 
-Each test fails without the code that answers its failure.
+Each test fails without the code that prevents the failure it describes.
 """
 
 import pytest
@@ -23,7 +23,7 @@
     return found
 
 
-def test_a_server_that_errors_fast_is_not_seen_as_empty():
+def test_a_server_with_quick_errors_does_not_count_as_fast():
     router = Router(count=5)
     bad = "10.0.0.2:80"
     for i in range(400):
@@ -37,10 +37,10 @@
     share = router.balancer.outliers.fraction(router.balancer.servers[bad], router.now)
     assert MIN_HEALTH <= share < 0.3
     after = servers_of_keys(router, 100)
-    assert 0 < after.count(bad) < 100 / 5 / 2  # left, not emptied: it is tried on
+    assert 0 < after.count(bad) < 100 / 5 / 2  # it loses most of its keys, but is still tried
 
 
-def test_a_fleet_that_is_slow_as_a_whole_is_not_moved():
+def test_a_fleet_that_is_slow_as_a_whole_keeps_its_keys():
     router = Router(count=5)
     for i in range(300):
         request_id = router.request(f"k{i}")
@@ -50,8 +50,8 @@
     assert all(outliers.fraction(server, router.now) > 0.6 for server in router.balancer.ready.values())
 
 
-def test_a_cut_off_fraction_of_the_fleet_does_not_pass_for_usual():
-    """A zone that is lost to this router: with the mean as measure half a fleet failing looked half well."""
+def test_an_unreachable_part_of_the_fleet_does_not_define_the_usual_cost():
+    """Guards against a lost zone: by the mean cost, a half of the fleet that failed looked half healthy."""
     router = Router(count=6, limits=api.Limits(max_attempts=9))
     lost = {f"10.0.0.{i}:80" for i in range(3)}
     for i in range(300):
@@ -65,8 +65,8 @@
         assert health < UNHEALTHY if name in lost else health == 1
 
 
-def test_what_a_server_met_rarely_showed_fades():
-    """A router that meets a server every few seconds must not leave it for good after one bad answer."""
+def test_evidence_of_a_rarely_used_server_decays():
+    """A node that uses a server every few seconds must not avoid it forever after one error."""
     router = Router(count=5)
     for i in range(40):
         router.now += 20 * MS
@@ -81,9 +81,12 @@
     assert once < 1 == router.balancer.outliers.health(bad, router.now)
 
 
-def test_failures_everywhere_do_not_make_costs_climb_without_end():
-    """Each failure was weighed against a fleet's cost that held the failures before: 10,000 times the usual
-    within seconds of full queues, and a share of a tenth for servers that were well."""
+def test_failures_everywhere_do_not_let_costs_grow_without_bound():
+    """Guards against costs relative to a fleet cost that includes earlier failures.
+
+    Within seconds of full queues, costs were 10,000 times the usual and healthy servers had a fraction of a
+    tenth.
+    """
     router = Router(count=6)
     for i in range(600):
         request_id = router.request(f"k{i}")
@@ -96,7 +99,10 @@
 
 
 def test_one_unhealthy_machine_does_not_make_others_of_its_kind_look_unhealthy():
-    """Guards the measure of the fleet: with idle ones as bad, one that refused all kept its keys."""
+    """Guards the cost of the fleet that servers are compared with.
+
+    Idle servers were considered as bad as the failing one, so one that rejected all requests kept its keys.
+    """
     router = Router(count=6)
     for i in range(400):
         request_id = router.request(f"k{i}")
@@ -104,7 +110,7 @@
         router.advance(10 * MS)
         router.end_attempt(request_id, Outcome.FULL if unhealthy else Outcome.OK, final=True)
     outliers = router.balancer.outliers
-    now = router.now + 60 * S  # what is known of each by itself has faded
+    now = router.now + 60 * S  # the evidence of each server has decayed
     outliers.refresh(now)
     costs = [outliers.likely_cost(s, 1.0, now) for s in router.balancer.servers.values() if s.evidence]
     assert max(costs) < 1.3, costs
@@ -115,7 +121,7 @@
 
 @pytest.fixture
 def outliers():
-    """Of three servers, each of which has served often at the expected cost."""
+    """Outlier detection for three servers that have each served many requests at the expected cost."""
     table = ServerTable(None, api.Rules())
     table.apply(api.EndpointUpdate(api.UpdateKind.FULL, 1, tuple(map(api.Endpoint, "abc"))))
     table.update_ring()
@@ -128,7 +134,7 @@
 
 
 def record(outliers: OutlierDetection, outcome: Outcome, latency_ms: int = 1, malformed: bool = False):
-    """One attempt at a server; what is known of it."""
+    """Records one attempt at a server and returns the server."""
     server = outliers._table.servers["a"]
     event = ended(outcome, latency_ms * MS, malformed=malformed)
     is_failure = not malformed and outcome not in (Outcome.OK, Outcome.RESET)
@@ -150,7 +156,7 @@
         (Outcome.RESET, 60, False, 6.0),
     ],
 )
-def test_an_outcome_counts_a_tenth_of_a_servers_cost_and_quick_failures_are_dear(
+def test_an_outcome_counts_a_tenth_of_a_servers_cost_and_quick_failures_have_a_high_cost(
     outliers, outcome, latency_ms, malformed, cost
 ):
     server = record(outliers, outcome, latency_ms, malformed)
@@ -161,6 +167,6 @@
 @pytest.mark.parametrize(
     "outcome", [Outcome.MISS, Outcome.CANCELLED, Outcome.WITHDRAWN, Outcome.CONNECT_FAILED]
 )
-def test_outcomes_that_say_nothing_of_a_server_change_nothing(outliers, outcome):
+def test_outcomes_unrelated_to_the_health_of_a_server_change_nothing(outliers, outcome):
     server = record(outliers, outcome)
     assert server.cost == 1.0 and outliers.health(server, START) == 1.0
--- a/tests/policy/test_quota.py
+++ b/tests/policy/test_quota.py
@@ -1,6 +1,6 @@
-"""Quotas: what is beyond them waits last and is rejected first.
+"""Quotas: requests over quota are served last and rejected first.
 
-Each test fails without the code that answers its failure.
+Each test fails without the code that prevents the failure it describes.
 """
 
 import random
@@ -19,18 +19,18 @@
 pauses = st.sampled_from([0, 1 * MS, 300 * MS, 2 * S, 100 * S])
 
 
-def test_a_tenant_beyond_its_quota_waits_behind():
+def test_requests_of_a_tenant_over_its_quota_wait_behind_others():
     tenants = (api.Tenant("flood", 2.0), api.Tenant("calm", 2.0))
     router = Router(count=2, tenants=tenants, over_quota_weight=0.05, fleet_size=50)
     first = [router.request(f"k{i}", tenant=0) for i in range(20)]
     calm = router.request("calm", tenant=1)
-    flood = router.request("flood", tenant=0)  # newer, so first among equals
+    flood = router.request("flood", tenant=0)  # newer, so first at equal priority
     router.end_attempt(first[0], Outcome.OK)
     assert calm in router.attempts_made and flood not in router.attempts_made
 
 
-def test_requests_beyond_quotas_are_rejected_first():
-    """With one request out at each of many routers, waiting order alone cannot protect the others' share."""
+def test_requests_over_quota_are_rejected_first():
+    """With one request in flight at each of many nodes, the queue order cannot protect other tenants."""
     tenants = (api.Tenant("flood", 2.0), api.Tenant("calm", 2.0))
     router = Router(count=2, tenants=tenants, over_quota_weight=0.05, fleet_size=50)
     router.balancer.quotas.over_quota_admit_fraction = 0.0
@@ -42,7 +42,7 @@
     assert router.request("calm", tenant=1) not in router.final_responses
 
 
-def test_bad_rounds_halve_what_is_admitted_beyond_quotas_and_good_ones_bring_it_back():
+def test_bad_rounds_halve_the_admitted_fraction_over_quota_and_good_ones_restore_it():
     router = Router(count=2)
     for outcome, least, most in ((Outcome.FULL, 0.0, 0.5), (Outcome.OK, 0.51, 1.0)):
         for i in range(200):
@@ -59,7 +59,7 @@
 
 @given(rate=rates, pauses=st.lists(pauses, max_size=60))
 @plain
-def test_a_bucket_gives_no_more_than_its_depth_and_what_came_in_since(rate, pauses):
+def test_a_bucket_gives_no_more_than_its_depth_and_the_tokens_added_since(rate, pauses):
     bucket = TokenBucket.full(rate, 0)
     depth = max(MIN_DEPTH_TOKENS, rate)
     now, taken = 0, 0
@@ -75,7 +75,7 @@
 
 @given(rate=st.sampled_from([0.5, 4.0, 100.0]), taken=st.integers(0, 200))
 @plain
-def test_after_the_wait_that_a_bucket_names_there_is_a_token(rate, taken):
+def test_a_bucket_has_a_token_after_the_wait_that_it_returns(rate, taken):
     bucket = TokenBucket.full(rate, 0)
     for _ in range(taken):
         bucket.try_take(0)
@@ -84,7 +84,7 @@
     assert bucket.level(int(wait_ns) + 1) >= 1 - 1e-6
 
 
-def test_a_rate_counts_from_its_change_on():
+def test_a_new_rate_applies_from_its_change_on():
     bucket = TokenBucket(1.0, 0.0, 0)
     bucket.set_rate(10.0, 2 * S)
     assert bucket.level(2 * S) == 2 and bucket.level(2 * S + 100 * MS) == 3
@@ -106,15 +106,15 @@
         (7, {}, 0),
     ],
 )
-def test_a_rate_is_this_nodes_part_of_the_quota_times_its_allocation(tenant, allocated, rate_per_s):
+def test_a_rate_is_the_share_of_the_node_in_the_quota_times_its_allocation(tenant, allocated, rate_per_s):
     made = quotas(tenants=allocated)
     assert made.rate_per_s(tenant) == rate_per_s
     assert (made.wait_ns(tenant, 0) is None) is (rate_per_s == 0)
     admitted = sum(made.try_take(tenant, 0) for _ in range(50))
-    assert admitted == (8 if tenant == 0 else 50)  # without a quota all are
+    assert admitted == (8 if tenant == 0 else 50)  # all are admitted without a quota
 
 
-def test_a_retry_budget_without_a_limit_admits_all_and_one_with_a_rate_what_came_in():
+def test_a_retry_budget_admits_all_retries_without_a_limit_and_else_as_many_as_its_tokens():
     budget = RetryBudget()
     assert all(budget.try_take(0) for _ in range(100))
     budget.apply(api.AllocationUpdate({-1: 2.0}, retries_per_s=2.0, retries_per_attempt=0.5), 0)
--- a/tests/policy/test_rejected_requests.py
+++ b/tests/policy/test_rejected_requests.py
@@ -1,4 +1,4 @@
-"""Rejected requests: what is remembered of them, for how long, and when they may come again."""
+"""Rejected requests: how their retries are recognized, and when they are forgotten."""
 
 import pytest
 from support.policy import MS, START, S, open_request
@@ -28,12 +28,12 @@
         ({"work_ns": 2 * MS}, False),
     ],
 )
-def test_a_retry_is_known_by_what_it_has_in_common_with_the_rejected_request(changes, is_matched):
+def test_a_retry_is_recognized_by_the_properties_of_the_rejected_request(changes, is_matched):
     made = rejected(open_request(work_ns=MS, over_quota=True, first_arrived_at=START - 5))
     again = open_request(**({"work_ns": MS} | changes)).event
     found = made.pop_match(again, START + 1)
     assert found == (Rejection(START - 5, True) if is_matched else None)
-    assert len(made) == (0 if is_matched else 1)  # recalled once only
+    assert len(made) == (0 if is_matched else 1)  # it matches only once
 
 
 @pytest.mark.parametrize(
@@ -45,10 +45,10 @@
     assert (made.pop_match(again, START + after) is not None) is is_matched
 
 
-def test_no_more_than_so_many_are_remembered_and_the_oldest_go_first():
+def test_the_number_of_rejections_is_limited_and_the_oldest_are_dropped_first():
     made = rejected(*(open_request(f"k{i}") for i in range(10)), max_remembered=4)
     assert len(made) == 4
     assert made.pop_match(open_request("k5", retry=True).event, START) is None
     assert made.pop_match(open_request("k6", retry=True).event, START) is not None
     made.record(open_request("new", now=START + 9 * S), START + 9 * S)
-    assert len(made) == 2  # each that comes drops two whose clients have given up
+    assert len(made) == 2  # each new entry drops two whose clients have given up
--- a/tests/policy/test_request_coalescing.py
+++ b/tests/policy/test_request_coalescing.py
@@ -1,6 +1,6 @@
 """Request coalescing: one fetch at the origin for each key.
 
-Each test fails without the code that answers its failure.
+Each test fails without the code that prevents the failure it describes.
 """
 
 import pytest
@@ -22,7 +22,7 @@
     assert router.server_of(request_ids[1]) == first_server
 
 
-def test_a_failed_fetch_is_taken_over():
+def test_a_waiting_request_fetches_the_key_after_a_failed_fetch():
     router = Router(count=4)
     request_ids = [router.request("k") for _ in range(2)]
     for request_id in request_ids:
@@ -42,7 +42,7 @@
         ({}, {"key": "other"}, False),
         ({}, {"write": True}, False),
         ({"write": True}, {}, False),
-        ({"done": True}, {}, False),  # it ended when it was sent
+        ({"done": True}, {}, False),  # the request has already ended
         ({"key": None}, {"key": None}, False),
     ],
 )
@@ -52,7 +52,7 @@
     assert coalescing.follow(waiting(**coming)) is follows
 
 
-def test_a_fetch_that_ends_gives_back_in_order_who_still_waits_and_prefers_where_it_is_stored():
+def test_the_end_of_a_fetch_returns_waiting_requests_in_order_with_their_preferred_server():
     coalescing = RequestCoalescing()
     fetch, first, gone, answered, last = waiting(), waiting(), waiting(), waiting(), waiting()
     coalescing.start(fetch)
--- a/tests/policy/test_retry.py
+++ b/tests/policy/test_retry.py
@@ -1,6 +1,6 @@
 """Retries, connect backoff, attempt timeouts, and retry-after.
 
-Each test fails without the code that answers its failure.
+Each test fails without the code that prevents the failure it describes.
 """
 
 import math
@@ -15,8 +15,8 @@
 ORIGIN, HOME = "origin", "s1"
 
 
-def test_a_retry_goes_on_from_its_first_arrival():
-    """Retry storms: a repeat whose first arrival's objective has passed is worth no permit."""
+def test_the_time_of_a_retry_counts_from_its_first_arrival():
+    """Guards against retry storms: a retry gets no permit after the objective of its first arrival."""
     for changes in ({"retry": True}, {"work_ns": 12_345_678}):
         router = Router(count=2)
         blockers = [router.request(f"b{i}") for i in range(8)]
@@ -38,7 +38,7 @@
 
 
 def test_a_server_that_cannot_be_connected_to_is_in_backoff_for_longer_each_time():
-    """More routers than a server accepts connections from: each settles on the servers that it has."""
+    """If a server does not accept connections from all nodes, a node has to use the others."""
     router = Router(count=3)
     full = router.server_of(router.request("k"))
     pauses = []
@@ -56,14 +56,14 @@
     assert router.balancer.servers[full].connect_backoff.failures == 0
 
 
-def test_silence_leaves_time_for_another_attempt_where_a_repeat_is_harmless():
+def test_a_missing_response_leaves_time_for_another_attempt_if_a_repeat_is_harmless():
     router = Router(count=3)
     for i in range(20):
         request_id = router.request(f"k{i}")
         router.now += 20 * MS
         router.end_attempt(request_id, Outcome.OK)
     router.request("k")
-    assert router.sends[-1].timeout_ns == 250 * MS  # slow from then on; waited for longer, the next is late
+    assert router.sends[-1].timeout_ns == 250 * MS  # slow after this; a later retry would be late
     router.request("k", 2)  # unsafe
     assert router.sends[-1].timeout_ns == 0
     router.balancer.cache_limiter.decreased_at = router.now
@@ -71,8 +71,8 @@
     assert router.sends[-1].timeout_ns == 0
 
 
-def test_a_rejection_has_a_retry_after_by_the_queue_and_within_the_settings():
-    """Guards against clients that come back at once into the same full queue."""
+def test_a_rejection_has_a_retry_after_from_the_queue_within_the_settings():
+    """Guards against clients that retry immediately into the same full queue."""
 
     def retry_after(limit: float, **limits) -> int:
         router = Router(count=1, limits=api.Limits(max_attempts=4, retry_after=True, **limits))
@@ -86,7 +86,7 @@
     assert retry_after(1.0, max_retry_after_ns=30 * MS) == 30 * MS
 
 
-def test_where_the_settings_forbid_it_a_rejection_has_no_retry_after():
+def test_a_rejection_has_no_retry_after_if_the_settings_forbid_it():
     router = Router(count=1)
     router.balancer.cache_limiter.limit, router.balancer.cache_limiter.doubling = 1.0, False
     router.request("k0")
@@ -101,16 +101,16 @@
         request_id = router.request("k")
         router.end_attempt(request_id, Outcome.MISS)
         origin = router.server_of(request_id)
-        assert router.sends[-1].timeout_ns == 250 * MS  # not until the client gives up
+        assert router.sends[-1].timeout_ns == 250 * MS  # not until the client's deadline
         router.advance(250 * MS)
         router.end_attempt(request_id, outcome)
-        assert router.server_of(request_id) != origin  # it may be stored by now
+        assert router.server_of(request_id) != origin  # a cache may have stored it
         router.end_attempt(request_id, Outcome.MISS)
         assert (request_id not in router.final_responses and router.server_of(request_id) == origin) is again
 
 
 def next_step(outcome: Outcome, server: str = HOME, now: int = START, has_origin: bool = True, **changes):
-    """What comes after the attempt of a request that has others left; and that request."""
+    """Returns the next step after an attempt at a request that has attempts left, and the request."""
     policy = RetryPolicy(changes.pop("max_attempts", 9), 0, has_origin)
     policy.budget.apply(api.AllocationUpdate(retries_per_s=0.001), START)
     for _ in range(changes.pop("spent", 0)):
@@ -122,7 +122,7 @@
     return step, request
 
 
-TABLE = {  # at a cache, at the origin
+TABLE = {  # after an attempt at a cache server, at the origin
     Outcome.MISS: (NextStep.SEND_TO_ORIGIN, NextStep.SEND_TO_ORIGIN),
     Outcome.WITHDRAWN: (NextStep.RETRY_SAME_SERVER, NextStep.SEND_TO_ORIGIN),
     Outcome.RESET: (NextStep.RETRY_SAME_SERVER, NextStep.RETRY_SAME_SERVER),
@@ -135,7 +135,7 @@
 
 @pytest.mark.parametrize("server", [HOME, ORIGIN])
 @pytest.mark.parametrize("outcome", TABLE)
-def test_what_comes_next_is_told_by_the_end_and_by_where_it_was(outcome, server):
+def test_the_next_step_depends_on_the_outcome_and_the_server_of_the_attempt(outcome, server):
     assert len(NEXT_STEPS) == 2 * len(NonFinalOutcome)
     step, request = next_step(outcome, server)
     assert step is TABLE[outcome][server == ORIGIN]
@@ -158,14 +158,12 @@
         (Outcome.ERROR, {"max_attempts": 2, "has_origin": False}, NextStep.RETRY_OTHER_SERVER),
         (Outcome.MISS, {"has_origin": False}, NextStep.RETRY_OTHER_SERVER),
         (Outcome.ERROR, {"spent": 8}, NextStep.GIVE_UP),
-        (Outcome.MISS, {"spent": 8}, NextStep.SEND_TO_ORIGIN),  # no retry
+        (Outcome.MISS, {"spent": 8}, NextStep.SEND_TO_ORIGIN),  # not a retry
         (Outcome.WITHDRAWN, {"spent": 8}, NextStep.RETRY_SAME_SERVER),
         (Outcome.MISS, {"now": START + 2 * S}, NextStep.GIVE_UP),
     ],
 )
-def test_budget_deadline_last_attempt_and_what_was_asked_before_change_what_comes_next(
-    outcome, changes, expected
-):
+def test_budget_deadline_last_attempt_and_earlier_attempts_change_the_next_step(outcome, changes, expected):
     assert next_step(outcome, **changes)[0] is expected
 
 
@@ -183,7 +181,7 @@
         (Effect.UNSAFE, DeduplicationScope.ALL, Outcome.CONNECT_FAILED, math.inf, True),
     ],
 )
-def test_a_request_that_may_have_been_executed_is_sent_again_only_where_that_does_no_harm(
+def test_a_request_that_may_have_been_executed_is_sent_again_only_if_that_does_no_harm(
     effect, scope, outcome, repeat_by, elsewhere
 ):
     policy = RetryPolicy(4, 0, has_origin=True)
@@ -201,6 +199,6 @@
 @pytest.mark.parametrize(
     ("span", "left"), [(500 * MS, 350 * MS), (300 * MS, 150 * MS), (100 * MS, 50 * MS), (0, 0)]
 )
-def test_a_stall_of_the_node_is_allowed_for_in_up_to_half_of_a_span(span, left):
+def test_the_stall_allowance_is_at_most_half_of_a_span(span, left):
     assert minus_stall_allowance(span) == left
     assert RetryPolicy(2, span, has_origin=False).begin_by(START) == (START + left if span else math.inf)
--- a/tests/policy/test_server_fractions.py
+++ b/tests/policy/test_server_fractions.py
@@ -1,4 +1,4 @@
-"""Fractions and choices against a plain node that looks at every server, and what a refresh looks at."""
+"""Fractions and selection, compared with a simple model, and the cost of a refresh."""
 
 import random
 
@@ -20,17 +20,19 @@
 
 
 class PlainRing(HashRing):
-    """One sorted list of all servers' entries, made anew whenever these change."""
+    """One sorted list of all entries, which is rebuilt when the servers change."""
 
-    made_of: tuple = ()
-    made: tuple = ()
+    sorted_numbers: tuple = ()
+    sorted_entries: tuple = ()
 
-    def walk(self, place):
-        if self.made_of != tuple(self.numbers.items()):
-            self.made_of = tuple(self.numbers.items())
-            self.made = sorted(entry for server, number in self.made_of for entry in points(server, number))
-        entries = self.made
-        return iter([e for e in entries if e >= place] + [e for e in entries if e < place])
+    def walk(self, position):
+        if self.sorted_numbers != tuple(self.numbers.items()):
+            self.sorted_numbers = tuple(self.numbers.items())
+            self.sorted_entries = sorted(
+                entry for server, number in self.sorted_numbers for entry in points(server, number)
+            )
+        entries = self.sorted_entries
+        return iter([e for e in entries if e >= position] + [e for e in entries if e < position])
 
 
 class PlainFractions(dict):
@@ -51,7 +53,7 @@
 
 
 class PlainOutliers(OutlierDetection):
-    """Looks at all servers for whatever it wants to know of the fleet, as it was done before."""
+    """Evaluates all servers in each refresh, as an earlier implementation did."""
 
     def __init__(self, table, rules):
         super().__init__(table, rules)
@@ -69,7 +71,7 @@
 
 
 class PlainBalancer(Balancer):
-    """A node with the plain mechanisms."""
+    """A balancer with the simple models in place of its mechanisms."""
 
     def __init__(self, settings, seed):
         super().__init__(settings, seed)
@@ -124,8 +126,8 @@
 
 @given(steps=steps)
 @plain
-def test_a_node_chooses_as_one_that_looks_at_every_server(steps):
-    """The same actions for the same events and seed, in fleets of all weights, kinds, ages and states."""
+def test_a_balancer_selects_like_one_that_evaluates_every_server(steps):
+    """Both take the same actions for the same events and seed, with all weights, kinds, ages and states."""
     routers = [Router(count=3), Router(count=3)]
     routers[1].balancer = PlainBalancer(router_settings(), 1)
     routers[1].timers.clear()
@@ -134,21 +136,21 @@
         for router in routers:
             play(router, kind, first, second, version)
         now = routers[0].now
-        lazy, looking = (router.balancer.outliers for router in routers)
+        lazy, exhaustive = (router.balancer.outliers for router in routers)
         assert routers[0].sends == routers[1].sends
         assert routers[0].final_responses == routers[1].final_responses
-        assert lazy.fleet_cost == looking.fleet_cost
+        assert lazy.fleet_cost == exhaustive.fleet_cost
         if not routers[0].balancer.ready:
             continue
         lazy.refresh(now)
-        looking.refresh(now)
-        assert dict(lazy.fractions) == dict(looking.fractions)
-        assert lazy.fractions.sum == pytest.approx(looking.fractions.sum, rel=1e-12)
+        exhaustive.refresh(now)
+        assert dict(lazy.fractions) == dict(exhaustive.fractions)
+        assert lazy.fractions.sum == pytest.approx(exhaustive.fractions.sum, rel=1e-12)
 
 
 @pytest.fixture
 def calls(monkeypatch):
-    """Counts by name of what is worked out for one server."""
+    """Counts the calls of the functions that evaluate one server, by name."""
     counts = {"likely_cost_at": 0, "warmth_at": 0, "weight_root": 0}
     for name in counts:
         function = getattr(server_fractions, name)
@@ -169,7 +171,7 @@
     return server
 
 
-def test_a_refresh_in_a_large_fleet_looks_at_the_servers_that_were_used(calls):
+def test_a_refresh_in_a_large_fleet_evaluates_only_servers_that_were_used(calls):
     router = Router(count=RING_IMMEDIATE_SERVERS + 20 * RING_BATCH_SERVERS)
     router.advance(S)
     used = {served(router, f"k{i}") for i in range(10)}
@@ -182,7 +184,7 @@
     assert router.balancer.outliers.fractions.sum < len(router.balancer.ready)
 
 
-def test_a_refresh_while_the_whole_of_a_large_fleet_warms_up_looks_at_none(calls):
+def test_a_refresh_while_all_of_a_large_fleet_warms_up_evaluates_no_server(calls):
     router = Router(count=1)
     count = RING_IMMEDIATE_SERVERS + 20 * RING_BATCH_SERVERS
     listed = tuple(api.Endpoint(f"s{i}:80", started_at=router.now) for i in range(count))
@@ -194,14 +196,14 @@
     assert router.balancer.outliers.fractions.sum == pytest.approx((0.3 + 0.7 * 0.1) * count)
 
 
-def test_what_is_known_of_many_servers_is_forgotten_once_it_is_faint():
-    """A few hundred are known however long ago they were used, as in any small fleet."""
+def test_servers_beyond_the_maximum_are_dropped_once_their_evidence_has_decayed():
+    """Up to MAX_TRACKED_SERVERS stay tracked regardless of their last use, as in any small fleet."""
     router = Router(count=3 * MAX_TRACKED_SERVERS)
     router.advance(S)
     used = {served(router, f"k{i}") for i in range(4 * MAX_TRACKED_SERVERS)}
     balancer = router.balancer
     known = [s for s in balancer.servers.values() if s.evidence]
-    assert len(known) == len(used) > MAX_TRACKED_SERVERS + 50  # 5 ms each: none has faded
+    assert len(known) == len(used) > MAX_TRACKED_SERVERS + 50  # 5 ms each: no evidence has decayed
     router.advance(60 * S)
     for i in range(2 * len(used)):
         served(router, f"k{i % 5}")
@@ -209,7 +211,7 @@
     assert len(known) == MAX_TRACKED_SERVERS == len(balancer.outliers.fractions._tracked)
 
 
-def test_what_is_known_of_few_servers_is_kept_however_old():
+def test_evidence_of_few_servers_is_kept_regardless_of_its_age():
     router = Router(count=5)
     for i in range(40):
         served(router, f"k{i}")
@@ -220,7 +222,7 @@
     assert router.balancer.servers[bad].evidence == evidence > 0
 
 
-def test_a_server_that_is_gone_is_not_judged_any_more():
+def test_a_server_that_is_gone_is_no_longer_tracked():
     router = Router(count=3)
     for i in range(40):
         served(router, f"k{i}")
--- a/tests/policy/test_server_selection.py
+++ b/tests/policy/test_server_selection.py
@@ -1,6 +1,6 @@
-"""Server selection: one ring, and how far a walk goes.
+"""Server selection: one ring for all zones, and the length of walks.
 
-Each test fails without the code that answers its failure.
+Each test fails without the code that prevents the failure it describes.
 """
 
 import random
@@ -17,16 +17,19 @@
 from flintridge.policy.server_selection import LOAD_SLACK, MIN_CAP, cap_of
 
 
-def test_a_key_has_one_server_in_all_zones_in_calm_and_under_load():
-    """Copies in each zone cost the origin as many times the fetches; a fleet that took them in calm and
-    changed to one ring in trouble missed nearly all of its keys just when the origin had no room."""
+def test_a_key_has_the_same_server_in_all_zones_with_and_without_overload():
+    """Guards the origin: a copy of a key in each zone multiplies the fetches by the number of zones.
+
+    A fleet that kept such copies in normal operation and changed to one ring under overload missed nearly all
+    of its keys just when the origin had no spare capacity.
+    """
     listed = tuple(api.Endpoint(f"10.0.{z}.{i}:80", zone=z) for z in range(3) for i in range(4))
     picked: list[list[str]] = []
     for zone in range(3):
-        for trouble in (False, True):
+        for is_overloaded in (False, True):
             router = Router(count=1, prices=api.Prices(cross_zone=0.06), zone=zone)
             router.notify(api.EndpointUpdate(UpdateKind.FULL, 2, listed))
-            if trouble:
+            if is_overloaded:
                 router.balancer.origin_limiter.decreased_at = router.balancer.cache_limiter.decreased_at = (
                     router.now
                 )
@@ -40,15 +43,15 @@
 
 
 def test_the_walk_ends_once_no_server_is_left_also_after_a_failure():
-    """Guards the node's core in a zone loss: each pick then walked the whole ring, about 1 ms of CPU."""
+    """Guards the node's CPU in a zone loss: each pick walked the whole ring, which took about 1 ms."""
 
     router = Router(count=4)
     ring = router.balancer.table.ring
     walk = ring.walk
     walked: list[int] = []
 
-    def counted(place):
-        for entry in walk(place):
+    def counted(position):
+        for entry in walk(position):
             walked.append(entry)
             yield entry
 
@@ -58,7 +61,7 @@
     request.failed_servers = list(router.balancer.ready)
     walked.clear()
     assert router.balancer.selection.pick(request, router.now) is None
-    assert len(walked) <= 1  # the first entry is at hand before the walk is seen to be over
+    assert len(walked) <= 1  # one entry is read before the walk ends
     request.failed_servers = request.failed_servers[:1]
     for server in router.balancer.servers.values():
         server.connect_backoff.until = router.now + S
@@ -71,7 +74,7 @@
 
 
 class Selection(Mechanisms):
-    """So many servers that can be picked, and who picks them."""
+    """The mechanisms of a node, with `count` servers that can be picked."""
 
     def __init__(self, count: int) -> None:
         super().__init__(api.Settings(), random.Random(1))
@@ -127,7 +130,7 @@
         ({"full": [2], "preferred_server": 2}, 0),
     ],
 )
-def test_who_is_picked_by_what_is_known_of_each_server_on_the_walk(changes, expected):
+def test_the_pick_depends_on_the_state_of_each_server_on_the_walk(changes, expected):
     made = Selection(3)
     order = made.clockwise("k")
     for position in changes.get("backing_off", ()):
--- a/tests/policy/test_servers.py
+++ b/tests/policy/test_servers.py
@@ -1,6 +1,6 @@
-"""The table of servers: numbers, and that nothing grows.
+"""The table of servers: the reuse of numbers, and no growth over time.
 
-Each test fails without the code that answers its failure.
+Each test fails without the code that prevents the failure it describes.
 """
 
 from support.policy import MS, Router, S, members
@@ -9,8 +9,8 @@
 from flintridge.api import EndpointState, Outcome, UpdateKind
 
 
-def test_nothing_of_the_module_grows_with_servers_and_requests_that_come_and_go():
-    """Guards a long day: servers are replaced by others with new ids, some while attempts are out there."""
+def test_the_state_of_the_policy_does_not_grow_as_servers_and_requests_come_and_go():
+    """Guards long runs, as servers are replaced by others with new ids, some with attempts in flight."""
     router = Router(count=3)
     listed = members(3)
     sizes = []
@@ -49,12 +49,12 @@
     assert sizes[-1] == sizes[19] and len(router.balancer.servers) == 4
 
 
-def test_a_number_that_is_free_again_stands_for_its_new_server_only():
+def test_a_reused_number_identifies_only_its_new_server():
     router = Router(count=3)
     out = router.request("k")
     server = router.server_of(out)
     router.notify(api.EndpointUpdate(UpdateKind.DELTA, 2, (api.Endpoint(server, EndpointState.GONE),)))
-    assert server in router.balancer.servers  # an attempt is out there
+    assert server in router.balancer.servers  # an attempt is in flight there
     router.notify(api.EndpointUpdate(UpdateKind.DELTA, 3, (api.Endpoint("new:80"),)))
     router.end_attempt(out, Outcome.RESET, final=True)
     assert server not in router.balancer.servers
--- a/tests/policy/test_slow_start.py
+++ b/tests/policy/test_slow_start.py
@@ -1,4 +1,4 @@
-"""Slow start: the sums of warmth against plain sums over all servers, and the budget meanwhile."""
+"""Slow start: warmth sums, compared with sums over all servers, and the budget of warming servers."""
 
 import random
 
@@ -19,13 +19,13 @@
     st.sampled_from("abcdef"),
     weight=st.sampled_from([0.0, 0.1, 1.0, 7.0, 100.0]),
     kind=st.integers(0, 1),
-    started_at=st.sampled_from([0, 10, 60, 500]),  # long ago, before, now and then, far ahead
+    started_at=st.sampled_from([0, 10, 60, 500]),  # long ago, early, during the steps, in the future
 )
 
 
 @given(steps=st.lists(st.tuples(endpoints, st.booleans(), st.integers(0, 40)), max_size=30))
 @plain
-def test_sums_are_those_of_all_servers_one_by_one(steps):
+def test_sums_equal_those_over_each_server(steps):
     sums, held, now, max_weight = WarmthSums(RULES), {}, 1, 0.0
     for endpoint, is_coming, pause in steps:
         if old := held.pop(endpoint.server, None):
@@ -45,31 +45,31 @@
         assert sum(sums.sizes.values()) == len(held)
 
 
-def test_warm_servers_of_one_weight_are_a_whole_number_exactly():
-    """Caps are rounded up: a sum that is off in its last bit would give a server one attempt more."""
+def test_the_sum_of_warm_servers_of_equal_weight_is_an_exact_integer():
+    """Caps are rounded up, so an error in the last bit of a sum would give a server one attempt more."""
     sums = WarmthSums(RULES)
     listed = [api.Endpoint(f"s{i}", weight=0.1, started_at=i % 2) for i in range(3200)]
     sums.set_max_weight(0.1, listed)
     assert sums.totals(1000) == {0: 3200.0}
 
 
-def test_three_thousand_that_warm_up_are_summed_without_a_look_at_each(monkeypatch):
+def test_three_thousand_warming_servers_are_summed_without_evaluating_each(monkeypatch):
     sums = WarmthSums(RULES)
     for i in range(3200):
         sums.add(api.Endpoint(f"s{i}", started_at=100))
     assert sums.totals(100)[0] == pytest.approx(0.3 * 3200)
 
-    def looked_at(*_):
-        raise AssertionError("a server was looked at")
+    def fail_if_evaluated(*_):
+        raise AssertionError("a server was evaluated")
 
-    monkeypatch.setattr(slow_start, "warmth_at", looked_at)
-    monkeypatch.setattr(slow_start, "weight_root", looked_at)
-    monkeypatch.setattr(WarmthSums, "_is_current", looked_at)
+    monkeypatch.setattr(slow_start, "warmth_at", fail_if_evaluated)
+    monkeypatch.setattr(slow_start, "weight_root", fail_if_evaluated)
+    monkeypatch.setattr(WarmthSums, "_is_current", fail_if_evaluated)
     assert sums.totals(150)[0] == pytest.approx(0.65 * 3200)
     assert sums.count_warming(199) == 3200
 
 
-def test_instants_of_servers_that_have_left_do_not_pile_up():
+def test_phase_changes_of_removed_servers_do_not_accumulate():
     sums = WarmthSums(RULES)
     for i in range(5000):
         endpoint = api.Endpoint(f"s{i}", started_at=10**9)
@@ -80,7 +80,7 @@
 
 
 @pytest.mark.parametrize("rules", [api.Rules(), api.Rules(slow_start_fraction=1.0, slow_start_ns=100)])
-def test_without_a_slow_start_all_are_warm(rules):
+def test_without_a_slow_start_all_servers_are_warm(rules):
     sums = WarmthSums(rules)
     sums.add(api.Endpoint("a", started_at=50))
     assert sums.totals(40) == {0: 1.0} and sums.count_warming(40) == 0
@@ -88,7 +88,7 @@
 
 
 class Fleet:
-    """So many servers that can be picked, of which the first so many are warming up."""
+    """`count` servers that can be picked, of which the first `warming` are warming up."""
 
     mean_weight = 1.0
 
@@ -116,14 +116,14 @@
 @pytest.mark.parametrize(
     ("quota_per_s", "fleet_size", "allocated", "warm_work", "expected"),
     [
-        (40.0, 1, 1.0, 0.0, 100.0),  # ten requests a server and window
+        (40.0, 1, 1.0, 0.0, 100.0),  # ten requests per server and window
         (40.0, 5, 1.0, 0.0, 20.0),
         (40.0, 5, 3.0, 0.0, 60.0),
-        (40.0, 5, 1.0, 70.0, 70.0),  # what was seen is more
-        (0.0, 1, 1.0, 0.0, 50.0),  # without quotas one within the objective
+        (40.0, 5, 1.0, 70.0, 70.0),  # the observed work is higher
+        (0.0, 1, 1.0, 0.0, 50.0),  # without quotas, one request per objective
     ],
 )
-def test_what_a_warm_server_does_is_reckoned_from_quotas_or_seen(
+def test_the_work_of_a_warm_server_is_estimated_from_quotas_or_observed(
     quota_per_s, fleet_size, allocated, warm_work, expected
 ):
     made = budget(quota_per_s, fleet_size)
@@ -133,9 +133,9 @@
     assert made.node_work() == pytest.approx(expected)
 
 
-def test_a_cold_server_gets_no_more_in_any_window_than_its_part_of_what_a_warm_one_does():
+def test_a_cold_server_gets_in_any_window_at_most_its_fraction_of_the_work_of_a_warm_one():
     made, use = budget(), WarmUpUse()
-    made.record_request(10.0)  # so 100 a window for a warm one; half of 4 times that by its warmth
+    made.record_request(10.0)  # 100 a window for a warm one; the budget is half of 4 times that, times warmth
     now, sent = START, []
     while now < START + 10 * S:
         if made.is_within_budget(COLD, use, 10.0, now):
@@ -147,9 +147,9 @@
     assert len(sent) > 100
 
 
-def test_a_part_of_less_than_one_request_is_kept_by_chance_once_a_window():
+def test_a_budget_below_one_request_is_granted_at_random_once_a_window():
     made = budget(quota_per_s=1.0, fleet_size=1)
-    made.record_request(10.0)  # 2.5 a window, so 2.5 for a cold one: a quarter of a request
+    made.record_request(10.0)  # 2.5 a window for a warm one and 2.5 for a cold one: a quarter of a request
     uses = [WarmUpUse() for _ in range(400)]
     first = [made.is_within_budget(COLD, use, 1.0, START) for use in uses]
     assert 70 < sum(first) < 130
--- a/tests/policy/test_termination.py
+++ b/tests/policy/test_termination.py
@@ -1,4 +1,4 @@
-"""What the policy says of how long a send's reasons hold, and of repeats."""
+"""Time limits of sends and of repeats, and the calls to discovery after a failure."""
 
 import math
 from dataclasses import replace
@@ -11,8 +11,8 @@
 
 
 @pytest.mark.parametrize(("discovery", "longest"), [("pushed", 500), ("on_request", 2_000)])
-def test_after_discovery_was_down_the_next_call_is_soon_where_a_notice_counts_at_once(discovery, longest):
-    """Where lists are pushed, what the agent gets at its return counts as told at that moment."""
+def test_after_discovery_was_down_the_next_call_is_sooner_if_the_list_is_pushed(discovery, longest):
+    """A pushed change counts as announced once discovery is back, so the node has to call soon."""
     router = Router(discovery=api.DiscoveryMode(discovery))
     pauses = []
     for _ in range(8):
@@ -24,7 +24,7 @@
 
 
 def with_spans(grace_ms: int, window_ms: int) -> dict:
-    """Settings with a drain's grace and a keyed class's deduplication window."""
+    """Settings with this drain grace period and this deduplication window of the keyed class."""
     usual = settings()
     read, keyed, unsafe = usual.classes
     keyed = replace(keyed, deduplication_window_ns=window_ms * MS)
@@ -38,7 +38,7 @@
     ("span_ms", "usable_ms"), [(5000, 4850), (500, 350), (400, 250), (300, 150), (200, 100), (1, 0.5)]
 )
 def test_a_send_says_until_when_it_may_begin_and_be_written_with_time_for_a_stall(span_ms, usable_ms):
-    """A node may be held up for 150 ms behind its last look at the clock; short spans keep a half."""
+    """A node may stall for 150 ms after it last read the clock; of a short span, half remains usable."""
     router = Router(**with_spans(span_ms, span_ms))
     request_id = router.request("k", cls=1)
     first, sent_at = router.sends[-1], router.now
@@ -49,7 +49,7 @@
     assert (again.begin_by, again.written_by) == (router.now + usable_ms * MS, sent_at + usable_ms * MS)
 
 
-def test_a_send_when_drains_have_no_grace_may_begin_at_any_time():
+def test_a_send_when_drains_have_no_grace_then_may_begin_at_any_time():
     router = Router(**with_spans(0, 400))
     router.request("k", cls=1)
     assert router.sends[-1].begin_by == math.inf
@@ -66,9 +66,10 @@
 
 @pytest.mark.parametrize(("after", "answer"), [(250, api.Reject), (251, api.Fail)])
 def test_a_request_is_rejected_only_while_its_deduplication_window_is_open_else_failed(after, answer):
-    """Found in review: beyond its window a repeat runs twice, so `busy` said what is not true.
+    """Guards against rejections after the window (found in review).
 
-    The window is of 400 ms, and the rejection may be written 150 ms after it was decided.
+    `busy` tells the client that a repeat is safe, but after the window it would be executed twice. The window
+    is 400 ms, and the rejection may be written 150 ms after the decision.
     """
     router = Router(limits=api.Limits(max_attempts=1))
     request_id = router.request("k", cls=1)
--- a/tests/policy/test_withdrawn_attempts.py
+++ b/tests/policy/test_withdrawn_attempts.py
@@ -1,4 +1,4 @@
-"""What the policy makes of attempts that were never sent, as the node's own machine failed."""
+"""Withdrawn attempts: attempts that were never sent because the node's own machine failed."""
 
 import pytest
 from support.policy import MS, Router
@@ -11,7 +11,7 @@
 
 
 def withdraw(router: Router, request_id: str, count: int) -> list[str]:
-    """Withdraw one attempt after the other; the servers that they were for."""
+    """Withdraws `count` attempts one after the other and returns their servers."""
     servers = []
     for _ in range(count):
         servers.append(router.server_of(request_id))
@@ -21,24 +21,24 @@
 
 
 @pytest.mark.parametrize("caches", [1, 5])
-def test_withdrawn_attempts_when_many_use_up_no_attempt_and_no_server(caches):
+def test_withdrawn_attempts_when_many_then_use_up_no_attempt_and_no_server(caches):
     router = Router(count=caches, limits=api.Limits(max_attempts=2, cancel=True))
     request_id = router.request()
     first = router.server_of(request_id)
     servers = withdraw(router, request_id, 2 * 5)
     assert request_id not in router.final_responses
-    assert servers[:2] == [first, first]  # its own server, once more
-    assert len(set(servers)) == caches  # a lack of ports may be towards one server only
+    assert servers[:2] == [first, first]  # the same server is tried once more
+    assert len(set(servers)) == caches  # a lack of ports may affect only one server
     assert not any(server.connect_backoff.until for server in router.balancer.servers.values())
     router.end_attempt(request_id, Outcome.MISS)
     assert router.server_of(request_id) == "10.9.9.9:80"
     withdraw(router, request_id, 4)
-    assert router.server_of(request_id) == "10.9.9.9:80"  # a further cache could only miss
+    assert router.server_of(request_id) == "10.9.9.9:80"  # another cache could only miss
     router.end_attempt(request_id, Outcome.OK)
 
 
-def test_withdrawn_attempts_when_without_end_are_counted_at_last():
-    """Guards the node against a request that is withdrawn in the step in which it is sent."""
+def test_withdrawn_attempts_when_without_end_then_count_eventually():
+    """Guards the node against an endless loop over a request that is withdrawn as soon as it is sent."""
     router = Router(count=1, limits=api.Limits(max_attempts=2, cancel=True))
     request_id = router.request()
     while request_id not in router.final_responses:
