--- a/flintridge/policy/mechanisms.py
+++ b/flintridge/policy/mechanisms.py
@@ -1,4 +1,4 @@
-"""The mechanisms of one node, put together: each with those that it asks."""
+"""Creates the mechanisms of one node and connects those that depend on each other."""
 
 import random
 
@@ -19,47 +19,47 @@
 
 
 class Mechanisms:
-    """All that a node's decisions know.
+    """The mechanisms of one node and the state that they share.
 
     Attributes:
-        settings: Given at the start.
-        random: The source of all chance, in the order of events.
-        watch_backoff: How long until discovery is called again.
-        table: The servers.
-        servers: Of the table, by name.
+        settings: The settings of the policy.
+        rng: The only source of randomness; the order of events determines the order of draws.
+        watch_backoff: Decides when to call discovery again after a failure.
+        table: The table of servers.
+        servers: The servers of the table, by name.
         ready: The cache servers that can be picked, by name.
-        queues: Who waits for a permit.
-        caches: The limiter of attempts at the cache servers.
-        origin: The limiter of attempts at the origin.
-        quotas: Of tenants.
-        rejected: Requests that were rejected before.
-        outliers: The health of servers.
-        slow_start: What servers that are warming up may be sent.
-        selection: Which cache server is next.
-        coalescing: Fetches at the origin, and who follows them.
-        stale_connections: Which idle connections are closed.
-        retries: Whether, where and until when a request is sent again.
-        attempt_timeout: How long a response is waited for.
-        feedback: What the end of an attempt tells the others.
+        queues: The queues of requests that wait for a permit.
+        cache_limiter: The concurrency limiter of attempts at the cache servers.
+        origin_limiter: The concurrency limiter of attempts at the origin.
+        quotas: The quotas of tenants.
+        rejected: Remembers rejected requests, to recognize their retries.
+        outliers: Tracks the health of servers.
+        slow_start: Limits the work for servers that are warming up.
+        selection: Picks the cache server for an attempt.
+        coalescing: Keeps the fetches in flight at the origin and the requests that wait for them.
+        stale_connections: Decides which idle connections are closed.
+        retries: Decides whether, where and until when a request is sent again.
+        attempt_timeout: Decides how long to wait for a response.
+        feedback: Reports the end of an attempt to the other mechanisms.
     """
 
-    def __init__(self, settings: api.Settings, chance: random.Random) -> None:
+    def __init__(self, settings: api.Settings, rng: random.Random) -> None:
         origin_kind = settings.origin_kind if settings.mode is api.CacheMode.ASIDE else None
         limits = settings.limits
         self.settings = settings
-        self.random = chance
-        self.watch_backoff = WatchBackoff(settings.discovery, chance)
+        self.rng = rng
+        self.watch_backoff = WatchBackoff(settings.discovery, rng)
         self.table = ServerTable(origin_kind, settings.rules)
         self.servers = self.table.servers
         self.ready = self.table.ready
         self.queues = AdmissionQueues(origin_kind)
-        self.caches = self.queues.caches.limiter
-        self.origin = self.queues.origin.limiter
-        self.quotas = Quotas(settings.tenants, settings.fleet_size, chance)
+        self.cache_limiter = self.queues.caches.limiter
+        self.origin_limiter = self.queues.origin.limiter
+        self.quotas = Quotas(settings.tenants, settings.fleet_size, rng)
         self.rejected = RejectedRequests(settings.classes, limits.max_open)
         self.outliers = OutlierDetection(self.table, settings.rules)
-        self.slow_start = SlowStartBudget(settings, self.table, chance)
-        self.selection = ServerSelection(self.table, self.caches, self.outliers, self.slow_start)
+        self.slow_start = SlowStartBudget(settings, self.table, rng)
+        self.selection = ServerSelection(self.table, self.cache_limiter, self.outliers, self.slow_start)
         self.coalescing = RequestCoalescing()
         self.stale_connections = StaleConnections(limits.conn_idle_ns)
         drain_grace_ns = settings.rules.drain_grace_ns
@@ -71,5 +71,5 @@
             self.outliers,
             self.slow_start,
             self.stale_connections,
-            chance,
+            rng,
         )
--- a/flintridge/policy/server_fractions.py
+++ b/flintridge/policy/server_fractions.py
@@ -1,7 +1,8 @@
-"""The fraction of its keys and of its cap that each ready server has: warmth, health and weight together.
+"""The fraction of its keys and of its cap that each ready server gets: warmth times health times weight root.
 
-Only servers that this node has used lately are looked at one by one. The others are like their kind: their
-fractions are worked out when they are asked for, and their sum from sums that changes keep up.
+Only servers that this node has used recently are evaluated one by one. All others are assumed to be like
+their kind: their fractions are computed on demand, and the sum of their fractions follows from sums that are
+updated with each change of the endpoint list.
 """
 
 import math
@@ -13,38 +14,38 @@
 from flintridge.policy.slow_start import warmth_at, weight_root
 
 NS_PER_S = 1_000_000_000
-MIN_HEALTH = 0.1  # what an unhealthy server keeps of its keys and cap, to be tried on
-HEALTHY_COST_FACTOR = 1.3  # up to this multiple of the fleet's cost a server is healthy
-PRIOR_OUTCOMES = 2.0  # like those of its kind, that a server is credited with before its own
+MIN_HEALTH = 0.1  # an unhealthy server keeps this fraction of its keys and cap, so that it is still tried
+HEALTHY_COST_FACTOR = 1.3  # a server is healthy up to this multiple of the fleet's cost
+PRIOR_OUTCOMES = 2.0  # each server starts with this many assumed outcomes at the cost of its kind
 EVIDENCE_HALF_LIFE_NS = 5 * NS_PER_S
-JUDGED_SERVERS = 256  # that are judged by their own outcomes however old these are
-FAINT_EVIDENCE = 0.01  # of an outcome; beyond JUDGED_SERVERS a server with less is like its kind
+MAX_TRACKED_SERVERS = 256  # up to this number, servers stay tracked regardless of the age of their outcomes
+MIN_TRACKED_EVIDENCE = 0.01  # outcomes; beyond MAX_TRACKED_SERVERS, servers with less evidence are dropped
 
 
 def evidence_at(server: Server, now: int) -> float:
-    """How many outcomes still stand behind a server's cost; they fade."""
+    """Return the number of outcomes that a server's cost is based on, decayed by their age."""
     return server.evidence * math.pow(0.5, (now - server.cost_at) / EVIDENCE_HALF_LIFE_NS)
 
 
 def likely_cost_at(server: Server, now: int, kind_cost: float) -> float:
-    """A server's cost, weighed by its evidence against the cost of its kind."""
+    """Return the estimated cost of a server: the mean of its own and its kind's, weighted by evidence."""
     evidence = server.evidence * math.pow(0.5, (now - server.cost_at) / EVIDENCE_HALF_LIFE_NS)
     return (evidence * server.cost + PRIOR_OUTCOMES * kind_cost) / (evidence + PRIOR_OUTCOMES)
 
 
 def health_of(cost: float, fleet_cost: float | None) -> float:
-    """The health of a server with this cost, from MIN_HEALTH to 1."""
+    """Return the health of a server with this cost, from MIN_HEALTH to 1."""
     if not fleet_cost:
         return 1.0
     return min(1.0, max(MIN_HEALTH, HEALTHY_COST_FACTOR * fleet_cost / cost))
 
 
-class Judged(NamedTuple):
-    """A ready server with outcomes of its own, at one instant; hundreds are made in a refresh.
+class ScoredServer(NamedTuple):
+    """A ready server with outcomes of its own; a refresh creates hundreds of them.
 
     Attributes:
         server: The server.
-        cost: Its likely cost.
+        cost: Its estimated cost at the time of the refresh.
     """
 
     server: Server
@@ -52,11 +53,12 @@
 
 
 class ServerFractions(Mapping[str, float]):
-    """The fractions of all ready servers, as they were at the last refresh or at an outcome since.
+    """The fractions of all ready servers, as of the last refresh or a later outcome.
 
     Attributes:
-        sum: Of all fractions.
-        made: As far as they were asked for since, or are not like their kind's.
+        sum: The sum of all fractions.
+        computed: The fractions that were requested since the last refresh or differ from those of their
+            kind, by name.
     """
 
     def __init__(self, table: ServerTable, rules: api.Rules) -> None:
@@ -64,17 +66,17 @@
         self._table = table
         self._ready = table.ready
         self._rules = rules
-        self._made_at = 0
+        self._computed_at = 0
         self._kind_health: dict[int, float] = {}
-        self.made: dict[str, float] = {}
-        self._judged: dict[str, Server] = {}  # the one used longest ago first
+        self.computed: dict[str, float] = {}
+        self._tracked: dict[str, Server] = {}  # the least recently used first
 
     def __getitem__(self, name: str) -> float:
-        fraction = self.made.get(name)
+        fraction = self.computed.get(name)
         if fraction is None:
             endpoint = self._ready[name].endpoint
             fraction = self._fraction(endpoint, self._kind_health.get(endpoint.kind, 1.0))
-            self.made[name] = fraction
+            self.computed[name] = fraction
         return fraction
 
     def __iter__(self) -> Iterator[str]:
@@ -83,74 +85,82 @@
     def __len__(self) -> int:
         return len(self._ready)
 
-    def replace(self, name: str, fraction: float) -> None:
-        """Set one server's fraction until the next refresh."""
+    def override(self, name: str, fraction: float) -> None:
+        """Set the fraction of one server until the next refresh."""
         self.sum += fraction - self[name]
-        self.made[name] = fraction
+        self.computed[name] = fraction
 
-    def judge(self, server: Server, now: int) -> None:
-        """Look at a server that has had an outcome by itself from now on; of many, forget what is faint."""
+    def track(self, server: Server, now: int) -> None:
+        """Evaluate a server by its own outcomes from now on.
+
+        If too many servers are tracked, the least recently used one is dropped once its evidence has decayed.
+        """
         name = server.endpoint.server
-        self._judged.pop(name, None)
-        self._judged[name] = server
-        if len(self._judged) > JUDGED_SERVERS:
-            oldest = next(iter(self._judged))
-            if evidence_at(self._judged[oldest], now) < FAINT_EVIDENCE:
-                self._judged.pop(oldest).evidence = 0.0
+        self._tracked.pop(name, None)
+        self._tracked[name] = server
+        if len(self._tracked) > MAX_TRACKED_SERVERS:
+            oldest = next(iter(self._tracked))
+            if evidence_at(self._tracked[oldest], now) < MIN_TRACKED_EVIDENCE:
+                self._tracked.pop(oldest).evidence = 0.0
 
     def refresh(self, now: int, fleet_cost: float | None, kind_costs: Mapping[int, float]) -> float | None:
-        """Work out all fractions anew.
+        """Recompute all fractions.
 
         Args:
-            now: In nanoseconds.
-            fleet_cost: The fleet's cost so far; None while nothing is known.
-            kind_costs: Of machines of a kind, as far as known.
+            now: The current instant in nanoseconds.
+            fleet_cost: The previous cost of the fleet; None if unknown.
+            kind_costs: The costs of the machine kinds for which it is known.
 
         Returns:
-            The fleet's cost: that of the server a third from the best.
+            The new cost of the fleet: the cost of the server at one third of all servers, sorted by cost.
         """
         sums = self._table.warmth_sums
-        sums.weigh_against(self._table.max_weight, (server.endpoint for server in self._ready.values()))
+        sums.set_max_weight(self._table.max_weight, (server.endpoint for server in self._ready.values()))
         totals = sums.totals(now)
-        self._made_at = now
-        self.made.clear()
+        self._computed_at = now
+        self.computed.clear()
         self._kind_health = {}
         if not fleet_cost or not self._ready:
             self.sum = math.fsum(totals.values())
             return fleet_cost
         baselines = {kind: kind_costs.get(kind, fleet_cost) for kind in totals}
-        judged = self._judge_ready(now, baselines)
-        new_cost = self._third_from_best(judged, baselines)
+        scored = self._score_ready(now, baselines)
+        new_cost = self._third_from_best(scored, baselines)
         self._kind_health = {kind: health_of(kind_costs.get(kind, new_cost), new_cost) for kind in totals}
         self.sum = math.fsum(total * self._kind_health[kind] for kind, total in totals.items())
         healthy_cost = HEALTHY_COST_FACTOR * new_cost
         healthy_kinds = {
             kind for kind, health in self._kind_health.items() if health == 1 and kind in kind_costs
         }
-        for one in judged:
+        for one in scored:
             if one.cost > healthy_cost or one.server.endpoint.kind not in healthy_kinds:
-                self._set_apart(one, now, new_cost, kind_costs)
+                self._set_own_fraction(one, now, new_cost, kind_costs)
         return new_cost
 
-    def _judge_ready(self, now: int, kind_costs: Mapping[int, float]) -> list[Judged]:
-        judged: list[Judged] = []
+    def _score_ready(self, now: int, kind_costs: Mapping[int, float]) -> list[ScoredServer]:
+        scored: list[ScoredServer] = []
         forgotten: list[str] = []
-        for name, server in self._judged.items():
+        for name, server in self._tracked.items():
             if self._ready.get(name) is server:
-                judged.append(Judged(server, likely_cost_at(server, now, kind_costs[server.endpoint.kind])))
+                scored.append(
+                    ScoredServer(server, likely_cost_at(server, now, kind_costs[server.endpoint.kind]))
+                )
             elif self._table.servers.get(name) is not server:
                 forgotten.append(name)
         for name in forgotten:
-            del self._judged[name]
-        return judged
-
-    def _third_from_best(self, judged: list[Judged], kind_costs: Mapping[int, float]) -> float:
-        """The cost at a third of all ready servers' likely costs in order: most may be their kind's."""
-        unjudged = dict(self._table.warmth_sums.sizes)
-        for one in judged:
-            unjudged[one.server.endpoint.kind] -= 1
-        costs = [(one.cost, 1) for one in judged]
-        costs += [(kind_costs[kind], count) for kind, count in unjudged.items() if count]
+            del self._tracked[name]
+        return scored
+
+    def _third_from_best(self, scored: list[ScoredServer], kind_costs: Mapping[int, float]) -> float:
+        """Return the estimated cost of the server at one third of all ready servers, sorted by cost.
+
+        Servers that are not tracked have the cost of their kind.
+        """
+        unscored = dict(self._table.warmth_sums.sizes)
+        for one in scored:
+            unscored[one.server.endpoint.kind] -= 1
+        costs = [(one.cost, 1) for one in scored]
+        costs += [(kind_costs[kind], count) for kind, count in unscored.items() if count]
         costs.sort()
         rank = len(self._ready) // 3
         at = 0
@@ -159,8 +169,10 @@
             at += 1
         return costs[at][0]
 
-    def _set_apart(self, one: Judged, now: int, fleet_cost: float, kind_costs: Mapping[int, float]) -> None:
-        """Give a judged server its own fraction, where its health is not its kind's."""
+    def _set_own_fraction(
+        self, one: ScoredServer, now: int, fleet_cost: float, kind_costs: Mapping[int, float]
+    ) -> None:
+        """Give a tracked server its own fraction if its health differs from that of its kind."""
         endpoint = one.server.endpoint
         cost = one.cost if endpoint.kind in kind_costs else likely_cost_at(one.server, now, fleet_cost)
         health = health_of(cost, fleet_cost)
@@ -168,8 +180,8 @@
         if health != kind_health:
             fraction = self._fraction(endpoint, health)
             self.sum += fraction - self._fraction(endpoint, kind_health)
-            self.made[endpoint.server] = fraction
+            self.computed[endpoint.server] = fraction
 
     def _fraction(self, endpoint: api.Endpoint, health: float) -> float:
-        warmth = warmth_at(endpoint, self._rules, self._made_at)
+        warmth = warmth_at(endpoint, self._rules, self._computed_at)
         return warmth * health * weight_root(endpoint.weight, self._table.max_weight)
--- a/tests/policy/test_connect_backoff.py
+++ b/tests/policy/test_connect_backoff.py
@@ -1,4 +1,4 @@
-"""Connect backoff: how it grows, and what ends it."""
+"""Connect backoff: how it grows and which outcomes end it."""
 
 import random
 
@@ -17,15 +17,17 @@
 
 
 @pytest.mark.parametrize(("failures", "longest"), [(1, S), (2, 2 * S), (4, 8 * S), (5, 16 * S), (90, 16 * S)])
-def test_each_failure_in_a_row_doubles_the_backoff_up_to_a_limit(failures, longest):
+def test_each_consecutive_failure_doubles_the_backoff_up_to_a_limit(failures, longest):
     backoff = failed(failures)
     assert backoff.failures == failures
     assert longest / 2 <= backoff.until - START <= longest <= CONNECT_BACKOFF_MAX_NS
 
 
 @pytest.mark.parametrize("outcome", [each for each in Outcome if each is not Outcome.CONNECT_FAILED])
-def test_an_outcome_ends_the_backoff_only_where_there_was_a_connection(outcome):
-    says_nothing = outcome in (Outcome.CANCELLED, Outcome.WITHDRAWN, Outcome.TIMEOUT)
+def test_an_outcome_ends_the_backoff_only_if_there_was_a_connection(outcome):
+    is_inconclusive = outcome in (Outcome.CANCELLED, Outcome.WITHDRAWN, Outcome.TIMEOUT)
     backoff = failed(3)
     backoff.record(outcome, START + S, random.Random(1))
-    assert (backoff.failures == 3 and backoff.until > START) if says_nothing else backoff == ConnectBackoff()
+    assert (
+        (backoff.failures == 3 and backoff.until > START) if is_inconclusive else backoff == ConnectBackoff()
+    )
