--- a/flintridge/__init__.py
+++ b/flintridge/__init__.py
@@ -1,4 +1,4 @@
-"""flintridge: the decisions of a proxy that spreads object keys over cache servers."""
+"""flintridge: a proxy that distributes object keys over cache servers, and its decision policy."""
 
 from flintridge.policy.balancer import Balancer
 
--- a/flintridge/__main__.py
+++ b/flintridge/__main__.py
@@ -1,15 +1,15 @@
-"""The node's program: reads its configuration, runs one node, and handles signals."""
+"""The node's program: reads the configuration, runs one node, and handles signals."""
 
 import signal
 import sys
 
-early_reloads: list[int] = []  # SIGHUPs that came before there was a node to reload
+early_reloads: list[int] = []  # SIGHUPs received before a node exists that could reload
 if __name__ == "__main__":
-    # Guards the start: a SIGHUP that comes while modules are imported and the configuration is read would end
-    # the program, and one that comes after it was read must not be lost.
+    # By default SIGHUP would terminate the program while it imports modules and reads the configuration. One
+    # that arrives after the configuration was read must not be lost either, so it is recorded.
     signal.signal(signal.SIGHUP, lambda number, _: early_reloads.append(number))
-    # A process that is told to end before it serves has accepted nothing: that is a clean exit. It must not
-    # wait for the configuration either.
+    # A process that receives SIGTERM before it serves has accepted nothing, so this is a clean exit. It also
+    # must not wait until the configuration can be read.
     signal.signal(signal.SIGTERM, lambda *_: sys.exit(0))
 
 import asyncio
@@ -33,12 +33,12 @@
 
 
 async def run(config: NodeConfig, log: Log, selector: ArrivalTrackingSelector | None = None) -> None:
-    """Run one node until SIGTERM or SIGINT has ended it gracefully.
+    """Run one node until it has shut down gracefully after SIGTERM or SIGINT.
 
     Args:
-        config: The node's.
-        log: Takes its events.
-        selector: The event loop's, where that notes arrivals.
+        config: The node's configuration.
+        log: Receives the node's log events.
+        selector: The event loop's selector if it tracks when input arrived; None otherwise.
 
     Raises:
         ConfigError: The configured endpoint list is malformed.
@@ -47,10 +47,10 @@
     loop = asyncio.get_running_loop()
     loop.set_exception_handler(lambda _, context: _log_unhandled(log, context))
     termination = asyncio.Event()
-    # From here on the loop handles what comes: the node starts, serves as it must, and terminates.
+    # From here on the event loop handles SIGTERM and SIGINT: the node completes its start, then shuts down.
     for number in TERMINATION_SIGNALS:
         loop.add_signal_handler(number, termination.set)
-    # What is signalled until the loop goes on is carried out by the handler that is set then.
+    # A SIGHUP that is pending when the loop next runs is handled by whichever handler is installed by then.
     loop.add_signal_handler(signal.SIGHUP, early_reloads.append, signal.SIGHUP)
     clock = SystemClock(loop, selector=selector)
     node = Node(config, clock, log, shared_directory=os.environ.get("TMPDIR") or "/tmp")
@@ -65,16 +65,20 @@
 
 
 def main() -> int:
-    """Run the program; the exit code."""
+    """Run the program.
+
+    Returns:
+        The exit code.
+    """
     try:
         config = load_config()
     except ConfigError as error:
-        return _exit_for(error)
+        return _report_error(error)
     log = Log(config.name, level=config.log_level, repeats_per_s=config.log_repeats_per_s)
     try:
         _run_in_event_loop(config, log)
     except (ConfigError, ListenError) as error:
-        return _exit_for(error)
+        return _report_error(error)
     finally:
         log.close()
     return EXIT_OK
@@ -95,10 +99,10 @@
 
 
 def _ignore_signals(loop: asyncio.AbstractEventLoop) -> None:
-    """Ignore whatever comes once the node has terminated.
+    """Ignore all handled signals once the node has terminated.
 
-    Guards the exit code, and the last lines of the log, against a late signal: a loop that closes leaves each
-    of its signals to the system's default, which ends the process like one killed.
+    A closing event loop restores the default action of its signals. A late signal would then kill the
+    process, which would lose the exit code and the last lines of the log.
     """
     signal.pthread_sigmask(signal.SIG_BLOCK, HANDLED_SIGNALS)
     for number in HANDLED_SIGNALS:
@@ -107,9 +111,9 @@
 
 
 def _reload(node: Node) -> None:
-    """Read the configuration again.
+    """Read the configuration again and apply it.
 
-    It never raises: a node in service must not end, nor lose a request, by a file that is bad.
+    Never raises: an invalid file must not stop a serving node or make it lose requests.
     """
     try:
         config = load_config()
@@ -120,7 +124,7 @@
 
 
 def _log_unhandled(log: Log, context: dict[str, object]) -> None:
-    """Log what the event loop reports of an exception that nobody caught."""
+    """Log an uncaught exception that the event loop reports."""
     error = context.get("exception")
     message = str(context.get("message"))
     if isinstance(error, BaseException):
@@ -129,8 +133,8 @@
         log.event("unhandled", message=message)
 
 
-def _exit_for(error: ConfigError | ListenError) -> int:
-    """Tell the operator why the program ends; the exit code."""
+def _report_error(error: ConfigError | ListenError) -> int:
+    """Print the error to standard error and return the matching exit code."""
     for line in str(error).splitlines():
         print(f"flintridge: {line}", file=sys.stderr)
     return EXIT_BAD_CONFIG if isinstance(error, ConfigError) else EXIT_NOT_LISTENING
--- a/flintridge/core/__init__.py
+++ b/flintridge/core/__init__.py
@@ -1,1 +1,1 @@
-"""The request core: one final response for each request, one end for each attempt. It knows no protocol."""
+"""The request core: each request gets one final response, each attempt one end. Independent of protocols."""
--- a/flintridge/core/admin_routes.py
+++ b/flintridge/core/admin_routes.py
@@ -1,4 +1,4 @@
-"""Routes of the admin API: what the parts of a node answer operators with."""
+"""Types for the admin API routes that the components of a node provide."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -7,11 +7,11 @@
 
 @dataclass(slots=True, frozen=True)
 class AdminResponse:
-    """The answer to a call.
+    """The response to an admin API call.
 
     Attributes:
-        status: Of HTTP.
-        fields: Of the JSON object that is the body.
+        status: The HTTP status code.
+        fields: The fields of the JSON object in the body.
     """
 
     status: int
@@ -20,7 +20,7 @@
 
 @dataclass(slots=True, frozen=True)
 class RouteWithInput:
-    """A route that is given the call's query and body, which may be empty."""
+    """A route whose handler receives the query string and the body, either of which may be empty."""
 
     call: Callable[[bytes, bytes], AdminResponse]
 
--- a/flintridge/core/attempts.py
+++ b/flintridge/core/attempts.py
@@ -1,4 +1,4 @@
-"""Attempts at requests: made of a `Send`, checked before they start, reported as `AttemptEnded`."""
+"""Attempts at requests: created from a `Send`, checked before they start, reported as `AttemptEnded`."""
 
 from flintridge import api
 from flintridge.core.open_requests import OpenRequest
@@ -8,12 +8,12 @@
 
 
 def new_attempt(send: api.Send, request: OpenRequest, now: float) -> UpstreamAttempt:
-    """The next attempt at a request.
+    """Create the next attempt at a request.
 
     Args:
-        send: What the policy wants sent.
-        request: At which it is made.
-        now: The clock's time, in milliseconds.
+        send: The policy's action.
+        request: The request to send.
+        now: Milliseconds of the node's clock.
     """
     deadline = request.deadline
     if send.timeout_ns:
@@ -32,12 +32,12 @@
 
 
 def outcome_unsent(attempt: UpstreamAttempt, request: OpenRequest, max_attempts: int) -> api.Outcome | None:
-    """How an attempt ends that must not be sent; None where it may be.
+    """Return the outcome of an attempt that must not be sent; None if it may be sent.
 
     Args:
-        attempt: One of the request's, which has not started.
-        request: At which it is made.
-        max_attempts: That may be sent for one request.
+        attempt: An attempt at the request that has not started.
+        request: The request of the attempt.
+        max_attempts: How many attempts may be sent for one request.
     """
     now = attempt.sent_at
     sent_before = attempt.number - request.withdrawn
@@ -51,13 +51,13 @@
 def attempt_ended_event(
     attempt: UpstreamAttempt, result: AttemptResult, now: float, final: bool
 ) -> api.AttemptEnded:
-    """The end of an attempt, in the policy's terms.
+    """Create the policy event for the end of an attempt.
 
     Args:
-        attempt: The one that ended.
+        attempt: The attempt that ended.
         result: How it ended.
-        now: The clock's time, in milliseconds.
-        final: Whether its request has its final response.
+        now: Milliseconds of the node's clock.
+        final: Whether the request has its final response.
     """
     return api.AttemptEnded(
         id=attempt.id,
--- a/flintridge/core/deadlines.py
+++ b/flintridge/core/deadlines.py
@@ -1,4 +1,4 @@
-"""Deadlines of responses, and the timers that fail a request to which nobody responds in time."""
+"""Response deadlines, and the timers that fail requests that have no response in time."""
 
 import math
 from collections.abc import Callable
@@ -7,18 +7,18 @@
 from flintridge.core.open_requests import OpenRequest, OpenRequests
 from flintridge.runtime.clock import Clock, to_ms
 
-# A client's time counts from its sending, and the response has a way to go: responses are due this much
-# early.
+# Responses are due this much before the client's timeout: the client counts from when it sent the request,
+# and the response takes time to reach it.
 RESPONSE_MARGIN_MS = 10.0
-# A client's time is at least so many margins long: where it is short, so is the margin.
+# For short timeouts the margin is at most the timeout divided by this.
 MIN_MARGINS_PER_TIMEOUT = 10
 
 
 class ResponseDeadlines:
-    """The deadlines of a node's requests.
+    """The response deadlines of a node's requests. Instants are milliseconds of the node's clock.
 
     Attributes:
-        respond_by: Every request is responded to by this instant, however long its client waits.
+        respond_by: Latest deadline of any request, however long its client waits.
     """
 
     def __init__(
@@ -28,12 +28,12 @@
         open_requests: OpenRequests,
         fail_overdue: Callable[[str], None],
     ) -> None:
-        """Begin with no limit but the clients' own.
+        """Start without a limit other than the clients' timeouts.
 
         Args:
-            clock: Of the node.
-            classes: By their position in the settings; each has the longest time of its requests.
-            open_requests: Those that have timers.
+            clock: The node's clock.
+            classes: The request classes in the order of the settings; each has a maximum deadline.
+            open_requests: The requests that have deadline timers.
             fail_overdue: Called with the id of a request that has no response some milliseconds after its
                 deadline.
         """
@@ -44,11 +44,11 @@
         self._fail_overdue = fail_overdue
 
     def start(self, request: OpenRequest, arrived_after: float) -> None:
-        """Set the deadline of a request, and fail it half-way from there to its client's.
+        """Set a request's deadline, and a timer that fails it half-way between it and the client's timeout.
 
         Args:
-            request: One that is new.
-            arrived_after: The instant from which its client's time is counted.
+            request: A new request.
+            arrived_after: The instant from which the client's timeout is counted.
         """
         timeout_ms = request.request.timeout_ms
         client_timeout_ms = to_ms(self._classes[request.request.class_index].deadline_ns)
@@ -59,10 +59,10 @@
         self._start_timer(request, request.deadline + margin_ms / 2)
 
     def respond_all_by(self, instant: float) -> None:
-        """Have whatever is open, and whatever will be taken in, responded to by an instant.
+        """Limit the deadlines of all open and all future requests.
 
         Args:
-            instant: Milliseconds of the node's clock.
+            instant: The latest deadline, in milliseconds of the node's clock.
         """
         self.respond_by = instant
         for request in self._open_requests:
@@ -75,10 +75,11 @@
         request.deadline_timer = self._clock.call_at(overdue_at, self._deadline_passed, request.id)
 
     def _deadline_passed(self, request_id: str) -> None:
-        """Let what is due at the same instant go first, then fail the request.
+        """Fail the request after everything else that is due at the same instant.
 
-        Guards requests that are about to be responded to against a loop that was held up: the end of an
-        attempt at the deadline falls due with this timer, and the attempt's task takes a step more.
+        After a stall of the event loop, the end of an attempt at the deadline is due together with this
+        timer, and the attempt's task needs one more step. Without the delay, a request that is about to get
+        its response would be failed.
         """
         request = self._open_requests.get_unanswered(request_id)
         if request is not None:
--- a/flintridge/core/drivers.py
+++ b/flintridge/core/drivers.py
@@ -1,4 +1,4 @@
-"""What the request lifecycle needs of the policy above it and the drivers below it."""
+"""Interfaces of the policy and the drivers that the request lifecycle uses."""
 
 from typing import Protocol
 
@@ -8,12 +8,17 @@
 
 
 class Policy(Protocol):
-    """Decides: which server, whether again, what to reject."""
+    """Decides which server gets a request, whether to retry it and what to reject."""
 
     def handle(self, now: int, event: api.Event) -> list[api.Action]:
-        """Take one event at the instant `now` (nanoseconds); the actions to carry out, in order.
+        """Handle one event. Not re-entrant.
 
-        Not re-entrant.
+        Args:
+            now: The current instant, in nanoseconds.
+            event: What happened.
+
+        Returns:
+            The actions to carry out, in order.
         """
 
 
@@ -21,27 +26,27 @@
     """Called once with the result of a health check."""
 
     def __call__(self, result: AttemptResult) -> None:
-        """Take the result."""
+        """Receive the result."""
 
 
 class UpstreamDriver(Protocol):
-    """Carries attempts to servers."""
+    """Sends attempts to servers."""
 
     def start(self, attempt: UpstreamAttempt) -> None:
-        """Make an attempt; `RequestLifecycle.attempt_ended` is called once for it."""
+        """Start an attempt; `RequestLifecycle.attempt_ended` is called once for it."""
 
     def check_health(self, server: str, done: HealthCheckCallback) -> None:
-        """Send a health check."""
+        """Send a health check; `done` is called with its result."""
 
     def close_idle_connections(self, server: str) -> None:
         """Close the connections to a server that carry no attempt."""
 
 
 class DiscoveryDriver(Protocol):
-    """Asks discovery for the endpoint list."""
+    """Requests the endpoint list from discovery."""
 
     def watch(self, on: bool) -> None:
         """Subscribe to changes, or end the subscription."""
 
     def fetch(self) -> None:
-        """Ask for the list once."""
+        """Request the list once."""
--- a/flintridge/core/exchange.py
+++ b/flintridge/core/exchange.py
@@ -1,4 +1,4 @@
-"""What upstream dispatch needs of a protocol: one request to a server and its response."""
+"""Interface of a protocol for upstream dispatch: one request to a server and its response."""
 
 from typing import Protocol
 
@@ -6,7 +6,7 @@
 
 
 class Exchange(Protocol):
-    """A request to a server and its response: a state machine that is fed bytes and knows no socket."""
+    """A request to a server and its response: a state machine over bytes that does no I/O."""
 
     @property
     def reusable(self) -> bool:
@@ -14,17 +14,17 @@
 
     @property
     def names_request(self) -> bool:
-        """Whether the response named its request, so that a duplicate of it passes for no other."""
+        """Whether the response carried the request's id, so that a duplicate cannot answer another."""
 
     @property
     def streamed_value(self) -> StreamedValue | None:
-        """The long value that has begun to come, if any; the result follows with its end."""
+        """The long value whose first bytes have arrived, if any; the result follows once it is complete."""
 
     def encode_request(self) -> list[bytes | bytearray]:
-        """The request's bytes, in pieces."""
+        """Encode the request, in pieces."""
 
     def feed(self, data: bytes) -> AttemptResult | None:
-        """Take bytes of the response; the result once they complete it."""
+        """Process bytes of the response. Returns the result once the response is complete."""
 
     def end(self) -> AttemptResult | None:
-        """The server ended its sending: the result, if this completes it."""
+        """Process the end of the stream. Returns the result if this completes the response."""
--- a/flintridge/core/lifecycle.py
+++ b/flintridge/core/lifecycle.py
@@ -1,7 +1,7 @@
 """The life of a request: from a protocol frontend to its one final response, with one end for each attempt.
 
-Requests become the policy's events, and its actions are carried out. Nothing is decided here: no server is
-picked and nothing is sent again. No protocol is known here either.
+Requests are turned into policy events, and the policy's actions are carried out. This module decides nothing:
+it selects no server and retries nothing. It is also independent of protocols.
 """
 
 from collections.abc import Callable
@@ -21,15 +21,15 @@
 
 
 class RequestLifecycle:
-    """What happens to the requests that are open at a node, in order.
+    """Processes the requests of a node.
 
     Attributes:
-        memory_budget: For the values of writes.
-        open_requests: Those without a final response, or with attempts in flight.
-        policy_driver: Notifies the policy.
-        settings: Of the service.
-        on_attempts_changed: Called with +1 where an attempt starts, with -1 where it ends.
-        on_new_request: Called with the tenant of each request that is no retry.
+        memory_budget: Memory for the values of writes.
+        open_requests: Requests without a final response or with attempts in flight.
+        policy_driver: Passes events to the policy.
+        settings: The service's settings.
+        on_attempts_changed: Called with the attempt and +1 when it starts, and with -1 when it ends.
+        on_new_request: Called with the tenant of each request that is not a retry.
     """
 
     def __init__(
@@ -41,15 +41,15 @@
         log: EventLog,
         counters: Counters,
     ) -> None:
-        """Begin with no request; `attach` sets the drivers.
+        """Start without requests; `attach` sets the drivers.
 
         Args:
-            policy: Decides.
-            settings: Of the service.
-            clock: Of the node.
-            memory_bytes: For the values of writes.
-            log: Of the node.
-            counters: Of the node.
+            policy: The decision policy.
+            settings: The service's settings.
+            clock: The node's clock.
+            memory_bytes: Size of the memory budget for the values of writes.
+            log: The node's log.
+            counters: The node's counters.
         """
         self.memory_budget = MemoryBudget(memory_bytes, clock)
         self.open_requests = OpenRequests(self.memory_budget)
@@ -65,7 +65,7 @@
         self._discovery: DiscoveryDriver | None = None
 
     def attach(self, upstream: UpstreamDriver, discovery: DiscoveryDriver) -> None:
-        """Set the drivers; before the first event."""
+        """Set the drivers; call before the first event."""
         self._upstream = upstream
         self._discovery = discovery
 
@@ -76,7 +76,7 @@
 
     @property
     def unanswered(self) -> int:
-        """How many requests await their final response."""
+        """Number of requests without a final response."""
         return self.open_requests.unanswered
 
     # Requests
@@ -88,20 +88,21 @@
         reserved_bytes: int = 0,
         arrived_after: float | None = None,
     ) -> str:
-        """Take a request in, or shed it.
+        """Accept a request, or shed it.
 
         Args:
-            request: As it was read.
-            responder: The client's end of it.
-            reserved_bytes: Of `memory_budget`, for its value already; they pass to the request.
-            arrived_after: Its last byte did not arrive before this instant, from which its client's time is
-                counted; None: it was read in this iteration of the event loop.
+            request: The request as it was read.
+            responder: Delivers the response to the client.
+            reserved_bytes: Bytes of `memory_budget` that the caller has reserved for the value; the request
+                takes them over.
+            arrived_after: Earliest instant at which the request's last byte can have arrived; the client's
+                timeout is counted from it. None if it was read in this iteration of the event loop.
 
         Returns:
-            Its id, for `client_disconnected`.
+            The request's id, for `client_disconnected`.
 
         Raises:
-            IdInUseError: A request with this id is open; `reserved_bytes` stay the caller's.
+            IdInUseError: A request with this id is open; the caller still owns `reserved_bytes`.
         """
         request_id = request.id.decode("ascii")
         if request_id in self.open_requests:
@@ -122,7 +123,7 @@
         return request_id
 
     def _shed(self, responder: Responder, reserved_bytes: int) -> None:
-        """Guards the node's memory. The request was never executed, so a repeat is harmless."""
+        """Reject a request to protect the node's memory. It was never executed, so a retry is safe."""
         self._counters.add("requests_shed")
         self.memory_budget.release(reserved_bytes)
         responder.reject(0.0)
@@ -155,7 +156,7 @@
         )
 
     def client_disconnected(self, request_id: str) -> None:
-        """The client left: no response is owed any more, but attempts that are in flight still end."""
+        """Record that the client left: it gets no response, but attempts in flight still report their end."""
         entry = self.open_requests.get_unanswered(request_id)
         if entry is not None:
             self._counters.add("clients_disconnected")
@@ -163,7 +164,7 @@
             self.policy_driver.notify(api.ClientDisconnected(request_id))
 
     def _fail_overdue(self, request_id: str) -> None:
-        """Guards the client against a policy that broke, or forgot: its request still fails in time."""
+        """Fail a request in time if the policy raised an error or never responded to it."""
         entry = self.open_requests.take_unanswered(request_id)
         if entry is not None:
             self._counters.add("responses_overdue")
@@ -174,10 +175,13 @@
     # Attempts
 
     def start_stream(self, attempt: UpstreamAttempt, value: StreamedValue) -> StreamedResponse | None:
-        """An attempt is served with a long value: where to write it, or None where nobody waits for it.
+        """Start the response to a request whose attempt is served with a long value.
 
-        For the policy the attempt ends here, as its request has its response: while chunks go out, for as
-        long as the client reads, the server has done its part, and nothing can be decided any more.
+        For the policy the attempt ends here, because the request has its response: while the chunks are
+        written, for as long as the client reads, the server has done its part and nothing is left to decide.
+
+        Returns:
+            Where to write the value; None if the client no longer waits for it.
         """
         if attempt.ended:
             return None
@@ -190,7 +194,7 @@
         return streamed
 
     def attempt_ended(self, attempt: UpstreamAttempt, result: AttemptResult) -> None:
-        """Each attempt ends here once, however it ends; what is said of it later is ignored."""
+        """Record the end of an attempt. Only the first call for an attempt has an effect."""
         if attempt.ended:
             return
         attempt.ended = True
@@ -291,27 +295,27 @@
         self._counters.add("health_checks")
         self._upstream.check_health(server, done)
 
-    # The rest of a node's life
+    # Other events, and shutdown
 
     def notify(self, event: api.EndpointUpdate | api.AllocationUpdate | api.HealthCheckEnded) -> None:
-        """Pass an event on to the policy that is about no request."""
+        """Pass an event that concerns no request to the policy."""
         self.policy_driver.notify(event)
 
     def respond_all_by(self, instant: float) -> None:
-        """Respond to whatever is open, and whatever will be taken in, by an instant.
+        """Limit the deadlines of all open and all future requests.
 
-        Guards requests whose clients wait for longer than the process lives on after SIGTERM, and what is
-        read behind them on their connections.
+        After SIGTERM the process may end before some clients' timeouts. Those requests, and the requests that
+        are queued after them on their connections, must get their responses before that.
 
         Args:
-            instant: Milliseconds of the node's clock.
+            instant: The latest deadline, in milliseconds of the node's clock.
         """
         self._deadlines.respond_all_by(instant)
 
     def close(self) -> None:
-        """The policy is notified of nothing any more, whatever falls due; open requests end unanswered.
+        """Stop notifying the policy and drop open requests without a response.
 
-        Guards an event loop that goes on without this node against calls and tasks of a node that is closed.
+        The event loop may outlive the node, and must not run timers or tasks of a closed node.
         """
         self.policy_driver.close()
         self.open_requests.close()
--- a/flintridge/core/memory_budget.py
+++ b/flintridge/core/memory_budget.py
@@ -1,4 +1,4 @@
-"""A budget of memory: bytes are reserved before use, released once, and granted in the order of asking."""
+"""A memory budget: bytes are reserved before use, released once, and granted first come, first served."""
 
 import asyncio
 from collections import deque
@@ -6,18 +6,19 @@
 
 from flintridge.runtime.clock import Clock, Timer
 
-# A value up to this size exists three times for a while: as read, on its way to a server, in a write buffer.
+# A value up to this size can exist in three copies at once: as read, as encoded for a server, and in a write
+# buffer.
 SMALL_VALUE_BYTES = 64 * 1024
 SMALL_VALUE_BUFFERS = 3
 
 
 def bytes_to_reserve(length: int) -> int:
-    """The bytes of memory to reserve for a value of `length` bytes that a client writes."""
+    """Return how many bytes to reserve for a written value of `length` bytes."""
     return length if length > SMALL_VALUE_BYTES else SMALL_VALUE_BUFFERS * length
 
 
 class MemoryBudget:
-    """A number of bytes that reservations share. Times are float milliseconds of `clock`."""
+    """A limited number of bytes that reservations share. Times are float milliseconds of `clock`."""
 
     def __init__(self, total: int, clock: Clock) -> None:
         self.total = total
@@ -26,14 +27,14 @@
         self._waiting: deque[_Reservation] = deque()
 
     def try_reserve(self, count: int) -> bool:
-        """Reserve `count` bytes at once; False where too few are free, or others wait for some."""
+        """Reserve `count` bytes immediately; False if too few are free or other reservations are waiting."""
         if count and (self._waiting or self.reserved + count > self.total):
             return False
         self.reserved += count
         return True
 
     def release(self, count: int) -> None:
-        """Release bytes that were reserved; whoever waits may have them."""
+        """Release reserved bytes and grant waiting reservations that now fit."""
         if not count:
             return
         self.reserved -= count
@@ -41,23 +42,23 @@
         self._grant_waiting()
 
     def resize(self, total: int) -> None:
-        """Change the total; what is reserved stays so."""
+        """Change the total; existing reservations stay."""
         self.total = total
         self._grant_waiting()
 
     def wait(self, count: int, time_limit: float, decided: Callable[[bool], None]) -> Callable[[], None]:
-        """Reserve `count` bytes once they are free, for at most `time_limit` milliseconds.
+        """Reserve `count` bytes as soon as they are free, waiting at most `time_limit` milliseconds.
 
-        All of them are reserved at once and before any is used, so two that have half of theirs never wait
-        for one another; and in the order of asking, so one that wants many is not starved.
+        All bytes are reserved together, before any is used, so two partial reservations cannot deadlock. They
+        are granted in the order of the calls, so large reservations are not starved.
 
         Args:
-            count: Bytes.
-            time_limit: Milliseconds.
-            decided: Called once: True with the bytes reserved, False without.
+            count: Number of bytes.
+            time_limit: Longest wait, in milliseconds.
+            decided: Called once, with True if the bytes are reserved and False if not.
 
         Returns:
-            A call that ends the waiting.
+            A function that cancels the wait.
         """
         reservation = _Reservation(count, decided)
         if count > self.total:
@@ -72,7 +73,7 @@
         return lambda: self._cancel(reservation)
 
     async def reserve(self, count: int, time_limit: float) -> bool:
-        """As `wait`; True with the bytes reserved. Whoever is cancelled meanwhile has none reserved."""
+        """Reserve as `wait` does; True if the bytes are reserved. A cancelled call leaves none reserved."""
         decided: asyncio.Future[bool] = asyncio.get_running_loop().create_future()
 
         def on_decision(granted: bool) -> None:
@@ -105,7 +106,7 @@
 
 
 class _Reservation:
-    """One that waits, or has been decided on."""
+    """A reservation that waits or has been decided."""
 
     __slots__ = ("count", "decided", "granted", "timer")
 
--- a/flintridge/core/open_requests.py
+++ b/flintridge/core/open_requests.py
@@ -1,4 +1,4 @@
-"""The requests that are open at a node, by id, and what is kept of each."""
+"""The open requests of a node, by id, and their state."""
 
 import math
 from collections.abc import Iterator
@@ -13,24 +13,24 @@
 
 
 class IdInUseError(FlintridgeError, ValueError):
-    """A request with this id is still open here."""
+    """A request with this id is still open at this node."""
 
 
 @dataclass(slots=True, eq=False)
 class OpenRequest:
-    """A request that was taken in, until it has its final response and its attempts have ended.
+    """An accepted request that lacks its final response or has attempts in flight.
 
     Attributes:
-        id: Its id, as the policy knows it.
-        request: As it was read.
-        responder: The client's end of it.
-        reserved_bytes: Of the memory budget, for its value.
-        deadline: Its response is due then, in float milliseconds.
-        deadline_timer: Fails it if nobody else responds in time.
-        state: Where it is on its way to its final response.
-        attempts: All of them, in order.
-        in_flight: How many of them have not ended.
-        withdrawn: How many of them ended without being sent.
+        id: The request's id, as the policy knows it.
+        request: The request as it was read.
+        responder: Delivers the response to the client.
+        reserved_bytes: Bytes of the memory budget that are reserved for its value.
+        deadline: When the response is due, in float milliseconds of the node's clock.
+        deadline_timer: Fails the request if it has no response in time.
+        state: Its state.
+        attempts: All attempts, in order.
+        in_flight: Number of attempts that have not ended.
+        withdrawn: Number of attempts that ended without being sent.
     """
 
     id: str
@@ -46,24 +46,24 @@
 
     @property
     def responded(self) -> bool:
-        """Whether it has its final response, or its client has left."""
+        """Whether the request has its final response or its client has left."""
         return self.state is RequestState.RESPONDED or self.state is RequestState.FINISHED
 
     def add_attempt(self, attempt: UpstreamAttempt) -> None:
-        """An attempt starts.
+        """Record that an attempt starts.
 
         Args:
-            attempt: The next one, by its number.
+            attempt: The attempt with the next number.
         """
         self.state = next_state(self.state, RequestEvent.ATTEMPT_STARTED)
         self.attempts.append(attempt)
         self.in_flight += 1
 
     def end_attempt(self, withdrawn: bool) -> None:
-        """One of the attempts in flight has ended.
+        """Record that one of the attempts in flight has ended.
 
         Args:
-            withdrawn: Whether it was never sent.
+            withdrawn: Whether the attempt was never sent.
         """
         last = self.in_flight == 1
         event = RequestEvent.LAST_ATTEMPT_ENDED if last else RequestEvent.ATTEMPT_ENDED
@@ -73,26 +73,26 @@
             self.withdrawn += 1
 
     def mark_responded(self) -> None:
-        """It gets its final response now, or its client has left: what has not begun is not written."""
+        """Record the final response or the client's departure; attempts not yet begun are not written."""
         self.state = next_state(self.state, RequestEvent.RESPONDED)
         self.cancel_timer()
         for attempt in self.attempts:
             attempt.request_ended = True
 
     def cancel_timer(self) -> None:
-        """Nobody is to fail it any more."""
+        """Cancel the timer that would fail the request at its deadline."""
         if self.deadline_timer is not None:
             self.deadline_timer.cancel()
 
 
 class OpenRequests:
-    """All open requests, in the order in which they were taken in."""
+    """All open requests, in the order in which they were accepted."""
 
     def __init__(self, memory_budget: MemoryBudget) -> None:
-        """Begin with none.
+        """Start without requests.
 
         Args:
-            memory_budget: Gets back what is reserved for a request with its end.
+            memory_budget: The bytes reserved for a request are released to it when the request ends.
         """
         self._memory_budget = memory_budget
         self._by_id: dict[str, OpenRequest] = {}
@@ -108,45 +108,45 @@
 
     @property
     def unanswered(self) -> int:
-        """How many await their final response."""
+        """Number of requests without a final response."""
         return sum(not request.responded for request in self)
 
     def add(self, request: OpenRequest) -> None:
-        """Take in a request, whose id is not in use."""
+        """Add a request, whose id must not be in use."""
         self._by_id[request.id] = request
 
     def get(self, request_id: str) -> OpenRequest | None:
-        """The open request with this id; None where there is none."""
+        """Return the open request with this id, or None."""
         return self._by_id.get(request_id)
 
     def get_unanswered(self, request_id: str) -> OpenRequest | None:
-        """The request with this id if it awaits its final response."""
+        """Return the request with this id if it has no final response yet, or None."""
         request = self._by_id.get(request_id)
         if request is None or request.responded:
             return None
         return request
 
     def mark_responded(self, request: OpenRequest) -> None:
-        """It gets its final response now, or its client has left."""
+        """Record the final response or the client's departure."""
         request.mark_responded()
         self.forget_if_finished(request.id)
 
     def take_unanswered(self, request_id: str) -> OpenRequest | None:
-        """A request that the caller responds to now, for good; None where it has its final response."""
+        """Return a request that the caller responds to now, marked as responded; None if it already is."""
         request = self.get_unanswered(request_id)
         if request is not None:
             self.mark_responded(request)
         return request
 
     def forget_if_finished(self, request_id: str) -> None:
-        """Release what is kept of a request that has its final response and no attempt in flight."""
+        """Remove a request that has its final response and no attempt in flight, and release its memory."""
         request = self._by_id.get(request_id)
         if request is not None and request.state is RequestState.FINISHED:
             del self._by_id[request_id]
             self._memory_budget.release(request.reserved_bytes)
 
     def close(self) -> None:
-        """Forget all of them; none gets a response."""
+        """Remove all requests without a response."""
         for request in self:
             request.cancel_timer()
             self._memory_budget.release(request.reserved_bytes)
--- a/flintridge/core/policy_driver.py
+++ b/flintridge/core/policy_driver.py
@@ -1,4 +1,4 @@
-"""Driver of the policy: notifies it of events, one at a time, and has its actions carried out."""
+"""Driver of the policy: passes it events, one at a time, and has its actions carried out."""
 
 from collections import deque
 from collections.abc import Callable
@@ -11,11 +11,11 @@
 
 
 class PolicyDriver:
-    """Calls the policy, which is not re-entrant: what happens while it decides waits in a queue.
+    """Calls the policy, which is not re-entrant: events that occur during a call are queued.
 
     Attributes:
-        policy: Decides.
-        carry_out: Carries out one action. An error that it raises is logged; the next action goes on.
+        policy: The decision policy.
+        carry_out: Carries out one action. An error that it raises is logged, and the next action runs.
     """
 
     def __init__(
@@ -26,14 +26,14 @@
         log: EventLog,
         counters: Counters,
     ) -> None:
-        """Begin with no event queued.
+        """Start with an empty queue.
 
         Args:
-            policy: Decides.
+            policy: The decision policy.
             carry_out: Carries out one action.
-            clock: Of the node.
-            log: Of the node.
-            counters: Of the node.
+            clock: The node's clock.
+            log: The node's log.
+            counters: The node's counters.
         """
         self.policy = policy
         self.carry_out = carry_out
@@ -43,10 +43,10 @@
         self._events: deque[api.Event] = deque()
         self._handling = False
         self._closed = False
-        self._now = 0  # nanoseconds; it never goes back, nor behind a timer that is due
+        self._now = 0  # nanoseconds; monotonic, and not before a timer that has fired
 
     def notify(self, event: api.Event) -> None:
-        """Notify the policy now, or after the events that are queued."""
+        """Pass an event to the policy, after the events that are queued."""
         if self._closed:
             return
         self._events.append(event)
@@ -60,18 +60,18 @@
             self._handling = False
 
     def set_timer(self, at: int, token: int) -> None:
-        """Notify the policy of `TimerFired(token)` at the instant `at`, in nanoseconds."""
+        """Pass `TimerFired(token)` to the policy at the instant `at`, in nanoseconds."""
         self._clock.call_at(to_ms(at), self._timer_fired, at, token)
 
     def close(self) -> None:
-        """Notify the policy of nothing any more, whatever falls due."""
+        """Pass no more events to the policy, not even timers that fire later."""
         self._closed = True
 
     def _handle(self, event: api.Event) -> None:
         self._now = max(self._now, to_ns(self._clock.now()))
         try:
             actions = self.policy.handle(self._now, event)
-        except Exception as error:  # the deadline timer of each request still fails it in time
+        except Exception as error:  # each request's deadline timer still fails it in time
             self._counters.add("policy_errors")
             self._log.error("policy_error", error, on=type(event).__name__)
             return
--- a/flintridge/core/request.py
+++ b/flintridge/core/request.py
@@ -1,4 +1,4 @@
-"""A client's request and the attempts at it, as they pass between frontend, core and upstream dispatch."""
+"""A client's request and the attempts at it, as passed between frontend, core and upstream dispatch."""
 
 import math
 from collections.abc import Callable
@@ -7,20 +7,20 @@
 
 @dataclass(slots=True, frozen=True)
 class Request:
-    """One request as a protocol frontend read it. Key, id, value and options are forwarded as they are.
+    """One request as a protocol frontend read it. Key, id, value and options are forwarded unchanged.
 
     Attributes:
-        id: The client's name for it.
-        key: The object that it reads or writes.
-        options: Names and values as the client wrote them.
-        timeout_span: Where in `options` the client's timeout stands; None: it named none.
-        value: What a write stores; nobody changes it. None: this is a read.
-        timeout_ms: How long the client waits; None: as long as its class.
-        class_index: Its request class, by position in the settings.
-        tenant: By position in the settings.
-        retry: Whether the client says that it sent this before.
-        work_us: Expected work in microseconds; None: nothing is known.
-        size: Expected size of the response in bytes; None: nothing is known.
+        id: The id that the client chose.
+        key: The key of the object to read or write.
+        options: Option names and values as the client wrote them.
+        timeout_span: Start and end of the client's timeout within `options`; None if it gave no timeout.
+        value: The value that a write stores, which must not be modified; None for a read.
+        timeout_ms: How long the client waits; None if it waits as long as its request class allows.
+        class_index: The request class, as its position in the settings.
+        tenant: The tenant, as its position in the settings.
+        retry: Whether the client marked the request as a retry.
+        work_us: Expected work in microseconds; None if unknown.
+        size: Expected size of the response in bytes; None if unknown.
     """
 
     id: bytes
@@ -37,14 +37,14 @@
 
     @property
     def write(self) -> bool:
-        """Whether it stores a value."""
+        """Whether the request stores a value."""
         return self.value is not None
 
     def options_with_timeout(self, timeout_ms: float) -> list[bytes]:
-        """`options` for a server, in pieces, with what remains of the client's timeout in its place.
+        """Return `options` for a server, in pieces, with the client's timeout replaced by `timeout_ms`.
 
-        Guards servers, the origin as well, against work for a client that will be gone: a further attempt
-        begins late in its client's time. Where the client named no timeout, none is named.
+        A retry starts late in the client's timeout. Without the remaining time, servers and the origin would
+        work for a client that has given up. If the client gave no timeout, none is added.
         """
         if self.timeout_span is None:
             return [self.options]
@@ -53,7 +53,7 @@
 
 
 def _no_client() -> None:
-    """There is no client to check."""
+    """Default for attempts without a client to check."""
 
 
 @dataclass(slots=True)
@@ -62,17 +62,17 @@
 
     Attributes:
         id: The request's id.
-        number: Its position among the request's attempts.
-        server: Where it goes.
-        request: What is sent.
-        sent_at: When the policy decided on it.
-        deadline: The node stops waiting then.
-        begin_by: Its first byte may be written until then, ...
-        written_by: ... and its last until then.
-        request_ended: Whether its request has its final response: what has not begun is not written any more.
-        check_client: To be called before the first byte; it may set `request_ended`.
-        ended: Whether its end was reported.
-        abort: Set by the driver that carries it.
+        number: The position among the request's attempts, from 0.
+        server: The id of the server.
+        request: The request to send.
+        sent_at: When the policy decided to send it.
+        deadline: When the node stops waiting for the response.
+        begin_by: Latest instant for writing the first byte.
+        written_by: Latest instant for writing the last byte.
+        request_ended: Whether the request has its final response; an attempt not yet begun is not written.
+        check_client: Must be called before the first byte is written; may set `request_ended`.
+        ended: Whether the attempt's end was reported.
+        abort: Aborts the attempt; set by the driver.
     """
 
     id: str
--- a/flintridge/core/request_state.py
+++ b/flintridge/core/request_state.py
@@ -6,7 +6,7 @@
        v                       v
     FINISHED <--attempts--> RESPONDED
 
-What happens besides (responses, timers, events) stands in `flintridge.core.lifecycle`.
+The side effects (responses, timers, events) are in `flintridge.core.lifecycle`.
 """
 
 from enum import Enum
@@ -15,28 +15,28 @@
 
 
 class RequestState(Enum):
-    """Where a request is on its way to its final response."""
+    """State of a request on its way to its final response."""
 
     WAITING = "waiting"
-    """It has no final response, and no attempt is in flight."""
+    """No final response and no attempt in flight."""
     IN_FLIGHT = "in flight"
-    """It has no final response; attempts are in flight."""
+    """No final response; attempts are in flight."""
     RESPONDED = "responded"
-    """It has its final response, or its client has left; attempts are in flight."""
+    """Has its final response, or the client has left; attempts are still in flight."""
     FINISHED = "finished"
-    """It has its final response, or its client has left, and no attempt is in flight: it can be forgotten."""
+    """Has its final response, or the client has left, and no attempt is in flight: it can be removed."""
 
 
 class RequestEvent(Enum):
-    """What changes the state of a request."""
+    """An event that changes the state of a request."""
 
     ATTEMPT_STARTED = "attempt started"
     ATTEMPT_ENDED = "attempt ended"
-    """Others are still in flight."""
+    """Other attempts are still in flight."""
     LAST_ATTEMPT_ENDED = "last attempt ended"
-    """No other is in flight."""
+    """No other attempt is in flight."""
     RESPONDED = "responded"
-    """It got its final response, or its client left."""
+    """The request got its final response, or its client left."""
 
 
 TRANSITIONS: dict[RequestState, dict[RequestEvent, RequestState]] = {
@@ -56,21 +56,21 @@
         RequestEvent.LAST_ATTEMPT_ENDED: RequestState.FINISHED,
     },
     RequestState.FINISHED: {
-        # The policy, when it is notified of the last attempt's end, may send another one, which is withdrawn.
+        # When the policy handles the end of the last attempt, it may send another one, which is withdrawn.
         RequestEvent.ATTEMPT_STARTED: RequestState.RESPONDED,
     },
 }
 
 
 class IllegalTransitionError(FlintridgeError, RuntimeError):
-    """Something happened to a request that cannot happen in its state."""
+    """An event is not allowed in the current state of a request."""
 
 
 def next_state(state: RequestState, event: RequestEvent) -> RequestState:
-    """The state that follows.
+    """Return the state after an event.
 
     Raises:
-        IllegalTransitionError: The event cannot happen in this state.
+        IllegalTransitionError: The event is not allowed in this state.
     """
     following = TRANSITIONS[state].get(event)
     if following is None:
--- a/flintridge/core/response.py
+++ b/flintridge/core/response.py
@@ -1,4 +1,4 @@
-"""Responses: what a server answered, and the client's end of a request that takes the final one."""
+"""Responses: the results of attempts at servers, and the interface that delivers the final response."""
 
 from dataclasses import dataclass, field
 from typing import Protocol
@@ -8,7 +8,12 @@
 
 @dataclass(slots=True, frozen=True)
 class Response:
-    """A final response made by a server: a read's value, or (`receipt`) the receipt of a write."""
+    """A final response from a server.
+
+    Attributes:
+        body: The value of a read, or the receipt of a write.
+        receipt: Whether `body` is the receipt of a write.
+    """
 
     body: bytes
     receipt: bool
@@ -19,12 +24,12 @@
     """How an attempt ended.
 
     Attributes:
-        outcome: In the policy's terms.
-        response: What the server answered, where it served the request.
+        outcome: The outcome that the policy is notified of.
+        response: The server's response; None if the server did not serve the request.
         cache_status: As in `AttemptEnded`.
-        load: What the server reported, by name.
-        malformed: Whether what came could not be read as a response to this request, or a reused connection
-            had ended.
+        load: The server's load report: values by name.
+        malformed: Whether the received bytes were no valid response to this request, or a reused connection
+            had already been closed by the server.
     """
 
     outcome: Outcome
@@ -35,34 +40,34 @@
 
 
 class DownstreamClosedError(ConnectionError):
-    """The client that a response is streamed to is gone, or read nothing for too long."""
+    """The client of a streamed response has disconnected, or has read nothing for too long."""
 
 
 class StreamedResponse(Protocol):
-    """A long value on its way to the client, in chunks. `end` or `abort` is called once."""
+    """A long value that is written to the client in chunks. Exactly one of `end` and `abort` is called."""
 
     async def wait_writable(self) -> None:
-        """Wait until more may be written.
+        """Wait until more chunks may be written.
 
         Raises:
-            DownstreamClosedError: The client is gone, or reads nothing for too long.
+            DownstreamClosedError: The client has disconnected, or has read nothing for too long.
         """
 
     def write(self, chunks: list[bytes]) -> None:
         """Write the next chunks."""
 
     def end(self) -> None:
-        """The value is complete."""
+        """Finish the response; the value is complete."""
 
     def abort(self) -> None:
-        """The value stays incomplete, and the client shall be able to tell."""
+        """Abort the response in a way that lets the client detect that the value is incomplete."""
 
 
 class Responder(Protocol):
-    """The client's end of a request. Of its calls, but for `check_client`, exactly one is made, once."""
+    """Delivers the response to the client. Exactly one method except `check_client` is called, once."""
 
     def check_client(self) -> None:
-        """See whether the client has disconnected by now.
+        """Check whether the client has disconnected.
 
         If so, `RequestLifecycle.client_disconnected` is called before this returns.
         """
@@ -71,25 +76,25 @@
         """Respond with a long value of `length` bytes, in chunks."""
 
     def respond(self, response: Response) -> None:
-        """Respond as a server did."""
+        """Send a server's response."""
 
     def reject(self, retry_after_ms: float) -> None:
-        """Reject the request: not executed; come again after `retry_after_ms` (0: not said)."""
+        """Reject the request as not executed, to be retried after `retry_after_ms` (0 gives no hint)."""
 
     def fail(self) -> None:
-        """Fail the request, with nothing said about whether it was executed."""
+        """Fail the request without stating whether it was executed."""
 
 
 class StreamedValue(Protocol):
-    """A long value on its way from a server, in chunks."""
+    """A long value that arrives from a server in chunks."""
 
     @property
     def length(self) -> int:
-        """In bytes, all of it."""
+        """Total length in bytes."""
 
     @property
     def result(self) -> AttemptResult:
-        """What the server said ahead of the value."""
+        """The result, from what the server sent before the value."""
 
     def take_chunks(self) -> list[bytes]:
-        """The chunks that have come since the last call."""
+        """Return the chunks that have arrived since the last call."""
--- a/flintridge/errors.py
+++ b/flintridge/errors.py
@@ -1,5 +1,5 @@
-"""The base of all errors that flintridge raises by itself."""
+"""The base class of the errors that flintridge defines."""
 
 
 class FlintridgeError(Exception):
-    """Base class; subclasses also derive from the built-in error of which they are a kind."""
+    """Base class of flintridge's errors. Subclasses also derive from the closest built-in exception."""
--- a/flintridge/fleet.py
+++ b/flintridge/fleet.py
@@ -1,6 +1,7 @@
-"""The parts of a node that know of the fleet's other nodes: membership, leases, replication.
+"""The components of a node that communicate with the fleet's other nodes: membership, leases, replication.
 
-Each is there only where the configuration asks for it, and is imported then: a node alone stays small.
+Each is created, and its package imported, only if the configuration enables it, so that a single node uses
+little memory.
 """
 
 from __future__ import annotations
@@ -27,17 +28,17 @@
 
 @dataclass(slots=True, frozen=True)
 class FleetContext:
-    """What the parts need of their node.
+    """What the fleet components need of their node.
 
     Attributes:
-        config: Of the node.
-        core: Reports requests and attempts, takes allocations.
+        config: The node's configuration.
+        core: Reports requests and attempts, and receives allocations.
         endpoints: Ids and addresses of the servers.
-        overrides: Which servers operators took out; None: this node has no replica of that.
-        clock: Gives the time, in float milliseconds.
-        log: Takes the events.
-        counters: Takes the counts.
-        entropy: Returns so many random bytes.
+        overrides: Servers that operators have taken out; None if the node has no replica of that state.
+        clock: The node's clock, in float milliseconds.
+        log: Receives log events.
+        counters: The node's counters.
+        entropy: Returns the given number of random bytes.
     """
 
     config: NodeConfig
@@ -51,29 +52,29 @@
 
 
 class Fleet:
-    """A node's place in its fleet.
+    """The fleet components of one node.
 
     Attributes:
-        membership: None: this node reaches no other.
-        leases: None: this node has its even fraction of each fleet-wide limit.
-        replication: None: this node has no replica of the operators' state.
+        membership: Gossip with the other nodes; None if the configuration names no peers.
+        leases: Allocations of the fleet-wide limits; None if this node uses an even fraction of each limit.
+        replication: Replica of the operators' state; None if this node has no replica.
     """
 
     def __init__(self, context: FleetContext) -> None:
-        """Make the parts that the configuration asks for; nothing is sent before `start_membership`."""
+        """Create the components that the configuration enables; nothing is sent before `start_membership`."""
         self.membership = _make_membership(context)
         self.leases = _make_leases(context, self.membership)
         self.replication = _make_replication(context, self.membership)
 
     async def start_membership(self) -> None:
-        """Begin to exchange messages with the other nodes."""
+        """Start to exchange messages with the other nodes."""
         if self.membership is not None:
             await self.membership.start()
 
     def start(self) -> None:
-        """Begin with leases and replication; before the first request.
+        """Start leases and replication; call before the first request.
 
-        A process that just began holds its floor of each limit alone.
+        A process that has just started uses only its minimum share of each limit.
         """
         if self.leases is not None:
             self.leases.start()
@@ -81,16 +82,16 @@
             self.replication.start()
 
     def is_synchronized(self) -> bool:
-        """Whether the replica, if there is one, is synchronized with another node's."""
+        """Whether the replica is synchronized with another node's; True without a replica."""
         return self.replication is None or self.replication.is_synchronized()
 
     def process_count_changed(self, count: int) -> None:
-        """So many processes are the node now."""
+        """Adapt to the current number of processes of this node."""
         if self.leases is not None:
             self.leases.process_count_changed(count)
 
     def routes(self) -> Routes:
-        """The admin API's routes of the parts."""
+        """Return the admin API routes of the components."""
         routes: Routes = {}
         if self.membership is not None:
             routes[b"/admin/peers"] = {b"GET": self.membership.admin_view}
@@ -101,7 +102,7 @@
         return routes
 
     def publish_counters(self) -> None:
-        """Bring the node's counters up to those of the parts."""
+        """Update the node's counters from those of the components."""
         if self.membership is not None:
             self.membership.publish_counters()
         if self.leases is not None:
@@ -110,17 +111,17 @@
             self.replication.publish_counters()
 
     def begin_shutdown(self) -> None:
-        """The process is about to end: release what is leased."""
+        """Release the leases, as the process is about to end."""
         if self.leases is not None:
             self.leases.begin_shutdown()
 
     def leave(self) -> None:
-        """Tell the other nodes that this one leaves."""
+        """Notify the other nodes that this one leaves the fleet."""
         if self.membership is not None:
             self.membership.leave()
 
     async def close(self) -> None:
-        """End all parts at once."""
+        """Close all components immediately."""
         if self.leases is not None:
             self.leases.close()
         if self.replication is not None:
--- a/flintridge/node.py
+++ b/flintridge/node.py
@@ -1,7 +1,8 @@
-"""One node, put together from its parts: start, reload, leave, close. The only module that names all parts.
+"""Assembles one node from its components, and starts, reloads, shuts down and closes it.
 
-The daemon (`__main__.py`), the lab and whoever embeds a node use the same object, so that what is measured is
-what serves. It reads no file, minds no signal and keeps nothing at module level.
+This is the only module that refers to all components. The program (`__main__.py`), the lab and embedding
+applications all use this class, so measurements run the same code as production. It reads no files, handles
+no signals and has no module-level state.
 """
 
 from __future__ import annotations
@@ -37,20 +38,20 @@
     """A node in the running event loop.
 
     Attributes:
-        config: In force; `reload` replaces it.
-        clock: Gives the time, in float milliseconds.
-        log: Takes the events.
-        counters: Takes the counts.
+        config: The configuration in force; `reload` replaces it.
+        clock: The node's clock, in float milliseconds.
+        log: Receives the node's log events.
+        counters: The node's counters.
         endpoints: Ids and addresses of the servers.
-        core: Takes requests, notifies the policy.
-        dispatcher: Carries attempts to servers.
+        core: Accepts requests and passes events to the policy.
+        dispatcher: Sends attempts to servers.
         discovery_watcher: Watches the endpoint list.
-        shutdown: The state of the service.
-        downstream: The client side.
-        admin_api: For operators; None before `start`, or where the configuration names no address for it.
-        membership: None: this node reaches no other.
-        leases: None: this node has its even fraction of each fleet-wide limit.
-        replication: None: this node has no replica of the operators' state.
+        shutdown: State of drain and termination.
+        downstream: The client side: the listener and its connections.
+        admin_api: The operators' HTTP API; None before `start`, or if no address is configured for it.
+        membership: Gossip with the other nodes; None if the configuration names no peers.
+        leases: Allocations of the fleet-wide limits; None if this node uses an even fraction of each limit.
+        replication: Replica of the operators' state; None if this node has no replica.
     """
 
     def __init__(
@@ -63,17 +64,17 @@
         shared_directory: str | None = None,
         entropy: Callable[[int], bytes] = os.urandom,
     ) -> None:
-        """Put the node together; `start` has it serve.
+        """Create the node's components; `start` makes it serve.
 
         Args:
-            config: Of the node.
-            clock: Gives the time, in float milliseconds.
-            log: Takes the events.
-            counters: Takes the counts; None: those of its own.
-            policy: Stands in for the decision policy, where a trial needs another one.
+            config: The node's configuration.
+            clock: The node's clock, in float milliseconds.
+            log: Receives the node's log events.
+            counters: The counters to use; None creates new ones.
+            policy: Replaces the decision policy, for experiments; None uses `Balancer`.
             shared_directory: Directory that all processes of this node use to find one another; None if the
                 node is a single process.
-            entropy: Returns so many random bytes, of which this process's incarnation is made.
+            entropy: Returns the given number of random bytes; this process's incarnation is made from them.
 
         Raises:
             ConfigError: The configured endpoint list is malformed.
@@ -101,7 +102,7 @@
         self._closed = False
         self._worker_processes = self._make_worker_processes(shared_directory)
 
-    # Its parts
+    # Creation of the components
 
     def _make_core(self, policy: Policy | None) -> RequestLifecycle:
         config = self.config
@@ -179,9 +180,9 @@
             The listener's port.
 
         Raises:
-            ListenError: One of the two can't be opened.
+            ListenError: The admin API or the listener could not be opened.
         """
-        # Before anything else: what cannot have its admin API must not have taken a single connection.
+        # First of all: a node that cannot open its admin API must not have accepted any connection.
         await self._start_admin_api()
         await self._fleet.start_membership()
         if self._worker_processes is not None:
@@ -210,19 +211,19 @@
 
     def _start_discovery(self) -> None:
         if self.config.settings.discovery is DiscoveryMode.PUSHED:
-            # A watch is how lists are pushed: it is open from the first moment.
+            # Lists are pushed through a watch, so the watch is open from the start.
             self.discovery_watcher.begin(self._configured_list)
         else:
             self._apply_list(self._configured_list)
 
     def _is_ready(self) -> bool:
-        """What else has to be before `mn` is answered: a list, and a replica that is synchronized."""
+        """Whether `mn` may be confirmed: there is an endpoint list, and the replica is synchronized."""
         return self.discovery_watcher.has_list and self._fleet.is_synchronized()
 
     # Reload
 
     def reload(self, new: NodeConfig) -> Reloaded:
-        """Take over from `new` what can change in service; no request and no connection is touched."""
+        """Apply the fields of `new` that can change in service; requests and connections are not affected."""
         self.counters.add("reloads")
         plan = plan_reload(self.config, new)
         self.config = plan.config
@@ -234,15 +235,15 @@
         return reloaded
 
     def reject_reload(self, error: Exception) -> None:
-        """A configuration that cannot be read changes nothing; it is counted and logged."""
+        """Count and log a configuration that could not be read; the configuration in force stays."""
         self.counters.add("reloads")
         self.counters.add("reloads_refused")
         self.log.event("reload_refused", error=str(error))
 
     def _apply_limits(self) -> None:
-        """Have this process hold an equal fraction of the node's limits while several processes are the node.
+        """Give this process an equal fraction of the node's limits if the node runs as several processes.
 
-        Nothing that is open is closed for it. What is beyond makes place as others come.
+        A lower limit closes nothing at once: connections above it are evicted as new ones arrive.
         """
         count = 1 if self._worker_processes is None else self._worker_processes.count
         limits = process_limits(self.config, count)
@@ -251,40 +252,40 @@
         self.downstream.connections.limit = limits.client_connections
         self._fleet.process_count_changed(count)
 
-    # The service, as operators see it
+    # The service as seen by operators
 
     @property
     def state(self) -> str:
-        """`starting`, or as in `shutdown.ServiceState`."""
+        """`starting`, or a value of `shutdown.ServiceState`."""
         if self.shutdown.state is ServiceState.SERVING and not self.downstream.serving:
             return "starting"
         return self.shutdown.state.value
 
     @property
     def can_serve(self) -> bool:
-        """Whether it can serve. A drained process can: it is only told not to. One that leaves ends soon."""
+        """Whether requests can be served. True also when draining or drained, False once terminating."""
         return self.downstream.serving and not self.terminating
 
     @property
     def terminating(self) -> bool:
-        """Whether the process is about to end."""
+        """Whether the process is terminating."""
         return self.shutdown.state is ServiceState.TERMINATING
 
     @property
     def connection_count(self) -> int:
-        """Open connections of clients."""
+        """Number of open client connections."""
         return self.downstream.connection_count
 
     @property
     def unanswered(self) -> int:
-        """Requests without a final response."""
+        """Number of requests without a final response."""
         return self.core.unanswered
 
     def quiesce(self) -> bool:
-        """Drain: `mn` is told no, connections end between requests, the process runs on.
+        """Start a drain: `mn` is refused, connections are closed between requests, the process keeps running.
 
         Returns:
-            False where that had been asked before.
+            False if the node is draining, drained or terminating already.
         """
         if not self.shutdown.start_drain(self.clock.now()):
             return False
@@ -294,7 +295,7 @@
         return True
 
     def resume(self) -> bool:
-        """End the drain. False where there was none, or the process leaves."""
+        """End the drain. Returns False if there was none or the process is terminating."""
         if not self.shutdown.resume():
             return False
         self.counters.add("resumes")
@@ -302,10 +303,10 @@
         self.log.event("resumed", connections=self.connection_count)
         return True
 
-    # The end
+    # Termination
 
     async def leave(self) -> None:
-        """Serve on for 0.7 s, answer all that was taken, then close."""
+        """Keep accepting for 0.7 s, respond to every accepted request, then close."""
         self.log.event("leaving", stepped_aside=self._redirect_new_connections())
         self._fleet.begin_shutdown()
         await self.downstream.leave()
@@ -315,14 +316,14 @@
         self.log.event("left")
 
     def _redirect_new_connections(self) -> bool:
-        """Have another process of this node accept new connections; False where there is none."""
+        """Route new connections to another process of this node; False if there is none."""
         if self._worker_processes is None:
             return False
         position = self._worker_processes.index_of_other()
         return position is not None and self.downstream.redirect_new_connections(position)
 
     def log_counters(self) -> None:
-        """Log what was counted, and the histograms where there are any."""
+        """Log the counters, and the histograms if there are any."""
         self._fleet.publish_counters()
         self.log.event("counters", **self.counters.snapshot())
         histograms = self.counters.histograms()
@@ -330,7 +331,7 @@
             self.log.event("histograms", **histograms)
 
     async def close(self) -> None:
-        """End now: nothing stays open or running. A client with a request open sees its connection end."""
+        """Close everything immediately. Clients with an open request see their connection close."""
         if self._closed:
             return
         self._closed = True
--- a/flintridge/operator_routes.py
+++ b/flintridge/operator_routes.py
@@ -1,4 +1,4 @@
-"""The admin API's routes of a node's service: its health, and the begin and end of a drain."""
+"""Admin API routes for a node's service: health, and start and end of a drain."""
 
 from typing import Protocol
 
@@ -10,44 +10,44 @@
 
 
 class OperatedNode(Protocol):
-    """A node, as far as operators ask and tell it."""
+    """The part of a node that the operators' routes use."""
 
     @property
     def state(self) -> str:
-        """Where it is between start and end, as the admin API names it."""
+        """The state of the service, as the admin API names it."""
 
     @property
     def can_serve(self) -> bool:
-        """Whether it can serve, told to or not."""
+        """Whether the node can serve requests, even if it is draining."""
 
     @property
     def terminating(self) -> bool:
-        """Whether its process is about to end."""
+        """Whether the process is terminating."""
 
     @property
     def connection_count(self) -> int:
-        """Open connections of clients."""
+        """Number of open client connections."""
 
     @property
     def unanswered(self) -> int:
-        """Requests without a final response."""
+        """Number of requests without a final response."""
 
     def quiesce(self) -> bool:
-        """Drain; False where that had been asked before."""
+        """Start a drain; False if the node is draining, drained or terminating already."""
 
     def resume(self) -> bool:
-        """End the drain; False where there was none, or the process is about to end."""
+        """End the drain; False if there was none or the process is terminating."""
 
 
 class OperatorRoutes:
-    """Answers the calls of operators for one node."""
+    """Handles the operators' calls for one node."""
 
     def __init__(self, node: OperatedNode) -> None:
-        """Answer for `node`."""
+        """Handle calls for `node`."""
         self._node = node
 
     def routes(self) -> Routes:
-        """The calls by path and method."""
+        """Return the handlers by path and method."""
         return {
             b"/admin/health": {b"GET": self._health},
             b"/admin/quiesce": {b"POST": self._quiesce},
--- a/flintridge/reload.py
+++ b/flintridge/reload.py
@@ -1,22 +1,22 @@
-"""A new configuration in service: what of it is applied, what waits for a restart, which limits it gives."""
+"""Reload of the configuration: which fields apply at once, which need a restart, and the resulting limits."""
 
 from dataclasses import dataclass, fields, replace
 
 from flintridge.config.node_config import MAX_VALUE_MB, NodeConfig
 
-CHANGEABLE_FIELDS = ("discovery", "sockets", "memory_mb")  # without a restart
-# The list that the file holds is an old one; the node's own is newer.
+CHANGEABLE_FIELDS = ("discovery", "sockets", "memory_mb")  # these apply without a restart
+# The endpoint list in the file is older than the one that the node has.
 IGNORED_FIELDS = ("known",)
 MAX_VALUE_BYTES = int(MAX_VALUE_MB * 1024 * 1024)
 
 
 @dataclass(slots=True, frozen=True)
 class Reloaded:
-    """What a new configuration changed, by the names of `NodeConfig`.
+    """Names of the `NodeConfig` fields in which a new configuration differs.
 
     Attributes:
-        changed: What is in force now.
-        until_restart: What waits for a restart.
+        changed: Fields whose new values are in force.
+        until_restart: Fields whose new values take effect after a restart.
     """
 
     changed: tuple[str, ...]
@@ -25,11 +25,11 @@
 
 @dataclass(slots=True, frozen=True)
 class ReloadPlan:
-    """What a new configuration means for a node in service.
+    """How a serving node applies a new configuration.
 
     Attributes:
-        config: In force from now on, whatever else the new one says.
-        reloaded: What differs.
+        config: The configuration in force from now on: the current one with the applicable changes.
+        reloaded: The fields that differ.
     """
 
     config: NodeConfig
@@ -37,11 +37,11 @@
 
 
 def plan_reload(current: NodeConfig, new: NodeConfig) -> ReloadPlan:
-    """Take over from a new configuration what can change in service.
+    """Merge the fields of a new configuration that can change in service into the current one.
 
     Args:
-        current: In force.
-        new: As it was read.
+        current: The configuration in force.
+        new: The configuration as read from the file.
     """
     names = [field.name for field in fields(NodeConfig) if field.name not in IGNORED_FIELDS]
     differing = [name for name in names if getattr(new, name) != getattr(current, name)]
@@ -52,12 +52,12 @@
 
 @dataclass(slots=True, frozen=True)
 class ProcessLimits:
-    """What one process of a node may hold.
+    """Resource limits of one process of a node.
 
     Attributes:
-        memory_bytes: For the values of writes; one of the largest always.
-        server_connections: Open connections to servers.
-        client_connections: Open connections of clients.
+        memory_bytes: Memory for the values of writes; always enough for one value of the maximum size.
+        server_connections: Maximum number of open connections to servers.
+        client_connections: Maximum number of open client connections.
     """
 
     memory_bytes: int
@@ -66,11 +66,11 @@
 
 
 def process_limits(config: NodeConfig, process_count: int) -> ProcessLimits:
-    """A process's equal fraction of its node's limits.
+    """Return the limits of one process: an equal fraction of the node's limits.
 
     Args:
-        config: In force.
-        process_count: So many processes are the node.
+        config: The configuration in force.
+        process_count: Number of processes of the node.
     """
     return ProcessLimits(
         memory_bytes=max(MAX_VALUE_BYTES, config.memory_budget_bytes // process_count),
--- a/flintridge/shutdown.py
+++ b/flintridge/shutdown.py
@@ -1,12 +1,12 @@
-"""The graceful shutdown of a node, as a state machine for the operators' calls and for SIGTERM.
+"""The graceful shutdown of a node: a state machine driven by the operators' calls and by SIGTERM.
 
     SERVING --start_drain--> DRAINING --no client connection is open--> DRAINED
        ^                        |                                          |
        +---------resume---------+------------------resume------------------+
-    any of them --terminate--> TERMINATING, for good
+    any state --terminate--> TERMINATING (final)
 
-It closes nothing and reads no clock: it says what is due at a time that is passed in, and the client side
-does it.
+It closes nothing and reads no clock: it computes what is due at a time that the caller passes in, and the
+client side carries that out.
 """
 
 from dataclasses import dataclass
@@ -16,41 +16,41 @@
 from flintridge.runtime.clock import to_ms
 
 IDLE_CLOSE_DELAY_MS = 400.0
-"""After the call: until then new connections keep coming, and idle ones stay open."""
+"""Until this long after the call, new connections are accepted and idle ones stay open."""
 
 STOP_READING_DELAY_MS = 1500.0
-"""After the call, at the latest: from then on no connection is read any further."""
+"""At the latest this long after the call, no connection is read any further."""
 
 SHUTDOWN_ACCEPT_MS = 700.0
-"""After SIGTERM: until then what arrives is served."""
+"""Requests that arrive within this time after SIGTERM are served."""
 
 SHUTDOWN_COMMAND_TIMEOUT_MS = 1500.0
-"""After SIGTERM, at the latest: half a command is waited for until then, or while responses are awaited."""
+"""An incomplete command is waited for until this long after SIGTERM, or while responses are outstanding."""
 
 SHUTDOWN_MAX_RESPONSE_MS = 3000.0
-"""A request that arrived while requests were accepted may take this long; then SIGKILL may come."""
+"""Longest time for a request that arrived while requests were accepted; after it SIGKILL may follow."""
 
 SHUTDOWN_RESPONSE_MARGIN_MS = 200.0
-"""Before SIGKILL: the last responses are due, though the node be held up for 150 ms before it writes them."""
+"""The last responses are due this long before SIGKILL, so that they are written despite a 150 ms stall."""
 
 SHORT_RESPONSE_MARGIN = 0.25
-"""Of the longest deadline: that margin, where deadlines are short."""
+"""Upper bound of the response margin as a fraction of the longest deadline, for short deadlines."""
 
 LAST_REQUEST_TIME_MS = 1000.0
-"""What is read last has so much of its time, or the whole of the longest deadline, before SIGKILL."""
+"""Time between the last read and SIGKILL, or the longest deadline if that is shorter."""
 
 
 @dataclass(slots=True, frozen=True)
 class ShutdownTimes:
-    """When what falls due after the call, in milliseconds; it follows the longest deadline of a deployment.
+    """Times of the shutdown steps, in milliseconds after the call, derived from the longest deadline.
 
-    After SIGTERM the process may be killed once that deadline, 3 s at most, and SHUTDOWN_ACCEPT_MS are over.
-    Guards requests against a process that reads what it can't answer any more: with deadlines of 100 ms it is
-    killed after 0.8 s.
+    After SIGTERM the process may be killed once SHUTDOWN_ACCEPT_MS and that deadline, at most 3 s, are over.
+    The times depend on the deadline so that the process reads no request that it cannot respond to any more:
+    with deadlines of 100 ms it is killed after 0.8 s.
 
     Attributes:
-        stop_reading_ms: No connection is read any further, but for the rest of half a command.
-        last_response_ms: All responses are due, and nothing is waited for any more.
+        stop_reading_ms: From then on no connection is read, except for the rest of an incomplete command.
+        last_response_ms: By then all responses are due, and nothing is waited for any more.
     """
 
     stop_reading_ms: float = STOP_READING_DELAY_MS
@@ -58,7 +58,7 @@
 
     @classmethod
     def of(cls, settings: Settings) -> "ShutdownTimes":
-        """Those of a deployment with these settings."""
+        """Return the times for a deployment with these settings."""
         deadlines_ms = (to_ms(request_class.deadline_ns) for request_class in settings.classes)
         response_ms = min(SHUTDOWN_MAX_RESPONSE_MS, max(deadlines_ms, default=SHUTDOWN_MAX_RESPONSE_MS))
         killed_ms = SHUTDOWN_ACCEPT_MS + response_ms
@@ -70,42 +70,46 @@
 
 
 class ServiceState(Enum):
-    """What a node does about the end of its service; the values are the admin API's."""
+    """State of a node's service; the values are those that the admin API reports."""
 
     SERVING = "serving"
     DRAINING = "draining"
-    """Client connections are being ended; the process runs on."""
+    """Client connections are being closed; the process keeps running."""
     DRAINED = "drained"
-    """No client connection was open any more; what comes all the same is served."""
+    """All client connections have closed; requests that still arrive are served."""
     TERMINATING = "leaving"
-    """The process is about to end."""
+    """The process is shutting down."""
 
 
 class GracefulShutdown:
-    """What is due of a node's drain or termination. Times are float milliseconds of the node's clock.
+    """State of a node's drain or termination. Times are float milliseconds of the node's clock.
 
     Attributes:
-        state: Where the node is.
+        state: The current state.
     """
 
     __slots__ = ("_shutdown_at", "_stop_reading_ms", "state")
 
     def __init__(self, times: ShutdownTimes | None = None) -> None:
-        """`times`: those of the deployment; None: those of one whose longest deadline is 3 s or more."""
+        """Start in state SERVING.
+
+        Args:
+            times: The deployment's shutdown times; None uses those for a longest deadline of 3 s or more.
+        """
         self._stop_reading_ms = (times or ShutdownTimes()).stop_reading_ms
         self.state = ServiceState.SERVING
-        self._shutdown_at = 0.0  # the time of the call that began it
+        self._shutdown_at = 0.0  # when the drain or the termination was started
 
     @property
     def accepts_clients(self) -> bool:
-        """Whether more clients may come, as the response to `mn` says."""
+        """Whether new clients are accepted, which is what the response to `mn` reports."""
         return self.state is ServiceState.SERVING
 
     def start_drain(self, now: float) -> bool:
-        """End the service but not the process.
+        """Start a drain, which ends the service but not the process.
 
         Returns:
-            Whether anything changed; it doesn't where this had been asked before.
+            Whether the state changed; False if the node is draining, drained or terminating already.
         """
         if self.state is not ServiceState.SERVING:
             return False
@@ -114,10 +118,10 @@
         return True
 
     def resume(self) -> bool:
-        """Serve again.
+        """End a drain and serve again.
 
         Returns:
-            Whether anything changed; it doesn't without a drain, nor once the node terminates.
+            Whether the state changed; False without a drain, and once the node is terminating.
         """
         if self.state not in (ServiceState.DRAINING, ServiceState.DRAINED):
             return False
@@ -125,10 +129,10 @@
         return True
 
     def terminate(self, now: float) -> bool:
-        """The process is to end. A drain that was under way goes on from where it was: nothing opens again.
+        """Start the termination. A drain in progress keeps its start time, so nothing is accepted again.
 
         Returns:
-            Whether anything changed; it doesn't where this had been asked before.
+            Whether the state changed; False if the node is terminating already.
         """
         if self.state is ServiceState.TERMINATING:
             return False
@@ -138,7 +142,7 @@
         return True
 
     def connections_closed(self, now: float) -> bool:
-        """No client connection is open any more.
+        """Record that no client connection is open.
 
         Returns:
             Whether this completes the drain.
@@ -149,19 +153,19 @@
         return True
 
     def closes_idle_connections(self, now: float) -> bool:
-        """Whether connections are closed between requests."""
+        """Whether connections are closed when they are between requests."""
         return self.state is not ServiceState.SERVING and now >= self._shutdown_at + IDLE_CLOSE_DELAY_MS
 
     def stops_reading(self, now: float) -> bool:
-        """Whether connections are read no further, even those that always have the next command written.
+        """Whether connections are no longer read, including those of clients that always pipeline a command.
 
-        Guards the end of a drain against clients that are never between requests: what they wrote but was not
-        read they send again elsewhere.
+        Without this limit a drain would never end for clients that are never between requests. They send what
+        was not read again to another node.
         """
         return self.state is not ServiceState.SERVING and now >= self._shutdown_at + self._stop_reading_ms
 
     def deadlines(self, now: float) -> list[float]:
-        """The instants still to come at which something falls due."""
+        """Return the future instants at which a shutdown step is due."""
         if self.state is ServiceState.SERVING:
             return []
         delays = (IDLE_CLOSE_DELAY_MS, self._stop_reading_ms)
--- a/flintridge/simulator_adapter.py
+++ b/flintridge/simulator_adapter.py
@@ -1,6 +1,6 @@
-"""The simulator adapter: a program that hosts one policy for each router instance of the simulator.
+"""The simulator adapter: a program that runs one policy for each router instance of the simulator.
 
-It reads batches of lines from standard input and answers each with the actions' lines on standard output.
+It reads batches of lines from standard input and replies to each batch with action lines on standard output.
 """
 
 import json
@@ -16,27 +16,27 @@
 
 
 class PolicyHost:
-    """The router instances of this process; they share nothing.
+    """The router instances of this process, which share no state.
 
     Attributes:
-        instances: The policy of each, by its number.
+        instances: The policy of each instance, by instance number.
     """
 
     def __init__(self) -> None:
         self.instances: dict[int, Balancer] = {}
 
     def handle_batch(self, now_ns: int, lines: Iterator[str]) -> list[str]:
-        """Carry out what happened at one instant.
+        """Process the commands and events of one instant.
 
         Args:
-            now_ns: The instant.
-            lines: Commands and events.
+            now_ns: The instant, in nanoseconds.
+            lines: Command and event lines.
 
         Returns:
-            The lines of the policies' actions, and a PANIC line for each event that broke one.
+            The action lines of the policies, and a PANIC line for each event whose handling raised an error.
 
         Raises:
-            MalformedInputError: A line is malformed; the ones before it were carried out.
+            MalformedInputError: A line is malformed; the lines before it have been processed.
         """
         output: list[str] = []
         for line in lines:
@@ -56,7 +56,7 @@
                 continue
             try:
                 actions = self.instances[instance].handle(now_ns, event)
-            except Exception as error:  # the policy broke: say so on the wire and stop the scenario
+            except Exception as error:  # reported as PANIC, which ends the scenario
                 output.append(f"PANIC {instance} {type(error).__name__}: {single_line(str(error))}")
                 continue
             output.extend(encode_action(instance, action) for action in actions)
@@ -68,17 +68,17 @@
 
 
 def serve(source: TextIO, sink: TextIO) -> None:
-    """Answer batches until the input ends.
+    """Process batches until the input ends.
 
     Args:
-        source: A batch is a CLOCK line, commands and events, and YOUR_TURN.
-        sink: Takes the actions of each batch and YIELD.
+        source: The input. A batch is a CLOCK line, command and event lines, and a YOUR_TURN line.
+        sink: Receives the action lines of each batch, followed by a YIELD line.
 
     Raises:
         MalformedInputError: A line is malformed, or the input ends within a batch.
     """
     host = PolicyHost()
-    now_ns: int | None = None  # None: between batches
+    now_ns: int | None = None  # None between batches
     batch: list[str] = []
     for raw_line in source:
         line = raw_line.rstrip("\n")
@@ -99,7 +99,11 @@
 
 
 def main() -> int:
-    """Serve on standard input and output; the exit code."""
+    """Serve on standard input and output.
+
+    Returns:
+        The exit code.
+    """
     try:
         serve(sys.stdin, sys.stdout)
     except ValueError as error:
--- a/flintridge/simulator_codec.py
+++ b/flintridge/simulator_codec.py
@@ -1,4 +1,4 @@
-"""The simulator's line protocol: event lines into the policy's events, its actions into lines."""
+"""The simulator's line protocol: decodes lines into policy events and encodes policy actions as lines."""
 
 import itertools
 from collections.abc import Callable, Iterator
@@ -6,7 +6,7 @@
 from flintridge import api
 from flintridge.errors import FlintridgeError
 
-ABSENT = "-"  # stands in a field that has no value
+ABSENT = "-"  # placeholder for a field without a value
 
 OUTCOMES = {
     "S": api.Outcome.OK,
@@ -33,18 +33,15 @@
 
 
 class MalformedInputError(FlintridgeError, ValueError):
-    """A line, or the order of lines, that the protocol does not have."""
+    """A line, or a sequence of lines, violates the protocol."""
 
 
 def decode_event(line: str, following: Iterator[str]) -> api.Event:
     """Decode one event.
 
     Args:
-        line: Its first line: the event's name, the instance, and the event's fields.
-        following: The lines after it; a FLEET event takes its endpoints from them.
-
-    Returns:
-        The policy's event.
+        line: The first line of the event: its name, the instance number and the event's fields.
+        following: The lines after it, from which a FLEET event reads its endpoints.
 
     Raises:
         ValueError, LookupError: The line is malformed.
@@ -60,10 +57,10 @@
 
 
 def encode_action(instance: int, action: api.Action) -> str:
-    """An action of a router instance as its line.
+    """Encode an action of a router instance as a line.
 
     Raises:
-        TypeError: The policy has no such action.
+        TypeError: The protocol has no such action.
     """
     match action:
         case api.Send(request_id, server, timeout_ns):
@@ -92,7 +89,7 @@
 
 
 def single_line(text: str) -> str:
-    """A text that may have line breaks, as the rest of a line."""
+    """Replace line breaks and runs of white space in a text by single spaces."""
     return " ".join(text.split())
 
 
@@ -101,7 +98,7 @@
 
 
 def _load_report(text: str) -> dict[str, float]:
-    """What a server reported, by name: `name:value` pairs with commas between them."""
+    """Decode a server's load report: comma-separated `name:value` pairs."""
     if text == ABSENT:
         return {}
     pairs = [pair.split(":") for pair in text.split(",")]
--- a/flintridge/upstream/__init__.py
+++ b/flintridge/upstream/__init__.py
@@ -1,1 +1,1 @@
-"""The server side: connections to cache servers and the origin, and the attempts that are made over them."""
+"""The server side: connections to cache servers and the origin, and the attempts sent over them."""
--- a/flintridge/upstream/beginning.py
+++ b/flintridge/upstream/beginning.py
@@ -1,4 +1,4 @@
-"""Whether an attempt may still begin, that is, have its first byte written."""
+"""Checks whether an attempt may still begin, that is, whether its first byte may be written."""
 
 from flintridge.core.request import UpstreamAttempt
 from flintridge.errors import FlintridgeError
@@ -6,18 +6,18 @@
 
 
 class AttemptWithdrawnError(FlintridgeError):
-    """The attempt may not be written any more; nothing of it was."""
+    """The attempt may not be written any more, and no byte of it was written."""
 
 
 def check_may_begin(attempt: UpstreamAttempt, clock: Clock) -> None:
-    """See whether what an attempt rests on holds still.
+    """Check that the preconditions of an attempt still hold.
 
-    The client comes last, behind all looks at the clock: a node that is held up at one of these would write
-    for a client that closed meanwhile.
+    The client is checked last, after all reads of the clock: if the process stalled at one of those, it would
+    otherwise write for a client that has disconnected meanwhile.
 
     Raises:
-        AttemptWithdrawnError: Its time, a drain's grace or a deduplication window is over, its request has
-            ended, or its client has gone.
+        AttemptWithdrawnError: The attempt's deadline, a drain's grace period or a deduplication window has
+            passed, the request has ended, or the client has disconnected.
     """
     now = clock.now()
     if now >= attempt.deadline or now > min(attempt.begin_by, attempt.written_by):
--- a/flintridge/upstream/connection.py
+++ b/flintridge/upstream/connection.py
@@ -1,4 +1,4 @@
-"""One connection to a server, and an exchange over it."""
+"""One connection to a server, and the exchange over it."""
 
 import asyncio
 import contextlib
@@ -16,38 +16,39 @@
 from flintridge.runtime.streams import READ_MAX_BYTES, TrackingReader, is_reusable
 from flintridge.runtime.streams import open_connection as open_tracked_connection
 
-# How often an attempt of which the system has taken no byte yet is looked at: far less than the 0.1 s after
-# its client's end in which it may still begin.
+# How often an attempt is checked while the kernel has accepted no byte of it. Far less than the 0.1 s within
+# which an attempt may still begin after its client has disconnected.
 BEGIN_CHECK_INTERVAL_MS = 10.0
-WRITE_CHUNK_BYTES = 64 * 1024  # of a long value, handed to the transport at a time
+WRITE_CHUNK_BYTES = 64 * 1024  # how much of a long value is passed to the transport at a time
 
 
 def _allow_begin() -> None:
-    """Whatever is written may begin at any time."""
+    """Default check: writing may begin at any time."""
 
 
 class UpstreamReader(TrackingReader):
-    """Notifies of anything that arrives while no request is out.
+    """Reports input that arrives while the connection is idle.
 
-    Guards the next request on a reused connection against being answered by bytes that are there already: a
-    duplicate of the response before, noise behind it, or the end of the connection.
+    Without it, the next request on a reused connection could take bytes that are already there for its
+    response: a duplicate of the previous response, garbage after it, or the end of the connection.
 
     Attributes:
-        on_unexpected_data: Called with each arrival; set while nothing may arrive.
+        on_unexpected_data: Called whenever data or the end of the stream arrives; None while a response is
+            expected.
     """
 
     def __init__(self, loop: asyncio.AbstractEventLoop) -> None:
         super().__init__(loop, limit=READ_MAX_BYTES // 2)
         self.on_unexpected_data: Callable[[], None] | None = None
 
-    def feed_data(self, data: bytes) -> None:  # type: ignore[override]  # as in the base
-        """As in the base."""
+    def feed_data(self, data: bytes) -> None:  # type: ignore[override]  # same as in the base class
+        """Buffer data, and report it if none is expected."""
         super().feed_data(data)
         if self.on_unexpected_data is not None:
             self.on_unexpected_data()
 
     def feed_eof(self) -> None:
-        """As in the base."""
+        """Record the end of the stream, and report it if it is not expected."""
         super().feed_eof()
         if self.on_unexpected_data is not None:
             self.on_unexpected_data()
@@ -58,16 +59,16 @@
     """A connection to a server, for one exchange at a time. Instants are milliseconds of the node's clock.
 
     Attributes:
-        address: Where it leads.
-        reader: What arrives.
-        writer: What is sent.
-        idle_since: When its last exchange ended.
-        quarantined_until: It is not used again before.
-        request_begun: Whether the system took any byte of the request of its last exchange.
+        address: Address of the server.
+        reader: Stream of received data.
+        writer: Stream of sent data.
+        idle_since: When the last exchange ended.
+        quarantined_until: The connection must not be reused before this instant.
+        request_begun: Whether the kernel accepted any byte of the last exchange's request.
         request_written: Whether that request was written completely.
-        reused: Whether it was idle before the exchange that it carries.
-        idle_before_use_ms: How long it was idle before the exchange that it carries; 0: it is new.
-        bytes_read_before_use: How many bytes had been read until that exchange.
+        reused: Whether the connection was idle before the current exchange.
+        idle_before_use_ms: How long it was idle before the current exchange; 0 for a new connection.
+        bytes_read_before_use: Number of bytes read before the current exchange.
     """
 
     address: Address
@@ -83,12 +84,12 @@
 
     @property
     def nothing_received(self) -> bool:
-        """Whether no byte of the response was read."""
+        """Whether no byte of the current response has been read."""
         return self.reader.read_bytes == self.bytes_read_before_use
 
     @property
     def unusable(self) -> bool:
-        """Whether it has ended, or holds bytes that belong to no request."""
+        """Whether the connection has ended or has buffered bytes that belong to no request."""
         return not is_reusable(self.reader, self.writer)
 
     async def perform(
@@ -102,16 +103,16 @@
 
         Args:
             exchange: The request and its response.
-            clock: Tells when the deadline is.
-            write_deadline: The request has to be written completely by this instant.
-            check_may_begin: Called right before the first byte is written, and again while the system takes
-                none; what it raises withdraws the request.
+            clock: The node's clock.
+            write_deadline: Latest instant by which the request must be written completely.
+            check_may_begin: Called right before the first byte is written, and repeatedly while the kernel
+                accepts no byte. An error that it raises withdraws the request.
 
         Returns:
-            The result; None if a long value has begun, which is then `exchange.streamed_value`.
+            The result; None if a long value has begun, which is then in `exchange.streamed_value`.
 
         Raises:
-            OSError: The connection broke.
+            OSError: The connection failed.
             DeadlineExceededError: The request was not written in time.
         """
         self.request_begun = False
@@ -133,7 +134,7 @@
             if len(piece) <= WRITE_CHUNK_BYTES:
                 pieces.append(piece)
                 continue
-            # A long value goes in chunks: the transport would copy all that the server has not read.
+            # A long value is written in chunks, as the transport copies whatever the server has not read yet.
             await self._write_pieces(pieces, clock, check_may_begin)
             pieces = []
             for start in range(0, len(piece), WRITE_CHUNK_BYTES):
@@ -141,10 +142,10 @@
                 await self.writer.drain()
         try:
             await self._write_pieces(pieces, clock, check_may_begin)
-            await self.writer.drain()  # with no high-water mark: returns when all is written
+            await self.writer.drain()  # high-water mark 0: returns once everything is written
         except asyncio.CancelledError:
-            # Guards against a timeout in the very step in which the last byte went out, of which this task
-            # was to hear next: the request may be executed, and must not count as never sent.
+            # The timeout can occur in the same loop iteration in which the last byte was written, before this
+            # task resumes. The server may execute that request, so it must not count as never sent.
             transport = self.writer.transport
             self.request_written = not transport.is_closing() and not transport.get_write_buffer_size()
             raise
@@ -152,7 +153,7 @@
     async def _write_pieces(
         self, pieces: list[bytes | bytearray], clock: Clock, check_may_begin: Callable[[], None]
     ) -> None:
-        """Write some pieces of a request; the first ones not before the system takes a byte of them."""
+        """Write pieces of a request; for the first pieces, wait until the kernel has accepted a byte."""
         if self.request_begun:
             self.writer.writelines(pieces)
             return
@@ -160,8 +161,8 @@
         transport = self.writer.transport
         check_may_begin()
         self.writer.writelines(pieces)
-        # Guards against a request that begins long after its client has gone: the system may be out of
-        # memory for sockets, or held up, and take none of it at first.
+        # The kernel may accept nothing at first, because it lacks socket memory or the process stalls.
+        # Without the repeated check, a request could begin long after its client has disconnected.
         while transport.get_write_buffer_size() >= size:
             await sleep(clock, BEGIN_CHECK_INTERVAL_MS)
             if transport.get_write_buffer_size() >= size:
@@ -169,13 +170,13 @@
         self.request_begun = not transport.is_closing()
 
     async def receive(self, exchange: Exchange) -> AttemptResult | None:
-        """Read once and feed it to the exchange.
+        """Read once and feed the data to the exchange.
 
         Returns:
-            The result, if this completes it.
+            The result if the response is complete; None otherwise.
 
         Raises:
-            OSError: The connection ended too early.
+            OSError: The connection failed, or ended before the response was complete.
         """
         data = await self.reader.read(READ_MAX_BYTES)
         result = exchange.feed(data) if data else exchange.end()
@@ -185,10 +186,10 @@
 
 
 def _error_if_unconnected(reader: UpstreamReader, writer: asyncio.StreamWriter) -> OSError | None:
-    """The error of a connection that the event loop takes for one that is up.
+    """Return the error of a connection that asyncio wrongly reports as established, or None if it is.
 
-    asyncio reads EAGAIN of connect(2), which stands for a lack of local ports, as "in progress", then the
-    socket's missing error as success.
+    connect(2) fails with EAGAIN if no local port is free. asyncio treats that as "in progress", and then
+    takes the absence of a socket error for success.
     """
     if writer.get_extra_info("peername") is not None:
         return None
@@ -196,7 +197,7 @@
     error = reader.exception()
     if isinstance(error, OSError) and error.errno != errno.ENOTCONN:
         return error
-    with contextlib.suppress(OSError):  # it is closed already
+    with contextlib.suppress(OSError):  # the socket may be closed already
         pending = writer.get_extra_info("socket").getsockopt(socket.SOL_SOCKET, socket.SO_ERROR)
         code = pending or code
     return OSError(code, os.strerror(code))
@@ -206,7 +207,7 @@
     """Connect to a server.
 
     Raises:
-        OSError: There is no connection.
+        OSError: The connection could not be established.
     """
     reader = UpstreamReader(asyncio.get_running_loop())
     writer = await open_tracked_connection(reader, address.host, address.port)
--- a/flintridge/upstream/connection_pool.py
+++ b/flintridge/upstream/connection_pool.py
@@ -1,6 +1,6 @@
-"""Pool of the connections to servers: idle ones are used again, the latest first, and all are limited.
+"""Pool of the connections to servers: reuses idle ones, the most recent first, and limits their total number.
 
-Which connection to use, to close or to evict is decided by plain functions; `ConnectionPool` carries it out.
+Pure functions decide which connection to use, close or evict; `ConnectionPool` carries that out.
 """
 
 import enum
@@ -17,19 +17,19 @@
 from flintridge.upstream.idle_timeout import IdleTimeout
 
 SWEEP_INTERVAL_MS = 250.0
-# A connection whose last response named no request is not used again for so long. Guards the next request
-# against a duplicate of that response, which can come some milliseconds late and would pass for its own.
+# How long a connection is not reused if its last response did not carry a request id. A duplicate of that
+# response can arrive some milliseconds late and would be taken for the response to the next request.
 QUARANTINE_MS = 50.0
 
 
 class ConnectionLimitError(FlintridgeError, OSError):
-    """As many connections as the pool may hold are open, and none of them is idle."""
+    """The connection limit is reached, and no connection is idle."""
 
     def __init__(self) -> None:
-        super().__init__(errno.EMFILE, "as many connections as allowed are open")
+        super().__init__(errno.EMFILE, "connection limit reached")
 
 
-class IdleVerdict(enum.Enum):
+class IdleConnectionAction(enum.Enum):
     """What to do with an idle connection when one is needed."""
 
     USE = enum.auto()
@@ -37,70 +37,70 @@
     CLOSE = enum.auto()
 
 
-def judge_idle_connection(
+def action_for_idle_connection(
     connection: UpstreamConnection, address: Address, now: float, idle_timeout_ms: float
-) -> IdleVerdict:
-    """Decide whether an idle connection may carry an exchange with the server at `address`.
+) -> IdleConnectionAction:
+    """Decide whether an idle connection may be used for an exchange with the server at `address`.
 
     Args:
-        connection: The idle one.
-        address: Where its server is now.
+        connection: The idle connection.
+        address: The server's current address.
         now: Milliseconds of the node's clock.
-        idle_timeout_ms: One that has been idle for so long is not used.
+        idle_timeout_ms: A connection that has been idle for this long is closed instead.
     """
     if connection.unusable:
-        return IdleVerdict.CLOSE
+        return IdleConnectionAction.CLOSE
     if now < connection.quarantined_until:
-        return IdleVerdict.KEEP_QUARANTINED
+        return IdleConnectionAction.KEEP_QUARANTINED
     if now - connection.idle_since >= idle_timeout_ms or connection.address != address:
-        return IdleVerdict.CLOSE
-    return IdleVerdict.USE
+        return IdleConnectionAction.CLOSE
+    return IdleConnectionAction.USE
 
 
 def server_to_evict_from(idle: Mapping[str, Sequence[UpstreamConnection]]) -> str | None:
-    """The server whose first idle connection has been idle for longest; None if there is no idle connection.
+    """Return the server whose connection has been idle for longest; None if there is no idle connection.
 
     Args:
-        idle: By server, the longest idle first.
+        idle: Idle connections by server, the longest idle first.
     """
     candidates = (server for server, connections in idle.items() if connections)
     return min(candidates, key=lambda server: idle[server][0].idle_since, default=None)
 
 
 class ConnectionPool:
-    """All connections of a node to servers: those that carry an exchange are counted, the idle ones are kept.
+    """All connections of a node to servers: keeps the idle ones and counts those in use.
 
     Attributes:
-        max_connections: So many may be open.
-        open_count: How many are open or being opened.
-        idle_timeout: After which time an idle one is closed.
+        max_connections: Maximum number of open connections.
+        open_count: Number of connections that are open or being opened.
+        idle_timeout: Time after which an idle connection is closed.
     """
 
     def __init__(
         self, max_connections: int, server_timeout_ms: float, clock: Clock, counters: Counters
     ) -> None:
-        """Make an empty pool and begin to sweep it.
+        """Create an empty pool and start to close expired connections periodically.
 
         Args:
-            max_connections: As the attribute.
-            server_timeout_ms: After which servers close idle connections, by the settings.
-            clock: Of the node.
-            counters: Of the node.
+            max_connections: Maximum number of open connections.
+            server_timeout_ms: Time after which servers close idle connections, from the settings.
+            clock: The node's clock.
+            counters: The node's counters.
         """
         self.max_connections = max_connections
         self.open_count = 0
         self.idle_timeout = IdleTimeout(server_timeout_ms)
         self._clock = clock
         self._counters = counters
-        self._idle: dict[str, deque[UpstreamConnection]] = {}  # by server, the latest used last
+        self._idle: dict[str, deque[UpstreamConnection]] = {}  # by server, the most recently used last
         self._sweep_timer = clock.call_at(clock.now() + SWEEP_INTERVAL_MS, self._sweep)
 
     def take_idle(self, server: str, address: Address) -> UpstreamConnection | None:
-        """Take the idle connection to a server that was used last; None if no idle one may be used.
+        """Take the most recently used idle connection to a server; None if no idle one may be used.
 
         Args:
-            server: The server's name in the endpoint list.
-            address: Where it is now.
+            server: The server's id in the endpoint list.
+            address: The server's current address.
         """
         connections = self._idle.get(server)
         if connections is None:
@@ -110,14 +110,14 @@
         quarantined: list[UpstreamConnection] = []
         while connections and found is None:
             connection = connections.pop()
-            verdict = judge_idle_connection(connection, address, now, self.idle_timeout.current_ms)
-            if verdict is IdleVerdict.KEEP_QUARANTINED:
+            action = action_for_idle_connection(connection, address, now, self.idle_timeout.current_ms)
+            if action is IdleConnectionAction.KEEP_QUARANTINED:
                 quarantined.append(connection)
                 continue
             connection.reader.on_unexpected_data = None
-            if verdict is IdleVerdict.CLOSE:
+            if action is IdleConnectionAction.CLOSE:
                 self.close_connection(connection)
-            elif has_pending_input(connection.writer.transport):  # which the event loop has not seen yet
+            elif has_pending_input(connection.writer.transport):  # not yet read by the event loop
                 self._counters.add("connections_unexpected_data")
                 self.close_connection(connection)
             else:
@@ -131,12 +131,12 @@
         return found
 
     async def connect(self, address: Address, timeout_ms: float) -> UpstreamConnection:
-        """Open a connection, and evict an idle one if the limit is reached.
+        """Open a connection, and evict an idle one first if the limit is reached.
 
         Raises:
             ConnectionLimitError: The limit is reached, and no connection is idle.
-            OSError: It was refused.
-            DeadlineExceededError: It did not come up in time.
+            OSError: The connection was refused or failed.
+            DeadlineExceededError: The connection was not established in time.
         """
         if self.open_count >= self.max_connections and not self._evict():
             raise ConnectionLimitError
@@ -152,14 +152,14 @@
         return connection
 
     def release(self, server: str, connection: UpstreamConnection, names_request: bool = True) -> None:
-        """Take a connection back once its exchange is complete.
+        """Return a connection to the pool after its exchange is complete.
 
         Args:
-            server: Where it leads.
-            connection: It is the pool's again.
-            names_request: Whether the last response on it named its request.
+            server: The server's id.
+            connection: The connection, which the caller must not use any more.
+            names_request: Whether the last response on it carried the request's id.
         """
-        if connection.unusable:  # more than the response came while it was passed on
+        if connection.unusable:  # bytes beyond the response arrived
             self._counters.add("connections_unexpected_data")
             self.close_connection(connection)
             return
@@ -173,7 +173,7 @@
         self.open_count -= 1
         connection.reader.on_unexpected_data = None
         if connection.writer.transport.get_write_buffer_size():
-            # Else the rest of a request that was given up would still be written.
+            # close() would still write the rest of an abandoned request.
             connection.writer.transport.abort()
         else:
             connection.writer.close()
@@ -189,11 +189,11 @@
             self.close_idle(server)
 
     def stop_sweeping(self) -> None:
-        """Close no more idle connections for their age; before the pool is given up."""
+        """Stop the periodic closing of expired connections; call before the pool is discarded."""
         self._sweep_timer.cancel()
 
     def _drop_idle(self, server: str, connection: UpstreamConnection) -> None:
-        """Close an idle connection on which something arrived: no request asked for it."""
+        """Close an idle connection on which data arrived that no request asked for."""
         self._counters.add("connections_unexpected_data")
         connections = self._idle.get(server, deque())
         if connection in connections:
@@ -203,17 +203,17 @@
             self.close_connection(connection)
 
     def _evict(self) -> bool:
-        """Close the connection that has been idle for longest, to whichever server; whether there was one."""
+        """Close the connection that has been idle for longest, to any server; False if none is idle."""
         server = server_to_evict_from(self._idle)
         if server is None:
             return False
-        self.close_connection(self._idle[server].popleft())  # an empty deque goes with the next sweep
+        self.close_connection(self._idle[server].popleft())  # the next sweep removes an empty deque
         return True
 
     def _sweep(self) -> None:
-        """Close the idle connections that their servers have closed, or are about to."""
+        """Close the idle connections that their servers have closed or will close soon."""
         now = self._clock.now()
-        self.idle_timeout.forget_outdated(now)
+        self.idle_timeout.expire_learned_timeout(now)
         for server, connections in list(self._idle.items()):
             remaining: deque[UpstreamConnection] = deque()
             for connection in connections:
@@ -225,5 +225,5 @@
             if remaining:
                 self._idle[server] = remaining
             else:
-                del self._idle[server]  # guards memory: servers come and go
+                del self._idle[server]  # servers come and go; keeping empty entries would leak memory
         self._sweep_timer = self._clock.call_at(now + SWEEP_INTERVAL_MS, self._sweep)
--- a/flintridge/upstream/connector.py
+++ b/flintridge/upstream/connector.py
@@ -1,4 +1,4 @@
-"""Connections for attempts: an idle one or a new one, tried again after a pause while this machine fails."""
+"""Provides connections for attempts: idle or new ones, with retries after failures of the local machine."""
 
 from flintridge.config.address import Address
 from flintridge.core.request import UpstreamAttempt
@@ -10,19 +10,20 @@
 from flintridge.upstream.connection import UpstreamConnection
 from flintridge.upstream.connection_pool import ConnectionPool
 
-# Most local failures are over in a moment; one that lasts must not cost the CPU that others need.
+# Pauses between retries. Most local failures are very short; retries of a lasting one must not use much CPU.
 FIRST_PAUSE_MS = 2.0
 MAX_PAUSE_MS = 50.0
-# A server that had less of the connection timeout, as local failures took the rest, is not to blame.
+# A connection timeout counts against the server only if it had at least this fraction of the timeout; local
+# failures may have used up the rest.
 MIN_TIMEOUT_FRACTION = 0.5
 
 
 class LocalFailureError(FlintridgeError):
-    """This machine could not open a connection while there was time; its cause is the last error."""
+    """The local machine could not open a connection in time. The cause is the last error."""
 
 
 class Connector:
-    """Finds the connections that attempts are made on."""
+    """Takes idle connections from the pool, or opens new ones, for attempts."""
 
     def __init__(self, pool: ConnectionPool, clock: Clock, counters: Counters) -> None:
         self._pool = pool
@@ -32,22 +33,22 @@
     async def connect(
         self, attempt: UpstreamAttempt, address: Address, timeout_ms: float
     ) -> UpstreamConnection:
-        """Take an idle connection or open one, again after a pause while that fails for a local reason.
+        """Take an idle connection or open a new one, and retry after a pause if that fails locally.
 
         Args:
-            attempt: For which it is.
-            address: Of its server.
-            timeout_ms: The connection timeout, from now on.
+            attempt: The attempt that needs the connection.
+            address: The server's address.
+            timeout_ms: The connection timeout, counted from now.
 
         Raises:
-            AttemptWithdrawnError: The attempt may not begin any more, as was seen after a pause.
-            LocalFailureError: Local failures lasted.
-            OSError: The server refused the connection, or there is no route to it for the whole timeout.
-            DeadlineExceededError: The connection did not come up in time.
+            AttemptWithdrawnError: After a pause, the attempt may not begin any more.
+            LocalFailureError: Local failures persisted until the attempt's limits or the timeout.
+            OSError: The server refused the connection, or there was no route to it for the whole timeout.
+            DeadlineExceededError: The connection was not established in time.
         """
         connection_timeout_at = self._clock.now() + timeout_ms
         timeout_at = min(connection_timeout_at, attempt.deadline)
-        give_up_at = min(timeout_at, attempt.begin_by, attempt.written_by)
+        retry_until = min(timeout_at, attempt.begin_by, attempt.written_by)
         failure: OSError | None = None
         only_route_missing = True
         pause_ms = FIRST_PAUSE_MS
@@ -66,14 +67,14 @@
             except OSError as error:
                 if not is_local_failure(error):
                     raise
-                failure = error.with_traceback(None)  # else its frames would keep the attempt's value
+                failure = error.with_traceback(None)  # its frames would keep the attempt's value
             self._counters.add("connects_failed_locally")
             only_route_missing = only_route_missing and failure.errno == ROUTE_ERRNO
-            await sleep(self._clock, max(0.0, min(pause_ms, give_up_at - self._clock.now())))
+            await sleep(self._clock, max(0.0, min(pause_ms, retry_until - self._clock.now())))
             pause_ms = min(2 * pause_ms, MAX_PAUSE_MS)
             now = self._clock.now()
             if only_route_missing and now >= connection_timeout_at:
                 raise failure
-            if now >= give_up_at:
+            if now >= retry_until:
                 raise LocalFailureError from failure
             check_may_begin(attempt, self._clock)
--- a/flintridge/upstream/dispatcher.py
+++ b/flintridge/upstream/dispatcher.py
@@ -1,7 +1,7 @@
-"""Dispatcher of attempts to servers: starts each on a connection of its own and reports its one end.
+"""Dispatcher of attempts to servers: runs each on its own connection and reports its end exactly once.
 
-A connection carries one attempt at a time: responses on one come in order and a cancellation closes it, so an
-attempt behind another would wait for it and be cancelled with it.
+A connection carries one attempt at a time. Responses on a connection arrive in order, and a cancellation
+closes it, so a pipelined attempt would wait for the previous one and be cancelled with it.
 """
 
 import asyncio
@@ -35,7 +35,7 @@
 
 
 def _stream_nothing(_attempt: UpstreamAttempt, _value: StreamedValue) -> StreamedResponse | None:
-    """No client waits for a long value."""
+    """Default: no client waits for a long value."""
     return None
 
 
@@ -48,17 +48,18 @@
 
 
 def _is_malformed(result: AttemptResult | None) -> bool:
-    """Whether the exchange ended at once with what cannot be read, so that no value of it counts."""
+    """Whether the exchange ended with a malformed response, so that its value must not be used."""
     return result is not None and result.response is None and result.malformed
 
 
 @dataclass(slots=True)
 class _Progress:
-    """How far an attempt or a health check has come.
+    """Progress of an attempt or a health check.
 
     Attributes:
-        connection: Carries it; closed with its end, unless it was released.
-        result: If it ended now. Until the last byte of the request is written, the server executes nothing.
+        connection: Its connection, which is closed when it ends unless it was released to the pool before.
+        result: The result if it ended now. The default is a failed connect, because the server executes
+            nothing until the last byte of the request is written.
     """
 
     connection: UpstreamConnection | None = None
@@ -66,12 +67,12 @@
 
     @property
     def request_written(self) -> bool:
-        """Whether the server may execute it."""
+        """Whether the request was written completely, so that the server may execute it."""
         return self.connection is not None and self.connection.request_written
 
 
 class Dispatcher:
-    """Carries the attempts and health checks of a node. Each runs as a task.
+    """Runs the attempts and health checks of a node, each as a task.
 
     Attributes:
         pool: The connections to servers.
@@ -88,18 +89,18 @@
         counters: Counters,
         start_stream: StartStream = _stream_nothing,
     ) -> None:
-        """Make a dispatcher in the running event loop.
+        """Create a dispatcher in the running event loop.
 
         Args:
-            endpoints: Where servers are.
-            settings: Of the service.
-            clock: Of the node.
-            max_connections: So many connections to servers may be open.
-            report_end: Called once for each attempt, in the last step of its task.
-            log: Of the node.
-            counters: Of the node.
-            start_stream: Called where a long value has begun to come, which ends the attempt; gives the
-                client's end, or None if nobody waits for the value any more.
+            endpoints: Addresses of the servers.
+            settings: The service's settings.
+            clock: The node's clock.
+            max_connections: Maximum number of open connections to servers.
+            report_end: Called once for each attempt, as the last step of its task.
+            log: The node's log.
+            counters: The node's counters.
+            start_stream: Called when a long value begins to arrive, which ends the attempt. Returns where to
+                write the value, or None if the client no longer waits for it.
         """
         self.pool = ConnectionPool(max_connections, to_ms(settings.limits.conn_idle_ns), clock, counters)
         self._connector = Connector(self.pool, clock, counters)
@@ -111,15 +112,15 @@
         self._counters = counters
         self._start_stream = start_stream
         self._forwarder = ValueForwarder(clock, log, counters)
-        self._tasks: dict[asyncio.Task[None], None] = {}  # in their order, which a set would not keep
+        self._tasks: dict[asyncio.Task[None], None] = {}  # an ordered set
 
     def start(self, attempt: UpstreamAttempt) -> None:
-        """Start an attempt; its end is reported, whatever happens."""
+        """Start an attempt. Its end is always reported."""
         task = self._start_task(self._run_attempt(attempt))
         attempt.abort = task.cancel
 
     def check_health(self, server: str, done: Callable[[AttemptResult], None]) -> None:
-        """Ask a server for its load report; `done` is called once, but for a dispatcher that is closed."""
+        """Request a load report from a server; `done` is called once, unless the dispatcher closes first."""
         self._start_task(self._run_health_check(server, done))
 
     def close_idle_connections(self, server: str) -> None:
@@ -127,7 +128,7 @@
         self.pool.close_idle(server)
 
     async def close(self) -> None:
-        """Cancel all attempts, whose ends are reported, and close all connections."""
+        """Cancel all attempts, report their ends, and close all connections."""
         self.pool.stop_sweeping()
         tasks = list(self._tasks)
         for task in tasks:
@@ -151,18 +152,18 @@
             if progress.request_written:
                 progress.result = AttemptResult(Outcome.TIMEOUT)
             elif progress.connection is not None and not progress.connection.request_begun:
-                progress.result = AttemptResult(Outcome.WITHDRAWN)  # this machine took none of it
+                progress.result = AttemptResult(Outcome.WITHDRAWN)  # the local kernel accepted no byte of it
         except AttemptWithdrawnError:
             self._counters.add("attempts_expired_unsent")
             progress.result = AttemptResult(Outcome.WITHDRAWN)
             self._release_unused(attempt.server, progress)
         except LocalFailureError as error:
-            self._note_local_failure(attempt, error.__cause__)
+            self._record_local_failure(attempt, error.__cause__)
             progress.result = AttemptResult(Outcome.WITHDRAWN)
         except OSError as error:
-            # Guards memory: the connection's reader keeps the error, and with its frames the value.
+            # The connection's reader keeps the error; its traceback's frames would keep the value in memory.
             error.with_traceback(None)
-            self._note_broken(attempt, progress, error)
+            self._record_connection_failure(attempt, progress, error)
         except asyncio.CancelledError:
             progress.result = AttemptResult(Outcome.CANCELLED)
         except Exception as error:
@@ -174,24 +175,24 @@
         self._report_end(attempt, progress.result)
 
     async def _perform(self, attempt: UpstreamAttempt, progress: _Progress) -> None:
-        """Make an attempt, and note in `progress` how far it came.
+        """Run an attempt, and record in `progress` how far it got.
 
         Raises:
-            DeadlineExceededError: A deadline of the attempt or the connection timeout passed.
-            AttemptWithdrawnError: What the attempt rested on no longer holds.
-            LocalFailureError: This machine opened no connection for it.
-            OSError: The connection broke, or was refused.
+            DeadlineExceededError: A deadline of the attempt or the connection timeout has passed.
+            AttemptWithdrawnError: A precondition of the attempt no longer holds.
+            LocalFailureError: The local machine could not open a connection.
+            OSError: The connection failed or was refused.
         """
         endpoint = self._endpoints[attempt.server]
         connection = await self._connector.connect(attempt, endpoint.address, self._connect_timeout_ms)
         progress.connection = connection
         exchange = self._exchange(attempt, endpoint)
-        # The connection may have been long in coming up: what the attempt rested on has to hold still. And
-        # the client may have left while the loop was held up, by a crowd of others: it has yet to be seen.
+        # Establishing the connection may have taken long, so the attempt's preconditions are checked again.
+        # Under load the event loop may also not have processed the client's disconnect yet.
         check = partial(check_may_begin, attempt, self._clock)
         performing = connection.perform(exchange, self._clock, attempt.written_by, check)
         result = await with_timeout(self._clock, attempt.deadline - self._clock.now(), performing)
-        self.pool.idle_timeout.note_reuse(self._clock.now(), connection.idle_before_use_ms, lost=False)
+        self.pool.idle_timeout.record_reuse(self._clock.now(), connection.idle_before_use_ms, lost=False)
         value = exchange.streamed_value
         if value is None or _is_malformed(result):
             assert result is not None
@@ -217,13 +218,13 @@
         progress.connection = None
 
     def _release_unused(self, server: str, progress: _Progress) -> None:
-        """Take back the connection of an attempt that was withdrawn, unless some of it waits there."""
+        """Release the connection of a withdrawn attempt, unless bytes of it are in the write buffer."""
         connection = progress.connection
         if connection is not None and not connection.writer.transport.get_write_buffer_size():
             self._release(server, progress)
 
-    def _note_local_failure(self, attempt: UpstreamAttempt, error: BaseException | None) -> None:
-        """Count and log that this machine could not send an attempt."""
+    def _record_local_failure(self, attempt: UpstreamAttempt, error: BaseException | None) -> None:
+        """Count and log that the local machine could not send an attempt."""
         assert isinstance(error, OSError)
         limit_reached = isinstance(error, ConnectionLimitError)
         self._counters.add("attempts_no_descriptor" if limit_reached else "attempts_failed_locally")
@@ -231,32 +232,34 @@
             "attempt_failed_locally", server=attempt.server, id=attempt.id, error=describe_errno(error)
         )
 
-    def _note_broken(self, attempt: UpstreamAttempt, progress: _Progress, error: OSError) -> None:
+    def _record_connection_failure(
+        self, attempt: UpstreamAttempt, progress: _Progress, error: OSError
+    ) -> None:
         connection = progress.connection
         if connection is None:
             return
         if not connection.request_written:
-            self._note_broken_unwritten(attempt, progress, connection, error)
+            self._record_failure_before_written(attempt, progress, connection, error)
             return
-        # An idle one that ends without a byte had ended before, unseen.
+        # A reused connection that ends without a byte had already been closed while it was idle.
         lost = connection.nothing_received and connection.idle_before_use_ms >= MIN_IDLE_MS
         progress.result = AttemptResult(Outcome.RESET, malformed=lost)
-        self.pool.idle_timeout.note_reuse(self._clock.now(), connection.idle_before_use_ms, lost)
+        self.pool.idle_timeout.record_reuse(self._clock.now(), connection.idle_before_use_ms, lost)
 
-    def _note_broken_unwritten(
+    def _record_failure_before_written(
         self, attempt: UpstreamAttempt, progress: _Progress, connection: UpstreamConnection, error: OSError
     ) -> None:
         if connection.request_begun:
             return
-        # The stream's own error is "connection lost"; the reader has that of the system.
+        # The stream only raises "connection lost"; the reader has the error of the system call.
         cause = connection.reader.exception() or error
         if isinstance(cause, OSError) and is_local_failure(cause) and cause.errno != ROUTE_ERRNO:
-            self._note_local_failure(attempt, cause)
+            self._record_local_failure(attempt, cause)
             progress.result = AttemptResult(Outcome.WITHDRAWN)
         elif connection.reused:
-            # It had broken while idle, unseen: no sign that the server cannot be connected to.
+            # The connection had failed while it was idle, which does not mean that the server is down.
             self._counters.add("attempts_on_broken_idle_connection")
-            self.pool.idle_timeout.note_reuse(self._clock.now(), connection.idle_before_use_ms, lost=True)
+            self.pool.idle_timeout.record_reuse(self._clock.now(), connection.idle_before_use_ms, lost=True)
             progress.result = AttemptResult(Outcome.WITHDRAWN)
 
     # Health checks
@@ -280,11 +283,11 @@
         done(progress.result)
 
     async def _perform_health_check(self, server: str, progress: _Progress) -> None:
-        """Make a health check, and note in `progress` how far it came.
+        """Run a health check, and record in `progress` how far it got.
 
         Raises:
             DeadlineExceededError: The connection or the response took too long.
-            OSError: There is no connection, or it broke.
+            OSError: The connection failed or was refused.
         """
         endpoint = self._endpoints[server]
         connection = self.pool.take_idle(server, endpoint.address)
@@ -294,7 +297,7 @@
         exchange: Exchange = OriginHealthCheck(_host(endpoint)) if endpoint.origin else CacheHealthCheck()
         performing = connection.perform(exchange, self._clock)
         result = await with_timeout(self._clock, HEALTH_CHECK_TIMEOUT_MS, performing)
-        assert result is not None  # a load report is no long value
+        assert result is not None  # a load report is never a long value
         progress.result = result
         if exchange.reusable:
             self._release(server, progress, exchange.names_request)
--- a/flintridge/upstream/idle_timeout.py
+++ b/flintridge/upstream/idle_timeout.py
@@ -1,29 +1,29 @@
-"""The timeout of idle connections: as configured, or learned from connections that were lost unseen."""
+"""The idle timeout of connections: as configured, or learned from connections that were dropped silently."""
 
 from collections import deque
 from collections.abc import Iterable
 from dataclasses import dataclass
 
-# Of the time after which a server closes an idle connection: it is closed here before.
+# Fraction of the servers' idle timeout after which an idle connection is closed here, before the server does.
 CONFIGURED_FRACTION = 0.8
-# Of the least idle time at which most connections were lost.
+# Fraction of the shortest idle time from which on most connections were lost.
 LEARNED_FRACTION = 0.8
-# A connection idle for less was in use just now: its loss says nothing about idle ones.
+# The loss of a connection that was idle for less than this says nothing about idle connections.
 MIN_IDLE_MS = 200.0
-# Observations count for so long; after it the configured time is tried again.
-MEMORY_MS = 20_000.0
+# Observations expire after this time; then the configured timeout applies again.
+OBSERVATION_TTL_MS = 20_000.0
 MAX_OBSERVATIONS = 64
 MIN_LOSSES = 2
 
 
 @dataclass(slots=True, frozen=True)
 class Reuse:
-    """What became of an idle connection that was used again.
+    """The outcome of reusing an idle connection.
 
     Attributes:
-        at: When, in milliseconds of the node's clock.
+        at: When it was reused, in milliseconds of the node's clock.
         idle_ms: How long it had been idle.
-        lost: Whether it had been dropped unseen.
+        lost: Whether it had been dropped silently while idle.
     """
 
     at: float
@@ -32,9 +32,10 @@
 
 
 def learn_idle_timeout_ms(reuses: Iterable[Reuse], configured_ms: float) -> float:
-    """The idle time from which on most connections are lost, less a margin; `configured_ms` if there is none.
+    """Return the idle time from which on most connections are lost, less a margin, or `configured_ms`.
 
-    Only where most of those idle for as long were lost: resets at any age tell nothing.
+    A loss counts only if most connections that were idle at least as long were lost too: resets that occur at
+    any idle time say nothing about a timeout.
     """
     timeout_ms = configured_ms
     count = 0
@@ -52,42 +53,42 @@
 class IdleTimeout:
     """The idle timeout of all connections of a node.
 
-    Guards requests against being written to connections that were dropped unseen long before the time that
-    the settings name.
+    Prevents that requests are written to connections that were dropped silently, long before the timeout in
+    the settings.
 
     Attributes:
-        current_ms: A connection that has been idle for so long is closed.
+        current_ms: A connection that has been idle for this long is closed.
     """
 
     def __init__(self, server_timeout_ms: float) -> None:
-        """Begin with the configured timeout.
+        """Start with the configured timeout.
 
         Args:
-            server_timeout_ms: After which servers close idle connections, by the settings.
+            server_timeout_ms: Time after which servers close idle connections, from the settings.
         """
         self._configured_ms = CONFIGURED_FRACTION * server_timeout_ms
         self.current_ms = self._configured_ms
         self._reuses: deque[Reuse] = deque(maxlen=MAX_OBSERVATIONS)
         self._learned_at = 0.0
 
-    def note_reuse(self, now: float, idle_ms: float, lost: bool) -> None:
-        """Learn from a connection that was used again.
+    def record_reuse(self, now: float, idle_ms: float, lost: bool) -> None:
+        """Record the outcome of using a connection and update the timeout.
 
         Args:
             now: Milliseconds of the node's clock.
-            idle_ms: How long it had been idle; 0 for a new one.
-            lost: Whether it had been dropped unseen.
+            idle_ms: How long the connection had been idle; 0 for a new one.
+            lost: Whether it had been dropped silently while idle.
         """
         if idle_ms < MIN_IDLE_MS:
             return
         self._reuses.append(Reuse(now, idle_ms, lost))
         if not lost:
             return
-        recent = (reuse for reuse in self._reuses if reuse.at > now - MEMORY_MS)
+        recent = (reuse for reuse in self._reuses if reuse.at > now - OBSERVATION_TTL_MS)
         self.current_ms = learn_idle_timeout_ms(recent, self._configured_ms)
         self._learned_at = now
 
-    def forget_outdated(self, now: float) -> None:
-        """Go back to the configured time once nothing was learned for MEMORY_MS."""
-        if now >= self._learned_at + MEMORY_MS:
+    def expire_learned_timeout(self, now: float) -> None:
+        """Return to the configured timeout if nothing was learned for OBSERVATION_TTL_MS."""
+        if now >= self._learned_at + OBSERVATION_TTL_MS:
             self.current_ms = self._configured_ms
--- a/flintridge/upstream/streaming.py
+++ b/flintridge/upstream/streaming.py
@@ -1,4 +1,4 @@
-"""Forwarding of a long value from a server to its client, no faster than the client reads."""
+"""Forwards long values from servers to clients, no faster than the client reads."""
 
 from flintridge.api import Outcome
 from flintridge.core.exchange import Exchange
@@ -9,7 +9,7 @@
 from flintridge.telemetry.log import EventLog
 from flintridge.upstream.connection import UpstreamConnection
 
-# A server that sends nothing for so long within a long value has failed.
+# A server that sends nothing for this long within a long value is considered failed.
 SERVER_STALL_MS = 10_000.0
 
 
@@ -29,14 +29,14 @@
         result: AttemptResult | None,
         response: StreamedResponse,
     ) -> None:
-        """Forward the value of `exchange` in chunks until it is complete, or broken.
+        """Forward the value of `exchange` in chunks until it is complete or fails.
 
         Args:
-            attempt: For which it came.
-            exchange: Its `streamed_value` has begun.
-            connection: Carries the exchange.
-            result: Of the exchange, where it is complete already.
-            response: The client's end; its `end` or `abort` is called.
+            attempt: The attempt that the value answers.
+            exchange: The exchange, whose `streamed_value` has begun.
+            connection: The connection of the exchange.
+            result: The result of the exchange if it is complete already; None otherwise.
+            response: The response to the client; its `end` or `abort` is called.
         """
         value = exchange.streamed_value
         assert value is not None
@@ -63,7 +63,7 @@
         result: AttemptResult | None,
         response: StreamedResponse,
     ) -> AttemptResult:
-        """Forward all chunks; the result of the exchange, once all that came before it is written."""
+        """Forward all chunks and return the result of the exchange after all of them are written."""
         while True:
             await response.wait_writable()
             response.write(value.take_chunks())
--- a/tests/core/test_attempt_limits.py
+++ b/tests/core/test_attempt_limits.py
@@ -1,4 +1,4 @@
-"""Limits of a `Send` reach the driver with its attempt."""
+"""The limits of a `Send` action are passed to the driver with the attempt."""
 
 import asyncio
 
@@ -10,7 +10,7 @@
 from flintridge.runtime.clock import NS_PER_MS
 
 
-def test_send_when_it_has_limits_then_the_attempt_has_them_and_ends_with_its_client():
+def test_send_when_it_has_limits_then_its_attempt_has_them_and_ends_when_the_client_leaves():
     async def test():
         class Sends:
             def handle(self, now, event):
--- a/tests/core/test_attempts.py
+++ b/tests/core/test_attempts.py
@@ -1,4 +1,4 @@
-"""Attempts made of a policy's `Send`: their limits, and when one is not sent."""
+"""Attempts created from a `Send` action: their limits, and when an attempt is not sent."""
 
 import pytest
 from support.network import RecordingResponder, make_request
@@ -20,7 +20,7 @@
 
 
 def next_attempt(request: OpenRequest, timeout_ms: int = 0, now: float = NOW):
-    """The request's next attempt, added to it as when it is sent."""
+    """Create the request's next attempt and add it to the request, as sending does."""
     send = api.Send("a1", "s1", timeout_ms * NS_PER_MS, 1_100 * NS_PER_MS, 1_200 * NS_PER_MS)
     attempt = new_attempt(send, request, now)
     request.add_attempt(attempt)
--- a/tests/core/test_lifecycle.py
+++ b/tests/core/test_lifecycle.py
@@ -25,7 +25,7 @@
     def __init__(self) -> None:
         self.clock = ManualClock()
         self.script = ScriptedPolicy()
-        self.replies = RecordingResponder()
+        self.responder = RecordingResponder()
         self.log, self.counters = log_and_counters()
         self.core = RequestLifecycle(self.script, SETTINGS, self.clock, MEMORY_BYTES, self.log, self.counters)
         self.attempts = []
@@ -52,10 +52,10 @@
         self.script.handlers[kind] = lambda _: list(actions)
 
     def submit(self, **changes) -> None:
-        self.core.submit(make_request(**changes), self.replies)
+        self.core.submit(make_request(**changes), self.responder)
 
     def act(self, *actions) -> None:
-        """Have the policy want actions now."""
+        """Have the policy return these actions now."""
         self.on(api.EndpointUpdate, *actions)
         self.core.notify(api.EndpointUpdate(api.UpdateKind.DELTA))
 
@@ -67,7 +67,8 @@
     harness = Core()
     harness.submit(value=b"v", class_index=1, retry=True, work_us=12000.5, size=3.0)
     now, event = harness.script.events[0]
-    assert now == to_ns(10_000) and event.deadline == to_ns(10_470)  # early: the response has a way to go
+    # 10 ms early, as the response takes time to arrive.
+    assert now == to_ns(10_000) and event.deadline == to_ns(10_470)
     assert (event.id, event.key, event.write, event.class_index, event.retry) == ("a1", "key7", True, 1, True)
     assert (event.work_ns, event.size) == (12_000_500, 3.0)
 
@@ -85,33 +86,32 @@
     harness = Core()
     harness.on(api.RequestReceived, SEND, SEND)
     harness.script.handlers[api.AttemptEnded] = (
-        lambda e: harness.calls.append(list(harness.replies.responses)) or []
+        lambda e: harness.calls.append(list(harness.responder.responses)) or []
     )
     harness.submit()
     harness.clock.advance(30)
     harness.core.attempt_ended(harness.attempts[1], OK)
-    assert harness.replies.responses == [b"value"] and harness.calls == [[b"value"]]
+    assert harness.responder.responses == [b"value"] and harness.calls == [[b"value"]]
     harness.core.attempt_ended(
         harness.attempts[0], AttemptResult(Outcome.OK, Response(b"second", receipt=False))
     )
-    assert harness.replies.responses == [b"value"]
+    assert harness.responder.responses == [b"value"]
     assert harness.script.ends() == [(1, Outcome.OK, True), (0, Outcome.OK, True)]
     assert harness.script.events[1][1].latency_ns == to_ns(30)
 
 
-def test_attempt_end_when_due_with_the_deadline_timer_then_goes_first():
-    """Where the loop stood still at the deadline both fall due in one turn; the attempt's task runs a step
-    later: the response is to be the policy's, which may say when to come again."""
+def test_attempt_end_when_due_with_the_deadline_timer_then_is_handled_first():
+    """After a stall of the event loop, both are due in the same iteration and the attempt's task runs a step
+    later. The policy must make the response, as it may include a retry-after time."""
     harness = Core()
     harness.on(api.RequestReceived, SEND)
     harness.on(api.AttemptEnded, api.Reject("a1", to_ns(300)))
     harness.submit()
     timed_out = AttemptResult(Outcome.TIMEOUT)
-    harness.clock.call_at(
-        10_475, harness.core.attempt_ended, harness.attempts[0], timed_out
-    )  # right behind the timer
+    # Due right after the deadline timer.
+    harness.clock.call_at(10_475, harness.core.attempt_ended, harness.attempts[0], timed_out)
     harness.clock.advance(475)
-    assert harness.replies.responses == [("busy", 300.0)] and not harness.counters["responses_overdue"]
+    assert harness.responder.responses == [("busy", 300.0)] and not harness.counters["responses_overdue"]
 
 
 def test_send_when_the_request_has_its_final_response_then_ends_once():
@@ -119,7 +119,7 @@
     harness.on(api.RequestReceived, SEND)
     harness.submit()
     harness.act(api.Reject("a1", to_ns(9000)), api.Fail("a1"), SEND)
-    assert harness.replies.responses == [("busy", 2000.0)]  # once, and capped by the settings
+    assert harness.responder.responses == [("busy", 2000.0)]  # once, and capped by the settings
     assert harness.script.ends() == [(1, Outcome.WITHDRAWN, True)]
     harness.core.attempt_ended(harness.attempts[0], AttemptResult(Outcome.RESET))
     harness.core.attempt_ended(harness.attempts[0], OK)
@@ -127,7 +127,7 @@
     assert harness.core.idle and len(harness.attempts) == 1
 
 
-def test_send_when_beyond_the_cap_or_too_late_then_is_withdrawn_and_the_cap_counts_all():
+def test_send_when_above_the_attempt_limit_or_too_late_then_is_withdrawn_and_the_limit_counts_all():
     harness = Core()
     harness.on(api.RequestReceived, SEND, SEND, SEND, SEND)
     harness.submit()
@@ -138,7 +138,7 @@
     assert [outcome for _, outcome, _ in late.script.ends()] == [Outcome.WITHDRAWN, Outcome.WITHDRAWN]
 
 
-def test_attempt_when_its_timeout_ends_after_the_deadline_then_has_until_the_deadline():
+def test_attempt_when_its_timeout_exceeds_the_deadline_then_ends_at_the_deadline():
     harness = Core()
     harness.on(api.RequestReceived, SEND, api.Send("a1", "s1", to_ns(100)), api.Send("a1", "s1", to_ns(9000)))
     harness.submit()
@@ -146,7 +146,7 @@
 
 
 def test_event_when_an_action_causes_it_then_waits_until_handle_has_returned():
-    harness = Core()  # ScriptedPolicy itself fails on a call within a call
+    harness = Core()  # ScriptedPolicy fails on re-entrant calls
     harness.on(api.RequestReceived, api.CheckHealth("s1"), api.CheckHealth("s2"))
     harness.submit()
     assert [getattr(e, "server", "") for _, e in harness.script.events] == ["", "s1", "s2"]
@@ -167,17 +167,17 @@
     harness.submit()
     harness.core.client_disconnected("a1")
     harness.core.client_disconnected("a1")
-    with pytest.raises(IdInUseError):  # its attempt may still run
+    with pytest.raises(IdInUseError):  # its attempt is still in flight
         harness.submit()
     harness.core.attempt_ended(harness.attempts[0], OK)
-    assert harness.replies.responses == [] and harness.script.ends() == [(0, Outcome.OK, True)]
+    assert harness.responder.responses == [] and harness.script.ends() == [(0, Outcome.OK, True)]
     assert sum(isinstance(e, api.ClientDisconnected) for _, e in harness.script.events) == 1
     harness.submit()
 
 
 def test_timer_when_due_between_two_instants_of_the_clock_then_fires_no_earlier():
     harness = Core()
-    at = to_ns(10_250) + 1  # between what the float clock can tell and the next
+    at = to_ns(10_250) + 1  # between two values that the float clock can represent
     harness.act(api.SetTimer(at, 5))
     harness.clock.advance(250.001)
     now, event = harness.script.events[-1]
@@ -189,9 +189,9 @@
     harness.script.handlers[api.RequestReceived] = lambda _: 1 // 0
     harness.script.handle = lambda now, event: 1 // 0
     harness.submit()
-    assert harness.counters["policy_errors"] == 1 and harness.replies.responses == []
+    assert harness.counters["policy_errors"] == 1 and harness.responder.responses == []
     harness.clock.advance(479)
-    assert harness.replies.responses == ["failed"] and harness.core.idle
+    assert harness.responder.responses == ["failed"] and harness.core.idle
 
 
 def test_action_when_about_no_request_then_reaches_its_driver():
@@ -207,10 +207,10 @@
     big = b"x" * (MEMORY_BYTES // 2)
     for uid in ("a1", "a2", "a3"):
         harness.submit(uid=uid, value=big)
-    assert harness.replies.responses == [("busy", 0.0)] and len(harness.script.events) == 2
+    assert harness.responder.responses == [("busy", 0.0)] and len(harness.script.events) == 2
     harness.act(api.Fail("a1"))
     harness.submit(uid="a4", value=big)
-    assert harness.replies.responses == [("busy", 0.0), "failed"]
+    assert harness.responder.responses == [("busy", 0.0), "failed"]
 
 
 def test_submit_when_too_many_requests_are_open_then_sheds():
@@ -218,7 +218,7 @@
     harness.core.settings = replace(SETTINGS, limits=api.Limits(max_open=1))
     harness.submit(uid="a1")
     harness.submit(uid="a2")
-    assert harness.replies.responses == [("busy", 0.0)] and not harness.core.idle
+    assert harness.responder.responses == [("busy", 0.0)] and not harness.core.idle
 
 
 def test_stream_when_started_then_is_the_final_response_and_ends_the_attempt():
@@ -232,13 +232,12 @@
         length, result = 100_000, AttemptResult(Outcome.OK, cache_status=1)
 
     streamed = harness.core.start_stream(attempt, Long())
-    assert harness.replies.responses == [streamed] and streamed.length == 100_000
+    assert harness.responder.responses == [streamed] and streamed.length == 100_000
     assert harness.script.ends() == [(0, Outcome.OK, True)] and harness.core.idle
     assert harness.script.events[-1][1].latency_ns == to_ns(30)
-    harness.core.attempt_ended(
-        attempt, AttemptResult(Outcome.RESET)
-    )  # the stream broke: nothing more is reported
+    # The stream broke: nothing more is reported.
+    harness.core.attempt_ended(attempt, AttemptResult(Outcome.RESET))
     harness.core.client_disconnected("a1")
     harness.clock.advance(5000)
-    assert len(harness.script.ends()) == 1 and len(harness.replies.responses) == 1
+    assert len(harness.script.ends()) == 1 and len(harness.responder.responses) == 1
     assert harness.core.start_stream(attempt, Long()) is None
--- a/tests/core/test_memory_budget.py
+++ b/tests/core/test_memory_budget.py
@@ -1,4 +1,4 @@
-"""The memory budget: reserved before use, released whatever happens."""
+"""The memory budget: bytes are reserved before use and always released."""
 
 from hypothesis import given
 from hypothesis import strategies as st
@@ -7,14 +7,14 @@
 from flintridge.core.memory_budget import MemoryBudget
 
 
-def test_reservation_when_bytes_are_awaited_then_is_granted_in_order_or_not_in_time():
+def test_reservation_when_bytes_are_awaited_then_is_granted_in_order_or_times_out():
     clock = ManualClock()
     decisions = []
     budget = MemoryBudget(100, clock)
     assert budget.try_reserve(80)
     budget.wait(60, 1000, lambda granted: decisions.append(("first", granted)))
     budget.wait(10, 500, lambda granted: decisions.append(("second", granted)))
-    assert not budget.try_reserve(5) and decisions == []  # it does not pass by those who wait
+    assert not budget.try_reserve(5) and decisions == []  # waiting reservations come first
     clock.advance(500)
     assert decisions == [("second", False)]
     budget.release(80)
--- a/tests/core/test_open_requests.py
+++ b/tests/core/test_open_requests.py
@@ -1,4 +1,4 @@
-"""Open requests by themselves: forgotten once responded and ended, with their memory released."""
+"""Open requests: removed, and their memory released, once responded to and without attempts in flight."""
 
 import pytest
 from support.network import ManualClock, RecordingResponder, make_request
@@ -30,7 +30,7 @@
 
 @pytest.fixture
 def requests(budget):
-    """The open requests of a node: one of them, `a1`."""
+    """The open requests of a node, with one request `a1`."""
     requests = OpenRequests(budget)
     request = OpenRequest(
         "a1", make_request(), RecordingResponder(), RESERVED_BYTES, deadline_timer=CountedTimer()
@@ -45,7 +45,7 @@
     return attempt
 
 
-def test_request_when_responded_with_no_attempt_in_flight_then_is_forgotten_and_its_memory_free(
+def test_request_when_responded_with_no_attempt_in_flight_then_is_removed_and_its_memory_released(
     requests, budget
 ):
     request = requests.take_unanswered("a1")
@@ -54,7 +54,7 @@
     assert requests.take_unanswered("a1") is None
 
 
-def test_request_when_responded_with_attempts_in_flight_then_is_forgotten_with_the_last_of_them(
+def test_request_when_responded_with_attempts_in_flight_then_is_removed_after_the_last_of_them(
     requests, budget
 ):
     request = requests.get("a1")
--- a/tests/core/test_policy_driver.py
+++ b/tests/core/test_policy_driver.py
@@ -1,4 +1,4 @@
-"""The driver of the policy: one event at a time, an error ends nothing, no call once it is closed."""
+"""The policy driver: one event at a time, continues after errors, makes no calls after it is closed."""
 
 import pytest
 from support.core import ScriptedPolicy
@@ -10,7 +10,7 @@
 
 
 class Driven:
-    """A driver between a scripted policy and a list of the actions that it has carried out."""
+    """A driver with a scripted policy, and a list of the actions that were carried out."""
 
     def __init__(self) -> None:
         self.clock = ManualClock()
@@ -22,7 +22,7 @@
     def carry_out(self, action: api.Action) -> None:
         self.actions.append(action)
         if isinstance(action, api.FetchEndpoints):
-            raise ValueError("it cannot be carried out")
+            raise ValueError("the action failed")
         if isinstance(action, api.Fail):
             self.driver.notify(api.ClientDisconnected(action.id))
 
@@ -58,7 +58,7 @@
     assert driven.counters["policy_errors"] == 1 and driven.events == [api.TimerFired(2)]
 
 
-def test_now_when_the_clock_goes_back_then_does_not(driven):
+def test_now_when_the_clock_steps_back_then_stays_monotonic(driven):
     driven.driver.notify(api.TimerFired(1))
     driven.clock.advance(-100)
     driven.driver.notify(api.TimerFired(2))
@@ -66,7 +66,7 @@
     assert second == first
 
 
-def test_timer_when_its_instant_lies_between_those_of_the_clock_then_now_is_not_before_it(driven):
+def test_timer_when_due_between_two_clock_values_then_now_is_not_before_it(driven):
     at = to_ns(10_250) + 1
     driven.driver.set_timer(at, 7)
     driven.clock.advance(250.001)
--- a/tests/core/test_request_state.py
+++ b/tests/core/test_request_state.py
@@ -1,4 +1,4 @@
-"""The table of a request's states: each transition by itself, and what the table does not name raises."""
+"""The state table of a request: every listed transition works, and every other one raises."""
 
 from itertools import product
 
@@ -52,6 +52,6 @@
     assert isinstance(raised.value, FlintridgeError)
 
 
-def test_table_when_counted_then_has_each_state_and_no_further_transition():
+def test_table_when_counted_then_has_every_state_and_no_other_transition():
     assert set(TRANSITIONS) == set(RequestState)
     assert sum(len(events) for events in TRANSITIONS.values()) == len(LEGAL)
--- a/tests/core/test_requests_when_connects_fail.py
+++ b/tests/core/test_requests_when_connects_fail.py
@@ -1,4 +1,4 @@
-"""A whole node (core, policy, dispatcher) whose machine opens no connections for a while."""
+"""A complete node (core, policy, dispatcher) while its machine cannot open connections."""
 
 import asyncio
 import errno
@@ -22,7 +22,7 @@
 def make_node(
     discovery: ScriptedServer, server: ScriptedServer, caches: int, connect_timeout_ms: int
 ) -> NodeHarness:
-    """A node with some caches and an origin, all at one peer."""
+    """Create a node with some caches and an origin, all of them the same scripted server."""
     limits = replace(SETTINGS.limits, connect_timeout_ns=connect_timeout_ms * NS_PER_MS, max_attempts=2)
     settings = replace(SETTINGS, limits=limits, discovery=api.DiscoveryMode.POLLED)
     names = [f"s{i}" for i in range(caches)]
@@ -34,10 +34,10 @@
 
 
 class FailingConnects:
-    """Has connects fail for FAILING_MS of the node's time.
+    """Makes connects fail for FAILING_MS of the node's time.
 
     Attributes:
-        made_at: When one was let through, in ms of the node's clock.
+        made_at: When connects succeeded, in ms of the node's clock.
     """
 
     def __init__(self, monkeypatch, node: NodeHarness) -> None:
@@ -54,7 +54,7 @@
         monkeypatch.setattr(connection_pool, "open_connection", failing)
 
     async def advance_time(self, node: NodeHarness, ms: int) -> None:
-        """Let the clock go on, but not while a connection comes up."""
+        """Advance the clock, but stop as soon as a connection is being established."""
         for _ in range(ms):
             if self.made_at:
                 return
@@ -72,7 +72,7 @@
 def test_request_when_connects_fail_locally_for_a_while_is_served(
     play, monkeypatch, command, caches, connect_timeout_ms
 ):
-    """Its attempts that were never sent count for nothing: not as attempts, not against any server."""
+    """Attempts that were never sent count neither against the attempt limit nor against any server."""
 
     async def test():
         async with (
--- a/tests/discovery/test_watch_termination.py
+++ b/tests/discovery/test_watch_termination.py
@@ -112,9 +112,8 @@
         ) as discovery:
             alone = NodeHarness(discovery, endpoint_list(1, s1="in_service"), settings, seed=seed)
             await alone.node.start()
-            await alone.advance_until(
-                lambda: len(discovery.received) == 6, 60_000
-            )  # it waits for long by now
+            # It waits for long by now.
+            await alone.advance_until(lambda: len(discovery.received) == 6, 60_000)
             back, returned_at = True, alone.clock.now()  # for the next call: nobody answers this one any more
             await alone.advance_until(lambda: alone.state("s1") is EndpointState.DRAINING, 20_000)
             await alone.node.close()
--- a/tests/lab/experiment/test_worker_pool.py
+++ b/tests/lab/experiment/test_worker_pool.py
@@ -29,9 +29,8 @@
     assert (raised.mode, raised.reason) == ("raised", "ValueError: seed 2") and "Traceback" in raised.trace
     assert died.mode == "died" and "7" in died.reason and "last words" in died.reason
     assert hung.mode == "hung" and "3 s" in hung.reason
-    assert all(
-        process_ends(int(pid)) for pid in pids.read_text().split()
-    )  # the worker, and its child elsewhere
+    # The worker, and its child elsewhere.
+    assert all(process_ends(int(pid)) for pid in pids.read_text().split())
 
 
 def test_stop_begins_no_more_and_loopback_goes_alone(tmp_path):
--- a/tests/upstream/test_attempt_termination.py
+++ b/tests/upstream/test_attempt_termination.py
@@ -1,4 +1,4 @@
-"""How attempts at servers end, with what crosses each end forced."""
+"""How attempts at servers end, including forced races between an end and other events."""
 
 import asyncio
 import contextlib
@@ -44,7 +44,8 @@
             await turns()
             assert peer.connections == 1
             assert peer.received == []
-            assert (await harness.result()).outcome is Outcome.OK  # the connection is as good as new
+            # The unused connection was released to the pool.
+            assert (await harness.result()).outcome is Outcome.OK
             assert peer.connections == 1
             await harness.dispatcher.close()
 
@@ -69,7 +70,7 @@
 
 def test_retry_when_not_written_completely_by_its_write_deadline_is_never_executed():
     async def test():
-        async def serve(reader, writer):  # reads the head and no more: the value does not fit the buffers
+        async def serve(reader, writer):  # reads only the head; the value does not fit into the buffers
             got.append(await reader.readexactly(10))
             reader._transport.pause_reading()
             await free.wait()
@@ -102,7 +103,8 @@
 
 @pytest.mark.parametrize("limit", ["until", "written_by"])
 def test_attempt_when_it_times_out_as_its_last_byte_goes_out_may_have_been_executed(limit):
-    """Found in review: the server has all of it, and it was called never written and sent once more."""
+    """Guards against reporting a request as never written, and sending it again, though the server has all
+    of it."""
 
     async def test():
         async def serve(reader, writer):
@@ -117,7 +119,8 @@
         got: list[bytes] = []
         free = asyncio.Event()
         listener = socket.create_server(("127.0.0.1", 0))
-        listener.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)  # most of it waits in the node
+        # Keeps most of the request in the node's buffer.
+        listener.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
         server = await asyncio.start_server(serve, sock=listener, limit=1024)
         harness = UpstreamHarness(listener.getsockname()[1])
         connect = harness.dispatcher.pool.connect
@@ -144,7 +147,7 @@
         free.set()
         await until(lambda: harness.results)
         assert harness.results[0].outcome is Outcome.TIMEOUT
-        await until(lambda: b"".join(got).endswith(b"x\r\n"))  # it had all of it
+        await until(lambda: b"".join(got).endswith(b"x\r\n"))  # the server received all of it
         assert len(b"".join(got)) > 60_000
         await harness.dispatcher.close()
         server.close()
@@ -153,7 +156,7 @@
 
 
 def test_attempt_when_reset_is_freed_without_the_garbage_collector(no_collector):
-    """Its value may be 4 MiB."""
+    """A value of up to 4 MiB would stay in memory until the next collection."""
 
     async def test():
         listener = socket.create_server(("127.0.0.1", 0))
@@ -175,8 +178,8 @@
 
 
 @pytest.mark.parametrize("what", ["answer", "connection"])
-def test_attempt_when_it_times_out_as_response_or_connection_comes_ends_once(play, monkeypatch, what):
-    """One end of the attempt, and its descriptor is free once."""
+def test_attempt_when_it_times_out_as_the_response_or_connection_arrives_ends_once(play, monkeypatch, what):
+    """The attempt ends once, and its descriptor is released once."""
 
     async def test():
         async with ScriptedServer(lambda _: VALUE) as peer:
@@ -211,7 +214,8 @@
 
 @pytest.mark.parametrize("crossing", [b"VA 2 O", VALUE, b"", "rst"])
 def test_idle_connection_when_bytes_or_its_end_just_arrived_is_not_reused(crossing):
-    """Half a line, a second answer, the end, a reset: in the kernel, and not yet seen by the event loop."""
+    """Half a line, a second response, the end of the stream or a reset is in the kernel, but the event loop
+    has not read it yet."""
 
     async def test():
         listener = socket.create_server(("127.0.0.1", 0))
@@ -225,7 +229,8 @@
         await until(lambda: harness.results)
         assert harness.results[0].outcome is Outcome.OK
         send_or_close(first, crossing)
-        harness.dispatcher.start(harness.make_attempt())  # its first step is the next of the loop
+        # Its first step runs before the loop polls the sockets.
+        harness.dispatcher.start(harness.make_attempt())
         second, _ = await loop.sock_accept(listener)
         assert (await loop.sock_recv(second, 4096)).startswith(b"mg key7 ")
         second.send(VALUE)
@@ -247,10 +252,10 @@
         ("m2", FAILED, b"HD Oa1 cr2\r\n", (Outcome.OK, Response(b"r2", receipt=True))),
     ],
 )
-def test_duplicate_response_when_it_names_no_request_and_comes_late_answers_no_other(
+def test_duplicate_response_when_it_has_no_request_id_and_is_late_answers_no_other_request(
     play, flavor, first, second, expected
 ):
-    """It comes some milliseconds late, when the next request would long be out on the same connection."""
+    """It arrives some milliseconds late, when the next request could be in flight on the same connection."""
 
     async def test():
         answers = [first, second]
@@ -303,8 +308,8 @@
 
 @pytest.mark.parametrize("behind", [0, 300, 500])
 def test_request_when_it_was_read_late_has_that_much_less_time(play, behind):
-    """Found by the brink days: in a crowd a turn of the loop takes some tenths of a second, and what was told
-    to servers, and how long a request was held, counted from when it was read."""
+    """Under load an iteration of the event loop takes some tenths of a second. Guards against counting the
+    timeout that servers are sent, and the request's deadline, from when the request was read."""
 
     async def test():
         async with ScriptedServer(lambda _: b"") as discovery, ScriptedServer(lambda _: b"") as box:
@@ -329,7 +334,7 @@
 
 @pytest.mark.parametrize("further", ["origin", "m2"])
 def test_retry_when_it_is_sent_names_only_the_remaining_time(play, further):
-    """Found by the brink days: the origin was told the client's whole time, however much of it was over."""
+    """Guards against sending the origin the client's whole timeout, however much of it has passed."""
 
     async def test():
         settings = replace(SETTINGS, discovery=api.DiscoveryMode.POLLED)
@@ -347,7 +352,7 @@
             writer.write(READ % b"a1")
             await until(lambda: one.received or two.received)
             first, second = (one, two) if one.received else (two, one)
-            assert b"d=470\r\n" in first.received[0]  # 10 ms are kept for the way back
+            assert b"d=470\r\n" in first.received[0]  # 10 ms are reserved for the response's way back
             alone.clock.advance(300)
             first.writers[0].write(b"EN Oa1\r\n" if further == "origin" else BUSY)
             await until(lambda: second.received)
--- a/tests/upstream/test_connection_errors.py
+++ b/tests/upstream/test_connection_errors.py
@@ -1,4 +1,4 @@
-"""Errors of system calls on connections to servers, and requests of which the system takes nothing."""
+"""Errors of system calls on connections to servers, and requests of which the kernel accepts no byte."""
 
 import asyncio
 import errno
@@ -31,7 +31,7 @@
 
 
 async def use_idle(harness) -> FaultySocket:
-    """Have one connection idle for a while; its socket."""
+    """Leave one connection idle for 300 ms and return its socket."""
     assert await harness.outcome() is Outcome.OK
     harness.clock.advance(300)
     (connection,) = harness.connections
@@ -39,7 +39,7 @@
 
 
 @errors
-def test_attempt_when_reading_fails_behind_its_last_byte_may_have_been_executed(code):
+def test_attempt_when_reading_fails_after_its_last_byte_may_have_been_executed(code):
     async def test(harness, _peer):
         on_connect(harness, lambda sock: setattr(sock, "recv_error", code))
         assert await harness.result() == AttemptResult(Outcome.RESET)
@@ -67,8 +67,8 @@
 
 
 @errors
-def test_attempt_when_writing_fails_on_a_reused_connection_is_no_sign_of_its_server(code):
-    """It broke while nobody looked; the server may be well, and got nothing."""
+def test_attempt_when_writing_fails_on_a_reused_connection_is_not_held_against_its_server(code):
+    """The connection failed while idle. The server may be healthy, and received nothing."""
 
     async def test(harness, peer):
         (await use_idle(harness)).send_error = code
@@ -83,8 +83,8 @@
 
 @pytest.mark.parametrize("reused", [False, True])
 @errors
-def test_attempt_when_writing_fails_behind_its_first_bytes_is_connect_failed(code, reused):
-    """It counts as an attempt, as its server has got some of it; it never ran."""
+def test_attempt_when_writing_fails_after_its_first_bytes_is_connect_failed(code, reused):
+    """It counts as an attempt because the server received part of it, but it was never executed."""
 
     async def test(harness, _peer):
         sockets = [await use_idle(harness)] if reused else on_connect(harness, lambda _: None)
@@ -106,7 +106,7 @@
 
 
 @pytest.mark.parametrize("code", [errno.ENOBUFS, errno.ENOMEM], ids=errno.errorcode.get)
-def test_attempt_when_the_system_lacks_memory_to_send_is_no_sign_of_its_server(code):
+def test_attempt_when_the_kernel_lacks_memory_to_send_is_not_held_against_its_server(code):
     async def test(harness, peer):
         on_connect(harness, lambda sock: setattr(sock, "send_error", code))
         assert await harness.result() == WITHDRAWN
@@ -127,7 +127,7 @@
 
 @pytest.mark.parametrize("reason", ["seen", "unseen", "begin_by", "written_by", "deadline"])
 @pytest.mark.parametrize("value", [None, BIG], ids=["read", "long write"])
-def test_attempt_when_the_system_takes_no_byte_and_its_reason_ends_is_never_begun(reason, value):
+def test_attempt_when_the_kernel_accepts_no_byte_and_a_precondition_ends_is_never_begun(reason, value):
     async def test(harness, peer):
         sockets = on_connect(harness, lambda sock: setattr(sock, "send_error", errno.EAGAIN))
         limits = {"begin_by": {reason: 19}, "written_by": {reason: 20}, "deadline": {"wait": 20}}
@@ -144,14 +144,14 @@
         await advance_time(harness, 30)
         await until(lambda: harness.results)
         assert harness.results == [WITHDRAWN]
-        await until(lambda: not harness.dispatcher.pool.open_count)  # what waits there is never written
+        await until(lambda: not harness.dispatcher.pool.open_count)  # the buffered bytes are never written
         assert sockets[0].sent == 0
         assert peer.received == []
 
     with_harness(test)
 
 
-def test_attempt_when_the_system_takes_no_byte_at_first_is_served():
+def test_attempt_when_the_kernel_accepts_no_byte_at_first_is_served():
     async def test(harness, peer):
         sockets = on_connect(harness, lambda sock: setattr(sock, "send_error", errno.EAGAIN))
         await harness.start()
@@ -167,7 +167,7 @@
     with_harness(test)
 
 
-def test_attempt_when_it_times_out_as_the_system_takes_it_at_last_may_have_been_executed():
+def test_attempt_when_it_times_out_as_the_kernel_accepts_it_may_have_been_executed():
     async def test(harness, peer):
         sockets = on_connect(harness, lambda sock: setattr(sock, "send_error", errno.EAGAIN))
         await harness.start(wait=25)
@@ -175,7 +175,7 @@
         await advance_time(harness, 21)
         sockets[0].send_error = 0
         await until(lambda: peer.received)
-        harness.clock.advance(4)  # before the next look at the buffer
+        harness.clock.advance(4)  # before the buffer is checked again
         await until(lambda: harness.results)
         assert harness.outcomes == [Outcome.TIMEOUT]
 
--- a/tests/upstream/test_connection_pool.py
+++ b/tests/upstream/test_connection_pool.py
@@ -1,21 +1,25 @@
-"""What the connection pool decides, by plain data."""
+"""The pure decision functions of the connection pool."""
 
 from dataclasses import dataclass
 
 import pytest
 
 from flintridge.config.address import Address
-from flintridge.upstream.connection_pool import IdleVerdict, judge_idle_connection, server_to_evict_from
+from flintridge.upstream.connection_pool import (
+    IdleConnectionAction,
+    action_for_idle_connection,
+    server_to_evict_from,
+)
 
-HERE = Address("127.0.0.1", 1)
-ELSEWHERE = Address("127.0.0.1", 2)
+ADDRESS = Address("127.0.0.1", 1)
+OTHER_ADDRESS = Address("127.0.0.1", 2)
 
 
 @dataclass
 class IdleConnection:
-    """An idle connection, as far as the decisions read it."""
+    """The fields of an idle connection that the decisions use."""
 
-    address: Address = HERE
+    address: Address = ADDRESS
     idle_since: float = 1_000.0
     quarantined_until: float = 0.0
     unusable: bool = False
@@ -24,19 +28,23 @@
 @pytest.mark.parametrize(
     ("connection", "now", "verdict"),
     [
-        (IdleConnection(), 1_000, IdleVerdict.USE),
-        (IdleConnection(), 1_399, IdleVerdict.USE),
-        (IdleConnection(), 1_400, IdleVerdict.CLOSE),
-        (IdleConnection(address=ELSEWHERE), 1_000, IdleVerdict.CLOSE),
-        (IdleConnection(unusable=True), 1_000, IdleVerdict.CLOSE),
-        (IdleConnection(quarantined_until=1_050), 1_049, IdleVerdict.KEEP_QUARANTINED),
-        (IdleConnection(quarantined_until=1_050), 1_050, IdleVerdict.USE),
-        (IdleConnection(quarantined_until=1_050, unusable=True), 1_049, IdleVerdict.CLOSE),
-        (IdleConnection(quarantined_until=1_050, address=ELSEWHERE), 1_049, IdleVerdict.KEEP_QUARANTINED),
+        (IdleConnection(), 1_000, IdleConnectionAction.USE),
+        (IdleConnection(), 1_399, IdleConnectionAction.USE),
+        (IdleConnection(), 1_400, IdleConnectionAction.CLOSE),
+        (IdleConnection(address=OTHER_ADDRESS), 1_000, IdleConnectionAction.CLOSE),
+        (IdleConnection(unusable=True), 1_000, IdleConnectionAction.CLOSE),
+        (IdleConnection(quarantined_until=1_050), 1_049, IdleConnectionAction.KEEP_QUARANTINED),
+        (IdleConnection(quarantined_until=1_050), 1_050, IdleConnectionAction.USE),
+        (IdleConnection(quarantined_until=1_050, unusable=True), 1_049, IdleConnectionAction.CLOSE),
+        (
+            IdleConnection(quarantined_until=1_050, address=OTHER_ADDRESS),
+            1_049,
+            IdleConnectionAction.KEEP_QUARANTINED,
+        ),
     ],
 )
-def test_idle_connection_when_judged_is_used_kept_or_closed(connection, now, verdict):
-    assert judge_idle_connection(connection, HERE, now, 400.0) is verdict
+def test_idle_connection_when_needed_is_used_kept_or_closed(connection, now, verdict):
+    assert action_for_idle_connection(connection, ADDRESS, now, 400.0) is verdict
 
 
 def test_eviction_when_several_servers_have_idle_connections_takes_the_longest_idle():
--- a/tests/upstream/test_dispatcher.py
+++ b/tests/upstream/test_dispatcher.py
@@ -1,4 +1,4 @@
-"""The upstream dispatch on loopback and in virtual time; deadlines are set by hand."""
+"""The upstream dispatch on loopback and in virtual time, with a manual clock for deadlines."""
 
 import asyncio
 
@@ -38,7 +38,7 @@
 
 def test_attempt_when_reset_before_its_last_byte_is_written_ends_as_connect_failed(play):
     async def test():
-        async def serve(reader, writer):  # takes the head and resets: the value does not fit the buffers
+        async def serve(reader, writer):  # reads the head and resets; the value does not fit into the buffers
             await reader.readexactly(10)
             writer.transport.abort()
 
@@ -80,7 +80,7 @@
             for expected in (1, 1):
                 assert await harness.outcome() is Outcome.OK
                 assert peer.connections == expected
-            harness.clock.advance(4000)  # four fifths of what the server allows: it may close at any moment
+            harness.clock.advance(4000)  # 0.8 of the server's idle timeout
             assert await harness.outcome() is Outcome.OK
             assert peer.connections == 2
             peer.writers[1].close()
@@ -102,7 +102,8 @@
         answers = [VALUE, VALUE] if late else [VALUE + VALUE, VALUE]
         async with ScriptedServer(lambda _: answers.pop(0)) as peer:
             harness = UpstreamHarness(peer.port)
-            assert await harness.outcome() is Outcome.OK  # the response before them counts
+            # The valid response before the unexpected data counts.
+            assert await harness.outcome() is Outcome.OK
             if late:
                 assert harness.dispatcher.pool._idle
                 peer.writers[0].write(VALUE)
@@ -121,11 +122,11 @@
             for _ in range(3):
                 await harness.start()
             await until(lambda: len(peer.received) == 2)
-            await advance_time(harness, 249)  # a connection might become free
+            await advance_time(harness, 249)  # a connection might become idle
             assert harness.outcomes == []
             await advance_time(harness, 1)
             await until(lambda: harness.results)
-            assert harness.outcomes == [Outcome.WITHDRAWN]  # no fault of its server
+            assert harness.outcomes == [Outcome.WITHDRAWN]  # not held against the server
             assert harness.counters["attempts_no_descriptor"] == 1
             assert peer.connections == 2
             await harness.dispatcher.close()
@@ -133,8 +134,8 @@
     play(test)
 
 
-def test_idle_timeout_when_connections_are_lost_unseen_is_learned_from_their_idle_time(play):
-    """Guards against writing to what is dead: servers dropped idle connections long before their time."""
+def test_idle_timeout_when_connections_are_dropped_silently_is_learned_from_their_idle_time(play):
+    """Guards against writing to dead connections: servers may drop idle ones long before their timeout."""
 
     async def test():
         settings = api.Settings(limits=api.Limits(conn_idle_ns=5_000_000_000))
@@ -145,7 +146,7 @@
                 assert await harness.outcome() is expected
                 harness.clock.advance(1500)
             assert peer.connections == 3
-            # Closed before it is as old.
+            # Closed before it reaches the idle time at which the others were lost.
             assert await harness.outcome() is Outcome.OK
             assert peer.connections == 4
             harness.clock.advance(1000)
@@ -165,7 +166,7 @@
             peer.writers[0].close()
             await until(lambda: not harness.dispatcher.pool._idle and harness.dispatcher.pool.open_count == 0)
             harness.endpoints.apply({"revision": 2, "complete": True, "members": []})
-            assert await harness.outcome() is Outcome.CONNECT_FAILED  # not listed by now: never executed
+            assert await harness.outcome() is Outcome.CONNECT_FAILED  # no longer listed, so never executed
             await harness.dispatcher.close()
 
     play(test)
@@ -178,7 +179,7 @@
             harness = UpstreamHarness(peer.port, flavor="origin")
             for _ in range(2):
                 assert await harness.outcome() is Outcome.OK
-                # A duplicate of a response that names no request would show by then.
+                # A duplicate of a response without a request id would have arrived by then.
                 harness.clock.advance(QUARANTINE_MS)
             assert peer.connections == 1
             assert peer.received[0].startswith(b"GET /key7 HTTP/1.1\r\n")
--- a/tests/upstream/test_idle_timeout.py
+++ b/tests/upstream/test_idle_timeout.py
@@ -1,11 +1,11 @@
-"""The timeout of idle connections, learned from those that were lost unseen."""
+"""The idle timeout of connections, learned from those that were dropped silently."""
 
 import pytest
 
 from flintridge.upstream.idle_timeout import (
     LEARNED_FRACTION,
-    MEMORY_MS,
     MIN_IDLE_MS,
+    OBSERVATION_TTL_MS,
     IdleTimeout,
     Reuse,
     learn_idle_timeout_ms,
@@ -22,14 +22,15 @@
     ("observed", "expected_ms"),
     [
         ([], CONFIGURED_MS),
-        ([(2_000, True)], CONFIGURED_MS),  # one loss tells nothing
+        ([(2_000, True)], CONFIGURED_MS),  # one loss is not enough
         ([(2_000, True), (1_000, True)], LEARNED_FRACTION * 1_000),
         ([(2_000, True), (1_000, True), (500, False)], LEARNED_FRACTION * 1_000),
         ([(2_000, True), (1_500, False), (1_000, True)], LEARNED_FRACTION * 1_000),
+        # Only half of them were lost.
         (
             [(2_000, True), (1_500, False), (1_200, False), (1_000, True)],
             CONFIGURED_MS,
-        ),  # half of them
+        ),
     ],
 )
 def test_idle_timeout_when_most_connections_as_idle_were_lost_is_below_their_idle_time(observed, expected_ms):
@@ -40,24 +41,24 @@
 def test_idle_timeout_when_nothing_was_learned_for_long_is_the_configured_one():
     timeout = IdleTimeout(5_000.0)
     assert timeout.current_ms == CONFIGURED_MS
-    timeout.note_reuse(100.0, 1_000.0, lost=True)
-    timeout.note_reuse(200.0, 1_000.0, lost=True)
+    timeout.record_reuse(100.0, 1_000.0, lost=True)
+    timeout.record_reuse(200.0, 1_000.0, lost=True)
     assert timeout.current_ms == LEARNED_FRACTION * 1_000
-    timeout.forget_outdated(200.0 + MEMORY_MS - 1)
+    timeout.expire_learned_timeout(200.0 + OBSERVATION_TTL_MS - 1)
     assert timeout.current_ms == LEARNED_FRACTION * 1_000
-    timeout.forget_outdated(200.0 + MEMORY_MS)
+    timeout.expire_learned_timeout(200.0 + OBSERVATION_TTL_MS)
     assert timeout.current_ms == CONFIGURED_MS
 
 
-def test_idle_timeout_when_connections_in_use_just_now_are_lost_learns_nothing():
+def test_idle_timeout_when_recently_used_connections_are_lost_learns_nothing():
     timeout = IdleTimeout(5_000.0)
     for now in range(5):
-        timeout.note_reuse(float(now), MIN_IDLE_MS - 1, lost=True)
+        timeout.record_reuse(float(now), MIN_IDLE_MS - 1, lost=True)
     assert timeout.current_ms == CONFIGURED_MS
 
 
 def test_idle_timeout_when_a_loss_is_long_ago_does_not_count_it():
     timeout = IdleTimeout(5_000.0)
-    timeout.note_reuse(0.0, 1_000.0, lost=True)
-    timeout.note_reuse(MEMORY_MS, 1_000.0, lost=True)
+    timeout.record_reuse(0.0, 1_000.0, lost=True)
+    timeout.record_reuse(OBSERVATION_TTL_MS, 1_000.0, lost=True)
     assert timeout.current_ms == CONFIGURED_MS
--- a/tests/upstream/test_local_failures.py
+++ b/tests/upstream/test_local_failures.py
@@ -1,4 +1,4 @@
-"""Attempts while this machine, not a server, opens no connections: no port, buffer, descriptor or route."""
+"""Attempts while the local machine cannot open connections: no free port, buffer, descriptor or route."""
 
 import asyncio
 import errno
@@ -21,10 +21,10 @@
 
 
 class FailingConnects:
-    """Has connects fail as `errors` says by the time (ms) since the start; None: they are made.
+    """Makes connects fail with the error that `errors` returns for the time (ms) since the start, if any.
 
     Attributes:
-        tried_at: When each was tried, in ms since the start.
+        tried_at: When each connect was tried, in ms since the start.
     """
 
     def __init__(self, monkeypatch, harness, errors) -> None:
@@ -73,7 +73,9 @@
 
 
 @pytest.mark.parametrize("code", sorted(LOCAL_ERRNOS), ids=errno.errorcode.get)
-def test_attempt_when_connects_fail_locally_throughout_is_no_sign_of_its_server(play, monkeypatch, code):
+def test_attempt_when_connects_fail_locally_throughout_is_not_held_against_its_server(
+    play, monkeypatch, code
+):
     async def test(harness, peer):
         events = []
         monkeypatch.setattr(harness.dispatcher._log, "event", lambda name, **fields: events.append(name))
@@ -83,7 +85,7 @@
         assert harness.results == []
         await advance_time(harness, 1)
         await until(lambda: harness.results)
-        # With no route for so long, it is the way to this server that is missing.
+        # If there is no route for the whole timeout, the server itself counts as unreachable.
         out_of_reach = code == errno.ENETUNREACH
         assert harness.outcomes == [Outcome.CONNECT_FAILED if out_of_reach else Outcome.WITHDRAWN]
         assert harness.counters["attempts_failed_locally"] == (not out_of_reach)
@@ -95,7 +97,9 @@
     with_harness(play, test)
 
 
-def test_attempt_when_routes_and_buffers_are_missing_in_turn_is_no_sign_of_its_server(play, monkeypatch):
+def test_attempt_when_routes_and_buffers_are_missing_in_turn_is_not_held_against_its_server(
+    play, monkeypatch
+):
     async def test(harness, _peer):
         codes = iter([errno.ENETUNREACH, errno.ENOBUFS] * 20)
         FailingConnects(monkeypatch, harness, lambda _: os_error(next(codes)))
@@ -108,7 +112,7 @@
 
 
 @pytest.mark.parametrize("code", [errno.ECONNREFUSED, errno.EHOSTUNREACH, errno.ETIMEDOUT, errno.ECONNRESET])
-def test_attempt_when_the_server_refuses_behind_local_failures_is_connect_failed(play, monkeypatch, code):
+def test_attempt_when_the_server_refuses_after_local_failures_is_connect_failed(play, monkeypatch, code):
     async def test(harness, _peer):
         FailingConnects(monkeypatch, harness, lambda at: os_error(errno.ENOBUFS if at < 10 else code))
         await harness.start()
@@ -136,14 +140,14 @@
 
 
 @pytest.mark.parametrize("seen", [True, False])
-def test_attempt_when_its_client_leaves_in_a_pause_connects_no_more(play, monkeypatch, seen):
+def test_attempt_when_its_client_leaves_in_a_pause_stops_connecting(play, monkeypatch, seen):
     async def test(harness, peer):
         connects = FailingConnects(monkeypatch, harness, failing_until(40))
         attempt = await harness.start()
         await advance_time(harness, 31)
         if seen:
             attempt.request_ended = True
-        else:  # the system holds its end, and the event loop has not come to it
+        else:  # the kernel knows, but the event loop has not read it yet
             attempt.check_client = lambda: setattr(attempt, "request_ended", True)
         await advance_time(harness, 50)
         await until(lambda: harness.results)
@@ -191,7 +195,7 @@
 
 
 @pytest.mark.parametrize(("failing_ms", "outcome"), [(100, Outcome.CONNECT_FAILED), (200, Outcome.WITHDRAWN)])
-def test_attempt_when_a_connection_hangs_behind_local_failures_blames_who_had_more_time(
+def test_attempt_when_a_connection_hangs_after_local_failures_blames_whichever_took_longer(
     play, monkeypatch, failing_ms, outcome
 ):
     async def test(harness, peer):
@@ -213,7 +217,7 @@
 
 
 class FailingSocket(socket.socket):
-    """Fails in one of its calls by `code`, as long as `failures` are left."""
+    """A socket of which the system call `call` fails with `code`, for the next `failures` calls."""
 
     call = ""
     code = 0
@@ -246,13 +250,13 @@
 
 def failing_calls() -> list[tuple[str, int]]:
     calls = [(call, code) for call in ("socket", "connect") for code in sorted(LOCAL_ERRNOS)]
-    # EAGAIN comes from connect(2) alone, never as the error of a connect that is in progress.
+    # EAGAIN is returned only by connect(2), never as the error of a connect in progress.
     return calls + [("connect in progress", code) for code in sorted(LOCAL_ERRNOS - {errno.EAGAIN})]
 
 
 @pytest.mark.parametrize(("call", "code"), failing_calls(), ids=lambda it: errno.errorcode.get(it, it))
 def test_attempt_when_a_system_call_fails_for_a_moment_is_served(monkeypatch, call, code):
-    """What asyncio makes of the errors of socket(2) and connect(2), at once or as the connect is awaited."""
+    """Covers how asyncio reports errors of socket(2) and connect(2), immediate or while in progress."""
 
     async def test():
         async with ScriptedServer(lambda _: VALUE) as peer:
--- a/tests/upstream/test_upstream_streaming.py
+++ b/tests/upstream/test_upstream_streaming.py
@@ -1,4 +1,4 @@
-"""Long values from servers, no faster than their clients read."""
+"""Long values from servers are forwarded no faster than their clients read."""
 
 import asyncio
 
@@ -13,7 +13,7 @@
 
 
 class StreamingHarness(UpstreamHarness):
-    """As the base; long values are streamed to `streamed`."""
+    """An upstream harness that streams long values to `streamed`."""
 
     def __init__(self, port: int) -> None:
         super().__init__(port, start_stream=self._start_stream)
@@ -50,7 +50,7 @@
 
 
 @pytest.mark.parametrize("how", ["end", "bad end", "silence"])
-def test_long_value_when_it_breaks_on_its_way_is_aborted_and_not_retried(how):
+def test_long_value_when_it_fails_midway_is_aborted_and_not_retried(how):
     async def test():
         text = {"end": ANSWER[:-3000], "bad end": ANSWER[:-2] + b"XY", "silence": ANSWER[:-9]}[how]
         async with ScriptedServer(lambda _: text) as peer:
