--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,4 +1,4 @@
-"""Fixtures that all tests share."""
+"""Fixtures for all tests."""
 
 import asyncio
 import gc
@@ -11,9 +11,9 @@
 
 @pytest.fixture(params=["sockets", "virtual"])
 def play(request):
-    """Runs a test on real sockets, or in virtual time: the drivers must not know the one from the other.
+    """Runs a test on real sockets and in virtual time, as the drivers must work the same with both.
 
-    What it waits for and never comes ends it, and so CI: no verdict rests on the bound.
+    The timeout only ends tests that wait forever, so that CI does not hang. No assertion depends on it.
     """
     run = asyncio.run if request.param == "sockets" else virtual.run
     return lambda test: run(asyncio.wait_for(test(), 60))
@@ -21,7 +21,7 @@
 
 @pytest.fixture
 def no_collector():
-    """What is freed in the test is freed by its references alone."""
+    """Disables the garbage collector, so that memory is freed by reference counting only."""
     gc.collect()
     gc.disable()
     yield
--- a/tests/lab/faults/test_scenario_check.py
+++ b/tests/lab/faults/test_scenario_check.py
@@ -2,7 +2,7 @@
 
 import pytest
 from msgspec.structs import replace
-from support.lab_fleet import SCENE
+from support.lab_fleet import SCENARIO
 from support.system_faults import day_of
 
 from flintridge.lab.faults.check import check
@@ -34,9 +34,9 @@
         ({"origin": m.Origin(zone="north")}, "origin.zone"),
         ({"origin": m.Origin(repeats_s=1.0)}, "classes[1].window_ms"),
         ({"discovery": m.Discovery(notice_s=(2.0, 1.0))}, "discovery.notice_s"),
-        ({"kinds": (*SCENE.kinds, m.Kind(name="origin"))}, "kinds[2].name"),
-        ({"kinds": (*SCENE.kinds, m.Kind(name="slow", cold_s=20.0))}, "kinds[2].cold_s"),
-        ({"kinds": (*SCENE.kinds, m.Kind(name="weak", cold_from=0.1))}, "kinds[2].cold_from"),
+        ({"kinds": (*SCENARIO.kinds, m.Kind(name="origin"))}, "kinds[2].name"),
+        ({"kinds": (*SCENARIO.kinds, m.Kind(name="slow", cold_s=20.0))}, "kinds[2].cold_s"),
+        ({"kinds": (*SCENARIO.kinds, m.Kind(name="weak", cold_from=0.1))}, "kinds[2].cold_from"),
         ({"servers": (m.Group(kind="huge"),)}, "servers[0].kind"),
         ({"servers": (m.Group(kind="big", count=0),)}, "servers"),
         ({"classes": (m.RequestClass(name="r", latency_objective_ms=3000.0),)}, "classes[0].aim_ms"),
@@ -44,7 +44,7 @@
     ],
 )
 def test_contradictions_are_told_by_path_with_what_is_allowed(changes, path):
-    [told] = check(replace(SCENE, **changes))
+    [told] = check(replace(SCENARIO, **changes))
     assert told.startswith(f"{path}: ") and len(told) < 200
 
 
@@ -52,7 +52,7 @@
     fine = [m.Crash(for_s=0.0, share=0.001), m.Drain(for_s=0.0, kind="big"), m.Reload(), m.Churn()]
     fine += [m.NodeKill(for_s=0.0, nodes=(1, 0)), m.SlowLink(zone="east", other="east")]
     fine += [m.ZoneLoss(at_s=29.9, for_s=100.0, zone="east")]
-    assert check(replace(SCENE, faults=fine)) == []
+    assert check(replace(SCENARIO, faults=fine)) == []
     assert check(m.Scenario()) == []
 
 
--- a/tests/lab/faults/test_timeline.py
+++ b/tests/lab/faults/test_timeline.py
@@ -3,7 +3,7 @@
 import asyncio
 
 import pytest
-from support.lab_fleet import SCENE, run_with_fleet
+from support.lab_fleet import SCENARIO, run_with_fleet
 
 from flintridge.lab.faults.node_reconciler import termination_grace_ms
 from flintridge.lab.records import FaultChanged, ServerStateChanged
@@ -12,11 +12,13 @@
 
 def test_overlapping_crashes_start_a_server_once_cold_when_the_last_ends():
     async def test(one):
-        await one.line.run()
+        await one.timeline.run()
         name = next(iter(one.world.servers))
-        lives = [(r.at_ms, r.state, r.warm_up_ms) for r in one.of(ServerStateChanged, server=name)][1:]
+        lives = [(r.at_ms, r.state, r.warm_up_ms) for r in one.records_of(ServerStateChanged, server=name)][
+            1:
+        ]
         assert lives == [(1000.0, "stopped", 0.0), (5000.0, "started", 9000.0)]
-        happened = [(r.at_ms, r.begins) for r in one.of(FaultChanged)]
+        happened = [(r.at_ms, r.begins) for r in one.records_of(FaultChanged)]
         assert happened == [(1000.0, True), (2000.0, True), (3000.0, False), (5000.0, False)]
         await asyncio.sleep(1)
         entries = {c.endpoint.id: c.endpoint for c in one.world.discovery.model.endpoints.snapshot()}
@@ -28,7 +30,7 @@
 @pytest.mark.parametrize("nodes", [False, True])
 def test_a_zone_that_was_silent_comes_back_cold(nodes):
     async def test(one):
-        one.play()
+        one.start_timeline()
         link, west = one.fabric.links.link, [h for h in one.world.servers.values() if h.zone == "west"]
         await one.clock.sleep_until(2000)
         assert [link("n0", h.party).state for h in west] == ["silent"] * 4
@@ -43,7 +45,7 @@
         assert [link("n0", h.party).state for h in west] == ["up"] * 4
         back = {c.endpoint.id: c.endpoint for c in one.world.discovery.model.endpoints.snapshot()}
         assert [back[h.id].started_at for h in west] == [6000.0] * 4
-        states = [r.state for r in one.of(ServerStateChanged, server=west[0].id)]
+        states = [r.state for r in one.records_of(ServerStateChanged, server=west[0].id)]
         assert states == ["started", "silent", "stopped", "started", "back"]
         # At no time was it listed as one that runs since long ago.
         phases = [
@@ -57,13 +59,13 @@
 def test_replaced_and_churned_servers_have_new_ids_at_the_old_addresses():
     async def test(one):
         before = {h.party: h.id for h in one.world.servers.values()}
-        await one.line.run()
+        await one.timeline.run()
         after = {h.party: h.id for h in one.world.servers.values()}
         assert sorted(before) == sorted(after)
         renewed = [party for party in before if before[party] != after[party]]
         assert next(iter(before)) in renewed and len(renewed) == 4
         assert all(h.up and not h.model.draining for h in one.world.servers.values())
-        gone = [r.server for r in one.of(ServerStateChanged, state="gone")]
+        gone = [r.server for r in one.records_of(ServerStateChanged, state="gone")]
         listed = [c.endpoint.id for c in one.world.discovery.model.endpoints.snapshot()]
         await asyncio.sleep(1)
         assert len(gone) == 4 and len(listed) == 7
@@ -76,7 +78,7 @@
 
 def test_drains_stop_for_good_or_come_back():
     async def test(one):
-        one.play()
+        one.start_timeline()
         first, second = list(one.world.servers.values())[:2]
         await one.clock.sleep_until(2000)
         assert first.model.draining and second.model.draining
@@ -90,7 +92,7 @@
 
 def test_nodes_are_killed_restarted_and_paused_however_that_overlaps():
     async def test(one):
-        await one.line.run()
+        await one.timeline.run()
         said = [s for s in one.runner.calls if s[0] > 0]
         assert [s[:2] for s in said if s[2] == "n0"] == [
             (1000, "killed"),
@@ -108,8 +110,8 @@
 def test_a_node_that_does_not_end_is_killed():
     async def test(one):
         one.runner.slow_to_end = True
-        await one.line.run()
-        at = 1000 + round(termination_grace_ms(SCENE))
+        await one.timeline.run()
+        at = 1000 + round(termination_grace_ms(SCENARIO))
         said = [s[:2] for s in one.runner.calls if s[2] == "n0"]
         assert said[1:] == [(1000, "term"), (at, "killed"), (at, "started")]
 
@@ -118,7 +120,7 @@
 
 def test_stop_undoes_all_that_is_on_and_starts_nothing():
     async def test(one):
-        run = asyncio.ensure_future(one.line.run())
+        run = asyncio.ensure_future(one.timeline.run())
         await one.clock.sleep_until(2000)
         host, link = next(iter(one.world.servers.values())), one.fabric.links.link
         discovery, origin = one.world.discovery.model, one.world.origin.model
@@ -129,7 +131,7 @@
         )
         knobs = origin.slow, origin.down, discovery.calls.slow, discovery.endpoints.stale_since
         assert knobs == (5.0, "errors", 20.0, 500.0)
-        await one.line.stop()
+        await one.timeline.stop()
         assert run.cancelled()
         assert (
             host.model.faults.slowdown == 1.0
@@ -139,7 +141,7 @@
         assert (origin.slow, origin.down) == (1.0, "")
         assert (discovery.calls.slow, discovery.endpoints.stale_since) == (1.0, None)
         assert {link("n0", h.party).state for h in one.world.servers.values()} == {"up"}
-        began, ended = (sorted(r.name for r in one.of(FaultChanged, begins=b)) for b in (True, False))
+        began, ended = (sorted(r.name for r in one.records_of(FaultChanged, begins=b)) for b in (True, False))
         assert began == ended and "burst" in began
         assert not list(one.world.servers.values())[1].up and not one.runner.running("n0")
         assert one.runner.calls[-1] == (2000, "resumed", "n1")
@@ -165,7 +167,7 @@
     faults = (m.Churn(at_s=1.0, for_s=5.0), m.Crash(at_s=2.0, share=0.3), m.ZoneLoss(at_s=6.0, zone="east"))
 
     async def test(one):
-        await one.line.run()
+        await one.timeline.run()
         return one.log.digest()
 
     assert run_with_fleet(test, *faults) == run_with_fleet(test, *faults)
--- a/tests/lab/world/test_cache_connection.py
+++ b/tests/lab/world/test_cache_connection.py
@@ -21,16 +21,16 @@
 def test_a_miss_when_the_origin_answers_is_stored_for_the_next_read():
     async def body(stage):
         peer, http = await stage.connect("s0"), await stage.connect("origin")
-        uid, line = stage.ask()
+        uid, line = stage.memcache_request()
         peer.transport.write(line[:7])
         await asyncio.sleep(0.5)
         peer.transport.write(line[7:])
         await asyncio.sleep(0.1)
         assert peer.received == b"EN Ou1\r\n"
-        http.transport.write(stage.http()[1].replace(b"u2", b"u1"))
+        http.transport.write(stage.http_request()[1].replace(b"u2", b"u1"))
         await asyncio.sleep(0.2)
         peer.received = b""
-        peer.transport.write(stage.ask()[1])
+        peer.transport.write(stage.memcache_request()[1])
         await asyncio.sleep(0.1)
         value = stage.objects.body("a", 1, "s0", "u3")
         assert peer.received == b"VA %d Ou3\r\n%b\r\n" % (len(value), value)
@@ -39,7 +39,7 @@
         )
 
     stage = run_with_servers(body)
-    attempts, made = stage.seen(AttemptReceived), stage.seen(AttemptServed)
+    attempts, made = stage.records_of(AttemptReceived), stage.records_of(AttemptServed)
     assert [(a.server, a.request_id, a.time_left_ms) for a in attempts] == [
         ("s0", "u1", 1000),
         ("origin", "u1", 1000),
@@ -52,7 +52,7 @@
     assert made[2].body_digest == body_digest(stage.objects.body("a", 1, "s0", "u3")) and made[
         2
     ].at_ms == pytest.approx(attempts[2].at_ms + 10)
-    assert [r.attempt_id for r in stage.seen(AttemptExecuted)] == [2, 3] and not stage.seen(
+    assert [r.attempt_id for r in stage.records_of(AttemptExecuted)] == [2, 3] and not stage.records_of(
         AttemptDropped, MalformedMessage
     )
 
@@ -60,8 +60,8 @@
 def test_responses_when_pipelined_keep_their_order_within_the_bound():
     async def body(stage):
         peer = await stage.connect("s0")
-        lines = [stage.ask(work=work)[1] for work in (30, 1)] + [b"mn\r\n"]
-        lines += [stage.ask(work=0.1)[1] for _ in range(300)] + [b"mn\r\n" * 3000]
+        lines = [stage.memcache_request(work=work)[1] for work in (30, 1)] + [b"mn\r\n"]
+        lines += [stage.memcache_request(work=0.1)[1] for _ in range(300)] + [b"mn\r\n" * 3000]
         peer.transport.write(b"".join(lines))
         await asyncio.sleep(0.02)
         assert peer.received == b""  # the second has run by now
@@ -71,7 +71,7 @@
         )
 
     stage = run_with_servers(body, cores=2, queue_per_core=500)
-    attempts, made = stage.seen(AttemptReceived), stage.seen(AttemptServed)
+    attempts, made = stage.records_of(AttemptReceived), stage.records_of(AttemptServed)
     assert [x.attempt_id for x in made] == list(range(1, 303)) and len({a.at_ms for a in attempts}) == 1
     assert made[0].at_ms == made[1].at_ms == pytest.approx(attempts[0].at_ms + 30)
 
@@ -81,17 +81,17 @@
     async def body(stage):
         stage.servers[0].model.store.put(0, "a")
         peer, other = await stage.connect("s0"), await stage.connect("s0")
-        peer.transport.write(stage.ask()[1] + stage.ask(key="b")[1])
+        peer.transport.write(stage.memcache_request()[1] + stage.memcache_request(key="b")[1])
         await asyncio.sleep(0.005)
         getattr(peer.transport, end)()
-        other.transport.write(stage.ask(key="c")[1])
+        other.transport.write(stage.memcache_request(key="c")[1])
         await asyncio.sleep(0.1)
         assert other.received == b"EN Ou3\r\n" and peer.received == b""
 
     stage = run_with_servers(body)
-    assert [d.request_id for d in stage.seen(AttemptDropped)] == ["u1", "u2"]
-    assert [r.request_id for r in stage.seen(AttemptExecuted)] == ["u1"]  # it ran, and nobody heard
-    assert stage.made() == {"u3": "miss"}
+    assert [d.request_id for d in stage.records_of(AttemptDropped)] == ["u1", "u2"]
+    assert [r.request_id for r in stage.records_of(AttemptExecuted)] == ["u1"]  # it ran, and nobody heard
+    assert stage.outcomes() == {"u3": "miss"}
 
 
 def test_faults_when_a_server_crashes_and_restarts_outlast_it():
@@ -100,7 +100,7 @@
         old.model.store.put(0, "a")
         old.model.faults.slowdown = 2.0
         peer = await stage.connect("s0")
-        peer.transport.write(stage.ask()[1])
+        peer.transport.write(stage.memcache_request()[1])
         await asyncio.sleep(0.005)
         old.stop()
         old.stop()
@@ -111,7 +111,7 @@
         new.stop(StopReason.REMOVED)
         await new.start(cold=True, at_address_of="s0")
         peer = await stage.connect("s0")
-        peer.transport.write(stage.ask()[1])
+        peer.transport.write(stage.memcache_request()[1])
         await asyncio.sleep(0.3)
         assert peer.received == b"EN Ou2\r\n" and new.started_at == pytest.approx(107, abs=2)
         with pytest.raises(OSError, match="attempting to bind"):  # the address is taken
@@ -122,9 +122,15 @@
         assert old.model.faults.slowdown == 2.0 and old.model.store.has(0, "a") is False
 
     stage = run_with_servers(body)
-    said = [(s.server, s.state, s.warm_up_ms) for s in stage.seen(ServerStateChanged) if s.server != "origin"]
+    said = [
+        (s.server, s.state, s.warm_up_ms)
+        for s in stage.records_of(ServerStateChanged)
+        if s.server != "origin"
+    ]
     assert said[2:5] == [("s0", "stopped", 0), ("s1", "gone", 0), ("s1", "started", 9000)]
-    assert [d.request_id for d in stage.seen(AttemptDropped)] == ["u1"] and not stage.seen(AttemptExecuted)
+    assert [d.request_id for d in stage.records_of(AttemptDropped)] == ["u1"] and not stage.records_of(
+        AttemptExecuted
+    )
 
 
 def test_a_server_when_overloaded_crashes_and_stays_down():
@@ -133,28 +139,33 @@
         server.stop()
         await server.start(cold=True)
         peer = await stage.connect("s0")
-        peer.transport.write(b"".join(stage.ask(work=1000)[1] for _ in range(5)))
+        peer.transport.write(b"".join(stage.memcache_request(work=1000)[1] for _ in range(5)))
         await asyncio.sleep(1)
         assert peer.ended == "ConnectionResetError" and not server.up
 
     stage = run_with_servers(body)  # 3 x 0.32 x 2 cores x 1500 ms: 2880
-    assert len(stage.seen(AttemptReceived)) == 3 and stage.seen(ServerStateChanged)[-1].state == "fallen"
+    assert (
+        len(stage.records_of(AttemptReceived)) == 3
+        and stage.records_of(ServerStateChanged)[-1].state == "fallen"
+    )
 
 
 def test_requests_when_draining_are_rejected_and_the_first_waits_for_the_handshake():
     async def body(stage):
         peer = await stage.connect("s0")
         await asyncio.sleep(0.1)
-        peer.transport.write(stage.ask()[1])
+        peer.transport.write(stage.memcache_request()[1])
         await asyncio.sleep(0.05)
         stage.servers[0].drain()
-        peer.transport.write(stage.ask()[1])
+        peer.transport.write(stage.memcache_request()[1])
         await asyncio.sleep(0.05)
         assert peer.received == b"EN Ou1\r\nSERVER_ERROR busy\r\n"
 
     stage = run_with_servers(body, handshake_ms=20.0)
-    assert stage.seen(AttemptServed)[0].at_ms - stage.seen(AttemptReceived)[0].at_ms == pytest.approx(30)
-    assert stage.made()["u2"] == "busy"
+    assert stage.records_of(AttemptServed)[0].at_ms - stage.records_of(AttemptReceived)[
+        0
+    ].at_ms == pytest.approx(30)
+    assert stage.outcomes()["u2"] == "busy"
 
 
 def test_connections_when_too_many_idle_or_stale_are_ended():
@@ -162,7 +173,7 @@
         first, second = await stage.connect("s0"), await stage.connect("s0")
         await asyncio.sleep(0.5)
         assert (first.ended, second.ended) == ("", "ConnectionResetError")
-        first.transport.write(stage.ask()[1])
+        first.transport.write(stage.memcache_request()[1])
         await asyncio.sleep(0.9)
         assert first.ended == "" and first.received
         await asyncio.sleep(0.2)
@@ -173,14 +184,14 @@
             faults.stale_unresponsive = silent
             peer = await stage.connect("s0")
             await asyncio.sleep(0.4)
-            peer.transport.write(stage.ask()[1])
+            peer.transport.write(stage.memcache_request()[1])
             await asyncio.sleep(2)
             assert peer.ended == ("" if silent else "ConnectionResetError") and peer.received == b""
             peer.transport.close()
             await asyncio.sleep(0.1)
 
     stage = run_with_servers(body, connections=1, idle_s=1.0)
-    assert len(stage.seen(AttemptReceived)) == 1 and not stage.seen(AttemptDropped)
+    assert len(stage.records_of(AttemptReceived)) == 1 and not stage.records_of(AttemptDropped)
 
 
 @pytest.mark.parametrize(
@@ -191,28 +202,32 @@
         setattr(stage.servers[0].model.faults, f"{kind}_fraction", 1.0)
         stage.servers[0].model.store.put(0, "a")
         peer = await stage.connect("s0")
-        peer.transport.write(stage.ask()[1])
+        peer.transport.write(stage.memcache_request()[1])
         await asyncio.sleep(0.1)
         assert (peer.received, peer.ended) == (b"", ends)
 
     stage = run_with_servers(body)
-    assert stage.made().get("u1") == outcome and len(stage.seen(AttemptExecuted)) == 1
-    assert [made.lost for made in stage.seen(AttemptServed)] == [True] * (kind == "lost")
+    assert stage.outcomes().get("u1") == outcome and len(stage.records_of(AttemptExecuted)) == 1
+    assert [made.lost for made in stage.records_of(AttemptServed)] == [True] * (kind == "lost")
 
 
 def test_a_request_when_not_as_the_client_sent_it_is_recorded_and_rejected():
     async def body(stage):
         peer = await stage.connect("s0")
-        good = stage.ask(write=True, idem="i")[1]
+        good = stage.memcache_request(write=True, idempotency_key="i")[1]
         bad = (good.replace(b"Ou1", b"Ou9"), good.replace(b"k=i", b"k=j"), good.replace(b"ms a", b"ms b"))
-        wrong = (stage.ask(extra=",t=other")[1], good.replace(b"c=put", b"c=read"), b"ms a 5 v\r\n")
+        wrong = (
+            stage.memcache_request(extra=",t=other")[1],
+            good.replace(b"c=put", b"c=read"),
+            b"ms a 5 v\r\n",
+        )
         peer.transport.write(b"".join(bad + wrong))
         await asyncio.sleep(0.1)
         assert peer.received.count(b"CLIENT_ERROR") == 6 and peer.ended == "eof"
         for text in (
-            stage.http()[1].replace(b"GET", b"POST"),
+            stage.http_request()[1].replace(b"GET", b"POST"),
             b"\x00\r\n\r\n",
-            stage.http()[1].replace(b"/a", b"/b"),
+            stage.http_request()[1].replace(b"/a", b"/b"),
         ):
             http = await stage.connect("origin")
             http.transport.write(text)
@@ -220,7 +235,7 @@
             assert http.received.startswith(b"HTTP/1.1 400") and http.ended == "eof"
 
     stage = run_with_servers(body)
-    assert len(stage.seen(MalformedMessage)) == 9 and not stage.seen(AttemptReceived)
+    assert len(stage.records_of(MalformedMessage)) == 9 and not stage.records_of(AttemptReceived)
 
 
 def test_the_log_when_played_by_one_seed_is_the_same():
@@ -231,7 +246,9 @@
             faults.error_fraction = faults.corrupted_fraction = faults.lost_fraction = 0.1
         for _ in range(60):
             peer = await stage.connect(rng.choice(("s0", "s1")))
-            peer.transport.write(b"".join(stage.ask(key=rng.choice("abc"), work=9)[1] for _ in range(6)))
+            peer.transport.write(
+                b"".join(stage.memcache_request(key=rng.choice("abc"), work=9)[1] for _ in range(6))
+            )
             await asyncio.sleep(0.02)
 
     spoils = {
--- a/tests/lab/world/test_objects.py
+++ b/tests/lab/world/test_objects.py
@@ -1,7 +1,7 @@
 """The values behind the keys."""
 
 import pytest
-from support.lab_world import SCENE
+from support.lab_world import SCENARIO
 
 from flintridge.lab.seeds import Seeds
 from flintridge.lab.world.cache_store import CacheStore
@@ -9,12 +9,13 @@
 
 
 def test_values_when_the_origin_answers_are_stored_by_those_that_missed():
-    objects = Objects(SCENE, Seeds(3))
+    objects = Objects(SCENARIO, Seeds(3))
     sizes = [objects.size(f"k{i}") for i in range(4000)]
     assert (
-        sum(sizes) / 4000 == pytest.approx(800, rel=0.05) and Objects(SCENE, Seeds(3)).size("k7") == sizes[7]
+        sum(sizes) / 4000 == pytest.approx(800, rel=0.05)
+        and Objects(SCENARIO, Seeds(3)).size("k7") == sizes[7]
     )
-    assert objects.size("k7") != Objects(SCENE, Seeds(4)).size("k7")
+    assert objects.size("k7") != Objects(SCENARIO, Seeds(4)).size("k7")
     body = objects.body("k7", 1, "s1", "u1")
     assert body.startswith(b"k7|1|s1|u1|") and len(body) == sizes[7]
     assert body[-200:] != objects.body("k7", 1, "s1", "u2")[-200:]
--- a/tests/support/__init__.py
+++ b/tests/support/__init__.py
@@ -1,1 +1,1 @@
-"""What tests share: clocks set by hand, scripted peers, harnesses and configurations."""
+"""Shared test helpers: manual clocks, scripted servers, harnesses and configurations."""
--- a/tests/support/codec.py
+++ b/tests/support/codec.py
@@ -1,4 +1,4 @@
-"""Commands and responses of both protocols, valid and cut anywhere."""
+"""Valid commands and responses of both protocols, and helpers that feed them in pieces."""
 
 from hypothesis import strategies as st
 
--- a/tests/support/configuration.py
+++ b/tests/support/configuration.py
@@ -1,4 +1,4 @@
-"""Configurations in the node's own format, and the faults of files."""
+"""Configurations in the node's own file format, and the errors that invalid files cause."""
 
 import json
 import tomllib
@@ -35,12 +35,12 @@
 
 
 def read(text: str, env=None):
-    """The configuration that a text in the node's own format leads to."""
+    """Parse the text of a file in the node's own format."""
     return parse_node_file("n.toml", text.encode(), env or {})
 
 
 def fault_lines(call, *args) -> list[str]:
-    """The lines of the faults that a call reports; it must report some."""
+    """Return the error lines that a call reports; fails if it reports none."""
     with pytest.raises(ConfigFaultsError) as caught:
         call(*args)
     return str(caught.value).splitlines()
--- a/tests/support/core.py
+++ b/tests/support/core.py
@@ -1,11 +1,11 @@
-"""A scripted policy."""
+"""A scripted policy for tests of the request core."""
 
 from flintridge import api
 from flintridge.api import Outcome
 
 
 class ScriptedPolicy:
-    """Stands for the policy: records events and answers them as the test says."""
+    """A policy that records events and returns the actions of the test's handlers, by event type."""
 
     def __init__(self) -> None:
         self.events: list[tuple[int, api.Event]] = []
--- a/tests/support/downstream.py
+++ b/tests/support/downstream.py
@@ -1,4 +1,4 @@
-"""The client side of a node whose requests the test answers, and its clients."""
+"""The client side of a node, with clients; the test responds to the requests itself."""
 
 import asyncio
 import socket
@@ -20,14 +20,14 @@
 
 
 class PassivePolicy:
-    """Decides nothing: leaves every request to the test."""
+    """A policy that takes no action, so that the test responds to every request."""
 
     def handle(self, now, event):
         return []
 
 
 class DownstreamHarness:
-    """A listener on loopback with a request core; time is set by hand."""
+    """A listener on loopback with a request core and a manual clock."""
 
     def __init__(
         self,
@@ -68,11 +68,11 @@
         await run_loop_turns()
 
     def fail(self, request_id: str) -> None:
-        """The final response of a request: it failed."""
+        """Fail a request, as its final response."""
         self.core._fail_overdue(request_id)
 
     def take_responder(self, request_id: str) -> Responder:
-        """The client's end of a request, for the final response that the test makes."""
+        """Return the responder of a request; the test makes the final response with it."""
         return self.core.open_requests.take_unanswered(request_id).responder
 
     @property
@@ -80,14 +80,14 @@
         return self.counters["requests"]
 
     async def stream_client(self, *parts: bytes) -> tuple[asyncio.StreamReader, asyncio.StreamWriter]:
-        """A client on asyncio's streams; `parts` are written at once."""
+        """Connect a client that uses asyncio streams, and write `parts` immediately."""
         reader, writer = await asyncio.open_connection("127.0.0.1", self.port)
         writer.writelines(parts)
-        self.clients.append(writer)  # a forgotten writer closes its connection
+        self.clients.append(writer)  # a garbage-collected writer closes its connection
         return reader, writer
 
     async def socket_client(self, *parts: bytes) -> socket.socket:
-        """A client on a plain socket, which acts at once; accepted by now, and `parts` are sent."""
+        """Connect a client that uses a blocking socket, wait until it is accepted, and send `parts`."""
         client = socket.create_connection(("127.0.0.1", self.port))
         client.settimeout(10)
         self.clients.append(client)
@@ -97,7 +97,7 @@
 
 
 async def run_loop_turns(count: int = 20) -> None:
-    """Let the event loop carry out what is due."""
+    """Run some iterations of the event loop."""
     for _ in range(count):
         await asyncio.sleep(0)
         await asyncio.sleep(0.0005)
--- a/tests/support/downstream_termination.py
+++ b/tests/support/downstream_termination.py
@@ -1,4 +1,4 @@
-"""How the other end of a connection ends it, and what is read until then."""
+"""Ways in which a remote end closes a connection, and reading until then."""
 
 import asyncio
 import socket
@@ -17,7 +17,7 @@
 
 
 def send_or_close(end: socket.socket, crossing: bytes | str) -> None:
-    """What reaches the node in this moment: bytes, a reset ("rst"), or an orderly end (b"")."""
+    """Send bytes, reset the connection ("rst"), or end the stream (b"")."""
     if crossing == "rst":
         reset_connection(end)
     elif crossing:
@@ -27,7 +27,7 @@
 
 
 async def read_until_end(client: socket.socket) -> bytes:
-    """All that comes until the end. Raises ConnectionResetError where that is a reset."""
+    """Return everything up to the end of the stream. Raises ConnectionResetError on a reset."""
     client.setblocking(False)
     loop = asyncio.get_running_loop()
     data = bytearray()
--- a/tests/support/generated_days.py
+++ b/tests/support/generated_days.py
@@ -1,4 +1,4 @@
-"""Days of other customers, drawn by seed: classes of each effect, zones, tenants, rules, limits, troubles."""
+"""Scenarios generated from a seed, with varied request classes, zones, tenants, rules, limits and faults."""
 
 import random
 
@@ -7,7 +7,7 @@
 from flintridge.lab.scenario.load import load
 from flintridge.lab.scenario.model import Scenario
 
-SPAN = 9.0  # s that a day lasts
+LENGTH_S = 9.0
 
 
 def _classes(draw: random.Random) -> list[dict]:
@@ -65,14 +65,14 @@
         ]
     chosen = [dict(trouble) for trouble in draw.sample(every, 6)]
     for trouble in chosen:
-        trouble["at_s"] = round(draw.uniform(0.5, SPAN - 3), 3)
+        trouble["at_s"] = round(draw.uniform(0.5, LENGTH_S - 3), 3)
         if trouble["what"] not in ("flush", "reload"):
             trouble["for_s"] = round(draw.uniform(0.5, 3.0), 3)
     return chosen
 
 
 def generated_scenario(seed: int) -> Scenario:
-    """The day of a seed; the same at each call."""
+    """Return the scenario of a seed; deterministic."""
     draw = random.Random(seed)
     zones = ["north", "south", "west"][: draw.randint(1, 3)]
     calm = msgspec.to_builtins(load("calm"))
@@ -81,7 +81,7 @@
     kinds = [kind["name"] for kind in calm["kinds"]]
     plan = calm | {
         "name": f"generated-{seed}",
-        "length_s": SPAN,
+        "length_s": LENGTH_S,
         "warmup_s": 1.5,
         "zones": zones,
         "nodes": {"count": draw.randint(1, 4), "sockets": draw.choice([128, 256, 512]), "zones": zones},
--- a/tests/support/judge.py
+++ b/tests/support/judge.py
@@ -1,4 +1,4 @@
-"""What the tests of the lab's checker share: records made by hand, and the rules that a log violates."""
+"""Helpers for tests of the lab's judge: hand-made records, and the rules that a log of records violates."""
 
 import itertools
 
@@ -57,7 +57,7 @@
 def attempt(
     started_ms, request_id="u1", server="s1", served_ms=None, outcome="value", connection=1, **more
 ) -> list[r.AnyRecord]:
-    """An attempt that arrives 1 ms after it started, and what the server responded, if anything."""
+    """Records of an attempt that arrives 1 ms after its start, and of the server's response, if any."""
     attempt_id = next(attempt_ids)
     values = {
         "node": "n0",
@@ -93,7 +93,7 @@
 
 
 def served(at_ms=0.0, request_id="u1", duration_ms=100.0, **more) -> list[r.AnyRecord]:
-    """A request that is served upon its first attempt."""
+    """Records of a request that its first attempt serves."""
     return [
         request(at_ms, request_id, **more),
         *attempt(at_ms + 5, request_id, served_ms=at_ms + duration_ms - 5),
@@ -121,7 +121,7 @@
 
 
 def violated_rules(log, backend="virtual", **changes) -> dict[str, int]:
-    """How often each rule is violated; each with its proof."""
+    """Return how often each rule is violated, and check that each violation has its evidence."""
     records = sorted([*log, last_record()], key=lambda record: record.at_ms)
     result = judge(records, scenario(**changes), 1, backend)
     assert tuple(result.rules) == RULES
@@ -134,12 +134,12 @@
 
 
 def late_response(at_ms):
-    """A request whose response comes then."""
+    """Records of a request whose response arrives at `at_ms`."""
     return [request(), *attempt(5, served_ms=500), response(at_ms)]
 
 
 def repeat(started_ms, server="origin", **more):
-    """A further attempt of a write."""
+    """Records of another attempt at a write."""
     values = {"is_origin": server == "origin"} | more
     return attempt(started_ms, server=server, write=True, **values)
 
--- a/tests/support/known_failures.py
+++ b/tests/support/known_failures.py
@@ -1,7 +1,8 @@
-"""Pytest plugin: failures that KNOWN-RED.txt lists are printed and passed over, everything else fails.
+"""Pytest plugin: failures listed in KNOWN-RED.txt are printed but do not fail the run; all others do.
 
-The file stands at the root and exists only while there is a case. Entries are separated by blank lines. Each
-has all of these fields, one a line, in any order; a line that starts with a space continues the line above:
+The file is in the repository root and exists only while there are entries. Entries are separated by blank
+lines. Each has all of these fields, one per line, in any order. A line that starts with a space continues the
+line above:
 
     test: tests/lab/test_run.py::test_a_day[calm]
     command: ./dev python -m pytest -q tests/lab/test_run.py
@@ -21,12 +22,12 @@
 
 
 class MalformedEntryError(ValueError):
-    """An entry of KNOWN-RED.txt that cannot be used; the message names its line."""
+    """An entry of KNOWN-RED.txt is invalid; the message names its line."""
 
 
 @dataclass(frozen=True, slots=True)
 class KnownFailure:
-    """A listed test, and what is known of its failure."""
+    """A listed test and its known failure."""
 
     test: str  # node id
     command: str
@@ -36,11 +37,11 @@
 
 
 def parse(text: str) -> list[KnownFailure]:
-    """The entries of the file's text.
+    """Parse the text of the file.
 
     Raises:
-        MalformedEntryError: A field is unknown, missing, empty or given twice, a node id names no test or is
-            listed twice, or the issue is not a number.
+        MalformedEntryError: A field is unknown, missing, empty or duplicated, a node id is invalid or listed
+            twice, or the issue is not a number.
     """
     entries: list[KnownFailure] = []
     listed: set[str] = set()
@@ -63,7 +64,7 @@
 
 
 def _paragraphs(text: str) -> Iterator[tuple[int, dict[str, str]]]:
-    """Of each entry the number of its first line, and its fields."""
+    """Yield the number of the first line and the fields of each entry."""
     fields: dict[str, str] = {}
     first_line = 0
     name = ""
@@ -75,7 +76,7 @@
             continue
         if line[0].isspace():
             if not fields:
-                raise MalformedEntryError(f"line {number}: it continues no field")
+                raise MalformedEntryError(f"line {number}: continuation line without a field")
             fields[name] += f" {line.strip()}"
             continue
         name, colon, value = line.partition(":")
@@ -89,17 +90,17 @@
 
 
 class KnownFailures:
-    """The hooks. In each worker process reports are marked, in the controlling one they are printed."""
+    """The pytest hooks: worker processes mark reports, the controlling process prints them."""
 
     def __init__(self, entries: list[KnownFailure]) -> None:
         self._entries = {entry.test: entry for entry in entries}
-        self._failed: dict[str, str] = {}  # node id to what was seen in this run
+        self._failed: dict[str, str] = {}  # node id -> failure in this run
         self._passed: set[str] = set()
 
     def _entry(self, node_id: str) -> KnownFailure | None:
         if node_id in self._entries:
             return self._entries[node_id]
-        # xdist adds the group of a test that has one.
+        # xdist appends `@group` to the node ids of tests that have a group.
         return self._entries.get(node_id.rpartition("@")[0])
 
     @pytest.hookimpl(wrapper=True)
@@ -107,7 +108,7 @@
         report = yield
         entry = self._entry(item.nodeid)
         if entry is not None and report.failed:
-            # As pytest marks an expected failure: it does not count towards the exit code.
+            # pytest marks expected failures like this; they do not affect the exit code.
             report.outcome = "skipped"
             report.wasxfail = f"issue {entry.issue}"
             report.known_failure = entry.test
@@ -136,12 +137,12 @@
         if entry.test in self._failed:
             return "failed, passed over"
         if entry.test in self._passed:
-            return "passed; take its entry out"
+            return "passed; remove its entry"
         return "not run"
 
 
 def pytest_configure(config):
-    """Read the file, where there is one; a malformed entry ends the run."""
+    """Read the file if it exists; a malformed entry aborts the run."""
     path: Path = config.rootpath / FILE_NAME
     if not path.exists():
         return
--- a/tests/support/lab_discovery.py
+++ b/tests/support/lab_discovery.py
@@ -8,7 +8,7 @@
 
 
 def endpoint_list(notice=100.0, silent=500.0, *names) -> EndpointList:
-    """With servers that are listed since long ago."""
+    """An endpoint list whose servers have been listed for a long time."""
     made = EndpointList(10, lambda: notice, lambda: silent)
     for name in names:
         made.add(-1e6, endpoint(name))
--- a/tests/support/lab_fake_runs.py
+++ b/tests/support/lab_fake_runs.py
@@ -1,4 +1,4 @@
-"""Runs without a node, for tests of experiments: a runner that does what the scenario's description says."""
+"""Simulated runs for tests of experiments: a runner that follows instructions in the scenario's `about`."""
 
 import os
 import subprocess
@@ -14,8 +14,8 @@
 
 
 def fake(scenario, seed, *, backend="virtual", defect=None, events=None):
-    """Does what the scenario's `about` says, with figures from its values and the seed alone."""
-    print("a run may print what it likes")
+    """Follow the instruction in `about`; the result depends only on the scenario's values and the seed."""
+    print("a run may print anything")
     what, _, rest = scenario.about.partition(" ")
     if what == "raise":
         raise ValueError(f"seed {seed}")
@@ -26,11 +26,11 @@
         child = subprocess.Popen(["sleep", "600"], start_new_session=True)
         Path(rest).write_text(f"{os.getpid()} {child.pid}")
         time.sleep(600)
-    if what == "exclusive":  # fails where two of them run at once
+    if what == "exclusive":  # fails if two of them run concurrently
         with open(rest, "x"):
             time.sleep(0.05)
         os.unlink(rest)
-    if what == "fickle":  # with fewer faults it fails under seed 2 alone
+    if what == "fickle":  # with fewer faults it fails only with seed 2
         breaks = int(len(scenario.faults) == 4 or seed == 2)
         return Result(scenario="", seed=seed, backend=backend, rules={"lost": breaks})
     goodput = max(0.0, 1 - scenario.load.rate_per_s / 1000 - 0.1 * len(scenario.faults) + seed / 1e4)
@@ -51,7 +51,7 @@
 
 
 def process_ends(pid, within=5.0):
-    """Whether a process ends soon: it is killed at once, but reaped by others."""
+    """Whether a process ends within `within` seconds. It has been killed, but another process reaps it."""
     until = time.monotonic() + within
     while time.monotonic() < until:
         try:
--- a/tests/support/lab_fleet.py
+++ b/tests/support/lab_fleet.py
@@ -1,4 +1,4 @@
-"""A fleet in virtual time with nodes that do nothing, for the tests of the lab's fleet and faults."""
+"""A fleet in virtual time with inactive nodes, for tests of the lab's fleet and faults."""
 
 import asyncio
 from typing import TypeVar
@@ -20,7 +20,7 @@
 R = TypeVar("R")
 
 
-SCENE = m.Scenario(
+SCENARIO = m.Scenario(
     zones=("east", "west"),
     nodes=m.Nodes(count=2),
     kinds=(m.Kind(name="big", speed=(1.0, 2.0), idle_s=9.0), m.Kind(name="small", idle_s=4.0)),
@@ -34,7 +34,7 @@
 
 
 class Runner:
-    """A NodeRunner of nodes that do nothing; if `slow_to_end` they never end by themselves."""
+    """A NodeRunner of inactive nodes that records its calls; with `slow_to_end`, nodes end only by a kill."""
 
     def __init__(self, world: SimulatedFleet) -> None:
         self.world, self.calls, self.slow_to_end = world, [], False
@@ -78,13 +78,15 @@
 
 
 class Controls:
-    """LoadControls that record their calls; of a burst, its factor at 1.5 s."""
+    """LoadControls that record their calls; a burst's factor is recorded as its value at 1.5 s."""
 
     def __init__(self) -> None:
         self.calls = []
 
     def __getattr__(self, name):
-        return lambda *told: self.calls.append((name, *(a(1500.0) if callable(a) else a for a in told)))
+        return lambda *arguments: self.calls.append(
+            (name, *(a(1500.0) if callable(a) else a for a in arguments))
+        )
 
 
 class FleetHarness:
@@ -94,18 +96,18 @@
         self.clock = self.fabric.clock
         self.world = SimulatedFleet(scenario, seeds, self.log, self.fabric, GroundTruth())
         self.runner, self.controls = Runner(self.world), Controls()
-        self.line = Timeline(scenario, seeds, self.world, self.fabric, self.runner, self.controls)
+        self.timeline = Timeline(scenario, seeds, self.world, self.fabric, self.runner, self.controls)
 
-    def of(self, kind: type[R], **fields) -> list[R]:
+    def records_of(self, kind: type[R], **fields) -> list[R]:
         return [
             r for r in self.log if isinstance(r, kind) and all(getattr(r, k) == v for k, v in fields.items())
         ]
 
-    def play(self):
-        self.task = asyncio.ensure_future(self.line.run())
+    def start_timeline(self):
+        self.task = asyncio.ensure_future(self.timeline.run())
 
-    async def call(self, node, target="/api/targets", address=None, method="GET"):
-        """A GET from the node's host: status and body."""
+    async def request(self, node, target="/api/targets", address=None, method="GET"):
+        """Send an HTTP request from the node's host and return status and body."""
         host, _, port = (address or self.world.discovery.address(node)).rpartition(":")
         return await self.fabric.network.host(node).run(self._get(host, int(port), target, method))
 
@@ -122,8 +124,8 @@
 
 
 def run_with_fleet(test, *faults, **changes):
-    """Run `test` on a stage that is open, in virtual time."""
-    scenario = replace(SCENE, **changes, faults=faults)
+    """Run `test` with a fleet whose nodes are started, in virtual time."""
+    scenario = replace(SCENARIO, **changes, faults=faults)
     assert check(scenario) == []
 
     async def main():
@@ -134,7 +136,7 @@
         try:
             return await test(one)
         finally:
-            await one.line.stop()
+            await one.timeline.stop()
             await one.world.close()
 
     links = LinkTable(scenario.links, Seeds(1))
--- a/tests/support/lab_reports.py
+++ b/tests/support/lab_reports.py
@@ -1,4 +1,4 @@
-"""Results and scenarios for tests of reports and lab commands, and what any report has to satisfy."""
+"""Results and scenarios for tests of reports and lab commands, and checks that each HTML report must pass."""
 
 import re
 
@@ -59,7 +59,7 @@
 
 
 def fake(scenario, seed, *, backend="virtual", defect=None, events=None):
-    """A `play` that does what the scenario's name says."""
+    """A replacement for `play` whose behaviour depends on the scenario's name and load."""
     if scenario.name == "raises":
         raise ValueError("on purpose")
     if events is not None:
@@ -71,7 +71,7 @@
 
 def check_page(page):
     assert page.lstrip().startswith("<!DOCTYPE html>") and page.rstrip().endswith("</html>")
-    # Nothing is loaded, nothing is run, and what came from the wire stays text.
+    # The page loads no resources, runs no scripts, and shows data from outside as text.
     assert not re.search(r"<script|<link|<img|<iframe|@import|javascript:|\son\w+=", page)
     for address in re.findall(r'(?:src|href|url)\s*[=(]\s*"?([^")\s]+)', page):
         assert address.startswith(("#", "data:")), address
--- a/tests/support/lab_world.py
+++ b/tests/support/lab_world.py
@@ -1,4 +1,4 @@
-"""What the tests of the lab's servers share: their models, and two servers on a virtual network."""
+"""Helpers for tests of the lab's servers: their models, and two servers on a virtual network."""
 
 import asyncio
 import random
@@ -32,7 +32,7 @@
 KEYED = m.RequestClass(name="put", effect="keyed", deduplication_window_ms=2000.0, write=True)
 
 
-SCENE = m.Scenario(
+SCENARIO = m.Scenario(
     kinds=(KIND,),
     classes=(m.RequestClass(name="read"), KEYED),
     links=m.Links(jitter=0.0, same_ms=1.0),
@@ -40,8 +40,10 @@
 )
 
 
-def cache(kind: m.Kind = KIND, cold: bool = False, rules: m.Rules = SCENE.rules, seed: int = 1) -> CacheModel:
-    store = CacheStore(Objects(SCENE, Seeds(1)), 1.0, 0.0)
+def cache(
+    kind: m.Kind = KIND, cold: bool = False, rules: m.Rules = SCENARIO.rules, seed: int = 1
+) -> CacheModel:
+    store = CacheStore(Objects(SCENARIO, Seeds(1)), 1.0, 0.0)
     rng = random.Random(seed)
     return CacheModel(kind, Machine(kind, rng), rules, store, rng, 0.0, cold)
 
@@ -55,7 +57,7 @@
 
 
 def ends(model: CacheModel, until: float = 1e6) -> list[tuple[float, Job]]:
-    """All that ends, with the instants, by calls at `due` alone."""
+    """Return all jobs that end and when, by advancing the model only to its `due` instants."""
     found, calls = [], 0
     while (due := model.due()) is not None and due <= until:
         found += [(due, one) for one in model.advance(due)]
@@ -65,7 +67,7 @@
 
 
 class ClientProtocol(asyncio.Protocol):
-    """A node's end of a connection."""
+    """A node's end of a connection, which records what it receives."""
 
     def __init__(self) -> None:
         self.received, self.ended = b"", ""
@@ -84,14 +86,14 @@
 
 
 class ServerHarness:
-    """Cache servers s0 and s1, an origin, and node n0 as mere connections."""
+    """Cache servers s0 and s1 and an origin; node n0 exists only as its connections."""
 
-    def __init__(self, loop: VirtualLoop, scene: m.Scenario, links: LinkTable, seed: int) -> None:
+    def __init__(self, loop: VirtualLoop, scenario: m.Scenario, links: LinkTable, seed: int) -> None:
         seeds = Seeds(seed)
         self.fabric = VirtualFabric(loop, links, loop.time())
-        self.log, self.truth, self.objects = RecordLog(), GroundTruth(), Objects(scene, seeds)
-        environment = Environment(self.fabric, self.log, self.truth, self.objects, scene, seeds, ["n0"])
-        plans = [ServerPlan(name, name, scene.kinds[0], "a", 0, 1.0) for name in ("s0", "s1")]
+        self.log, self.truth, self.objects = RecordLog(), GroundTruth(), Objects(scenario, seeds)
+        environment = Environment(self.fabric, self.log, self.truth, self.objects, scenario, seeds, ["n0"])
+        plans = [ServerPlan(name, name, scenario.kinds[0], "a", 0, 1.0) for name in ("s0", "s1")]
         self.servers = [CacheHost(plan, environment, CacheConnection) for plan in plans]
         self.origin = OriginHost(environment, OriginConnection)
         self.number = 0
@@ -106,49 +108,51 @@
         _, peer = await node.run(loop.create_connection(ClientProtocol, *self.fabric.address(party, "n0")))
         return peer
 
-    def ask(self, key="a", work=10.0, idem="", write=False, wait=1000, extra="", cls="") -> tuple[str, bytes]:
-        """A new request and its bytes to a cache server."""
+    def memcache_request(
+        self, key="a", work=10.0, idempotency_key="", write=False, wait=1000, extra="", cls=""
+    ) -> tuple[str, bytes]:
+        """Return the id of a new request and its bytes for a cache server."""
         self.number += 1
-        uid, cls = f"u{self.number}", cls or ("put" if write else "read")
-        self.truth.put(uid, RequestFacts(cls, "", key, write, work, 5, idem))
-        said = f"c={cls},d={wait}" + (f",k={idem}" if idem else "") + extra
+        request_id, cls = f"u{self.number}", cls or ("put" if write else "read")
+        self.truth.put(request_id, RequestFacts(cls, "", key, write, work, 5, idempotency_key))
+        options = f"c={cls},d={wait}" + (f",k={idempotency_key}" if idempotency_key else "") + extra
         if write:
-            return uid, f"ms {key} 5 O{uid} P{said}\r\nhello\r\n".encode()
-        return uid, f"mg {key} v O{uid} P{said}\r\n".encode()
+            return request_id, f"ms {key} 5 O{request_id} P{options}\r\nhello\r\n".encode()
+        return request_id, f"mg {key} v O{request_id} P{options}\r\n".encode()
 
-    def http(self, **about) -> tuple[str, bytes]:
-        uid, line = self.ask(**about)
-        key, said = about.get("key", "a"), line.split(b"\r\n")[0].split(b" P")[1].decode()
-        write = about.get("write", False)
+    def http_request(self, **fields) -> tuple[str, bytes]:
+        request_id, line = self.memcache_request(**fields)
+        key, options = fields.get("key", "a"), line.split(b"\r\n")[0].split(b" P")[1].decode()
+        write = fields.get("write", False)
         method = "PUT" if write else "GET"
-        head = f"{method} /{key} HTTP/1.1\r\nHost: o\r\nReq-Id: {uid}\r\nReq-Extra: {said}\r\n"
-        return uid, (head + ("Content-Length: 5\r\n\r\nhello" if write else "\r\n")).encode()
+        head = f"{method} /{key} HTTP/1.1\r\nHost: o\r\nReq-Id: {request_id}\r\nReq-Extra: {options}\r\n"
+        return request_id, (head + ("Content-Length: 5\r\n\r\nhello" if write else "\r\n")).encode()
 
-    def seen(self, *kinds: type[R]) -> list[R]:
+    def records_of(self, *kinds: type[R]) -> list[R]:
         return [record for record in self.log if isinstance(record, kinds)]
 
-    def made(self) -> dict[str, str]:
-        return {record.request_id: record.outcome for record in self.seen(AttemptServed)}
+    def outcomes(self) -> dict[str, str]:
+        return {record.request_id: record.outcome for record in self.records_of(AttemptServed)}
 
 
-def run_with_servers(body, scene: m.Scenario = SCENE, seed: int = 1, **box) -> ServerHarness:
-    """Run `body(stage)`; `box` changes the kind of cache servers."""
-    if box:
-        scene = m.Scenario(
-            kinds=(kind(**{"handshake_ms": 0.0} | box),),
-            classes=scene.classes,
-            links=scene.links,
-            origin=scene.origin,
+def run_with_servers(body, scenario: m.Scenario = SCENARIO, seed: int = 1, **kind_changes) -> ServerHarness:
+    """Run `body(stage)`; `kind_changes` are changes to the cache servers' kind."""
+    if kind_changes:
+        scenario = m.Scenario(
+            kinds=(kind(**{"handshake_ms": 0.0} | kind_changes),),
+            classes=scenario.classes,
+            links=scenario.links,
+            origin=scenario.origin,
         )
-    links = LinkTable(scene.links, Seeds(seed))
+    links = LinkTable(scenario.links, Seeds(seed))
     for party in ("n0", "s0", "s1", "origin"):
         links.place(party, "a")
     loop = VirtualLoop(Network(links.link))
-    stage = ServerHarness(loop, scene, links, seed)
+    stage = ServerHarness(loop, scenario, links, seed)
 
-    async def whole():
+    async def main():
         await stage.open()
         await body(stage)
 
-    loop.run(whole())
+    loop.run(main())
     return stage
--- a/tests/support/load.py
+++ b/tests/support/load.py
@@ -1,4 +1,4 @@
-"""What the tests of the lab's clients share: clients in virtual time, against scripted nodes."""
+"""Helpers for tests of the lab's clients: clients in virtual time, connected to scripted nodes."""
 
 import asyncio
 from dataclasses import dataclass, field
@@ -19,7 +19,14 @@
 
 @dataclass
 class ReceivedCommand:
-    """What a scripted node read: the `n`th request of the run there, the `nth` of its connection."""
+    """A command that a scripted node read.
+
+    Attributes:
+        line: The command line.
+        n: Position among all commands of the node, from 0.
+        nth: Position among the commands of its connection, from 0.
+        at: When it was read.
+    """
 
     line: str
     n: int
@@ -47,7 +54,7 @@
         self.node = node
         self.buffer = b""
         self.nth = 0
-        self.noise = 0  # lines that are no commands; beyond some it reads no more
+        self.noise = 0  # number of lines that are no commands; at 200 it stops parsing
 
     def connection_made(self, transport):
         self.transport = transport
@@ -59,7 +66,7 @@
         self.node.closed_ms.append(round(self.node.fabric.clock.now()))
 
     def data_received(self, data):
-        self.buffer = self.buffer[-3000:] + data  # enough for all that is not noise
+        self.buffer = self.buffer[-3000:] + data  # enough for every valid command
         at = 0
         while self.noise < 200 and (end := self.buffer.find(b"\r\n", at)) >= 0:
             line = self.buffer[at:end]
@@ -82,7 +89,7 @@
         self.buffer = self.buffer[at:]
 
     def respond(self, response):
-        """Bytes to write, None to say nothing, "close", or a delay in ms before one of these."""
+        """Carry out a response: bytes to write, None for nothing, "close", or (delay in ms, response)."""
         match response:
             case (float(delay), then):
                 self.node.fabric.clock.call_later(delay, self.respond, then)
@@ -94,15 +101,15 @@
 
 @dataclass
 class ScriptedNode:
-    """A node that responds as its script says.
+    """A node whose responses a script determines.
 
     Attributes:
-        script: Gives the response to a command, as for `NodeConnection.respond`.
-        received: The commands that it read.
-        closed_ms: When its connections ended.
-        connections: How many it accepted.
-        ready: Whether it says so upon `mn`.
-        pauses_reading: Whether new connections are not read.
+        script: Returns the response to a command, in the form that `NodeConnection.respond` accepts.
+        received: The commands that were read.
+        closed_ms: When connections closed.
+        connections: Number of accepted connections.
+        ready: Whether it confirms `mn`.
+        pauses_reading: Whether it does not read from new connections.
     """
 
     fabric: VirtualFabric
@@ -127,8 +134,8 @@
 class LoadTrial:
     """A run of clients against scripted nodes.
 
-    Requests come at the times of `requests`, or as the scenario has them; `during` runs beside it once the
-    nodes listen.
+    Requests are sent at the times in `requests`, or as the scenario defines. `during` runs concurrently once
+    the nodes listen.
     """
 
     def __init__(self, script, scenario=None, nodes=1, requests=(), during=None, window=1 << 18, seed=1):
@@ -187,7 +194,7 @@
 
     @property
     def events(self):
-        """What was seen of attempts, in short."""
+        """The client-side records of requests, abbreviated: the response's kind, or the record's type."""
         return [
             type(r).__name__ if isinstance(r, RequestSent | RequestAbandoned | RequestNotAccepted) else r.kind
             for r in self.log
--- a/tests/support/loopback.py
+++ b/tests/support/loopback.py
@@ -1,12 +1,12 @@
-"""Connections on loopback over links whose states and delays a test sets."""
+"""Connections on loopback over links whose state and delay the test sets."""
 
 import asyncio
 import random
 
 from flintridge.lab.backend.loopback_fabric import LoopbackFabric, precise_loop
 
-SHORT_S = 0.2  # of waiting for what must not come
-OPENED = []  # the nodes' ends
+SHORT_S = 0.2  # how long to wait for something that must not happen
+OPENED = []  # writers of the nodes' ends
 
 
 class ScriptedLink:
@@ -25,14 +25,14 @@
 
 class LinkPair:
     def __init__(self, delay_ms=0.0, seed=None):
-        self.there, self.back = ScriptedLink(delay_ms, seed), ScriptedLink(delay_ms, seed and seed + 1)
+        self.to_node, self.from_node = ScriptedLink(delay_ms, seed), ScriptedLink(delay_ms, seed and seed + 1)
 
     def link(self, _source, target):
-        return self.there if target.startswith("n") else self.back
+        return self.to_node if target.startswith("n") else self.from_node
 
 
 class RecordingProtocol(asyncio.Protocol):
-    """The lab's end of a connection: it remembers, and answers what it is told to."""
+    """The lab's end of a connection, which records its input and replies to each read with `answer`."""
 
     def __init__(self, answer=b"", keep=False):
         self.answer, self.keep = answer, keep
@@ -66,12 +66,13 @@
         if condition():
             return
         await asyncio.sleep(0.001)
-    raise AssertionError("it never came to hold")
+    raise AssertionError("the condition did not become true")
 
 
-def run_on_fabric(test, ways=None):
+def run_on_fabric(test, links=None):
     async def run():
-        fabric = LoopbackFabric(ways or LinkPair(), 3600)  # all within a warm-up: times are negative
+        # Everything happens during the warm-up, at negative times.
+        fabric = LoopbackFabric(links or LinkPair(), 3600)
         try:
             await asyncio.wait_for(test(fabric), 30)
         finally:
@@ -84,7 +85,7 @@
 
 
 async def connected_pair(fabric, **how):
-    """A server's end of the lab, and the streams of a node's end to it."""
+    """Connect a node to a server; return the lab's end and the node's streams."""
     end = RecordingProtocol(**how)
     listener = await fabric.listen("box", "n0", lambda: end)
     reader, writer = await asyncio.open_connection(*fabric.address("box", "n0"))
@@ -95,5 +96,5 @@
 
 
 def set_link_state(fabric, state):
-    fabric.links.there.state = fabric.links.back.state = state
+    fabric.links.to_node.state = fabric.links.from_node.state = state
     fabric.links_changed()
--- a/tests/support/malformed_files.py
+++ b/tests/support/malformed_files.py
@@ -1,4 +1,4 @@
-"""Files with values changed, taken out or added, for properties that hold for whatever comes in."""
+"""Files with changed, removed or added values, for property tests with arbitrary input."""
 
 import copy
 
@@ -20,7 +20,7 @@
 
 
 def paths_in(value, path=()):
-    """The paths of a value and of all values in it."""
+    """Yield the path of a value and of every value nested in it."""
     yield path
     entries = ()
     if isinstance(value, dict):
@@ -33,7 +33,7 @@
 
 @st.composite
 def malformed(draw, valid_values):
-    """The values of a valid file with up to three changed, taken out or given a name too many."""
+    """The values of a valid file with up to three of them changed, removed or added under a random name."""
     values = copy.deepcopy(valid_values)
     for _ in range(draw(st.integers(1, 3))):
         *path, last = draw(st.sampled_from([path for path in paths_in(values) if path]))
--- a/tests/support/membership.py
+++ b/tests/support/membership.py
@@ -1,4 +1,4 @@
-"""Failure detectors on hand-set clocks and fleets of them in virtual time, for tests."""
+"""Failure detectors with given times, and fleets of them in virtual time, for tests."""
 
 from random import Random
 
@@ -12,7 +12,7 @@
 
 
 def converged_fleet(count=5, seed=3, **options) -> MembershipFleet:
-    """`count` nodes that can all reach one another, 3 s after that."""
+    """Return a fleet of `count` nodes, 3 s after all of them can reach one another."""
     machines = MembershipFleet(count, seed, **options)
     assert machines.run(20_000, lambda: all_reachable(machines)) is not None
     machines.run(3_000)
@@ -20,13 +20,13 @@
 
 
 def all_reachable(machines: MembershipFleet, names=None) -> bool:
-    """Whether the whole fleet is reachable from each of `names`, which are all of it by default."""
+    """Whether each of the nodes `names` (default: all) can reach the whole fleet."""
     names = machines.names if names is None else names
     return all(machines.detector(name).reachability.reachable == len(machines.names) for name in names)
 
 
 def member_states(machines: MembershipFleet, at: str, name: str) -> list[str]:
-    """What node `at` shows of each known process of a name."""
+    """Return the states that node `at` reports for each known process with a name."""
     machine = machines.detector(at)
     now = machines.living(at)[-1].clock(machines.now)
     return [
@@ -36,7 +36,7 @@
 
 
 def newest_alive_at(machines: MembershipFleet, at: str, name: str) -> float:
-    """The latest instant, on the lab's clock, at which node `at` takes that name to have been alive."""
+    """Return when node `at` believes that node `name` was last alive, on the lab's clock."""
     process = machines.living(at)[-1]
     members = process.detector.table.members_named(name)
     newest = max((member.last_alive_at for member in members), default=float("-inf"))
@@ -44,7 +44,7 @@
 
 
 def make_detector(names=("n1", "n2"), key=None, log_event=None) -> FailureDetector:
-    """Of node n0, incarnation 7, at the instant 0."""
+    """Create the failure detector of node n0, incarnation 7, at time 0."""
     codec = MessageCodec("fleet", key)
     return FailureDetector(
         "n0", 7, names, codec, 8_000.0, 0.0, Random(1), log_event or (lambda event, **fields: None)
@@ -52,7 +52,7 @@
 
 
 def make_message(**changes) -> Message:
-    """A ping of n1's incarnation 9 but for `changes`."""
+    """A ping from n1, incarnation 9, with `changes`."""
     values = {
         "fleet": "fleet",
         "name": "n1",
--- a/tests/support/network.py
+++ b/tests/support/network.py
@@ -1,4 +1,4 @@
-"""What the network tests share: a clock that is set by hand, settings, and in-test peers on loopback."""
+"""Helpers for network tests: a manual clock, settings, and scripted servers on loopback."""
 
 import asyncio
 import heapq
@@ -34,11 +34,11 @@
 
 
 class ManualClock:
-    """Stands still until `go`; calls what falls due on the way, in order."""
+    """A clock that moves only by `advance`, which runs the timers that become due, in order."""
 
     def __init__(self, at: float = 10_000.0) -> None:
         self.at = at
-        self.max_read_delay_ms = 0.0  # so long may what is read have lain there
+        self.max_read_delay_ms = 0.0  # longest time that input may have waited before it was read
         self.due: list[list] = []
         self.order = itertools.count()
 
@@ -72,7 +72,7 @@
 
 
 class RecordedStream:
-    """A streamed response that remembers; `open` lets pieces through."""
+    """A streamed response that records its chunks; it is writable while `open` is set."""
 
     def __init__(self, length: int) -> None:
         self.length = length
@@ -97,13 +97,13 @@
 
 
 class RecordingResponder:
-    """A responder that remembers."""
+    """A responder that records its calls."""
 
     def __init__(self) -> None:
         self.responses: list = []
 
     def check_client(self) -> None:
-        """Its client stays."""
+        """The client never disconnects."""
 
     def respond(self, response: Response) -> None:
         self.responses.append(response.body)
@@ -131,16 +131,16 @@
 
 
 async def until(condition, turns: int = 5000) -> None:
-    """Let the event loop go on until something holds; bounded by turns, not by time."""
+    """Run the event loop until a condition is true; limited by iterations, not by time."""
     for _ in range(turns):
         if condition():
             return
         await asyncio.sleep(0.001)
-    raise AssertionError("it never came to hold")
+    raise AssertionError("the condition did not become true")
 
 
 class ScriptedServer:
-    """A server on an ephemeral port; `answer` makes of what is read: bytes, None to end, "rst" to reset."""
+    """A server on an ephemeral port. `answer` maps each read to bytes, None (close) or "rst" (reset)."""
 
     def __init__(self, answer) -> None:
         self.answer = answer
--- a/tests/support/node.py
+++ b/tests/support/node.py
@@ -1,4 +1,4 @@
-"""A whole node towards a scripted discovery, its clock set by hand."""
+"""A complete node with a manual clock and a scripted discovery."""
 
 import asyncio
 
@@ -13,7 +13,7 @@
 
 
 def endpoint_list(revision: int, **phases: str) -> dict:
-    """Discovery's list, by ids and phases."""
+    """Return discovery's list of servers, from ids and phases."""
     members = [
         {"id": id_, "host_port": "127.0.0.1:1", "flavor": "box", "phase": phase}
         for id_, phase in phases.items()
@@ -27,7 +27,7 @@
 
 
 class NodeHarness:
-    """A whole node, its clock set by hand, towards a scripted discovery."""
+    """A complete node with a manual clock and a scripted discovery."""
 
     def __init__(
         self, discovery: ScriptedServer, known: dict, settings: api.Settings, kinds=(), seed=1
@@ -42,11 +42,11 @@
         return known and known.endpoint.state
 
     async def advance_until(self, true, limit: float) -> None:
-        """Let the time of the node go on in small steps, up to `limit` ms."""
+        """Advance the node's clock in small steps until a condition is true, up to `limit` ms."""
         for _ in range(int(limit / 50)):
             if true():
                 return
             self.clock.advance(50)
             for _ in range(5):
                 await asyncio.sleep(0.001)
-        assert true(), "it never came to hold"
+        assert true(), "the condition did not become true"
--- a/tests/support/paths.py
+++ b/tests/support/paths.py
@@ -1,4 +1,4 @@
-"""Where the repository lies."""
+"""Path of the repository."""
 
 from pathlib import Path
 
--- a/tests/support/policy.py
+++ b/tests/support/policy.py
@@ -1,4 +1,4 @@
-"""A small driver for the module: one router, its clock, and what it has out."""
+"""A small driver for the policy: one router with its clock and its attempts in flight."""
 
 from flintridge import Balancer, api
 from flintridge.api import Outcome
@@ -47,7 +47,7 @@
 
 
 def open_request(key: str | None = "k", now: int = START, **changes) -> OpenRequest:
-    """A request as it arrives; what `OpenRequest` has no field for is the event's or its class's."""
+    """A new request. `changes` may name fields of `OpenRequest`, of the event or of the request class."""
     event = {"deadline": now + 2 * S, "id": "r1"}
     request_class = {"latency_objective_ns": 500 * MS, "deadline_ns": 2 * S}
     for name in list(changes):
@@ -63,7 +63,7 @@
 
 
 def attempted(request: OpenRequest, server: str, outcome: Outcome, cell: int = 0) -> Attempt:
-    """An attempt at a request that has ended."""
+    """Add an attempt that has ended to a request."""
     attempt = Attempt(server, START, None)
     request.attempts.append(attempt)
     request.record_end(attempt, outcome, api.Endpoint(server, cell=cell))
@@ -71,7 +71,7 @@
 
 
 def ended(outcome: Outcome, latency_ns: int = 10 * MS, **changes) -> api.AttemptEnded:
-    """The event of an attempt's end."""
+    """The event for the end of an attempt."""
     return api.AttemptEnded("r1", 0, "s", outcome, latency_ns, False, **changes)
 
 
@@ -93,13 +93,13 @@
         actions = self.balancer.handle(self.now, event)
         for action in actions:
             if isinstance(action, api.Send):
-                assert action.id not in self.final_responses, "sent after the final answer"
+                assert action.id not in self.final_responses, "sent after the final response"
                 attempt = self.attempts_made.get(action.id, 0)
                 self.attempts_made[action.id] = attempt + 1
                 self.in_flight[action.id, attempt] = (action.server, self.now)
                 self.sends.append(action)
             elif isinstance(action, (api.Reject, api.Fail)):
-                assert action.id not in self.final_responses, "two final answers"
+                assert action.id not in self.final_responses, "two final responses"
                 self.final_responses[action.id] = action
             elif isinstance(action, api.SetTimer):
                 self.timers.append((action.at, action.token))
@@ -129,7 +129,7 @@
         )
 
     def advance(self, ns: int) -> None:
-        """Move the clock on, ringing what comes due on the way."""
+        """Advance the clock and fire the timers that become due."""
         until = self.now + ns
         while due := [t for t in self.timers if t[0] <= until]:
             at, token = min(due)
--- a/tests/support/program.py
+++ b/tests/support/program.py
@@ -1,4 +1,4 @@
-"""The real program, started as it is deployed, and responses of the servers that it talks to."""
+"""The node program, started as in a deployment, and responses of its servers."""
 
 import asyncio
 import contextlib
@@ -25,25 +25,25 @@
 
 
 def request_id(command: bytes) -> bytes:
-    """The id in a memcache command."""
+    """Return the request id in a memcache command."""
     return command.split(b" O")[1].split()[0]
 
 
 def cache(command: bytes) -> bytes:
-    """The response of a cache server that has a value for the key `kept` and no other."""
+    """Return the response of a cache server that stores a value for the key `kept` only."""
     if command.startswith(b"mg kept "):
         return b"VA 4 O%b h1\r\nmenu\r\n" % request_id(command)
     return b"EN O%b h0\r\n" % request_id(command)
 
 
 def origin(request: bytes) -> bytes:
-    """The response of an origin server."""
+    """Return the response of an origin server."""
     body = b"r77" if request.startswith(b"PUT ") else b"fresh\r\n"
     return b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%b" % (len(body), body)
 
 
 class Program:
-    """A node's program with a configuration of its own."""
+    """A process of the node program with its own configuration."""
 
     def __init__(self, tmp_path, peers: dict[str, ScriptedServer], discovery: ScriptedServer) -> None:
         members = [
@@ -63,9 +63,9 @@
         self.config.write_text(json.dumps(config))
 
     async def start(self, max_descriptors: int | None = None, text: str | None = None) -> int:
-        """Start it and wait until it serves; the port of its listener.
+        """Start the process, wait until it serves, and return the port of its listener.
 
-        `max_descriptors`: how many it may have open. `text`: a program that runs it, in place of itself.
+        `max_descriptors` limits its open descriptors. `text` is Python code to run instead of the module.
         """
         program = ("-m", "flintridge") if text is None else ("-c", text)
         limits = (max_descriptors, max_descriptors)
@@ -78,7 +78,7 @@
 
     @contextlib.asynccontextmanager
     async def running(self, max_descriptors: int | None = None) -> AsyncIterator[int]:
-        """As `start`; the process is killed where it still runs at the end."""
+        """Start the process as `start` does, and kill it at the end if it still runs."""
         port = await self.start(max_descriptors)
         try:
             yield port
@@ -86,12 +86,12 @@
             self.kill()
 
     def kill(self) -> None:
-        """Kill the process where it runs."""
+        """Kill the process if it runs."""
         if self.process.returncode is None:
             self.process.kill()
 
     async def event(self, name: str) -> dict:
-        """Read the log up to the next event of that name; its fields."""
+        """Read the log up to the next event with a name, and return its fields."""
         async for line in self.process.stdout:
             event = json.loads(line)
             if event["event"] == name:
--- a/tests/support/replication.py
+++ b/tests/support/replication.py
@@ -13,7 +13,7 @@
 
 
 def pull(replica, source, now):
-    """Apply all that differs in `source`, a bucket at a time, as if their clocks were one."""
+    """Apply all differences from `source`, one bucket at a time, with both clocks equal."""
     is_complete = False
     while not is_complete:
         chunk = source.make_chunk(replica.next_request(source.writer), max_bytes=1)
--- a/tests/support/signals.py
+++ b/tests/support/signals.py
@@ -4,12 +4,12 @@
 
 
 def restore_default_signals() -> None:
-    """Handle no signal and block none; as the `preexec_fn` of a process that a test sends signals to.
+    """Restore the default action of all signals and unblock them, as `preexec_fn` of a test's process.
 
-    Guards tests run in the background of a shell that has no job control: SIGINT is ignored there, and
-    whatever is started inherits that.
+    Otherwise tests fail when run in the background of a shell without job control: SIGINT is ignored there,
+    and child processes inherit that.
     """
     for number in signal.valid_signals() - {signal.SIGKILL, signal.SIGSTOP}:
-        if signal.getsignal(number) is not None:  # else it is the C library's own
+        if signal.getsignal(number) is not None:  # None: the signal is reserved by the C library
             signal.signal(number, signal.SIG_DFL)
     signal.pthread_sigmask(signal.SIG_SETMASK, ())
--- a/tests/support/system_faults.py
+++ b/tests/support/system_faults.py
@@ -1,4 +1,4 @@
-"""Scenarios and states with faults of the nodes' operating systems."""
+"""Scenarios and states with operating system faults at the nodes."""
 
 import msgspec
 
--- a/tests/support/upstream.py
+++ b/tests/support/upstream.py
@@ -1,4 +1,4 @@
-"""The upstream dispatch towards one scripted server."""
+"""The upstream dispatch with one scripted server."""
 
 import asyncio
 import os
@@ -19,9 +19,9 @@
 
 
 class UpstreamHarness:
-    """A Dispatcher towards one server, whose results it keeps.
+    """A Dispatcher with one server that records the results.
 
-    With `monkeypatch`, connections come up only once `allow_connect` is set.
+    With `monkeypatch`, connections are established only once `allow_connect` is set.
     """
 
     def __init__(
@@ -83,7 +83,7 @@
         return [result.outcome for result in self.results]
 
     def make_attempt(self, request_id: str = "a1", value=None, wait: float = 400.0, **limits):
-        """An attempt that may take `wait` ms; `limits` are further instants, in ms from now."""
+        """Create an attempt with a deadline in `wait` ms; `limits` are other instants, in ms from now."""
         now = self.clock.now()
         instants = {name: now + after for name, after in limits.items()}
         request = make_request(request_id, value=value)
@@ -106,7 +106,7 @@
 
 
 def disconnect_client(_harness, attempt) -> None:
-    attempt.request_ended = True  # as the core says of the attempts of a request that has ended
+    attempt.request_ended = True  # the core sets this when a request ends
 
 
 def pass_write_deadline(harness, _attempt) -> None:
@@ -114,7 +114,7 @@
 
 
 async def advance_time(harness, ms: int) -> None:
-    """Let the clock go on by so many ms, one at a time, with some turns of the event loop after each."""
+    """Advance the clock by `ms` in steps of 1 ms, with some event loop iterations after each step."""
     for _ in range(ms):
         harness.clock.advance(1)
         for _ in range(4):
@@ -122,14 +122,14 @@
 
 
 class FaultySocket:
-    """A connection's socket, whose calls fail as the test says.
+    """A connection's socket whose calls fail as the test sets.
 
     Attributes:
-        send_error: Raised by each send; 0: none.
-        recv_error: Raised by each read; 0: none.
-        max_send: So many bytes are sent at a time.
-        sent: How many bytes were sent.
-        on_send: Called with what is about to be sent.
+        send_error: The errno that each send raises; 0 for none.
+        recv_error: The errno that each receive raises; 0 for none.
+        max_send: Maximum number of bytes per send.
+        sent: Number of bytes sent.
+        on_send: Called with the bytes of each send before they are sent.
     """
 
     def __init__(self, transport) -> None:
@@ -159,7 +159,7 @@
 
 
 def on_connect(harness, make) -> list[FaultySocket]:
-    """Have the sockets of new connections be faulty; `make` sets how."""
+    """Wrap the sockets of new connections in FaultySocket; `make` is called with each."""
     sockets: list[FaultySocket] = []
     connect = harness.dispatcher.pool.connect
 
--- a/tests/support/virtual_network.py
+++ b/tests/support/virtual_network.py
@@ -1,4 +1,4 @@
-"""What the tests of the virtual network share: an echo server on a host, and links with random delays."""
+"""Helpers for tests of the virtual network: an echo server on a host, and links with random delays."""
 
 import asyncio
 import random
@@ -11,7 +11,7 @@
 
 
 class EchoNetwork:
-    """A network whose links can be changed, with an echo server at 10.0.0.1:80 on the host "server"."""
+    """A network with changeable links and an echo server at 10.0.0.1:80 on the host "server"."""
 
     def __init__(self, **options) -> None:
         self.links: dict[tuple[str, str], FixedLink] = {}
@@ -43,17 +43,17 @@
         return await reader.read(READ_SIZE)
 
     def connect(self):
-        """A task of the client that connects to the server."""
+        """Return a task of the client that connects to the server."""
         return self.client.run(asyncio.open_connection(*ECHO_ADDRESS))
 
     def set_links(self, state, source, target):
-        """Both directions."""
+        """Set the state of the links in both directions."""
         for ends in ((source, target), (target, source)):
             self.network.link(*ends).state = state
         self.network.links_changed()
 
     def play(self, test):
-        """Run `test` with a connection of the client to the server that works."""
+        """Run `test` with a working connection from the client to the server."""
 
         async def main():
             await self.server.run(self.serve())
@@ -65,7 +65,7 @@
 
 
 async def outcome_of(task):
-    """What became of it: a result, an error's type, or "pending" after a minute."""
+    """Return the task's result, the type of its error, or "pending" after a minute."""
     await asyncio.wait([task], timeout=60)
     if not task.done():
         return "pending"
@@ -73,7 +73,7 @@
 
 
 class RandomLink(FixedLink):
-    """Cuts and delays by a seed."""
+    """A link that splits and delays data at random, from a seed."""
 
     def __init__(self, seed: int) -> None:
         super().__init__()
--- a/tests/test_compatibility.py
+++ b/tests/test_compatibility.py
@@ -1,4 +1,4 @@
-"""What the version before wrote is read as it meant it: datagrams, lease messages, traces, kept days.
+"""Data written by the previous version is read correctly: datagrams, lease messages, traces, kept scenarios.
 
 The files in `tests/fixtures` were written by commit 3453447, before its names were changed. Messages are
 compared field by field, in the order of their encoding.
@@ -24,7 +24,7 @@
 
 
 def plain(value: object) -> object:
-    """A message as lists, numbers and text, with bytes as the fixtures have them."""
+    """Convert a message to lists, numbers and text, with bytes in the fixtures' notation."""
     if isinstance(value, bytes):
         return {"bytes": value.hex()}
     if isinstance(value, (list, tuple)):
@@ -37,7 +37,7 @@
 
 
 @pytest.mark.parametrize("fixture", PEER_MESSAGES["datagrams"], ids=lambda fixture: fixture["hex"][-8:])
-def test_datagrams_of_the_version_before_are_read_and_written_alike(fixture):
+def test_datagrams_of_the_previous_version_are_read_and_written_unchanged(fixture):
     codec = MessageCodec(PEER_MESSAGES["fleet"], PEER_MESSAGES["key"].encode())
     data = bytes.fromhex(fixture["hex"])
     message = codec.decode(data)
@@ -46,7 +46,7 @@
 
 
 def lease_message_fields(limit_message: lease_messages.LimitMessage) -> list[object]:
-    """As the version before had them: limit, kind, lease, amount, instant of the request, usable units."""
+    """Fields in the previous version's order: limit, kind, lease, amount, request time, usable units."""
     digest = plain(limit_message.limit_digest)
     match limit_message.message:
         case lease_messages.LeaseRequest(lease_id, amount, requested_at, usable):
@@ -58,7 +58,7 @@
 
 
 @pytest.mark.parametrize("fixture", PEER_MESSAGES["lease_messages"], ids=lambda fixture: fixture["hex"][-8:])
-def test_lease_messages_of_the_version_before_are_read_and_written_alike(fixture):
+def test_lease_messages_of_the_previous_version_are_read_and_written_unchanged(fixture):
     data = bytes.fromhex(fixture["hex"])
     fact = lease_messages.decode(data)
     offers = [[plain(offer.limit_digest), offer.amount] for offer in fact.offers]
@@ -67,19 +67,19 @@
     assert lease_messages.encode(fact) == data
 
 
-def test_traces_of_the_version_before_are_read_and_written_alike(tmp_path):
+def test_traces_of_the_previous_version_are_read_and_written_unchanged(tmp_path):
     requests = trace.read(FIXTURES / "trace.jsonl", load("calm"))
     assert trace.write(tmp_path / "again.jsonl", requests) == len(TRACE_LINES) == 40
     assert (tmp_path / "again.jsonl").read_bytes() == b"".join(TRACE_LINES)
 
 
-def test_kept_days_of_the_version_before_are_read_as_they_were_meant():
+def test_kept_scenarios_of_the_previous_version_are_read_with_their_meaning():
     day = load(FIXTURES / "kept_day.toml")
     parsed = json.loads(msgspec.json.encode(day))
     assert parsed == json.loads((FIXTURES / "kept_day_parsed.json").read_text())
 
 
-def test_a_replica_takes_a_snapshot_of_the_version_before_and_agrees_on_its_digest():
+def test_a_replica_applies_a_snapshot_of_the_previous_version_and_has_the_same_digest():
     fixture = json.loads((FIXTURES / "replication_snapshot.json").read_text())
     received = replication_messages.decode_chunk(
         [bytes.fromhex(text) for text in fixture["chunks"]], fixture["as_of_ms"]
--- a/tests/test_import_layers.py
+++ b/tests/test_import_layers.py
@@ -1,4 +1,4 @@
-"""Imports go from the top of the table in docs/ARCHITECTURE.md to its bottom, and never in a circle."""
+"""Imports follow the layers in docs/ARCHITECTURE.md from top to bottom, and have no cycles."""
 
 import ast
 import re
@@ -18,7 +18,7 @@
 
 
 def layers() -> list[set[str]]:
-    """The parts of each layer, from the table: `core/` is `core`, `node.py` is `node`."""
+    """Return the components of each layer, from the table: `core/` is `core`, `node.py` is `node`."""
     text = (ROOT / "docs" / "ARCHITECTURE.md").read_text()
     table = re.search(r"\| layer \| parts \|.*?\n\n", text, re.S)
     assert table is not None
@@ -27,7 +27,7 @@
 
 
 def imported(name: str) -> set[str]:
-    """The modules of flintridge that a module imports, wherever in it: late ones and those for types too."""
+    """Return the flintridge modules that a module imports anywhere, including lazily or for type checking."""
     found = set()
     for node in ast.walk(ast.parse(MODULES[name].read_text())):
         if isinstance(node, ast.Import):
@@ -40,27 +40,29 @@
 
 
 def part_of(name: str) -> str:
-    """`core` for `flintridge.core.request`; `flintridge` for the package itself."""
+    """Return a module's component: `core` for `flintridge.core.request`, `flintridge` for the package."""
     return name.split(".")[1] if "." in name else name
 
 
 @pytest.mark.parametrize("name", [name for name in MODULES if part_of(name) not in ("lab", "flintridge")])
 def test_imports_when_of_a_node_go_down_the_layers(name):
     depth = {part: at for at, parts in enumerate(layers()) for part in parts}
-    assert part_of(name) in depth, f"{part_of(name)} stands in no layer"
+    assert part_of(name) in depth, f"{part_of(name)} is in no layer"
     for other in imported(name):
         part = part_of(other)
         if part == "flintridge":
-            continue  # the package itself has the public names, and imports down
+            continue  # the package itself exports the public names, and imports downwards
         if part == "lab":
             assert part_of(name) == "cli", f"{name} imports {other}"
             continue
         same = part == part_of(name)
-        assert same or depth[part_of(name)] < depth[part], f"{name} imports {other}, which is not below it"
+        assert same or depth[part_of(name)] < depth[part], (
+            f"{name} imports {other}, which is in no lower layer"
+        )
 
 
-def circles() -> set[frozenset[str]]:
-    """Strongly connected modules."""
+def import_cycles() -> set[frozenset[str]]:
+    """Return the import cycles, as strongly connected components."""
     graph = {name: imported(name) for name in MODULES}
     index: dict[str, int] = {}
     low: dict[str, int] = {}
@@ -89,5 +91,5 @@
     return found
 
 
-def test_modules_import_one_another_in_no_circle():
-    assert circles() == set()
+def test_modules_have_no_import_cycles():
+    assert import_cycles() == set()
--- a/tests/test_known_failures.py
+++ b/tests/test_known_failures.py
@@ -1,4 +1,4 @@
-"""KNOWN-RED.txt: what is listed is passed over and printed, what is not fails."""
+"""KNOWN-RED.txt: failures of listed tests are printed and passed over, all others fail the run."""
 
 from pathlib import Path
 
@@ -69,7 +69,7 @@
         (ENTRY.replace("45", "forty"), "line 1: issue: 'forty' is not a number"),
         (ENTRY.replace("test_it.py::test_wrong", "test_wrong"), "line 1: test: 'test_wrong' is no node id"),
         (ENTRY + "\n" + ENTRY, "line 8: test: 'test_it.py::test_wrong' is listed twice"),
-        (" continued", "line 1: it continues no field"),
+        (" continued", "line 1: continuation line without a field"),
     ],
 )
 def test_an_entry_when_it_is_malformed_is_rejected_with_its_line(text, message):
@@ -95,13 +95,13 @@
     )
 
 
-def test_a_listed_test_when_it_passes_is_named_to_be_taken_out(project):
+def test_a_listed_test_when_it_passes_is_reported_for_removal(project):
     result = run(project, listing("test_sound"), "-k", "sound")
     assert result.ret == 0
-    result.stdout.fnmatch_lines(["test_it.py::test_sound: passed; take its entry out (issue 45)"])
+    result.stdout.fnmatch_lines(["test_it.py::test_sound: passed; remove its entry (issue 45)"])
 
 
-def test_a_listed_test_when_it_is_not_run_is_said_to_be_so(project):
+def test_a_listed_test_when_it_is_not_run_is_reported_as_not_run(project):
     result = run(project, listing("test_wrong"), "-k", "sound")
     assert result.ret == 0
     result.stdout.fnmatch_lines(["test_it.py::test_wrong: not run (issue 45)"])
--- a/tests/test_operator_routes.py
+++ b/tests/test_operator_routes.py
@@ -1,4 +1,4 @@
-"""The admin API's answers about the service: status and fields for each state of a node."""
+"""Admin API responses about the service: status and fields for each state of a node."""
 
 import pytest
 
@@ -7,7 +7,7 @@
 
 
 class Node:
-    """A node in a state that the test sets."""
+    """A node whose state the test sets."""
 
     def __init__(self, state: str = "serving", can_serve: bool = True, terminating: bool = False) -> None:
         self.state = state
@@ -33,14 +33,14 @@
     ("state", "can_serve", "status"),
     [("serving", True, 200), ("draining", True, 200), ("starting", False, 503), ("leaving", False, 503)],
 )
-def test_health_when_asked_then_says_the_state_and_by_its_status_whether_the_node_can_serve(
+def test_health_when_requested_then_has_the_state_and_its_status_whether_the_node_can_serve(
     state, can_serve, status
 ):
     response = call(Node(state, can_serve), b"GET", b"/admin/health")
     assert response == AdminResponse(status, {"state": state, "connections": 3, "requests": 2})
 
 
-def test_quiesce_when_called_then_says_the_state_that_follows():
+def test_quiesce_when_called_then_returns_the_new_state():
     assert call(Node(), b"POST", b"/admin/quiesce") == AdminResponse(200, {"state": "draining"})
 
 
--- a/tests/test_pipelined_time_left.py
+++ b/tests/test_pipelined_time_left.py
@@ -1,4 +1,4 @@
-"""What a node tells servers of the time that is left, for requests behind many others on one connection."""
+"""The remaining time that a node sends to servers, for requests queued behind others on a connection."""
 
 from flintridge.lab.run import play
 from flintridge.lab.scenario.model import Clients, Load, Nodes, RequestClass, Scenario
@@ -6,8 +6,8 @@
 SEED = 3
 
 
-def day(pipeline: int) -> Scenario:
-    """A client machine with one connection to the only node, busy enough to have many commands out on it."""
+def scenario(pipeline: int) -> Scenario:
+    """One client connection to the only node, with enough load to have many commands pipelined on it."""
     return Scenario(
         length_s=4.0,
         nodes=Nodes(count=1),
@@ -19,11 +19,11 @@
     )
 
 
-def test_time_left_when_up_to_sixteen_commands_are_out_is_told_as_the_client_has_it():
-    assert not play(day(16), SEED).violation_count
+def test_time_left_when_up_to_sixteen_commands_are_pipelined_is_sent_as_the_client_has_it():
+    assert not play(scenario(16), SEED).violation_count
 
 
-def test_time_left_when_a_command_waited_behind_more_than_sixteen_is_told_as_the_client_has_it():
-    """The client's time runs while its command waits, read or unread, for a place in the pipeline."""
-    result = play(day(64), SEED)
-    assert not result.violation_count, [breach.text for breach in result.violations]
+def test_time_left_when_a_command_waited_behind_more_than_sixteen_is_sent_as_the_client_has_it():
+    """The client's timeout also runs while its command waits, read or unread, to enter the pipeline."""
+    result = play(scenario(64), SEED)
+    assert not result.violation_count, [violation.text for violation in result.violations]
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -1,4 +1,4 @@
-"""The real program, started as it is deployed, between in-test peers on ephemeral ports."""
+"""The node program, started as in a deployment, with scripted servers on ephemeral ports."""
 
 import asyncio
 import json
@@ -14,7 +14,7 @@
 from support.program import Program, cache, origin
 
 
-def test_program_when_reads_misses_and_writes_come_then_serves_them_and_exits_cleanly_at_sigterm(tmp_path):
+def test_program_when_it_gets_reads_misses_and_writes_then_serves_them_and_exits_cleanly_on_sigterm(tmp_path):
     async def test():
         async with (
             ScriptedServer(cache) as cache_server,
@@ -35,7 +35,7 @@
                     rb"Req-Id: a2\r\nReq-Extra: c=read,d=(\d+)\r\n", b"".join(origin_server.received)
                 )
                 assert timeout is not None
-                assert 0 < int(timeout[1]) < 9000  # what remains of the client's
+                assert 0 < int(timeout[1]) < 9000  # the rest of the client's timeout
                 assert discovery.received[0].startswith(b"GET /api/targets?after=41&wait_ms=")
                 program.process.send_signal(signal.SIGUSR1)
                 counters = await program.event("counters")
@@ -48,7 +48,7 @@
     asyncio.run(test())
 
 
-def test_requests_when_in_flight_at_sigterm_then_have_their_responses(tmp_path):
+def test_requests_when_in_flight_at_sigterm_then_get_their_responses(tmp_path):
     async def test():
         async with ScriptedServer(lambda _: b"") as cache_server, ScriptedServer(lambda _: b"") as discovery:
             program = Program(tmp_path, {"box": cache_server}, discovery)
@@ -65,8 +65,9 @@
     asyncio.run(test())
 
 
-def test_connections_when_a_burst_comes_then_do_not_exhaust_the_descriptors(tmp_path):
-    """Guards against a second without any accept: more were accepted in one go than could be rejected."""
+def test_connections_when_they_arrive_in_a_burst_then_do_not_exhaust_the_descriptors(tmp_path):
+    """Guards against accepting more connections at once than can be rejected, after which none was accepted
+    for a second."""
 
     async def test():
         async with ScriptedServer(cache) as cache_server, ScriptedServer(lambda _: b"") as discovery:
@@ -74,7 +75,7 @@
             config = json.loads(program.config.read_text())
             program.config.write_text(json.dumps(config | {"limits": {"sockets": 128}}))
             async with program.running(max_descriptors=128) as port:
-                program.process.send_signal(signal.SIGSTOP)  # they all wait when it goes on
+                program.process.send_signal(signal.SIGSTOP)  # all connections wait until it continues
                 command = b"mg kept v Oa%d Pc=read,d=9000\r\n"
                 burst = [await asyncio.open_connection("127.0.0.1", port) for _ in range(300)]
                 for i, (_, writer) in enumerate(burst):
@@ -92,7 +93,7 @@
     asyncio.run(test())
 
 
-def test_sighup_when_the_configuration_changed_then_applies_it_unless_it_is_bad(tmp_path):
+def test_sighup_when_the_configuration_changed_then_applies_it_unless_it_is_invalid(tmp_path):
     async def test():
         async with (
             ScriptedServer(cache) as cache_server,
@@ -103,7 +104,7 @@
             program = Program(tmp_path, {"box": cache_server, "origin": origin_server}, first_discovery)
             async with program.running() as port:
                 reader, writer = await asyncio.open_connection("127.0.0.1", port)
-                writer.write(b"mg other v Oa1 Pc=read,d=9000\r\n")  # the origin responds at the end only
+                writer.write(b"mg other v Oa1 Pc=read,d=9000\r\n")  # the origin responds only at the end
                 await until(lambda: origin_server.received)
                 valid_text = program.config.read_text()
                 program.config.write_text(valid_text[:-9])
@@ -116,7 +117,7 @@
                 assert (reloaded["changed"], reloaded["until_restart"]) == (["discovery"], ["name"])
                 await until(lambda: next_discovery.received)
                 assert next_discovery.received[0].startswith(b"GET /api/targets HTTP")
-                program.process.send_signal(signal.SIGHUP)  # with nothing new in the file
+                program.process.send_signal(signal.SIGHUP)  # with an unchanged file
                 assert (await program.event("reloaded"))["changed"] == []
                 origin_server.writers[0].write(origin(origin_server.received[0]))
                 assert await reader.readexactly(19) == b"VA 7 Oa1\r\nfresh\r\n\r\n"
@@ -139,7 +140,7 @@
         ('{"settings": {}, "listen": "127.0.0.1:0", "discovery": "127.0.0.1:1", "known": 5}', "known"),
     ],
 )
-def test_program_when_its_configuration_is_bad_then_says_so_in_one_line(tmp_path, text, message):
+def test_program_when_its_configuration_is_invalid_then_prints_one_line(tmp_path, text, message):
     path = tmp_path / "config.json"
     env = {k: v for k, v in os.environ.items() if not k.startswith("PROXY_")}
     if text is not None:
--- a/tests/test_program_signals.py
+++ b/tests/test_program_signals.py
@@ -1,4 +1,4 @@
-"""Signals to the real program, at the moments that matter."""
+"""Signals to the node program while it starts, serves and ends."""
 
 import asyncio
 import json
@@ -10,8 +10,8 @@
 from support.program import Program, cache
 
 
-def test_sighup_when_the_process_is_starting_then_is_carried_out_once_it_serves(tmp_path):
-    """The configuration is a pipe that nobody has written to yet: the program waits for it, for certain."""
+def test_sighup_when_the_process_is_starting_then_reloads_once_it_serves(tmp_path):
+    """The configuration is a pipe without data, so that the program is certain to be waiting for it."""
 
     async def test():
         async with ScriptedServer(cache) as cache_server, ScriptedServer(lambda _: b"") as discovery:
@@ -21,7 +21,8 @@
             os.mkfifo(program.config)
             starting = asyncio.ensure_future(program.start())
             loop = asyncio.get_running_loop()
-            pipe = await loop.run_in_executor(None, os.open, program.config, os.O_WRONLY)  # it has opened it
+            # Returns once the program has opened the pipe.
+            pipe = await loop.run_in_executor(None, os.open, program.config, os.O_WRONLY)
             program.process.send_signal(signal.SIGHUP)
             os.write(pipe, text)
             program.config.unlink()
@@ -44,7 +45,7 @@
 
 
 def test_sigterm_when_the_process_does_not_serve_yet_then_exits_cleanly(tmp_path):
-    """The configuration is a pipe to which nobody writes: it must not wait for that either."""
+    """The configuration is a pipe that never gets data: SIGTERM must end the program all the same."""
 
     async def test():
         async with ScriptedServer(cache) as cache_server, ScriptedServer(lambda _: b"") as discovery:
@@ -53,7 +54,8 @@
             os.mkfifo(program.config)
             starting = asyncio.ensure_future(program.start())
             loop = asyncio.get_running_loop()
-            pipe = await loop.run_in_executor(None, os.open, program.config, os.O_WRONLY)  # it has opened it
+            # Returns once the program has opened the pipe.
+            pipe = await loop.run_in_executor(None, os.open, program.config, os.O_WRONLY)
             program.process.send_signal(signal.SIGTERM)
             assert await program.process.wait() == 0
             os.close(pipe)
@@ -65,7 +67,7 @@
 
 @pytest.mark.parametrize("late_signal", [signal.SIGTERM, signal.SIGHUP, signal.SIGUSR1, signal.SIGINT])
 def test_signal_when_the_node_has_terminated_then_changes_nothing(tmp_path, late_signal):
-    """It comes as the loop has closed and the log is written out: the last thing that the program does."""
+    """The signal arrives after the loop has closed, while the log is flushed as the program's last step."""
 
     async def test():
         async with ScriptedServer(cache) as cache_server, ScriptedServer(lambda _: b"") as discovery:
@@ -88,8 +90,8 @@
     asyncio.run(test())
 
 
-def test_request_when_it_arrives_with_sigterm_then_has_its_response(tmp_path):
-    """Both wait while it is stopped, on an idle connection and in the listener's queue."""
+def test_request_when_it_arrives_with_sigterm_then_gets_its_response(tmp_path):
+    """While the process is stopped, one request waits on an idle connection, one in the listener's queue."""
 
     async def test():
         async with ScriptedServer(cache) as cache_server, ScriptedServer(lambda _: b"") as discovery:
--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -1,4 +1,4 @@
-"""Graceful shutdown: its states by call, and what becomes of connections in whichever order calls come."""
+"""Graceful shutdown: the state after each call, and the handling of connections for any order of calls."""
 
 import asyncio
 
@@ -58,7 +58,7 @@
         ("leaving", "connections_closed", "leaving"),
     ],
 )
-def test_state_when_each_call_comes_in_each_state_then_is_the_next_one(state, call, next_state):
+def test_state_when_each_call_is_made_in_each_state_then_is_the_expected_one(state, call, next_state):
     shutdown = shutdown_in(ServiceState(state))
     changed = CALLS[call](shutdown, 1000.0)
     assert shutdown.state.value == next_state
@@ -68,7 +68,7 @@
 
 @FIXED
 @given(st.lists(st.tuples(st.sampled_from(sorted(CALLS)), st.floats(0, 900)), max_size=30))
-def test_deadlines_when_calls_come_in_any_order_then_count_from_the_one_that_began_it(calls):
+def test_deadlines_when_calls_are_made_in_any_order_then_count_from_the_one_that_started_it(calls):
     shutdown = GracefulShutdown()
     now = 0.0
     shutdown_at = None
@@ -89,7 +89,7 @@
 
 
 class DownstreamHarness:
-    """A client side in virtual time, whose requests the test responds to."""
+    """The client side of a node in virtual time; the test responds to the requests."""
 
     def __init__(self, max_connections: int = 64) -> None:
         self.clock = ManualClock()
@@ -129,7 +129,7 @@
     await asyncio.sleep(0.02)  # of virtual time
 
 
-def test_drain_when_started_then_mn_says_no_and_connections_end_after_their_last_responses():
+def test_drain_when_started_then_refuses_mn_and_closes_connections_after_their_last_responses():
     async def test():
         node = await DownstreamHarness().start()
         probing, probing_writer = await node.client(b"mn\r\n")
@@ -139,7 +139,7 @@
         probing_writer.write(b"mn\r\n")
         assert await probing.readline() != b"MN\r\n"
         node.clock.advance(IDLE_CLOSE_DELAY_MS - 1)
-        late, late_writer = await node.client(READ % b"r2")  # load balancers still send some
+        late, late_writer = await node.client(READ % b"r2")  # load balancers still open some connections
         await settle()
         assert not probing.at_eof()
         node.clock.advance(1)
@@ -150,7 +150,7 @@
         assert await late.read() == b"SERVER_ERROR failed\r\n"
         late_writer.close()
         await settle()
-        assert node.shutdown.state is ServiceState.DRAINING  # two have not closed their half
+        assert node.shutdown.state is ServiceState.DRAINING  # two clients have not closed their side
         node.clock.advance(LINGERING_CLOSE_MS)
         await until(lambda: node.shutdown.state is ServiceState.DRAINED)
         late_client, _ = await node.client(READ % b"r3")  # it is served, not dropped
@@ -170,7 +170,7 @@
         node.start_drain()
         for i in range(1, 4):
             node.clock.advance(IDLE_CLOSE_DELAY_MS)
-            writer.write(READ % b"r%d" % i)  # before the response to the one before
+            writer.write(READ % b"r%d" % i)  # before the response to the previous command
             await settle()
             node.respond(f"r{i - 1}")
             await settle()
@@ -190,7 +190,7 @@
 
 @FIXED
 @given(st.lists(STEPS, min_size=3, max_size=40))
-def test_requests_when_drains_and_commands_come_in_any_order_then_each_has_one_response(steps):
+def test_requests_when_drains_and_commands_occur_in_any_order_then_each_gets_one_response(steps):
     async def test():
         node = await DownstreamHarness().start()
         clients = []
@@ -208,7 +208,7 @@
                 clients.append((reader, writer))
                 accepted.append(f"q{number}")
             elif step == "send" and clients[number % len(clients)][0]._eof:
-                continue  # it was closed, and its client knows
+                continue  # the connection was closed, and its client knows
             elif step == "send":
                 clients[number % len(clients)][1].write(READ % b"q%d" % number)
                 before = node.counters["requests"]
--- a/tests/test_simulator_adapter.py
+++ b/tests/test_simulator_adapter.py
@@ -1,4 +1,4 @@
-"""The simulator adapter: its codec, malformed input, determinism."""
+"""The simulator adapter: codec, malformed input and determinism."""
 
 import json
 import os
@@ -90,19 +90,19 @@
         "BELL zero 1",
     ],
 )
-def test_adapter_when_a_line_is_malformed_then_names_it_and_ends(line):
+def test_adapter_when_a_line_is_malformed_then_reports_it_and_exits(line):
     done = run_adapter(f"CLOCK 1\n{line}\nYOUR_TURN\n")
     assert done.returncode != 0
     assert line[:15] in done.stderr
     assert "Traceback" not in done.stderr
 
 
-def test_adapter_when_input_is_outside_a_batch_then_names_it_and_ends():
+def test_adapter_when_input_is_outside_a_batch_then_reports_it_and_exits():
     assert "CLOCK" in run_adapter("QUERY 0 x\n").stderr
     assert run_adapter("CLOCK 1\nBELL 0 1\n").returncode != 0
 
 
-def test_host_when_a_policy_breaks_then_reports_a_panic(monkeypatch):
+def test_host_when_a_policy_raises_then_reports_a_panic(monkeypatch):
     host = PolicyHost()
     host.handle_batch(1, iter([f"PROVISION 0 1 {json.dumps(CONFIG)}"]))
     monkeypatch.setattr(host.instances[0], "handle", lambda now, event: 1 // 0)
@@ -111,7 +111,7 @@
     ]
 
 
-def test_decode_event_when_given_each_event_then_returns_the_policys():
+def test_decode_event_when_given_each_event_then_returns_the_policy_event():
     none = iter(())
     assert decode_event("QUERY 0 u 1 9 1 - 2 0 - -", none) == api.RequestReceived(
         "u", 9, 0, None, True, 2, True
@@ -171,7 +171,7 @@
         make()
 
 
-def test_goal_when_a_site_sets_it_then_is_read_and_an_invalid_value_is_named():
+def test_goal_when_configured_then_is_read_and_an_invalid_value_is_reported():
     goal = {"whole": 0.35, "tail": 0.2, "tailSlack": 0.02, "availability": 0.3, "fullAtNines": 3}
     parsed = settings_from(CONFIG | {"goal": goal}).goal
     assert (parsed.whole, parsed.tail, parsed.tail_slack) == (0.35, 0.2, 0.02)
--- a/tests/test_termination_page.py
+++ b/tests/test_termination_page.py
@@ -1,4 +1,4 @@
-"""docs/termination.md names functions and tests: each of them exists, so the page can't go stale."""
+"""Every function and test that docs/termination.md names exists, so that the page stays up to date."""
 
 import ast
 import re
@@ -18,7 +18,7 @@
 
 @cache
 def defined_names() -> frozenset[str]:
-    """The program's classes and functions; those of a class as `Class.function` and by themselves."""
+    """Return the names of all classes and functions; members also as `Class.member`."""
     names: set[str] = set()
     for path in (ROOT / "flintridge").rglob("*.py"):
         for node in ast.walk(ast.parse(path.read_text())):
@@ -44,7 +44,7 @@
 
 
 def named_tests() -> list[tuple[str, str]]:
-    """Each file of tests that the table names, with a part of a test's name."""
+    """Return each test file that the table names, with the part of a test's name that it gives."""
     named = []
     for row in table_rows():
         for entry in row[TEST].strip(" |").split("; "):
@@ -60,18 +60,18 @@
 
 
 @pytest.mark.parametrize(("file", "part"), named_tests())
-def test_test_when_the_table_names_it_then_is_there(file, part):
+def test_test_when_the_table_names_it_then_exists(file, part):
     tests = re.findall(r"^(?:async )?def (test_\w+)", (ROOT / "tests" / f"{file}.py").read_text(), re.M)
     assert any(part in name for name in tests)
 
 
-def test_names_when_the_page_has_them_then_are_the_programs():
+def test_names_when_the_page_has_them_then_exist_in_the_code():
     names = re.findall(r"`([A-Za-z_]\w*(?:\.[A-Za-z_]\w*)?)`", PAGE)
     code_names = {name for name in names if re.search(r"[_A-Z.]", name) and not name.endswith(".py")}
     assert {name for name in code_names if not name.isupper()} - defined_names() == set()
 
 
-def test_files_when_the_page_names_them_then_are_there():
+def test_files_when_the_page_names_them_then_exist():
     files = re.findall(r"`((?:[\w-]+/)*[\w-]+\.py)`", PAGE)
     assert files
     places = (
--- a/tests/test_wall_clock.py
+++ b/tests/test_wall_clock.py
@@ -1,4 +1,4 @@
-"""Which modules read the machine's wall clock: only those that docs/design/time.md names."""
+"""Only the modules that docs/design/time.md lists read the machine's wall clock."""
 
 import ast
 from pathlib import Path
@@ -7,7 +7,7 @@
 
 PACKAGE = ROOT / "flintridge"
 PAGE = ROOT / "docs" / "design" / "time.md"
-# Names of the standard library by which a program sees the wall clock, or stamps that it made.
+# Names in the standard library that read the wall clock, or timestamps derived from it.
 WALL_CLOCK_NAMES = {
     "CLOCK_REALTIME",
     "asctime",
@@ -52,11 +52,11 @@
     }
 
 
-def test_wall_clock_when_read_is_read_by_no_module_but_those_that_are_known():
+def test_wall_clock_when_read_is_read_only_by_the_listed_modules():
     assert readers_in(PACKAGE) <= READERS
 
 
-def test_wall_clock_readers_when_known_have_a_row_on_the_page():
+def test_wall_clock_readers_when_listed_have_a_row_on_the_page():
     rows = [line for line in PAGE.read_text().splitlines() if line.startswith("| `")]
     named = {line.split("`")[1] for line in rows}
     assert named >= READERS
--- a/tests/upstream/test_attempt_termination.py
+++ b/tests/upstream/test_attempt_termination.py
@@ -31,8 +31,8 @@
     play, monkeypatch, meanwhile, limit
 ):
     async def test():
-        async with ScriptedServer(lambda _: VALUE) as peer:
-            harness = UpstreamHarness(peer.port, monkeypatch=monkeypatch)
+        async with ScriptedServer(lambda _: VALUE) as server:
+            harness = UpstreamHarness(server.port, monkeypatch=monkeypatch)
             harness.dispatcher._connect_timeout_ms = 400.0
             attempt = await harness.start(**{limit: 200})
             await until(lambda: harness.connects_started == 1)
@@ -42,11 +42,11 @@
             assert harness.results == [AttemptResult(Outcome.WITHDRAWN)]
             assert harness.counters["attempts_expired_unsent"] == 1
             await turns()
-            assert peer.connections == 1
-            assert peer.received == []
+            assert server.connections == 1
+            assert server.received == []
             # The unused connection was released to the pool.
             assert (await harness.result()).outcome is Outcome.OK
-            assert peer.connections == 1
+            assert server.connections == 1
             await harness.dispatcher.close()
 
     play(test)
@@ -54,8 +54,8 @@
 
 def test_attempt_when_its_connection_comes_up_at_the_limit_is_written(play, monkeypatch):
     async def test():
-        async with ScriptedServer(lambda _: VALUE) as peer:
-            harness = UpstreamHarness(peer.port, monkeypatch=monkeypatch)
+        async with ScriptedServer(lambda _: VALUE) as server:
+            harness = UpstreamHarness(server.port, monkeypatch=monkeypatch)
             harness.dispatcher._connect_timeout_ms = 400.0
             await harness.start(begin_by=200, written_by=200)
             await until(lambda: harness.connects_started == 1)
@@ -182,8 +182,8 @@
     """The attempt ends once, and its descriptor is released once."""
 
     async def test():
-        async with ScriptedServer(lambda _: VALUE) as peer:
-            harness = UpstreamHarness(peer.port, monkeypatch=monkeypatch)
+        async with ScriptedServer(lambda _: VALUE) as server:
+            harness = UpstreamHarness(server.port, monkeypatch=monkeypatch)
             if what == "answer":
                 feed = UpstreamReader.feed_data
 
@@ -259,19 +259,19 @@
 
     async def test():
         answers = [first, second]
-        async with ScriptedServer(lambda _: answers.pop(0)) as peer:
-            harness = UpstreamHarness(peer.port, flavor=flavor)
+        async with ScriptedServer(lambda _: answers.pop(0)) as server:
+            harness = UpstreamHarness(server.port, flavor=flavor)
             await harness.result(value=b"x")
             await harness.start(value=b"y")
-            await until(lambda: peer.connections == 2)
-            peer.writers[0].write(first)
+            await until(lambda: server.connections == 2)
+            server.writers[0].write(first)
             await until(lambda: len(harness.results) == 2)
             assert (harness.results[1].outcome, harness.results[1].response) == expected
             await until(lambda: harness.counters["connections_unexpected_data"] == 1)
             harness.clock.advance(QUARANTINE_MS)
             answers.append(second)
             assert (await harness.result(value=b"z")).response == expected[1]
-            assert peer.connections == 2
+            assert server.connections == 2
             await harness.dispatcher.close()
 
     play(test)
@@ -312,22 +312,22 @@
     timeout that servers are sent, and the request's deadline, from when the request was read."""
 
     async def test():
-        async with ScriptedServer(lambda _: b"") as discovery, ScriptedServer(lambda _: b"") as box:
+        async with ScriptedServer(lambda _: b"") as discovery, ScriptedServer(lambda _: b"") as server:
             known = endpoint_list(1, s1="in_service")
-            known["members"][0] |= {"host_port": f"127.0.0.1:{box.port}", "flavor": "m2"}
-            alone = NodeHarness(discovery, known, SETTINGS, kinds=("m2", "origin"))
-            alone.clock.max_read_delay_ms = behind
-            reader, writer = await asyncio.open_connection("127.0.0.1", await alone.node.start())
+            known["members"][0] |= {"host_port": f"127.0.0.1:{server.port}", "flavor": "m2"}
+            harness = NodeHarness(discovery, known, SETTINGS, kinds=("m2", "origin"))
+            harness.clock.max_read_delay_ms = behind
+            reader, writer = await asyncio.open_connection("127.0.0.1", await harness.node.start())
             writer.write(READ % b"a1")
             if behind < 480:
-                await until(lambda: box.received)
-                assert b"d=%d\r\n" % (470 - behind) in box.received[0]
-                alone.clock.advance(470 - behind + 5)
-            await until(lambda: alone.node.core.idle)
+                await until(lambda: server.received)
+                assert b"d=%d\r\n" % (470 - behind) in server.received[0]
+                harness.clock.advance(470 - behind + 5)
+            await until(lambda: harness.node.core.idle)
             assert (await reader.readline()).startswith(b"SERVER_ERROR")
-            assert len(box.received) == (behind < 480)
+            assert len(server.received) == (behind < 480)
             writer.close()
-            await alone.node.close()
+            await harness.node.close()
 
     play(test)
 
@@ -344,21 +344,21 @@
             ScriptedServer(lambda _: b"") as two,
         ):
             known = endpoint_list(1, s1="in_service", s2="in_service")
-            for entry, peer, flavor in zip(known["members"], (one, two), ("m2", further), strict=True):
-                entry |= {"host_port": f"127.0.0.1:{peer.port}", "flavor": flavor}
-            alone = NodeHarness(discovery, known, settings, kinds=("m2", "origin"))
-            port = await alone.node.start()
+            for entry, server, flavor in zip(known["members"], (one, two), ("m2", further), strict=True):
+                entry |= {"host_port": f"127.0.0.1:{server.port}", "flavor": flavor}
+            harness = NodeHarness(discovery, known, settings, kinds=("m2", "origin"))
+            port = await harness.node.start()
             _, writer = await asyncio.open_connection("127.0.0.1", port)
             writer.write(READ % b"a1")
             await until(lambda: one.received or two.received)
             first, second = (one, two) if one.received else (two, one)
             assert b"d=470\r\n" in first.received[0]  # 10 ms are reserved for the response's way back
-            alone.clock.advance(300)
+            harness.clock.advance(300)
             first.writers[0].write(b"EN Oa1\r\n" if further == "origin" else BUSY)
             await until(lambda: second.received)
             assert second.received[0].startswith(b"GET /key7 " if further == "origin" else b"mg key7 ")
             assert b"c=read,t=acme,d=170\r\n" in second.received[0]
             writer.close()
-            await alone.node.close()
+            await harness.node.close()
 
     play(test)
--- a/tests/upstream/test_connection_errors.py
+++ b/tests/upstream/test_connection_errors.py
@@ -19,9 +19,9 @@
 
 def with_harness(test, answer=lambda _: VALUE) -> None:
     async def run():
-        async with ScriptedServer(answer) as peer:
-            harness = UpstreamHarness(peer.port)
-            await test(harness, peer)
+        async with ScriptedServer(answer) as server:
+            harness = UpstreamHarness(server.port)
+            await test(harness, server)
             await until(lambda: not harness.dispatcher._tasks)
             idle = sum(map(len, harness.dispatcher.pool._idle.values()))
             assert harness.dispatcher.pool.open_count == idle
@@ -58,10 +58,10 @@
 
 @errors
 def test_attempt_when_writing_fails_on_a_new_connection_is_connect_failed(code):
-    async def test(harness, peer):
+    async def test(harness, server):
         on_connect(harness, lambda sock: setattr(sock, "send_error", code))
         assert await harness.result() == AttemptResult(Outcome.CONNECT_FAILED)
-        assert peer.received == []
+        assert server.received == []
 
     with_harness(test)
 
@@ -70,13 +70,13 @@
 def test_attempt_when_writing_fails_on_a_reused_connection_is_not_held_against_its_server(code):
     """The connection failed while idle. The server may be healthy, and received nothing."""
 
-    async def test(harness, peer):
+    async def test(harness, server):
         (await use_idle(harness)).send_error = code
         assert await harness.result() == WITHDRAWN
-        assert len(peer.received) == 1
+        assert len(server.received) == 1
         assert harness.counters["attempts_on_broken_idle_connection"] == 1
         assert await harness.outcome() is Outcome.OK
-        assert peer.connections == 2
+        assert server.connections == 2
 
     with_harness(test)
 
@@ -107,20 +107,20 @@
 
 @pytest.mark.parametrize("code", [errno.ENOBUFS, errno.ENOMEM], ids=errno.errorcode.get)
 def test_attempt_when_the_kernel_lacks_memory_to_send_is_not_held_against_its_server(code):
-    async def test(harness, peer):
+    async def test(harness, server):
         on_connect(harness, lambda sock: setattr(sock, "send_error", code))
         assert await harness.result() == WITHDRAWN
         assert harness.counters["attempts_failed_locally"] == 1
-        assert peer.received == []
+        assert server.received == []
 
     with_harness(test)
 
 
 def test_attempt_when_writes_are_short_is_served():
-    async def test(harness, peer):
+    async def test(harness, server):
         on_connect(harness, lambda sock: setattr(sock, "max_send", 1))
         assert await harness.outcome() is Outcome.OK
-        assert b"".join(peer.received).startswith(b"mg key7 ")
+        assert b"".join(server.received).startswith(b"mg key7 ")
 
     with_harness(test, answer=lambda data: VALUE if data.endswith(b"\n") else b"")
 
@@ -128,7 +128,7 @@
 @pytest.mark.parametrize("reason", ["seen", "unseen", "begin_by", "written_by", "deadline"])
 @pytest.mark.parametrize("value", [None, BIG], ids=["read", "long write"])
 def test_attempt_when_the_kernel_accepts_no_byte_and_a_precondition_ends_is_never_begun(reason, value):
-    async def test(harness, peer):
+    async def test(harness, server):
         sockets = on_connect(harness, lambda sock: setattr(sock, "send_error", errno.EAGAIN))
         limits = {"begin_by": {reason: 19}, "written_by": {reason: 20}, "deadline": {"wait": 20}}
         attempt = await harness.start(value=value, **limits.get(reason, {}))
@@ -146,20 +146,20 @@
         assert harness.results == [WITHDRAWN]
         await until(lambda: not harness.dispatcher.pool.open_count)  # the buffered bytes are never written
         assert sockets[0].sent == 0
-        assert peer.received == []
+        assert server.received == []
 
     with_harness(test)
 
 
 def test_attempt_when_the_kernel_accepts_no_byte_at_first_is_served():
-    async def test(harness, peer):
+    async def test(harness, server):
         sockets = on_connect(harness, lambda sock: setattr(sock, "send_error", errno.EAGAIN))
         await harness.start()
         await until(lambda: sockets)
         await advance_time(harness, 35)
         assert harness.results == []
         sockets[0].send_error = 0
-        await until(lambda: peer.received)
+        await until(lambda: server.received)
         await advance_time(harness, 10)
         await until(lambda: harness.results)
         assert harness.outcomes == [Outcome.OK]
@@ -168,13 +168,13 @@
 
 
 def test_attempt_when_it_times_out_as_the_kernel_accepts_it_may_have_been_executed():
-    async def test(harness, peer):
+    async def test(harness, server):
         sockets = on_connect(harness, lambda sock: setattr(sock, "send_error", errno.EAGAIN))
         await harness.start(wait=25)
         await until(lambda: sockets)
         await advance_time(harness, 21)
         sockets[0].send_error = 0
-        await until(lambda: peer.received)
+        await until(lambda: server.received)
         harness.clock.advance(4)  # before the buffer is checked again
         await until(lambda: harness.results)
         assert harness.outcomes == [Outcome.TIMEOUT]
--- a/tests/upstream/test_dispatcher.py
+++ b/tests/upstream/test_dispatcher.py
@@ -17,8 +17,8 @@
 )
 def test_attempt_when_the_server_answers_or_ends_has_its_outcome(play, answer, outcome):
     async def test():
-        async with ScriptedServer(lambda _: answer) as peer:
-            harness = UpstreamHarness(peer.port)
+        async with ScriptedServer(lambda _: answer) as server:
+            harness = UpstreamHarness(server.port)
             assert await harness.outcome() is outcome
             await harness.dispatcher.close()
 
@@ -27,9 +27,9 @@
 
 def test_attempt_when_the_connection_is_refused_is_never_executed(play):
     async def test():
-        async with ScriptedServer(lambda _: None) as peer:
-            harness = UpstreamHarness(peer.port)
-        await peer.server.wait_closed()
+        async with ScriptedServer(lambda _: None) as server:
+            harness = UpstreamHarness(server.port)
+        await server.server.wait_closed()
         assert await harness.outcome() is Outcome.CONNECT_FAILED
         await harness.dispatcher.close()
 
@@ -53,20 +53,20 @@
 
 def test_attempt_when_written_ends_at_its_deadline_as_timeout_and_cancellation_closes_the_connection(play):
     async def test():
-        async with ScriptedServer(lambda _: b"") as peer:
-            harness = UpstreamHarness(peer.port)
+        async with ScriptedServer(lambda _: b"") as server:
+            harness = UpstreamHarness(server.port)
             await harness.start()
-            await until(lambda: peer.received)
+            await until(lambda: server.received)
             harness.clock.advance(399)
             await asyncio.sleep(0)
             assert harness.outcomes == []
             harness.clock.advance(1)
             await until(lambda: harness.outcomes == [Outcome.TIMEOUT])
             attempt = await harness.start()
-            await until(lambda: len(peer.received) == 2)
+            await until(lambda: len(server.received) == 2)
             attempt.abort()
             await until(lambda: harness.outcomes[1:] == [Outcome.CANCELLED])
-            await until(lambda: all(w.transport.is_closing() for w in peer.writers))
+            await until(lambda: all(w.transport.is_closing() for w in server.writers))
             await harness.dispatcher.close()
 
     play(test)
@@ -75,22 +75,22 @@
 def test_idle_connection_when_near_the_server_timeout_or_ended_is_not_reused(play):
     async def test():
         settings = api.Settings(limits=api.Limits(conn_idle_ns=5_000_000_000))
-        async with ScriptedServer(lambda _: VALUE) as peer:
-            harness = UpstreamHarness(peer.port, settings=settings)
+        async with ScriptedServer(lambda _: VALUE) as server:
+            harness = UpstreamHarness(server.port, settings=settings)
             for expected in (1, 1):
                 assert await harness.outcome() is Outcome.OK
-                assert peer.connections == expected
+                assert server.connections == expected
             harness.clock.advance(4000)  # 0.8 of the server's idle timeout
             assert await harness.outcome() is Outcome.OK
-            assert peer.connections == 2
-            peer.writers[1].close()
+            assert server.connections == 2
+            server.writers[1].close()
             await asyncio.sleep(0.01)
             harness.clock.advance(SWEEP_INTERVAL_MS)
             assert await harness.outcome() is Outcome.OK
-            assert peer.connections == 3
+            assert server.connections == 3
             harness.dispatcher.close_idle_connections("s1")
             assert await harness.outcome() is Outcome.OK
-            assert peer.connections == 4
+            assert server.connections == 4
             await harness.dispatcher.close()
 
     play(test)
@@ -100,16 +100,16 @@
 def test_connection_when_unexpected_data_arrives_is_closed_and_answers_no_other_request(play, late):
     async def test():
         answers = [VALUE, VALUE] if late else [VALUE + VALUE, VALUE]
-        async with ScriptedServer(lambda _: answers.pop(0)) as peer:
-            harness = UpstreamHarness(peer.port)
+        async with ScriptedServer(lambda _: answers.pop(0)) as server:
+            harness = UpstreamHarness(server.port)
             # The valid response before the unexpected data counts.
             assert await harness.outcome() is Outcome.OK
             if late:
                 assert harness.dispatcher.pool._idle
-                peer.writers[0].write(VALUE)
+                server.writers[0].write(VALUE)
             await until(lambda: not harness.dispatcher.pool._idle and harness.dispatcher.pool.open_count == 0)
             assert await harness.outcome() is Outcome.OK
-            assert peer.connections == 2
+            assert server.connections == 2
             await harness.dispatcher.close()
 
     play(test)
@@ -117,18 +117,18 @@
 
 def test_attempt_when_the_connection_limit_is_reached_is_withdrawn(play):
     async def test():
-        async with ScriptedServer(lambda _: b"") as peer:
-            harness = UpstreamHarness(peer.port, max_connections=2)
+        async with ScriptedServer(lambda _: b"") as server:
+            harness = UpstreamHarness(server.port, max_connections=2)
             for _ in range(3):
                 await harness.start()
-            await until(lambda: len(peer.received) == 2)
+            await until(lambda: len(server.received) == 2)
             await advance_time(harness, 249)  # a connection might become idle
             assert harness.outcomes == []
             await advance_time(harness, 1)
             await until(lambda: harness.results)
             assert harness.outcomes == [Outcome.WITHDRAWN]  # not held against the server
             assert harness.counters["attempts_no_descriptor"] == 1
-            assert peer.connections == 2
+            assert server.connections == 2
             await harness.dispatcher.close()
 
     play(test)
@@ -140,18 +140,18 @@
     async def test():
         settings = api.Settings(limits=api.Limits(conn_idle_ns=5_000_000_000))
         answers = [VALUE, "rst", VALUE, "rst", VALUE, VALUE, VALUE]
-        async with ScriptedServer(lambda _: answers.pop(0)) as peer:
-            harness = UpstreamHarness(peer.port, settings=settings)
+        async with ScriptedServer(lambda _: answers.pop(0)) as server:
+            harness = UpstreamHarness(server.port, settings=settings)
             for expected in (Outcome.OK, Outcome.RESET, Outcome.OK, Outcome.RESET, Outcome.OK):
                 assert await harness.outcome() is expected
                 harness.clock.advance(1500)
-            assert peer.connections == 3
+            assert server.connections == 3
             # Closed before it reaches the idle time at which the others were lost.
             assert await harness.outcome() is Outcome.OK
-            assert peer.connections == 4
+            assert server.connections == 4
             harness.clock.advance(1000)
             assert await harness.outcome() is Outcome.OK
-            assert peer.connections == 4
+            assert server.connections == 4
             await harness.dispatcher.close()
 
     play(test)
@@ -159,11 +159,11 @@
 
 def test_pool_when_a_server_is_no_longer_used_keeps_nothing_of_it(play):
     async def test():
-        async with ScriptedServer(lambda _: VALUE) as peer:
-            harness = UpstreamHarness(peer.port)
+        async with ScriptedServer(lambda _: VALUE) as server:
+            harness = UpstreamHarness(server.port)
             assert await harness.outcome() is Outcome.OK
             assert len(harness.dispatcher.pool._idle) == 1
-            peer.writers[0].close()
+            server.writers[0].close()
             await until(lambda: not harness.dispatcher.pool._idle and harness.dispatcher.pool.open_count == 0)
             harness.endpoints.apply({"revision": 2, "complete": True, "members": []})
             assert await harness.outcome() is Outcome.CONNECT_FAILED  # no longer listed, so never executed
@@ -175,18 +175,18 @@
 def test_origin_when_asked_over_http_twice_reuses_the_connection(play):
     async def test():
         text = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
-        async with ScriptedServer(lambda _: text) as peer:
-            harness = UpstreamHarness(peer.port, flavor="origin")
+        async with ScriptedServer(lambda _: text) as server:
+            harness = UpstreamHarness(server.port, flavor="origin")
             for _ in range(2):
                 assert await harness.outcome() is Outcome.OK
                 # A duplicate of a response without a request id would have arrived by then.
                 harness.clock.advance(QUARANTINE_MS)
-            assert peer.connections == 1
-            assert peer.received[0].startswith(b"GET /key7 HTTP/1.1\r\n")
+            assert server.connections == 1
+            assert server.received[0].startswith(b"GET /key7 HTTP/1.1\r\n")
             loads: list = []
             harness.dispatcher.check_health("s1", loads.append)
             await until(lambda: loads)
-            assert peer.received[-1].startswith(b"GET /-/load ")
+            assert server.received[-1].startswith(b"GET /-/load ")
             assert loads[0].outcome is Outcome.OK
             await harness.dispatcher.close()
 
--- a/tests/upstream/test_local_failures.py
+++ b/tests/upstream/test_local_failures.py
@@ -49,9 +49,9 @@
 
 def with_harness(play, test, answer=lambda _: VALUE, **options) -> None:
     async def run():
-        async with ScriptedServer(answer) as peer:
-            harness = UpstreamHarness(peer.port, **options)
-            await test(harness, peer)
+        async with ScriptedServer(answer) as server:
+            harness = UpstreamHarness(server.port, **options)
+            await test(harness, server)
             await harness.dispatcher.close()
 
     play(run)
@@ -59,7 +59,7 @@
 
 @pytest.mark.parametrize("code", sorted(LOCAL_ERRNOS), ids=errno.errorcode.get)
 def test_attempt_when_connects_fail_locally_for_a_moment_is_served(play, monkeypatch, code):
-    async def test(harness, peer):
+    async def test(harness, server):
         connects = FailingConnects(monkeypatch, harness, failing_until(100, code))
         await harness.start()
         await advance_time(harness, 120)
@@ -67,7 +67,7 @@
         assert harness.outcomes == [Outcome.OK]
         assert connects.tried_at == [0, 2, 6, 14, 30, 62, 112]  # pauses that double, no busy loop
         assert harness.counters["connects_failed_locally"] == 6
-        assert len(peer.received) == 1
+        assert len(server.received) == 1
 
     with_harness(play, test)
 
@@ -76,7 +76,7 @@
 def test_attempt_when_connects_fail_locally_throughout_is_not_held_against_its_server(
     play, monkeypatch, code
 ):
-    async def test(harness, peer):
+    async def test(harness, server):
         events = []
         monkeypatch.setattr(harness.dispatcher._log, "event", lambda name, **fields: events.append(name))
         connects = FailingConnects(monkeypatch, harness, failing_until(1000, code))
@@ -91,7 +91,7 @@
         assert harness.counters["attempts_failed_locally"] == (not out_of_reach)
         assert events == ["attempt_failed_locally"] * (not out_of_reach)
         assert len(connects.tried_at) < 12
-        assert peer.connections == 0
+        assert server.connections == 0
         assert harness.dispatcher.pool.open_count == 0
 
     with_harness(play, test)
@@ -125,7 +125,7 @@
 
 @pytest.mark.parametrize("limit", ["begin_by", "written_by", "deadline"])
 def test_attempt_when_connects_fail_locally_beyond_its_limits_is_withdrawn(play, monkeypatch, limit):
-    async def test(harness, peer):
+    async def test(harness, server):
         connects = FailingConnects(monkeypatch, harness, failing_until(1000))
         await harness.start(**({"wait": 100} if limit == "deadline" else {limit: 100}))
         await advance_time(harness, 99)
@@ -134,14 +134,14 @@
         await until(lambda: harness.results)
         assert harness.outcomes == [Outcome.WITHDRAWN]
         assert max(connects.tried_at) < 100
-        assert peer.connections == 0
+        assert server.connections == 0
 
     with_harness(play, test)
 
 
 @pytest.mark.parametrize("seen", [True, False])
 def test_attempt_when_its_client_leaves_in_a_pause_stops_connecting(play, monkeypatch, seen):
-    async def test(harness, peer):
+    async def test(harness, server):
         connects = FailingConnects(monkeypatch, harness, failing_until(40))
         attempt = await harness.start()
         await advance_time(harness, 31)
@@ -153,42 +153,42 @@
         await until(lambda: harness.results)
         assert harness.outcomes == [Outcome.WITHDRAWN]
         assert connects.tried_at == [0, 2, 6, 14, 30]
-        assert peer.connections == 0
+        assert server.connections == 0
 
     with_harness(play, test)
 
 
 def test_attempt_when_a_connection_becomes_idle_in_a_pause_uses_it(play, monkeypatch):
-    async def test(harness, peer):
+    async def test(harness, server):
         await harness.start()
-        await until(lambda: peer.received)
+        await until(lambda: server.received)
         FailingConnects(monkeypatch, harness, failing_until(1000))
         await harness.start()
         await advance_time(harness, 10)
         assert harness.results == []
-        peer.writers[0].write(VALUE)
+        server.writers[0].write(VALUE)
         await until(lambda: len(harness.results) == 1)
         await advance_time(harness, 10)
-        await until(lambda: len(peer.received) == 2)
-        peer.writers[0].write(VALUE)
+        await until(lambda: len(server.received) == 2)
+        server.writers[0].write(VALUE)
         await until(lambda: len(harness.results) == 2)
         assert harness.outcomes == [Outcome.OK, Outcome.OK]
-        assert peer.connections == 1
+        assert server.connections == 1
 
     with_harness(play, test, answer=lambda _: b"")
 
 
 def test_attempt_when_the_connection_limit_is_reached_for_a_moment_is_served(play):
-    async def test(harness, peer):
+    async def test(harness, server):
         for _ in range(2):
             await harness.start()
-        await until(lambda: peer.received)
+        await until(lambda: server.received)
         await advance_time(harness, 30)
         assert harness.results == []
-        peer.writers[0].write(VALUE)
+        server.writers[0].write(VALUE)
         await until(lambda: harness.results)
         await advance_time(harness, 50)
-        await until(lambda: len(peer.received) == 2)
+        await until(lambda: len(server.received) == 2)
         assert harness.counters["attempts_no_descriptor"] == 0
 
     with_harness(play, test, answer=lambda _: b"", max_connections=1)
@@ -198,7 +198,7 @@
 def test_attempt_when_a_connection_hangs_after_local_failures_blames_whichever_took_longer(
     play, monkeypatch, failing_ms, outcome
 ):
-    async def test(harness, peer):
+    async def test(harness, server):
         connect = connection_pool.open_connection
 
         async def hanging(address):
@@ -211,7 +211,7 @@
         await advance_time(harness, CONNECT_TIMEOUT_MS)
         await until(lambda: harness.results)
         assert harness.outcomes == [outcome]
-        assert peer.connections == 0
+        assert server.connections == 0
 
     with_harness(play, test)
 
@@ -259,8 +259,8 @@
     """Covers how asyncio reports errors of socket(2) and connect(2), immediate or while in progress."""
 
     async def test():
-        async with ScriptedServer(lambda _: VALUE) as peer:
-            harness = UpstreamHarness(peer.port)
+        async with ScriptedServer(lambda _: VALUE) as server:
+            harness = UpstreamHarness(server.port)
             with monkeypatch.context() as patched:
                 patched.setattr(FailingSocket, "call", call)
                 patched.setattr(FailingSocket, "code", code)
@@ -273,7 +273,7 @@
                     harness.clock.advance(8)
                 await until(lambda: harness.results)
             assert harness.outcomes == [Outcome.OK]
-            assert peer.connections >= 1
+            assert server.connections >= 1
             await harness.dispatcher.close()
 
     asyncio.run(asyncio.wait_for(test(), 60))
--- a/tests/upstream/test_stalls.py
+++ b/tests/upstream/test_stalls.py
@@ -59,9 +59,9 @@
         self.sent_timeout_ms: int | None = None
 
     async def play(self, client_closes: bool = False, **limits) -> None:
-        async with ScriptedServer(lambda _: VALUE) as peer:
+        async with ScriptedServer(lambda _: VALUE) as server:
             self.clock = StallingClock()
-            harness = UpstreamHarness(peer.port, clock=self.clock)
+            harness = UpstreamHarness(server.port, clock=self.clock)
             if self.reused:
                 assert await harness.outcome() is Outcome.OK
                 (connection,) = harness.connections
--- a/tests/upstream/test_upstream_streaming.py
+++ b/tests/upstream/test_upstream_streaming.py
@@ -29,13 +29,13 @@
     async def test():
         length = 2 << 20
         big = b"VA %d Oa1\r\n" % length + b"x" * length + b"\r\n"
-        async with ScriptedServer(lambda _: big) as peer:
-            harness = StreamingHarness(peer.port)
+        async with ScriptedServer(lambda _: big) as server:
+            harness = StreamingHarness(server.port)
             harness.streamed.open.clear()
             await harness.start()
             await until(lambda: harness.started_lengths)
             await asyncio.sleep(1)  # of virtual time
-            (writer,) = peer.writers
+            (writer,) = server.writers
             unread_bytes = writer.transport.get_write_buffer_size()
             assert unread_bytes > length - 512 * 1024
             assert harness.streamed.pieces == []
@@ -53,19 +53,19 @@
 def test_long_value_when_it_fails_midway_is_aborted_and_not_retried(how):
     async def test():
         text = {"end": ANSWER[:-3000], "bad end": ANSWER[:-2] + b"XY", "silence": ANSWER[:-9]}[how]
-        async with ScriptedServer(lambda _: text) as peer:
-            harness = StreamingHarness(peer.port)
+        async with ScriptedServer(lambda _: text) as server:
+            harness = StreamingHarness(server.port)
             await harness.start()
             await until(lambda: harness.streamed.pieces)
             if how == "end":
-                peer.writers[0].close()
+                server.writers[0].close()
             if how == "silence":
                 await asyncio.sleep(0.1)
                 assert harness.streamed.ended is None
                 harness.clock.advance(SERVER_STALL_MS)
             await until(lambda: harness.streamed.ended == "cut")
             assert sum(map(len, harness.streamed.pieces)) < LENGTH
-            assert peer.connections == 1
+            assert server.connections == 1
             await harness.dispatcher.close()
 
     virtual.run(test())
