--- a/flintridge/core/attempts.py
+++ b/flintridge/core/attempts.py
@@ -31,7 +31,7 @@
     )
 
 
-def outcome_unsent(attempt: UpstreamAttempt, request: OpenRequest, max_attempts: int) -> api.Outcome | None:
+def unsent_outcome(attempt: UpstreamAttempt, request: OpenRequest, max_attempts: int) -> api.Outcome | None:
     """Return the outcome of an attempt that must not be sent; None if it may be sent.
 
     Args:
--- a/flintridge/core/lifecycle.py
+++ b/flintridge/core/lifecycle.py
@@ -1,4 +1,4 @@
-"""The life of a request: from a protocol frontend to its one final response, with one end for each attempt.
+"""The lifecycle of requests: from a protocol frontend to the final response, with one end for each attempt.
 
 Requests are turned into policy events, and the policy's actions are carried out. This module decides nothing:
 it selects no server and retries nothing. It is also independent of protocols.
@@ -7,7 +7,7 @@
 from collections.abc import Callable
 
 from flintridge import api
-from flintridge.core.attempts import attempt_ended_event, new_attempt, outcome_unsent
+from flintridge.core.attempts import attempt_ended_event, new_attempt, unsent_outcome
 from flintridge.core.deadlines import ResponseDeadlines
 from flintridge.core.drivers import DiscoveryDriver, Policy, UpstreamDriver
 from flintridge.core.memory_budget import MemoryBudget, bytes_to_reserve
@@ -212,7 +212,7 @@
                 entry.responder.respond(result.response)
         final = entry is None or entry.responded
         self.policy_driver.notify(attempt_ended_event(attempt, result, self._clock.now(), final))
-        self.open_requests.forget_if_finished(attempt.id)
+        self.open_requests.remove_if_finished(attempt.id)
 
     # The policy's actions
 
@@ -254,7 +254,7 @@
         entry.add_attempt(attempt)
         if self.on_attempts_changed is not None:
             self.on_attempts_changed(attempt, +1)
-        unsent = outcome_unsent(attempt, entry, self.settings.limits.max_attempts)
+        unsent = unsent_outcome(attempt, entry, self.settings.limits.max_attempts)
         if unsent is not None:
             self.attempt_ended(attempt, AttemptResult(unsent))
         else:
--- a/flintridge/core/memory_budget.py
+++ b/flintridge/core/memory_budget.py
@@ -6,8 +6,7 @@
 
 from flintridge.runtime.clock import Clock, Timer
 
-# A value up to this size can exist in three copies at once: as read, as encoded for a server, and in a write
-# buffer.
+# There can be three copies of a value up to this size: as read, as encoded for a server, in a write buffer.
 SMALL_VALUE_BYTES = 64 * 1024
 SMALL_VALUE_BUFFERS = 3
 
--- a/flintridge/core/open_requests.py
+++ b/flintridge/core/open_requests.py
@@ -129,7 +129,7 @@
     def mark_responded(self, request: OpenRequest) -> None:
         """Record the final response or the client's departure."""
         request.mark_responded()
-        self.forget_if_finished(request.id)
+        self.remove_if_finished(request.id)
 
     def take_unanswered(self, request_id: str) -> OpenRequest | None:
         """Return a request that the caller responds to now, marked as responded; None if it already is."""
@@ -138,7 +138,7 @@
             self.mark_responded(request)
         return request
 
-    def forget_if_finished(self, request_id: str) -> None:
+    def remove_if_finished(self, request_id: str) -> None:
         """Remove a request that has its final response and no attempt in flight, and release its memory."""
         request = self._by_id.get(request_id)
         if request is not None and request.state is RequestState.FINISHED:
--- a/flintridge/fleet.py
+++ b/flintridge/fleet.py
@@ -74,7 +74,7 @@
     def start(self) -> None:
         """Start leases and replication; call before the first request.
 
-        A process that has just started uses only its minimum share of each limit.
+        A process that has just started uses only its floor of each limit.
         """
         if self.leases is not None:
             self.leases.start()
--- a/flintridge/shutdown.py
+++ b/flintridge/shutdown.py
@@ -37,7 +37,7 @@
 """Upper bound of the response margin as a fraction of the longest deadline, for short deadlines."""
 
 LAST_REQUEST_TIME_MS = 1000.0
-"""Time between the last read and SIGKILL, or the longest deadline if that is shorter."""
+"""Minimum time between the last read and SIGKILL, or the longest deadline if that is shorter."""
 
 
 @dataclass(slots=True, frozen=True)
--- a/tests/core/test_attempts.py
+++ b/tests/core/test_attempts.py
@@ -5,7 +5,7 @@
 
 from flintridge import api
 from flintridge.api import Outcome
-from flintridge.core.attempts import attempt_ended_event, new_attempt, outcome_unsent
+from flintridge.core.attempts import attempt_ended_event, new_attempt, unsent_outcome
 from flintridge.core.open_requests import OpenRequest
 from flintridge.core.response import AttemptResult
 from flintridge.runtime.clock import NS_PER_MS
@@ -54,13 +54,13 @@
     for _ in range(sent_before):
         next_attempt(request)
     attempt = next_attempt(request, timeout_ms, now)
-    assert outcome_unsent(attempt, request, MAX_ATTEMPTS) is outcome
+    assert unsent_outcome(attempt, request, MAX_ATTEMPTS) is outcome
 
 
 def test_attempt_when_its_request_has_its_response_then_is_withdrawn():
     request = open_request()
     request.mark_responded()
-    assert outcome_unsent(next_attempt(request), request, MAX_ATTEMPTS) is Outcome.WITHDRAWN
+    assert unsent_outcome(next_attempt(request), request, MAX_ATTEMPTS) is Outcome.WITHDRAWN
 
 
 @pytest.mark.parametrize(("now", "latency_ns"), [(NOW + 30, 30 * NS_PER_MS), (NOW - 1, 0)])
--- a/tests/core/test_lifecycle.py
+++ b/tests/core/test_lifecycle.py
@@ -19,7 +19,7 @@
 OK = AttemptResult(Outcome.OK, Response(b"value", receipt=False))
 
 
-class Core:
+class LifecycleHarness:
     """A request lifecycle between a scripted policy and drivers that record their calls."""
 
     def __init__(self) -> None:
@@ -64,7 +64,7 @@
 
 
 def test_submit_when_a_request_was_read_then_notifies_the_policy_in_its_terms():
-    harness = Core()
+    harness = LifecycleHarness()
     harness.submit(value=b"v", class_index=1, retry=True, work_us=12000.5, size=3.0)
     now, event = harness.script.events[0]
     # 10 ms early, as the response takes time to arrive.
@@ -77,13 +77,13 @@
     ("timeout_ms", "due"), [(None, 11_990), (9e9, 11_990), (10.0, 10_009), (0.0, 10_000)]
 )
 def test_deadline_when_the_client_names_a_timeout_then_is_bounded_by_it(timeout_ms, due):
-    harness = Core()
+    harness = LifecycleHarness()
     harness.submit(wait=timeout_ms)
     assert harness.script.events[0][1].deadline == to_ns(due)
 
 
 def test_attempt_when_served_then_responds_before_the_policy_is_notified():
-    harness = Core()
+    harness = LifecycleHarness()
     harness.on(api.RequestReceived, SEND, SEND)
     harness.script.handlers[api.AttemptEnded] = (
         lambda e: harness.calls.append(list(harness.responder.responses)) or []
@@ -96,14 +96,14 @@
         harness.attempts[0], AttemptResult(Outcome.OK, Response(b"second", receipt=False))
     )
     assert harness.responder.responses == [b"value"]
-    assert harness.script.ends() == [(1, Outcome.OK, True), (0, Outcome.OK, True)]
+    assert harness.script.attempt_ends() == [(1, Outcome.OK, True), (0, Outcome.OK, True)]
     assert harness.script.events[1][1].latency_ns == to_ns(30)
 
 
 def test_attempt_end_when_due_with_the_deadline_timer_then_is_handled_first():
     """After a stall of the event loop, both are due in the same iteration and the attempt's task runs a step
     later. The policy must make the response, as it may include a retry-after time."""
-    harness = Core()
+    harness = LifecycleHarness()
     harness.on(api.RequestReceived, SEND)
     harness.on(api.AttemptEnded, api.Reject("a1", to_ns(300)))
     harness.submit()
@@ -115,38 +115,38 @@
 
 
 def test_send_when_the_request_has_its_final_response_then_ends_once():
-    harness = Core()
+    harness = LifecycleHarness()
     harness.on(api.RequestReceived, SEND)
     harness.submit()
     harness.act(api.Reject("a1", to_ns(9000)), api.Fail("a1"), SEND)
     assert harness.responder.responses == [("busy", 2000.0)]  # once, and capped by the settings
-    assert harness.script.ends() == [(1, Outcome.WITHDRAWN, True)]
+    assert harness.script.attempt_ends() == [(1, Outcome.WITHDRAWN, True)]
     harness.core.attempt_ended(harness.attempts[0], AttemptResult(Outcome.RESET))
     harness.core.attempt_ended(harness.attempts[0], OK)
-    assert harness.script.ends() == [(1, Outcome.WITHDRAWN, True), (0, Outcome.RESET, True)]
+    assert harness.script.attempt_ends() == [(1, Outcome.WITHDRAWN, True), (0, Outcome.RESET, True)]
     assert harness.core.idle and len(harness.attempts) == 1
 
 
 def test_send_when_above_the_attempt_limit_or_too_late_then_is_withdrawn_and_the_limit_counts_all():
-    harness = Core()
+    harness = LifecycleHarness()
     harness.on(api.RequestReceived, SEND, SEND, SEND, SEND)
     harness.submit()
-    assert harness.script.ends() == [(3, Outcome.WITHDRAWN, False)] and len(harness.attempts) == 3
-    late = Core()
+    assert harness.script.attempt_ends() == [(3, Outcome.WITHDRAWN, False)] and len(harness.attempts) == 3
+    late = LifecycleHarness()
     late.submit(wait=0.0)
     late.act(SEND, api.Send("a1", "s1", -5))
-    assert [outcome for _, outcome, _ in late.script.ends()] == [Outcome.WITHDRAWN, Outcome.WITHDRAWN]
+    assert [outcome for _, outcome, _ in late.script.attempt_ends()] == [Outcome.WITHDRAWN, Outcome.WITHDRAWN]
 
 
 def test_attempt_when_its_timeout_exceeds_the_deadline_then_ends_at_the_deadline():
-    harness = Core()
+    harness = LifecycleHarness()
     harness.on(api.RequestReceived, SEND, api.Send("a1", "s1", to_ns(100)), api.Send("a1", "s1", to_ns(9000)))
     harness.submit()
     assert [attempt.deadline for attempt in harness.attempts] == [10_470, 10_100, 10_470]
 
 
 def test_event_when_an_action_causes_it_then_waits_until_handle_has_returned():
-    harness = Core()  # ScriptedPolicy fails on re-entrant calls
+    harness = LifecycleHarness()  # ScriptedPolicy fails on re-entrant calls
     harness.on(api.RequestReceived, api.CheckHealth("s1"), api.CheckHealth("s2"))
     harness.submit()
     assert [getattr(e, "server", "") for _, e in harness.script.events] == ["", "s1", "s2"]
@@ -154,15 +154,17 @@
 
 
 def test_cancel_when_the_attempt_is_in_flight_then_aborts_and_ends_it():
-    harness = Core()
+    harness = LifecycleHarness()
     harness.on(api.RequestReceived, SEND)
     harness.submit()
     harness.act(api.Cancel("a1", 0), api.Cancel("a1", 7), api.Cancel("other", 0))
-    assert harness.calls == [("aborted", 0)] and harness.script.ends() == [(0, Outcome.CANCELLED, False)]
+    assert harness.calls == [("aborted", 0)] and harness.script.attempt_ends() == [
+        (0, Outcome.CANCELLED, False)
+    ]
 
 
 def test_disconnect_when_an_attempt_is_in_flight_then_no_response_is_made_and_the_attempt_ends():
-    harness = Core()
+    harness = LifecycleHarness()
     harness.on(api.RequestReceived, SEND)
     harness.submit()
     harness.core.client_disconnected("a1")
@@ -170,13 +172,13 @@
     with pytest.raises(IdInUseError):  # its attempt is still in flight
         harness.submit()
     harness.core.attempt_ended(harness.attempts[0], OK)
-    assert harness.responder.responses == [] and harness.script.ends() == [(0, Outcome.OK, True)]
+    assert harness.responder.responses == [] and harness.script.attempt_ends() == [(0, Outcome.OK, True)]
     assert sum(isinstance(e, api.ClientDisconnected) for _, e in harness.script.events) == 1
     harness.submit()
 
 
 def test_timer_when_due_between_two_instants_of_the_clock_then_fires_no_earlier():
-    harness = Core()
+    harness = LifecycleHarness()
     at = to_ns(10_250) + 1  # between two values that the float clock can represent
     harness.act(api.SetTimer(at, 5))
     harness.clock.advance(250.001)
@@ -185,7 +187,7 @@
 
 
 def test_request_when_the_policy_raises_then_fails_in_time():
-    harness = Core()
+    harness = LifecycleHarness()
     harness.script.handlers[api.RequestReceived] = lambda _: 1 // 0
     harness.script.handle = lambda now, event: 1 // 0
     harness.submit()
@@ -195,7 +197,7 @@
 
 
 def test_action_when_about_no_request_then_reaches_its_driver():
-    harness = Core()
+    harness = LifecycleHarness()
     harness.act(
         api.Watch(), api.Watch(False), api.FetchEndpoints(), api.CloseIdleConnections("s1"), api.Log("hi")
     )
@@ -203,7 +205,7 @@
 
 
 def test_submit_when_no_memory_is_free_then_sheds_until_some_is_released():
-    harness = Core()
+    harness = LifecycleHarness()
     big = b"x" * (MEMORY_BYTES // 2)
     for uid in ("a1", "a2", "a3"):
         harness.submit(uid=uid, value=big)
@@ -214,7 +216,7 @@
 
 
 def test_submit_when_too_many_requests_are_open_then_sheds():
-    harness = Core()
+    harness = LifecycleHarness()
     harness.core.settings = replace(SETTINGS, limits=api.Limits(max_open=1))
     harness.submit(uid="a1")
     harness.submit(uid="a2")
@@ -222,7 +224,7 @@
 
 
 def test_stream_when_started_then_is_the_final_response_and_ends_the_attempt():
-    harness = Core()
+    harness = LifecycleHarness()
     harness.on(api.RequestReceived, SEND)
     harness.submit()
     (attempt,) = harness.attempts
@@ -233,11 +235,11 @@
 
     streamed = harness.core.start_stream(attempt, Long())
     assert harness.responder.responses == [streamed] and streamed.length == 100_000
-    assert harness.script.ends() == [(0, Outcome.OK, True)] and harness.core.idle
+    assert harness.script.attempt_ends() == [(0, Outcome.OK, True)] and harness.core.idle
     assert harness.script.events[-1][1].latency_ns == to_ns(30)
     # The stream broke: nothing more is reported.
     harness.core.attempt_ended(attempt, AttemptResult(Outcome.RESET))
     harness.core.client_disconnected("a1")
     harness.clock.advance(5000)
-    assert len(harness.script.ends()) == 1 and len(harness.responder.responses) == 1
+    assert len(harness.script.attempt_ends()) == 1 and len(harness.responder.responses) == 1
     assert harness.core.start_stream(attempt, Long()) is None
--- a/tests/core/test_open_requests.py
+++ b/tests/core/test_open_requests.py
@@ -65,7 +65,7 @@
     for left in (1, 0):
         assert "a1" in requests and budget.reserved == RESERVED_BYTES
         request.end_attempt(withdrawn=left == 0)
-        requests.forget_if_finished("a1")
+        requests.remove_if_finished("a1")
     assert (request.in_flight, request.withdrawn) == (0, 1)
     assert "a1" not in requests and budget.reserved == 0
 
@@ -74,7 +74,7 @@
     request = requests.get("a1")
     start_attempt(request)
     request.end_attempt(withdrawn=False)
-    requests.forget_if_finished("a1")
+    requests.remove_if_finished("a1")
     assert request.state is RequestState.WAITING and requests.get_unanswered("a1") is request
 
 
--- a/tests/core/test_policy_driver.py
+++ b/tests/core/test_policy_driver.py
@@ -9,7 +9,7 @@
 from flintridge.runtime.clock import to_ns
 
 
-class Driven:
+class DriverHarness:
     """A driver with a scripted policy, and a list of the actions that were carried out."""
 
     def __init__(self) -> None:
@@ -32,51 +32,51 @@
 
 
 @pytest.fixture
-def driven():
-    return Driven()
+def harness():
+    return DriverHarness()
 
 
-def test_notify_when_an_action_causes_events_then_these_follow_in_order(driven):
-    driven.policy.handlers[api.TimerFired] = lambda _: [api.Fail("a1"), api.Fail("a2")]
-    driven.driver.notify(api.TimerFired(1))
-    assert driven.events == [api.TimerFired(1), api.ClientDisconnected("a1"), api.ClientDisconnected("a2")]
+def test_notify_when_an_action_causes_events_then_these_follow_in_order(harness):
+    harness.policy.handlers[api.TimerFired] = lambda _: [api.Fail("a1"), api.Fail("a2")]
+    harness.driver.notify(api.TimerFired(1))
+    assert harness.events == [api.TimerFired(1), api.ClientDisconnected("a1"), api.ClientDisconnected("a2")]
 
 
-def test_notify_when_an_action_raises_then_the_next_one_is_carried_out(driven):
-    driven.policy.handlers[api.TimerFired] = lambda _: [api.FetchEndpoints(), api.Log("next")]
-    driven.driver.notify(api.TimerFired(1))
-    assert driven.actions == [api.FetchEndpoints(), api.Log("next")]
-    assert driven.counters["action_errors"] == 1
+def test_notify_when_an_action_raises_then_the_next_one_is_carried_out(harness):
+    harness.policy.handlers[api.TimerFired] = lambda _: [api.FetchEndpoints(), api.Log("next")]
+    harness.driver.notify(api.TimerFired(1))
+    assert harness.actions == [api.FetchEndpoints(), api.Log("next")]
+    assert harness.counters["action_errors"] == 1
 
 
-def test_notify_when_the_policy_raises_then_the_next_event_reaches_it(driven):
-    handle = driven.policy.handle
-    driven.policy.handle = lambda now, event: 1 // 0
-    driven.driver.notify(api.TimerFired(1))
-    driven.policy.handle = handle
-    driven.driver.notify(api.TimerFired(2))
-    assert driven.counters["policy_errors"] == 1 and driven.events == [api.TimerFired(2)]
+def test_notify_when_the_policy_raises_then_the_next_event_reaches_it(harness):
+    handle = harness.policy.handle
+    harness.policy.handle = lambda now, event: 1 // 0
+    harness.driver.notify(api.TimerFired(1))
+    harness.policy.handle = handle
+    harness.driver.notify(api.TimerFired(2))
+    assert harness.counters["policy_errors"] == 1 and harness.events == [api.TimerFired(2)]
 
 
-def test_now_when_the_clock_steps_back_then_stays_monotonic(driven):
-    driven.driver.notify(api.TimerFired(1))
-    driven.clock.advance(-100)
-    driven.driver.notify(api.TimerFired(2))
-    first, second = (now for now, _ in driven.policy.events)
+def test_now_when_the_clock_steps_back_then_stays_monotonic(harness):
+    harness.driver.notify(api.TimerFired(1))
+    harness.clock.advance(-100)
+    harness.driver.notify(api.TimerFired(2))
+    first, second = (now for now, _ in harness.policy.events)
     assert second == first
 
 
-def test_timer_when_due_between_two_clock_values_then_now_is_not_before_it(driven):
+def test_timer_when_due_between_two_clock_values_then_now_is_not_before_it(harness):
     at = to_ns(10_250) + 1
-    driven.driver.set_timer(at, 7)
-    driven.clock.advance(250.001)
-    ((now, event),) = driven.policy.events
+    harness.driver.set_timer(at, 7)
+    harness.clock.advance(250.001)
+    ((now, event),) = harness.policy.events
     assert event == api.TimerFired(7) and now >= at
 
 
-def test_close_when_timers_fall_due_then_the_policy_is_notified_of_nothing(driven):
-    driven.driver.set_timer(to_ns(10_100), 7)
-    driven.driver.close()
-    driven.clock.advance(200)
-    driven.driver.notify(api.TimerFired(1))
-    assert driven.events == []
+def test_close_when_timers_fall_due_then_the_policy_is_notified_of_nothing(harness):
+    harness.driver.set_timer(to_ns(10_100), 7)
+    harness.driver.close()
+    harness.clock.advance(200)
+    harness.driver.notify(api.TimerFired(1))
+    assert harness.events == []
--- a/tests/lab/load/test_client_connection.py
+++ b/tests/lab/load/test_client_connection.py
@@ -18,7 +18,7 @@
         connection.user.close()
 
     trial = LoadTrial(
-        lambda c: c.served if c.n == 0 else "close",
+        lambda c: c.served if c.index == 0 else "close",
         one_class(retries=0),
         requests=[0.0, 100.0],
         during=crossing,
@@ -41,7 +41,7 @@
         trial.fabric.network.host("n0").kill()
 
     trial = LoadTrial(
-        lambda c: c.served if c.n == 0 else None,
+        lambda c: c.served if c.index == 0 else None,
         one_class("safe", retries=0),
         requests=[0.0, 100.0],
         during=kill,
@@ -51,7 +51,7 @@
 
 def test_pipelined_requests_when_one_times_out_lose_their_connection():
     def script(c):
-        return None if c.n == 0 else b""
+        return None if c.index == 0 else b""
 
     trial = LoadTrial(script, one_class(pipeline=3, retries=0), requests=[0.0, 100.0, 200.0, 300.0])
     abandoned = trial.of(RequestAbandoned)
@@ -70,5 +70,5 @@
     assert trial.events == ["RequestSent", "served", "served"] * 2
     first = trial.of(ResponseReceived)[:2]
     assert first[0].request_id == first[1].request_id and trial.nodes["n0"].connections == 3
-    late = LoadTrial(lambda c: c.served if c.n else (60.0, b""), one_class(), requests=[0.0])
+    late = LoadTrial(lambda c: c.served if c.index else (60.0, b""), one_class(), requests=[0.0])
     assert late.events == ["RequestSent", "RequestAbandoned", "RequestSent", "served"]
--- a/tests/lab/load/test_client_request.py
+++ b/tests/lab/load/test_client_request.py
@@ -39,7 +39,7 @@
 
 
 def test_half_a_response_when_the_connection_ends_is_recorded_as_such():
-    trial = LoadTrial(lambda c: b"VA 5 O" if c.n else c.served, one_class(retries=0), requests=[0.0])
+    trial = LoadTrial(lambda c: b"VA 5 O" if c.index else c.served, one_class(retries=0), requests=[0.0])
     assert trial.events == ["RequestSent", "served"]
 
     async def kill(trial):
--- a/tests/lab/load/test_client_retries.py
+++ b/tests/lab/load/test_client_retries.py
@@ -27,7 +27,7 @@
 
 def test_unsafe_request_when_rejected_or_not_accepted_is_retried():
     trial = LoadTrial(
-        lambda c: [b"SERVER_ERROR busy\r\n", b"HD O%b cok\r\n" % c.request_id.encode()][c.n],
+        lambda c: [b"SERVER_ERROR busy\r\n", b"HD O%b cok\r\n" % c.request_id.encode()][c.index],
         one_class("unsafe"),
         requests=[0.0],
     )
@@ -46,7 +46,7 @@
 
 def test_retry_after_is_followed_by_clients_that_honour_it_up_to_the_maximum():
     def busy(c):
-        return b"SERVER_ERROR busy 300\r\n" if c.n == 0 else c.served
+        return b"SERVER_ERROR busy 300\r\n" if c.index == 0 else c.served
 
     pauses = {}
     for honour in (0.0, 1.0):
--- a/tests/lab/load/test_load_driver.py
+++ b/tests/lab/load/test_load_driver.py
@@ -21,8 +21,8 @@
         await trial.fabric.clock.sleep_until(2100.0)
         trial.load.burst(lambda t: 1.0)
 
-    plain = LoadTrial(lambda c: (300.0 if c.nth else 3.0, c.served), scenario)
-    burst = LoadTrial(lambda c: (300.0 if c.nth else 3.0, c.served), scenario, during=burst)
+    plain = LoadTrial(lambda c: (300.0 if c.connection_index else 3.0, c.served), scenario)
+    burst = LoadTrial(lambda c: (300.0 if c.connection_index else 3.0, c.served), scenario, during=burst)
     scheduled = [
         {a.scheduled_ms: (a.key, a.request_id) for a in t.of(RequestSent) if not a.attempt_number}
         for t in (plain, burst)
@@ -32,7 +32,7 @@
     assert 300 < len(extra) < 500 and all(1100 <= at <= 2100 for at in extra)
     assert all(a.at_ms >= a.scheduled_ms for a in plain.of(RequestSent))
     assert sum(g.left_early for g in plain.of(RequestAbandoned)) > 5
-    again = LoadTrial(lambda c: (300.0 if c.nth else 3.0, c.served), scenario)
+    again = LoadTrial(lambda c: (300.0 if c.connection_index else 3.0, c.served), scenario)
     assert again.log.digest() == plain.log.digest() != burst.log.digest()
     ids = [a.request_id for a in plain.of(RequestSent)]
     assert all(plain.truth.get(request_id) for request_id in ids)
--- a/tests/support/core.py
+++ b/tests/support/core.py
@@ -10,15 +10,15 @@
     def __init__(self) -> None:
         self.events: list[tuple[int, api.Event]] = []
         self.handlers = {}
-        self.inside = False
+        self.handling = False
 
     def handle(self, now, event):
-        assert not self.inside, "handle is not re-entrant"
-        self.inside = True
+        assert not self.handling, "handle is not re-entrant"
+        self.handling = True
         self.events.append((now, event))
         actions = self.handlers.get(type(event), lambda _: [])(event)
-        self.inside = False
+        self.handling = False
         return actions
 
-    def ends(self) -> list[tuple[int, Outcome, bool]]:
+    def attempt_ends(self) -> list[tuple[int, Outcome, bool]]:
         return [(e.attempt, e.outcome, e.final) for _, e in self.events if isinstance(e, api.AttemptEnded)]
--- a/tests/support/load.py
+++ b/tests/support/load.py
@@ -23,14 +23,14 @@
 
     Attributes:
         line: The command line.
-        n: Position among all commands of the node, from 0.
-        nth: Position among the commands of its connection, from 0.
+        index: Position among all commands of the node, from 0.
+        connection_index: Position among the commands of its connection, from 0.
         at: When it was read.
     """
 
     line: str
-    n: int
-    nth: int
+    index: int
+    connection_index: int
     at: float
 
     @property
@@ -53,7 +53,7 @@
     def __init__(self, node: "ScriptedNode") -> None:
         self.node = node
         self.buffer = b""
-        self.nth = 0
+        self.command_count = 0
         self.noise = 0  # number of lines that are no commands; at 200 it stops parsing
 
     def connection_made(self, transport):
@@ -81,9 +81,9 @@
                 continue
             self.noise += line[:1] != b"m"
             command = ReceivedCommand(
-                line.decode(), len(self.node.received), self.nth, self.node.fabric.clock.now()
+                line.decode(), len(self.node.received), self.command_count, self.node.fabric.clock.now()
             )
-            self.nth += 1
+            self.command_count += 1
             self.node.received.append(command)
             self.respond(self.node.script(command))
         self.buffer = self.buffer[at:]
--- a/tests/upstream/test_attempt_termination.py
+++ b/tests/upstream/test_attempt_termination.py
@@ -229,7 +229,7 @@
         await until(lambda: harness.results)
         assert harness.results[0].outcome is Outcome.OK
         send_or_close(first, crossing)
-        # Its first step runs before the loop polls the sockets.
+        # Its first step runs before the event loop reads what has arrived.
         harness.dispatcher.start(harness.make_attempt())
         second, _ = await loop.sock_accept(listener)
         assert (await loop.sock_recv(second, 4096)).startswith(b"mg key7 ")
