--- a/tests/core/test_attempts.py
+++ b/tests/core/test_attempts.py
@@ -1,11 +1,11 @@
-"""Attempts made of a policy's `Send`: their limits, and when one is not sent."""
+"""Attempts created from a `Send` action: their limits, and when an attempt is not sent."""
 
 import pytest
 from support.network import RecordingResponder, make_request
 
 from flintridge import api
 from flintridge.api import Outcome
-from flintridge.core.attempts import attempt_ended_event, new_attempt, outcome_unsent
+from flintridge.core.attempts import attempt_ended_event, new_attempt, unsent_outcome
 from flintridge.core.open_requests import OpenRequest
 from flintridge.core.response import AttemptResult
 from flintridge.runtime.clock import NS_PER_MS
@@ -20,7 +20,7 @@
 
 
 def next_attempt(request: OpenRequest, timeout_ms: int = 0, now: float = NOW):
-    """The request's next attempt, added to it as when it is sent."""
+    """Create the request's next attempt and add it to the request, as sending does."""
     send = api.Send("a1", "s1", timeout_ms * NS_PER_MS, 1_100 * NS_PER_MS, 1_200 * NS_PER_MS)
     attempt = new_attempt(send, request, now)
     request.add_attempt(attempt)
@@ -54,13 +54,13 @@
     for _ in range(sent_before):
         next_attempt(request)
     attempt = next_attempt(request, timeout_ms, now)
-    assert outcome_unsent(attempt, request, MAX_ATTEMPTS) is outcome
+    assert unsent_outcome(attempt, request, MAX_ATTEMPTS) is outcome
 
 
 def test_attempt_when_its_request_has_its_response_then_is_withdrawn():
     request = open_request()
     request.mark_responded()
-    assert outcome_unsent(next_attempt(request), request, MAX_ATTEMPTS) is Outcome.WITHDRAWN
+    assert unsent_outcome(next_attempt(request), request, MAX_ATTEMPTS) is Outcome.WITHDRAWN
 
 
 @pytest.mark.parametrize(("now", "latency_ns"), [(NOW + 30, 30 * NS_PER_MS), (NOW - 1, 0)])
