--- a/flintridge/__main__.py
+++ b/flintridge/__main__.py
@@ -47,7 +47,8 @@
     loop = asyncio.get_running_loop()
     loop.set_exception_handler(lambda _, context: _log_unhandled(log, context))
     termination = asyncio.Event()
-    # From here on the event loop handles SIGTERM and SIGINT: the node completes its start, then shuts down.
+    # From here on the event loop handles SIGTERM and SIGINT: the node completes its start, then shuts down
+    # gracefully.
     for number in TERMINATION_SIGNALS:
         loop.add_signal_handler(number, termination.set)
     # A SIGHUP that is pending when the loop next runs is handled by whichever handler is installed by then.
--- a/flintridge/shutdown.py
+++ b/flintridge/shutdown.py
@@ -16,10 +16,10 @@
 from flintridge.runtime.clock import to_ms
 
 IDLE_CLOSE_DELAY_MS = 400.0
-"""Until this long after the call, new connections are accepted and idle ones stay open."""
+"""For this long after a drain or termination starts, new connections are accepted and idle ones stay open."""
 
 STOP_READING_DELAY_MS = 1500.0
-"""At the latest this long after the call, no connection is read any further."""
+"""At the latest this long after a drain or termination starts, no connection is read any further."""
 
 SHUTDOWN_ACCEPT_MS = 700.0
 """Requests that arrive within this time after SIGTERM are served."""
@@ -42,7 +42,7 @@
 
 @dataclass(slots=True, frozen=True)
 class ShutdownTimes:
-    """Times of the shutdown steps, in milliseconds after the call, derived from the longest deadline.
+    """Times of the shutdown steps, in milliseconds after its start, derived from the longest deadline.
 
     After SIGTERM the process may be killed once SHUTDOWN_ACCEPT_MS and that deadline, at most 3 s, are over.
     The times depend on the deadline so that the process reads no request that it cannot respond to any more:
--- a/flintridge/simulator_adapter.py
+++ b/flintridge/simulator_adapter.py
@@ -115,7 +115,7 @@
 def _decode_clock(line: str) -> int:
     name, _, now_ns = line.partition(" ")
     if name != "CLOCK" or not now_ns.isdigit():
-        raise _malformed(line, "a CLOCK line was expected")
+        raise _malformed(line, "expected a CLOCK line")
     return int(now_ns)
 
 
--- a/flintridge/simulator_codec.py
+++ b/flintridge/simulator_codec.py
@@ -108,7 +108,7 @@
 def _decode_endpoint(line: str) -> api.Endpoint:
     mark, state, server, weight, cell, kind, started_at, zone = line.split(" ")
     if mark != "M":
-        raise MalformedInputError("a list entry was expected")
+        raise MalformedInputError("expected an endpoint line")
     return api.Endpoint(
         server=server,
         state=ENDPOINT_STATES[state],
@@ -125,7 +125,7 @@
     count = _optional_int(count_text)
     endpoints = tuple(map(_decode_endpoint, itertools.islice(following, count)))
     if len(endpoints) < count:
-        raise MalformedInputError("the list ends early")
+        raise MalformedInputError("fewer endpoint lines than announced")
     return api.EndpointUpdate(UPDATE_KINDS[kind], _optional_int(version), endpoints)
 
 
--- a/flintridge/upstream/connection.py
+++ b/flintridge/upstream/connection.py
@@ -181,7 +181,7 @@
         data = await self.reader.read(READ_MAX_BYTES)
         result = exchange.feed(data) if data else exchange.end()
         if result is None and not data:
-            raise ConnectionResetError("the server ended the connection")
+            raise ConnectionResetError("the server closed the connection")
         return result
 
 
--- a/flintridge/upstream/dispatcher.py
+++ b/flintridge/upstream/dispatcher.py
@@ -241,7 +241,7 @@
         if not connection.request_written:
             self._record_failure_before_written(attempt, progress, connection, error)
             return
-        # A reused connection that ends without a byte had already been closed while it was idle.
+        # An idle connection that ends without a byte when it is reused had already been closed before.
         lost = connection.nothing_received and connection.idle_before_use_ms >= MIN_IDLE_MS
         progress.result = AttemptResult(Outcome.RESET, malformed=lost)
         self.pool.idle_timeout.record_reuse(self._clock.now(), connection.idle_before_use_ms, lost)
--- a/tests/core/test_attempts.py
+++ b/tests/core/test_attempts.py
@@ -47,7 +47,7 @@
         (0, 0, -1, NOW, Outcome.TIMEOUT),
     ],
 )
-def test_attempt_when_checked_then_is_sent_only_below_the_cap_and_in_time(
+def test_attempt_when_checked_then_is_sent_only_below_the_attempt_limit_and_in_time(
     sent_before, withdrawn, timeout_ms, now, outcome
 ):
     request = open_request(withdrawn=withdrawn)
--- a/tests/core/test_lifecycle.py
+++ b/tests/core/test_lifecycle.py
@@ -63,7 +63,7 @@
 SEND = api.Send("a1", "s1")
 
 
-def test_submit_when_a_request_was_read_then_notifies_the_policy_in_its_terms():
+def test_submit_when_a_request_was_read_then_notifies_the_policy_of_it():
     harness = LifecycleHarness()
     harness.submit(value=b"v", class_index=1, retry=True, work_us=12000.5, size=3.0)
     now, event = harness.script.events[0]
--- a/tests/core/test_request_state.py
+++ b/tests/core/test_request_state.py
@@ -39,12 +39,12 @@
 
 
 @pytest.mark.parametrize(("state", "event", "following"), LEGAL)
-def test_next_state_when_the_table_names_the_event_then_follows_it(state, event, following):
+def test_next_state_when_the_table_has_the_event_then_returns_its_state(state, event, following):
     assert next_state(state, event) is following
 
 
 @pytest.mark.parametrize(("state", "event"), ILLEGAL)
-def test_next_state_when_the_table_does_not_name_the_event_then_raises(state, event):
+def test_next_state_when_the_table_does_not_have_the_event_then_raises(state, event):
     with pytest.raises(
         IllegalTransitionError, match=f"{event.value} while the request is {state.value}"
     ) as raised:
--- a/tests/test_import_layers.py
+++ b/tests/test_import_layers.py
@@ -45,7 +45,7 @@
 
 
 @pytest.mark.parametrize("name", [name for name in MODULES if part_of(name) not in ("lab", "flintridge")])
-def test_imports_when_of_a_node_go_down_the_layers(name):
+def test_imports_when_of_a_node_follow_the_layers_downwards(name):
     depth = {part: at for at, parts in enumerate(layers()) for part in parts}
     assert part_of(name) in depth, f"{part_of(name)} is in no layer"
     for other in imported(name):
--- a/tests/upstream/test_dispatcher.py
+++ b/tests/upstream/test_dispatcher.py
@@ -172,7 +172,7 @@
     play(test)
 
 
-def test_origin_when_asked_over_http_twice_reuses_the_connection(play):
+def test_origin_when_it_gets_two_http_requests_reuses_the_connection(play):
     async def test():
         text = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
         async with ScriptedServer(lambda _: text) as server:
--- a/tests/upstream/test_idle_timeout.py
+++ b/tests/upstream/test_idle_timeout.py
@@ -38,7 +38,7 @@
     assert learn_idle_timeout_ms(reuses(*reversed(observed)), CONFIGURED_MS) == expected_ms
 
 
-def test_idle_timeout_when_nothing_was_learned_for_long_is_the_configured_one():
+def test_idle_timeout_when_nothing_was_learned_for_a_while_is_the_configured_one():
     timeout = IdleTimeout(5_000.0)
     assert timeout.current_ms == CONFIGURED_MS
     timeout.record_reuse(100.0, 1_000.0, lost=True)
@@ -57,7 +57,7 @@
     assert timeout.current_ms == CONFIGURED_MS
 
 
-def test_idle_timeout_when_a_loss_is_long_ago_does_not_count_it():
+def test_idle_timeout_when_a_loss_has_expired_does_not_count_it():
     timeout = IdleTimeout(5_000.0)
     timeout.record_reuse(0.0, 1_000.0, lost=True)
     timeout.record_reuse(OBSERVATION_TTL_MS, 1_000.0, lost=True)
--- a/tests/upstream/test_stalls.py
+++ b/tests/upstream/test_stalls.py
@@ -43,7 +43,7 @@
 
 
 class Run:
-    """One attempt, with a stall after a given read of the clock, counted from when it has its connection.
+    """One attempt, with a stall after a given read of the clock, counted from its start or its connect.
 
     Attributes:
         stalled: Whether the stall occurred before the attempt was written or withdrawn.
