--- a/flintridge/discovery/endpoint_list.py
+++ b/flintridge/discovery/endpoint_list.py
@@ -93,7 +93,7 @@
         """Whether any server is in service."""
         return bool(self._ready)
 
-    def parse(self, text: bytes, date_ms: float | None = None) -> EndpointUpdate:
+    def apply_json(self, text: bytes, date_ms: float | None = None) -> EndpointUpdate:
         """Apply discovery's JSON.
 
         Args:
--- a/flintridge/discovery/watcher.py
+++ b/flintridge/discovery/watcher.py
@@ -72,7 +72,7 @@
         """Whether a list to go by has been reported."""
         return self._fallback is None
 
-    def begin(self, configured: EndpointUpdate) -> None:
+    def watch_with_fallback(self, configured: EndpointUpdate) -> None:
         """Where lists are pushed: the full list first, and `configured` only if discovery does not answer.
 
         What is pushed counts as notified from the first moment of a process, so a list from an earlier time
@@ -90,7 +90,7 @@
         elif not on and self._watching is not None:
             self._watching.cancel()
 
-    def move(self, discovery: Address) -> None:
+    def change_address(self, discovery: Address) -> None:
         """Go on at another address, at once and from its full list.
 
         Its revisions need not go on from the old ones. Only calls to the old address end; what they would
@@ -162,7 +162,7 @@
             client.close()
 
     def _report(self, response: DiscoveryResponse) -> None:
-        update = self._endpoints.parse(response.body, response.date_ms)
+        update = self._endpoints.apply_json(response.body, response.date_ms)
         self._log_correction()
         self._counters.add("endpoint_list_updates")
         if update.endpoints:
--- a/flintridge/node.py
+++ b/flintridge/node.py
@@ -210,7 +210,7 @@
     def _start_discovery(self) -> None:
         if self.config.settings.discovery is DiscoveryMode.PUSHED:
             # A watch is how lists are pushed: it is open from the first moment.
-            self.discovery_watcher.begin(self._configured_list)
+            self.discovery_watcher.watch_with_fallback(self._configured_list)
         else:
             self._apply_list(self._configured_list)
 
@@ -227,7 +227,7 @@
         self.config = plan.config
         self._apply_limits()
         if self.discovery_watcher.discovery != self.config.discovery:
-            self.discovery_watcher.move(self.config.discovery)
+            self.discovery_watcher.change_address(self.config.discovery)
         reloaded = plan.reloaded
         self.log.event("reloaded", changed=list(reloaded.changed), until_restart=list(reloaded.until_restart))
         return reloaded
--- a/tests/codec/test_all_exchanges.py
+++ b/tests/codec/test_all_exchanges.py
@@ -71,4 +71,4 @@
     endpoints = EndpointList((), (), SETTINGS, HandClock())
     for piece in pieces:
         with pytest.raises(ValueError, match="list"):
-            endpoints.parse(piece)
+            endpoints.apply_json(piece)
--- a/tests/discovery/test_watcher.py
+++ b/tests/discovery/test_watcher.py
@@ -74,7 +74,7 @@
             )
             watch.watch(True)
             await until(lambda: old.got)
-            watch.move(Address("127.0.0.1", new.port))
+            watch.change_address(Address("127.0.0.1", new.port))
             watch.watch(True)  # never two at once
             await until(lambda: updates)  # without any time passing
             assert [t.kind for t in updates] == [UpdateKind.FAILED]
