--- a/flintridge/membership/gossip_queue.py
+++ b/flintridge/membership/gossip_queue.py
@@ -1,4 +1,4 @@
-"""Which gossip entries a message carries: changes first, then newer evidence, then all members in turn."""
+"""Selects a message's gossip entries: changes first, then newer evidence, then all members in rotation."""
 
 import math
 from random import Random
@@ -6,17 +6,18 @@
 from flintridge.membership.member import Member
 from flintridge.membership.messages import MAX_ENTRIES, GossipEntry, MemberState, encoded_size
 
-EVIDENCE_ADVANCE_MS = 1_000.0  # a member with evidence newer by so much than was queued is queued again,
-EVIDENCE_TRANSMISSIONS = 3  # for so many messages
-# Of the bytes for entries, at the most: many suspicions must not make all other knowledge old.
+# A member is queued again once its evidence is newer by this much than what was last queued.
+EVIDENCE_ADVANCE_MS = 1_000.0
+EVIDENCE_TRANSMISSIONS = 3  # number of messages that carry a member's newer evidence
+# Largest fraction of the entries' bytes for changes, as many suspicions must not let other knowledge expire.
 CHANGES_FRACTION = 0.5
-# Changes and newer evidence together; the rest is for members in turn, so that none is left out.
+# The same for changes and newer evidence together. The rest is for the rotation, so no member is left out.
 EVIDENCE_FRACTION = 0.7
-MAX_TURNS_EXAMINED = 2 * MAX_ENTRIES  # members in turn that one message looks at
+MAX_ROTATION_EXAMINED = 2 * MAX_ENTRIES  # members of the rotation that are examined for one message
 
 
 class _Selection:
-    """The entries of one message, in at most so many bytes."""
+    """The entries selected for one message, in at most `max_bytes` bytes."""
 
     def __init__(self, max_bytes: float, now: float) -> None:
         self.entries: dict[Member, GossipEntry] = {}
@@ -24,7 +25,7 @@
         self._now = now
 
     def try_add(self, member: Member, reserved_bytes: float, state: MemberState | None = None) -> bool:
-        """False where fewer than `reserved_bytes` would be left after it."""
+        """Add a member's entry; False if fewer than `reserved_bytes` would be left after it."""
         entry = member.gossip_entry(self._now, state)
         remaining = self._remaining_bytes - encoded_size(entry)
         if remaining < reserved_bytes:
@@ -35,40 +36,40 @@
 
 
 class GossipQueue:
-    """Orders the gossip on members. Only entries that fit use up their turn."""
+    """Orders the gossip about members. A member whose entry does not fit keeps its place."""
 
     def __init__(self, peer_count: int, rng: Random) -> None:
-        """Create a queue in which nothing waits.
+        """Create an empty queue.
 
         Args:
-            peer_count: Configured peers; a change is sent in more messages where they are more.
-            rng: Shuffles the turns.
+            peer_count: Number of configured peers; the more there are, the more messages carry a change.
+            rng: Shuffles the rotation.
         """
         self.max_transmissions = max(4, math.ceil(4 * math.log10(peer_count + 2)))
         self._rng = rng
-        # By the messages that shall still carry the change.
+        # Changed members, indexed by the number of messages that shall still carry the change.
         self._changes: list[dict[Member, None]] = [{} for _ in range(self.max_transmissions + 1)]
-        # Members with newer evidence, the latest last, with the messages that shall still carry it.
+        # Members with newer evidence, the latest last, and the number of messages that shall still carry it.
         self._newer_evidence: dict[Member, int] = {}
-        self._turns: list[Member] = []  # the next one last
+        self._rotation: list[Member] = []  # members left in this round; the next one is last
 
     def change_count(self) -> int:
-        """Changes that are still to be sent."""
+        """Number of changes that are still to be sent."""
         return sum(map(len, self._changes))
 
     def queue_change(self, member: Member) -> None:
-        """Its state changed: as many messages as may be shall carry that."""
+        """Queue a member's state change for `max_transmissions` messages."""
         self._set_transmissions(member, self.max_transmissions)
 
     def queue_evidence(self, member: Member, alive_at: float) -> None:
-        """It was alive at `alive_at`, which is sent where it is much newer than what was sent before."""
+        """Queue newer evidence of a member, if it exceeds the last one queued by EVIDENCE_ADVANCE_MS."""
         if alive_at > member.gossiped_alive_at + EVIDENCE_ADVANCE_MS:
             member.gossiped_alive_at = alive_at
             self._newer_evidence.pop(member, None)
             self._newer_evidence[member] = EVIDENCE_TRANSMISSIONS
 
     def forget(self, member: Member) -> None:
-        """An unreachable member is no longer known."""
+        """Remove an unreachable member that is no longer known."""
         self._changes[member.remaining_transmissions].pop(member, None)
         self._newer_evidence.pop(member, None)
 
@@ -80,14 +81,14 @@
         reachable: dict[Member, None],
         now: float,
     ) -> list[GossipEntry]:
-        """The entries for one message, which count as sent.
+        """Select the entries for one message, and count them as sent.
 
         Args:
-            to: Whom it goes to, where that is known: it is first notified of what it is accused of.
-            max_bytes: That the entries may take.
-            includes_third_parties: Whether it may carry entries of anybody but `to`.
-            reachable: Those that have turns.
-            now: For the entries' ages.
+            to: The receiver, if it is known; an accusation against it comes first, so that it can refute it.
+            max_bytes: Size limit of the entries.
+            includes_third_parties: Whether entries about members other than `to` may be selected.
+            reachable: The members of the rotation.
+            now: The current time, from which the entries' ages are counted.
         """
         selection = _Selection(max_bytes, now)
         if to is not None:
@@ -97,7 +98,7 @@
         if includes_third_parties:
             self._add_changes(selection, to, (1 - CHANGES_FRACTION) * max_bytes)
             self._add_newer_evidence(selection, to, (1 - EVIDENCE_FRACTION) * max_bytes)
-            self._add_turns(selection, to, reachable)
+            self._add_rotation(selection, to, reachable)
         return [*selection.entries.values()][:MAX_ENTRIES]
 
     def _set_transmissions(self, member: Member, count: int) -> None:
@@ -113,7 +114,7 @@
     def _changes_that_fit(
         self, selection: _Selection, to: Member | None, reserved_bytes: float
     ) -> list[Member]:
-        """Those that were sent least often come first."""
+        """Add changes that fit, the least often sent first, and return their members."""
         added: list[Member] = []
         for changes in reversed(self._changes):
             for member in changes:
@@ -137,21 +138,21 @@
             if self._newer_evidence[member] <= 0:
                 del self._newer_evidence[member]
 
-    def _add_turns(self, selection: _Selection, to: Member | None, reachable: dict[Member, None]) -> None:
+    def _add_rotation(self, selection: _Selection, to: Member | None, reachable: dict[Member, None]) -> None:
         examined = 0
         refilled = False
-        while examined < MAX_TURNS_EXAMINED and len(selection.entries) < MAX_ENTRIES:
-            if not self._turns:
+        while examined < MAX_ROTATION_EXAMINED and len(selection.entries) < MAX_ENTRIES:
+            if not self._rotation:
                 if refilled or not reachable:
-                    break  # all are in it
+                    break  # all members were examined
                 refilled = True
-                self._turns = [*reachable]
-                self._rng.shuffle(self._turns)
-            member = self._turns[-1]
+                self._rotation = [*reachable]
+                self._rng.shuffle(self._rotation)
+            member = self._rotation[-1]
             examined += 1
             if _may_carry(member, selection, to) and not selection.try_add(member, 0.0):
                 break
-            self._turns.pop()
+            self._rotation.pop()
 
 
 def _may_carry(member: Member, selection: _Selection, to: Member | None) -> bool:
--- a/flintridge/membership/member_filter.py
+++ b/flintridge/membership/member_filter.py
@@ -1,4 +1,4 @@
-"""A Bloom filter with one hash over members, for a state exchange that asks for those that are missing."""
+"""A Bloom filter over members, with one hash; a state exchange uses it to ask for missing members."""
 
 from collections.abc import Iterable
 from zlib import crc32
@@ -11,14 +11,14 @@
 
 
 def encode_filter(members: Iterable[Member], peer_count: int, salt: int) -> bytes:
-    """The salt, and eight bits for each of `peer_count` names; each of `members` sets one of them.
+    """Encode the salt and eight bits per configured peer; each of `members` sets one bit.
 
-    Two members may share a bit; as the salt is another each time, not for long.
+    Two members may collide in one filter, but not for long, since each filter has a new salt.
 
     Args:
-        members: Those that the other side shall leave out.
-        peer_count: Configured peers.
-        salt: SALT_BITS random bits.
+        members: The members that the other side shall leave out.
+        peer_count: Number of configured peers.
+        salt: SALT_BITS random bits, drawn for each filter.
     """
     bits = bytearray(max(MIN_FILTER_BYTES, peer_count))
     for member in members:
@@ -28,7 +28,7 @@
 
 
 def members_not_in(encoded_filter: bytes, members: list[Member]) -> list[Member]:
-    """Those of `members` that a filter does not have; all, where it is empty."""
+    """The members that are not in a filter; all of them if the filter is empty."""
     if len(encoded_filter) <= SALT_BYTES:
         return members
     salt = int.from_bytes(encoded_filter[:SALT_BYTES], "big")
--- a/flintridge/membership/member_registry.py
+++ b/flintridge/membership/member_registry.py
@@ -1,51 +1,52 @@
-"""The processes of configured names that one node knows, bounded in memory.
+"""The processes of the configured nodes that one node knows, bounded in memory.
 
-A member is a process: one that starts anew under its name, or runs beside another of the name in an upgrade,
-is a member of its own. Times are float milliseconds of this node's clock.
+A member is a process: one that restarts under its name, or runs beside another process of that name during
+an upgrade, is a separate member. Times are float milliseconds of this node's clock.
 """
 
 from collections.abc import Iterable, Iterator
 
 from flintridge.membership.member import Member
 
-MAX_INCARNATIONS = 4  # of a name: old and new of an upgrade, and two that ended lately
-# An ended process is remembered for so long, so that late entries of it make it known no more.
+MAX_INCARNATIONS = 4  # per name: old and new process of an upgrade, and two that ended recently
+# How long an ended process is remembered, so that late gossip entries about it do not add it again.
 RETENTION_MS = 60_000.0
 EXPIRY_INTERVAL_MS = RETENTION_MS / 16
 
 
 class MemberRegistry:
-    """Members by name and incarnation. No process of any name that is not configured is ever added."""
+    """Members by name and incarnation. Only processes of configured names are added."""
 
     def __init__(self, names: Iterable[str], now: float) -> None:
         """Create a registry without members.
 
         Args:
-            names: Those that are configured.
+            names: The configured node names.
             now: The present instant.
         """
         self._by_name: dict[str, dict[int, Member]] = {name: {} for name in names}
         self._next_expiry_at = now + RETENTION_MS
 
     def __iter__(self) -> Iterator[Member]:
-        """All members, by name as configured, then in the order of being added."""
+        """All members, in the order of the configured names and then in the order of being added."""
         for members in self._by_name.values():
             yield from members.values()
 
     def members_named(self, name: str) -> list[Member]:
-        """All known processes of a name."""
+        """All known processes of the node `name`."""
         return list(self._by_name.get(name, {}).values())
 
     def find(self, name: str, incarnation: int) -> Member | None:
-        """The member, or None where it is not known."""
+        """The member, or None if it is not known."""
         return self._by_name.get(name, {}).get(incarnation)
 
     def find_or_add(self, name: str, incarnation: int, now: float) -> Member | None:
-        """The member, added where it is new.
+        """Find a member, or add it if it is new.
 
         Returns:
-            None where its name is not configured, or has as many members as it may. Guards memory against
-            whoever starts again and again, or makes processes up.
+            The member; None if its name is not configured, or already has MAX_INCARNATIONS reachable members.
+            This bounds memory against a node that restarts again and again, or a sender that makes up
+            processes.
         """
         members = self._by_name.get(name)
         if members is None:
@@ -63,7 +64,7 @@
         return added
 
     def remove_expired(self, now: float) -> None:
-        """Forget members that ended long ago; looks at them every EXPIRY_INTERVAL_MS only."""
+        """Forget members that ended more than RETENTION_MS ago; checks every EXPIRY_INTERVAL_MS only."""
         if now < self._next_expiry_at:
             return
         self._next_expiry_at = now + EXPIRY_INTERVAL_MS
--- a/flintridge/membership/member_table.py
+++ b/flintridge/membership/member_table.py
@@ -1,4 +1,4 @@
-"""What one node knows of its members, merged from evidence whose age is proved.
+"""What one node knows about its members, merged from evidence whose age is proved.
 
 Times are float milliseconds of this node's clock.
 """
@@ -12,18 +12,18 @@
 from flintridge.membership.messages import MAX_ENTRIES, GossipEntry, MemberState
 from flintridge.membership.reachability import Reachability, ReachabilityTracker
 
-MAX_CLOCK_DRIFT = 0.02  # fraction by which two clocks may run apart
-STATES = tuple(MemberState)  # by number: cheaper than a call of the class
+MAX_CLOCK_DRIFT = 0.02  # largest fraction by which the rates of two clocks may differ
+STATES = tuple(MemberState)  # indexed by value: cheaper than calling the enum
 
 
 class MemberTable(MemberRegistry):
-    """The members with their states, the gossip of them, and which of them are reachable.
+    """The members with their states, the gossip about them, and which of them are reachable.
 
     Attributes:
-        local_name: Of this node.
-        incarnation: Of this process.
-        refutations: How often this process has refuted a suspicion; it goes with each of its messages.
-        peer_names: Of the fleet's other nodes, as configured.
+        local_name: Name of this node.
+        incarnation: Incarnation of this process.
+        refutations: How often this process has refuted a suspicion; sent with each of its messages.
+        peer_names: Names of the fleet's other nodes, as configured.
     """
 
     def __init__(
@@ -32,9 +32,9 @@
         """Create a table without members.
 
         Args:
-            local_name: Of this node.
-            incarnation: Of this process.
-            names: Of the fleet's nodes, as configured; with or without this one.
+            local_name: Name of this node.
+            incarnation: Incarnation of this process.
+            names: Names of the fleet's nodes, as configured; with or without this one.
             now: The present instant.
             rng: Shuffles gossip, and salts filters.
         """
@@ -57,12 +57,12 @@
     # Evidence
 
     def record_message(self, member: Member, refutations: int, sent_at: float | None, now: float) -> None:
-        """A member's own message was received.
+        """Record a message that was received from a member.
 
         Args:
             member: The sender.
-            refutations: As the message has them.
-            sent_at: It was sent then or later; None: nothing proves when.
+            refutations: The sender's refutations, as the message states them.
+            sent_at: The message was sent at this instant or later; None if nothing proves when.
             now: The present instant.
         """
         if member.state is MemberState.LEFT:
@@ -79,8 +79,8 @@
             member.direct_alive_at = sent_at
         self._tracker.record_evidence(sent_at)
         if member.state is not MemberState.ALIVE and sent_at > member.state_since:
-            # Its own message proves that it was alive after the accusation. It is to be notified of that one,
-            # so that it can refute it before the others: they have not received that message.
+            # Its own message proves that it was alive after the accusation. Notify it of the accusation, so
+            # that it refutes it towards the other nodes, which have not received this message.
             member.pending_accusation = member.state
             self._change_state(member, MemberState.ALIVE, now, gossiped=False)
 
@@ -90,17 +90,17 @@
         """Merge another node's gossip entry.
 
         Args:
-            entry: As it was received.
-            sent_at: The entry was sent then or later.
+            entry: The entry as received.
+            sent_at: The entry was sent at this instant or later.
             suspicion_ms: How long a suspicion lasts.
             now: The present instant.
-            max_age_ms: Older evidence makes no member known.
+            max_age_ms: An unknown member is not added on evidence older than this.
         """
         if entry.incarnation == self.incarnation and entry.name == self.local_name:
             self._refute(entry)
             return
-        # Guards against a sender whose clock is slow: its ages are too short. Whoever passes them on adds the
-        # same small fraction of the age again.
+        # A sender whose clock runs slow states ages that are too short, so each age is extended by the
+        # maximum drift. Every node that forwards an entry adds the same small fraction of the age again.
         alive_at = sent_at - entry.age_ms / (1 - MAX_CLOCK_DRIFT)
         member = self.find(entry.name, entry.incarnation)
         if member is None:
@@ -115,12 +115,12 @@
     def _refute(self, entry: GossipEntry) -> None:
         accused = entry.state in (MemberState.SUSPECT, MemberState.FAILED)
         if accused and entry.refutations >= self.refutations:
-            self.refutations = entry.refutations + 1  # it goes with every message from now on
+            self.refutations = entry.refutations + 1  # sent with every message from now on
 
     def _add_from_entry(
         self, entry: GossipEntry, alive_at: float, now: float, max_age_ms: float
     ) -> Member | None:
-        """None for an old entry of a member that is no longer known, which must not make it known again."""
+        """Add a member; None if the entry is old, as it must not bring back a member that was removed."""
         if STATES[entry.state] >= MemberState.FAILED:
             return None
         if alive_at < max(now - max_age_ms, self._tracker.valid_from):
@@ -129,13 +129,13 @@
         if member is None:
             return None
         member.refutations = entry.refutations
-        # To a process that has just begun every member is new: then newer evidence carries it.
+        # In a process that has just started every member is new; newer evidence then covers the rest.
         if self._gossip.change_count() < MAX_ENTRIES:
             self._gossip.queue_change(member)
         return member
 
     def _merge_state(self, member: Member, entry: GossipEntry, suspected_until: float, now: float) -> None:
-        """`suspected_until`: when the suspicion ended of whoever last knew what the entry says."""
+        """Merge an entry's state; `suspected_until` is one suspicion period after the entry's evidence."""
         state = STATES[entry.state]
         if state is MemberState.LEFT:
             self._change_state(member, state, now)
@@ -146,7 +146,9 @@
                 self._change_state(member, state, now)
         elif entry.refutations == member.refutations and state > member.state:
             if state is MemberState.FAILED and member.last_alive_at > suspected_until:
-                state = MemberState.SUSPECT  # it was alive for longer than whoever gave it up knew
+                state = (
+                    MemberState.SUSPECT
+                )  # this node has newer evidence than the node that declared it failed
             if state > member.state:
                 self._change_state(member, state, now)
 
@@ -169,12 +171,12 @@
     # Suspicion
 
     def suspect(self, member: Member, now: float) -> None:
-        """A probe of this node's own failed, directly and through others."""
+        """Suspect a member because a probe by this node failed, both directly and through others."""
         if member.state is MemberState.ALIVE:
             self._change_state(member, MemberState.SUSPECT, now)
 
     def end_suspicions(self, now: float, suspicion_ms: float) -> None:
-        """Decide suspicions that lasted `suspicion_ms`: by evidence since then, or as failed."""
+        """End suspicions after `suspicion_ms`: alive if there is evidence since their start, else failed."""
         for member in [*self._suspects]:
             if now < member.state_since + suspicion_ms:
                 continue
@@ -187,21 +189,21 @@
 
     @property
     def max_transmissions(self) -> int:
-        """Messages that carry a change of a member's state."""
+        """Number of messages that carry a change of a member's state."""
         return self._gossip.max_transmissions
 
     def select_entries(
         self, to: Member | None, max_bytes: float, includes_third_parties: bool, now: float
     ) -> list[GossipEntry]:
-        """The gossip entries for a message, as `GossipQueue.select` chooses them."""
+        """Select the gossip entries for a message; see `GossipQueue.select`."""
         return self._gossip.select(to, max_bytes, includes_third_parties, self._tracker.members, now)
 
     def reachable_filter(self) -> bytes:
-        """Which members are reachable here, for a state exchange that asks for the others."""
+        """Encode which members are reachable here, for a state exchange that asks for the others."""
         return encode_filter(self._tracker.members, len(self.peer_names), self._rng.getrandbits(SALT_BITS))
 
     def reachable_not_in(self, peer_filter: bytes) -> list[Member]:
-        """The reachable members that a peer's `reachable_filter` lacks; all, where it sent none."""
+        """The reachable members that a peer's `reachable_filter` lacks; all of them if it sent none."""
         reachable = [member for member in self._tracker.members if member.state < MemberState.FAILED]
         return members_not_in(peer_filter, reachable)
 
@@ -209,7 +211,7 @@
 
     @property
     def reachability(self) -> Reachability:
-        """At the last update."""
+        """Reachability of the fleet as of the last update."""
         return self._tracker.view
 
     @property
@@ -219,31 +221,36 @@
 
     @property
     def reachable_members(self) -> list[Member]:
-        """At the last update."""
+        """The members that were reachable at the last update."""
         return [*self._tracker.members]
 
     @property
     def reachable_or_suspect_members(self) -> list[Member]:
-        """At the last update."""
+        """The members that were reachable at the last update, and those that are suspected."""
         return [*(self._tracker.members | self._suspects)]
 
     def is_reachable(self, member: Member, now: float, max_age_ms: float) -> bool:
-        """Whether evidence at most `max_age_ms` old shows it alive."""
+        """Whether evidence at most `max_age_ms` old shows that the member is alive."""
         return self._tracker.is_reachable(member, now, max_age_ms)
 
     def update_reachability(self, now: float, max_age_ms: float) -> bool:
-        """Bring `reachability` up to `now`; whether the number of names that are reachable changed."""
+        """Update `reachability` to `now`; return whether the number of reachable names changed."""
         return self._tracker.update(self, now, max_age_ms)
 
     def reset_after_gap(self, now: float) -> None:
-        """This node's own clock jumped: all evidence is too old."""
+        """Discard all evidence as too old, since this node's own clock jumped."""
         self._tracker.reset(self, now)
         for member in self:
             if member.state is MemberState.SUSPECT:
-                member.state_since = now  # it could not answer while nobody listened
+                member.state_since = now  # restarts the suspicion: no answer could be received in the gap
 
     def describe_state(self, member: Member, now: float, max_age_ms: float) -> str:
-        """For the admin API: heard (by its own messages), through (others'), suspect, silent or left."""
+        """Describe a member's state for the admin API.
+
+        Returns:
+            `left`, `silent` (not reachable), `suspect`, `heard` (reachable by its own messages) or `through`
+            (reachable by others' messages only).
+        """
         if member.state is MemberState.LEFT:
             return "left"
         if not self.is_reachable(member, now, max_age_ms):
--- a/flintridge/membership/messages.py
+++ b/flintridge/membership/messages.py
@@ -1,8 +1,9 @@
 """The membership protocol's datagrams: their fields, encoding, authentication, and the reasons to drop one.
 
-A datagram is `FP`, a version, an authentication tag of 16 bytes where the fleet has a key, and a message in
-MessagePack. What a later version adds stands at the end of a message, where this one does not look; one that
-cannot be read so has another version and is dropped and counted, as is a kind that is not known here.
+A datagram consists of the magic bytes `FP`, a version byte, a 16-byte authentication tag if the fleet has a
+key, and a message in MessagePack. A later release appends new fields to the message, where this one ignores
+them. A format that this release could not read gets another version number; such datagrams are dropped and
+counted. A message of an unknown kind is counted and not answered.
 """
 
 import hashlib
@@ -19,34 +20,34 @@
 VERSION = 1
 TAG_BYTES = 16
 HEADER_BYTES = len(MAGIC) + 1  # before the authentication tag
-MAX_DATAGRAM_BYTES = 1200  # it passes any usual path in one piece
+MAX_DATAGRAM_BYTES = 1200  # fits the MTU of any usual path, so it is not fragmented
 MAX_ENTRIES = 64  # gossip entries of one message
-MAX_PAYLOADS = 16  # topics' payloads of one message
-MAX_KEY_BYTES = 64  # as BLAKE2b takes it
+MAX_PAYLOADS = 16  # topic payloads of one message
+MAX_KEY_BYTES = 64  # limit of BLAKE2b
 MIN_KEY_BYTES = 16
 
 Name = Annotated[str, Meta(min_length=1, max_length=64)]
 Number = Annotated[int, Meta(ge=0, le=(1 << 63) - 1)]
 Refutations = Annotated[int, Meta(ge=0, lt=1 << 32)]
 
-ANY_INCARNATION = 0  # of a name: whichever process answers
+ANY_INCARNATION = 0  # addresses whichever process of a node answers
 
 
 class ProcessId(NamedTuple):
-    """A process of the fleet, or any of a name with ANY_INCARNATION."""
+    """A process of the fleet; with ANY_INCARNATION, any process of the node `name`."""
 
     name: str
     incarnation: int
 
 
 class MessageDroppedError(FlintridgeError, ValueError):
-    """Received bytes are not accepted."""
+    """Received bytes are dropped."""
 
     def __init__(self, reason: str) -> None:
-        """Keep the reason beside the text.
+        """Create an error whose text is the reason.
 
         Args:
-            reason: A word that is the end of a counter's name.
+            reason: One word, which becomes the last part of a counter's name.
         """
         super().__init__(reason)
         self.reason = reason
@@ -55,57 +56,58 @@
 class MessageKind(IntEnum):
     """What a message asks for or answers."""
 
-    PING = 1  # to be answered by an ACK
-    ACK = 2  # to be answered by an ACK_RECEIPT, where it answers a probe of the receiver's own
-    PING_REQUEST = 3  # ping the process in `probe_target` for the sender
-    INDIRECT_ACK = 4  # it answered
-    INDIRECT_NACK = 5  # it did not in time; who requested the ping learns that its own links are well
-    GOSSIP = 6  # asks for no answer
-    ACK_RECEIPT = 7  # the answer to an ACK: it proves to the probed side the age of what it says
-    PAYLOADS = 8  # of topics, and asks for no answer
+    PING = 1  # requests an ACK
+    ACK = 2  # answers a PING; requests an ACK_RECEIPT if it ends one of the receiver's own probes
+    PING_REQUEST = 3  # requests that the receiver pings `probe_target` for the sender
+    INDIRECT_ACK = 4  # the target of a PING_REQUEST answered
+    # The target of a PING_REQUEST did not answer in time; also shows the requester that its own links work.
+    INDIRECT_NACK = 5
+    GOSSIP = 6  # requests no answer
+    ACK_RECEIPT = 7  # answers an ACK; proves to the probed process how old the content of the receipt is
+    PAYLOADS = 8  # topic payloads; requests no answer
 
 
 class MemberState(IntEnum):
-    """Of a process, by rank: of two entries with as many refutations the higher state holds."""
+    """State of a process. Of two entries with the same number of refutations, the higher state wins."""
 
     ALIVE = 0
     SUSPECT = 1
     FAILED = 2
-    LEFT = 3  # it said so itself; final
+    LEFT = 3  # announced by the process itself; final
 
 
 class GossipEntry(msgspec.Struct, array_like=True, frozen=True, gc=False):
-    """What one node knows of a process, for others."""
+    """What one node knows about a process, as it is sent to other nodes."""
 
     name: Name
-    incarnation: Number  # of the process: drawn at its start
-    refutations: Refutations  # raised by the process itself whenever it is suspected
+    incarnation: Number  # random number, drawn when the process starts
+    refutations: Refutations  # raised by the process itself whenever it refutes a suspicion
     state: Annotated[int, Meta(ge=0, le=3)]
-    age_ms: Annotated[int, Meta(ge=0, lt=1 << 40)]  # since it is known to have been alive
+    age_ms: Annotated[int, Meta(ge=0, lt=1 << 40)]  # time since the process was last proved to be alive
 
 
 class Message(msgspec.Struct, array_like=True, frozen=True, gc=False):
-    """One datagram's content. Instants are the sender's own, in milliseconds, and mean nothing to others."""
+    """The content of one datagram. Instants are milliseconds of the sender's clock, comparable only there."""
 
     fleet: Name
-    name: Name  # of the sender
+    name: Name  # the sender's node name
     incarnation: Number
     refutations: Refutations
-    sequence: Number  # rises with each datagram of a process
+    sequence: Number  # increases with each datagram that a process sends
     kind: Annotated[int, Meta(ge=0, lt=256)]
     probe_id: Number
     sent_at: Number
-    target_incarnation: Number = ANY_INCARNATION  # of the process that is meant, at this address
-    # The newest `sent_at` received from the target; -1: none.
+    target_incarnation: Number = ANY_INCARNATION  # the incarnation that the message is meant for
+    # The newest `sent_at` that the sender received from the target; -1: none.
     echoed_sent_at: Annotated[int, Meta(ge=-1, le=(1 << 63) - 1)] = -1
-    echo_delay: Number = 0  # milliseconds since that was received
+    echo_delay: Number = 0  # milliseconds since the echoed message was received
     probe_target: tuple[Name, Number] | None = None
     entries: Annotated[tuple[GossipEntry, ...], Meta(max_length=MAX_ENTRIES)] = ()
     payloads: Annotated[tuple[tuple[Name, bytes], ...], Meta(max_length=MAX_PAYLOADS)] = ()
 
     @property
     def sender(self) -> ProcessId:
-        """The process that sent it."""
+        """The process that sent the message."""
         return ProcessId(self.name, self.incarnation)
 
 
@@ -114,7 +116,7 @@
 
 
 def encoded_size(value: GossipEntry | Message) -> int:
-    """Its bytes, without header and authentication tag."""
+    """Encoded size in bytes, without header and authentication tag."""
     return len(_encoder.encode(value))
 
 
@@ -125,28 +127,28 @@
         """Prepare the codec of a fleet.
 
         Args:
-            fleet: Messages of another fleet are dropped.
-            key: 16 to 64 bytes, or None: nothing is authenticated.
+            fleet: Name of the fleet; messages of other fleets are dropped.
+            key: Secret of 16 to 64 bytes; None turns authentication off.
 
         Raises:
-            ValueError: The key has another length.
+            ValueError: The key is too short or too long.
         """
         if key is not None and not MIN_KEY_BYTES <= len(key) <= MAX_KEY_BYTES:
-            raise ValueError(f"a key has {MIN_KEY_BYTES} to {MAX_KEY_BYTES} bytes, not {len(key)}")
+            raise ValueError(f"a key must have {MIN_KEY_BYTES} to {MAX_KEY_BYTES} bytes, not {len(key)}")
         self.fleet = fleet
         self._key = key
 
     @property
     def overhead_bytes(self) -> int:
-        """Bytes of a datagram before its message."""
+        """Size in bytes of a datagram's header and authentication tag."""
         return HEADER_BYTES + (TAG_BYTES if self._key else 0)
 
     def tag(self, body: bytes, salt: bytes = b"") -> bytes:
         """The authentication tag of `body`; empty without a key.
 
         Args:
-            body: What is authenticated.
-            salt: What else the tag stands for, as a connection's two nonces and the number of its frame.
+            body: The bytes to authenticate.
+            salt: Context that the tag authenticates too, such as a connection's nonces and the frame number.
         """
         if self._key is None:
             return b""
@@ -155,15 +157,15 @@
         ).digest()
 
     def encode(self, message: Message) -> bytes:
-        """The datagram of a message."""
+        """Encode a message as a datagram."""
         body = _encoder.encode(message)
         return b"%b%c%b%b" % (MAGIC, VERSION, self.tag(body), body)
 
     def decode(self, data: bytes) -> Message:
-        """The message of a datagram. The cheapest checks stand first: a flood of anything else costs little.
+        """Decode a datagram. The cheapest checks come first, so that a flood of foreign data costs little.
 
         Raises:
-            MessageDroppedError: It is no datagram of this fleet and version.
+            MessageDroppedError: The bytes are not a datagram of this fleet and version.
         """
         if len(data) < self.overhead_bytes or not data.startswith(MAGIC):
             raise MessageDroppedError("foreign")
