--- a/flintridge/membership/byte_budget.py
+++ b/flintridge/membership/byte_budget.py
@@ -8,12 +8,13 @@
 class ByteBudget:
     """Grants at most `per_second` units in any window of one second. Times are float milliseconds.
 
-    Guards the other nodes: unlike a token bucket with a burst on top, the sum over *every* window of a second
-    stays under the rate, so that a node's bytes can be added up over a fleet without an allowance for chance.
+    Limits the load on other nodes. Unlike a token bucket with a burst on top, it keeps the sum over *every*
+    window of one second within the rate, so the bytes of all nodes of a fleet can be added up without an
+    allowance for chance.
     """
 
     def __init__(self, per_second: float) -> None:
-        """Create a budget of which nothing is spent.
+        """Create a budget with nothing spent.
 
         Args:
             per_second: Units that may be spent in any second.
@@ -27,11 +28,11 @@
         while self._spent and self._spent[0][0] <= now - WINDOW_MS:
             self._total -= self._spent.popleft()[1]
         if not self._spent:
-            self._total = 0.0  # sums of floats drift
+            self._total = 0.0  # clears the rounding errors of the running sum
         return max(0.0, self.per_second - self._total)
 
     def try_spend(self, now: float, amount: float) -> bool:
-        """Spend `amount` units at `now`; False, and none is spent, where fewer are available."""
+        """Spend `amount` units at `now`; False, with nothing spent, if fewer are available."""
         if amount > self.available(now):
             return False
         self._spent.append((now, amount))
--- a/flintridge/membership/detection_times.py
+++ b/flintridge/membership/detection_times.py
@@ -1,4 +1,4 @@
-"""How old evidence of a member may be, and how long a suspicion lasts, by the fleet's size and its bytes."""
+"""Maximum age of evidence and length of a suspicion, from the fleet's size and its byte budget."""
 
 import math
 from dataclasses import dataclass
@@ -6,20 +6,20 @@
 
 from flintridge.membership.probe_schedule import PROBE_INTERVAL_MS
 
-MIN_MAX_AGE_MS = 4_000.0  # evidence older than this does not count, at the least
-GOSSIP_CYCLES = 16.0  # and not before entries of all members could have been received so often
-SUSPICION_MS = 1_500.0  # times the decimal log of the fleet's size where that is over 1
-TYPICAL_ENTRIES = 24.0  # of a datagram, at the most, where bytes allow
+MIN_MAX_AGE_MS = 4_000.0  # lower bound of the maximum age of evidence
+GOSSIP_CYCLES = 16.0  # the maximum age also leaves time to receive the entries of all members this often
+SUSPICION_MS = 1_500.0  # multiplied by the decimal logarithm of the fleet's size where that is over 1
+TYPICAL_ENTRIES = 24.0  # gossip entries in a datagram if the byte budget allows; never assumed to be more
 MIN_TYPICAL_ENTRIES = 4.0
-BYTES_PER_S_AN_ENTRY = 330.0  # bytes a second for each entry that a datagram can then have
+BYTES_PER_S_PER_ENTRY = 330.0  # budget needed for each entry that a typical datagram carries
 
 
 @dataclass(slots=True, frozen=True)
 class DetectionTimes:
-    """The times of one node's failure detection, in milliseconds.
+    """The time limits of one node's failure detection, in milliseconds.
 
     Attributes:
-        max_age_ms: Older evidence does not count.
+        max_age_ms: Evidence older than this does not count.
         suspicion_ms: How long a suspicion lasts.
     """
 
@@ -28,13 +28,13 @@
 
     @classmethod
     def for_fleet(cls, fleet_size: int, bytes_per_s: float) -> Self:
-        """The times of a node in a fleet.
+        """Compute the time limits of a node in a fleet.
 
         Args:
-            fleet_size: Nodes, this one included.
-            bytes_per_s: That a node may send in datagrams.
+            fleet_size: Number of nodes, this one included.
+            bytes_per_s: Bytes per second that a node may send in datagrams.
         """
-        # With gossip come the acks of one's own probes, and the receipts for one's acks.
+        # Two kinds of datagrams bring gossip: acks of this node's own probes, and receipts for its acks.
         entries_per_probe = 2 * _typical_entries(bytes_per_s)
         gossip_ms = GOSSIP_CYCLES * PROBE_INTERVAL_MS * fleet_size / entries_per_probe
         return cls(
@@ -44,5 +44,5 @@
 
 
 def _typical_entries(bytes_per_s: float) -> float:
-    """Gossip entries of others in a datagram, as the bytes of a second allow."""
-    return min(TYPICAL_ENTRIES, max(MIN_TYPICAL_ENTRIES, bytes_per_s / BYTES_PER_S_AN_ENTRY))
+    """Typical number of gossip entries about others in a datagram, as the byte budget allows."""
+    return min(TYPICAL_ENTRIES, max(MIN_TYPICAL_ENTRIES, bytes_per_s / BYTES_PER_S_PER_ENTRY))
--- a/flintridge/membership/duplicate_name.py
+++ b/flintridge/membership/duplicate_name.py
@@ -1,29 +1,30 @@
-"""Notices that another node was given this node's name by mistake.
+"""Detects that another node was given this node's name by mistake.
 
-Of two nodes with one name only one gets the acks of both, and nobody is reachable from the other.
+If two nodes have one name, only one of them gets the acks for both, and nobody is reachable from the other.
 """
 
-# Acks for another process are over by then where that was one that ran here before.
+# Acks for a process that ran here before have ended by then.
 DUPLICATE_NAME_MS = 5_000.0
-MAX_OTHER_INCARNATIONS = 8  # of this node's name, that are remembered
+MAX_OTHER_INCARNATIONS = 8  # other incarnations of this node's name that are remembered
 
 
 class DuplicateNameDetector:
-    """Remembers the other incarnations of this node's name that receive acks here. Times are milliseconds."""
+    """Remembers other incarnations of this node's name whose acks arrive here. Times are milliseconds."""
 
     def __init__(self) -> None:
-        """Start with none."""
+        """Start with no incarnation remembered."""
         self._first_ack_at: dict[int, float] = {}
 
     def clear(self) -> None:
-        """Forget them: a newer process of this node gets its acks through this one."""
+        """Forget all incarnations, as a newer process of this node gets its acks through this one."""
         self._first_ack_at.clear()
 
     def receive_ack(self, incarnation: int, now: float) -> bool:
-        """An ack for that incarnation was received here.
+        """Record that an ack for another incarnation of this node's name was received.
 
         Returns:
-            Whether that goes on for too long for it to have run here before.
+            Whether acks for it have arrived for more than DUPLICATE_NAME_MS, so that it is not a process that
+            ran here before.
         """
         if len(self._first_ack_at) >= MAX_OTHER_INCARNATIONS:
             return False
--- a/flintridge/membership/failure_detector.py
+++ b/flintridge/membership/failure_detector.py
@@ -1,9 +1,9 @@
 """Failure detection by SWIM with Lifeguard's extensions: probes, suspicion, refutation and gossip.
 
-A state machine fed datagrams and the time, in float milliseconds of the node's monotonic clock. What differs
-from SWIM: each datagram echoes the instant of the newest one received from the other side and how long ago
-that was, so that **the age of all knowledge is proved on one's own clock**, whatever was delayed, doubled,
-replayed or lay in a buffer while the process was stopped.
+A state machine driven by datagrams and the time, in float milliseconds of the node's monotonic clock. It
+differs from SWIM in that each datagram echoes the send time of the newest datagram received from the other
+side, and how long ago that one was received. So **the age of all knowledge is proved on the receiver's own
+clock**, whatever was delayed, duplicated, replayed or buffered while the process was stopped.
 """
 
 from collections import Counter
@@ -33,23 +33,23 @@
 from flintridge.membership.topics import Topic, TopicRegistry
 
 UPDATE_INTERVAL_MS = 200.0  # between two updates of the reachable members
-CLOCK_GAP_MS = 1_500.0  # a clock that jumps by more: the process was stopped, or starved
-LEAVE_MESSAGES = 6  # of a process that ends in order
-MAX_DATAGRAMS_IN_PER_S = 400  # that are examined; far more than a fleet sends to one
+CLOCK_GAP_MS = 1_500.0  # a larger jump of the clock: the process was stopped, or got no CPU time
+LEAVE_MESSAGES = 6  # members that a process notifies when it ends in order
+MAX_DATAGRAMS_IN_PER_S = 400  # datagrams that are examined; far more than a fleet sends to one node
 
 
 class FailureDetector:
     """One node's view of the other members.
 
     Attributes:
-        table: The members.
-        counters: Of what happened, by name.
+        table: The known members.
+        counters: Numbers of events, by name.
         has_successor: Whether a newer process of this node gets its acks through this one.
-        max_age_ms: Older evidence does not count.
+        max_age_ms: Evidence older than this does not count.
         suspicion_ms: How long a suspicion lasts.
-        sender: Of its messages.
-        prober: Its probes.
-        rotation: Whom to probe next.
+        sender: Sends this process's messages.
+        prober: Sends and tracks probes.
+        rotation: Selects whom to probe next.
     """
 
     def __init__(
@@ -66,14 +66,14 @@
         """Start with no member known, at `now`.
 
         Args:
-            local_name: Of this node.
-            incarnation: Of this process.
-            names: Of the fleet's nodes, as configured; with or without this one.
-            codec: Of the fleet.
-            bytes_per_s: Of datagrams, in any second.
-            now: The present instant.
-            rng: Draws targets and times.
-            log_event: Called with an event's name and its fields, once for each kind of refusal.
+            local_name: Name of this node.
+            incarnation: Incarnation of this process.
+            names: Names of the fleet's nodes, as configured; with or without this one.
+            codec: Codec of the fleet's messages.
+            bytes_per_s: Bytes of datagrams that may be sent in any second.
+            now: The current time.
+            rng: Draws targets and intervals.
+            log_event: Called with an event's name and its fields; once for each reason to drop datagrams.
         """
         self.table = MemberTable(local_name, incarnation, names, now, rng)
         self.counters: Counter[str] = Counter()
@@ -95,34 +95,34 @@
         self._duplicate_name = DuplicateNameDetector()
         self._next_update_at = now
         self._has_left = False
-        self._reported: set[str] = set()  # what is logged once
+        self._reported: set[str] = set()  # keys of events that are logged only once
 
     @property
     def reachability(self) -> Reachability:
-        """At the last update."""
+        """Reachability of the fleet as of the last update."""
         return self.table.reachability
 
     @property
     def local_health_penalty(self) -> int:
-        """By how much this node's own slowness stretches its probes' times; 0: not at all."""
+        """By how many times its own slowness lengthens this node's probe timeouts; 0: not at all."""
         return self.prober.local_health_penalty
 
     def register_topic(self, topic: Topic) -> None:
         """Send and receive a topic's payloads from now on.
 
         Raises:
-            ValueError: Its name is registered.
+            ValueError: A topic of that name is registered already.
         """
         self._topics.register(topic)
 
     def take_datagrams(self) -> list[OutgoingDatagram]:
-        """What is to be sent, in its order; each once."""
+        """Remove and return the queued datagrams, in the order in which they are to be sent."""
         return self.sender.take_datagrams()
 
     # Time
 
     def tick(self, now: float) -> None:
-        """To be called every 50 ms or so. What is late shows as this node's own slowness."""
+        """Run what is due. To be called about every 50 ms; late calls show as this node's own slowness."""
         self._check_clock_gap(now)
         self.prober.end_probes(now)
         self.prober.end_indirect_probes(now)
@@ -137,12 +137,12 @@
             self.table.remove_expired(now)
 
     def refresh(self, now: float) -> None:
-        """Bring the view up to `now`, for whoever reads it between two ticks."""
+        """Update the view to `now`, for callers that read it between two ticks."""
         self._check_clock_gap(now)
         self._update_reachability(now)
 
     def next_sync_source(self, now: float) -> str | None:
-        """The peer to ask now, by a state exchange, for the members that this node cannot reach, or None."""
+        """The peer to ask now, by a state exchange, for members that this node cannot reach; else None."""
         return None if self._has_left else self._sync_schedule.next_source(now)
 
     def _update_reachability(self, now: float) -> None:
@@ -156,8 +156,8 @@
         self._now = now
         if gap <= CLOCK_GAP_MS:
             return
-        # Guards all that was known against being taken for new by a process that was stopped: what it
-        # received is as old as the gap, and nobody could answer its probes.
+        # A process that was stopped must not take old knowledge for new: what it received is as old as the
+        # gap, and nobody could answer its probes.
         self.counters["gaps"] += 1
         self._log_event("peers_gap", ms=round(gap))
         self.prober.clear()
@@ -167,7 +167,7 @@
     # Received datagrams
 
     def receive(self, now: float, data: bytes) -> Message | None:
-        """Take a datagram in. None where it is dropped, which is counted by its reason and logged once."""
+        """Process a datagram. None if it is dropped, which is counted and logged once for each reason."""
         self._check_clock_gap(now)
         self.counters["datagrams_in"] += 1
         self.counters["bytes_in"] += len(data)
@@ -208,7 +208,7 @@
             self._respond(message, member, now)
 
     def _accept(self, message: Message, now: float) -> Member:
-        """The sender. Raises MessageDroppedError."""
+        """Find or add the sender, and check for replays. Raises MessageDroppedError."""
         table = self.table
         if message.incarnation == table.incarnation:
             raise MessageDroppedError("own")
@@ -224,7 +224,7 @@
         return member
 
     def _proven_sent_at(self, message: Message, now: float) -> float | None:
-        """The latest instant before which it cannot have been sent; None where nothing proves one."""
+        """The latest instant before which the message cannot have been sent; None if nothing proves one."""
         if message.target_incarnation != self.table.incarnation or message.echoed_sent_at < 0:
             return None
         delay = message.echo_delay * (1 - MAX_CLOCK_DRIFT)
@@ -263,13 +263,13 @@
     # Sent datagrams
 
     def send_payloads(self, now: float, to: Member) -> bool:
-        """Send what topics have for a member now, not with its next probe.
+        """Send a member the topics' payloads now, instead of with its next probe.
 
-        A member of which nothing was received yet believes nothing from here: it is probed, and the receipt
-        for its ack carries the payloads.
+        A member from which nothing was received yet cannot verify the payloads' age and drops them. It is
+        probed instead, and the receipt for its ack carries the payloads.
 
         Returns:
-            False where nothing is sent.
+            False if nothing is sent.
         """
         if self._has_left or to.state is MemberState.LEFT:
             return False
@@ -278,7 +278,7 @@
         return self.prober.probe(to.process_id, now)
 
     def leave(self, now: float) -> None:
-        """This process ends in order: a few peers are notified, who pass it on. Nothing is sent after it."""
+        """Notify a few peers, which pass it on, that this process ends in order. It sends nothing more."""
         self._has_left = True
         table = self.table
         peers = [member for member in table if member.reachable and member.name != table.local_name]
--- a/flintridge/membership/member_registry.py
+++ b/flintridge/membership/member_registry.py
@@ -22,7 +22,7 @@
 
         Args:
             names: The configured node names.
-            now: The present instant.
+            now: The current time.
         """
         self._by_name: dict[str, dict[int, Member]] = {name: {} for name in names}
         self._next_expiry_at = now + RETENTION_MS
--- a/flintridge/membership/member_sync.py
+++ b/flintridge/membership/member_sync.py
@@ -1,4 +1,4 @@
-"""Exchanges of reachable members, for a process that has just begun or whose clock had a gap."""
+"""Exchanges of reachable members, for a process that has just started or whose clock had a gap."""
 
 from collections.abc import Awaitable, Callable, Iterator
 
@@ -11,12 +11,12 @@
 from flintridge.telemetry.counters import Counters
 from flintridge.telemetry.log import EventLog
 
-MEMBERS_TOPIC = "lives"  # of these exchanges
+MEMBERS_TOPIC = "lives"  # topic of these exchanges
 ENTRIES_PER_CHUNK = 32
 
 
 class MemberSync:
-    """Serves the members that are reachable here, and takes in those of a peer."""
+    """Serves the members that are reachable here, and pulls those of a peer."""
 
     def __init__(
         self,
@@ -29,11 +29,11 @@
         """Prepare the exchanges.
 
         Args:
-            detector: Of this process.
-            exchange: Sends a peer a topic's query, and returns the chunks of its whole answer.
-            clock: Of this process, in float milliseconds.
-            log: For exchanges that failed.
-            counters: For exchanges and their ends.
+            detector: Failure detector of this process.
+            exchange: Sends a topic's query to a peer, and returns the chunks of the whole answer.
+            clock: Clock of this process, in float milliseconds.
+            log: Logs failed exchanges.
+            counters: Counts completed and failed exchanges.
         """
         self._detector = detector
         self._exchange = exchange
@@ -42,16 +42,16 @@
         self._counters = counters
 
     def serve(self, query: bytes) -> Iterator[bytes]:
-        """The chunks of the reachable members that a peer's filter lacks."""
+        """Yield the chunks of an answer: the reachable members that a peer's filter lacks."""
         encoder = msgspec.msgpack.Encoder()
         members = self._detector.table.reachable_not_in(query)
         for start in range(0, len(members), ENTRIES_PER_CHUNK):
-            now = self._clock.now()  # ages as of each chunk: a slow reader must not make them younger
+            now = self._clock.now()  # ages are as of each chunk, or a slow reader would understate them
             block = members[start : start + ENTRIES_PER_CHUNK]
             yield encoder.encode([member.gossip_entry(now) for member in block])
 
     async def pull(self, peer: str) -> None:
-        """Take in the members that a peer can reach and this node cannot."""
+        """Merge the members that a peer can reach and this node cannot."""
         requested_at = self._clock.now()
         try:
             entries = await self._request_entries(peer)
@@ -68,7 +68,7 @@
         detector = self._detector
         now = self._clock.now()
         for entry in entries:
-            # It was sent after the request, whenever that was answered.
+            # The entry was sent after the request, no matter when the answer arrived.
             detector.table.merge_entry(entry, requested_at, detector.suspicion_ms, now, detector.max_age_ms)
         self._counters.add("peers_syncs_completed")
 
--- a/flintridge/membership/member_table.py
+++ b/flintridge/membership/member_table.py
@@ -35,7 +35,7 @@
             local_name: Name of this node.
             incarnation: Incarnation of this process.
             names: Names of the fleet's nodes, as configured; with or without this one.
-            now: The present instant.
+            now: The current time.
             rng: Shuffles gossip, and salts filters.
         """
         self.local_name = local_name
@@ -63,7 +63,7 @@
             member: The sender.
             refutations: The sender's refutations, as the message states them.
             sent_at: The message was sent at this instant or later; None if nothing proves when.
-            now: The present instant.
+            now: The current time.
         """
         if member.state is MemberState.LEFT:
             return
@@ -93,7 +93,7 @@
             entry: The entry as received.
             sent_at: The entry was sent at this instant or later.
             suspicion_ms: How long a suspicion lasts.
-            now: The present instant.
+            now: The current time.
             max_age_ms: An unknown member is not added on evidence older than this.
         """
         if entry.incarnation == self.incarnation and entry.name == self.local_name:
--- a/flintridge/membership/message_sender.py
+++ b/flintridge/membership/message_sender.py
@@ -20,27 +20,27 @@
 )
 from flintridge.membership.topics import TopicRegistry
 
-MAX_GOSSIP_DATAGRAM_BYTES = 800  # with gossip entries; what is left of a datagram is for payloads
-# Of what is left of a second's bytes that a datagram with gossip entries may take.
+MAX_GOSSIP_DATAGRAM_BYTES = 800  # limit with gossip entries; the rest of a datagram is for payloads
+# Fraction of a second's remaining bytes that a datagram with gossip entries may take.
 GOSSIP_BUDGET_FRACTION = 0.25
-ENTRY_COUNT_BYTES = 2  # by which the encoded count of entries may grow
-# Of the bytes that responses may take: a flood of pings must not silence a node's own probes.
+ENTRY_COUNT_BYTES = 2  # by which the encoded number of entries may grow
+# Fraction of the bytes that responses may take, so that a flood of pings does not stop a node's own probes.
 RESPONSE_BUDGET_FRACTION = 0.6
-# What carries gossip entries of others: what is sent in response proves their age to whom it goes. A probe
-# itself echoes an instant that may be long ago, and less is proved the longer that was, as clocks drift.
+# The kinds of messages that carry gossip entries about third parties. A response proves the entries' age to
+# its receiver. A ping may echo an instant of long ago, and as clocks drift, an older echo proves less.
 GOSSIP_KINDS = (MessageKind.ACK, MessageKind.ACK_RECEIPT, MessageKind.GOSSIP)
 
 
 @dataclass(slots=True, frozen=True)
 class OutgoingDatagram:
-    """A datagram for the address that this node has for `name`."""
+    """A datagram for the configured address of the node `name`."""
 
     name: str
     data: bytes
 
 
 class MessageSender:
-    """Queues messages of one process. Times are float milliseconds of this node's clock."""
+    """Builds and queues one process's messages. Times are float milliseconds of this node's clock."""
 
     def __init__(
         self,
@@ -54,14 +54,14 @@
         """Create a sender with nothing queued.
 
         Args:
-            table: Of this node; it gives the gossip entries.
-            codec: Of the fleet.
-            topics: Their payloads go with messages.
-            bytes_per_s: Of datagrams, in any second.
-            now: The present instant.
-            counters: Where datagrams are counted.
+            table: Members known to this node; provides the gossip entries.
+            codec: Codec of the fleet's messages.
+            topics: Topics whose payloads are sent with messages.
+            bytes_per_s: Bytes of datagrams that may be sent in any second.
+            now: The current time.
+            counters: Counts datagrams and their bytes.
         """
-        self.origin = now - 1.0  # `sent_at` of a message counts from here
+        self.origin = now - 1.0  # the instant from which `sent_at` of messages counts
         self.budget = ByteBudget(bytes_per_s)
         self._response_budget = ByteBudget(RESPONSE_BUDGET_FRACTION * bytes_per_s)
         self._table = table
@@ -72,7 +72,7 @@
         self._queue: list[OutgoingDatagram] = []
 
     def take_datagrams(self) -> list[OutgoingDatagram]:
-        """What is to be sent, in its order; each once."""
+        """Remove and return the queued datagrams, in the order in which they are to be sent."""
         queue = self._queue
         self._queue = []
         return queue
@@ -88,19 +88,19 @@
         entries: tuple[GossipEntry, ...] = (),
         is_response: bool = False,
     ) -> bool:
-        """Queue a message, with what gossip entries and payloads it can carry.
+        """Queue a message, with the gossip entries and payloads that fit into it.
 
         Args:
-            to: Whom it goes to.
-            kind: Of the message.
-            probe_id: Of the probe that it belongs to; 0: of none.
-            now: The present instant.
-            probe_target: Whom the receiver shall ping.
-            entries: Gossip entries that it carries in any case, first.
-            is_response: Whether the response budget bounds it too.
+            to: The receiver.
+            kind: Kind of the message.
+            probe_id: ID of the probe that the message belongs to; 0 if it belongs to none.
+            now: The current time.
+            probe_target: The process that the receiver shall ping.
+            entries: Gossip entries that the message carries in any case, before others.
+            is_response: Whether the response budget limits the message too.
 
         Returns:
-            False, and nothing is queued, where the budget has not enough bytes left.
+            False, with nothing queued, if the budget has too few bytes left.
         """
         available = self.budget.available(now)
         if is_response:
@@ -149,9 +149,9 @@
         )
 
     def _with_gossip(self, message: Message, to: Member | None, available: float, now: float) -> Message:
-        """The message with gossip entries after those that it has; `available` bytes may be sent."""
-        # Guards the responses that are still to be sent in this second: without them this node would seem
-        # failed for having gossiped too much.
+        """Append gossip entries to those of a message; `available` bytes may be sent."""
+        # Leaves bytes for the responses that are still to be sent in this second: without them, a node that
+        # gossips too much would seem to have failed.
         max_gossip_bytes = min(MAX_GOSSIP_DATAGRAM_BYTES, available * GOSSIP_BUDGET_FRACTION)
         max_entries_bytes = (
             max_gossip_bytes - self._codec.overhead_bytes - encoded_size(message) - ENTRY_COUNT_BYTES
--- a/flintridge/membership/probe_rotation.py
+++ b/flintridge/membership/probe_rotation.py
@@ -1,4 +1,4 @@
-"""Whom to probe next: all reachable members in a random order, and in some turns an unreachable name."""
+"""Selects whom to probe next: reachable members in random order, and in some turns unreachable names."""
 
 from enum import Enum, auto
 from random import Random
@@ -6,28 +6,28 @@
 from flintridge.membership.member_table import MemberTable
 from flintridge.membership.messages import ANY_INCARNATION, ProcessId
 
-UNREACHABLE_TURN_INTERVAL = 4  # of so many probes one goes to an unreachable name
+UNREACHABLE_TURN_INTERVAL = 4  # one in this many probes prefers an unreachable name
 
 
 class TargetGroup(Enum):
-    """Targets have turns among those of their group."""
+    """The groups of targets; each has its own rotation."""
 
     REACHABLE = auto()
     UNREACHABLE = auto()
 
 
 class ProbeRotation:
-    """Gives each target of a group one turn before any has a second one."""
+    """Gives each target of a group one probe before any of them gets a second one."""
 
     def __init__(self, table: MemberTable, rng: Random) -> None:
-        """Start without targets; the first turn draws them."""
+        """Start without targets; the first call of `next_target` draws them."""
         self.targets: dict[TargetGroup, list[ProcessId]] = {group: [] for group in TargetGroup}
         self._table = table
         self._rng = rng
         self._turn = 0
 
     def next_target(self) -> ProcessId | None:
-        """The target of the next probe, or None where there is none at all."""
+        """The target of the next probe, or None if there is no target at all."""
         self._turn += 1
         if not any(self.targets.values()):
             for group in TargetGroup:
@@ -43,7 +43,7 @@
         return None
 
     def refill(self, group: TargetGroup) -> None:
-        """Begin a new round of a group, in a random order of its own."""
+        """Begin a new round of a group, in a new random order."""
         members = [
             member
             for member in self._table.reachable_or_suspect_members
--- a/flintridge/membership/probe_schedule.py
+++ b/flintridge/membership/probe_schedule.py
@@ -5,21 +5,21 @@
 from flintridge.membership.byte_budget import ByteBudget
 
 PROBE_INTERVAL_MS = 300.0
-EAGER_PROBE_INTERVAL_MS = 100.0  # just after the start, and after a clock gap,
-EAGER_MS = 2_000.0  # for so long
-EAGER_BUDGET_FRACTION = 0.5  # of the bytes of a second that must be left for that
-INTERVAL_VARIATION = 0.1  # by which an interval is longer or shorter, at random
+EAGER_PROBE_INTERVAL_MS = 100.0  # just after the start, and after a clock gap
+EAGER_MS = 2_000.0  # how long the eager interval is used
+EAGER_BUDGET_FRACTION = 0.5  # fraction of a second's bytes that must be left for the eager interval
+INTERVAL_VARIATION = 0.1  # fraction by which an interval is longer or shorter, at random
 
 
 class ProbeSchedule:
-    """The instants of a node's probes. Times are float milliseconds."""
+    """Decides when a node sends its probes. Times are float milliseconds."""
 
     def __init__(self, budget: ByteBudget, now: float, rng: Random) -> None:
-        """Begin eagerly at `now`.
+        """Begin with the eager interval at `now`.
 
         Args:
-            budget: Of the node's datagrams.
-            now: The present instant.
+            budget: Byte budget of the node's datagrams.
+            now: The current time.
             rng: Varies the intervals.
         """
         self._budget = budget
@@ -28,7 +28,7 @@
         self._eager_until = now + EAGER_MS
 
     def is_due(self, now: float) -> bool:
-        """Whether to probe now; the next probe is then an interval later."""
+        """Whether to probe now; if so, the next probe is due an interval later."""
         if now < self._next_at:
             return False
         interval = self._interval_ms(now) * self._rng.uniform(1 - INTERVAL_VARIATION, 1 + INTERVAL_VARIATION)
@@ -36,7 +36,7 @@
         return True
 
     def restart(self, now: float) -> None:
-        """Probe at once, and eagerly again: all that was known is too old."""
+        """Probe at once and at the eager interval again, as all evidence is too old."""
         self._eager_until = now + EAGER_MS
         self._next_at = now
 
--- a/flintridge/membership/probes.py
+++ b/flintridge/membership/probes.py
@@ -1,4 +1,4 @@
-"""Probes of members, direct and through others, and the pings that this node makes for others."""
+"""Probes of members, direct and through others, and the pings that this node sends for others."""
 
 from collections import Counter
 from dataclasses import dataclass
@@ -10,45 +10,45 @@
 from flintridge.membership.message_sender import MessageSender
 from flintridge.membership.messages import ANY_INCARNATION, Message, MessageKind, ProcessId
 
-PING_TIMEOUT_MS = 200.0  # for an ack, before others are requested to ping
-PROBE_TIMEOUT_MS = 1_000.0  # for an ack by any way; then the probe has failed
-# Of a ping for another node: over before that node's own probe, which else could not tell a failed member
-# from its own bad links.
+PING_TIMEOUT_MS = 200.0  # wait for an ack before others are requested to ping the target
+PROBE_TIMEOUT_MS = 1_000.0  # wait for a direct or indirect ack before the probe fails
+# Timeout of a ping for another node. It ends before that node's own probe, which otherwise could not tell a
+# failed member from its own broken links.
 INDIRECT_PROBE_TIMEOUT_MS = PROBE_TIMEOUT_MS / 2
-MAX_PING_REQUESTS = 8  # at a time: one, then twice as many each time
-MAX_INDIRECT_PROBES = 64  # for others, at a time
-MAX_HEALTH_PENALTY = 3  # most that a node's own slowness stretches its probes' times, less one
+MAX_PING_REQUESTS = 8  # sent at a time: one at first, then twice as many each time
+MAX_INDIRECT_PROBES = 64  # pings for other nodes that may be pending at a time
+MAX_HEALTH_PENALTY = 3  # a slow node multiplies its probe timeouts by up to 1 + this
 PROBE_ID_BITS = 62
 
 
 @dataclass(slots=True)
 class Probe:
-    """A probe of this node's own."""
+    """A probe by this node for itself."""
 
     target: ProcessId
     started_at: float
-    pings: int = 1
-    requested: int = 0  # members that were requested to ping
-    nacks: int = 0  # of those, how many answered that they got no ack either
+    pings: int = 1  # pings sent to the target
+    requested: int = 0  # members that were requested to ping the target
+    nacks: int = 0  # requested members that answered that they got no ack either
 
 
 @dataclass(slots=True)
 class IndirectProbe:
-    """A ping for another node."""
+    """A ping by this node on behalf of another node."""
 
     requester: ProcessId
-    probe_id: int  # of the requester's probe
+    probe_id: int  # ID of the requester's probe
     ends_at: float
 
 
 class Prober:
-    """Keeps the probes that wait for an ack. Times are float milliseconds."""
+    """Sends probes and tracks those that wait for an ack. Times are float milliseconds."""
 
     def __init__(
         self, table: MemberTable, sender: MessageSender, rng: Random, counters: Counter[str]
     ) -> None:
-        """Start with no probe waiting; messages go by `sender`, and are counted in `counters`."""
-        self.local_health_penalty = 0  # Lifeguard's: raised where this node itself seems slow
+        """Start with no pending probe; `sender` sends the messages, `counters` counts the outcomes."""
+        self.local_health_penalty = 0  # as in Lifeguard: raised while this node itself seems slow
         self._table = table
         self._sender = sender
         self._rng = rng
@@ -57,12 +57,12 @@
         self._indirect_probes: dict[int, IndirectProbe] = {}
 
     def clear(self) -> None:
-        """Forget all probes: nobody could answer them."""
+        """Forget all pending probes, as nobody could answer them."""
         self._probes.clear()
         self._indirect_probes.clear()
 
     def probe(self, target: ProcessId, now: float) -> bool:
-        """Ping a target, unless a probe of it waits already; whether a ping was sent."""
+        """Ping a target unless a probe of it is pending; return whether a ping was sent."""
         if any(probe.target == target for probe in self._probes.values()):
             return False
         probe_id = self._new_probe_id()
@@ -72,7 +72,7 @@
         return sent
 
     def end_probes(self, now: float) -> None:
-        """Ping again and through others where no ack came in time, and end probes that failed."""
+        """Ping again, directly and through others, where an ack is overdue, and end failed probes."""
         stretch = 1 + self.local_health_penalty
         for probe_id, probe in [*self._probes.items()]:
             waited = now - probe.started_at
@@ -80,13 +80,14 @@
                 del self._probes[probe_id]
                 self._fail(probe, now)
             elif waited >= PING_TIMEOUT_MS * stretch * probe.pings:
-                # Where many datagrams are lost, one ping, or one request of others, would accuse too many.
+                # When many datagrams are lost, a single ping, or a single round of requests to others, would
+                # accuse too many members.
                 self._request_pings(probe_id, probe, now)
                 probe.pings += 1
                 self._sender.send(probe.target, MessageKind.PING, probe_id, now)
 
     def end_indirect_probes(self, now: float) -> None:
-        """Notify requesters whose target did not answer."""
+        """Notify the requesters of pings whose target did not answer in time."""
         for probe_id, probe in [*self._indirect_probes.items()]:
             if now >= probe.ends_at:
                 del self._indirect_probes[probe_id]
@@ -98,8 +99,8 @@
         """End the probe that an ack answers.
 
         Returns:
-            The name that was probed, where it was a probe of this node's own. Another name than the sender's
-            shows nothing of it: another node answers at the address that this one has for it.
+            The probed name, if the probe was this node's own, else None. If it is not the sender's name, the
+            ack proves nothing about the probed node: another node answers at the address configured for it.
         """
         probe = self._probes.get(message.probe_id)
         if probe is not None:
@@ -124,7 +125,7 @@
         return None
 
     def receive_ping_request(self, message: Message, now: float) -> None:
-        """Ping a member for another node."""
+        """Ping a member on behalf of another node."""
         if (
             message.probe_target is None
             or message.probe_target[0] not in self._table.peer_names
@@ -139,12 +140,12 @@
             self._indirect_probes[probe_id] = IndirectProbe(message.sender, message.probe_id, ends_at)
 
     def receive_indirect_ack(self, message: Message) -> None:
-        """A member that was requested to ping got an ack."""
+        """End a probe, as a member that was requested to ping the target got an ack."""
         if self._probes.pop(message.probe_id, None) is not None:
             self._counters["probes_acked_indirectly"] += 1
 
     def receive_indirect_nack(self, message: Message) -> None:
-        """A member that was requested to ping got no ack either."""
+        """Record that a member that was requested to ping the target got no ack either."""
         probe = self._probes.get(message.probe_id)
         if probe is not None:
             probe.nacks += 1
@@ -152,7 +153,7 @@
     def _fail(self, probe: Probe, now: float) -> None:
         self._counters["probes_failed"] += 1
         if probe.requested and not probe.nacks:
-            self._adjust_health(1)  # none of those requested answered: it may be this node that is slow
+            self._adjust_health(1)  # no requested member answered: this node itself may be slow
         member = self._table.find(probe.target.name, probe.target.incarnation)
         if member is not None and member.last_alive_at < probe.started_at:
             self._table.suspect(member, now)
@@ -162,7 +163,7 @@
             return
         reachable = self._table.reachable_members
         count = min(MAX_PING_REQUESTS, 1 << (probe.pings - 1))
-        # Some of the sample may be processes of the target, or of this node.
+        # Larger than `count`, as some of the sample may be processes of the target or of this node.
         sample = self._rng.sample(reachable, min(count + 2 * MAX_INCARNATIONS, len(reachable)))
         excluded = (probe.target.name, self._table.local_name)
         for member in [member for member in sample if member.name not in excluded][:count]:
--- a/flintridge/membership/reachability.py
+++ b/flintridge/membership/reachability.py
@@ -73,7 +73,7 @@
 
         Args:
             members: All known members.
-            now: The present instant.
+            now: The current time.
             max_age_ms: Evidence older than this does not count.
 
         Returns:
--- a/flintridge/membership/sync_schedule.py
+++ b/flintridge/membership/sync_schedule.py
@@ -1,37 +1,40 @@
-"""When to ask a peer for the members that it can reach and this node cannot: after a start or a clock gap."""
+"""When to ask a peer for members that this node cannot reach: after a start or a clock gap."""
 
 from random import Random
 
 from flintridge.membership.member_table import MemberTable
 
-MAX_SYNCS = 12  # after a start or a gap, while names are missing
-SYNC_INTERVAL_MS = 1_000.0  # between two of them, at the least
-SYNC_ENTRY_BYTES = 22.0  # of an entry in an answer, about
-# Of the bytes for exchanges that answers may take, where others reach as much as this node.
+MAX_SYNCS = 12  # exchanges after a start or a clock gap, while names are missing
+SYNC_INTERVAL_MS = 1_000.0  # shortest interval between two exchanges, before it is varied
+SYNC_ENTRY_BYTES = 22.0  # approximate size of an entry in an answer
+# Fraction of the exchanges' bytes that answers may take, assuming that others reach as much as this node.
 SYNC_BYTES_FRACTION = 0.5
 
 
 class SyncSchedule:
-    """Chooses when, and whom. By datagrams alone it takes long: most entries are of members known already."""
+    """Decides when to start an exchange, and with which peer.
+
+    Datagrams alone take long to bring missing members: most of their entries are about known members.
+    """
 
     def __init__(self, table: MemberTable, bytes_per_s: float, now: float, rng: Random) -> None:
         """Start with an exchange due at `now`.
 
         Args:
-            table: Of this node.
-            bytes_per_s: That exchanges may take.
-            now: The present instant.
+            table: Members known to this node.
+            bytes_per_s: Bytes per second that exchanges may take.
+            now: The current time.
             rng: Draws the peers, and varies the intervals.
         """
         self._table = table
         self._bytes_per_s = bytes_per_s
         self._rng = rng
-        self._started = 0  # exchanges, since the evidence was reset
+        self._started = 0  # exchanges since the evidence was last reset
         self._next_at = now
-        self._evidence_valid_from = now  # when that was
+        self._evidence_valid_from = now  # when the evidence was last reset
 
     def next_source(self, now: float) -> str | None:
-        """The peer to ask now, or None. Each call that gives a name counts as an exchange."""
+        """The peer to ask now, or None. Each call that returns a name counts as an exchange."""
         table = self._table
         if self._evidence_valid_from != table.evidence_valid_from:
             self._evidence_valid_from = table.evidence_valid_from
@@ -39,7 +42,7 @@
             self._next_at = now
         if self._is_done() or now < self._next_at:
             return None
-        # Not those known through others alone: the link to them may be cut.
+        # Excludes members known through others only, as the direct link to them may be cut.
         sources = [
             member.name
             for member in table.reachable_members
