--- a/flintridge/discovery/__init__.py
+++ b/flintridge/discovery/__init__.py
@@ -1,1 +1,1 @@
-"""Discovery: the endpoint list, the watch that keeps it fresh, and what operators lay over it."""
+"""Discovery: the endpoint list, the watch that keeps it up to date, and the overrides by operators."""
--- a/flintridge/discovery/client.py
+++ b/flintridge/discovery/client.py
@@ -1,4 +1,4 @@
-"""Calls to discovery: GETs on one connection, which is opened where there is none."""
+"""Calls to discovery: GET requests on one connection, which is opened if there is none."""
 
 import asyncio
 from dataclasses import dataclass
@@ -15,19 +15,20 @@
 MAX_LIST_BYTES = 4 * 1024 * 1024
 READ_BYTES = 64 * 1024
 
-# Where this machine has no port, buffer, descriptor or route for a moment. The policy's pause after a failed
-# call is up to 2 s, and grows: a few in a row would outlast the 6 s after which a change counts as notified.
+# Pause before another connect attempt when this machine has no port, buffer, descriptor or route at present.
+# The policy's pause after a failed call is up to 2 s, and grows. A few of these in a row would last longer
+# than the 6 s after which a change counts as notified.
 LOCAL_FAILURE_PAUSE_MS = 20.0
 MAX_LOCAL_FAILURES = 15
 
 
 @dataclass(slots=True, frozen=True)
 class DiscoveryResponse:
-    """What discovery answered.
+    """A response of discovery.
 
     Attributes:
-        body: Its JSON.
-        date_ms: Unix time by its `Date` header in milliseconds, of whole seconds; None where it has none.
+        body: The JSON text.
+        date_ms: Unix time of its `Date` header in milliseconds, with a resolution of 1 s; None without one.
     """
 
     body: bytes
@@ -43,27 +44,27 @@
 
 
 def date_header_ms(head: h11.Response) -> float | None:
-    """Unix time by a response's `Date` header in milliseconds; None where it has none that can be read."""
+    """Unix time of a response's `Date` header in milliseconds; None if the header is missing or invalid."""
     value = header_value(head, b"date")
     return None if value is None else parse_date_ms(value)
 
 
 class DiscoveryClient:
-    """One connection to discovery."""
+    """Sends calls to discovery on one connection."""
 
     def __init__(self, address: Address, clock: Clock) -> None:
-        """Make a client without a connection; `clock` times the pauses between attempts to connect."""
+        """Create a client without a connection; `clock` times the pauses between connect attempts."""
         self._address = address
         self._clock = clock
         self._streams: _Streams | None = None
 
     async def get(self, target: str) -> DiscoveryResponse:
-        """Discovery's response.
+        """Send a GET request and return discovery's response.
 
         Raises:
-            OSError: There is no connection, or it ended.
-            ValueError: Discovery answered with an error.
-            h11.RemoteProtocolError: What it sent is no HTTP.
+            OSError: The connection could not be opened, or it ended.
+            ValueError: Discovery answered with another status than 200.
+            h11.RemoteProtocolError: The response is not valid HTTP.
         """
         streams = await self._connection()
         host = f"{self._address.host}:{self._address.port}".encode()
@@ -76,18 +77,19 @@
             if response is not None:
                 break
             if not data:
-                raise ConnectionResetError("discovery ended the connection")
+                raise ConnectionResetError("discovery closed the connection")
         if not exchange.reusable:
             self.close()
         if response.head.status_code != 200:
-            raise ValueError(f"discovery answered {response.head.status_code}")
+            raise ValueError(f"discovery answered with status {response.head.status_code}")
         return DiscoveryResponse(response.body, date_header_ms(response.head))
 
     async def _connection(self) -> _Streams:
         if self._streams is not None:
             reader = self._streams.reader
             writer = self._streams.writer
-            # Guards against an old list, read as this call's response: it would undo what came since.
+            # An old list that is still unread must not be taken for this call's response: it would undo newer
+            # changes.
             if not is_reusable(reader, writer) or has_pending_input(writer.transport):
                 self.close()
         if self._streams is None:
@@ -95,10 +97,10 @@
         return self._streams
 
     async def _connect(self) -> _Streams:
-        """Open a connection, again after a pause while this machine fails.
+        """Open a connection; retry after a pause while the failure is local to this machine.
 
         Raises:
-            OSError: There is none.
+            OSError: The connection could not be opened.
         """
         failures = 0
         while True:
@@ -113,7 +115,7 @@
             await sleep(self._clock, LOCAL_FAILURE_PAUSE_MS)
 
     def close(self) -> None:
-        """Close the connection; the next call opens another."""
+        """Close the connection; the next call opens a new one."""
         if self._streams is not None:
             self._streams.writer.close()
             self._streams = None
--- a/flintridge/discovery/endpoint_list.py
+++ b/flintridge/discovery/endpoint_list.py
@@ -1,4 +1,4 @@
-"""The endpoint list: discovery's list of servers, how it is read, and where each server is found."""
+"""The endpoint list: discovery's list of servers, how it is parsed, and the address of each server."""
 
 from dataclasses import dataclass, replace
 from typing import Any
@@ -18,21 +18,21 @@
     "terminating": EndpointState.DRAINING,
     "terminated": EndpointState.GONE,
 }
-UNKNOWN_KIND = -2  # of a machine that the settings do not name; -1 stands for no kind at all
+UNKNOWN_KIND = -2  # a kind that the settings do not name; -1 stands for no kind at all
 UNKNOWN_ZONE = -1
 
 
 class EndpointNotListedError(FlintridgeError, OSError):
-    """No address is known for this server: it is not on the list any more."""
+    """The server is not on the list any more, so no address is known for it."""
 
 
 class MalformedListError(FlintridgeError, ValueError):
-    """Discovery's list, or a change of it, cannot be read."""
+    """Discovery's list, or a change to it, cannot be parsed."""
 
 
 @dataclass(slots=True, frozen=True)
 class EndpointAddress:
-    """Where a server is found, and whether it is the origin."""
+    """The address of a server, and whether the server is the origin."""
 
     address: Address
     origin: bool
@@ -40,16 +40,16 @@
 
 @dataclass(slots=True, frozen=True)
 class _ListEntry:
-    endpoint: Endpoint  # its start is not filled in yet
+    endpoint: Endpoint  # `started_at` is not set yet
     address: EndpointAddress | None
     up_since_ms: float
 
 
 class EndpointList:
-    """Servers by id; an address is only where one is found at present.
+    """The listed servers by ID, with the address that each has at present.
 
     Attributes:
-        revision: Discovery's, of what was last applied.
+        revision: Discovery's revision of the list or change that was last applied.
         starts: When the servers started.
     """
 
@@ -59,10 +59,10 @@
         """Create an empty list.
 
         Args:
-            zones: Names by position, as the policy counts them.
-            kinds: Names of the kinds of servers by position.
-            settings: Have the origin's kind.
-            clock: The process's clock.
+            zones: Names of the zones; the position of a name is the policy's number of the zone.
+            kinds: Names of the kinds of servers; the position of a name is the number of the kind.
+            settings: Settings of the policy, which name the origin's kind.
+            clock: Clock of the process.
         """
         self.revision = 0
         self._zones = {name: i for i, name in enumerate(zones)}
@@ -71,14 +71,14 @@
         self._clock = clock
         self.starts = ServerStarts(clock.from_unix)
         self._addresses: dict[str, EndpointAddress] = {}
-        self._listed: dict[str, Endpoint] = {}  # as they were last reported
+        self._listed: dict[str, Endpoint] = {}  # endpoints as they were last reported
         self._ready: set[str] = set()
 
     def __getitem__(self, server: str) -> EndpointAddress:
-        """Where a server is found.
+        """The address of a server.
 
         Raises:
-            EndpointNotListedError: It is not on the list.
+            EndpointNotListedError: The server is not on the list.
         """
         address = self._addresses.get(server)
         if address is None:
@@ -94,14 +94,14 @@
         return bool(self._ready)
 
     def apply_json(self, text: bytes, date_ms: float | None = None) -> EndpointUpdate:
-        """Apply discovery's JSON.
+        """Parse and apply discovery's JSON.
 
         Args:
-            text: The JSON, as it arrived just now.
-            date_ms: Unix time by the response's `Date` header, if it has one.
+            text: The JSON text, which arrived just now.
+            date_ms: Unix time of the response's `Date` header in milliseconds, if it has one.
 
         Raises:
-            MalformedListError: It cannot be read; nothing is changed.
+            MalformedListError: The list cannot be parsed; nothing is changed.
         """
         try:
             listed = orjson.loads(text)
@@ -112,35 +112,35 @@
     def apply(
         self, listed: Any, kind: UpdateKind | None = None, date_ms: float | None = None
     ) -> EndpointUpdate:
-        """Apply a list or a change of it, in discovery's form.
+        """Apply a list or a change to it, in discovery's format.
 
         Args:
             listed: Discovery's JSON, decoded.
-            kind: What to say of it; None: as it says itself.
-            date_ms: Unix time by the response's `Date` header, if it has one.
+            kind: Kind of the returned update; None: full or delta, as the list states.
+            date_ms: Unix time of the response's `Date` header in milliseconds, if it has one.
 
         Returns:
-            The servers that it names, and those whose starts are corrected by what it reports.
+            The servers that the list names, and those whose starts are corrected by what it reports.
 
         Raises:
-            MalformedListError: Some of it cannot be read; nothing is changed.
+            MalformedListError: A part of the list cannot be parsed; nothing is changed.
         """
         try:
             revision = listed["revision"]
             complete = listed["complete"]
             if not isinstance(revision, int) or not isinstance(complete, bool):
-                raise ValueError("revision or complete is of the wrong kind")
+                raise ValueError("revision or complete has the wrong type")
             entries = [self._parse_entry(entry) for entry in listed["members"]]
         except (KeyError, TypeError, AttributeError, ValueError, OverflowError) as error:
             raise MalformedListError(f"malformed list: {error!r}") from error
         if complete:
             self._ready.clear()
             self._listed.clear()
-            # Guards a long day, with new ids all the time, against a growing map. An attempt that is in
-            # flight has its connection already; to a server that is not listed the policy sends no more.
+            # Keeps the map from growing over a long time with ever new IDs. An attempt in flight has its
+            # connection already, and the policy sends no more attempts to a server that is not listed.
             self._addresses.clear()
         arrival = ListArrival(self._clock.now(), complete, kind is not UpdateKind.CACHED, date_ms)
-        starts_changed = self.starts.take(arrival, map(_reported_start, entries))
+        starts_changed = self.starts.record_list(arrival, map(_reported_start, entries))
         endpoints = [self._apply_entry(entry) for entry in entries]
         if starts_changed:
             endpoints += self._corrected_starts()
@@ -164,7 +164,7 @@
         return endpoint
 
     def _corrected_starts(self) -> list[Endpoint]:
-        """The listed servers whose starts differ from what was last reported."""
+        """The listed servers whose starts differ from those last reported, with the new starts."""
         changed = []
         for server, endpoint in self._listed.items():
             started_at = self.starts.started_at(server)
@@ -177,7 +177,7 @@
         server = entry["id"]
         state = PHASES[entry["phase"]]
         if not isinstance(server, str) or not server:
-            raise ValueError("bad id")
+            raise ValueError("id must be a non-empty string")
         kind = self._kinds.get(entry.get("flavor", ""), UNKNOWN_KIND)
         address = None
         if state is not EndpointState.GONE or entry.get("host_port"):
@@ -194,7 +194,7 @@
         return _ListEntry(endpoint, address, self._parse_start(entry.get("up_since_ms")))
 
     def _parse_start(self, up_since_ms: Any) -> float:
-        """Unix time in milliseconds, 0 for long ago; raises where it is no instant."""
+        """Unix time in milliseconds, 0 for long ago. Raises an error if the value is not a valid time."""
         if not up_since_ms:
             return 0.0
         unix_ms = float(up_since_ms)
@@ -208,10 +208,10 @@
 
 
 def configured_endpoints(config: NodeConfig, endpoints: EndpointList) -> EndpointUpdate:
-    """The list in the configuration, which may be old.
+    """Apply the list in the configuration, which may be outdated.
 
     Raises:
-        ConfigError: It cannot be read.
+        ConfigError: The list cannot be parsed.
     """
     if config.known is None:
         return EndpointUpdate(UpdateKind.CACHED)
--- a/flintridge/discovery/overrides.py
+++ b/flintridge/discovery/overrides.py
@@ -1,4 +1,4 @@
-"""Overrides by operators, laid over the endpoint list: servers that are taken out of service."""
+"""Overrides of the endpoint list by operators: servers that are taken out of service."""
 
 from collections.abc import Callable
 from dataclasses import replace
@@ -7,29 +7,29 @@
 
 
 class EndpointOverrides:
-    """The node's own list with overrides laid over it: a server taken out is reported as one that drains.
+    """The node's endpoint list with overrides applied: a server taken out is reported as draining.
 
-    Only what the list names is ever reported; whatever is overridden, no server comes in by it.
+    Only servers on the list are ever reported; an override adds none.
 
     Attributes:
         taken_out: The servers that operators took out of service.
     """
 
     def __init__(self, notify: Callable[[EndpointUpdate], None]) -> None:
-        """`notify` is called with each update as it stands with the overrides."""
+        """`notify` is called with each update, after overrides were applied to it."""
         self.taken_out: frozenset[str] = frozenset()
         self._notify = notify
         self._listed: dict[str, Endpoint] = {}
         self._version = 0
 
     def apply(self, update: EndpointUpdate) -> None:
-        """Take the list, or a change of it."""
+        """Apply a list or a change to it, and report it with overrides."""
         if update.kind is not UpdateKind.FAILED:
             self._remember(update)
         self._notify(replace(update, endpoints=tuple(map(self._overridden, update.endpoints))))
 
     def take_out(self, servers: frozenset[str]) -> None:
-        """From now on exactly these are out of service."""
+        """Replace the set of servers that are out of service, and report those that change."""
         changed = [
             endpoint
             for server, endpoint in self._listed.items()
--- a/flintridge/discovery/server_starts.py
+++ b/flintridge/discovery/server_starts.py
@@ -1,11 +1,12 @@
-"""When servers started, on the node's own clock, while its idea of Unix time may be wrong.
+"""When servers started, on the node's own clock, while its estimate of Unix time may be wrong.
 
-Lists have starts in Unix time. The node's wall clock is read once, at its start, and may have been stepped by
-then. What lists report, and when they arrive, bounds how wrong it was: no server starts after the arrival of
-the list that reports its start, and one that a running watch reports for the first time started after the
-last response that did not report it. `docs/design/time.md` has the rules and the bounds of what is believed.
+Lists state starts in Unix time. The node's wall clock is read once, at its start, and may be wrong by then,
+for instance after a step. What lists report, and when they arrive, bounds its error: no server starts after
+the arrival of the list that reports its start, and a server that a running watch reports for the first time
+started after the last response that did not report it. `docs/design/time.md` has the rules and the bounds of
+the estimates.
 
-Without I/O; times are float milliseconds of the node's clock where nothing else is said.
+Without I/O; times are float milliseconds of the node's clock unless stated otherwise.
 """
 
 import math
@@ -16,21 +17,23 @@
 
 from flintridge.runtime.clock import to_ns
 
-# A start may be reported so long after it, while responses arrive that do not report it yet: discovery
-# notices it late, and responses are under way for a while. What is within this delay is believed as reported.
+# A start may be reported this long after it happened, while responses that do not report it yet still arrive:
+# discovery notices it late, and responses take a while. A start within this delay is accepted as reported.
 MAX_LISTING_DELAY_MS = 3_000.0
-# A start may lie so far after its list's arrival without being evidence: machines' clocks differ a little.
+# A start may lie this far after its list's arrival without being evidence of a wrong clock, as the clocks of
+# machines differ a little.
 CLOCK_SKEW_MS = 250.0
 # A response's `Date` has whole seconds and was written a while before the response arrived.
 DATE_TOLERANCE_MS = 2_000.0
-MAX_DATE_AGE_MS = 7_000.0  # a call takes 6 s at most, and a second is cut off
-# Guards all servers against the start of one that is no time at all, as one in nanoseconds or of years ago.
+MAX_DATE_AGE_MS = 7_000.0  # a call takes 6 s at most, and `Date` omits fractions of a second
+# Larger corrections are ignored, so that one server's invalid start, such as one in nanoseconds or of years
+# ago, does not shift the starts of all servers.
 MAX_CORRECTION_MS = 86_400_000.0
-MAX_DEPARTED = 1_024  # servers that left the list lately and are remembered
+MAX_DEPARTED = 1_024  # remembered servers that left the list recently
 
 
 class OriginEvidence(Enum):
-    """What an estimate of the Unix origin rests on."""
+    """What an estimate of the Unix origin is based on."""
 
     LOCAL_CLOCK = "own_clock"
     SERVER_STARTS = "server_starts"
@@ -42,9 +45,9 @@
     """A server's start as a list reports it.
 
     Attributes:
-        server: Its id.
-        up_since_ms: Unix time in milliseconds; 0: long ago.
-        gone: Whether the list says that the server has ended.
+        server: ID of the server.
+        up_since_ms: Unix time of the start in milliseconds; 0: long ago.
+        gone: Whether the list reports that the server has ended.
     """
 
     server: str
@@ -54,13 +57,13 @@
 
 @dataclass(slots=True, frozen=True)
 class ListArrival:
-    """How a list, or a change of one, came.
+    """The arrival of a list, or of a change to one.
 
     Attributes:
-        at: When it arrived.
-        complete: Whether servers that it does not name have left.
-        live: Whether it is discovery's response; else it comes from the configuration and may be old.
-        date_ms: Unix time by the response's `Date` header, if it has one.
+        at: When the list arrived.
+        complete: Whether servers that the list does not name have left.
+        live: Whether the list is discovery's response; else it is from the configuration, maybe outdated.
+        date_ms: Unix time of the response's `Date` header in milliseconds, if it has one.
     """
 
     at: float
@@ -74,10 +77,10 @@
     """A start of a server as it was first reported.
 
     Attributes:
-        up_since_ms: As it was reported.
-        by_local_clock: The instant, if the local wall clock was right.
-        not_before: The arrival of the last response that did not report it; -inf where there is none.
-        reported_at: The arrival of the first list that reported it.
+        up_since_ms: Unix time of the start in milliseconds, as reported.
+        by_local_clock: Instant of the start if the local wall clock was right.
+        not_before: Arrival of the last response that did not report the start; -inf if there is none.
+        reported_at: Arrival of the first list that reported the start.
     """
 
     up_since_ms: float
@@ -87,11 +90,11 @@
 
 
 class ServerStarts:
-    """The starts of the servers that are listed, and of some that left lately.
+    """The starts of the listed servers, and of some that left recently.
 
     Attributes:
-        correction_ms: What to add to instants by the local wall clock: positive where that was ahead.
-        evidence: What the correction rests on.
+        correction_ms: To be added to instants by the local wall clock; positive if that clock was ahead.
+        evidence: What the correction is based on.
     """
 
     def __init__(self, from_unix: Callable[[float], float]) -> None:
@@ -102,51 +105,51 @@
         self._listed: dict[str, _KnownStart] = {}
         self._departed: OrderedDict[str, _KnownStart] = OrderedDict()
         self._last_response_at = -math.inf
-        self._latest_correction = math.inf  # with a greater one, a server had started after it was reported
+        self._max_correction = math.inf  # a greater one would have a server start after its report
         self._date_correction: float | None = None
 
-    def take(self, arrival: ListArrival, reported: Iterable[ReportedStart]) -> bool:
-        """Take in what a list says.
+    def record_list(self, arrival: ListArrival, reported: Iterable[ReportedStart]) -> bool:
+        """Record the starts that a list reports.
 
         Returns:
             Whether the correction has changed, and with it the starts of other servers too.
         """
         before = self.correction_ms
         if arrival.date_ms is not None:
-            self._take_date(arrival.at, arrival.date_ms)
+            self._apply_date(arrival.at, arrival.date_ms)
         previous = self._listed
         if arrival.complete:
             self._listed = {}
-        new_starts = [self._remember(start, arrival, previous) for start in reported]
+        new_starts = [self._record_start(start, arrival, previous) for start in reported]
         if arrival.complete:
             for server, known in previous.items():
                 if server not in self._listed:
-                    self._depart(server, known)
+                    self._remember_departed(server, known)
         if self._date_correction is None:
-            self._weigh([known for known in new_starts if known is not None])
+            self._apply_new_starts([known for known in new_starts if known is not None])
         if arrival.live:
             self._last_response_at = arrival.at
         return self.correction_ms != before
 
     def started_at(self, server: str) -> int:
-        """When a server started, in the policy's nanoseconds; 0 where that is long ago or nothing is known.
+        """When a server started, in the policy's nanoseconds; 0 if that is long ago or unknown.
 
-        The same start gives the same figure, as long as the correction stays.
+        The same start yields the same value as long as the correction stays the same.
         """
         known = self._listed.get(server)
         if known is None:
             return 0
-        return to_ns(self._instant(known)) or 1  # no start is at the instant that stands for long ago
+        return to_ns(self._instant(known)) or 1  # 0 is reserved for long ago
 
-    def _remember(
+    def _record_start(
         self, reported: ReportedStart, arrival: ListArrival, previous: dict[str, _KnownStart]
     ) -> _KnownStart | None:
-        """List a server's start; the start if it was not known."""
+        """Record a server's reported start, and return it if it was not known."""
         server = reported.server
         known = self._listed.pop(server, None) or previous.get(server) or self._departed.get(server)
         if reported.gone or not reported.up_since_ms:
             if known is not None:
-                self._depart(server, known)
+                self._remember_departed(server, known)
             return None
         self._departed.pop(server, None)
         if known is not None and known.up_since_ms == reported.up_since_ms:
@@ -157,7 +160,7 @@
         self._listed[server] = new
         return new
 
-    def _depart(self, server: str, known: _KnownStart) -> None:
+    def _remember_departed(self, server: str, known: _KnownStart) -> None:
         self._departed[server] = known
         self._departed.move_to_end(server)
         if len(self._departed) > MAX_DEPARTED:
@@ -173,12 +176,13 @@
 
     # The Unix origin
 
-    def _take_date(self, arrived_at: float, date_ms: float) -> None:
-        """Go by discovery's own time where it differs.
+    def _apply_date(self, arrived_at: float, date_ms: float) -> None:
+        """Correct the origin by discovery's own time where that differs.
 
-        `Date` is never later than the arrival, so the greatest correction by it makes no server older than it
-        is. Of responses that were under way for different times the quickest counts. What differs from the
-        first by more than a response takes is a step of discovery's clock, and says nothing of the local one.
+        `Date` is never later than the arrival, so a correction by it is never too small, and makes no server
+        older than it is. Of responses that took different times in transit, the quickest one counts. A
+        correction that differs from the first one by more than a response can take is a step of discovery's
+        clock, and proves nothing about the local one.
         """
         correction = arrived_at - self._from_unix(date_ms)
         known = self._date_correction
@@ -187,35 +191,35 @@
         else:
             correction = known
         if abs(self.correction_ms - correction) > DATE_TOLERANCE_MS:
-            self._correct(correction, OriginEvidence.DATE)
+            self._set_correction(correction, OriginEvidence.DATE)
 
-    def _weigh(self, new_starts: list[_KnownStart]) -> None:
+    def _apply_new_starts(self, new_starts: list[_KnownStart]) -> None:
         """Correct the origin by starts that were reported for the first time.
 
-        It is always corrected so that the newest of all servers started as it was reported, which makes no
-        server older than it is.
+        A correction always makes the newest of all servers start at the arrival of its report, which makes
+        no server older than it is.
         """
         for known in new_starts:
             latest = known.reported_at - known.by_local_clock
             if latest >= -MAX_CORRECTION_MS:
-                self._latest_correction = min(self._latest_correction, latest)
-        is_behind = self.correction_ms > self._latest_correction + CLOCK_SKEW_MS
+                self._max_correction = min(self._max_correction, latest)
+        is_behind = self.correction_ms > self._max_correction + CLOCK_SKEW_MS
         if is_behind or any(map(self._shows_clock_ahead, new_starts)):
-            self._correct(self._latest_correction, OriginEvidence.SERVER_STARTS)
+            self._set_correction(self._max_correction, OriginEvidence.SERVER_STARTS)
 
     def _shows_clock_ahead(self, known: _KnownStart) -> bool:
-        """Whether a server started before it can have, and would not by the greatest correction.
+        """Whether a start is earlier than possible, but would be possible with the greatest correction.
 
-        If it would, it is older than another one reported before: it was reported late, and the clock may be
-        right.
+        If it would still be too early, the server is older than another one that was reported before. Then it
+        was reported late, and the clock may be right.
         """
         earliest = known.not_before - MAX_LISTING_DELAY_MS
-        latest_correction = self._latest_correction
+        max_correction = self._max_correction
         return (
-            known.by_local_clock + self.correction_ms < earliest <= known.by_local_clock + latest_correction
-            and latest_correction <= MAX_CORRECTION_MS
+            known.by_local_clock + self.correction_ms < earliest <= known.by_local_clock + max_correction
+            and max_correction <= MAX_CORRECTION_MS
         )
 
-    def _correct(self, correction_ms: float, evidence: OriginEvidence) -> None:
+    def _set_correction(self, correction_ms: float, evidence: OriginEvidence) -> None:
         self.correction_ms = correction_ms
         self.evidence = evidence
--- a/flintridge/discovery/watcher.py
+++ b/flintridge/discovery/watcher.py
@@ -1,4 +1,4 @@
-"""The one watch on discovery: long polls that keep the endpoint list fresh, and single fetches."""
+"""The watch on discovery: long polls that keep the endpoint list up to date, and single fetches."""
 
 import asyncio
 from collections.abc import Callable
@@ -15,9 +15,9 @@
 
 MAX_WATCH_WAIT_MS = 4_000.0
 MIN_WATCH_WAIT_MS = 1_000.0
-RESPONSE_TIME_MS = 2_000.0  # for a response, beyond the time that the call may wait
-LIST_TIME_MS = 3_000.0  # for a call that does not wait
-# Between the starts of two watch calls; the next must come within 200 ms of a response.
+RESPONSE_TIME_MS = 2_000.0  # time for a response, beyond the time that the call may wait
+LIST_TIME_MS = 3_000.0  # time limit of a call that does not wait
+# Shortest time between the starts of two watch calls. The next call must start within 200 ms of a response.
 WATCH_INTERVAL_MS = 100.0
 LIST_PATH = "/api/targets"
 
@@ -25,21 +25,22 @@
 
 
 def watch_wait_ms(settings: Settings) -> float:
-    """How long a watch call may wait: short enough that a silent one does not outlast a drain's grace.
+    """How long a watch call may wait: short enough that a silent call does not outlast a drain's grace.
 
-    A connection that falls silent says nothing, and what it misses counts as notified 6 s later. Up to half a
-    second of that was gone when the last call began, since its response may have been on the way; the call is
-    given up RESPONSE_TIME_MS after its wait, the next one follows within half a second and may take
-    LIST_TIME_MS. Guards against a first attempt after the grace, where several nodes poll anew together.
+    A connection that becomes silent delivers nothing, and a change that it misses counts as notified 6 s
+    later. Up to half a second of these 6 s had passed when the last call began, since the response before it
+    may have been in transit. The call times out RESPONSE_TIME_MS after its wait, the next one follows within
+    half a second, and that one may take LIST_TIME_MS. Otherwise a first attempt could start after the grace
+    when several nodes poll anew at the same time.
     """
     return min(MAX_WATCH_WAIT_MS, max(MIN_WATCH_WAIT_MS, to_ms(settings.rules.drain_grace_ns)))
 
 
 class DiscoveryWatcher:
-    """Polls discovery. Each call's failure is reported as such; when to poll again is the policy's decision.
+    """Polls discovery. The failure of a call is reported to the policy, which decides when to poll again.
 
     Attributes:
-        discovery: Its address.
+        discovery: Address of discovery.
     """
 
     def __init__(
@@ -52,7 +53,7 @@
         counters: Counters,
         wait_ms: float = MAX_WATCH_WAIT_MS,
     ) -> None:
-        """`wait_ms`: how long a call may wait for something new."""
+        """`wait_ms`: how long a watch call may wait for a change."""
         self.discovery = discovery
         self._wait_ms = wait_ms
         self._endpoints = endpoints
@@ -62,28 +63,28 @@
         self._counters = counters
         self._watching: asyncio.Task[None] | None = None
         self._fetching: asyncio.Task[None] | None = None
-        # Changes since a revision mean nothing: the next call takes the full list.
+        # Changes since the known revision would mean nothing: the next call fetches the full list.
         self._needs_full_list = False
-        self._logged_correction_ms = 0.0  # of the wall clock, as it was last logged
-        self._fallback: EndpointUpdate | None = None  # to go by only if discovery does not answer
+        self._logged_correction_ms = 0.0  # correction of the wall clock that was last logged
+        self._fallback: EndpointUpdate | None = None  # used only if discovery does not answer
 
     @property
     def has_list(self) -> bool:
-        """Whether a list to go by has been reported."""
+        """Whether a list has been reported; False while `watch_with_fallback` waits for the first one."""
         return self._fallback is None
 
     def watch_with_fallback(self, configured: EndpointUpdate) -> None:
-        """Where lists are pushed: the full list first, and `configured` only if discovery does not answer.
+        """Watch, beginning with the full list; report `configured` only if discovery does not answer.
 
-        What is pushed counts as notified from the first moment of a process, so a list from an earlier time
-        may name servers whose drain is long over.
+        For settings with pushed lists. A pushed list counts as notified from the first moment of a process,
+        so an outdated list could name servers whose drain ended long ago.
         """
         self._fallback = configured
         self._needs_full_list = True
         self.watch(True)
 
     def watch(self, on: bool) -> None:
-        """Subscribe, or end the subscription; while one goes on another would be a call too many."""
+        """Start the watch, unless one is running already, as a second call would be too many; or end it."""
         running = self._watching is not None and not self._watching.done()
         if on and not running:
             self._watching = asyncio.ensure_future(self._watch())
@@ -91,10 +92,10 @@
             self._watching.cancel()
 
     def change_address(self, discovery: Address) -> None:
-        """Go on at another address, at once and from its full list.
+        """Continue at another address, at once and from its full list.
 
-        Its revisions need not go on from the old ones. Only calls to the old address end; what they would
-        still have said is in the new full list.
+        Its revisions need not continue the old ones. Only calls to the old address are cancelled; what they
+        would have reported is in the new full list.
         """
         self.discovery = discovery
         self._needs_full_list = True
@@ -107,12 +108,12 @@
             self._fetching = asyncio.ensure_future(self._fetch())
 
     def fetch(self) -> None:
-        """Fetch the full list once; while one fetch goes on another would be a call too many."""
+        """Fetch the full list once, unless a fetch is running already, as a second call would be too many."""
         if self._fetching is None or self._fetching.done():
             self._fetching = asyncio.ensure_future(self._fetch())
 
     async def close(self) -> None:
-        """End all calls."""
+        """Cancel all calls."""
         tasks = [task for task in (self._watching, self._fetching) if task is not None]
         for task in tasks:
             task.cancel()
@@ -129,14 +130,14 @@
             client.close()
 
     async def _full_list(self, client: DiscoveryClient) -> DiscoveryResponse:
-        """The full list, for which discovery need not wait; how long it took is counted."""
+        """Fetch the full list, for which discovery need not wait, and record how long that took."""
         started_at = self._clock.now()
         response = await with_timeout(self._clock, LIST_TIME_MS, client.get(LIST_PATH))
         self._counters.observe("list_ms", self._clock.now() - started_at)
         return response
 
     async def _changes(self, client: DiscoveryClient) -> DiscoveryResponse:
-        """What changed since the revision that is known, once anything has."""
+        """Wait for and fetch the changes since the known revision."""
         target = f"{LIST_PATH}?after={self._endpoints.revision}&wait_ms={self._wait_ms:.0f}"
         return await with_timeout(self._clock, self._wait_ms + RESPONSE_TIME_MS, client.get(target))
 
@@ -148,15 +149,15 @@
                 poll = self._full_list if self._needs_full_list else self._changes
                 self._report(await poll(client))
                 self._needs_full_list = False
-                # Guards discovery against a list that answers at once, time after time.
+                # Limits the load on discovery if it answers each call at once.
                 pause_ms = started_at + WATCH_INTERVAL_MS - self._clock.now()
                 if pause_ms > 0:
                     await sleep(self._clock, pause_ms)
         except CALL_ERRORS as error:
-            # Guards against a call that ran out of time in the moment of a move: its failure is none any
-            # more, and the policy would ask for a second watch.
+            # Ignores the failure of a call that timed out just as the address changed: it does not matter any
+            # more, and the policy would request a second watch.
             if asyncio.current_task() is self._watching:
-                self._watching = None  # so that the policy may ask again at once
+                self._watching = None  # lets the policy start a watch again at once
                 self._report_failure(error)
         finally:
             client.close()
--- a/flintridge/membership/admin_view.py
+++ b/flintridge/membership/admin_view.py
@@ -1,7 +1,7 @@
-"""The answer to GET /admin/peers: a node's view of its peers, as JSON values.
+"""The response to GET /admin/peers: a node's view of its peers, as JSON values.
 
-The encoded names are those that clients of the admin API read. Times are milliseconds ago, null where there
-is none.
+The encoded names are those that clients of the admin API read. Times are given in milliseconds ago, or null
+if there is none.
 """
 
 from typing import Any
@@ -13,7 +13,7 @@
 from flintridge.membership.failure_detector import FailureDetector
 from flintridge.membership.member import NEVER, Member
 
-# Counters whose name in the JSON, which others read, is an older one.
+# Counters that keep an older name in the JSON, as clients of the admin API read it.
 COUNT_FIELDS = {
     "acks_from_wrong_member": "answers_of_another",
     "dropped_too_many_incarnations": "dropped_lives",
@@ -23,7 +23,7 @@
     "payloads_unknown": "facts_unknown",
     "probes_acked_indirectly": "probes_by_others",
 }
-UNREACHABLE_STATE = "silent"  # of a name of which no process is known; see `MemberTable.describe_state`
+UNREACHABLE_STATE = "silent"  # state of a name without a known process; see `MemberTable.describe_state`
 
 
 class MemberView(
@@ -39,7 +39,7 @@
         "rejected": "refused",
     },
 ):
-    """One process of a peer; of a name of which none is known only the name and the state."""
+    """One process of a peer; for a name without a known process only the name and the state are set."""
 
     name: str
     incarnation: str | None  # hexadecimal
@@ -68,7 +68,7 @@
         "members": "lives",
     },
 ):
-    """All of it."""
+    """The whole response."""
 
     name: str
     incarnation: str  # hexadecimal
@@ -89,13 +89,13 @@
 def membership_view(
     config: PeersConfig, detector: FailureDetector, owns_address: bool, now: float
 ) -> dict[str, Any]:
-    """The JSON object.
+    """Build the JSON object of the response.
 
     Args:
-        config: Of the node's `[peers]`.
-        detector: Of this process, refreshed at `now`.
-        owns_address: Whether this process has the configured address.
-        now: The present instant, in float milliseconds.
+        config: Configuration of the node's `[peers]` table.
+        detector: Failure detector of this process, refreshed at `now`.
+        owns_address: Whether this process has bound the configured address.
+        now: The current time, in float milliseconds.
     """
     table = detector.table
     reachability = detector.reachability
--- a/flintridge/membership/datagram_endpoint.py
+++ b/flintridge/membership/datagram_endpoint.py
@@ -1,7 +1,7 @@
-"""The UDP socket of a node's membership, and its hand-over between two processes of the node in an upgrade.
+"""The UDP socket of a node's membership, and its handover between two processes of the node in an upgrade.
 
-The process that has the configured address passes a copy of each datagram on to the others, which register
-with it from addresses of their own until they can take it over.
+The process that has bound the configured address forwards a copy of each datagram to the node's other
+processes. These register with it from temporary addresses until they can take over the configured one.
 """
 
 import asyncio
@@ -17,11 +17,11 @@
 from flintridge.telemetry.counters import Counters
 from flintridge.telemetry.log import EventLog
 
-REGISTRATION_INTERVAL_MS = 250.0  # between two of a process without the address
-REGISTRATION_MS = 1_000.0  # how long one counts
-# A registration is `FR`, a version and the authentication tag of the port that it was sent from.
+REGISTRATION_INTERVAL_MS = 250.0  # between two registrations of a process without the configured address
+REGISTRATION_TTL_MS = 1_000.0  # how long a registration is valid
+# A registration consists of `FR`, a version byte and the authentication tag of the port that it is sent from.
 REGISTRATION_MAGIC = b"FR"
-MAX_SUCCESSORS = 2  # processes that datagrams are passed on to
+MAX_SUCCESSORS = 2  # processes that datagrams are forwarded to
 
 
 class _DatagramProtocol(asyncio.DatagramProtocol):
@@ -33,12 +33,12 @@
         self._received(data, addr)
 
     def error_received(self, exc: Exception) -> None:
-        # Nobody listens there, which the failure detector finds out by itself; or a full buffer for a moment.
+        # Either nobody listens there, which the failure detector notices itself, or a buffer is full briefly.
         self._counters.add("peers_send_errors")
 
 
 class DatagramEndpoint:
-    """Sends and receives datagrams at the configured address, or at one of its own until that is free."""
+    """Sends and receives datagrams at the configured address, or at a temporary one until that is free."""
 
     def __init__(
         self,
@@ -53,16 +53,16 @@
         """Prepare the endpoint; `open` binds it.
 
         Args:
-            address: The configured one.
-            codec: Its tags authenticate registrations.
-            clock: Of this process, in float milliseconds.
-            log: For changes of who has the address.
-            counters: For errors.
+            address: The configured address.
+            codec: Makes the tags that authenticate registrations.
+            clock: Clock of this process, in float milliseconds.
+            log: Logs which process has the configured address.
+            counters: Counts errors.
             received: Called with each datagram and its source.
-            claimed: Awaited once the configured address is had.
+            claimed: Awaited once the configured address is bound.
         """
         self.address = address
-        self.owns_address = False  # else another process of this node has it
+        self.owns_address = False  # False while another process of this node has the address
         self._codec = codec
         self._clock = clock
         self._log = log
@@ -72,7 +72,7 @@
         self._transport: asyncio.DatagramTransport | None = None
         self._next_claim_at = 0.0
         self._claiming = False
-        # Addresses of this node's newer processes, and until when their registrations count.
+        # Addresses of this node's newer processes, and when their registrations expire.
         self._successors: dict[Any, float] = {}
 
     @property
@@ -81,10 +81,10 @@
         return bool(self._successors)
 
     async def open(self) -> None:
-        """Bind the configured address, or one of its own while another process of this node has that.
+        """Bind the configured address, or a temporary one while another process of this node has that.
 
         Raises:
-            ListenError: Neither can be had.
+            ListenError: Neither address can be bound.
         """
         if await self._claim():
             return
@@ -95,7 +95,7 @@
             raise ListenError(f"peers: cannot listen on {host}: {error.strerror}") from error
 
     def close(self) -> None:
-        """Send and receive no more."""
+        """Stop sending and receiving."""
         if self._transport is not None:
             self._transport.close()
 
@@ -105,7 +105,7 @@
             self._transport.sendto(data, address)
 
     async def _claim(self) -> bool:
-        """Take the configured address. False while another process has it. Raises ListenError."""
+        """Bind the configured address. False while another process has it. Raises ListenError."""
         previous = self._transport
         try:
             await self._bind(self.address)
@@ -129,20 +129,20 @@
     # Without the configured address
 
     def is_claim_due(self, now: float) -> bool:
-        """Whether it is time to register, and to try for the configured address again."""
+        """Whether it is time to register, and to try to bind the configured address again."""
         if self.owns_address or now < self._next_claim_at:
             return False
         self._next_claim_at = now + REGISTRATION_INTERVAL_MS
         return True
 
     def register(self) -> None:
-        """Ask the process that has the configured address for a copy of each datagram."""
+        """Ask the process that has the configured address to forward a copy of each datagram."""
         assert self._transport is not None
         port = self._transport.get_extra_info("sockname")[1]
         self.send(self._registration(port), (self.address.host, self.address.port))
 
     async def retry_claim(self) -> None:
-        """Take the configured address over where it is free now."""
+        """Take over the configured address if it is free now."""
         if self._claiming:
             return
         self._claiming = True
@@ -154,30 +154,31 @@
         finally:
             self._claiming = False
 
-    # With it
+    # With the configured address
 
     def accept_registration(self, data: bytes, source: Any) -> bool:
-        """Take a successor's registration in; False where `data` is none.
+        """Accept or reject a successor's registration; False if `data` is not a registration.
 
-        Only from this very address, and few: guards against others who want a copy of all.
+        Only a few are accepted, and only from the host of the configured address, so that no third party
+        obtains a copy of all datagrams.
         """
         if not data.startswith(REGISTRATION_MAGIC):
             return False
         same_host = ipaddress.ip_address(source[0]) == ipaddress.ip_address(self.address.host)
         is_known_or_fits = source in self._successors or len(self._successors) < MAX_SUCCESSORS
         if data == self._registration(source[1]) and same_host and is_known_or_fits:
-            self._successors[source] = self._clock.now() + REGISTRATION_MS
+            self._successors[source] = self._clock.now() + REGISTRATION_TTL_MS
         else:
             self._counters.add("peers_registrations_rejected")
         return True
 
     def forward(self, data: bytes) -> None:
-        """Pass a received datagram on to this node's other processes."""
+        """Forward a received datagram to this node's other processes."""
         if not self._successors or not data.startswith(MAGIC):
             return
         now = self._clock.now()
-        for successor, until in [*self._successors.items()]:
-            if until < now:
+        for successor, expires_at in [*self._successors.items()]:
+            if expires_at < now:
                 del self._successors[successor]
             else:
                 self.send(data, successor)
--- a/flintridge/membership/driver.py
+++ b/flintridge/membership/driver.py
@@ -25,13 +25,13 @@
 
 
 class MembershipDriver:
-    """One process of a node among the fleet's. Times are float milliseconds of the clock.
+    """The membership of one process of a node in the fleet. Times are float milliseconds of the clock.
 
     Attributes:
-        name: Of this node.
-        incarnation: Of this process.
-        config: Of the node's `[peers]`.
-        failure_detector: Of this process.
+        name: Name of this node.
+        incarnation: Incarnation of this process.
+        config: Configuration of the node's `[peers]` table.
+        failure_detector: Failure detector of this process.
     """
 
     def __init__(
@@ -46,12 +46,12 @@
         """Prepare the membership; `start` begins it.
 
         Args:
-            name: Of this node.
-            config: Of the node's `[peers]`.
-            clock: Of this process.
-            log: For what operators should see.
-            counters: The node's.
-            entropy: Gives so many random bytes.
+            name: Name of this node.
+            config: Configuration of the node's `[peers]` table.
+            clock: Clock of this process.
+            log: Logs events for operators.
+            counters: Counters of the node.
+            entropy: Returns the given number of random bytes.
         """
         rng = Random(entropy(16))
         self.name = name
@@ -82,15 +82,15 @@
 
     @property
     def reachability(self) -> Reachability:
-        """What fraction of the fleet is reachable at this moment."""
+        """How much of the fleet is reachable at this moment."""
         self.failure_detector.refresh(self._clock.now())
         return self.failure_detector.reachability
 
     def register_exchange(self, topic: str, handler: ExchangeHandler) -> None:
-        """Answer a topic's exchanges from now on.
+        """Serve a topic's exchanges from now on.
 
         Raises:
-            ValueError: The topic has a handler.
+            ValueError: The topic has a handler already.
         """
         self._exchanges.register(topic, handler)
 
@@ -98,7 +98,7 @@
         """Begin to send and receive.
 
         Raises:
-            ListenError: The address can't be had, unless another process of this node has it.
+            ListenError: The address cannot be bound, and not because another process of this node has it.
         """
         await self._endpoint.open()
         self._log.event(
@@ -111,7 +111,7 @@
         self._tick()
 
     def leave(self) -> None:
-        """Notify a few peers that this process ends in order. Then no more datagrams are sent."""
+        """Notify a few peers that this process ends in order. No datagrams are sent after that."""
         if not self._closed:
             self.failure_detector.leave(self._clock.now())
             self._send_datagrams()
@@ -129,32 +129,32 @@
         self._endpoint.close()
 
     def send_payloads(self, member: Member) -> None:
-        """Send a member what topics have for it, now."""
+        """Send a member the topics' payloads now."""
         if not self._closed:
             self.failure_detector.send_payloads(self._clock.now(), member)
             self._send_datagrams()
 
     async def exchange(self, peer: str, topic: str, query: bytes) -> list[bytes]:
-        """Ask a peer and take the chunks of its whole answer.
+        """Send a query to a peer and return the chunks of the whole answer.
 
         Raises:
-            KeyError: The name is not configured.
-            OSError: Nobody is there, or the connection broke.
-            DeadlineExceededError: It took too long.
-            MessageDroppedError: What was received is no answer.
-            ExchangeRejectedError: The peer has no answer.
+            KeyError: The peer's name is not configured.
+            OSError: The connection could not be opened, or it broke.
+            DeadlineExceededError: The exchange took too long.
+            MessageDroppedError: The received bytes are not an answer.
+            ExchangeRejectedError: The peer rejected the query.
         """
         return await self._exchanges.request(self._addresses[peer], topic, query)
 
     def admin_view(self) -> AdminResponse:
-        """The answer to GET /admin/peers."""
+        """The response to GET /admin/peers."""
         now = self._clock.now()
         self.failure_detector.refresh(now)
         fields = membership_view(self.config, self.failure_detector, self._endpoint.owns_address, now)
         return AdminResponse(200, fields)
 
     def publish_counters(self) -> None:
-        """Bring the failure detector's counters into the node's, which are printed with the others."""
+        """Copy the failure detector's counters into the node's, which are printed with the others."""
         for name, count in self.failure_detector.counters.items():
             full_name = f"peers_{name}"
             self._counters.add(full_name, count - self._counters[full_name])
@@ -173,7 +173,7 @@
                 self._endpoint.register()
                 self._start_task(self._endpoint.retry_claim())
             self._sync_if_due()
-        except Exception as error:  # the node must serve on whatever fails here
+        except Exception as error:  # the node must keep serving whatever fails here
             self._record_failure(error)
 
     def _on_datagram(self, data: bytes, source: Any) -> None:
@@ -186,7 +186,7 @@
             self.failure_detector.has_successor = self._endpoint.has_successor
             self.failure_detector.receive(self._clock.now(), data)
             self._send_datagrams()
-        except Exception as error:  # the node must serve on whatever fails here
+        except Exception as error:  # the node must keep serving whatever fails here
             self._record_failure(error)
 
     def _send_datagrams(self) -> None:
--- a/flintridge/membership/exchange_service.py
+++ b/flintridge/membership/exchange_service.py
@@ -1,4 +1,4 @@
-"""State exchanges over TCP: queries that this node answers and sends, paced by a budget of bytes."""
+"""State exchanges over TCP: queries that this node answers and sends, paced by a byte budget."""
 
 import asyncio
 from collections.abc import Callable, Iterable
@@ -21,26 +21,26 @@
 from flintridge.telemetry.log import EventLog
 
 EXCHANGE_TIMEOUT_MS = 10_000.0
-MAX_SERVED = 4  # exchanges that others may have open here; beyond, the newest is rejected
-WRITE_BYTES = 1024  # of an exchange that are paced in one go
-READ_BYTES = 16 * WRITE_BYTES
+MAX_SERVED_EXCHANGES = 4  # exchanges served at a time; a further connection is closed at once
+WRITE_BLOCK_BYTES = 1024  # size of the blocks that the byte budget paces
+READ_BYTES = 16 * WRITE_BLOCK_BYTES
 MAX_RESPONSE_BYTES = 4 * 1024 * 1024
-BUDGET_RETRY_MS = 50.0  # until a write that the budget has no bytes for is tried again
+BUDGET_RETRY_MS = 50.0  # delay before a write that the budget has no bytes for is retried
 
 
 class ExchangeHandler(Protocol):
-    """Answers a topic's queries."""
+    """Answers the queries of a topic."""
 
     def __call__(self, query: bytes, /) -> Iterable[bytes]:
-        """The answer's chunks, each of a frame at most."""
+        """Return the chunks of the answer, each small enough for one frame."""
 
 
 class ExchangeRejectedError(FlintridgeError):
-    """The other side has no answer; the text says why."""
+    """The other side rejected the query; the text is the reason it gave."""
 
 
 class ExchangeService:
-    """Serves and makes the exchanges of one process."""
+    """Serves and requests the exchanges of one process."""
 
     def __init__(
         self,
@@ -56,14 +56,14 @@
         """Prepare the service; `listen` begins to serve.
 
         Args:
-            process: This one.
-            codec: Of the fleet.
-            bytes_per_s: That are written, in any second.
-            clock: Of this process, in float milliseconds.
-            log: For errors.
-            counters: For exchanges and their ends.
-            entropy: Gives so many random bytes.
-            tasks: Where the tasks that serve are added, to be cancelled after `close`.
+            process: This process.
+            codec: Codec of the fleet's messages.
+            bytes_per_s: Bytes that may be written in any second.
+            clock: Clock of this process, in float milliseconds.
+            log: Logs errors.
+            counters: Counts exchanges by their outcome.
+            entropy: Returns the given number of random bytes.
+            tasks: Gets the tasks that serve connections, so that the caller can cancel them after `close`.
         """
         self._process = process
         self._codec = codec
@@ -82,7 +82,7 @@
         """Answer a topic's queries from now on.
 
         Raises:
-            ValueError: The topic has a handler.
+            ValueError: The topic has a handler already.
         """
         if topic in self._handlers:
             raise ValueError(f"topic {topic} is registered")
@@ -91,7 +91,7 @@
     async def listen(self, address: Address) -> None:
         """Serve at an address.
 
-        Where it can't be had only exchanges go without: datagrams are what others need.
+        If it cannot be bound, only exchanges are not served; what other nodes need are datagrams.
         """
         try:
             self._server = await asyncio.start_server(self._on_connection, address.host, address.port)
@@ -99,7 +99,7 @@
             self._log.event("peers_no_exchanges", address=str(address), error=str(error))
 
     def close(self) -> None:
-        """Serve no further connection."""
+        """Stop serving new connections."""
         self._closed = True
         if self._server is not None:
             self._server.close()
@@ -107,13 +107,13 @@
     # As a client
 
     async def request(self, address: Address, topic: str, query: bytes) -> list[bytes]:
-        """Ask a peer and take its whole answer.
+        """Send a query to a peer and return the chunks of the whole answer.
 
         Raises:
-            OSError: Nobody is there, or the connection broke.
-            DeadlineExceededError: It took too long.
-            MessageDroppedError: What was received is no answer.
-            ExchangeRejectedError: The peer has no answer.
+            OSError: The connection could not be opened, or it broke.
+            DeadlineExceededError: The exchange took too long.
+            MessageDroppedError: The received bytes are not an answer.
+            ExchangeRejectedError: The peer rejected the query.
         """
         return await with_timeout(self._clock, EXCHANGE_TIMEOUT_MS, self._request(address, topic, query))
 
@@ -145,7 +145,7 @@
     # As a server
 
     async def _on_connection(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        if self._served >= MAX_SERVED or self._closed:
+        if self._served >= MAX_SERVED_EXCHANGES or self._closed:
             self._counters.add("peers_exchanges_rejected")
             writer.close()
             return
@@ -163,7 +163,7 @@
         except asyncio.CancelledError:
             if not self._closed:
                 raise
-        except Exception as error:  # the node must serve on whatever fails here
+        except Exception as error:  # the node must keep serving whatever fails here
             self._counters.add("peers_errors")
             self._log.error("peers_failed", error)
         finally:
@@ -207,10 +207,10 @@
             await self._write_paced(writer, data)
 
     async def _write_paced(self, writer: asyncio.StreamWriter, data: bytes) -> None:
-        """Write within the budget, and as fast as the other side reads."""
-        for start in range(0, len(data), WRITE_BYTES):
-            block = data[start : start + WRITE_BYTES]
-            # Guards the start of a small budget: a block over it would wait for ever.
+        """Write within the byte budget, and no faster than the other side reads."""
+        for start in range(0, len(data), WRITE_BLOCK_BYTES):
+            block = data[start : start + WRITE_BLOCK_BYTES]
+            # A block that is larger than the budget of a second would wait forever.
             amount = min(len(block), self._budget.per_second)
             while not self._budget.try_spend(self._clock.now(), amount):
                 await sleep(self._clock, BUDGET_RETRY_MS)
@@ -220,7 +220,7 @@
 
 
 async def _read(reader: asyncio.StreamReader) -> bytes:
-    """What is there. Raises ConnectionResetError at the end."""
+    """Read the available bytes. Raises ConnectionResetError at the end of the stream."""
     data = await reader.read(READ_BYTES)
     if not data:
         raise ConnectionResetError("the peer ended the exchange")
--- a/flintridge/membership/state_exchange.py
+++ b/flintridge/membership/state_exchange.py
@@ -1,13 +1,13 @@
 """One side of a TCP connection between two members: a query and its answer in frames, without I/O.
 
-    client:  FS, version, Hello          -> a fresh nonce of its own
-    server:  FS, version, Hello          -> and one of the server's
+    client:  FS, version, Hello          -> with a new nonce of the client
+    server:  FS, version, Hello          -> with a new nonce of the server
     client:  Query(topic, bytes)         -> authenticated with both nonces, direction and the frame's number
     server:  Chunk(bytes, last) ...      -> or Rejection(reason)
 
-Frames are a length of four bytes, the authentication tag and MessagePack. A frame of another connection, of
-the other direction or out of order is rejected by its tag; so is a replayed query, as the server's nonce is
-new each time.
+A frame consists of a length of four bytes, the authentication tag and a body in MessagePack. A frame of
+another connection, of the other direction or out of order is rejected by its tag. So is a replayed query, as
+the server's nonce is new for each connection.
 """
 
 import hmac
@@ -31,7 +31,7 @@
 MAGIC = b"FS"
 NONCE_BYTES = 16
 MAX_FRAME_BYTES = 64 * 1024
-MAX_CHUNKS = 4096  # of one exchange
+MAX_CHUNKS = 4096  # in one exchange
 LENGTH = struct.Struct(">I")
 
 
@@ -45,7 +45,7 @@
 
 
 class Query(msgspec.Struct, array_like=True, frozen=True, tag=2):
-    """The client's one question."""
+    """The client's only query."""
 
     topic: Name
     body: bytes
@@ -59,7 +59,7 @@
 
 
 class Rejection(msgspec.Struct, array_like=True, frozen=True, tag=4):
-    """The server has no answer."""
+    """The server rejects the query."""
 
     reason: Annotated[str, Meta(max_length=200)]
 
@@ -71,7 +71,7 @@
 
 
 class ExchangeState(Enum):
-    """What a side waits for."""
+    """What one side of an exchange waits for."""
 
     PREFACE = auto()
     HELLO = auto()
@@ -80,7 +80,7 @@
     FINISHED = auto()
 
 
-# The frames that each side (whether it is the client) accepts in each state; any other breaks the exchange.
+# The frames accepted by each side (True: the client) in each state; any other frame breaks the exchange.
 ACCEPTED_FRAMES: dict[tuple[bool, ExchangeState], tuple[type[Frame], ...]] = {
     (True, ExchangeState.HELLO): (Hello,),
     (True, ExchangeState.CHUNKS): (Chunk, Rejection),
@@ -90,7 +90,7 @@
 
 
 class StateExchange:
-    """One side of one connection: `receive` gives the complete frames, `take_output` the bytes to be sent."""
+    """One side of one connection: `receive` returns complete frames, `take_output` the bytes to be sent."""
 
     def __init__(
         self, codec: MessageCodec, name: str, incarnation: int, nonce: bytes, is_client: bool
@@ -98,14 +98,14 @@
         """Begin an exchange; a client's Hello is to be sent at once.
 
         Args:
-            codec: Of the fleet; it makes the authentication tags.
-            name: Of this node.
-            incarnation: Of this process.
+            codec: Codec of the fleet's messages; makes the authentication tags.
+            name: Name of this node.
+            incarnation: Incarnation of this process.
             nonce: NONCE_BYTES random bytes, never used before.
             is_client: Whether this side opened the connection.
         """
         self.state = ExchangeState.PREFACE
-        self.peer: ProcessId | None = None  # once its Hello was received
+        self.peer: ProcessId | None = None  # set once the peer's Hello was received
         self._codec = codec
         self._local_hello = Hello(codec.fleet, name, incarnation, nonce)
         self._is_client = is_client
@@ -119,13 +119,13 @@
             self._send_hello()
 
     def take_output(self) -> list[bytes]:
-        """What is to be sent, in its order; each once."""
+        """Remove and return what is to be sent, in order."""
         output = self._output
         self._output = []
         return output
 
     def send_query(self, topic: str, body: bytes) -> None:
-        """Ask, once the other side's Hello was received."""
+        """Send the query; only after the other side's Hello was received."""
         self._send_frame(Query(topic, body))
 
     def send_chunk(self, data: bytes, last: bool) -> None:
@@ -140,10 +140,10 @@
         self.state = ExchangeState.FINISHED
 
     def receive(self, data: bytes) -> list[Frame]:
-        """The frames that are complete with `data`, in order.
+        """Process received bytes, and return the frames that are complete with them, in order.
 
         Raises:
-            MessageDroppedError: The bytes cannot belong to this exchange; the connection is to be closed.
+            MessageDroppedError: The bytes cannot belong to this exchange; the connection must be closed.
         """
         self._received += data
         frames: list[Frame] = []
@@ -167,7 +167,7 @@
         return frames
 
     def _read_preface(self) -> bool:
-        """False while it is not complete."""
+        """Read the magic bytes and the version; False while they are incomplete."""
         if len(self._received) < len(MAGIC) + 1:
             return False
         if not self._received.startswith(MAGIC):
@@ -196,7 +196,7 @@
             case Hello():
                 self._apply_hello(frame)
             case Query():
-                self.state = ExchangeState.FINISHED  # no more is received; the answer goes the other way
+                self.state = ExchangeState.FINISHED  # the server receives no more frames; it sends the answer
             case Chunk(_, last):
                 self._chunks_received += 1
                 if last:
--- a/tests/discovery/test_server_starts.py
+++ b/tests/discovery/test_server_starts.py
@@ -37,10 +37,10 @@
         return self.take(ListArrival(at, False, True, None if date is None else UNIX_MS + date), started)
 
     def gone(self, at: float, server: str) -> bool:
-        return self.starts.take(ListArrival(at, False), [ReportedStart(server, 1.0, gone=True)])
+        return self.starts.record_list(ListArrival(at, False), [ReportedStart(server, 1.0, gone=True)])
 
     def take(self, arrival: ListArrival, started: dict[str, float]) -> bool:
-        return self.starts.take(
+        return self.starts.record_list(
             arrival, [ReportedStart(server, UNIX_MS + instant) for server, instant in started.items()]
         )
 
@@ -58,9 +58,9 @@
     starts = ServerStarts(from_unix)
     reported = {"a": 1_699_999_000_000.0, "b": 1_700_000_002_001.0, "c": 1_700_000_003_500.0}
     for at, server in ((500.0, "a"), (4_000.0, "b"), (5_000.0, "c")):
-        assert not starts.take(ListArrival(at, False), [ReportedStart(server, reported[server])])
+        assert not starts.record_list(ListArrival(at, False), [ReportedStart(server, reported[server])])
     again = [ReportedStart(name, reported[name]) for name in reversed(reported)]
-    assert not starts.take(ListArrival(9_000.0, True), again)
+    assert not starts.record_list(ListArrival(9_000.0, True), again)
     assert [starts.started_at(name) for name in reported] == [
         to_ns(from_unix(reported[name])) for name in reported
     ]
@@ -69,8 +69,8 @@
 
 def test_start_when_long_ago_or_gone_or_never_reported_is_zero():
     node = Node()
-    node.starts.take(ListArrival(0.0, True), [ReportedStart("old", 0.0)])
-    node.starts.take(ListArrival(60_000.0, False), [ReportedStart("later", 0.0)])
+    node.starts.record_list(ListArrival(0.0, True), [ReportedStart("old", 0.0)])
+    node.starts.record_list(ListArrival(60_000.0, False), [ReportedStart("later", 0.0)])
     node.change(60_001.0, ended=60_000.0)
     node.gone(60_002.0, "ended")
     assert [node.start(name) for name in ("old", "later", "ended", "unknown")] == [0.0] * 4
