--- a/tests/membership/test_admin_view.py
+++ b/tests/membership/test_admin_view.py
@@ -1,4 +1,4 @@
-"""The JSON of GET /admin/peers, whose names others read."""
+"""The JSON of GET /admin/peers, whose names clients of the admin API read."""
 
 from support.membership import make_detector, make_message
 
@@ -10,7 +10,7 @@
 CONFIG = PeersConfig(Address("127.0.0.1", 0), (("n1", Address("127.0.0.1", 1)),), "fleet", None, 8_000.0)
 
 
-def test_view_has_its_public_names_in_their_order():
+def test_view_when_encoded_then_has_its_public_names_in_order():
     detector = make_detector()
     data = MessageCodec("fleet", None).encode(
         make_message(target_incarnation=7, echoed_sent_at=1, refutations=2)
@@ -53,7 +53,7 @@
     assert counts["dropped_replayed"] == 1
 
 
-def test_view_when_nothing_was_received_has_the_configured_names_alone():
+def test_view_when_nothing_was_received_then_has_only_the_configured_names():
     view = membership_view(CONFIG, make_detector(), owns_address=False, now=1.0)
     assert view["lives"] == [{"name": name, "life": None, "state": "silent"} for name in ("n1", "n2")]
     assert (view["heard"], view["of"], view["holds_address"]) == (1, 3, False)
--- a/tests/membership/test_detection_times.py
+++ b/tests/membership/test_detection_times.py
@@ -1,4 +1,4 @@
-"""The times of failure detection by the fleet's size and its bytes a second."""
+"""The time limits of failure detection, by the fleet's size and byte budget."""
 
 import pytest
 
@@ -14,7 +14,9 @@
         (99, 2 * 3_300.0, MIN_MAX_AGE_MS + 11_880.0, 2 * SUSPICION_MS),
     ],
 )
-def test_times_for_a_fleet(fleet_size, bytes_per_s, max_age_ms, suspicion_ms):
+def test_times_when_computed_for_a_fleet_then_follow_its_size_and_bytes(
+    fleet_size, bytes_per_s, max_age_ms, suspicion_ms
+):
     times = DetectionTimes.for_fleet(fleet_size, bytes_per_s)
     assert times.max_age_ms == pytest.approx(max_age_ms)
     assert times.suspicion_ms == pytest.approx(suspicion_ms)
--- a/tests/membership/test_gossip_queue.py
+++ b/tests/membership/test_gossip_queue.py
@@ -1,4 +1,4 @@
-"""Which gossip entries a message carries."""
+"""Selection of the gossip entries that a message carries."""
 
 from random import Random
 
@@ -8,7 +8,7 @@
 from flintridge.membership.messages import GossipEntry, MemberState, encoded_size
 
 
-def test_select_entries_when_bytes_do_not_suffice_keeps_their_turns():
+def test_select_entries_when_the_entries_do_not_fit_then_keeps_them_queued():
     table = MemberTable("n0", 1, tuple(f"n{i}" for i in range(1, 40)), 0.0, Random(1))
     for name in table.peer_names:
         table.merge_entry(GossipEntry(name, 9, 0, MemberState.ALIVE, 0), 0.0, SUSPICION_MS, 0.0, MAX_AGE_MS)
--- a/tests/membership/test_member_filter.py
+++ b/tests/membership/test_member_filter.py
@@ -1,4 +1,4 @@
-"""The filter by which a state exchange leaves out members that are known already."""
+"""The filter that makes a state exchange leave out members that are known already."""
 
 from random import Random
 
@@ -8,24 +8,24 @@
 from flintridge.membership.messages import GossipEntry, MemberState
 
 
-def test_reachable_not_in_when_given_a_filter_leaves_out_its_members():
+def test_reachable_not_in_when_given_a_filter_then_leaves_out_its_members():
     names = tuple(f"n{i}" for i in range(1, 41))
-    here, there = (MemberTable("n0", 1, names, 0.0, Random(seed)) for seed in (1, 2))
+    local_table, peer_table = (MemberTable("n0", 1, names, 0.0, Random(seed)) for seed in (1, 2))
     for i, name in enumerate(names):
-        for table in (here, there)[i % 2 :]:
+        for table in (local_table, peer_table)[i % 2 :]:
             table.merge_entry(
                 GossipEntry(name, i + 9, 0, MemberState.ALIVE, 0), 0.0, SUSPICION_MS, 0.0, MAX_AGE_MS
             )
-    here.update_reachability(0.0, MAX_AGE_MS), there.update_reachability(0.0, MAX_AGE_MS)
+    local_table.update_reachability(0.0, MAX_AGE_MS), peer_table.update_reachability(0.0, MAX_AGE_MS)
     missing = {
         member
-        for member in there.reachable_members
-        if member.name not in {member.name for member in here.reachable_members}
+        for member in peer_table.reachable_members
+        if member.name not in {member.name for member in local_table.reachable_members}
     }
-    answers = [set(there.reachable_not_in(here.reachable_filter())) for _ in range(8)]
+    answers = [set(peer_table.reachable_not_in(local_table.reachable_filter())) for _ in range(8)]
     assert all(answer <= missing for answer in answers)
     assert set.union(*answers) == missing
     assert min(map(len, answers)) >= 15
     assert len(missing) == 20
-    assert len(there.reachable_not_in(b"")) == 40
-    assert len(there.reachable_not_in(b"12345")) <= 40
+    assert len(peer_table.reachable_not_in(b"")) == 40
+    assert len(peer_table.reachable_not_in(b"12345")) <= 40
--- a/tests/membership/test_member_registry.py
+++ b/tests/membership/test_member_registry.py
@@ -1,4 +1,4 @@
-"""The bounds of the members in memory, as a table of members has them."""
+"""The bounds of a member table in memory."""
 
 from random import Random
 
@@ -27,32 +27,30 @@
     assert table.find_or_add("n1", 999, MAX_AGE_MS + 2) is not None
 
 
-def test_find_or_add_when_incarnations_or_names_are_made_up_keeps_the_table_small():
+def test_find_or_add_when_incarnations_or_names_are_made_up_then_keeps_the_table_small():
     events = []
-    machine = make_detector(log_event=lambda event, **fields: events.append((event, fields.get("reason"))))
+    detector = make_detector(log_event=lambda event, **fields: events.append((event, fields.get("reason"))))
     codec = MessageCodec("fleet", None)
     for incarnation in range(100, 300):
-        machine.receive(1.0, codec.encode(make_message(incarnation=incarnation)))
-        machine.receive(1.0, codec.encode(make_message(name=f"x{incarnation}", incarnation=incarnation)))
-    assert len(list(machine.table)) <= MAX_INCARNATIONS
-    assert machine.counters["dropped_unknown"] == 200
-    assert [reason for event, reason in events if event == "peers_dropped"] == ["unknown"]  # once
+        detector.receive(1.0, codec.encode(make_message(incarnation=incarnation)))
+        detector.receive(1.0, codec.encode(make_message(name=f"x{incarnation}", incarnation=incarnation)))
+    assert len(list(detector.table)) <= MAX_INCARNATIONS
+    assert detector.counters["dropped_unknown"] == 200
+    assert [reason for event, reason in events if event == "peers_dropped"] == ["unknown"]  # logged once
 
 
-def test_find_or_add_when_twenty_nodes_restart_often_keeps_few_incarnations_and_reaches_all():
-    machines = converged_fleet(20)
+def test_find_or_add_when_twenty_nodes_restart_often_then_keeps_few_incarnations_and_reaches_all():
+    fleet = converged_fleet(20)
     for turn in range(200):
-        name = machines.names[turn % 20]
-        machines.kill(name)
-        machines.run(50)
-        machines.start(name)
-        assert all(
-            len(machines.detector(n).table.members_named(name)) <= MAX_INCARNATIONS for n in machines.names
-        )
-    assert machines.run(20_000, lambda: all_reachable(machines)) is not None
+        name = fleet.names[turn % 20]
+        fleet.kill(name)
+        fleet.run(50)
+        fleet.start(name)
+        assert all(len(fleet.detector(n).table.members_named(name)) <= MAX_INCARNATIONS for n in fleet.names)
+    assert fleet.run(20_000, lambda: all_reachable(fleet)) is not None
 
 
-def test_remove_expired_when_a_process_ended_long_ago_forgets_it_despite_old_entries():
+def test_remove_expired_when_a_process_ended_long_ago_then_removes_it_and_old_entries_do_not_add_it():
     table = MemberTable("n0", 1, ("n1",), 0.0, Random(1))
     table.record_message(table.find_or_add("n1", 9, 0.0), 0, 0.0, 0.0)
     table.update_reachability(MAX_AGE_MS + 1, MAX_AGE_MS)
--- a/tests/membership/test_member_table.py
+++ b/tests/membership/test_member_table.py
@@ -1,4 +1,4 @@
-"""The member table: what is merged into it, and its bounds in memory."""
+"""What the member table merges from gossip entries."""
 
 from random import Random
 
@@ -25,8 +25,8 @@
 
 @FIXED
 @given(st.lists(st.tuples(ENTRIES, st.integers(0, 3000)), max_size=30), st.randoms(use_true_random=False))
-def test_merge_entry_in_any_order_proves_no_later_instant_than_the_entries_say(entries, rng):
-    """And each order ends with the same instant at which it is proved to have been alive."""
+def test_merge_entry_when_in_any_order_then_proves_no_later_instant_than_the_entries_do(entries, rng):
+    """Members that left in one order of the entries left in the other one too, or are named by an entry."""
     now = 20_000.0
     ends = []
     for order in (entries, rng.sample(entries, len(entries))):
--- a/tests/membership/test_membership_config.py
+++ b/tests/membership/test_membership_config.py
@@ -1,4 +1,4 @@
-"""`[peers]` in configurations and scenarios: every fault by its place, and nothing without the table."""
+"""`[peers]` in configurations and scenarios: errors name their place; without it there is no membership."""
 
 import json
 import subprocess
@@ -43,7 +43,7 @@
     return parse_node_file(path, (EXAMPLE + peers).encode(), {})
 
 
-def test_read_when_the_table_is_sound_gives_its_values_and_defaults():
+def test_read_when_the_table_is_valid_then_returns_its_values_and_defaults():
     peers = read(PEERS).peers
     assert peers.listen == Address("127.0.0.1", 7201)
     assert peers.fleet == "canteens"
@@ -69,7 +69,7 @@
         (("fleet = \"canteens\"", "fleet = \"c\"\nkeyfile = \"k\""), "did you mean key_file?"),
     ],
 )  # fmt: skip
-def test_read_when_a_value_is_wrong_names_its_place(change, fault):
+def test_read_when_a_value_is_invalid_then_names_its_place(change, fault):
     with pytest.raises(ConfigError) as caught:
         read(PEERS.replace(*change))
     lines = str(caught.value).splitlines()
@@ -79,7 +79,7 @@
 
 
 @pytest.mark.parametrize(("size", "sound"), [(15, False), (16, True), (64, True), (65, False)])
-def test_read_when_the_key_has_not_16_to_64_bytes_raises(tmp_path, size, sound):
+def test_read_when_the_key_has_not_16_to_64_bytes_then_raises(tmp_path, size, sound):
     key = tmp_path / "key"
     key.write_bytes(b"k" * size + b"\n")
     text = PEERS.replace('fleet = "canteens"', f'fleet = "c"\nkey_file = "{key}"').replace(
@@ -100,7 +100,7 @@
     assert node_config({**platform, "peers": tomllib.loads(PEERS)["peers"]}, {}).peers is None
 
 
-def test_import_when_a_node_has_no_peers_loads_no_fleet_package():
+def test_import_when_a_node_has_no_peers_then_loads_no_fleet_package():
     code = (
         "import sys, flintridge.__main__; from flintridge.config.loader import load_config;"
         "from flintridge.node import Node;"
@@ -111,7 +111,7 @@
     assert done.stdout.split() == []
 
 
-# The lab
+# Scenarios of the lab
 
 
 @pytest.mark.parametrize("name", sorted(names()))
@@ -132,10 +132,10 @@
         for field in config.__dataclass_fields__:
             if field not in ("settings", "known"):
                 assert getattr(again, field) == getattr(config, field), field
-        # A window and a group mean something for keyed classes alone; the platform names them for all.
-        plain = {"deduplication_window_ns": 0, "deduplication_scope": api.DeduplicationScope.ALL}
+        # The deduplication window and scope only apply to keyed classes; the platform states them for all.
+        defaults = {"deduplication_window_ns": 0, "deduplication_scope": api.DeduplicationScope.ALL}
         assert again.settings.classes == tuple(
-            cls if cls.effect is api.Effect.KEYED else replace(cls, **plain)
+            cls if cls.effect is api.Effect.KEYED else replace(cls, **defaults)
             for cls in config.settings.classes
         )
         assert again.settings.limits == config.settings.limits
@@ -169,7 +169,7 @@
         ),
     ],
 )
-def test_check_when_a_scenario_is_wrong_names_the_place(changes, found):
+def test_check_when_a_scenario_is_invalid_then_names_the_place(changes, found):
     raw = {"nodes": {"count": 3}, "peers": {}, "faults": [FAULT], **changes}
     faults = check(msgspec.convert(raw, Scenario))
     assert len(faults) == 1, faults
@@ -179,7 +179,7 @@
 DAY = {"nodes": {"count": 3}, "length_s": 8.0, "warmup_s": 2.0, "load": {"rate_per_s": 40.0}}
 
 
-def test_run_when_every_link_is_cut_serves_as_without_peers():
+def test_run_when_every_link_is_cut_then_serves_as_without_peers():
     days = [
         play(msgspec.convert({**DAY, **more}, Scenario), 3)
         for more in (
@@ -193,7 +193,7 @@
 
 
 @pytest.mark.parametrize("nth", [1, 2])
-def test_once_when_its_line_is_seen_begins_the_fault_or_never(nth, tmp_path):
+def test_once_when_its_log_line_is_seen_then_begins_the_fault_else_never(nth, tmp_path):
     once = {"line": "peers_heard", "node": 1, "nth": nth, "until_s": 5}
     raw = {
         **DAY,
@@ -209,17 +209,23 @@
     lines = [r for r in records if r["what"] == "line" and r["event"] == "peers_heard" and r["t"] > 500]
     (seen,) = [r["t"] for r in lines if r["node"] == "n1"]
     paused = [r["t"] for r in records if r["what"] == "node" and r["state"] == "paused"]
-    assert paused == ([seen] if nth == 1 else [])  # a second one never comes
+    assert paused == ([seen] if nth == 1 else [])  # a second log line never comes
     assert result.end_reason == "whole"
 
 
 @pytest.mark.parametrize(
     "sign", [{"heard": 2, "node": 1}, {"datagram": "ask", "nth": 2}, {"line": "drained"}]
 )
-def test_once_when_any_sign_is_seen_begins_the_fault_then(sign, tmp_path):
+def test_once_when_its_trigger_is_seen_then_begins_the_fault_at_that_time(sign, tmp_path):
     drain = {"what": "node_drain", "nodes": [1], "at_s": 1.0, "for_s": 2.0}
     kill = {"what": "node_kill", "nodes": [0], "at_s": 1.0, "for_s": 0}
-    pause = {"what": "node_pause", "nodes": [2], "at_s": 0.5, "for_s": 0.5, "once": {"until_s": 7.0, **sign}}
+    pause = {
+        "what": "node_pause",
+        "nodes": [2],
+        "at_s": 0.5,
+        "for_s": 0.5,
+        "once": {"until_s": 7.0, **sign},
+    }
     raw = {**DAY, "peers": {}, "faults": [kill, drain, pause]}
     events = tmp_path / "events"
     play(msgspec.convert(raw, Scenario), 3, events=events)
@@ -230,9 +236,9 @@
         "datagram": lambda r: r["what"] == "datagram" and r["kind"] == MessageKind.PING_REQUEST,
         "line": lambda r: r["what"] == "line" and r["event"] == "drained",
     }[next(iter(sign))]
-    signs = [r["t"] for r in records[:paused] if r["t"] >= 500 and seen(r)]
-    assert len(signs) >= sign.get("nth", 1)
-    assert records[paused]["t"] == signs[sign.get("nth", 1) - 1]
+    trigger_times = [r["t"] for r in records[:paused] if r["t"] >= 500 and seen(r)]
+    assert len(trigger_times) >= sign.get("nth", 1)
+    assert records[paused]["t"] == trigger_times[sign.get("nth", 1) - 1]
 
 
 def test_run_when_the_seed_is_the_same_gives_the_same_digest_with_peers():
--- a/tests/membership/test_membership_processes.py
+++ b/tests/membership/test_membership_processes.py
@@ -1,6 +1,6 @@
-"""Membership of real processes over relays that fail.
+"""Membership of real processes, connected by relays that inject faults.
 
-No verdict rests on how long a thing took: each test waits for what it wants to see, with a bound that only a
+No test depends on how long something takes: each waits for the expected state, with a time limit that only a
 broken program reaches.
 """
 
@@ -17,7 +17,7 @@
 
 
 def run(count, work, seed=3, quiet=True):
-    """Run `work(rig)` with `count` nodes of one fleet; no rule on peers is broken where `quiet`."""
+    """Run `work(rig)` with `count` nodes of one fleet; if `quiet`, no rule on peers may be violated."""
 
     async def play():
         async with Rig(count, seed) as rig:
@@ -31,7 +31,7 @@
         assert subprocess.run(["kill", "-0", str(pid)], capture_output=True).returncode != 0
 
 
-def test_reachability_when_one_of_five_nodes_returns_within_200_ms_is_whole_again():
+def test_reachability_when_one_of_five_nodes_restarts_within_200_ms_then_is_complete_again():
     async def work(rig):
         await rig.wait_until(rig.all_reachable)
         epoch = (await rig.request_admin("n1"))["epoch"]
@@ -49,7 +49,7 @@
     run(5, work)
 
 
-def test_reachability_when_a_link_is_cut_one_way_keeps_both_through_others():
+def test_reachability_when_a_link_is_cut_one_way_then_keeps_both_nodes_through_others():
     async def work(rig):
         await rig.wait_until(rig.all_reachable)
         rig.cut([0], [1], both=False)
@@ -60,7 +60,7 @@
     run(4, work)
 
 
-def test_reachability_when_three_partitions_heal_in_another_order_is_whole_again():
+def test_reachability_when_three_partitions_heal_in_another_order_then_is_complete_again():
     async def work(rig):
         await rig.wait_until(rig.all_reachable)
         for a, b in ((0, 2), (0, 4), (2, 4)):
@@ -69,16 +69,15 @@
         rig.set_link_faults([4, 5], [0, 1])
         await rig.wait_until(lambda: rig.all_reachable(("n0", "n1", "n4", "n5"), count=4))
         rig.set_link_faults([2, 3], [4, 5])
-        await rig.wait_until(
-            rig.all_reachable
-        )  # through n4 and n5, though n0 and n2 are still cut off from each other
+        # Through n4 and n5, though the links between n0 and n2 are still cut.
+        await rig.wait_until(rig.all_reachable)
         rig.heal()
         await rig.wait_until(lambda: rig.member_states("n0", "n2") == ["heard"])
 
     run(6, work)
 
 
-def test_reachability_when_a_third_of_datagrams_is_lost_follows_an_end():
+def test_reachability_when_a_third_of_datagrams_is_lost_then_still_follows_an_ended_node():
     async def work(rig):
         everyone = range(len(rig.names))
         rig.set_link_faults(everyone, everyone, loss=0.3, duplication=0.2, jitter_ms=150)
@@ -87,12 +86,13 @@
         rig.kill("n3")
         await rig.wait_until(lambda: rig.all_reachable(("n0", "n1", "n2"), count=3))
         assert len(rig.log_lines("peers_heard")) > seen
-        await rig.wait_for_counters("n0", lambda counts: counts.get("dropped_replayed", 0) > 0)  # the doubles
+        # Duplicated datagrams are dropped as replayed.
+        await rig.wait_for_counters("n0", lambda counts: counts.get("dropped_replayed", 0) > 0)
 
     run(4, work)
 
 
-def test_reachability_when_a_process_was_paused_is_reset_and_accuses_nobody():
+def test_reachability_when_a_process_was_paused_then_is_reset_and_accuses_no_member():
     async def work(rig):
         await rig.wait_until(rig.all_reachable)
         rig.nodes.pause("n0")
@@ -105,15 +105,15 @@
     run(4, work)
 
 
-def test_sync_when_the_peer_is_killed_in_the_middle_fails_and_others_are_reached():
+def test_sync_when_the_peer_is_killed_during_it_then_fails_and_others_are_reached():
     async def work(rig):
         await rig.wait_until(rig.all_reachable)
         rig.cut([0], [2])
-        rig.set_link_faults([0], [1], added_delay_ms=400)  # datagrams come, exchanges take seconds
+        rig.set_link_faults([0], [1], added_delay_ms=400)  # datagrams still arrive, exchanges take seconds
         rig.kill("n0")
         await rig.nodes.ended("n0")
         relay = rig.network.relays["n0", "n1"]
-        await rig.wait_until(lambda: relay.stream_count == 0)  # of the process before
+        await rig.wait_until(lambda: relay.stream_count == 0)  # the previous process has no connections left
         await rig.nodes.start("n0")
         await rig.wait_until(lambda: relay.stream_count > 0)
         rig.kill("n1")
@@ -124,23 +124,23 @@
     run(3, work)
 
 
-def test_upgrade_when_the_old_process_ends_hands_the_address_over_to_the_new_one():
+def test_upgrade_when_the_old_process_ends_then_the_new_one_takes_over_the_address():
     async def work(rig):
         await rig.wait_until(rig.all_reachable)
         host, _ = rig.fabric.address("listen", "n0")
         console = (host, rig.network.admin_address("n0")[1] + 1)
         beside = await rig.nodes.start_beside("n0", "{}:{}".format(*console))
         await rig.wait_until(lambda: rig.member_states("n1", "n0") == ["heard", "heard"])
-        assert not rig.log_lines("peers_own_name")  # an upgrade is no mistake
+        assert not rig.log_lines("peers_own_name")  # an upgrade is not a duplicate name
         rig.nodes.term("n0")
         await rig.wait_until(lambda: rig.member_states("n1", "n0") == ["heard", "left"])
         await rig.wait_until(lambda: rig.log_lines("peers_address_taken_over", beside))
         await rig.wait_until(lambda: rig.all_reachable(("n1", "n2")))
 
-    run(3, work, quiet=False)  # the judge knows one process a node
+    run(3, work, quiet=False)  # the judge assumes one process per node
 
 
-def test_configuration_when_two_nodes_have_one_name_is_logged_and_neither_ends():
+def test_configuration_when_two_nodes_have_one_name_then_is_logged_and_both_keep_running():
     async def work(rig):
         rig.network.name_overrides["n2"] = "n1"
         rig.kill("n2")
@@ -154,11 +154,11 @@
         assert rig.nodes.running("n1")
         assert rig.nodes.running("n2")
 
-    run(4, work, quiet=False)  # by the records n1 is another process
+    run(4, work, quiet=False)  # according to the records, n1 is another process
 
 
 class Echo(asyncio.DatagramProtocol):
-    """Something else at a peer's address: it sends back what it gets, and some noise."""
+    """Another program at a peer's address: it sends back each datagram, and an unrelated one."""
 
     def connection_made(self, transport):
         self.transport = transport
@@ -168,7 +168,7 @@
         self.transport.sendto(b"HTTP/1.1 400 Bad Request\r\n\r\n", addr)
 
 
-def test_configuration_when_addresses_are_wrong_makes_those_peers_unreachable_only():
+def test_configuration_when_addresses_are_wrong_then_only_those_peers_are_unreachable():
     async def work(rig):
         await rig.wait_until(rig.all_reachable)
         host, port = rig.network.admin_address("n0")
@@ -197,7 +197,7 @@
     run(4, work, quiet=False)
 
 
-def test_node_when_every_link_is_cut_reaches_itself_alone_and_serves_on():
+def test_node_when_every_link_is_cut_then_reaches_only_itself_and_keeps_serving():
     async def work(rig):
         await rig.wait_until(rig.all_reachable)
         rig.cut([0], [1, 2])
@@ -216,7 +216,7 @@
     run(3, work)
 
 
-def test_peers_command_when_nodes_end_shows_them_and_sets_its_exit_code():
+def test_peers_command_when_nodes_end_then_shows_them_and_sets_its_exit_code():
     async def work(rig):
         await rig.wait_until(rig.all_reachable)
         address = "{}:{}".format(*rig.network.admin_address("n0"))
@@ -252,7 +252,7 @@
 
 
 @pytest.mark.parametrize("signals", [(signal.SIGTERM,), (signal.SIGHUP, signal.SIGUSR1, signal.SIGTERM)])
-def test_signals_when_a_node_has_peers_end_it_in_order(signals):
+def test_signals_when_a_node_has_peers_then_end_it_in_order(signals):
     async def work(rig):
         await rig.wait_until(rig.all_reachable)
         for number in signals[:-1]:
--- a/tests/membership/test_probe_schedule.py
+++ b/tests/membership/test_probe_schedule.py
@@ -1,4 +1,4 @@
-"""When a node probes: eagerly after its start and a clock gap, within its bytes, and steadily else."""
+"""When a node probes: eagerly after a start or a clock gap if its bytes allow, and steadily otherwise."""
 
 from itertools import pairwise
 from random import Random
@@ -31,7 +31,7 @@
     assert max(measured) <= expected * (1 + INTERVAL_VARIATION) + 1
 
 
-def test_probes_after_the_start_are_eager_and_then_steady():
+def test_probes_when_just_started_then_are_eager_and_later_steady():
     schedule = ProbeSchedule(ByteBudget(BYTES_PER_S), 0.0, Random(1))
     times = due_times(schedule, 0, 10_000)
     assert times[0] <= EAGER_PROBE_INTERVAL_MS + 1
@@ -57,6 +57,6 @@
 
 
 @pytest.mark.parametrize("late_ms", [1_000.0, 60_000.0])
-def test_probes_when_ticks_were_late_are_made_up_for_by_one_at_the_most(late_ms):
+def test_probes_when_ticks_were_late_then_at_most_one_extra_probe_is_due(late_ms):
     schedule = ProbeSchedule(ByteBudget(BYTES_PER_S), 0.0, Random(1))
     assert [schedule.is_due(late_ms) for _ in range(4)] == [True, True, False, False]
--- a/tests/membership/test_reachability.py
+++ b/tests/membership/test_reachability.py
@@ -1,4 +1,4 @@
-"""Which fraction of the fleet is reachable, and since when."""
+"""What fraction of the fleet is reachable, and since when."""
 
 from random import Random
 
@@ -9,7 +9,7 @@
 from flintridge.membership.member_table import MemberTable
 
 
-def test_reachable_since_when_members_come_and_go_tells_each_fraction_and_since_when():
+def test_reachable_since_when_members_come_and_go_then_follows_each_fraction():
     table = MemberTable("n0", 1, ("n1", "n2", "n3"), 0.0, Random(1))
     members = {name: table.find_or_add(name, 9, 0.0) for name in table.peer_names}
 
@@ -29,7 +29,7 @@
     assert table.reachability.fraction == 0.5
     assert reachability_after(200.0, "n2", "n3").reachable_since(1.0) == 200.0
     assert table.reachability.reachable_since(0.5) == 100.0
-    # n1 alone goes on: three quarters are lost, half is reachable without a break.
+    # Only n1 stays alive: three quarters are lost, half is reachable without a break.
     reachability_after(MAX_AGE_MS, "n1")
     view = reachability_after(MAX_AGE_MS + 300.0, "n1")
     assert (view.reachable, view.reachable_since(0.5), view.reachable_since(0.75)) == (2, 100.0, None)
@@ -41,23 +41,23 @@
     assert view.epoch == 5
 
 
-def test_update_when_it_examines_only_changed_members_finds_what_a_full_update_finds():
-    machines = MembershipFleet(8, 4, link=Link(loss=0.3))
+def test_update_when_it_examines_only_changed_members_then_agrees_with_a_full_update():
+    fleet = MembershipFleet(8, 4, link=Link(loss=0.3))
     for turn in range(120):
-        machines.run(250)
+        fleet.run(250)
         if turn % 10 == 3:
-            machines.kill(f"n{turn % 7}"), machines.start(f"n{turn % 7}")
+            fleet.kill(f"n{turn % 7}"), fleet.start(f"n{turn % 7}")
         if turn % 30 == 5:
-            machines.cut(("n7",), machines.names[:7])  # for longer than ISOLATION_MS, and less than the limit
+            fleet.cut(("n7",), fleet.names[:7])  # for longer than ISOLATION_MS, and less than the maximum age
         if turn % 30 == 20:
-            machines.heal()
-        machines.pause("n6") if turn % 40 == 8 else machines.resume("n6") if turn % 40 == 18 else None
-        for name in machines.names:
-            machine, now = machines.detector(name), machines.living(name)[-1].clock(machines.now)
-            table = machine.table
-            table.update_reachability(now, machine.max_age_ms)
+            fleet.heal()
+        fleet.pause("n6") if turn % 40 == 8 else fleet.resume("n6") if turn % 40 == 18 else None
+        for name in fleet.names:
+            detector, now = fleet.detector(name), fleet.living(name)[-1].clock(fleet.now)
+            table = detector.table
+            table.update_reachability(now, detector.max_age_ms)
             assert all(
-                member.reachable is table.is_reachable(member, now, machine.max_age_ms) for member in table
+                member.reachable is table.is_reachable(member, now, detector.max_age_ms) for member in table
             )
             assert table.reachability.reachable == 1 + len(
                 {member.name for member in table.reachable_members if member.name != name}
--- a/tests/membership/test_state_exchange.py
+++ b/tests/membership/test_state_exchange.py
@@ -36,7 +36,7 @@
 
 @pytest.mark.parametrize("size", [0, 1, 7])
 @pytest.mark.parametrize("key", [KEY, None])
-def test_exchange_when_bytes_arrive_in_any_pieces_gives_the_same_frames(size, key):
+def test_exchange_when_bytes_arrive_in_any_pieces_then_returns_the_same_frames(size, key):
     client, server = exchange_pair((key, key))
     assert [type(f) for f in transfer(client, server, size)] == [Hello]
     assert server.peer == ("n0", 1)
@@ -62,13 +62,13 @@
     ((KEY, b"x" * 32), ("fleet", "fleet"), "unauthenticated"),
     ((KEY, KEY), ("fleet", "other"), "fleet"),
 ])  # fmt: skip
-def test_receive_when_the_peer_is_of_another_fleet_raises(keys, fleets, reason):
+def test_receive_when_the_peer_has_another_key_or_fleet_then_raises(keys, fleets, reason):
     client, server = exchange_pair(keys, fleets)
     with pytest.raises(MessageDroppedError, match=reason):
         transfer(client, server)
 
 
-def test_receive_when_a_query_is_replayed_or_out_of_turn_raises():
+def test_receive_when_a_query_is_replayed_or_out_of_order_then_raises():
     client, server = exchange_pair()
     hello = b"".join(client.take_output())
     server.receive(hello)
@@ -79,7 +79,7 @@
         MessageCodec("fleet", KEY), "n1", 2, os.urandom(NONCE_BYTES), is_client=False
     )
     other_server.receive(hello)
-    with pytest.raises(MessageDroppedError, match="unauthenticated"):  # that server has another nonce
+    with pytest.raises(MessageDroppedError, match="unauthenticated"):  # the other server has another nonce
         other_server.receive(query)
     server.receive(query)
     with pytest.raises(MessageDroppedError):
@@ -88,7 +88,7 @@
 
 @FIXED
 @given(st.binary(max_size=300), st.booleans(), st.integers(0, 120))
-def test_receive_when_bytes_are_arbitrary_raises_only_dropped_and_stays_small(noise, is_client, cut):
+def test_receive_when_bytes_are_arbitrary_then_raises_only_dropped_and_stays_small(noise, is_client, cut):
     client, server = exchange_pair()
     side = client if is_client else server
     start = b"FS\x01" if is_client else b"".join(client.take_output())
--- a/tests/membership/test_sync_schedule.py
+++ b/tests/membership/test_sync_schedule.py
@@ -1,4 +1,4 @@
-"""When a peer is asked for the members that are missing."""
+"""When a peer is asked for missing members."""
 
 from support.membership import make_detector, make_message
 
@@ -6,15 +6,15 @@
 from flintridge.membership.sync_schedule import MAX_SYNCS
 
 
-def test_next_sync_source_when_names_are_missing_gives_peers_and_then_no_more():
-    machine = make_detector(("n1", "n2", "n3"))
+def test_next_sync_source_when_names_are_missing_then_returns_peers_up_to_the_limit():
+    detector = make_detector(("n1", "n2", "n3"))
     codec, sources = MessageCodec("fleet", None), []
     for i in range(600):
         now = 100.0 * i
-        machine.tick(now)
+        detector.tick(now)
         pings = [
             ping
-            for datagram in machine.take_datagrams()
+            for datagram in detector.take_datagrams()
             if (ping := codec.decode(datagram.data)).kind == MessageKind.PING and datagram.name == "n1"
         ]
         for ping in pings:
@@ -26,8 +26,8 @@
                 sequence=i + 1,
                 sent_at=i,
             )
-            machine.receive(now, codec.encode(ack))
-        sources.append(machine.next_sync_source(now))
+            detector.receive(now, codec.encode(ack))
+        sources.append(detector.next_sync_source(now))
     assert {name for name in sources if name} == {"n1"}
     assert sum(map(bool, sources)) == MAX_SYNCS
     assert not any(sources[300:])
