--- a/tests/discovery/test_discovery_trouble.py
+++ b/tests/discovery/test_discovery_trouble.py
@@ -1,7 +1,7 @@
-"""Discovery that is down for minutes, slow, crowded or resets: what it has is known in time once it is back.
+"""Discovery that is down for minutes, slow, overloaded or resets: changes are known in time once it is back.
 
-A change counts as told 6 s after discovery had it and could be reached, 4 s after SIGHUP. Whole nodes, in
-virtual time, towards a scripted discovery.
+A change counts as notified 6 s after discovery had it and was reachable, or 4 s after SIGHUP. The tests run
+whole nodes in virtual time against a scripted discovery.
 """
 
 import asyncio
@@ -21,12 +21,12 @@
 
 NOTIFIED_S = 6.0
 NOTIFIED_AFTER_SIGHUP_S = 4.0
-GRACE_MS = 500.0  # of a drain: until then attempts may begin at a server that drains
+GRACE_MS = 500.0  # how long attempts may still begin at a draining server
 OUTAGE_S = 300.0
 
 
 class Discovery:
-    """A discovery that answers at once what is new, and in trouble as the test says."""
+    """A scripted discovery: it reports changes at once, and fails in the way that `trouble` states."""
 
     def __init__(self) -> None:
         self.trouble: str | None = None
@@ -43,7 +43,7 @@
         self.port = self.server.sockets[0].getsockname()[1]
 
     def close(self) -> None:
-        """Refuse calls from now on, and end those that wait."""
+        """Refuse new calls, and end those that wait."""
         self.server.close()
         for task in list(self.tasks):
             task.cancel()
@@ -96,13 +96,15 @@
         return True
 
 
-class Watching:
-    """One node in virtual time, its discovery, and when the node knew of a drain."""
+class WatchingNode:
+    """One node in virtual time with its discovery; measures when the node learns of a drain."""
 
     def __init__(self, discovery: Discovery, mode: DiscoveryMode, seed: int = 1) -> None:
         settings = api.Settings(rules=api.Rules(drain_grace_ns=int(GRACE_MS * NS_PER_MS)), discovery=mode)
-        listen, asked = Address("127.0.0.1", 0), Address("127.0.0.1", discovery.port)
-        self.config = NodeConfig("n1", listen, asked, seed, settings, known=whole(1, s1="in_service"))
+        listen, discovery_address = Address("127.0.0.1", 0), Address("127.0.0.1", discovery.port)
+        self.config = NodeConfig(
+            "n1", listen, discovery_address, seed, settings, known=whole(1, s1="in_service")
+        )
         self.loop = asyncio.get_running_loop()
         self.node = Node(self.config, SystemClock(self.loop), *quiet())
 
@@ -113,7 +115,7 @@
     async def seconds_until_draining(self, limit_s: float = 30.0) -> float:
         started_at = self.loop.time()
         while self.state() is not EndpointState.DRAINING:
-            assert self.loop.time() < started_at + limit_s, "it never heard of the drain"
+            assert self.loop.time() < started_at + limit_s, "the node did not learn of the drain"
             await asyncio.sleep(0.01)
         return self.loop.time() - started_at
 
@@ -124,13 +126,13 @@
 @each_mode
 @pytest.mark.parametrize("trouble", ["down", "crowded", "resets", "silent"])
 @pytest.mark.parametrize("seed", [1, 2, 3])
-def test_change_when_discovery_was_in_trouble_for_minutes_then_is_known_in_time_after_its_return(
+def test_change_when_discovery_was_in_trouble_for_minutes_then_is_known_in_time_after_its_recovery(
     mode, trouble, seed
 ):
     async def test():
         discovery = Discovery()
         await discovery.open()
-        watching = Watching(discovery, mode, seed)
+        watching = WatchingNode(discovery, mode, seed)
         await watching.node.start()
         await asyncio.sleep(10)
         if trouble == "down":
@@ -138,7 +140,7 @@
         discovery.trouble = trouble
         for task in list(discovery.tasks):
             if trouble != "silent":
-                task.cancel()  # watches end as it goes down
+                task.cancel()  # watch calls end when discovery goes down
         discovery.list = whole(2, s1="terminating")
         await asyncio.sleep(OUTAGE_S)
         calls = discovery.calls
@@ -146,7 +148,7 @@
         if trouble == "down":
             await discovery.open()
         assert await watching.seconds_until_draining() <= NOTIFIED_S
-        assert calls <= OUTAGE_S * 5  # a crowded one isn't asked without pause
+        assert calls <= OUTAGE_S * 5  # an overloaded discovery is not polled without pauses
         await watching.node.close()
         discovery.close()
 
@@ -156,13 +158,13 @@
 @each_mode
 @pytest.mark.parametrize("taken_s", [0.5, 1.5, 2.5])
 def test_change_when_discovery_answers_byte_by_byte_then_is_known(mode, taken_s):
-    """It takes as long as a call may at most: nothing is given up half way and begun anew for ever."""
+    """A response takes up to a call's limit: calls must not time out half way and start again forever."""
 
     async def test():
         discovery = Discovery()
         await discovery.open()
         discovery.byte_pause_s = taken_s / len(http(whole(2, s1="terminating")))
-        watching = Watching(discovery, mode)
+        watching = WatchingNode(discovery, mode)
         await watching.node.start()
         await asyncio.sleep(OUTAGE_S / 10)
         discovery.change(2, s1="terminating")
@@ -178,7 +180,7 @@
     async def test():
         discovery = Discovery()
         await discovery.open()
-        watching = Watching(discovery, mode)
+        watching = WatchingNode(discovery, mode)
         await watching.node.start()
         await asyncio.sleep(3_600)
         discovery.change(2, s1="terminating")
@@ -191,19 +193,22 @@
 
 @each_mode
 @pytest.mark.parametrize("trouble", [None, "crowded", "silent", "resets"])
-def test_reload_when_discovery_moves_there_and_back_at_once_then_the_last_address_is_gone_by(mode, trouble):
-    """Several in one turn of the loop and within 100 ms, watch calls pending, the other in trouble or not."""
+def test_reload_when_discovery_moves_there_and_back_at_once_then_the_last_address_is_used(mode, trouble):
+    """Several reloads in one turn of the event loop and within 100 ms, while watch calls are pending.
+
+    The discovery at the other address may be in trouble.
+    """
 
     async def test():
         first, second = Discovery(), Discovery()
         await first.open()
         await second.open()
-        watching = Watching(first, mode)
+        watching = WatchingNode(first, mode)
         await watching.node.start()
         await asyncio.sleep(10)
         second.trouble = trouble
         second.list = whole(90, s1="in_service")
-        first.list = whole(2, s1="terminating")  # as written while the watch was elsewhere
+        first.list = whole(2, s1="terminating")  # changed while the watch was at the other address
         ports = [second.port, first.port, second.port, first.port]
         for number, port in enumerate(ports * 3):
             watching.node.reload(_moved(watching.config, port))
@@ -212,7 +217,7 @@
         assert await watching.seconds_until_draining() <= NOTIFIED_AFTER_SIGHUP_S
         calls = first.calls, second.calls
         await asyncio.sleep(20)
-        assert second.calls == calls[1]  # no call to the other one is left
+        assert second.calls == calls[1]  # no call to the other discovery is left
         assert watching.state() is EndpointState.DRAINING
         assert first.calls - calls[0] <= 25  # one watch, not several
         await watching.node.close()
@@ -229,12 +234,14 @@
 @each_mode
 @pytest.mark.parametrize("trouble", ["crowded", "resets", "silent"])
 @pytest.mark.parametrize("back_s", [0.0, 0.05, 0.6, 2.9])
-def test_reload_when_the_new_discovery_is_in_trouble_at_first_then_is_known_in_time(mode, trouble, back_s):
+def test_reload_when_the_new_discovery_is_in_trouble_at_first_then_its_change_is_known_in_time(
+    mode, trouble, back_s
+):
     async def test():
         first, second = Discovery(), Discovery()
         await first.open()
         await second.open()
-        watching = Watching(first, mode)
+        watching = WatchingNode(first, mode)
         await watching.node.start()
         await asyncio.sleep(10)
         second.trouble = trouble
@@ -242,7 +249,7 @@
         watching.node.reload(_moved(watching.config, second.port))
         await asyncio.sleep(back_s)
         second.trouble = None
-        # 4 s after SIGHUP, but where discovery could not be reached then, 6 s after it could.
+        # Due 4 s after SIGHUP, or 6 s after discovery is reachable again if it was not reachable then.
         assert await watching.seconds_until_draining() + back_s <= max(
             NOTIFIED_AFTER_SIGHUP_S, back_s + NOTIFIED_S
         )
--- a/tests/discovery/test_endpoint_list.py
+++ b/tests/discovery/test_endpoint_list.py
@@ -1,4 +1,4 @@
-"""The endpoint list: how discovery's form is read."""
+"""The endpoint list: how discovery's format is parsed."""
 
 from collections import deque
 from itertools import count
@@ -21,43 +21,43 @@
     return {"revision": 41, "complete": complete, "members": [entry]}
 
 
-def test_endpoint_list_when_in_discoverys_form_is_read():
-    transports = EndpointList(("a", "b"), ("m2", "origin"), SETTINGS, HandClock())
-    members = transports.apply(listed(), UpdateKind.CACHED)
-    assert members.kind is UpdateKind.CACHED and members.version == transports.revision == 41
-    assert members.endpoints == (Endpoint("s-5", EndpointState.READY, 2.0, 3, 1, 0, 1),)
-    assert transports["s-5"].origin and transports["s-5"].address.port == 5 and transports.any_ready
-    # A restart is told by a new instant, on the node's own clock in the module's nanoseconds.
-    (restarted,) = transports.apply(listed(False, up_since_ms=9500, host_port="127.0.0.1:6")).endpoints
-    assert restarted.started_at == 9_000_000_000 and transports["s-5"].address.port == 6
-    gone = transports.apply(listed(False, phase="terminated", host_port=None))
-    assert gone.kind is UpdateKind.DELTA and not transports.any_ready and len(transports) == 0
+def test_endpoint_list_when_in_discoverys_format_then_is_parsed():
+    endpoints = EndpointList(("a", "b"), ("m2", "origin"), SETTINGS, HandClock())
+    update = endpoints.apply(listed(), UpdateKind.CACHED)
+    assert update.kind is UpdateKind.CACHED and update.version == endpoints.revision == 41
+    assert update.endpoints == (Endpoint("s-5", EndpointState.READY, 2.0, 3, 1, 0, 1),)
+    assert endpoints["s-5"].origin and endpoints["s-5"].address.port == 5 and endpoints.any_ready
+    # A new start shows a restart; it is reported on the node's own clock, in the policy's nanoseconds.
+    (restarted,) = endpoints.apply(listed(False, up_since_ms=9500, host_port="127.0.0.1:6")).endpoints
+    assert restarted.started_at == 9_000_000_000 and endpoints["s-5"].address.port == 6
+    gone = endpoints.apply(listed(False, phase="terminated", host_port=None))
+    assert gone.kind is UpdateKind.DELTA and not endpoints.any_ready and len(endpoints) == 0
 
 
-def test_endpoint_list_when_servers_come_and_go_does_not_grow():
-    transports = EndpointList((), ("m2",), SETTINGS, HandClock())
-    transports.apply(listed())
+def test_endpoint_list_when_servers_come_and_go_then_does_not_grow():
+    endpoints = EndpointList((), ("m2",), SETTINGS, HandClock())
+    endpoints.apply(listed())
     for i in range(50):
-        transports.apply(listed(False, id=f"n{i}"))
-        transports.apply(listed(False, id=f"n{i}", phase="terminated"))
-        transports.apply(listed(False, id=f"m{i}"))
-    assert len(transports) == 51
-    transports.apply(listed())
-    assert len(transports) == 1
+        endpoints.apply(listed(False, id=f"n{i}"))
+        endpoints.apply(listed(False, id=f"n{i}", phase="terminated"))
+        endpoints.apply(listed(False, id=f"m{i}"))
+    assert len(endpoints) == 51
+    endpoints.apply(listed())
+    assert len(endpoints) == 1
 
 
 @pytest.mark.parametrize(
     "changes", [{"phase": "odd"}, {"host_port": "nowhere"}, {"id": 5}, {"size": "big"}, {"up_since_ms": "x"}]
 )
 def test_list_when_malformed_changes_nothing(changes):
-    transports = EndpointList((), (), SETTINGS, HandClock())
+    endpoints = EndpointList((), (), SETTINGS, HandClock())
     with pytest.raises(ValueError, match="malformed list"):
-        transports.apply(listed(**changes))
-    assert transports.revision == 0 and not transports.any_ready
+        endpoints.apply(listed(**changes))
+    assert endpoints.revision == 0 and not endpoints.any_ready
 
 
 class WrongClock(HandClock):
-    """The clock of a node whose wall clock was `ahead_ms` ahead as it started; its instants are Unix time."""
+    """The clock of a node whose wall clock was `ahead_ms` ahead at its start; its instants are Unix time."""
 
     def __init__(self, ahead_ms: float) -> None:
         super().__init__(at=1_000_000_000.0)
@@ -68,7 +68,7 @@
 
 
 class ReportedLists:
-    """Lists as a node receives them; each server by its age in milliseconds, None where it has ended."""
+    """Lists as a node receives them; each server is given by its age in milliseconds, None if it ended."""
 
     def __init__(self, ahead_ms: float) -> None:
         self.clock = WrongClock(ahead_ms)
@@ -91,7 +91,7 @@
         return {each.server: now - each.started_at / 1e6 for each in update.endpoints}
 
 
-def test_change_when_it_shows_that_the_clock_was_ahead_then_names_all_whose_starts_it_alters():
+def test_change_when_it_shows_that_the_clock_was_ahead_then_names_all_servers_with_corrected_starts():
     lists = ReportedLists(ahead_ms=HOUR_MS)
     assert lists.ages(lists.report(True, a=1_000.0, b=2 * HOUR_MS)) == {
         "a": HOUR_MS + 1_000,
@@ -102,16 +102,16 @@
     lists.clock.go(9_500.0)
     update = lists.report(c=500.0)
     assert (update.kind, lists.ages(update)) == (UpdateKind.DELTA, {"c": 0.0, "a": 10_500.0})
-    assert [each.server for each in lists.report(c=400.0).endpoints] == ["c"]  # no other has altered again
+    assert [each.server for each in lists.report(c=400.0).endpoints] == ["c"]  # no other start changes again
 
 
-def test_change_when_a_correction_is_taken_back_then_names_all_that_it_had_altered():
+def test_change_when_it_reverts_a_correction_then_names_all_servers_that_were_corrected():
     lists = ReportedLists(ahead_ms=0.0)
     lists.report(True, a=5_000.0)
     lists.clock.go(10_000.0)
     lists.report()
     lists.clock.go(10.0)
-    # Reported too late: the clock is blamed.
+    # Reported too late: the delay is attributed to the clock.
     assert lists.ages(lists.report(b=8_000.0)) == {"b": 3_000.0, "a": 10_010.0}
     assert lists.ages(lists.report(date_ms=lists.clock.now())) == {"b": 10.0, "a": 15_010.0}
 
@@ -125,20 +125,20 @@
     }
 
 
-def test_first_list_when_it_has_a_date_then_is_right_at_once():
+def test_first_list_when_it_has_a_date_then_its_starts_are_right_at_once():
     lists = ReportedLists(ahead_ms=HOUR_MS)
     update = lists.report(True, date_ms=lists.clock.now() - 700.0, a=1_000.0, b=2 * HOUR_MS)
     assert lists.ages(update) == {"a": 300.0, "b": 2 * HOUR_MS - 700}
 
 
-def test_list_in_the_configuration_then_is_no_sign_that_others_are_new():
+def test_list_when_from_the_configuration_then_is_no_evidence_that_other_servers_are_new():
     lists = ReportedLists(ahead_ms=0.0)
     lists.report(True, UpdateKind.CACHED, a=HOUR_MS)
     lists.clock.go(10_000.0)
     assert lists.ages(lists.report(b=HOUR_MS)) == {"b": HOUR_MS}
 
 
-def test_malformed_list_then_says_nothing_of_starts():
+def test_list_when_malformed_then_is_no_evidence_of_starts():
     lists = ReportedLists(ahead_ms=HOUR_MS)
     lists.report(True, a=1_000.0)
     lists.clock.go(10_000.0)
--- a/tests/discovery/test_overrides.py
+++ b/tests/discovery/test_overrides.py
@@ -1,10 +1,10 @@
-"""Overrides by operators over the endpoint list."""
+"""Overrides of the endpoint list by operators."""
 
 from flintridge.api import Endpoint, EndpointState, EndpointUpdate, UpdateKind
 from flintridge.discovery.overrides import EndpointOverrides
 
 
-def test_server_when_taken_out_is_reported_as_draining_and_none_is_added_to_the_list():
+def test_server_when_taken_out_then_is_reported_as_draining_and_no_server_is_added():
     updates = []
     overrides = EndpointOverrides(updates.append)
     ready = tuple(Endpoint(server, EndpointState.READY) for server in ("x", "y"))
--- a/tests/discovery/test_server_starts.py
+++ b/tests/discovery/test_server_starts.py
@@ -1,4 +1,4 @@
-"""What is believed of servers' starts while the wall clock may be wrong: tables, and a model of a day."""
+"""Estimated starts of servers while the wall clock may be wrong: single cases, and a model of a day."""
 
 import pytest
 from hypothesis import given
@@ -22,24 +22,24 @@
 
 
 class Node:
-    """The starts as a node believes them whose wall clock was `ahead_ms` ahead as it started, at instant 0.
+    """The starts as estimated by a node whose wall clock was `ahead_ms` ahead when it started, at instant 0.
 
-    Instants are milliseconds since then; what is reported of a server is when it really started.
+    Instants are milliseconds since then; a server's reported start is the real one.
     """
 
     def __init__(self, ahead_ms: float = 0.0) -> None:
         self.starts = ServerStarts(lambda unix_ms: unix_ms - (UNIX_MS + ahead_ms))
 
     def full(self, at: float, date: float | None = None, live: bool = True, **started: float) -> bool:
-        return self.take(ListArrival(at, True, live, None if date is None else UNIX_MS + date), started)
+        return self.receive(ListArrival(at, True, live, None if date is None else UNIX_MS + date), started)
 
     def change(self, at: float, date: float | None = None, **started: float) -> bool:
-        return self.take(ListArrival(at, False, True, None if date is None else UNIX_MS + date), started)
+        return self.receive(ListArrival(at, False, True, None if date is None else UNIX_MS + date), started)
 
     def gone(self, at: float, server: str) -> bool:
         return self.starts.record_list(ListArrival(at, False), [ReportedStart(server, 1.0, gone=True)])
 
-    def take(self, arrival: ListArrival, started: dict[str, float]) -> bool:
+    def receive(self, arrival: ListArrival, started: dict[str, float]) -> bool:
         return self.starts.record_list(
             arrival, [ReportedStart(server, UNIX_MS + instant) for server, instant in started.items()]
         )
@@ -51,7 +51,7 @@
 # A right clock
 
 
-def test_starts_when_the_clock_is_right_and_lists_come_in_time_are_the_converted_instants_bit_for_bit():
+def test_starts_when_the_clock_is_right_and_lists_arrive_in_time_then_are_exactly_the_converted_instants():
     def from_unix(unix_ms: float) -> float:
         return unix_ms - 1_699_999_999_876.543
 
@@ -89,11 +89,11 @@
     node = Node(ahead_ms=-HOUR_MS)
     assert node.full(10_000.0, a=-2 * HOUR_MS, b=-60_000.0, c=9_000.0)
     assert node.starts.evidence is OriginEvidence.SERVER_STARTS
-    # Off by the time between the newest start and its arrival, to the cautious side.
+    # Off by the time from the newest start to the arrival of its report; no server seems older than it is.
     assert [node.start(name) for name in "abc"] == [-2 * HOUR_MS + 1_000, -59_000, 10_000]
 
 
-def test_starts_when_a_server_is_reported_quicker_than_all_before_are_judged_anew():
+def test_starts_when_a_server_is_reported_quicker_than_all_before_then_are_corrected_again():
     node = Node(ahead_ms=-HOUR_MS)
     node.full(100_000.0, a=0.0)
     assert node.start("a") == 100_000
@@ -101,47 +101,47 @@
     assert (node.start("a"), node.start("b")) == (500, 120_000)
 
 
-def test_start_when_it_lies_less_than_the_skew_of_clocks_ahead_is_no_evidence():
+def test_start_when_it_is_ahead_by_less_than_the_clock_skew_then_is_no_evidence():
     node = Node()
     assert not node.full(1_000.0, a=1_000.0 + CLOCK_SKEW_MS)
     assert node.start("a") == 1_000.0 + CLOCK_SKEW_MS
 
 
-def test_start_when_it_is_no_time_at_all_moves_no_other_and_is_new():
+def test_start_when_it_is_not_a_valid_time_then_moves_no_other_and_is_new():
     node = Node()
     nanoseconds = UNIX_MS * 1e6
     assert not node.full(1_000.0, a=-5_000.0, b=nanoseconds)
     assert (node.start("a"), node.start("b")) == (-5_000, 1_000)
 
 
-# A clock that is ahead: who appears on a running watch is new
+# A clock that is ahead: a server that appears on a running watch is new
 
 
 def test_starts_when_a_new_server_shows_that_the_clock_is_an_hour_ahead_are_all_corrected():
     node = Node(ahead_ms=HOUR_MS)
     assert not node.full(10_000.0, a=-2 * HOUR_MS, b=9_000.0)
-    assert node.start("b") == 9_000 - HOUR_MS  # nothing tells yet
+    assert node.start("b") == 9_000 - HOUR_MS  # nothing has shown the error yet
     assert node.change(20_000.0, c=19_000.0)
     assert [node.start(name) for name in "abc"] == [-2 * HOUR_MS + 1_000, 10_000, 20_000]
 
 
 @pytest.mark.parametrize("complete", [False, True])
-def test_start_when_the_server_restarts_is_new_as_that_of_one_never_seen(complete):
+def test_start_when_the_server_restarts_then_is_new_like_that_of_an_unknown_server(complete):
     node = Node(ahead_ms=HOUR_MS)
     node.full(10_000.0, a=-2 * HOUR_MS)
-    # A full list after others: a watch that broke, or a discovery that moved.
+    # A full list follows others after a watch broke, or after discovery's address changed.
     assert (node.full if complete else node.change)(300_000.0, a=299_000.0)
     assert node.start("a") == 300_000
 
 
 def test_start_when_first_reported_by_the_first_response_of_the_process_may_be_any():
     node = Node()
-    node.full(0.0, live=False, a=-HOUR_MS)  # the configuration's, from an earlier time
+    node.full(0.0, live=False, a=-HOUR_MS)  # the list in the configuration, which is outdated
     assert not node.change(50_000.0, b=-HOUR_MS, a=-30_000.0)
     assert (node.start("a"), node.start("b")) == (-30_000, -HOUR_MS)
 
 
-def test_start_when_reported_late_within_the_listing_delay_is_believed():
+def test_start_when_reported_late_within_the_listing_delay_then_is_accepted():
     node = Node()
     node.full(0.0, a=-500.0)
     node.change(10_000.0)
@@ -162,7 +162,7 @@
     node.full(100.0, a=-400.0)
     node.change(10_000.0)
     assert node.change(10_010.0, b=10_000.0 - MAX_LISTING_DELAY_MS - 1)
-    assert (node.start("b"), node.start("a")) == (7_499, 100)  # to the later side
+    assert (node.start("b"), node.start("a")) == (7_499, 100)  # later than the real starts, never earlier
 
 
 def test_start_when_a_server_of_a_week_ago_appears_is_new_and_moves_no_other():
@@ -175,7 +175,7 @@
 # Servers that were seen before
 
 
-def test_start_when_a_list_loses_the_server_and_another_has_it_back_stays():
+def test_start_when_a_list_omits_the_server_and_a_later_one_has_it_again_then_stays():
     node = Node()
     node.full(0.0, a=-500.0, b=-HOUR_MS)
     node.full(4_000.0, a=-500.0)
@@ -203,7 +203,7 @@
 @pytest.mark.parametrize("ahead_ms", [-HOUR_MS, -5_000.0, 5_000.0, HOUR_MS])
 def test_starts_when_the_first_list_has_a_date_are_right_at_once_to_the_later_side(ahead_ms):
     node = Node(ahead_ms)
-    # Written at 9,900 in whole seconds, and 500 ms under way.
+    # `Date` was written at 9,900 and has whole seconds; the response took 500 ms.
     assert node.full(10_400.0, date=9_000.0, a=-2 * HOUR_MS, b=8_000.0)
     assert node.starts.evidence is OriginEvidence.DATE
     assert (node.start("a"), node.start("b")) == (-2 * HOUR_MS + 1_400, 9_400)
@@ -217,7 +217,7 @@
 
 def test_starts_when_responses_take_different_times_go_by_the_quickest():
     node = Node(ahead_ms=HOUR_MS)
-    node.full(15_000.0, date=9_000.0, a=8_000.0)  # 5 s under way
+    node.full(15_000.0, date=9_000.0, a=8_000.0)  # the response took 5 s
     assert node.start("a") == 14_000
     assert node.change(16_000.0, date=16_000.0)
     assert not node.change(24_000.0, date=19_000.0)
@@ -244,10 +244,10 @@
 STEPS = st.lists(
     st.tuples(
         st.sampled_from(SERVERS),
-        st.floats(1.0, 8_000.0),  # from the event before to the start
-        st.floats(0.0, MAX_LISTING_DELAY_MS),  # from the start to the arrival of the list that tells it
-        st.booleans(),  # a full list
-        st.booleans(),  # the server leaves afterwards
+        st.floats(1.0, 8_000.0),  # from the previous event to the start
+        st.floats(0.0, MAX_LISTING_DELAY_MS),  # from the start to the arrival of the list that reports it
+        st.booleans(),  # whether the list is a full one
+        st.booleans(),  # whether the server leaves afterwards
     ),
     min_size=1,
     max_size=12,
@@ -257,36 +257,36 @@
 
 
 class Day:
-    """Plays restarts against a node and remembers what really happened."""
+    """Reports restarts to a node and remembers the real starts."""
 
     def __init__(self, ahead_ms: float, ages_ms: list[float], with_date: bool) -> None:
         self.node = Node(ahead_ms)
         self.with_date = with_date
         self.now = 0.0
-        self.true = {server: -age for server, age in zip(SERVERS, ages_ms, strict=True)}
-        self.arrived = 0.0  # the last list
+        self.true_starts = {server: -age for server, age in zip(SERVERS, ages_ms, strict=True)}
+        self.last_arrival = 0.0  # arrival of the last list
         self.longest_gap = 0.0
         self.corrections = 0
         self.listed = set(SERVERS)
-        self.tell(0.0, complete=True, servers=SERVERS)
+        self.report(0.0, complete=True, servers=SERVERS)
 
-    def tell(self, at: float, complete: bool, servers: str) -> None:
-        self.longest_gap = max(self.longest_gap, at - self.arrived)
-        self.arrived = self.now = at
+    def report(self, at: float, complete: bool, servers: str) -> None:
+        self.longest_gap = max(self.longest_gap, at - self.last_arrival)
+        self.last_arrival = self.now = at
         date = at // 1_000 * 1_000 if self.with_date else None
-        reported = {server: self.true[server] for server in servers}
-        tell = self.node.full if complete else self.node.change
-        self.corrections += tell(at, date, **reported)
+        reported = {server: self.true_starts[server] for server in servers}
+        report = self.node.full if complete else self.node.change
+        self.corrections += report(at, date, **reported)
 
     def restart(self, server: str, pause: float, delay: float, complete: bool) -> None:
-        self.true[server] = self.now + pause
+        self.true_starts[server] = self.now + pause
         self.listed.add(server)
         reported = "".join(sorted(self.listed)) if complete else server
-        self.tell(self.now + pause + delay, complete, reported)
+        self.report(self.now + pause + delay, complete, reported)
 
     def age_errors(self) -> list[float]:
-        """By how much each listed server is believed to be older than it is."""
-        return [self.true[server] - self.node.start(server) for server in sorted(self.listed)]
+        """By how many milliseconds each listed server is estimated to be older than it is."""
+        return [self.true_starts[server] - self.node.start(server) for server in sorted(self.listed)]
 
 
 def play(ahead_ms, ages_ms, steps, with_date=False) -> Day:
@@ -304,27 +304,27 @@
 
 @FIXED
 @given(AHEAD_MS, FIRST_AGES_MS, STEPS)
-def test_no_server_is_believed_older_than_it_is_by_more_than_the_bound(ahead_ms, ages_ms, steps):
+def test_age_when_estimated_then_exceeds_the_real_age_by_no_more_than_the_bound(ahead_ms, ages_ms, steps):
     day = play(ahead_ms, ages_ms, steps)
-    # Each server that restarted is reported by a running watch: by no more than what may pass unnoticed.
+    # A running watch reports each restarted server, so the error is at most the delay that may go unnoticed.
     bound = MAX_LISTING_DELAY_MS + day.longest_gap
     restarted = {server for server, *_ in steps} & day.listed
-    errors = {server: day.true[server] - day.node.start(server) for server in restarted}
+    errors = {server: day.true_starts[server] - day.node.start(server) for server in restarted}
     assert all(error <= bound + ROUNDING_MS for error in errors.values())
-    if ahead_ms > bound + CLOCK_SKEW_MS and steps:  # the first restart has shown it: for all servers
+    if ahead_ms > bound + CLOCK_SKEW_MS and steps:  # the first restart has shown the error, for all servers
         assert all(error <= ROUNDING_MS for error in day.age_errors())
 
 
 @FIXED
 @given(AHEAD_MS, FIRST_AGES_MS, STEPS)
-def test_no_server_is_cold_for_longer_than_from_when_it_was_reported(ahead_ms, ages_ms, steps):
+def test_start_when_estimated_then_is_no_later_than_its_report(ahead_ms, ages_ms, steps):
     day = play(ahead_ms, ages_ms, steps)
-    # A start is never believed to lie after the list that reported it, but for the skew of clocks.
+    # No start is estimated to be later than the list that reported it, apart from the skew of clocks.
     for server in day.listed:
         known = day.node.starts._listed[server]
         assert day.node.start(server) <= known.reported_at + CLOCK_SKEW_MS + ROUNDING_MS
     if ahead_ms < -CLOCK_SKEW_MS and day.listed:
-        # A clock that is behind: all ages are off by no more than the least delay of a start.
+        # With a clock that is behind, no age is off by more than the shortest delay of a report.
         least_delay = min([min(ages_ms), *(step[2] for step in steps)])
         errors = day.age_errors()
         assert all(-least_delay - CLOCK_SKEW_MS - ROUNDING_MS <= error <= ROUNDING_MS for error in errors)
--- a/tests/discovery/test_watch_termination.py
+++ b/tests/discovery/test_watch_termination.py
@@ -1,4 +1,4 @@
-"""How watches on discovery end, with what crosses each end forced."""
+"""How watches on discovery end, with the events that may coincide with each end forced."""
 
 import asyncio
 import errno
@@ -19,12 +19,15 @@
 from flintridge.lab import virtual
 from flintridge.runtime.clock import NS_PER_MS
 
-SILENCE = 6_000.0  # what a silent watch misses counts as told so long after it fell silent
+SILENCE_MS = 6_000.0  # ms after a watch became silent, when what it misses counts as notified
 
 
 @pytest.mark.parametrize("grace", [2_000, 1_200, 800])
-def test_watch_when_unresponsive_does_not_outlast_the_grace_of_a_drain_that_it_misses(play, grace):
-    """Found by the brink days: asked anew together, three of six nodes had the list 0.1 s after the grace."""
+def test_watch_when_unresponsive_then_does_not_outlast_the_grace_of_a_drain_that_it_misses(play, grace):
+    """Guards against a list that arrives after the grace of a drain that it reports.
+
+    In the brink days nodes polled anew at the same time, and three of six got the list 0.1 s after the grace.
+    """
 
     async def test():
         rules = api.Rules(drain_grace_ns=grace * NS_PER_MS)
@@ -35,21 +38,21 @@
             await alone.node.start()
             await until(lambda: len(discovery.got) == 1)
             silent_at = clock.now()
-            clock.go(400)  # the answer was on its way when the link fell silent
+            clock.go(400)  # the response was in transit when the link became silent
             discovery.writers[0].write(http({"revision": 1, "complete": False, "members": []}))
-            await alone.pass_until(lambda: len(discovery.got) == 2, 200)  # the call that nobody answers
+            await alone.pass_until(lambda: len(discovery.got) == 2, 200)  # the call that gets no response
             await alone.pass_until(lambda: len(discovery.got) == 3, 9_000)
-            clock.go(LIST_TIME_MS - 100)  # discovery has many to answer
+            clock.go(LIST_TIME_MS - 100)  # discovery has many calls to answer
             discovery.writers[-1].write(http(whole(2, s1="terminating")))
             await until(lambda: alone.state("s1") is EndpointState.DRAINING)
-            assert clock.now() <= silent_at + SILENCE + grace
+            assert clock.now() <= silent_at + SILENCE_MS + grace
             await alone.node.close()
 
     play(test)
 
 
-def test_watch_when_lists_are_pushed_does_not_go_by_an_old_one_first(play):
-    """Found by another customer's settings: where lists are pushed no node asked for any."""
+def test_watch_when_lists_are_pushed_then_does_not_use_an_outdated_one_first(play):
+    """Guards against nodes that never request a list when lists are pushed, as one customer configures it."""
 
     async def test():
         settings = api.Settings(discovery=api.DiscoveryMode.PUSHED)
@@ -70,15 +73,18 @@
 
 
 @pytest.mark.parametrize("crossing", [http(whole(1, s1="in_service")), b"", "rst"])
-def test_watch_when_a_second_list_or_an_end_comes_between_two_calls_undoes_nothing(crossing):
-    """It lies in the kernel as the next call goes out; read as its answer it would undo the drain before."""
+def test_watch_when_a_second_list_or_an_end_arrives_between_two_calls_then_undoes_nothing(crossing):
+    """The event's data is in the kernel when the next call is sent.
+
+    A second list that is read as the response to that call would undo the drain before it.
+    """
 
     async def test():
         settings = api.Settings(discovery=api.DiscoveryMode.POLLED)
         listener = socket.create_server(("127.0.0.1", 0))
         listener.setblocking(False)
-        place = type("Place", (), {"port": listener.getsockname()[1]})
-        alone = Alone(place, whole(1, s1="in_service"), settings)
+        discovery = type("Place", (), {"port": listener.getsockname()[1]})
+        alone = Alone(discovery, whole(1, s1="in_service"), settings)
         loop = asyncio.get_running_loop()
         await alone.node.start()
         first, _ = await loop.sock_accept(listener)
@@ -86,7 +92,7 @@
         first.send(http(whole(2, s1="terminating")))
         await until(lambda: alone.state("s1") is EndpointState.DRAINING)
         cross(first, crossing)
-        alone.clock.go(150)  # the next call is due, with no turn of the loop since
+        alone.clock.go(150)  # the next call is due, and the event loop has not run since
         second, _ = await loop.sock_accept(listener)
         assert b"after=2&" in await loop.sock_recv(second, 4096)
         assert alone.state("s1") is EndpointState.DRAINING
@@ -99,8 +105,11 @@
 
 
 @pytest.mark.parametrize("grace", [500, 2_000])
-def test_drain_when_discovery_returns_behind_a_call_is_known_in_time(grace):
-    """Found in review: silent to the call that had just begun, and the pause after it was up to 4 s."""
+def test_drain_when_discovery_returns_behind_a_call_then_is_known_in_time(grace):
+    """Guards against a drain that becomes known too late after discovery recovers.
+
+    Discovery did not answer a call that had begun just before, and the pause after that call was up to 4 s.
+    """
 
     async def known_after(seed: int) -> float:
         back = False
@@ -110,18 +119,19 @@
         async with Peer(lambda _: http(whole(2, s1="terminating")) if back else b"") as discovery:
             alone = Alone(discovery, whole(1, s1="in_service"), settings, seed=seed)
             await alone.node.start()
-            await alone.pass_until(lambda: len(discovery.got) == 6, 60_000)  # it waits for long by now
-            back, returned_at = True, alone.clock.now()  # for the next call: nobody answers this one any more
+            # After six calls, the pauses between them are long.
+            await alone.pass_until(lambda: len(discovery.got) == 6, 60_000)
+            back, returned_at = True, alone.clock.now()  # answers the next call, not the pending one
             await alone.pass_until(lambda: alone.state("s1") is EndpointState.DRAINING, 20_000)
             await alone.node.close()
             return alone.clock.now() - returned_at
 
     took = [virtual.run(known_after(seed)) for seed in range(1, 13)]
-    assert max(took) <= SILENCE + grace, took
+    assert max(took) <= SILENCE_MS + grace, took
 
 
-def test_list_when_empty_is_believed_and_the_next_one_too(play):
-    """No server may be sent to, so requests are refused in time and `mn` says no."""
+def test_list_when_empty_then_is_applied_and_the_next_one_too(play):
+    """There is no server, so requests are rejected in time and `mn` is answered with an error."""
 
     async def test():
         settings = api.Settings(discovery=api.DiscoveryMode.POLLED)
@@ -148,7 +158,7 @@
     play(test)
 
 
-def test_node_when_discovery_is_away_goes_by_its_list_and_polls_on(play):
+def test_node_when_discovery_is_away_then_uses_its_configured_list_and_keeps_polling(play):
     async def test():
         settings = api.Settings(discovery=api.DiscoveryMode.PUSHED)
         async with Peer(lambda _: None) as discovery:
@@ -164,16 +174,16 @@
 
 @pytest.mark.parametrize("failures", [MAX_LOCAL_FAILURES, MAX_LOCAL_FAILURES + 1])
 @pytest.mark.parametrize("code", [errno.ENOBUFS, errno.EADDRNOTAVAIL, errno.ENETUNREACH])
-def test_discovery_call_when_this_machine_opens_no_connection_for_a_moment_then_is_made_soon(
+def test_discovery_call_when_this_machine_opens_no_connection_for_a_moment_then_is_retried_soon(
     play, monkeypatch, code, failures
 ):
-    """A failed call is followed by the policy's pause, and some of these outlast the 6 s of a change."""
-    tries: list[int] = []
+    """The policy pauses after a failed call, and some outlast the 6 s in which a change must be known."""
+    attempts: list[int] = []
     connect = client_module.open_connection
 
     async def failing(*where):
-        tries.append(code)
-        if len(tries) <= failures:
+        attempts.append(code)
+        if len(attempts) <= failures:
             raise OSError(code, os.strerror(code))
         return await connect(*where)
 
@@ -183,7 +193,7 @@
             client = DiscoveryClient(Address("127.0.0.1", discovery.port), clock)
             call = asyncio.ensure_future(client.get("/api/targets"))
             for tried in range(1, failures + 1):
-                await until(lambda tried=tried: len(tries) == tried)
+                await until(lambda tried=tried: len(attempts) == tried)
                 await until(lambda: call.done() or clock.due)
                 clock.go(LOCAL_FAILURE_PAUSE_MS)
             if failures <= MAX_LOCAL_FAILURES:
--- a/tests/discovery/test_watcher.py
+++ b/tests/discovery/test_watcher.py
@@ -18,7 +18,7 @@
     return b"HTTP/1.1 %d X\r\n%bContent-Length: %d\r\n\r\n%b" % (status, headers, len(body), body)
 
 
-def test_watch_when_a_call_fails_notifies_and_else_goes_on_from_each_response(play):
+def test_watch_when_a_call_fails_then_notifies_else_continues_from_each_response(play):
     async def test():
         clock, updates = HandClock(), []
         responses = [
@@ -29,57 +29,57 @@
             b"",
         ]
         async with Peer(lambda _: responses.pop(0)) as peer:
-            transports = EndpointList((), (), SETTINGS, clock)
-            transports.apply({"revision": 41, "complete": True, "members": []})
-            watch = DiscoveryWatcher(
-                Address("127.0.0.1", peer.port), transports, clock, updates.append, *quiet()
+            endpoints = EndpointList((), (), SETTINGS, clock)
+            endpoints.apply({"revision": 41, "complete": True, "members": []})
+            watcher = DiscoveryWatcher(
+                Address("127.0.0.1", peer.port), endpoints, clock, updates.append, *quiet()
             )
-            watch.watch(True)
-            watch.watch(True)  # never two at once
+            watcher.watch(True)
+            watcher.watch(True)  # no second watch is started
             await until(lambda: len(updates) == 1)
             assert (updates[0].kind, updates[0].version) == (UpdateKind.DELTA, 43) and len(peer.got) == 1
             await until(lambda: clock.due[0][2] is not None)
-            clock.go(150)  # well before the 200 ms that end a watch
+            clock.go(150)  # well before the 200 ms within which the next call must start
             await until(lambda: len(updates) == 2)
             assert b"after=43&wait_ms=" in peer.got[1] and updates[1].kind is UpdateKind.FAILED
             clock.go(60_000)
             await asyncio.sleep(0.01)
-            assert len(peer.got) == 2  # when to ask again is the module's decision
-            watch.watch(True)
+            assert len(peer.got) == 2  # the policy decides when to poll again
+            watcher.watch(True)
             await until(lambda: len(updates) == 3)
             assert updates[2].kind is UpdateKind.FAILED
-            watch.fetch()
+            watcher.fetch()
             await until(lambda: len(updates) == 4)
             assert b"GET /api/targets HTTP" in peer.got[3] and updates[3].kind is UpdateKind.FULL
-            watch.watch(True)  # silence ends a call too
+            watcher.watch(True)  # a call without a response ends too
             await until(lambda: len(peer.got) == 5)
             clock.go(60_000)
             await until(lambda: len(updates) == 5)
             assert updates[4].kind is UpdateKind.FAILED
-            await watch.close()
+            await watcher.close()
 
     play(test)
 
 
-def test_watch_when_moved_ends_the_old_call_and_starts_with_the_full_list(play):
+def test_watch_when_moved_then_ends_the_old_call_and_starts_with_the_full_list(play):
     async def test():
         clock, updates = HandClock(), []
         full_list = response(200, orjson.dumps({"revision": 3, "complete": True, "members": []}))
         responses = [response(503, b""), full_list, b""]
         async with Peer(lambda _: b"") as old, Peer(lambda _: responses.pop(0)) as new:
-            transports = EndpointList((), (), SETTINGS, clock)
-            transports.apply({"revision": 41, "complete": True, "members": []})
-            watch = DiscoveryWatcher(
-                Address("127.0.0.1", old.port), transports, clock, updates.append, *quiet()
+            endpoints = EndpointList((), (), SETTINGS, clock)
+            endpoints.apply({"revision": 41, "complete": True, "members": []})
+            watcher = DiscoveryWatcher(
+                Address("127.0.0.1", old.port), endpoints, clock, updates.append, *quiet()
             )
-            watch.watch(True)
+            watcher.watch(True)
             await until(lambda: old.got)
-            watch.change_address(Address("127.0.0.1", new.port))
-            watch.watch(True)  # never two at once
+            watcher.change_address(Address("127.0.0.1", new.port))
+            watcher.watch(True)  # no second watch is started
             await until(lambda: updates)  # without any time passing
             assert [t.kind for t in updates] == [UpdateKind.FAILED]
             await until(lambda: old.writers[0].transport.is_closing())
-            watch.watch(True)  # as the module asks; still there was no full_list list
+            watcher.watch(True)  # as the policy requests; there was no full list yet
             await until(lambda: len(updates) == 2)
             assert (updates[1].kind, updates[1].version) == (UpdateKind.FULL, 3)
             await until(lambda: clock.due[0][2] is not None)
@@ -88,7 +88,7 @@
             targets = [call.split()[1] for call in new.got]
             assert targets[:2] == [b"/api/targets"] * 2 and targets[2].startswith(b"/api/targets?after=3&")
             assert len(old.got) == 1 and new.connections == 2
-            await watch.close()
+            await watcher.close()
 
     play(test)
 
@@ -106,15 +106,15 @@
 
 
 @pytest.mark.parametrize(("value", "date_ms"), DATES_MS.items())
-def test_date_header_when_read_is_unix_time_and_none_where_it_is_no_date(value, date_ms):
+def test_date_header_when_parsed_then_is_unix_time_or_none_if_it_is_no_date(value, date_ms):
     assert date_header_ms(h11.Response(status_code=200, headers=[(b"Date", value)])) == date_ms
 
 
-def test_date_header_when_there_is_none_is_none():
+def test_date_header_when_missing_then_is_none():
     assert date_header_ms(h11.Response(status_code=200, headers=[])) is None
 
 
-class EventNames:
+class CorrectionLog:
     """A log that remembers the corrections of the Unix origin."""
 
     def __init__(self) -> None:
@@ -128,22 +128,22 @@
         raise error
 
 
-def test_date_of_a_list_when_the_wall_clock_differs_corrects_starts_and_is_logged_once(play):
+def test_date_of_a_list_when_the_wall_clock_differs_then_corrects_starts_and_is_logged_once(play):
     async def test():
-        clock, updates, log = HandClock(at=10_000.0), [], EventNames()
+        clock, updates, log = HandClock(at=10_000.0), [], CorrectionLog()
         entry = {"id": "a", "host_port": "127.0.0.1:5", "phase": "in_service", "up_since_ms": 4_000}
         text = orjson.dumps({"revision": 43, "complete": True, "members": [entry]})
         dated = response(200, text, b"Date: Thu, 01 Jan 1970 00:00:05 GMT\r\n")
         async with Peer(lambda _: dated) as peer:
             endpoints = EndpointList((), (), SETTINGS, clock)
             address = Address("127.0.0.1", peer.port)
-            watch = DiscoveryWatcher(address, endpoints, clock, updates.append, log, quiet()[1])
+            watcher = DiscoveryWatcher(address, endpoints, clock, updates.append, log, quiet()[1])
             for calls in (1, 2):
-                watch.fetch()
+                watcher.fetch()
                 await until(lambda calls=calls: len(updates) == calls)
-            # By Date it is 5 s of Unix time at the instant 10 s, and the server is a second old.
+            # By `Date`, the Unix time at the instant 10 s is 5 s, so the server is one second old.
             assert [update.endpoints[0].started_at for update in updates] == [9_000_000_000] * 2
             assert log.corrections == [{"evidence": "date", "before_ms": 0, "after_ms": 5_500}]
-            await watch.close()
+            await watcher.close()
 
     play(test)
