--- a/flintridge/discovery/overrides.py
+++ b/flintridge/discovery/overrides.py
@@ -25,7 +25,7 @@
     def apply(self, update: EndpointUpdate) -> None:
         """Apply a list or a change to it, and report it with overrides."""
         if update.kind is not UpdateKind.FAILED:
-            self._remember(update)
+            self._record(update)
         self._notify(replace(update, endpoints=tuple(map(self._overridden, update.endpoints))))
 
     def take_out(self, servers: frozenset[str]) -> None:
@@ -40,7 +40,7 @@
             endpoints = tuple(map(self._overridden, changed))
             self._notify(EndpointUpdate(UpdateKind.DELTA, self._version, endpoints))
 
-    def _remember(self, update: EndpointUpdate) -> None:
+    def _record(self, update: EndpointUpdate) -> None:
         if update.kind is not UpdateKind.DELTA:
             self._listed.clear()
         self._version = update.version
--- a/flintridge/discovery/server_starts.py
+++ b/flintridge/discovery/server_starts.py
@@ -139,7 +139,7 @@
         known = self._listed.get(server)
         if known is None:
             return 0
-        return to_ns(self._instant(known)) or 1  # 0 is reserved for long ago
+        return to_ns(self._estimated_start(known)) or 1  # 0 is reserved for long ago
 
     def _record_start(
         self, reported: ReportedStart, arrival: ListArrival, previous: dict[str, _KnownStart]
@@ -166,7 +166,7 @@
         if len(self._departed) > MAX_DEPARTED:
             self._departed.popitem(last=False)
 
-    def _instant(self, known: _KnownStart) -> float:
+    def _estimated_start(self, known: _KnownStart) -> float:
         start = known.by_local_clock + self.correction_ms
         if start < known.not_before - MAX_LISTING_DELAY_MS:
             return known.not_before
@@ -200,9 +200,9 @@
         no server older than it is.
         """
         for known in new_starts:
-            latest = known.reported_at - known.by_local_clock
-            if latest >= -MAX_CORRECTION_MS:
-                self._max_correction = min(self._max_correction, latest)
+            correction_limit = known.reported_at - known.by_local_clock
+            if correction_limit >= -MAX_CORRECTION_MS:
+                self._max_correction = min(self._max_correction, correction_limit)
         is_behind = self.correction_ms > self._max_correction + CLOCK_SKEW_MS
         if is_behind or any(map(self._shows_clock_ahead, new_starts)):
             self._set_correction(self._max_correction, OriginEvidence.SERVER_STARTS)
--- a/flintridge/discovery/watcher.py
+++ b/flintridge/discovery/watcher.py
@@ -15,8 +15,8 @@
 
 MAX_WATCH_WAIT_MS = 4_000.0
 MIN_WATCH_WAIT_MS = 1_000.0
-RESPONSE_TIME_MS = 2_000.0  # time for a response, beyond the time that the call may wait
-LIST_TIME_MS = 3_000.0  # time limit of a call that does not wait
+RESPONSE_TIMEOUT_MS = 2_000.0  # time for a response, beyond the time that the call may wait
+LIST_TIMEOUT_MS = 3_000.0  # time limit of a call that does not wait
 # Shortest time between the starts of two watch calls. The next call must start within 200 ms of a response.
 WATCH_INTERVAL_MS = 100.0
 LIST_PATH = "/api/targets"
@@ -29,9 +29,9 @@
 
     A connection that becomes silent delivers nothing, and a change that it misses counts as notified 6 s
     later. Up to half a second of these 6 s had passed when the last call began, since the response before it
-    may have been in transit. The call times out RESPONSE_TIME_MS after its wait, the next one follows within
-    half a second, and that one may take LIST_TIME_MS. Otherwise a first attempt could start after the grace
-    when several nodes poll anew at the same time.
+    may have been in transit. The call times out RESPONSE_TIMEOUT_MS after its wait. The next one follows
+    within half a second and may take LIST_TIMEOUT_MS. With a longer wait, a first attempt could begin after
+    the grace when several nodes poll anew at the same time.
     """
     return min(MAX_WATCH_WAIT_MS, max(MIN_WATCH_WAIT_MS, to_ms(settings.rules.drain_grace_ns)))
 
@@ -61,8 +61,8 @@
         self._notify = notify
         self._log = log
         self._counters = counters
-        self._watching: asyncio.Task[None] | None = None
-        self._fetching: asyncio.Task[None] | None = None
+        self._watch_task: asyncio.Task[None] | None = None
+        self._fetch_task: asyncio.Task[None] | None = None
         # Changes since the known revision would mean nothing: the next call fetches the full list.
         self._needs_full_list = False
         self._logged_correction_ms = 0.0  # correction of the wall clock that was last logged
@@ -85,11 +85,11 @@
 
     def watch(self, on: bool) -> None:
         """Start the watch, unless one is running already, as a second call would be too many; or end it."""
-        running = self._watching is not None and not self._watching.done()
+        running = self._watch_task is not None and not self._watch_task.done()
         if on and not running:
-            self._watching = asyncio.ensure_future(self._watch())
-        elif not on and self._watching is not None:
-            self._watching.cancel()
+            self._watch_task = asyncio.ensure_future(self._watch())
+        elif not on and self._watch_task is not None:
+            self._watch_task.cancel()
 
     def change_address(self, discovery: Address) -> None:
         """Continue at another address, at once and from its full list.
@@ -99,22 +99,22 @@
         """
         self.discovery = discovery
         self._needs_full_list = True
-        fetching = self._fetching is not None and not self._fetching.done()
-        for task in (self._watching, self._fetching):
+        fetching = self._fetch_task is not None and not self._fetch_task.done()
+        for task in (self._watch_task, self._fetch_task):
             if task is not None:
                 task.cancel()
-        self._watching = asyncio.ensure_future(self._watch())
+        self._watch_task = asyncio.ensure_future(self._watch())
         if fetching:
-            self._fetching = asyncio.ensure_future(self._fetch())
+            self._fetch_task = asyncio.ensure_future(self._fetch())
 
     def fetch(self) -> None:
         """Fetch the full list once, unless a fetch is running already, as a second call would be too many."""
-        if self._fetching is None or self._fetching.done():
-            self._fetching = asyncio.ensure_future(self._fetch())
+        if self._fetch_task is None or self._fetch_task.done():
+            self._fetch_task = asyncio.ensure_future(self._fetch())
 
     async def close(self) -> None:
         """Cancel all calls."""
-        tasks = [task for task in (self._watching, self._fetching) if task is not None]
+        tasks = [task for task in (self._watch_task, self._fetch_task) if task is not None]
         for task in tasks:
             task.cancel()
         await asyncio.gather(*tasks, return_exceptions=True)
@@ -124,7 +124,7 @@
         try:
             self._report(await self._full_list(client))
         except CALL_ERRORS as error:
-            if asyncio.current_task() is self._fetching:
+            if asyncio.current_task() is self._fetch_task:
                 self._report_failure(error)
         finally:
             client.close()
@@ -132,14 +132,14 @@
     async def _full_list(self, client: DiscoveryClient) -> DiscoveryResponse:
         """Fetch the full list, for which discovery need not wait, and record how long that took."""
         started_at = self._clock.now()
-        response = await with_timeout(self._clock, LIST_TIME_MS, client.get(LIST_PATH))
+        response = await with_timeout(self._clock, LIST_TIMEOUT_MS, client.get(LIST_PATH))
         self._counters.observe("list_ms", self._clock.now() - started_at)
         return response
 
     async def _changes(self, client: DiscoveryClient) -> DiscoveryResponse:
         """Wait for and fetch the changes since the known revision."""
         target = f"{LIST_PATH}?after={self._endpoints.revision}&wait_ms={self._wait_ms:.0f}"
-        return await with_timeout(self._clock, self._wait_ms + RESPONSE_TIME_MS, client.get(target))
+        return await with_timeout(self._clock, self._wait_ms + RESPONSE_TIMEOUT_MS, client.get(target))
 
     async def _watch(self) -> None:
         client = DiscoveryClient(self.discovery, self._clock)
@@ -156,8 +156,8 @@
         except CALL_ERRORS as error:
             # Ignores the failure of a call that timed out just as the address changed: it does not matter any
             # more, and the policy would request a second watch.
-            if asyncio.current_task() is self._watching:
-                self._watching = None  # lets the policy start a watch again at once
+            if asyncio.current_task() is self._watch_task:
+                self._watch_task = None  # lets the policy start a watch again at once
                 self._report_failure(error)
         finally:
             client.close()
--- a/flintridge/membership/datagram_endpoint.py
+++ b/flintridge/membership/datagram_endpoint.py
@@ -25,12 +25,12 @@
 
 
 class _DatagramProtocol(asyncio.DatagramProtocol):
-    def __init__(self, received: Callable[[bytes, Any], None], counters: Counters) -> None:
-        self._received = received
+    def __init__(self, on_datagram: Callable[[bytes, Any], None], counters: Counters) -> None:
+        self._on_datagram = on_datagram
         self._counters = counters
 
     def datagram_received(self, data: bytes, addr: Any) -> None:
-        self._received(data, addr)
+        self._on_datagram(data, addr)
 
     def error_received(self, exc: Exception) -> None:
         # Either nobody listens there, which the failure detector notices itself, or a buffer is full briefly.
@@ -47,8 +47,8 @@
         clock: Clock,
         log: EventLog,
         counters: Counters,
-        received: Callable[[bytes, Any], None],
-        claimed: Callable[[], Awaitable[None]],
+        on_datagram: Callable[[bytes, Any], None],
+        on_claimed: Callable[[], Awaitable[None]],
     ) -> None:
         """Prepare the endpoint; `open` binds it.
 
@@ -58,8 +58,8 @@
             clock: Clock of this process, in float milliseconds.
             log: Logs which process has the configured address.
             counters: Counts errors.
-            received: Called with each datagram and its source.
-            claimed: Awaited once the configured address is bound.
+            on_datagram: Called with each datagram and its source.
+            on_claimed: Awaited once the configured address is bound.
         """
         self.address = address
         self.owns_address = False  # False while another process of this node has the address
@@ -67,8 +67,8 @@
         self._clock = clock
         self._log = log
         self._counters = counters
-        self._received = received
-        self._claimed = claimed
+        self._on_datagram = on_datagram
+        self._on_claimed = on_claimed
         self._transport: asyncio.DatagramTransport | None = None
         self._next_claim_at = 0.0
         self._claiming = False
@@ -115,14 +115,15 @@
             raise ListenError(f"peers: cannot listen on {self.address}: {error.strerror}") from error
         if previous is not None:
             previous.close()
-        await self._claimed()
+        await self._on_claimed()
         self.owns_address = True
         return True
 
     async def _bind(self, address: Address) -> None:
         loop = asyncio.get_running_loop()
         transport, _ = await loop.create_datagram_endpoint(
-            lambda: _DatagramProtocol(self._received, self._counters), local_addr=(address.host, address.port)
+            lambda: _DatagramProtocol(self._on_datagram, self._counters),
+            local_addr=(address.host, address.port),
         )
         self._transport = transport
 
--- a/flintridge/membership/driver.py
+++ b/flintridge/membership/driver.py
@@ -135,13 +135,13 @@
             self._send_datagrams()
 
     async def exchange(self, peer: str, topic: str, query: bytes) -> list[bytes]:
-        """Send a query to a peer and return the chunks of the whole answer.
+        """Send a query to a peer and return the chunks of the whole response.
 
         Raises:
             KeyError: The peer's name is not configured.
             OSError: The connection could not be opened, or it broke.
             DeadlineExceededError: The exchange took too long.
-            MessageDroppedError: The received bytes are not an answer.
+            MessageDroppedError: The received bytes are not a valid response.
             ExchangeRejectedError: The peer rejected the query.
         """
         return await self._exchanges.request(self._addresses[peer], topic, query)
--- a/flintridge/membership/exchange_service.py
+++ b/flintridge/membership/exchange_service.py
@@ -32,7 +32,7 @@
     """Answers the queries of a topic."""
 
     def __call__(self, query: bytes, /) -> Iterable[bytes]:
-        """Return the chunks of the answer, each small enough for one frame."""
+        """Return the chunks of the response, each small enough for one frame."""
 
 
 class ExchangeRejectedError(FlintridgeError):
@@ -75,7 +75,7 @@
         self._tasks = tasks
         self._handlers: dict[str, ExchangeHandler] = {}
         self._server: asyncio.Server | None = None
-        self._served = 0
+        self._open_exchanges = 0
         self._closed = False
 
     def register(self, topic: str, handler: ExchangeHandler) -> None:
@@ -107,12 +107,12 @@
     # As a client
 
     async def request(self, address: Address, topic: str, query: bytes) -> list[bytes]:
-        """Send a query to a peer and return the chunks of the whole answer.
+        """Send a query to a peer and return the chunks of the whole response.
 
         Raises:
             OSError: The connection could not be opened, or it broke.
             DeadlineExceededError: The exchange took too long.
-            MessageDroppedError: The received bytes are not an answer.
+            MessageDroppedError: The received bytes are not a valid response.
             ExchangeRejectedError: The peer rejected the query.
         """
         return await with_timeout(self._clock, EXCHANGE_TIMEOUT_MS, self._request(address, topic, query))
@@ -145,11 +145,11 @@
     # As a server
 
     async def _on_connection(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        if self._served >= MAX_SERVED_EXCHANGES or self._closed:
+        if self._open_exchanges >= MAX_SERVED_EXCHANGES or self._closed:
             self._counters.add("peers_exchanges_rejected")
             writer.close()
             return
-        self._served += 1
+        self._open_exchanges += 1
         task = asyncio.current_task()
         assert task is not None
         self._tasks[task] = None
@@ -167,7 +167,7 @@
             self._counters.add("peers_errors")
             self._log.error("peers_failed", error)
         finally:
-            self._served -= 1
+            self._open_exchanges -= 1
             del self._tasks[task]
             writer.close()
 
--- a/flintridge/membership/failure_detector.py
+++ b/flintridge/membership/failure_detector.py
@@ -95,7 +95,7 @@
         self._duplicate_name = DuplicateNameDetector()
         self._next_update_at = now
         self._has_left = False
-        self._reported: set[str] = set()  # keys of events that are logged only once
+        self._logged_keys: set[str] = set()  # keys of events that are logged only once
 
     @property
     def reachability(self) -> Reachability:
@@ -124,9 +124,9 @@
     def tick(self, now: float) -> None:
         """Run what is due. To be called about every 50 ms; late calls show as this node's own slowness."""
         self._check_clock_gap(now)
-        self.prober.end_probes(now)
-        self.prober.end_indirect_probes(now)
-        self.table.end_suspicions(now, self.suspicion_ms)
+        self.prober.check_probes(now)
+        self.prober.expire_indirect_probes(now)
+        self.table.resolve_suspicions(now, self.suspicion_ms)
         if not self._has_left and self._probe_schedule.is_due(now):
             target = self.rotation.next_target()
             if target is not None:
@@ -183,8 +183,8 @@
         return message
 
     def _log_once(self, key: str, event: str, **fields: object) -> None:
-        if key not in self._reported:
-            self._reported.add(key)
+        if key not in self._logged_keys:
+            self._logged_keys.add(key)
             self._log_event(event, **fields)
 
     def _process(self, message: Message, size: int, now: float) -> None:
@@ -214,8 +214,8 @@
             raise MessageDroppedError("own")
         member = table.find_or_add(message.name, message.incarnation, now)
         if member is None:
-            configured = message.name in (*table.peer_names, table.local_name)
-            raise MessageDroppedError("too_many_incarnations" if configured else "unknown")
+            is_configured = message.name in (*table.peer_names, table.local_name)
+            raise MessageDroppedError("too_many_incarnations" if is_configured else "unknown")
         if member.state is MemberState.LEFT:
             raise MessageDroppedError("left")
         if not member.accept_sequence(message.sequence):
--- a/flintridge/membership/gossip_queue.py
+++ b/flintridge/membership/gossip_queue.py
@@ -150,12 +150,12 @@
                 self._rng.shuffle(self._rotation)
             member = self._rotation[-1]
             examined += 1
-            if _may_carry(member, selection, to) and not selection.try_add(member, 0.0):
+            if _is_eligible(member, selection, to) and not selection.try_add(member, 0.0):
                 break
             self._rotation.pop()
 
 
-def _may_carry(member: Member, selection: _Selection, to: Member | None) -> bool:
+def _is_eligible(member: Member, selection: _Selection, to: Member | None) -> bool:
     if member is to or member in selection.entries:
         return False
     return member.reachable and member.state < MemberState.FAILED
--- a/flintridge/membership/member_sync.py
+++ b/flintridge/membership/member_sync.py
@@ -30,7 +30,7 @@
 
         Args:
             detector: Failure detector of this process.
-            exchange: Sends a topic's query to a peer, and returns the chunks of the whole answer.
+            exchange: Sends a topic's query to a peer, and returns the chunks of the whole response.
             clock: Clock of this process, in float milliseconds.
             log: Logs failed exchanges.
             counters: Counts completed and failed exchanges.
@@ -42,7 +42,7 @@
         self._counters = counters
 
     def serve(self, query: bytes) -> Iterator[bytes]:
-        """Yield the chunks of an answer: the reachable members that a peer's filter lacks."""
+        """Yield the chunks of a response: the reachable members that a peer's filter lacks."""
         encoder = msgspec.msgpack.Encoder()
         members = self._detector.table.reachable_not_in(query)
         for start in range(0, len(members), ENTRIES_PER_CHUNK):
@@ -68,7 +68,7 @@
         detector = self._detector
         now = self._clock.now()
         for entry in entries:
-            # The entry was sent after the request, no matter when the answer arrived.
+            # The entry was sent after the request, no matter when the response arrived.
             detector.table.merge_entry(entry, requested_at, detector.suspicion_ms, now, detector.max_age_ms)
         self._counters.add("peers_syncs_completed")
 
--- a/flintridge/membership/member_table.py
+++ b/flintridge/membership/member_table.py
@@ -175,7 +175,7 @@
         if member.state is MemberState.ALIVE:
             self._change_state(member, MemberState.SUSPECT, now)
 
-    def end_suspicions(self, now: float, suspicion_ms: float) -> None:
+    def resolve_suspicions(self, now: float, suspicion_ms: float) -> None:
         """End suspicions after `suspicion_ms`: alive if there is evidence since their start, else failed."""
         for member in [*self._suspects]:
             if now < member.state_since + suspicion_ms:
@@ -242,7 +242,7 @@
         self._tracker.reset(self, now)
         for member in self:
             if member.state is MemberState.SUSPECT:
-                member.state_since = now  # restarts the suspicion: no answer could be received in the gap
+                member.state_since = now  # restarts the suspicion: no refutation could be received in the gap
 
     def describe_state(self, member: Member, now: float, max_age_ms: float) -> str:
         """Describe a member's state for the admin API.
--- a/flintridge/membership/messages.py
+++ b/flintridge/membership/messages.py
@@ -54,7 +54,7 @@
 
 
 class MessageKind(IntEnum):
-    """What a message asks for or answers."""
+    """What a message requests or answers."""
 
     PING = 1  # requests an ACK
     ACK = 2  # answers a PING; requests an ACK_RECEIPT if it ends one of the receiver's own probes
@@ -62,9 +62,9 @@
     INDIRECT_ACK = 4  # the target of a PING_REQUEST answered
     # The target of a PING_REQUEST did not answer in time; also shows the requester that its own links work.
     INDIRECT_NACK = 5
-    GOSSIP = 6  # requests no answer
+    GOSSIP = 6  # requests no response
     ACK_RECEIPT = 7  # answers an ACK; proves to the probed process how old the content of the receipt is
-    PAYLOADS = 8  # topic payloads; requests no answer
+    PAYLOADS = 8  # topic payloads; requests no response
 
 
 class MemberState(IntEnum):
--- a/flintridge/membership/probes.py
+++ b/flintridge/membership/probes.py
@@ -28,7 +28,7 @@
     target: ProcessId
     started_at: float
     pings: int = 1  # pings sent to the target
-    requested: int = 0  # members that were requested to ping the target
+    requested_members: int = 0  # members that were requested to ping the target
     nacks: int = 0  # requested members that answered that they got no ack either
 
 
@@ -71,22 +71,22 @@
             self._probes[probe_id] = Probe(target, now)
         return sent
 
-    def end_probes(self, now: float) -> None:
+    def check_probes(self, now: float) -> None:
         """Ping again, directly and through others, where an ack is overdue, and end failed probes."""
-        stretch = 1 + self.local_health_penalty
+        timeout_factor = 1 + self.local_health_penalty
         for probe_id, probe in [*self._probes.items()]:
-            waited = now - probe.started_at
-            if waited >= PROBE_TIMEOUT_MS * stretch:
+            elapsed_ms = now - probe.started_at
+            if elapsed_ms >= PROBE_TIMEOUT_MS * timeout_factor:
                 del self._probes[probe_id]
                 self._fail(probe, now)
-            elif waited >= PING_TIMEOUT_MS * stretch * probe.pings:
+            elif elapsed_ms >= PING_TIMEOUT_MS * timeout_factor * probe.pings:
                 # When many datagrams are lost, a single ping, or a single round of requests to others, would
                 # accuse too many members.
                 self._request_pings(probe_id, probe, now)
                 probe.pings += 1
                 self._sender.send(probe.target, MessageKind.PING, probe_id, now)
 
-    def end_indirect_probes(self, now: float) -> None:
+    def expire_indirect_probes(self, now: float) -> None:
         """Notify the requesters of pings whose target did not answer in time."""
         for probe_id, probe in [*self._indirect_probes.items()]:
             if now >= probe.ends_at:
@@ -152,7 +152,7 @@
 
     def _fail(self, probe: Probe, now: float) -> None:
         self._counters["probes_failed"] += 1
-        if probe.requested and not probe.nacks:
+        if probe.requested_members and not probe.nacks:
             self._adjust_health(1)  # no requested member answered: this node itself may be slow
         member = self._table.find(probe.target.name, probe.target.incarnation)
         if member is not None and member.last_alive_at < probe.started_at:
@@ -170,7 +170,7 @@
             if self._sender.send(
                 member.process_id, MessageKind.PING_REQUEST, probe_id, now, probe_target=probe.target
             ):
-                probe.requested += 1
+                probe.requested_members += 1
 
     def _adjust_health(self, change: int) -> None:
         self.local_health_penalty = min(MAX_HEALTH_PENALTY, max(0, self.local_health_penalty + change))
--- a/flintridge/membership/state_exchange.py
+++ b/flintridge/membership/state_exchange.py
@@ -1,4 +1,4 @@
-"""One side of a TCP connection between two members: a query and its answer in frames, without I/O.
+"""One side of a TCP connection between two members: a query and its response in frames, without I/O.
 
     client:  FS, version, Hello          -> with a new nonce of the client
     server:  FS, version, Hello          -> with a new nonce of the server
@@ -52,7 +52,7 @@
 
 
 class Chunk(msgspec.Struct, array_like=True, frozen=True, tag=3):
-    """A part of the server's answer."""
+    """A part of the server's response."""
 
     data: bytes
     last: bool
@@ -129,13 +129,13 @@
         self._send_frame(Query(topic, body))
 
     def send_chunk(self, data: bytes, last: bool) -> None:
-        """Send a part of the answer."""
+        """Send a part of the response."""
         self._send_frame(Chunk(data, last))
         if last:
             self.state = ExchangeState.FINISHED
 
     def send_rejection(self, reason: str) -> None:
-        """End the exchange without an answer."""
+        """End the exchange without a response."""
         self._send_frame(Rejection(reason))
         self.state = ExchangeState.FINISHED
 
@@ -196,7 +196,9 @@
             case Hello():
                 self._apply_hello(frame)
             case Query():
-                self.state = ExchangeState.FINISHED  # the server receives no more frames; it sends the answer
+                self.state = (
+                    ExchangeState.FINISHED
+                )  # the server receives no more frames; it sends the response
             case Chunk(_, last):
                 self._chunks_received += 1
                 if last:
--- a/flintridge/membership/sync_schedule.py
+++ b/flintridge/membership/sync_schedule.py
@@ -6,8 +6,8 @@
 
 MAX_SYNCS = 12  # exchanges after a start or a clock gap, while names are missing
 SYNC_INTERVAL_MS = 1_000.0  # shortest interval between two exchanges, before it is varied
-SYNC_ENTRY_BYTES = 22.0  # approximate size of an entry in an answer
-# Fraction of the exchanges' bytes that answers may take, assuming that others reach as much as this node.
+SYNC_ENTRY_BYTES = 22.0  # approximate size of an entry in a response
+# Fraction of the exchanges' bytes that responses may take, assuming that others reach as much as this node.
 SYNC_BYTES_FRACTION = 0.5
 
 
@@ -29,7 +29,7 @@
         self._table = table
         self._bytes_per_s = bytes_per_s
         self._rng = rng
-        self._started = 0  # exchanges since the evidence was last reset
+        self._exchange_count = 0  # exchanges since the evidence was last reset
         self._next_at = now
         self._evidence_valid_from = now  # when the evidence was last reset
 
@@ -38,7 +38,7 @@
         table = self._table
         if self._evidence_valid_from != table.evidence_valid_from:
             self._evidence_valid_from = table.evidence_valid_from
-            self._started = 0
+            self._exchange_count = 0
             self._next_at = now
         if self._is_done() or now < self._next_at:
             return None
@@ -50,15 +50,15 @@
         ]
         if not sources:
             return None
-        self._started += 1
+        self._exchange_count += 1
         self._next_at = now + self._interval_ms() * self._rng.uniform(0.75, 1.25)
         return self._rng.choice(sources)
 
     def _is_done(self) -> bool:
-        if self._started >= MAX_SYNCS:
+        if self._exchange_count >= MAX_SYNCS:
             return True
         reachability = self._table.reachability
-        return self._started > 0 and reachability.reachable == reachability.names
+        return self._exchange_count > 0 and reachability.reachable == reachability.names
 
     def _interval_ms(self) -> float:
         names = self._table.reachability.names
--- a/tests/discovery/test_watch_termination.py
+++ b/tests/discovery/test_watch_termination.py
@@ -15,7 +15,7 @@
 from flintridge.config.address import Address
 from flintridge.discovery import client as client_module
 from flintridge.discovery.client import LOCAL_FAILURE_PAUSE_MS, MAX_LOCAL_FAILURES, DiscoveryClient
-from flintridge.discovery.watcher import LIST_TIME_MS
+from flintridge.discovery.watcher import LIST_TIMEOUT_MS
 from flintridge.lab import virtual
 from flintridge.runtime.clock import NS_PER_MS
 
@@ -42,7 +42,7 @@
             discovery.writers[0].write(http({"revision": 1, "complete": False, "members": []}))
             await alone.pass_until(lambda: len(discovery.got) == 2, 200)  # the call that gets no response
             await alone.pass_until(lambda: len(discovery.got) == 3, 9_000)
-            clock.go(LIST_TIME_MS - 100)  # discovery has many calls to answer
+            clock.go(LIST_TIMEOUT_MS - 100)  # discovery has many calls to answer
             discovery.writers[-1].write(http(whole(2, s1="terminating")))
             await until(lambda: alone.state("s1") is EndpointState.DRAINING)
             assert clock.now() <= silent_at + SILENCE_MS + grace
