--- a/flintridge/discovery/watcher.py
+++ b/flintridge/discovery/watcher.py
@@ -84,7 +84,7 @@
         self.watch(True)
 
     def watch(self, on: bool) -> None:
-        """Start the watch, unless one is running already, as a second call would be too many; or end it."""
+        """Start the watch, or end it. A running watch is not started twice: that is a call too many."""
         running = self._watch_task is not None and not self._watch_task.done()
         if on and not running:
             self._watch_task = asyncio.ensure_future(self._watch())
@@ -108,7 +108,7 @@
             self._fetch_task = asyncio.ensure_future(self._fetch())
 
     def fetch(self) -> None:
-        """Fetch the full list once, unless a fetch is running already, as a second call would be too many."""
+        """Fetch the full list once. A running fetch is not repeated, as that would be a call too many."""
         if self._fetch_task is None or self._fetch_task.done():
             self._fetch_task = asyncio.ensure_future(self._fetch())
 
--- a/flintridge/membership/detection_times.py
+++ b/flintridge/membership/detection_times.py
@@ -9,9 +9,10 @@
 MIN_MAX_AGE_MS = 4_000.0  # lower bound of the maximum age of evidence
 GOSSIP_CYCLES = 16.0  # the maximum age also leaves time to receive the entries of all members this often
 SUSPICION_MS = 1_500.0  # multiplied by the decimal logarithm of the fleet's size where that is over 1
-TYPICAL_ENTRIES = 24.0  # gossip entries in a datagram if the byte budget allows; never assumed to be more
+# Bounds of the assumed number of gossip entries in a datagram, which depends on the byte budget.
+MAX_TYPICAL_ENTRIES = 24.0
 MIN_TYPICAL_ENTRIES = 4.0
-BYTES_PER_S_PER_ENTRY = 330.0  # budget needed for each entry that a typical datagram carries
+BYTES_PER_S_PER_ENTRY = 330.0  # byte budget that allows one more entry in a datagram
 
 
 @dataclass(slots=True, frozen=True)
@@ -45,4 +46,4 @@
 
 def _typical_entries(bytes_per_s: float) -> float:
     """Typical number of gossip entries about others in a datagram, as the byte budget allows."""
-    return min(TYPICAL_ENTRIES, max(MIN_TYPICAL_ENTRIES, bytes_per_s / BYTES_PER_S_PER_ENTRY))
+    return min(MAX_TYPICAL_ENTRIES, max(MIN_TYPICAL_ENTRIES, bytes_per_s / BYTES_PER_S_PER_ENTRY))
--- a/flintridge/membership/duplicate_name.py
+++ b/flintridge/membership/duplicate_name.py
@@ -3,7 +3,7 @@
 If two nodes have one name, only one of them gets the acks for both, and nobody is reachable from the other.
 """
 
-# Acks for a process that ran here before have ended by then.
+# Acks for a process that ran here before stop arriving within this time.
 DUPLICATE_NAME_MS = 5_000.0
 MAX_OTHER_INCARNATIONS = 8  # other incarnations of this node's name that are remembered
 
--- a/flintridge/membership/exchange_service.py
+++ b/flintridge/membership/exchange_service.py
@@ -91,7 +91,7 @@
     async def listen(self, address: Address) -> None:
         """Serve at an address.
 
-        If it cannot be bound, only exchanges are not served; what other nodes need are datagrams.
+        A failure to bind it is only logged: other nodes need this node's datagrams, but not its exchanges.
         """
         try:
             self._server = await asyncio.start_server(self._on_connection, address.host, address.port)
