--- a/tests/codec/test_all_exchanges.py
+++ b/tests/codec/test_all_exchanges.py
@@ -3,8 +3,8 @@
 import pytest
 from hypothesis import given
 from hypothesis import strategies as st
-from support.codec import CUTS, HTTP, READ, STATS, VALUE, cut, feed_all, parse_commands
-from support.network import FIXED, SETTINGS, HandClock, make_request
+from support.codec import CUTS, HTTP, READ, STATS, VALUE, feed_all, parse_commands, split_at
+from support.network import FIXED, SETTINGS, ManualClock, make_request
 
 from flintridge.api import Outcome
 from flintridge.codec.http.origin import OriginExchange, OriginHealthCheck
@@ -33,7 +33,7 @@
         expected = feed_all(whole, [text])
         assert expected is not None
         assert expected.outcome is Outcome.OK
-        assert feed_all(parted, [p for p in cut(text, cuts) if p]) == expected
+        assert feed_all(parted, [p for p in split_at(text, cuts) if p]) == expected
         assert parted.reusable
         assert whole.reusable
 
@@ -68,7 +68,7 @@
         exchange.encode_request()
         feed_all(exchange, [p for p in pieces if p])
         exchange.end()
-    endpoints = EndpointList((), (), SETTINGS, HandClock())
+    endpoints = EndpointList((), (), SETTINGS, ManualClock())
     for piece in pieces:
         with pytest.raises(ValueError, match="list"):
             endpoints.apply_json(piece)
--- a/tests/codec/test_command_parser.py
+++ b/tests/codec/test_command_parser.py
@@ -2,7 +2,7 @@
 
 import pytest
 from hypothesis import given
-from support.codec import CUTS, READ, STREAM, cut, parse_commands
+from support.codec import CUTS, READ, STREAM, parse_commands, split_at
 from support.network import FIXED
 
 from flintridge.codec.memcache.commands import InvalidCommand, NoOp
@@ -11,7 +11,7 @@
 @FIXED
 @given(CUTS)
 def test_commands_when_cut_anywhere_parse_the_same(cuts):
-    assert parse_commands(cut(STREAM, cuts)) == parse_commands([STREAM])
+    assert parse_commands(split_at(STREAM, cuts)) == parse_commands([STREAM])
 
 
 def test_command_when_valid_becomes_a_request_or_a_no_op():
--- a/tests/core/test_attempt_limits.py
+++ b/tests/core/test_attempt_limits.py
@@ -2,7 +2,7 @@
 
 import asyncio
 
-from support.network import SETTINGS, HandClock, Replies, make_request, quiet
+from support.network import SETTINGS, ManualClock, RecordingResponder, log_and_counters, make_request
 
 from flintridge import api
 from flintridge.core.lifecycle import RequestLifecycle
@@ -19,12 +19,12 @@
                 return []
 
         started: list[UpstreamAttempt] = []
-        clock = HandClock()
-        log, counters = quiet()
+        clock = ManualClock()
+        log, counters = log_and_counters()
         core = RequestLifecycle(Sends(), SETTINGS, clock, 1 << 20, log, counters)
         driver = type("Driver", (), {"start": staticmethod(started.append)})()
         core.attach(driver, driver)
-        core.submit(make_request("a1"), Replies())
+        core.submit(make_request("a1"), RecordingResponder())
         (attempt,) = started
         assert (attempt.begin_by, attempt.written_by) == (clock.now() + 100, clock.now() + 200)
         assert not attempt.request_ended
--- a/tests/core/test_attempts.py
+++ b/tests/core/test_attempts.py
@@ -1,7 +1,7 @@
 """Attempts made of a policy's `Send`: their limits, and when one is not sent."""
 
 import pytest
-from support.network import Replies, make_request
+from support.network import RecordingResponder, make_request
 
 from flintridge import api
 from flintridge.api import Outcome
@@ -16,7 +16,7 @@
 
 
 def open_request(**fields) -> OpenRequest:
-    return OpenRequest("a1", make_request(), Replies(), 0, DEADLINE, **fields)
+    return OpenRequest("a1", make_request(), RecordingResponder(), 0, DEADLINE, **fields)
 
 
 def next_attempt(request: OpenRequest, timeout_ms: int = 0, now: float = NOW):
--- a/tests/core/test_deadlines.py
+++ b/tests/core/test_deadlines.py
@@ -3,8 +3,8 @@
 from dataclasses import replace
 
 import pytest
-from support.core import Script
-from support.network import SETTINGS, HandClock, Replies, make_request, quiet
+from support.core import ScriptedPolicy
+from support.network import SETTINGS, ManualClock, RecordingResponder, log_and_counters, make_request
 
 from flintridge import api
 from flintridge.core.lifecycle import RequestLifecycle
@@ -18,8 +18,8 @@
 def opened():
     """A core with one open request whose client waits for 20 s: clock, core, policy and replies."""
     classes = tuple(replace(each, deadline_ns=int(WAIT_MS) * NS_PER_MS) for each in SETTINGS.classes)
-    clock, replies, script = HandClock(), Replies(), Script()
-    core = RequestLifecycle(script, replace(SETTINGS, classes=classes), clock, 1 << 20, *quiet())
+    clock, replies, script = ManualClock(), RecordingResponder(), ScriptedPolicy()
+    core = RequestLifecycle(script, replace(SETTINGS, classes=classes), clock, 1 << 20, *log_and_counters())
     core.submit(make_request(wait=WAIT_MS), replies)
     return clock, core, script, replies
 
@@ -28,23 +28,23 @@
     """What was read later on its connection waits behind it, and would be lost with it."""
     clock, core, script, replies = opened
     core.respond_all_by(clock.now() + RESPOND_BY_MS)
-    clock.go(RESPOND_BY_MS - 1)
-    assert replies.said == []
-    clock.go(2)
-    assert replies.said == ["failed"]
+    clock.advance(RESPOND_BY_MS - 1)
+    assert replies.responses == []
+    clock.advance(2)
+    assert replies.responses == ["failed"]
     assert core.idle
     assert any(isinstance(event, api.ClientDisconnected) for _, event in script.events)
-    clock.go(WAIT_MS)
-    assert replies.said == ["failed"]
+    clock.advance(WAIT_MS)
+    assert replies.responses == ["failed"]
 
 
 def test_open_request_when_it_is_due_before_the_last_response_then_keeps_its_time(opened):
     clock, core, _, replies = opened
     core.respond_all_by(clock.now() + 2 * WAIT_MS)
-    clock.go(WAIT_MS - 100)
-    assert replies.said == []
-    clock.go(100)
-    assert replies.said == ["failed"]
+    clock.advance(WAIT_MS - 100)
+    assert replies.responses == []
+    clock.advance(100)
+    assert replies.responses == ["failed"]
 
 
 @pytest.mark.parametrize(
@@ -58,10 +58,10 @@
     started_at = clock.now()
     core.submit(make_request("a2", wait=timeout_ms), replies)
     assert script.events[-1][1].deadline == to_ns(started_at + due_ms)
-    clock.go(overdue_ms - 0.1)
+    clock.advance(overdue_ms - 0.1)
     assert "a2" in core.open_requests
-    clock.go(0.2)
-    assert "a2" not in core.open_requests and replies.said[-1] == "failed"
+    clock.advance(0.2)
+    assert "a2" not in core.open_requests and replies.responses[-1] == "failed"
 
 
 def test_request_when_taken_in_after_the_last_response_is_due_then_has_no_time_left(opened):
@@ -69,5 +69,5 @@
     core.respond_all_by(clock.now() - 1)
     core.submit(make_request("a2"), replies)
     assert script.events[-1][1].deadline == to_ns(clock.now() - 1)
-    clock.go(10)
-    assert replies.said == ["failed", "failed"]
+    clock.advance(10)
+    assert replies.responses == ["failed", "failed"]
--- a/tests/core/test_lifecycle.py
+++ b/tests/core/test_lifecycle.py
@@ -3,8 +3,8 @@
 from dataclasses import replace
 
 import pytest
-from support.core import Script
-from support.network import SETTINGS, HandClock, Replies, make_request, quiet
+from support.core import ScriptedPolicy
+from support.network import SETTINGS, ManualClock, RecordingResponder, log_and_counters, make_request
 
 from flintridge import api
 from flintridge.api import Outcome
@@ -23,10 +23,10 @@
     """A request lifecycle between a scripted policy and drivers that record their calls."""
 
     def __init__(self) -> None:
-        self.clock = HandClock()
-        self.script = Script()
-        self.replies = Replies()
-        self.log, self.counters = quiet()
+        self.clock = ManualClock()
+        self.script = ScriptedPolicy()
+        self.replies = RecordingResponder()
+        self.log, self.counters = log_and_counters()
         self.core = RequestLifecycle(self.script, SETTINGS, self.clock, MEMORY_BYTES, self.log, self.counters)
         self.attempts = []
         self.calls = []
@@ -49,7 +49,7 @@
         self.calls.append("fetch")
 
     def on(self, kind, *actions) -> None:
-        self.script.answers[kind] = lambda _: list(actions)
+        self.script.handlers[kind] = lambda _: list(actions)
 
     def submit(self, **changes) -> None:
         self.core.submit(make_request(**changes), self.replies)
@@ -84,17 +84,17 @@
 def test_attempt_when_served_then_responds_before_the_policy_is_notified():
     harness = Core()
     harness.on(api.RequestReceived, SEND, SEND)
-    harness.script.answers[api.AttemptEnded] = (
-        lambda e: harness.calls.append(list(harness.replies.said)) or []
+    harness.script.handlers[api.AttemptEnded] = (
+        lambda e: harness.calls.append(list(harness.replies.responses)) or []
     )
     harness.submit()
-    harness.clock.go(30)
+    harness.clock.advance(30)
     harness.core.attempt_ended(harness.attempts[1], OK)
-    assert harness.replies.said == [b"value"] and harness.calls == [[b"value"]]
+    assert harness.replies.responses == [b"value"] and harness.calls == [[b"value"]]
     harness.core.attempt_ended(
         harness.attempts[0], AttemptResult(Outcome.OK, Response(b"second", receipt=False))
     )
-    assert harness.replies.said == [b"value"]
+    assert harness.replies.responses == [b"value"]
     assert harness.script.ends() == [(1, Outcome.OK, True), (0, Outcome.OK, True)]
     assert harness.script.events[1][1].latency_ns == to_ns(30)
 
@@ -110,8 +110,8 @@
     harness.clock.call_at(
         10_475, harness.core.attempt_ended, harness.attempts[0], timed_out
     )  # right behind the timer
-    harness.clock.go(475)
-    assert harness.replies.said == [("busy", 300.0)] and not harness.counters["responses_overdue"]
+    harness.clock.advance(475)
+    assert harness.replies.responses == [("busy", 300.0)] and not harness.counters["responses_overdue"]
 
 
 def test_send_when_the_request_has_its_final_response_then_ends_once():
@@ -119,7 +119,7 @@
     harness.on(api.RequestReceived, SEND)
     harness.submit()
     harness.act(api.Reject("a1", to_ns(9000)), api.Fail("a1"), SEND)
-    assert harness.replies.said == [("busy", 2000.0)]  # once, and capped by the settings
+    assert harness.replies.responses == [("busy", 2000.0)]  # once, and capped by the settings
     assert harness.script.ends() == [(1, Outcome.WITHDRAWN, True)]
     harness.core.attempt_ended(harness.attempts[0], AttemptResult(Outcome.RESET))
     harness.core.attempt_ended(harness.attempts[0], OK)
@@ -146,7 +146,7 @@
 
 
 def test_event_when_an_action_causes_it_then_waits_until_handle_has_returned():
-    harness = Core()  # Script itself fails on a call within a call
+    harness = Core()  # ScriptedPolicy itself fails on a call within a call
     harness.on(api.RequestReceived, api.CheckHealth("s1"), api.CheckHealth("s2"))
     harness.submit()
     assert [getattr(e, "server", "") for _, e in harness.script.events] == ["", "s1", "s2"]
@@ -170,7 +170,7 @@
     with pytest.raises(IdInUseError):  # its attempt may still run
         harness.submit()
     harness.core.attempt_ended(harness.attempts[0], OK)
-    assert harness.replies.said == [] and harness.script.ends() == [(0, Outcome.OK, True)]
+    assert harness.replies.responses == [] and harness.script.ends() == [(0, Outcome.OK, True)]
     assert sum(isinstance(e, api.ClientDisconnected) for _, e in harness.script.events) == 1
     harness.submit()
 
@@ -179,19 +179,19 @@
     harness = Core()
     at = to_ns(10_250) + 1  # between what the float clock can tell and the next
     harness.act(api.SetTimer(at, 5))
-    harness.clock.go(250.001)
+    harness.clock.advance(250.001)
     now, event = harness.script.events[-1]
     assert event == api.TimerFired(5) and now >= at
 
 
 def test_request_when_the_policy_raises_then_fails_in_time():
     harness = Core()
-    harness.script.answers[api.RequestReceived] = lambda _: 1 // 0
+    harness.script.handlers[api.RequestReceived] = lambda _: 1 // 0
     harness.script.handle = lambda now, event: 1 // 0
     harness.submit()
-    assert harness.counters["policy_errors"] == 1 and harness.replies.said == []
-    harness.clock.go(479)
-    assert harness.replies.said == ["failed"] and harness.core.idle
+    assert harness.counters["policy_errors"] == 1 and harness.replies.responses == []
+    harness.clock.advance(479)
+    assert harness.replies.responses == ["failed"] and harness.core.idle
 
 
 def test_action_when_about_no_request_then_reaches_its_driver():
@@ -207,10 +207,10 @@
     big = b"x" * (MEMORY_BYTES // 2)
     for uid in ("a1", "a2", "a3"):
         harness.submit(uid=uid, value=big)
-    assert harness.replies.said == [("busy", 0.0)] and len(harness.script.events) == 2
+    assert harness.replies.responses == [("busy", 0.0)] and len(harness.script.events) == 2
     harness.act(api.Fail("a1"))
     harness.submit(uid="a4", value=big)
-    assert harness.replies.said == [("busy", 0.0), "failed"]
+    assert harness.replies.responses == [("busy", 0.0), "failed"]
 
 
 def test_submit_when_too_many_requests_are_open_then_sheds():
@@ -218,7 +218,7 @@
     harness.core.settings = replace(SETTINGS, limits=api.Limits(max_open=1))
     harness.submit(uid="a1")
     harness.submit(uid="a2")
-    assert harness.replies.said == [("busy", 0.0)] and not harness.core.idle
+    assert harness.replies.responses == [("busy", 0.0)] and not harness.core.idle
 
 
 def test_stream_when_started_then_is_the_final_response_and_ends_the_attempt():
@@ -226,19 +226,19 @@
     harness.on(api.RequestReceived, SEND)
     harness.submit()
     (attempt,) = harness.attempts
-    harness.clock.go(30)
+    harness.clock.advance(30)
 
     class Long:
         length, result = 100_000, AttemptResult(Outcome.OK, cache_status=1)
 
     streamed = harness.core.start_stream(attempt, Long())
-    assert harness.replies.said == [streamed] and streamed.length == 100_000
+    assert harness.replies.responses == [streamed] and streamed.length == 100_000
     assert harness.script.ends() == [(0, Outcome.OK, True)] and harness.core.idle
     assert harness.script.events[-1][1].latency_ns == to_ns(30)
     harness.core.attempt_ended(
         attempt, AttemptResult(Outcome.RESET)
     )  # the stream broke: nothing more is reported
     harness.core.client_disconnected("a1")
-    harness.clock.go(5000)
-    assert len(harness.script.ends()) == 1 and len(harness.replies.said) == 1
+    harness.clock.advance(5000)
+    assert len(harness.script.ends()) == 1 and len(harness.replies.responses) == 1
     assert harness.core.start_stream(attempt, Long()) is None
--- a/tests/core/test_memory_budget.py
+++ b/tests/core/test_memory_budget.py
@@ -2,20 +2,20 @@
 
 from hypothesis import given
 from hypothesis import strategies as st
-from support.network import FIXED, HandClock
+from support.network import FIXED, ManualClock
 
 from flintridge.core.memory_budget import MemoryBudget
 
 
 def test_reservation_when_bytes_are_awaited_then_is_granted_in_order_or_not_in_time():
-    clock = HandClock()
+    clock = ManualClock()
     decisions = []
     budget = MemoryBudget(100, clock)
     assert budget.try_reserve(80)
     budget.wait(60, 1000, lambda granted: decisions.append(("first", granted)))
     budget.wait(10, 500, lambda granted: decisions.append(("second", granted)))
     assert not budget.try_reserve(5) and decisions == []  # it does not pass by those who wait
-    clock.go(500)
+    clock.advance(500)
     assert decisions == [("second", False)]
     budget.release(80)
     assert decisions[1:] == [("first", True)] and budget.reserved == 60
@@ -26,7 +26,7 @@
 @FIXED
 @given(st.lists(st.tuples(st.integers(0, 120), st.integers(0, 3)), max_size=40))
 def test_budget_when_reservations_are_granted_cancelled_or_late_then_all_bytes_are_released(steps):
-    clock = HandClock()
+    clock = ManualClock()
     budget = MemoryBudget(100, clock)
     reserved = []
     waiting = []
@@ -42,9 +42,9 @@
         elif step == 2 and waiting:
             waiting.pop(0)()
         else:
-            clock.go(100)
+            clock.advance(100)
         assert 0 <= budget.reserved <= 100 and budget.reserved == sum(reserved)
-    clock.go(300)
+    clock.advance(300)
     while reserved:
         budget.release(reserved.pop())
     assert budget.reserved == 0 and not budget._waiting
--- a/tests/core/test_open_requests.py
+++ b/tests/core/test_open_requests.py
@@ -1,7 +1,7 @@
 """Open requests by themselves: forgotten once responded and ended, with their memory released."""
 
 import pytest
-from support.network import HandClock, Replies, make_request
+from support.network import ManualClock, RecordingResponder, make_request
 
 from flintridge.core.memory_budget import MemoryBudget
 from flintridge.core.open_requests import OpenRequest, OpenRequests
@@ -23,7 +23,7 @@
 
 @pytest.fixture
 def budget():
-    budget = MemoryBudget(1000, HandClock())
+    budget = MemoryBudget(1000, ManualClock())
     assert budget.try_reserve(RESERVED_BYTES)
     return budget
 
@@ -32,7 +32,9 @@
 def requests(budget):
     """The open requests of a node: one of them, `a1`."""
     requests = OpenRequests(budget)
-    request = OpenRequest("a1", make_request(), Replies(), RESERVED_BYTES, deadline_timer=CountedTimer())
+    request = OpenRequest(
+        "a1", make_request(), RecordingResponder(), RESERVED_BYTES, deadline_timer=CountedTimer()
+    )
     requests.add(request)
     return requests
 
--- a/tests/core/test_policy_driver.py
+++ b/tests/core/test_policy_driver.py
@@ -1,8 +1,8 @@
 """The driver of the policy: one event at a time, an error ends nothing, no call once it is closed."""
 
 import pytest
-from support.core import Script
-from support.network import HandClock, quiet
+from support.core import ScriptedPolicy
+from support.network import ManualClock, log_and_counters
 
 from flintridge import api
 from flintridge.core.policy_driver import PolicyDriver
@@ -13,10 +13,10 @@
     """A driver between a scripted policy and a list of the actions that it has carried out."""
 
     def __init__(self) -> None:
-        self.clock = HandClock()
-        self.policy = Script()
+        self.clock = ManualClock()
+        self.policy = ScriptedPolicy()
         self.actions: list[api.Action] = []
-        log, self.counters = quiet()
+        log, self.counters = log_and_counters()
         self.driver = PolicyDriver(self.policy, self.carry_out, self.clock, log, self.counters)
 
     def carry_out(self, action: api.Action) -> None:
@@ -37,13 +37,13 @@
 
 
 def test_notify_when_an_action_causes_events_then_these_follow_in_order(driven):
-    driven.policy.answers[api.TimerFired] = lambda _: [api.Fail("a1"), api.Fail("a2")]
+    driven.policy.handlers[api.TimerFired] = lambda _: [api.Fail("a1"), api.Fail("a2")]
     driven.driver.notify(api.TimerFired(1))
     assert driven.events == [api.TimerFired(1), api.ClientDisconnected("a1"), api.ClientDisconnected("a2")]
 
 
 def test_notify_when_an_action_raises_then_the_next_one_is_carried_out(driven):
-    driven.policy.answers[api.TimerFired] = lambda _: [api.FetchEndpoints(), api.Log("next")]
+    driven.policy.handlers[api.TimerFired] = lambda _: [api.FetchEndpoints(), api.Log("next")]
     driven.driver.notify(api.TimerFired(1))
     assert driven.actions == [api.FetchEndpoints(), api.Log("next")]
     assert driven.counters["action_errors"] == 1
@@ -60,7 +60,7 @@
 
 def test_now_when_the_clock_goes_back_then_does_not(driven):
     driven.driver.notify(api.TimerFired(1))
-    driven.clock.go(-100)
+    driven.clock.advance(-100)
     driven.driver.notify(api.TimerFired(2))
     first, second = (now for now, _ in driven.policy.events)
     assert second == first
@@ -69,7 +69,7 @@
 def test_timer_when_its_instant_lies_between_those_of_the_clock_then_now_is_not_before_it(driven):
     at = to_ns(10_250) + 1
     driven.driver.set_timer(at, 7)
-    driven.clock.go(250.001)
+    driven.clock.advance(250.001)
     ((now, event),) = driven.policy.events
     assert event == api.TimerFired(7) and now >= at
 
@@ -77,6 +77,6 @@
 def test_close_when_timers_fall_due_then_the_policy_is_notified_of_nothing(driven):
     driven.driver.set_timer(to_ns(10_100), 7)
     driven.driver.close()
-    driven.clock.go(200)
+    driven.clock.advance(200)
     driven.driver.notify(api.TimerFired(1))
     assert driven.events == []
--- a/tests/core/test_requests_when_connects_fail.py
+++ b/tests/core/test_requests_when_connects_fail.py
@@ -6,8 +6,8 @@
 from dataclasses import replace
 
 import pytest
-from support.network import SETTINGS, Peer, until
-from support.node import Alone, whole
+from support.network import SETTINGS, ScriptedServer, until
+from support.node import NodeHarness, endpoint_list
 from support.upstream import READ, VALUE
 
 from flintridge import api
@@ -19,16 +19,18 @@
 FAILING_MS = 300
 
 
-def make_node(discovery: Peer, server: Peer, caches: int, connect_timeout_ms: int) -> Alone:
+def make_node(
+    discovery: ScriptedServer, server: ScriptedServer, caches: int, connect_timeout_ms: int
+) -> NodeHarness:
     """A node with some caches and an origin, all at one peer."""
     limits = replace(SETTINGS.limits, connect_timeout_ns=connect_timeout_ms * NS_PER_MS, max_attempts=2)
     settings = replace(SETTINGS, limits=limits, discovery=api.DiscoveryMode.POLLED)
     names = [f"s{i}" for i in range(caches)]
-    known = whole(1, **dict.fromkeys([*names, "o1"], "in_service"))
+    known = endpoint_list(1, **dict.fromkeys([*names, "o1"], "in_service"))
     for entry in known["members"]:
         flavor = "origin" if entry["id"] == "o1" else "m2"
         entry |= {"host_port": f"127.0.0.1:{server.port}", "flavor": flavor}
-    return Alone(discovery, known, settings, kinds=("m2", "origin"))
+    return NodeHarness(discovery, known, settings, kinds=("m2", "origin"))
 
 
 class FailingConnects:
@@ -38,7 +40,7 @@
         made_at: When one was let through, in ms of the node's clock.
     """
 
-    def __init__(self, monkeypatch, node: Alone) -> None:
+    def __init__(self, monkeypatch, node: NodeHarness) -> None:
         opened = connection_pool.open_connection
         failing_until = node.clock.now() + FAILING_MS
         self.made_at: list[float] = []
@@ -51,12 +53,12 @@
 
         monkeypatch.setattr(connection_pool, "open_connection", failing)
 
-    async def pass_time(self, node: Alone, ms: int) -> None:
+    async def advance_time(self, node: NodeHarness, ms: int) -> None:
         """Let the clock go on, but not while a connection comes up."""
         for _ in range(ms):
             if self.made_at:
                 return
-            node.clock.go(1)
+            node.clock.advance(1)
             for _ in range(4):
                 await asyncio.sleep(0)
 
@@ -74,18 +76,18 @@
 
     async def test():
         async with (
-            Peer(lambda _: b"") as discovery,
-            Peer(lambda data: VALUE if data.startswith(b"m") else STORED) as server,
+            ScriptedServer(lambda _: b"") as discovery,
+            ScriptedServer(lambda data: VALUE if data.startswith(b"m") else STORED) as server,
         ):
             node = make_node(discovery, server, caches, connect_timeout_ms)
             connects = FailingConnects(monkeypatch, node)
             reader, writer = await asyncio.open_connection("127.0.0.1", await node.node.start())
             writer.write((command % b"a1").replace(b"d=480", b"d=1900"))
             await until(lambda: node.node.core.unanswered)
-            await connects.pass_time(node, FAILING_MS + 60)
+            await connects.advance_time(node, FAILING_MS + 60)
             await until(lambda: node.node.core.idle)
             assert (await reader.readline()).split()[0] in (b"VA", b"HD")
-            assert len(server.got) == 1
+            assert len(server.received) == 1
             policy = node.node.core.policy_driver.policy
             assert not any(each.connect_backoff.until for each in policy.servers.values())
             writer.close()
@@ -96,18 +98,18 @@
 
 def test_request_when_its_client_closes_while_connects_fail_locally_is_never_sent(play, monkeypatch):
     async def test():
-        async with Peer(lambda _: b"") as discovery, Peer(lambda _: VALUE) as server:
+        async with ScriptedServer(lambda _: b"") as discovery, ScriptedServer(lambda _: VALUE) as server:
             node = make_node(discovery, server, 1, 500)
             connects = FailingConnects(monkeypatch, node)
             _, writer = await asyncio.open_connection("127.0.0.1", await node.node.start())
             writer.write((READ % b"a1").replace(b"d=480", b"d=1900"))
             await until(lambda: node.node.core.unanswered)
-            await connects.pass_time(node, 20)
+            await connects.advance_time(node, 20)
             writer.close()
             await until(lambda: node.node.core.idle)
-            await connects.pass_time(node, FAILING_MS + 60)
+            await connects.advance_time(node, FAILING_MS + 60)
             assert connects.made_at == []
-            assert server.got == []
+            assert server.received == []
             await node.node.close()
 
     play(test)
--- a/tests/discovery/test_discovery_trouble.py
+++ b/tests/discovery/test_discovery_trouble.py
@@ -8,8 +8,8 @@
 from dataclasses import replace
 
 import pytest
-from support.network import NS_PER_MS, quiet
-from support.node import http, whole
+from support.network import NS_PER_MS, log_and_counters
+from support.node import endpoint_list, json_response
 
 from flintridge import api
 from flintridge.api import DiscoveryMode, EndpointState
@@ -30,7 +30,7 @@
 
     def __init__(self) -> None:
         self.trouble: str | None = None
-        self.list = whole(1, s1="in_service")
+        self.list = endpoint_list(1, s1="in_service")
         self.changed = asyncio.Event()
         self.calls = 0
         self.server: asyncio.Server | None = None
@@ -49,7 +49,7 @@
             task.cancel()
 
     def change(self, revision: int, **phases: str) -> None:
-        self.list = whole(revision, **phases)
+        self.list = endpoint_list(revision, **phases)
         self.changed.set()
         self.changed = asyncio.Event()
 
@@ -84,9 +84,9 @@
                 if self.trouble == "silent":
                     await asyncio.Event().wait()
                 unchanged = {"revision": self.list["revision"], "complete": False, "members": []}
-                writer.write(http(unchanged))
+                writer.write(json_response(unchanged))
                 return True
-        response = http(self.list)
+        response = json_response(self.list)
         if not self.byte_pause_s:
             writer.write(response)
             return True
@@ -103,10 +103,10 @@
         settings = api.Settings(rules=api.Rules(drain_grace_ns=int(GRACE_MS * NS_PER_MS)), discovery=mode)
         listen, discovery_address = Address("127.0.0.1", 0), Address("127.0.0.1", discovery.port)
         self.config = NodeConfig(
-            "n1", listen, discovery_address, seed, settings, known=whole(1, s1="in_service")
+            "n1", listen, discovery_address, seed, settings, known=endpoint_list(1, s1="in_service")
         )
         self.loop = asyncio.get_running_loop()
-        self.node = Node(self.config, SystemClock(self.loop), *quiet())
+        self.node = Node(self.config, SystemClock(self.loop), *log_and_counters())
 
     def state(self, server: str = "s1") -> EndpointState | None:
         known = self.node.core.policy_driver.policy.servers.get(server)
@@ -141,7 +141,7 @@
         for task in list(discovery.tasks):
             if trouble != "silent":
                 task.cancel()  # watch calls end when discovery goes down
-        discovery.list = whole(2, s1="terminating")
+        discovery.list = endpoint_list(2, s1="terminating")
         await asyncio.sleep(OUTAGE_S)
         calls = discovery.calls
         discovery.trouble = None
@@ -163,7 +163,7 @@
     async def test():
         discovery = Discovery()
         await discovery.open()
-        discovery.byte_pause_s = taken_s / len(http(whole(2, s1="terminating")))
+        discovery.byte_pause_s = taken_s / len(json_response(endpoint_list(2, s1="terminating")))
         watching = WatchingNode(discovery, mode)
         await watching.node.start()
         await asyncio.sleep(OUTAGE_S / 10)
@@ -207,8 +207,8 @@
         await watching.node.start()
         await asyncio.sleep(10)
         second.trouble = trouble
-        second.list = whole(90, s1="in_service")
-        first.list = whole(2, s1="terminating")  # changed while the watch was at the other address
+        second.list = endpoint_list(90, s1="in_service")
+        first.list = endpoint_list(2, s1="terminating")  # changed while the watch was at the other address
         ports = [second.port, first.port, second.port, first.port]
         for number, port in enumerate(ports * 3):
             watching.node.reload(_moved(watching.config, port))
@@ -245,7 +245,7 @@
         await watching.node.start()
         await asyncio.sleep(10)
         second.trouble = trouble
-        second.list = whole(2, s1="terminating")
+        second.list = endpoint_list(2, s1="terminating")
         watching.node.reload(_moved(watching.config, second.port))
         await asyncio.sleep(back_s)
         second.trouble = None
--- a/tests/discovery/test_endpoint_list.py
+++ b/tests/discovery/test_endpoint_list.py
@@ -4,7 +4,7 @@
 from itertools import count
 
 import pytest
-from support.network import SETTINGS, HandClock
+from support.network import SETTINGS, ManualClock
 
 from flintridge.api import Endpoint, EndpointState, EndpointUpdate, UpdateKind
 from flintridge.discovery.endpoint_list import EndpointList
@@ -22,7 +22,7 @@
 
 
 def test_endpoint_list_when_in_discoverys_format_then_is_parsed():
-    endpoints = EndpointList(("a", "b"), ("m2", "origin"), SETTINGS, HandClock())
+    endpoints = EndpointList(("a", "b"), ("m2", "origin"), SETTINGS, ManualClock())
     update = endpoints.apply(listed(), UpdateKind.CACHED)
     assert update.kind is UpdateKind.CACHED and update.version == endpoints.revision == 41
     assert update.endpoints == (Endpoint("s-5", EndpointState.READY, 2.0, 3, 1, 0, 1),)
@@ -35,7 +35,7 @@
 
 
 def test_endpoint_list_when_servers_come_and_go_then_does_not_grow():
-    endpoints = EndpointList((), ("m2",), SETTINGS, HandClock())
+    endpoints = EndpointList((), ("m2",), SETTINGS, ManualClock())
     endpoints.apply(listed())
     for i in range(50):
         endpoints.apply(listed(False, id=f"n{i}"))
@@ -50,13 +50,13 @@
     "changes", [{"phase": "odd"}, {"host_port": "nowhere"}, {"id": 5}, {"size": "big"}, {"up_since_ms": "x"}]
 )
 def test_list_when_malformed_changes_nothing(changes):
-    endpoints = EndpointList((), (), SETTINGS, HandClock())
+    endpoints = EndpointList((), (), SETTINGS, ManualClock())
     with pytest.raises(ValueError, match="malformed list"):
         endpoints.apply(listed(**changes))
     assert endpoints.revision == 0 and not endpoints.any_ready
 
 
-class WrongClock(HandClock):
+class WrongClock(ManualClock):
     """The clock of a node whose wall clock was `ahead_ms` ahead at its start; its instants are Unix time."""
 
     def __init__(self, ahead_ms: float) -> None:
@@ -97,9 +97,9 @@
         "a": HOUR_MS + 1_000,
         "b": 3 * HOUR_MS,
     }
-    lists.clock.go(500.0)
+    lists.clock.advance(500.0)
     lists.report(b=None)
-    lists.clock.go(9_500.0)
+    lists.clock.advance(9_500.0)
     update = lists.report(c=500.0)
     assert (update.kind, lists.ages(update)) == (UpdateKind.DELTA, {"c": 0.0, "a": 10_500.0})
     assert [each.server for each in lists.report(c=400.0).endpoints] == ["c"]  # no other start changes again
@@ -108,9 +108,9 @@
 def test_change_when_it_reverts_a_correction_then_names_all_servers_that_were_corrected():
     lists = ReportedLists(ahead_ms=0.0)
     lists.report(True, a=5_000.0)
-    lists.clock.go(10_000.0)
+    lists.clock.advance(10_000.0)
     lists.report()
-    lists.clock.go(10.0)
+    lists.clock.advance(10.0)
     # Reported too late: the delay is attributed to the clock.
     assert lists.ages(lists.report(b=8_000.0)) == {"b": 3_000.0, "a": 10_010.0}
     assert lists.ages(lists.report(date_ms=lists.clock.now())) == {"b": 10.0, "a": 15_010.0}
@@ -134,14 +134,14 @@
 def test_list_when_from_the_configuration_then_is_no_evidence_that_other_servers_are_new():
     lists = ReportedLists(ahead_ms=0.0)
     lists.report(True, UpdateKind.CACHED, a=HOUR_MS)
-    lists.clock.go(10_000.0)
+    lists.clock.advance(10_000.0)
     assert lists.ages(lists.report(b=HOUR_MS)) == {"b": HOUR_MS}
 
 
 def test_list_when_malformed_then_is_no_evidence_of_starts():
     lists = ReportedLists(ahead_ms=HOUR_MS)
     lists.report(True, a=1_000.0)
-    lists.clock.go(10_000.0)
+    lists.clock.advance(10_000.0)
     with pytest.raises(ValueError, match="malformed list"):
         lists.endpoints.apply(listed(False, id="b", up_since_ms=lists.clock.now(), phase="odd"))
     assert lists.endpoints.starts.correction_ms == 0.0
@@ -155,7 +155,7 @@
     server.connect_backoff = ConnectBackoff(failures=3, until=10**18)
     server.inflight, server.cost = 2, 0.5
     server.warm_up = WarmUpUse(deque([SentWork(1, 1.0)]), work=1.0)
-    lists.clock.go(10_000.0)
+    lists.clock.advance(10_000.0)
     balancer.handle(0, lists.report(c=500.0))
     assert balancer.servers["a"] is server and server.endpoint.started_at > 0
     assert (server.connect_backoff.failures, server.inflight, server.cost) == (3, 2, 0.5)
--- a/tests/discovery/test_watch_termination.py
+++ b/tests/discovery/test_watch_termination.py
@@ -6,9 +6,9 @@
 import socket
 
 import pytest
-from support.downstream_termination import cross
-from support.network import HandClock, Peer, until
-from support.node import Alone, http, whole
+from support.downstream_termination import send_or_close
+from support.network import ManualClock, ScriptedServer, until
+from support.node import NodeHarness, endpoint_list, json_response
 
 from flintridge import api
 from flintridge.api import EndpointState
@@ -32,18 +32,20 @@
     async def test():
         rules = api.Rules(drain_grace_ns=grace * NS_PER_MS)
         settings = api.Settings(rules=rules, discovery=api.DiscoveryMode.POLLED)
-        async with Peer(lambda _: b"") as discovery:
-            alone = Alone(discovery, whole(1, s1="in_service"), settings)
+        async with ScriptedServer(lambda _: b"") as discovery:
+            alone = NodeHarness(discovery, endpoint_list(1, s1="in_service"), settings)
             clock = alone.clock
             await alone.node.start()
-            await until(lambda: len(discovery.got) == 1)
+            await until(lambda: len(discovery.received) == 1)
             silent_at = clock.now()
-            clock.go(400)  # the response was in transit when the link became silent
-            discovery.writers[0].write(http({"revision": 1, "complete": False, "members": []}))
-            await alone.pass_until(lambda: len(discovery.got) == 2, 200)  # the call that gets no response
-            await alone.pass_until(lambda: len(discovery.got) == 3, 9_000)
-            clock.go(LIST_TIMEOUT_MS - 100)  # discovery has many calls to answer
-            discovery.writers[-1].write(http(whole(2, s1="terminating")))
+            clock.advance(400)  # the response was in transit when the link became silent
+            discovery.writers[0].write(json_response({"revision": 1, "complete": False, "members": []}))
+            await alone.advance_until(
+                lambda: len(discovery.received) == 2, 200
+            )  # the call that gets no response
+            await alone.advance_until(lambda: len(discovery.received) == 3, 9_000)
+            clock.advance(LIST_TIMEOUT_MS - 100)  # discovery has many calls to answer
+            discovery.writers[-1].write(json_response(endpoint_list(2, s1="terminating")))
             await until(lambda: alone.state("s1") is EndpointState.DRAINING)
             assert clock.now() <= silent_at + SILENCE_MS + grace
             await alone.node.close()
@@ -56,23 +58,23 @@
 
     async def test():
         settings = api.Settings(discovery=api.DiscoveryMode.PUSHED)
-        async with Peer(lambda _: b"") as discovery:
-            alone = Alone(discovery, whole(1, s1="in_service", s2="in_service"), settings)
+        async with ScriptedServer(lambda _: b"") as discovery:
+            alone = NodeHarness(discovery, endpoint_list(1, s1="in_service", s2="in_service"), settings)
             await alone.node.start()
-            await until(lambda: discovery.got)
-            assert discovery.got[0].startswith(b"GET /api/targets HTTP/1.1\r\n")
+            await until(lambda: discovery.received)
+            assert discovery.received[0].startswith(b"GET /api/targets HTTP/1.1\r\n")
             assert alone.state("s1") is None and not alone.node.downstream.serving
-            discovery.writers[0].write(http(whole(7, s1="terminating", s2="in_service")))
+            discovery.writers[0].write(json_response(endpoint_list(7, s1="terminating", s2="in_service")))
             await until(lambda: alone.state("s1") is EndpointState.DRAINING)
             assert alone.state("s2") is EndpointState.READY and alone.node.downstream.serving
-            await alone.pass_until(lambda: len(discovery.got) == 2, 200)
-            assert b"after=7&wait_ms=" in discovery.got[1]
+            await alone.advance_until(lambda: len(discovery.received) == 2, 200)
+            assert b"after=7&wait_ms=" in discovery.received[1]
             await alone.node.close()
 
     play(test)
 
 
-@pytest.mark.parametrize("crossing", [http(whole(1, s1="in_service")), b"", "rst"])
+@pytest.mark.parametrize("crossing", [json_response(endpoint_list(1, s1="in_service")), b"", "rst"])
 def test_watch_when_a_second_list_or_an_end_arrives_between_two_calls_then_undoes_nothing(crossing):
     """The event's data is in the kernel when the next call is sent.
 
@@ -84,15 +86,15 @@
         listener = socket.create_server(("127.0.0.1", 0))
         listener.setblocking(False)
         discovery = type("Place", (), {"port": listener.getsockname()[1]})
-        alone = Alone(discovery, whole(1, s1="in_service"), settings)
+        alone = NodeHarness(discovery, endpoint_list(1, s1="in_service"), settings)
         loop = asyncio.get_running_loop()
         await alone.node.start()
         first, _ = await loop.sock_accept(listener)
         await loop.sock_recv(first, 4096)
-        first.send(http(whole(2, s1="terminating")))
+        first.send(json_response(endpoint_list(2, s1="terminating")))
         await until(lambda: alone.state("s1") is EndpointState.DRAINING)
-        cross(first, crossing)
-        alone.clock.go(150)  # the next call is due, and the event loop has not run since
+        send_or_close(first, crossing)
+        alone.clock.advance(150)  # the next call is due, and the event loop has not run since
         second, _ = await loop.sock_accept(listener)
         assert b"after=2&" in await loop.sock_recv(second, 4096)
         assert alone.state("s1") is EndpointState.DRAINING
@@ -116,13 +118,15 @@
         settings = api.Settings(
             rules=api.Rules(drain_grace_ns=grace * NS_PER_MS), discovery=api.DiscoveryMode.POLLED
         )
-        async with Peer(lambda _: http(whole(2, s1="terminating")) if back else b"") as discovery:
-            alone = Alone(discovery, whole(1, s1="in_service"), settings, seed=seed)
+        async with ScriptedServer(
+            lambda _: json_response(endpoint_list(2, s1="terminating")) if back else b""
+        ) as discovery:
+            alone = NodeHarness(discovery, endpoint_list(1, s1="in_service"), settings, seed=seed)
             await alone.node.start()
             # After six calls, the pauses between them are long.
-            await alone.pass_until(lambda: len(discovery.got) == 6, 60_000)
+            await alone.advance_until(lambda: len(discovery.received) == 6, 60_000)
             back, returned_at = True, alone.clock.now()  # answers the next call, not the pending one
-            await alone.pass_until(lambda: alone.state("s1") is EndpointState.DRAINING, 20_000)
+            await alone.advance_until(lambda: alone.state("s1") is EndpointState.DRAINING, 20_000)
             await alone.node.close()
             return alone.clock.now() - returned_at
 
@@ -135,20 +139,20 @@
 
     async def test():
         settings = api.Settings(discovery=api.DiscoveryMode.POLLED)
-        async with Peer(lambda _: b"") as discovery:
-            alone = Alone(discovery, whole(1, s1="in_service"), settings)
+        async with ScriptedServer(lambda _: b"") as discovery:
+            alone = NodeHarness(discovery, endpoint_list(1, s1="in_service"), settings)
             port = await alone.node.start()
-            await until(lambda: discovery.got)
-            discovery.writers[0].write(http(whole(2)))
+            await until(lambda: discovery.received)
+            discovery.writers[0].write(json_response(endpoint_list(2)))
             await until(lambda: alone.state("s1") is None)
             reader, writer = await asyncio.open_connection("127.0.0.1", port)
             writer.write(b"mn\r\nmg key7 v Oa1 P\r\n")
             assert await reader.readline() == b"SERVER_ERROR starting\r\n"
             await until(lambda: alone.node.core.unanswered == 1)
-            await alone.pass_until(lambda: alone.node.core.idle, 2_000)
+            await alone.advance_until(lambda: alone.node.core.idle, 2_000)
             assert (await reader.readline()).startswith(b"SERVER_ERROR busy")
-            await alone.pass_until(lambda: len(discovery.got) == 2, 200)
-            discovery.writers[0].write(http(whole(3, s1="in_service")))
+            await alone.advance_until(lambda: len(discovery.received) == 2, 200)
+            discovery.writers[0].write(json_response(endpoint_list(3, s1="in_service")))
             await until(lambda: alone.state("s1") is EndpointState.READY)
             writer.write(b"mn\r\n")
             assert await reader.readline() == b"MN\r\n"
@@ -161,12 +165,12 @@
 def test_node_when_discovery_is_away_then_uses_its_configured_list_and_keeps_polling(play):
     async def test():
         settings = api.Settings(discovery=api.DiscoveryMode.PUSHED)
-        async with Peer(lambda _: None) as discovery:
-            alone = Alone(discovery, whole(1, s1="in_service"), settings)
+        async with ScriptedServer(lambda _: None) as discovery:
+            alone = NodeHarness(discovery, endpoint_list(1, s1="in_service"), settings)
             await alone.node.start()
             await until(lambda: alone.state("s1") is EndpointState.READY)
             assert alone.node.downstream.serving
-            await alone.pass_until(lambda: len(discovery.got) == 2, 1_000)
+            await alone.advance_until(lambda: len(discovery.received) == 2, 1_000)
             await alone.node.close()
 
     play(test)
@@ -188,14 +192,14 @@
         return await connect(*where)
 
     async def test():
-        async with Peer(lambda _: http(whole(2, s1="terminating"))) as discovery:
-            clock = HandClock()
+        async with ScriptedServer(lambda _: json_response(endpoint_list(2, s1="terminating"))) as discovery:
+            clock = ManualClock()
             client = DiscoveryClient(Address("127.0.0.1", discovery.port), clock)
             call = asyncio.ensure_future(client.get("/api/targets"))
             for tried in range(1, failures + 1):
                 await until(lambda tried=tried: len(attempts) == tried)
                 await until(lambda: call.done() or clock.due)
-                clock.go(LOCAL_FAILURE_PAUSE_MS)
+                clock.advance(LOCAL_FAILURE_PAUSE_MS)
             if failures <= MAX_LOCAL_FAILURES:
                 assert b"terminating" in (await call).body
             else:
@@ -212,7 +216,7 @@
         raise ConnectionRefusedError(errno.ECONNREFUSED, "refused")
 
     async def test():
-        client = DiscoveryClient(Address("127.0.0.1", 1), HandClock())
+        client = DiscoveryClient(Address("127.0.0.1", 1), ManualClock())
         with pytest.raises(ConnectionRefusedError):
             await client.get("/api/targets")
 
--- a/tests/discovery/test_watcher.py
+++ b/tests/discovery/test_watcher.py
@@ -5,7 +5,7 @@
 import h11
 import orjson
 import pytest
-from support.network import SETTINGS, HandClock, Peer, quiet, until
+from support.network import SETTINGS, ManualClock, ScriptedServer, log_and_counters, until
 
 from flintridge.api import UpdateKind
 from flintridge.config.address import Address
@@ -20,7 +20,7 @@
 
 def test_watch_when_a_call_fails_then_notifies_else_continues_from_each_response(play):
     async def test():
-        clock, updates = HandClock(), []
+        clock, updates = ManualClock(), []
         responses = [
             response(200, orjson.dumps({"revision": 43, "complete": False, "members": []})),
             response(200, b'{"revision":44}'),
@@ -28,32 +28,32 @@
             response(200, orjson.dumps({"revision": 50, "complete": True, "members": []})),
             b"",
         ]
-        async with Peer(lambda _: responses.pop(0)) as peer:
+        async with ScriptedServer(lambda _: responses.pop(0)) as peer:
             endpoints = EndpointList((), (), SETTINGS, clock)
             endpoints.apply({"revision": 41, "complete": True, "members": []})
             watcher = DiscoveryWatcher(
-                Address("127.0.0.1", peer.port), endpoints, clock, updates.append, *quiet()
+                Address("127.0.0.1", peer.port), endpoints, clock, updates.append, *log_and_counters()
             )
             watcher.watch(True)
             watcher.watch(True)  # no second watch is started
             await until(lambda: len(updates) == 1)
-            assert (updates[0].kind, updates[0].version) == (UpdateKind.DELTA, 43) and len(peer.got) == 1
+            assert (updates[0].kind, updates[0].version) == (UpdateKind.DELTA, 43) and len(peer.received) == 1
             await until(lambda: clock.due[0][2] is not None)
-            clock.go(150)  # well before the 200 ms within which the next call must start
+            clock.advance(150)  # well before the 200 ms within which the next call must start
             await until(lambda: len(updates) == 2)
-            assert b"after=43&wait_ms=" in peer.got[1] and updates[1].kind is UpdateKind.FAILED
-            clock.go(60_000)
+            assert b"after=43&wait_ms=" in peer.received[1] and updates[1].kind is UpdateKind.FAILED
+            clock.advance(60_000)
             await asyncio.sleep(0.01)
-            assert len(peer.got) == 2  # the policy decides when to poll again
+            assert len(peer.received) == 2  # the policy decides when to poll again
             watcher.watch(True)
             await until(lambda: len(updates) == 3)
             assert updates[2].kind is UpdateKind.FAILED
             watcher.fetch()
             await until(lambda: len(updates) == 4)
-            assert b"GET /api/targets HTTP" in peer.got[3] and updates[3].kind is UpdateKind.FULL
+            assert b"GET /api/targets HTTP" in peer.received[3] and updates[3].kind is UpdateKind.FULL
             watcher.watch(True)  # a call without a response ends too
-            await until(lambda: len(peer.got) == 5)
-            clock.go(60_000)
+            await until(lambda: len(peer.received) == 5)
+            clock.advance(60_000)
             await until(lambda: len(updates) == 5)
             assert updates[4].kind is UpdateKind.FAILED
             await watcher.close()
@@ -63,17 +63,17 @@
 
 def test_watch_when_moved_then_ends_the_old_call_and_starts_with_the_full_list(play):
     async def test():
-        clock, updates = HandClock(), []
+        clock, updates = ManualClock(), []
         full_list = response(200, orjson.dumps({"revision": 3, "complete": True, "members": []}))
         responses = [response(503, b""), full_list, b""]
-        async with Peer(lambda _: b"") as old, Peer(lambda _: responses.pop(0)) as new:
+        async with ScriptedServer(lambda _: b"") as old, ScriptedServer(lambda _: responses.pop(0)) as new:
             endpoints = EndpointList((), (), SETTINGS, clock)
             endpoints.apply({"revision": 41, "complete": True, "members": []})
             watcher = DiscoveryWatcher(
-                Address("127.0.0.1", old.port), endpoints, clock, updates.append, *quiet()
+                Address("127.0.0.1", old.port), endpoints, clock, updates.append, *log_and_counters()
             )
             watcher.watch(True)
-            await until(lambda: old.got)
+            await until(lambda: old.received)
             watcher.change_address(Address("127.0.0.1", new.port))
             watcher.watch(True)  # no second watch is started
             await until(lambda: updates)  # without any time passing
@@ -83,11 +83,11 @@
             await until(lambda: len(updates) == 2)
             assert (updates[1].kind, updates[1].version) == (UpdateKind.FULL, 3)
             await until(lambda: clock.due[0][2] is not None)
-            clock.go(150)
-            await until(lambda: len(new.got) == 3)
-            targets = [call.split()[1] for call in new.got]
+            clock.advance(150)
+            await until(lambda: len(new.received) == 3)
+            targets = [call.split()[1] for call in new.received]
             assert targets[:2] == [b"/api/targets"] * 2 and targets[2].startswith(b"/api/targets?after=3&")
-            assert len(old.got) == 1 and new.connections == 2
+            assert len(old.received) == 1 and new.connections == 2
             await watcher.close()
 
     play(test)
@@ -130,14 +130,14 @@
 
 def test_date_of_a_list_when_the_wall_clock_differs_then_corrects_starts_and_is_logged_once(play):
     async def test():
-        clock, updates, log = HandClock(at=10_000.0), [], CorrectionLog()
+        clock, updates, log = ManualClock(at=10_000.0), [], CorrectionLog()
         entry = {"id": "a", "host_port": "127.0.0.1:5", "phase": "in_service", "up_since_ms": 4_000}
         text = orjson.dumps({"revision": 43, "complete": True, "members": [entry]})
         dated = response(200, text, b"Date: Thu, 01 Jan 1970 00:00:05 GMT\r\n")
-        async with Peer(lambda _: dated) as peer:
+        async with ScriptedServer(lambda _: dated) as peer:
             endpoints = EndpointList((), (), SETTINGS, clock)
             address = Address("127.0.0.1", peer.port)
-            watcher = DiscoveryWatcher(address, endpoints, clock, updates.append, log, quiet()[1])
+            watcher = DiscoveryWatcher(address, endpoints, clock, updates.append, log, log_and_counters()[1])
             for calls in (1, 2):
                 watcher.fetch()
                 await until(lambda calls=calls: len(updates) == calls)
--- a/tests/downstream/test_admin_api.py
+++ b/tests/downstream/test_admin_api.py
@@ -12,7 +12,7 @@
 import pytest
 from hypothesis import given
 from hypothesis import strategies as st
-from support.network import FIXED, HandClock, Peer, quiet, until
+from support.network import FIXED, ManualClock, ScriptedServer, log_and_counters, until
 from support.paths import ROOT
 from support.program import Program, cache
 
@@ -98,7 +98,7 @@
 
 def test_admin_api_when_callers_are_silent_or_incomplete_then_others_are_served():
     async def test():
-        clock, (log, counters) = HandClock(), quiet()
+        clock, (log, counters) = ManualClock(), log_and_counters()
         admin_api = AdminApi(routes(), clock, log, counters, connection_limit=3)
         port = await admin_api.listen(Address("127.0.0.1", 0))
         silent_callers = [await asyncio.open_connection("127.0.0.1", port) for _ in range(5)]
@@ -108,17 +108,17 @@
             writer.write(HEALTH)
             assert (await reader.read()).startswith(b"HTTP/1.1 200")
         assert counters["admin_api_evictions"] >= 3
-        clock.go(CALL_TIMEOUT_MS)  # and none stays for long
+        clock.advance(CALL_TIMEOUT_MS)  # and none stays for long
         for reader, _ in silent_callers:
             response = await reader.read()
             assert response == b"" or response.startswith(b"HTTP/1.1 408")
-        clock.go(LINGERING_CLOSE_MS)  # which they have to end their side
+        clock.advance(LINGERING_CLOSE_MS)  # which they have to end their side
         await until(lambda: not admin_api._callers)
         late = counters["admin_api_timeouts"]
         reader, writer = await asyncio.open_connection("127.0.0.1", port)
         writer.write(HEALTH)
         assert (await reader.read()).startswith(b"HTTP/1.1 200")
-        clock.go(CALL_TIMEOUT_MS)  # answered, and its caller does not close: that is not late
+        clock.advance(CALL_TIMEOUT_MS)  # answered, and its caller does not close: that is not late
         await until(lambda: not admin_api._callers)
         assert counters["admin_api_timeouts"] == late
         admin_api.close()
@@ -143,13 +143,13 @@
 
 def test_listen_when_the_address_is_in_use_then_the_error_says_so():
     async def test():
-        log, counters = quiet()
+        log, counters = log_and_counters()
         with socket.socket() as taken:
             taken.bind(("127.0.0.1", 0))
             taken.listen()
             port = taken.getsockname()[1]
             with pytest.raises(ListenError, match=rf"127.0.0.1:{port}: Address already in use"):
-                await AdminApi(routes(), HandClock(), log, counters).listen(Address("127.0.0.1", port))
+                await AdminApi(routes(), ManualClock(), log, counters).listen(Address("127.0.0.1", port))
 
     asyncio.run(test())
 
@@ -170,7 +170,7 @@
 
 def test_program_when_called_by_its_admin_api_then_drains_resumes_and_shuts_down(tmp_path):
     async def test():
-        async with Peer(cache) as cache_server, Peer(lambda _: b"") as discovery:
+        async with ScriptedServer(cache) as cache_server, ScriptedServer(lambda _: b"") as discovery:
             program = Program(tmp_path, {"box": cache_server}, discovery)
             admin_port = free_port()
             config_fields = json.loads(program.config.read_text()) | {"console": f"127.0.0.1:{admin_port}"}
@@ -212,7 +212,7 @@
     """Requests throughout, each on a connection of its own; those that wait as a listener closes too."""
 
     async def test():
-        async with Peer(cache) as cache_server, Peer(lambda _: b"") as discovery:
+        async with ScriptedServer(cache) as cache_server, ScriptedServer(lambda _: b"") as discovery:
             programs = []
             port = free_port()
             for name in ("old", "new"):
@@ -274,7 +274,7 @@
 
 def test_new_version_when_it_cannot_start_then_says_why_and_the_old_one_serves(tmp_path):
     async def test():
-        async with Peer(cache) as cache_server, Peer(lambda _: b"") as discovery:
+        async with ScriptedServer(cache) as cache_server, ScriptedServer(lambda _: b"") as discovery:
             program = Program(tmp_path, {"box": cache_server}, discovery)
             port, admin_port = free_port(), free_port()
             config_fields = json.loads(program.config.read_text()) | {"listen": f"127.0.0.1:{port}"}
@@ -316,7 +316,7 @@
     """A thousand callbacks in each turn hold the admin API up only by what they themselves take."""
 
     async def test():
-        clock, (log, counters) = HandClock(), quiet()
+        clock, (log, counters) = ManualClock(), log_and_counters()
         admin_api = AdminApi(routes(), clock, log, counters)
         port = await admin_api.listen(Address("127.0.0.1", 0))
         loop, turns, over = asyncio.get_running_loop(), 0, False
@@ -359,7 +359,7 @@
                 writer.close()
             return dict(accepted)
 
-        context = (HandClock(), *quiet())
+        context = (ManualClock(), *log_and_counters())
         first = await open_listener(counting_acceptor("first"), Address("127.0.0.1", 0), True, *context)
         assert first.divert_to(1) and await connect(8) == {"first": 8, "second": 0}  # there is no other
         second = await open_listener(
--- a/tests/downstream/test_close_paths.py
+++ b/tests/downstream/test_close_paths.py
@@ -3,7 +3,7 @@
 import asyncio
 
 import pytest
-from support.core import Script
+from support.core import ScriptedPolicy
 from support.downstream import BUSY, FAILED, LONG_DEADLINE_READ, READ, DownstreamHarness, run_loop_turns
 from support.long_values import LENGTH, LONG_WRITE
 from support.network import until
@@ -63,17 +63,17 @@
             await until(lambda: connection.has_half_command)
             shutdown = asyncio.ensure_future(harness.downstream.leave())
             await run_loop_turns(1)
-            harness.clock.go(SHUTDOWN_ACCEPT_MS)
+            harness.clock.advance(SHUTDOWN_ACCEPT_MS)
             await run_loop_turns()
-            harness.clock.go(SHUTDOWN_COMMAND_TIMEOUT_MS - SHUTDOWN_ACCEPT_MS - 1)
+            harness.clock.advance(SHUTDOWN_COMMAND_TIMEOUT_MS - SHUTDOWN_ACCEPT_MS - 1)
             await run_loop_turns()
-            run_as_bytes_arrive(connection, before=lambda: harness.clock.go(20))
+            run_as_bytes_arrive(connection, before=lambda: harness.clock.advance(20))
             writer.write(b",t=acme,d=480\r\n")
             await until(lambda: harness.request_count == 1)
             harness.fail("r1")
             assert await reader.read() == FAILED
             writer.close()
-            await until(lambda: harness.clock.go(20) or shutdown.done())
+            await until(lambda: harness.clock.advance(20) or shutdown.done())
 
     play(test)
 
@@ -106,7 +106,7 @@
         async with DownstreamHarness() as harness:
             reader, writer = await harness.stream_client()
             await only_connection(harness)
-            harness.clock.go(IDLE_TIMEOUT_MS + 250)
+            harness.clock.advance(IDLE_TIMEOUT_MS + 250)
             writer.write(READ % b"r1")
             assert await reader.read() == BUSY
             assert harness.counters["connections_idle_timeout"] == 1 and harness.request_count == 0
@@ -118,7 +118,7 @@
     """Their responses can't be written any more, and sent on they would run for nobody, or twice."""
 
     async def test():
-        async with DownstreamHarness(memory_bytes=LENGTH + 1000, policy=Script()) as harness:
+        async with DownstreamHarness(memory_bytes=LENGTH + 1000, policy=ScriptedPolicy()) as harness:
             assert harness.core.memory_budget.try_reserve(LENGTH)  # by somebody else
             reader, _ = await harness.stream_client(
                 LONG_DEADLINE_READ % b"r1", LONG_WRITE, LONG_DEADLINE_READ % b"r2"
@@ -140,7 +140,7 @@
 
 def test_broken_stream_when_commands_behind_wait_for_a_slow_reader_then_none_is_sent_on(play):
     async def test():
-        async with DownstreamHarness(policy=Script()) as harness:
+        async with DownstreamHarness(policy=ScriptedPolicy()) as harness:
             reader, _ = await harness.stream_client(LONG_DEADLINE_READ % b"r1", LONG_DEADLINE_READ % b"r2")
             await until(lambda: harness.request_count == 2)
             reader._transport.pause_reading()
--- a/tests/downstream/test_command_executor.py
+++ b/tests/downstream/test_command_executor.py
@@ -1,8 +1,8 @@
 """Execution of commands by itself: what is responded to at once, what goes to the core, what ends it all."""
 
 import pytest
-from support.core import Script
-from support.network import SETTINGS, HandClock, make_request, quiet
+from support.core import ScriptedPolicy
+from support.network import SETTINGS, ManualClock, log_and_counters, make_request
 
 from flintridge.codec.memcache.commands import InvalidCommand, LongValueSkipped, NoOp
 from flintridge.codec.memcache.encoder import NO_OP_RESPONSE, encode_client_error, encode_rejection
@@ -28,9 +28,9 @@
     hello_response = NO_OP_RESPONSE
 
     def __init__(self) -> None:
-        self.clock = HandClock()
-        log, self.counters = quiet()
-        self.core = RequestLifecycle(Script(), SETTINGS, self.clock, MEMORY_BYTES, log, self.counters)
+        self.clock = ManualClock()
+        log, self.counters = log_and_counters()
+        self.core = RequestLifecycle(ScriptedPolicy(), SETTINGS, self.clock, MEMORY_BYTES, log, self.counters)
 
 
 class Connection:
--- a/tests/downstream/test_connection.py
+++ b/tests/downstream/test_connection.py
@@ -26,14 +26,14 @@
 async def send_half_command(harness) -> bytes:
     reader, _ = await harness.stream_client(b"ms key7 500 Oa1 Pc=put\r\nhalf")
     await until(lambda: any(c.has_half_command for c in harness.downstream.connections))
-    harness.clock.go(COMMAND_TIMEOUT_MS + 250 + 250)
+    harness.clock.advance(COMMAND_TIMEOUT_MS + 250 + 250)
     return await reader.read()
 
 
 async def send_nothing(harness) -> bytes:
     reader, _ = await harness.stream_client()
     await until(lambda: harness.downstream.connections)
-    harness.clock.go(IDLE_TIMEOUT_MS + 250)
+    harness.clock.advance(IDLE_TIMEOUT_MS + 250)
     return await reader.read()
 
 
@@ -93,7 +93,7 @@
         async with DownstreamHarness(connection_limit=2, endpoints_known=False) as harness:
             idle, _ = await harness.stream_client()
             await until(lambda: harness.counters["connections_accepted"] == 1)
-            harness.clock.go(1)
+            harness.clock.advance(1)
             for i in range(2):
                 await harness.stream_client(READ % b"r%d" % i)
                 await until(lambda i=i: harness.request_count == i + 1)
@@ -105,7 +105,7 @@
                 harness.counters["connections_rejected"] == MAX_LINGERING_BEYOND_LIMIT + 1
                 and harness.request_count == 2
             )
-            harness.clock.go(LINGERING_CLOSE_MS)
+            harness.clock.advance(LINGERING_CLOSE_MS)
             await until(lambda: harness.downstream.connections.lingering_rejected == 0)
 
     play(test)
@@ -133,9 +133,9 @@
             await until(lambda: harness.request_count == 1)
             shutdown = asyncio.ensure_future(harness.downstream.leave())
             await asyncio.sleep(0)
-            harness.clock.go(IDLE_CLOSE_DELAY_MS - 1)
+            harness.clock.advance(IDLE_CLOSE_DELAY_MS - 1)
             assert not idle.at_eof()
-            harness.clock.go(1)
+            harness.clock.advance(1)
             assert await idle.read() == BUSY  # its first request may be on its way
             _, late = await harness.stream_client(READ % b"r2")  # still served
             await until(lambda: harness.request_count == 2)
@@ -143,13 +143,13 @@
             await until(lambda: harness.counters["clients_disconnected"] == 1)
             unused, _ = await harness.stream_client()  # came late and asks for nothing
             await until(lambda: harness.counters["connections_accepted"] == 4)
-            harness.clock.go(SHUTDOWN_ACCEPT_MS - IDLE_CLOSE_DELAY_MS)
+            harness.clock.advance(SHUTDOWN_ACCEPT_MS - IDLE_CLOSE_DELAY_MS)
             await until(lambda: not harness.downstream._listener.is_open)
             assert not shutdown.done()
             assert await unused.read() == BUSY and not shutdown.done()
             harness.fail("r1")
             assert await busy.read() == FAILED
-            await until(lambda: harness.clock.go(20) or shutdown.done())
+            await until(lambda: harness.clock.advance(20) or shutdown.done())
 
     play(test)
 
@@ -180,12 +180,12 @@
         async with DownstreamHarness(connection_limit=2, endpoints_known=False) as harness:
             reader, _ = await harness.stream_client(READ.replace(b"480", b"1999") % b"r1")
             await until(lambda: harness.request_count == 1)
-            harness.clock.go(1900)
+            harness.clock.advance(1900)
             harness.fail("r1")
             assert await reader.readline() == FAILED
-            harness.clock.go(IDLE_TIMEOUT_MS - 1)
+            harness.clock.advance(IDLE_TIMEOUT_MS - 1)
             assert harness.downstream.connections
-            harness.clock.go(251)
+            harness.clock.advance(251)
             assert await reader.read() == b"" and harness.counters["connections_idle_timeout"] == 1
 
     play(test)
@@ -216,7 +216,7 @@
             idle, _ = await harness.stream_client(b"mn\r\n" + READ % b"r0")
             await until(lambda: harness.request_count == 1)
             harness.fail("r0")
-            harness.clock.go(500)
+            harness.clock.advance(500)
             _, new = await harness.stream_client()
             await until(lambda: harness.counters["connections_accepted"] == 2)
             await harness.stream_client()
@@ -256,9 +256,9 @@
                 return connection._writer.transport.get_write_buffer_size() > MAX_UNREAD_RESPONSE_BYTES
 
             await until(served)
-            harness.clock.go(SLOW_READER_TIMEOUT_MS / 2)
+            harness.clock.advance(SLOW_READER_TIMEOUT_MS / 2)
             assert harness.counters["slow_readers"] == 0 and harness.downstream.connections
-            await until(lambda: harness.clock.go(100) or harness.counters["slow_readers"] == 1)
+            await until(lambda: harness.clock.advance(100) or harness.counters["slow_readers"] == 1)
             assert harness.request_count < 1000
 
     play(test)
@@ -273,11 +273,11 @@
             await until(lambda: any(c.has_half_command for c in harness.downstream.connections))
             shutdown = asyncio.ensure_future(harness.downstream.leave())
             await asyncio.sleep(0)
-            harness.clock.go(SHUTDOWN_ACCEPT_MS)
+            harness.clock.advance(SHUTDOWN_ACCEPT_MS)
             await until(lambda: not harness.downstream._listener.is_open)
             assert not shutdown.done() and not half._eof  # it may still become whole
-            harness.clock.go(SHUTDOWN_COMMAND_TIMEOUT_MS - SHUTDOWN_ACCEPT_MS)
-            await until(lambda: harness.clock.go(20) or shutdown.done())
+            harness.clock.advance(SHUTDOWN_COMMAND_TIMEOUT_MS - SHUTDOWN_ACCEPT_MS)
+            await until(lambda: harness.clock.advance(20) or shutdown.done())
             assert (
                 harness.clock.now() < 10_000 + SHUTDOWN_COMMAND_TIMEOUT_MS + LINGERING_CLOSE_MS + 250
             )  # its client does not close
--- a/tests/downstream/test_connection_termination.py
+++ b/tests/downstream/test_connection_termination.py
@@ -15,9 +15,9 @@
     DownstreamHarness,
     run_loop_turns,
 )
-from support.downstream_termination import gone_with_a_reset, read_until_end
-from support.network import SETTINGS, Peer, until
-from support.node import Alone, whole
+from support.downstream_termination import read_until_end, reset_connection
+from support.network import SETTINGS, ScriptedServer, until
+from support.node import NodeHarness, endpoint_list
 from support.upstream import UpstreamHarness
 
 from flintridge import api
@@ -40,7 +40,7 @@
             harness.fail("r0")
             await run_loop_turns()
             client.sendall(READ % b"r1")  # no turn of the loop since: the node cannot have read it
-            harness.clock.go(IDLE_TIMEOUT_MS + 250)
+            harness.clock.advance(IDLE_TIMEOUT_MS + 250)
             assert harness.counters["connections_idle_timeout"] == 1
             assert await read_until_end(client) == FAILED  # the answer, then an orderly end
             await run_loop_turns()
@@ -69,7 +69,7 @@
 
             def crossing(data: bytes) -> None:
                 feed(data)
-                harness.clock.go(
+                harness.clock.advance(
                     IDLE_TIMEOUT_MS + 250 if close_cause == "unused" else IDLE_CLOSE_DELAY_MS + 250
                 )
 
@@ -80,7 +80,7 @@
             assert harness.counters["connections_idle_timeout"] == 0
             harness.fail("r1")
             assert await reader.readline() == FAILED
-            harness.clock.go(IDLE_TIMEOUT_MS + 250)
+            harness.clock.advance(IDLE_TIMEOUT_MS + 250)
             assert await reader.read() == b""
             assert harness.counters["connections_idle_timeout"] == (close_cause == "unused")
             writer.close()
@@ -101,7 +101,7 @@
             size = 16 << 20  # more than any buffer of the system takes
             harness.take_responder("r0").respond(Response(b"x" * size, receipt=False))
             read = connection._reader.received_bytes
-            harness.clock.go(IDLE_TIMEOUT_MS + 250)
+            harness.clock.advance(IDLE_TIMEOUT_MS + 250)
             assert connection._transport.get_write_buffer_size()
             client.sendall(READ % b"r1")
             await run_loop_turns()
@@ -123,7 +123,7 @@
             await until(lambda: harness.request_count == 1)
             shutdown = asyncio.ensure_future(harness.downstream.leave())
             await run_loop_turns(1)
-            harness.clock.go(STOP_READING_DELAY_MS)
+            harness.clock.advance(STOP_READING_DELAY_MS)
             await run_loop_turns()
             client.sendall(READ % b"r1" + READ % b"r2")  # always the next one written
             await run_loop_turns()
@@ -131,7 +131,7 @@
             assert await read_until_end(client) == FAILED
             assert harness.request_count == 1  # its client sends the others again elsewhere
             client.close()
-            await until(lambda: harness.clock.go(20) or shutdown.done())
+            await until(lambda: harness.clock.advance(20) or shutdown.done())
 
     asyncio.run(test())
 
@@ -144,7 +144,7 @@
             await until(lambda: harness.request_count == 1)
             harness.downstream.shutdown.start_drain(harness.clock.now())
             harness.downstream.start_drain()
-            harness.clock.go(STOP_READING_DELAY_MS)
+            harness.clock.advance(STOP_READING_DELAY_MS)
             writer.write(READ % b"r1")
             await run_loop_turns()
             assert harness.request_count == 1
@@ -165,14 +165,14 @@
             for uid in ("r0", "r1"):
                 harness.fail(uid)
             await run_loop_turns()
-            harness.clock.go(IDLE_TIMEOUT_MS + 250)
+            harness.clock.advance(IDLE_TIMEOUT_MS + 250)
             endless.setblocking(False)
             with contextlib.suppress(ConnectionError):
                 async with asyncio.timeout(10):
                     while True:
                         await asyncio.get_running_loop().sock_sendall(endless, b"x" * 65536)
             await until(lambda: len(harness.downstream.connections) == 1)
-            harness.clock.go(LINGERING_CLOSE_MS)
+            harness.clock.advance(LINGERING_CLOSE_MS)
             await until(lambda: not harness.downstream.connections)
             assert await read_until_end(unresponsive) == FAILED
 
@@ -221,7 +221,7 @@
     asyncio.run(test())
 
 
-@pytest.mark.parametrize("disconnect", [socket.socket.close, gone_with_a_reset])
+@pytest.mark.parametrize("disconnect", [socket.socket.close, reset_connection])
 @pytest.mark.parametrize("waiting", [1, MAX_PIPELINED_COMMANDS, MAX_PIPELINED_COMMANDS + 5, 400])
 def test_disconnect_when_commands_are_pending_then_is_seen_at_once(disconnect, waiting):
     """In flight, behind others on its connection, and while nothing more is read of it."""
@@ -240,7 +240,7 @@
     asyncio.run(test())
 
 
-@pytest.mark.parametrize("disconnect", [socket.socket.close, gone_with_a_reset])
+@pytest.mark.parametrize("disconnect", [socket.socket.close, reset_connection])
 @pytest.mark.parametrize("response", [None, BUSY])
 def test_disconnect_when_the_event_loop_has_not_seen_it_then_no_attempt_is_sent(disconnect, response):
     """Found by the brink days, in a crowd: 0.2 s after its client had left, as both lay there at once.
@@ -256,14 +256,14 @@
             return response if uid == b"a1" else b"VA 2 O%b\r\nok\r\n" % uid
 
         async with (
-            Peer(lambda _: b"") as discovery,
-            Peer(respond_to) as first_server,
-            Peer(respond_to) as second_server,
+            ScriptedServer(lambda _: b"") as discovery,
+            ScriptedServer(respond_to) as first_server,
+            ScriptedServer(respond_to) as second_server,
         ):
-            known = whole(1, s1="in_service", s2="in_service")
+            known = endpoint_list(1, s1="in_service", s2="in_service")
             for entry, peer in zip(known["members"], (first_server, second_server), strict=True):
                 entry |= {"host_port": f"127.0.0.1:{peer.port}", "flavor": "m2"}
-            alone = Alone(discovery, known, settings, kinds=("m2", "origin"))
+            alone = NodeHarness(discovery, known, settings, kinds=("m2", "origin"))
             core, loop = alone.node.core, asyncio.get_running_loop()
             client = socket.create_connection(("127.0.0.1", await alone.node.start()))
             for number in range(100):  # until a connection to each server is kept: a send is written at once
@@ -273,7 +273,7 @@
                     break
             client.setblocking(False)
             await loop.sock_recv(client, 1 << 16)
-            sent = len(first_server.got) + len(second_server.got)
+            sent = len(first_server.received) + len(second_server.received)
             name = "submit" if response is None else "attempt_ended"
             original = getattr(core, name)
 
@@ -291,7 +291,8 @@
             await until(lambda: not alone.node.downstream.connections)
             await run_loop_turns()
             assert (
-                len(first_server.got) + len(second_server.got) == sent + (response is not None) and core.idle
+                len(first_server.received) + len(second_server.received) == sent + (response is not None)
+                and core.idle
             )
             assert alone.node.counters["attempts_expired_unsent"] == 1
             await alone.node.close()
@@ -299,7 +300,7 @@
     asyncio.run(test())
 
 
-@pytest.mark.parametrize("disconnect", [socket.socket.close, gone_with_a_reset])
+@pytest.mark.parametrize("disconnect", [socket.socket.close, reset_connection])
 def test_disconnect_when_behind_unread_input_then_is_seen_by_the_next_sweep(disconnect):
     async def test():
         async with DownstreamHarness() as harness:
@@ -314,7 +315,7 @@
             assert harness.request_count == MAX_PIPELINED_COMMANDS and not connection._transport.is_reading()
             disconnect(client)
             await run_loop_turns()
-            harness.clock.go(SWEEP_INTERVAL_MS)
+            harness.clock.advance(SWEEP_INTERVAL_MS)
             assert harness.counters["clients_disconnected"] == MAX_PIPELINED_COMMANDS
             await until(lambda: not harness.downstream.connections)
             assert harness.request_count == MAX_PIPELINED_COMMANDS
@@ -322,7 +323,7 @@
     asyncio.run(test())
 
 
-@pytest.mark.parametrize("disconnect", [socket.socket.close, gone_with_a_reset])
+@pytest.mark.parametrize("disconnect", [socket.socket.close, reset_connection])
 def test_connection_when_closed_then_is_freed_without_the_collector(no_collector, disconnect):
     """Found on the long day: 20 MB in place of 18, as each held its reader and the reader it."""
 
@@ -333,7 +334,7 @@
             reference = weakref.ref(next(iter(harness.downstream.connections)))
             harness.fail("r0")
             await run_loop_turns()
-            if disconnect is not gone_with_a_reset:  # closed over an unread answer it would reset as well
+            if disconnect is not reset_connection:  # closed over an unread answer it would reset as well
                 assert client.recv(100) == FAILED
             disconnect(client)
             await until(lambda: not harness.downstream.connections)
@@ -350,19 +351,19 @@
             started_at = harness.clock.now()
             shutdown = asyncio.ensure_future(harness.downstream.leave())
             await run_loop_turns(1)
-            harness.clock.go(IDLE_CLOSE_DELAY_MS)
+            harness.clock.advance(IDLE_CLOSE_DELAY_MS)
             reader, writer = await asyncio.open_connection("127.0.0.1", harness.port)
             writer.write(b"ms key7 2 Oa1 Pc=put,t=acme,d=3000\r\n")  # the rest comes late
             await until(lambda: any(c.has_half_command for c in harness.downstream.connections))
-            harness.clock.go(SHUTDOWN_ACCEPT_MS)
+            harness.clock.advance(SHUTDOWN_ACCEPT_MS)
             await run_loop_turns()
             writer.write(b"hi\r\n")
             await until(lambda: harness.request_count == 1)
             assert harness.clock.now() == started_at + IDLE_CLOSE_DELAY_MS + SHUTDOWN_ACCEPT_MS
-            harness.clock.go(SHUTDOWN_ACCEPT_MS + 3_000 - 1 - (harness.clock.now() - started_at))
+            harness.clock.advance(SHUTDOWN_ACCEPT_MS + 3_000 - 1 - (harness.clock.now() - started_at))
             assert await reader.read() == FAILED  # by the net: nobody decides anything here
             writer.close()
-            await until(lambda: harness.clock.go(20) or shutdown.done())
+            await until(lambda: harness.clock.advance(20) or shutdown.done())
 
     play(test)
 
@@ -375,13 +376,13 @@
             opened = transport.get_extra_info("socket")
             delays.append(opened.getsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY))
 
-        async with DownstreamHarness() as harness, Peer(lambda _: b"") as peer:
+        async with DownstreamHarness() as harness, ScriptedServer(lambda _: b"") as peer:
             await harness.socket_client()
             (connection,) = harness.downstream.connections
             record_delay(connection._transport)
             upstream = UpstreamHarness(peer.port)
             await upstream.start()
-            await until(lambda: peer.got)
+            await until(lambda: peer.received)
             record_delay(next(iter(upstream.connections)).writer.transport)
             await upstream.dispatcher.close()
             queued = socket.create_connection(("127.0.0.1", harness.port))  # accepted as the listener closes
--- a/tests/downstream/test_downstream_streaming.py
+++ b/tests/downstream/test_downstream_streaming.py
@@ -3,7 +3,7 @@
 import asyncio
 
 import pytest
-from support.core import Script
+from support.core import ScriptedPolicy
 from support.downstream import DownstreamHarness
 from support.long_values import LENGTH, LONG_WRITE, VALUE
 from support.network import until
@@ -20,7 +20,7 @@
     """A listener whose core hands its attempts to the test; at the end no memory may be reserved."""
 
     def __init__(self, memory_bytes: int) -> None:
-        super().__init__(memory_bytes=memory_bytes, policy=Script(), endpoints_known=False)
+        super().__init__(memory_bytes=memory_bytes, policy=ScriptedPolicy(), endpoints_known=False)
 
     async def __aexit__(self, *_) -> None:
         self.downstream.close()
@@ -69,15 +69,15 @@
             waiting = asyncio.ensure_future(stream.wait_writable())
             for _ in range(4):
                 await asyncio.sleep(0.1)
-                harness.clock.go(SLOW_READER_TIMEOUT_MS - 1)
+                harness.clock.advance(SLOW_READER_TIMEOUT_MS - 1)
                 reader._transport.resume_reading()
                 await reader.read(200_000)
                 reader._transport.pause_reading()
             await asyncio.sleep(0.1)
             assert not waiting.done()
-            harness.clock.go(SLOW_READER_TIMEOUT_MS)
+            harness.clock.advance(SLOW_READER_TIMEOUT_MS)
             await asyncio.sleep(0.1)
-            harness.clock.go(SLOW_READER_TIMEOUT_MS)
+            harness.clock.advance(SLOW_READER_TIMEOUT_MS)
             with pytest.raises(ConnectionError):
                 await waiting
             stream.abort()
@@ -95,7 +95,7 @@
                 LONG_WRITE.replace(b"Oa1", b"Oa2"), b"mn\r\n"
             )
             await asyncio.sleep(0.2)
-            harness.clock.go(MEMORY_WAIT_MS)
+            harness.clock.advance(MEMORY_WAIT_MS)
             responses = b"SERVER_ERROR busy\r\nSERVER_ERROR starting\r\n"
             assert await rejected.readexactly(len(responses)) == responses  # framing held
             waiting, _ = await harness.stream_client(LONG_WRITE.replace(b"Oa1", b"Oa3"))
@@ -111,7 +111,7 @@
             assert harness.core.memory_budget.reserved == 0
             unfinished, unfinished_writer = await harness.stream_client(LONG_WRITE[:90_00])
             await until(lambda: harness.core.memory_budget.reserved == LENGTH)
-            harness.clock.go(COMMAND_TIMEOUT_MS + 250)
+            harness.clock.advance(COMMAND_TIMEOUT_MS + 250)
             assert (await unfinished.read()).startswith(b"CLIENT_ERROR")
             await until(lambda: harness.core.memory_budget.reserved == 0)
             for writer in (rejected_writer, unfinished_writer):
--- a/tests/downstream/test_half_commands.py
+++ b/tests/downstream/test_half_commands.py
@@ -29,15 +29,15 @@
         self.reader = reader
         self.connected_at = harness.clock.now()
 
-    async def pass_until(self, after_ms: float) -> None:
+    async def advance_until(self, after_ms: float) -> None:
         """Let time go on in steps up to so long after the client connected."""
         while self.harness.clock.now() < self.connected_at + after_ms:
-            self.harness.clock.go(min(50.0, self.connected_at + after_ms - self.harness.clock.now()))
+            self.harness.clock.advance(min(50.0, self.connected_at + after_ms - self.harness.clock.now()))
             await run_loop_turns(1)
 
     async def pass_until_due(self) -> bytes:
         """What it has received when its error or close is due."""
-        await self.pass_until(DUE_MS - HELD_UP_MS)
+        await self.advance_until(DUE_MS - HELD_UP_MS)
         await run_loop_turns()
         return await asyncio.wait_for(self.reader.read(1 << 16), 5)
 
@@ -65,7 +65,7 @@
             assert received.startswith((b"CLIENT_ERROR", b"SERVER_ERROR"))
             assert harness.core.memory_budget.reserved == 0
             if shutdown is not None:
-                await until(lambda: harness.clock.go(20) or shutdown.done())
+                await until(lambda: harness.clock.advance(20) or shutdown.done())
 
     play(test)
 
@@ -75,7 +75,7 @@
         async with DownstreamHarness(memory_bytes=LENGTH + 1000) as harness:
             assert harness.core.memory_budget.try_reserve(LENGTH)  # by somebody else
             stopped = await stopped_client(harness, HALF_IN_PIECES)
-            await stopped.pass_until(MEMORY_WAIT_MS - 50)
+            await stopped.advance_until(MEMORY_WAIT_MS - 50)
             harness.core.memory_budget.release(LENGTH)
             assert await stopped.pass_until_due() == NOT_FINISHED
             assert harness.core.memory_budget.reserved == 0
@@ -104,7 +104,7 @@
             )
             await until(lambda: harness.request_count == 2)
             harness.fail("r1")
-            await stopped.pass_until(1_700)
+            await stopped.advance_until(1_700)
             harness.fail("r2")
             assert await stopped.pass_until_due() == FAILED * 2 + NOT_FINISHED
 
@@ -115,7 +115,7 @@
     async def test():
         async with DownstreamHarness() as harness:
             stopped = await stopped_client(harness)
-            await stopped.pass_until(1_900)
+            await stopped.advance_until(1_900)
             harness.clients[0].write(HALF_READ)
             await until(lambda: any(c.has_half_command for c in harness.downstream.connections))
             assert await stopped.pass_until_due() == NOT_FINISHED
@@ -129,10 +129,10 @@
     async def test():
         async with DownstreamHarness() as harness:
             stopped = await stopped_client(harness)
-            await stopped.pass_until(1_500)
+            await stopped.advance_until(1_500)
             parts = [b"mg key7 v O", b"slow Pc=", b"read,t=a", b"cme,d=", b"48", b"0\r\n"]
             for number, part in enumerate(parts):
-                await stopped.pass_until(1_500 + number * 400)
+                await stopped.advance_until(1_500 + number * 400)
                 harness.clients[0].write(part)
                 await run_loop_turns()
             await until(lambda: harness.request_count == 1)
--- a/tests/downstream/test_open_connections.py
+++ b/tests/downstream/test_open_connections.py
@@ -1,7 +1,7 @@
 """The connection limit by itself: who is evicted for another, and how many may linger beyond it."""
 
 import pytest
-from support.network import HandClock, quiet
+from support.network import ManualClock, log_and_counters
 
 from flintridge.downstream.open_connections import MAX_LINGERING_BEYOND_LIMIT, OpenConnections
 
@@ -28,8 +28,8 @@
 
 @pytest.fixture
 def connections():
-    _, counters = quiet()
-    return OpenConnections(LIMIT, HandClock(), counters)
+    _, counters = log_and_counters()
+    return OpenConnections(LIMIT, ManualClock(), counters)
 
 
 def fill(connections: OpenConnections, count: int = LIMIT, **state) -> list[Connection]:
--- a/tests/downstream/test_shutdown_deadlines.py
+++ b/tests/downstream/test_shutdown_deadlines.py
@@ -35,11 +35,11 @@
     async def steps_until(self, end: float):
         """Let time go on in steps; yields after each one."""
         while self.harness.clock.now() < end:
-            self.harness.clock.go(min(STEP_MS, end - self.harness.clock.now()))
+            self.harness.clock.advance(min(STEP_MS, end - self.harness.clock.now()))
             await run_loop_turns(2)
             yield
 
-    async def pass_until(self, end: float) -> None:
+    async def advance_until(self, end: float) -> None:
         async for _ in self.steps_until(end):
             pass
 
@@ -48,7 +48,7 @@
         return self.harness.core.idle and all(each.closing for each in connections)
 
     async def finish(self) -> None:
-        await until(lambda: self.harness.clock.go(20) or self.shutdown.done())
+        await until(lambda: self.harness.clock.advance(20) or self.shutdown.done())
 
 
 each_deadline = pytest.mark.parametrize("deadline_ms", [100.0, 150.0, 500.0, 2_000.0, 10_000.0])
@@ -122,10 +122,10 @@
     async def test():
         async with DownstreamHarness(settings=settings_with_deadline(deadline_ms)) as harness:
             ending = Ending(harness, deadline_ms)
-            await ending.pass_until(ending.told_at + NOTICE_MS - STEP_MS)
+            await ending.advance_until(ending.told_at + NOTICE_MS - STEP_MS)
             reader, writer = await harness.stream_client(written)
             await until(lambda: harness.counters["connections_accepted"] == 1)
-            await ending.pass_until(ending.killed_at - 1)
+            await ending.advance_until(ending.killed_at - 1)
             assert ending.nothing_is_open()
             assert (await reader.read()).startswith((BUSY, b"CLIENT_ERROR"))
             assert harness.core.memory_budget.reserved == 0
@@ -144,10 +144,10 @@
         async with DownstreamHarness(memory_bytes=LENGTH + 1000, settings=settings) as harness:
             assert harness.core.memory_budget.try_reserve(LENGTH)
             ending = Ending(harness, deadline_ms)
-            await ending.pass_until(ending.told_at + NOTICE_MS - STEP_MS)
+            await ending.advance_until(ending.told_at + NOTICE_MS - STEP_MS)
             reader, writer = await harness.stream_client(LONG_WRITE)
             await until(lambda: any(c.has_pending for c in harness.downstream.connections))
-            await ending.pass_until(ending.killed_at - 1)
+            await ending.advance_until(ending.killed_at - 1)
             assert ending.nothing_is_open()
             assert await reader.read() == BUSY
             assert harness.core.memory_budget.reserved == LENGTH
@@ -168,11 +168,11 @@
             request = READ.replace(b",d=480", b"")
             ending, readers = Ending(harness, deadline_ms), []
             for number, at in enumerate((100.0, 390.0, 600.0, 690.0)):
-                await ending.pass_until(ending.told_at + at)
+                await ending.advance_until(ending.told_at + at)
                 readers.append(await harness.stream_client(request % b"r%d" % number))
                 await until(lambda count=number + 1: harness.request_count == count)
             held_up_ms = 150.0 if deadline_ms >= 1_000.0 else 0.0
-            await ending.pass_until(ending.killed_at - held_up_ms - 1)
+            await ending.advance_until(ending.killed_at - held_up_ms - 1)
             assert ending.nothing_is_open()
             for reader, _ in readers:
                 assert await reader.read() == FAILED
--- a/tests/lab/backend/test_loopback_fabric.py
+++ b/tests/lab/backend/test_loopback_fabric.py
@@ -3,7 +3,7 @@
 import asyncio
 
 import pytest
-from support.loopback import SHORT_S, End, Ways, change, on_fabric, until
+from support.loopback import SHORT_S, LinkPair, RecordingProtocol, run_on_fabric, set_link_state, until
 
 from flintridge.lab.backend.loopback_fabric import LoopbackFabric
 
@@ -13,23 +13,23 @@
         made = []
 
         def factory():
-            made.append(End())
+            made.append(RecordingProtocol())
             return made[-1]
 
         await fabric.listen("box", "n0", factory)
         address = fabric.address("box", "n0")
         for _ in range(2):
-            change(fabric, "silent")
+            set_link_state(fabric, "silent")
             for dial in (asyncio.open_connection(*address), fabric.connect("c0", "n0", End)):
                 with pytest.raises(TimeoutError):  # the kernel says nothing at all
                     await asyncio.wait_for(dial, SHORT_S)
             assert made == []
-            change(fabric, "up")
+            set_link_state(fabric, "up")
             _, writer = await asyncio.open_connection(*address)
             await until(lambda: made and made.pop())
             writer.close()
 
-    on_fabric(test)
+    run_on_fabric(test)
 
 
 def test_a_client_connects_to_a_node_and_is_refused_where_none_listens():
@@ -45,17 +45,17 @@
         transport = await fabric.connect("c0", "n0", End)
         end = transport.get_protocol()
         transport.write(b"hello")
-        assert await end.ended is None and end.got == [b"hello"] and transport.is_closing()
+        assert await end.ended is None and end.received == [b"hello"] and transport.is_closing()
         assert transport.get_extra_info("peername") == fabric.address("listen", "n0")
         server.close()
         await until(lambda: not fabric.connections)
 
-    on_fabric(test, Ways(delay_ms=1.0))
+    run_on_fabric(test, LinkPair(delay_ms=1.0))
 
 
 def test_two_runs_at_once_have_ports_of_their_own():
     async def test(fabric):
-        other = LoopbackFabric(Ways())
+        other = LoopbackFabric(LinkPair())
         try:
             for one in (fabric, other):
                 await one.listen("box", "n0", End)
@@ -64,4 +64,4 @@
         finally:
             other.close()
 
-    on_fabric(test)
+    run_on_fabric(test)
--- a/tests/lab/backend/test_processes.py
+++ b/tests/lab/backend/test_processes.py
@@ -7,7 +7,7 @@
 import sys
 
 import pytest
-from support.loopback import SHORT_S, End, on_fabric, until
+from support.loopback import SHORT_S, RecordingProtocol, run_on_fabric, until
 from support.program import SETTINGS
 
 from flintridge.lab.backend.processes import ProcessNodes
@@ -51,7 +51,7 @@
             await nodes.close()
             assert not nodes.folder.exists()
 
-    on_fabric(run)
+    run_on_fabric(run)
 
 
 async def ready(fabric, node):
@@ -63,7 +63,7 @@
         except ConnectionError:
             await asyncio.sleep(0.01)
             continue
-        answers = transport.get_protocol().got
+        answers = transport.get_protocol().received
         transport.write(b"mn\r\n")
         while not answers:
             await asyncio.sleep(0.001)
--- a/tests/lab/experiment/test_worker_pool.py
+++ b/tests/lab/experiment/test_worker_pool.py
@@ -8,7 +8,7 @@
 from pathlib import Path
 
 import pytest
-from support.lab_fake_runs import gone, job
+from support.lab_fake_runs import job, process_ends
 from support.signals import restore_default_signals
 
 from flintridge.lab.experiment.jobs import JobFailed
@@ -29,7 +29,9 @@
     assert (raised.mode, raised.reason) == ("raised", "ValueError: seed 2") and "Traceback" in raised.trace
     assert died.mode == "died" and "7" in died.reason and "last words" in died.reason
     assert hung.mode == "hung" and "3 s" in hung.reason
-    assert all(gone(int(pid)) for pid in pids.read_text().split())  # the worker, and its child elsewhere
+    assert all(
+        process_ends(int(pid)) for pid in pids.read_text().split()
+    )  # the worker, and its child elsewhere
 
 
 def test_stop_begins_no_more_and_loopback_goes_alone(tmp_path):
@@ -70,4 +72,4 @@
         pool.wait(20)
     started = [int(pid) for pid in pids.read_text().split()]
     assert len(started) == 2
-    assert all(gone(pid) for pid in started)
+    assert all(process_ends(pid) for pid in started)
--- a/tests/lab/faults/test_timeline.py
+++ b/tests/lab/faults/test_timeline.py
@@ -3,7 +3,7 @@
 import asyncio
 
 import pytest
-from support.lab_fleet import SCENE, played
+from support.lab_fleet import SCENE, run_with_fleet
 
 from flintridge.lab.faults.node_reconciler import termination_grace_ms
 from flintridge.lab.records import FaultChanged, ServerStateChanged
@@ -22,7 +22,7 @@
         entries = {c.endpoint.id: c.endpoint for c in one.world.discovery.model.endpoints.snapshot()}
         assert entries[name].started_at == 5000.0
 
-    played(test, m.Crash(at_s=1.0, for_s=2.0, ids=("s0",)), m.Crash(at_s=2.0, for_s=3.0, ids=("s0",)))
+    run_with_fleet(test, m.Crash(at_s=1.0, for_s=2.0, ids=("s0",)), m.Crash(at_s=2.0, for_s=3.0, ids=("s0",)))
 
 
 @pytest.mark.parametrize("nodes", [False, True])
@@ -51,7 +51,7 @@
         ]
         assert [(e.phase, e.started_at) for e in phases[1:]] == [("terminated", 0.0), ("in_service", 6000.0)]
 
-    played(test, m.ZoneLoss(at_s=1.0, for_s=5.0, zone="west", nodes=nodes))
+    run_with_fleet(test, m.ZoneLoss(at_s=1.0, for_s=5.0, zone="west", nodes=nodes))
 
 
 def test_replaced_and_churned_servers_have_new_ids_at_the_old_addresses():
@@ -69,7 +69,9 @@
         assert len(gone) == 4 and len(listed) == 7
         assert not set(gone) & {c.endpoint.id for c in one.world.discovery.model.endpoints.snapshot()}
 
-    played(test, m.Replace(at_s=1.0, for_s=1.0, ids=("s0",)), m.Churn(at_s=3.0, for_s=6.0, every_s=2.0))
+    run_with_fleet(
+        test, m.Replace(at_s=1.0, for_s=1.0, ids=("s0",)), m.Churn(at_s=3.0, for_s=6.0, every_s=2.0)
+    )
 
 
 def test_drains_stop_for_good_or_come_back():
@@ -81,7 +83,7 @@
         await one.clock.sleep_until(20_000)
         assert not first.up and second.up and second.started_at == 5000.0 and not second.model.draining
 
-    played(
+    run_with_fleet(
         test, m.Drain(at_s=1.0, for_s=3.0, ids=("s0",)), m.Drain(at_s=1.0, for_s=3.0, ids=("s1",), back=True)
     )
 
@@ -89,7 +91,7 @@
 def test_nodes_are_killed_restarted_and_paused_however_that_overlaps():
     async def test(one):
         await one.line.run()
-        said = [s for s in one.runner.said if s[0] > 0]
+        said = [s for s in one.runner.calls if s[0] > 0]
         assert [s[:2] for s in said if s[2] == "n0"] == [
             (1000, "killed"),
             (4000, "started"),  # the second kill lasts longer, and finds nothing to kill
@@ -100,7 +102,7 @@
 
     faults = [m.NodeKill(at_s=1.0, for_s=1.0, nodes=(0,)), m.NodeKill(at_s=1.5, for_s=2.5, nodes=(0,))]
     faults += [m.NodeRestart(at_s=6.0, for_s=0.8, nodes=(0,)), m.NodePause(at_s=1.0, for_s=1.0, nodes=(1,))]
-    played(test, *faults, m.NodePause(at_s=1.5, for_s=1.5, nodes=(1,)))
+    run_with_fleet(test, *faults, m.NodePause(at_s=1.5, for_s=1.5, nodes=(1,)))
 
 
 def test_a_node_that_does_not_end_is_killed():
@@ -108,10 +110,10 @@
         one.runner.slow_to_end = True
         await one.line.run()
         at = 1000 + round(termination_grace_ms(SCENE))
-        said = [s[:2] for s in one.runner.said if s[2] == "n0"]
+        said = [s[:2] for s in one.runner.calls if s[2] == "n0"]
         assert said[1:] == [(1000, "term"), (at, "killed"), (at, "started")]
 
-    played(test, m.NodeRestart(at_s=1.0, for_s=0.5, nodes=(0,)))
+    run_with_fleet(test, m.NodeRestart(at_s=1.0, for_s=0.5, nodes=(0,)))
 
 
 def test_stop_undoes_all_that_is_on_and_starts_nothing():
@@ -140,10 +142,10 @@
         began, ended = (sorted(r.name for r in one.of(FaultChanged, begins=b)) for b in (True, False))
         assert began == ended and "burst" in began
         assert not list(one.world.servers.values())[1].up and not one.runner.running("n0")
-        assert one.runner.said[-1] == (2000, "resumed", "n1")
+        assert one.runner.calls[-1] == (2000, "resumed", "n1")
         bad = (5.0, (), True), (5.0, (), False)
         rest = [("hot_key", 0.5), ("bad_clients", *bad[0]), ("cool",), ("bad_clients", *bad[1])]
-        assert one.controls.said == [("burst", 2.0), *rest, ("burst", 1.0)]
+        assert one.controls.calls == [("burst", 2.0), *rest, ("burst", 1.0)]
 
     when = {"at_s": 0.5, "for_s": 20.0}
     faults = [m.Slowness(ids=("s0",), factor=2.0, **when), m.Slowness(zone="east", factor=3.0, **when)]
@@ -156,7 +158,7 @@
         m.NodeKill(nodes=(0,), **when),
         m.NodePause(nodes=(1,), **when),
     ]
-    played(test, *faults)
+    run_with_fleet(test, *faults)
 
 
 def test_the_same_seed_gives_the_same_world():
@@ -166,4 +168,4 @@
         await one.line.run()
         return one.log.digest()
 
-    assert played(test, *faults) == played(test, *faults)
+    assert run_with_fleet(test, *faults) == run_with_fleet(test, *faults)
--- a/tests/lab/report/test_html_reports.py
+++ b/tests/lab/report/test_html_reports.py
@@ -2,7 +2,7 @@
 
 import msgspec
 import pytest
-from support.lab_reports import NASTY, fake, load_rate, parts_of, result, windows
+from support.lab_reports import HOSTILE_TEXT, check_page, fake, load_rate, result, windows
 
 from flintridge.lab.experiment.compare import Variant, compare
 from flintridge.lab.experiment.search_results import Search, SearchRun
@@ -15,7 +15,7 @@
 @pytest.mark.parametrize("servers", [0, 3, 40])
 def test_a_run_report_stands_alone_and_escapes_what_it_quotes(servers):
     found = result(windows=windows(servers=servers))
-    page = parts_of(html.run_report(found, Scenario(about="a < b"), "name = '<x>'"))
+    page = check_page(html.run_report(found, Scenario(about="a < b"), "name = '<x>'"))
     assert page.count("<svg") == 4 + (servers > 0)
     assert "a &lt; b" in page and "&lt;script&gt;" in page and "{{ 7*7 }}" in page and ">sound<" not in page
     assert page == html.run_report(found, Scenario(about="a < b"), "name = '<x>'")
@@ -23,10 +23,10 @@
 
 
 def test_reports_of_nothing_of_one_window_and_of_a_long_day():
-    parts_of(html.run_report(Result(scenario="x", seed=1, backend="virtual")))
-    parts_of(html.run_report(result(windows=windows(1), faults=[])))
+    check_page(html.run_report(Result(scenario="x", seed=1, backend="virtual")))
+    check_page(html.run_report(result(windows=windows(1), faults=[])))
     empty = [Window(t_s=float(t)) for t in range(5)]
-    parts_of(html.run_report(result(windows=empty, faults=[("out", 50.0, 60.0)])))
+    check_page(html.run_report(result(windows=empty, faults=[("out", 50.0, 60.0)])))
     long = run_plots.merged(windows(5000))
     assert len(long) <= run_plots.MAX_POINTS and long[1].t_s == 9 and long[0].requests == 100
     assert long[0].p99 == max(window.p99 for window in windows(9))
@@ -40,11 +40,11 @@
     both = [parameter("x=1,2"), parameter('y="p","q"')]
     two = sweep("s", both, lambda _: load_rate(next(values)), [1], runner=fake)
     words = sweep("s", [parameter('y="p","q"')], lambda _: Scenario(name="raises"), [1], runner=fake)
-    run = SearchRun(number=0, seed=2, name=NASTY, violations={"drain": 1}, unexplained_shortfall=0.1)
+    run = SearchRun(number=0, seed=2, name=HOSTILE_TEXT, violations={"drain": 1}, unexplained_shortfall=0.1)
     found = Search(seed=1, space_version=1, runs=[run])
     for value in (compared, one, two, words, found):
         data = msgspec.json.encode(value)
-        page = parts_of(html.report_of_json(data))
+        page = check_page(html.report_of_json(data))
         assert page == html.report_of_json(data)
     assert "breaks in B and holds in A" in html.compare_report(compared)
     assert ">sound<" in html.sweep_report(one)
--- a/tests/lab/report/test_lab_commands.py
+++ b/tests/lab/report/test_lab_commands.py
@@ -5,7 +5,7 @@
 import msgspec
 import pytest
 from click.testing import CliRunner
-from support.lab_reports import FAKE_RUNNER, fake, parts_of
+from support.lab_reports import FAKE_RUNNER, check_page, fake
 
 from flintridge.cli.main import main
 from flintridge.lab.experiment import pool
@@ -47,7 +47,7 @@
     assert lab("run", "day.toml", "--report", "a.html", "--seed", 9, "--force")[0] == 0
     assert (tmp_path / "a.html").read_bytes() != before
     assert lab("report", "a.json", "--out", "b.html")[0] == 0
-    parts_of((tmp_path / "b.html").read_text())
+    check_page((tmp_path / "b.html").read_text())
     assert lab("report", "day.toml", "--out", "c.html")[0] == 2 and not (tmp_path / "c.html").exists()
 
 
@@ -106,4 +106,4 @@
     assert lab("search", "--runs", 2, "--out", "found", "--jobs", 2)[0] in (0, 1)
     assert (tmp_path / "found" / "search.json").exists()
     for name in ("c.html", "s.html"):
-        parts_of((tmp_path / name).read_text())
+        check_page((tmp_path / name).read_text())
--- a/tests/lab/report/test_report_tables.py
+++ b/tests/lab/report/test_report_tables.py
@@ -4,7 +4,7 @@
 import sys
 from pathlib import Path
 
-from support.lab_reports import NASTY, result
+from support.lab_reports import HOSTILE_TEXT, result
 
 from flintridge.lab.experiment.search_results import Search, SearchRun
 from flintridge.lab.report import tables
@@ -13,7 +13,12 @@
 def test_tables_print_whatever_a_result_holds(capsys):
     tables.print_run(result(), ["rule drain broken 1 time"], ())
     tables.print_search(
-        Search(seed=1, space_version=1, runs=[SearchRun(number=0, seed=2, name=NASTY, failure=NASTY)]), NASTY
+        Search(
+            seed=1,
+            space_version=1,
+            runs=[SearchRun(number=0, seed=2, name=HOSTILE_TEXT, failure=HOSTILE_TEXT)],
+        ),
+        HOSTILE_TEXT,
     )
     said = capsys.readouterr().out
     assert "unsound: rule drain" in said and "[bold] {{ 7*7 }}" in said
--- a/tests/lab/virtual/test_loop.py
+++ b/tests/lab/virtual/test_loop.py
@@ -7,7 +7,7 @@
 import sys
 
 import pytest
-from support.network import quiet
+from support.network import log_and_counters
 from support.paths import ROOT
 
 import flintridge.__main__
@@ -112,7 +112,7 @@
 
     async def main():
         host = asyncio.get_running_loop().network.host("node")
-        node = host.run(flintridge.__main__.run(config, quiet()[0]))
+        node = host.run(flintridge.__main__.run(config, log_and_counters()[0]))
         await asyncio.sleep(0.1)
         reader, writer = await asyncio.open_connection(config.listen.host, config.listen.port)
         writer.write(b"mn\r\n")
--- a/tests/lab/world/test_cache_connection.py
+++ b/tests/lab/world/test_cache_connection.py
@@ -4,7 +4,7 @@
 import random
 
 import pytest
-from support.lab_world import play
+from support.lab_world import run_with_servers
 
 from flintridge.lab.record_log import body_digest
 from flintridge.lab.records import (
@@ -26,19 +26,19 @@
         await asyncio.sleep(0.5)
         peer.transport.write(line[7:])
         await asyncio.sleep(0.1)
-        assert peer.got == b"EN Ou1\r\n"
+        assert peer.received == b"EN Ou1\r\n"
         http.transport.write(stage.http()[1].replace(b"u2", b"u1"))
         await asyncio.sleep(0.2)
-        peer.got = b""
+        peer.received = b""
         peer.transport.write(stage.ask()[1])
         await asyncio.sleep(0.1)
         value = stage.objects.body("a", 1, "s0", "u3")
-        assert peer.got == b"VA %d Ou3\r\n%b\r\n" % (len(value), value)
-        assert http.got.startswith(b"HTTP/1.1 200 ") and http.got.endswith(
+        assert peer.received == b"VA %d Ou3\r\n%b\r\n" % (len(value), value)
+        assert http.received.startswith(b"HTTP/1.1 200 ") and http.received.endswith(
             stage.objects.body("a", 1, "origin", uid)
         )
 
-    stage = play(body)
+    stage = run_with_servers(body)
     attempts, made = stage.seen(AttemptReceived), stage.seen(AttemptServed)
     assert [(a.server, a.request_id, a.time_left_ms) for a in attempts] == [
         ("s0", "u1", 1000),
@@ -64,13 +64,13 @@
         lines += [stage.ask(work=0.1)[1] for _ in range(300)] + [b"mn\r\n" * 3000]
         peer.transport.write(b"".join(lines))
         await asyncio.sleep(0.02)
-        assert peer.got == b""  # the second has run by now
+        assert peer.received == b""  # the second has run by now
         await asyncio.sleep(1)
-        assert peer.got.startswith(b"EN Ou1\r\nEN Ou2\r\nMN\r\nEN Ou3\r\n") and peer.got.endswith(
+        assert peer.received.startswith(b"EN Ou1\r\nEN Ou2\r\nMN\r\nEN Ou3\r\n") and peer.received.endswith(
             b"MN\r\n" * 3000
         )
 
-    stage = play(body, cores=2, queue_per_core=500)
+    stage = run_with_servers(body, cores=2, queue_per_core=500)
     attempts, made = stage.seen(AttemptReceived), stage.seen(AttemptServed)
     assert [x.attempt_id for x in made] == list(range(1, 303)) and len({a.at_ms for a in attempts}) == 1
     assert made[0].at_ms == made[1].at_ms == pytest.approx(attempts[0].at_ms + 30)
@@ -86,9 +86,9 @@
         getattr(peer.transport, end)()
         other.transport.write(stage.ask(key="c")[1])
         await asyncio.sleep(0.1)
-        assert other.got == b"EN Ou3\r\n" and peer.got == b""
+        assert other.received == b"EN Ou3\r\n" and peer.received == b""
 
-    stage = play(body)
+    stage = run_with_servers(body)
     assert [d.request_id for d in stage.seen(AttemptDropped)] == ["u1", "u2"]
     assert [r.request_id for r in stage.seen(AttemptExecuted)] == ["u1"]  # it ran, and nobody heard
     assert stage.made() == {"u3": "miss"}
@@ -113,7 +113,7 @@
         peer = await stage.connect("s0")
         peer.transport.write(stage.ask()[1])
         await asyncio.sleep(0.3)
-        assert peer.got == b"EN Ou2\r\n" and new.started_at == pytest.approx(107, abs=2)
+        assert peer.received == b"EN Ou2\r\n" and new.started_at == pytest.approx(107, abs=2)
         with pytest.raises(OSError, match="attempting to bind"):  # the address is taken
             await old.start(cold=True)
         assert not old.up
@@ -121,7 +121,7 @@
         await old.start(cold=False)
         assert old.model.faults.slowdown == 2.0 and old.model.store.has(0, "a") is False
 
-    stage = play(body)
+    stage = run_with_servers(body)
     said = [(s.server, s.state, s.warm_up_ms) for s in stage.seen(ServerStateChanged) if s.server != "origin"]
     assert said[2:5] == [("s0", "stopped", 0), ("s1", "gone", 0), ("s1", "started", 9000)]
     assert [d.request_id for d in stage.seen(AttemptDropped)] == ["u1"] and not stage.seen(AttemptExecuted)
@@ -137,7 +137,7 @@
         await asyncio.sleep(1)
         assert peer.ended == "ConnectionResetError" and not server.up
 
-    stage = play(body)  # 3 x 0.32 x 2 cores x 1500 ms: 2880
+    stage = run_with_servers(body)  # 3 x 0.32 x 2 cores x 1500 ms: 2880
     assert len(stage.seen(AttemptReceived)) == 3 and stage.seen(ServerStateChanged)[-1].state == "fallen"
 
 
@@ -150,9 +150,9 @@
         stage.servers[0].drain()
         peer.transport.write(stage.ask()[1])
         await asyncio.sleep(0.05)
-        assert peer.got == b"EN Ou1\r\nSERVER_ERROR busy\r\n"
+        assert peer.received == b"EN Ou1\r\nSERVER_ERROR busy\r\n"
 
-    stage = play(body, handshake_ms=20.0)
+    stage = run_with_servers(body, handshake_ms=20.0)
     assert stage.seen(AttemptServed)[0].at_ms - stage.seen(AttemptReceived)[0].at_ms == pytest.approx(30)
     assert stage.made()["u2"] == "busy"
 
@@ -164,7 +164,7 @@
         assert (first.ended, second.ended) == ("", "ConnectionResetError")
         first.transport.write(stage.ask()[1])
         await asyncio.sleep(0.9)
-        assert first.ended == "" and first.got
+        assert first.ended == "" and first.received
         await asyncio.sleep(0.2)
         assert first.ended == "eof"
         for silent in (False, True):
@@ -175,11 +175,11 @@
             await asyncio.sleep(0.4)
             peer.transport.write(stage.ask()[1])
             await asyncio.sleep(2)
-            assert peer.ended == ("" if silent else "ConnectionResetError") and peer.got == b""
+            assert peer.ended == ("" if silent else "ConnectionResetError") and peer.received == b""
             peer.transport.close()
             await asyncio.sleep(0.1)
 
-    stage = play(body, connections=1, idle_s=1.0)
+    stage = run_with_servers(body, connections=1, idle_s=1.0)
     assert len(stage.seen(AttemptReceived)) == 1 and not stage.seen(AttemptDropped)
 
 
@@ -193,9 +193,9 @@
         peer = await stage.connect("s0")
         peer.transport.write(stage.ask()[1])
         await asyncio.sleep(0.1)
-        assert (peer.got, peer.ended) == (b"", ends)
+        assert (peer.received, peer.ended) == (b"", ends)
 
-    stage = play(body)
+    stage = run_with_servers(body)
     assert stage.made().get("u1") == outcome and len(stage.seen(AttemptExecuted)) == 1
     assert [made.lost for made in stage.seen(AttemptServed)] == [True] * (kind == "lost")
 
@@ -208,7 +208,7 @@
         wrong = (stage.ask(extra=",t=other")[1], good.replace(b"c=put", b"c=read"), b"ms a 5 v\r\n")
         peer.transport.write(b"".join(bad + wrong))
         await asyncio.sleep(0.1)
-        assert peer.got.count(b"CLIENT_ERROR") == 6 and peer.ended == "eof"
+        assert peer.received.count(b"CLIENT_ERROR") == 6 and peer.ended == "eof"
         for text in (
             stage.http()[1].replace(b"GET", b"POST"),
             b"\x00\r\n\r\n",
@@ -217,9 +217,9 @@
             http = await stage.connect("origin")
             http.transport.write(text)
             await asyncio.sleep(0.1)
-            assert http.got.startswith(b"HTTP/1.1 400") and http.ended == "eof"
+            assert http.received.startswith(b"HTTP/1.1 400") and http.ended == "eof"
 
-    stage = play(body)
+    stage = run_with_servers(body)
     assert len(stage.seen(MalformedMessage)) == 9 and not stage.seen(AttemptReceived)
 
 
@@ -241,5 +241,5 @@
         "pause_ms": (1.0, 30.0),
         "speed": (1.0, 2.0),
     }
-    digests = [play(body, seed=seed, **spoils).log.digest() for seed in (1, 1, 2)]
+    digests = [run_with_servers(body, seed=seed, **spoils).log.digest() for seed in (1, 1, 2)]
     assert digests[0] == digests[1] != digests[2]
--- a/tests/lab/world/test_discovery_host.py
+++ b/tests/lab/world/test_discovery_host.py
@@ -4,7 +4,7 @@
 
 import orjson
 import pytest
-from support.lab_fleet import played
+from support.lab_fleet import run_with_fleet
 
 from flintridge.lab.records import (
     EndpointNotified,
@@ -40,7 +40,7 @@
         [assumed] = one.of(EndpointNotified, assumed=True)
         assert assumed.node == "n0" and at + 10_200 <= assumed.at_ms <= at + 10_301
 
-    played(test)
+    run_with_fleet(test)
 
 
 def test_a_call_when_malformed_is_recorded_and_rejected():
@@ -49,7 +49,7 @@
             assert (await one.call("n0", target, method=method))[0] == 400
         assert [r.node for r in one.of(MalformedMessage, server="discovery")] == ["n0"] * 3
 
-    played(test)
+    run_with_fleet(test)
     assert read_target("/api/targets?after=41&wait_ms=20000") == ListCall(41, 20000.0)
     for bad in ("/api/targets?after=-1", "/api/targets?wait=1", "/api/targets?after=9" + "9" * 20, "//x"):
         with pytest.raises(MalformedCallError):
@@ -77,7 +77,7 @@
         assert not [r for r in one.of(EndpointNotified) if r.at_ms > 0]
         assert (await one.call("n1"))[0] == 200
 
-    played(test, m.DiscoveryDown(at_s=1.0, for_s=2.0, how=how))
+    run_with_fleet(test, m.DiscoveryDown(at_s=1.0, for_s=2.0, how=how))
 
 
 def test_a_node_when_reloaded_finds_discovery_at_another_address():
@@ -95,6 +95,6 @@
         assert isinstance(watch.exception(), EOFError)
         await one.clock.sleep_until(6000)
         assert one.world.discovery.address("n0") == old and (await one.call("n0", address=old))[0] == 200
-        assert [said[2] for said in one.runner.said if said[1].startswith("hup")] == ["n0", "n0"]
+        assert [said[2] for said in one.runner.calls if said[1].startswith("hup")] == ["n0", "n0"]
 
-    played(test, m.Reload(at_s=1.0, nodes=(0,)), m.Reload(at_s=5.0, nodes=(0,)))
+    run_with_fleet(test, m.Reload(at_s=1.0, nodes=(0,)), m.Reload(at_s=5.0, nodes=(0,)))
--- a/tests/lab/world/test_fleet.py
+++ b/tests/lab/world/test_fleet.py
@@ -2,7 +2,7 @@
 
 import asyncio
 
-from support.lab_fleet import played
+from support.lab_fleet import run_with_fleet
 
 
 def test_a_server_when_it_crashed_by_overload_is_listed_as_terminated():
@@ -12,7 +12,7 @@
         await asyncio.sleep(0.5)
         assert name not in [c.endpoint.id for c in one.world.discovery.model.endpoints.snapshot()]
 
-    played(test)
+    run_with_fleet(test)
 
 
 def test_values_when_the_run_goes_on_change_until_it_ends():
@@ -24,4 +24,4 @@
         await asyncio.sleep(5)
         assert sum(version - 1 for version in one.world.objects._versions.values()) == changes
 
-    played(test)
+    run_with_fleet(test)
--- a/tests/lab/world/test_origin_connection.py
+++ b/tests/lab/world/test_origin_connection.py
@@ -3,7 +3,7 @@
 import asyncio
 
 import pytest
-from support.lab_world import SCENE, play
+from support.lab_world import SCENE, run_with_servers
 
 from flintridge.lab.records import (
     AttemptDropped,
@@ -24,14 +24,14 @@
         await asyncio.sleep(0.01)
         peers[2].transport.close()  # the origin goes on with it
         await asyncio.sleep(1)
-        assert peers[0].got.endswith(b"w1.u1") and peers[1].got.endswith(b"w1.u1")
-        assert b"503" in peers[4].got and b"Srv-Declined: 1" in peers[4].got
+        assert peers[0].received.endswith(b"w1.u1") and peers[1].received.endswith(b"w1.u1")
+        assert b"503" in peers[4].received and b"Srv-Declined: 1" in peers[4].received
         assert not stage.servers[0].model.store.has(0, "a") and stage.objects.version("a") == 4
         peers[0].transport.write(stage.http(key="-/load")[1])  # a key like any other
         await asyncio.sleep(0.2)
-        assert peers[0].got.count(b"200") == 2
+        assert peers[0].received.count(b"200") == 2
 
-    stage = play(body)
+    stage = run_with_servers(body)
     assert [(r.request_id, r.is_repeat) for r in stage.seen(AttemptExecuted)] == [
         ("u1", False), ("u2", True), ("u3", False), ("u4", False), ("u7", False),
     ]  # fmt: skip
@@ -49,7 +49,7 @@
         stage.origin.model.down = "silent"
         peer.transport.write(stage.http()[1])
         await asyncio.sleep(9)
-        assert (peer.got, peer.ended) == (b"", "")
+        assert (peer.received, peer.ended) == (b"", "")
         stage.origin.model.down = "refuses"
         await asyncio.sleep(0.1)
         assert peer.ended == "ConnectionResetError"
@@ -60,9 +60,9 @@
         peer = await stage.connect("origin")
         peer.transport.write(b"GET /-/healthy HTTP/1.1\r\nHost: o\r\n\r\n" + stage.http()[1])
         await asyncio.sleep(0.1)
-        assert peer.got.count(b"HTTP/1.1 200") == 2
+        assert peer.received.count(b"HTTP/1.1 200") == 2
 
-    stage = play(body)
+    stage = run_with_servers(body)
     assert [s.state for s in stage.seen(ServerStateChanged) if s.server == "origin"] == [
         "started",
         "stopped",
@@ -85,10 +85,12 @@
         peer = await stage.connect("origin")
         peer.transport.write(stage.http(write=True, idem="i")[1])
         await asyncio.sleep(0.2)
-        assert peer.got.endswith(b"w1.u5")
+        assert peer.received.endswith(b"w1.u5")
 
     falls = m.Origin(slots=1, sigma=0.0, read_ms=100.0, fall_multiple=1.0, fall_ms=500.0, down_s=1.0)
-    stage = play(body, m.Scenario(kinds=SCENE.kinds, classes=SCENE.classes, links=SCENE.links, origin=falls))
+    stage = run_with_servers(
+        body, m.Scenario(kinds=SCENE.kinds, classes=SCENE.classes, links=SCENE.links, origin=falls)
+    )
     assert [s.state for s in stage.seen(ServerStateChanged) if s.server == "origin"] == [
         "started",
         "fallen",
--- a/tests/replication/test_clock_steps.py
+++ b/tests/replication/test_clock_steps.py
@@ -4,7 +4,7 @@
 
 import orjson
 import pytest
-from support.network import HandClock, quiet
+from support.network import ManualClock, log_and_counters
 
 from flintridge.config.address import Address
 from flintridge.config.node_config import PeersConfig, StateConfig
@@ -19,12 +19,12 @@
     """A replica's driver, without a network, whose wall clock is `ahead_ms` ahead."""
 
     def __init__(self, monkeypatch) -> None:
-        self.clock = HandClock()
+        self.clock = ManualClock()
         self.ahead_ms = 0.0
         self.taken_out: frozenset[str] = frozenset()
         now_s = SimpleNamespace(time=lambda: 1_700_000_000 + (self.clock.now() + self.ahead_ms) / 1000)
         monkeypatch.setattr("flintridge.replication.driver.time", now_s)
-        log, counters = quiet()
+        log, counters = log_and_counters()
         peers = PeersConfig(Address("127.0.0.1", 0), (("a", Address("127.0.0.1", 1)),), "fleet")
         membership = MembershipDriver("a", peers, self.clock, log, counters, bytes)
         self.driver = ReplicationDriver(
@@ -49,11 +49,11 @@
     node = SteppedNode(monkeypatch)
     node.write("s1", lasts_ms=20_000)
     node.write("s2")
-    node.clock.go(1_000.0)
+    node.clock.advance(1_000.0)
     node.step(step_ms)
-    node.clock.go(18_900.0)
+    node.clock.advance(18_900.0)
     assert node.taken_out == {"s1", "s2"}
-    node.clock.go(200.0)
+    node.clock.advance(200.0)
     assert node.taken_out == {"s2"}
 
 
@@ -61,12 +61,12 @@
 def test_release_when_the_wall_clock_was_stepped_after_the_hold_ends_it(monkeypatch, step_ms):
     node = SteppedNode(monkeypatch)
     node.write("s1")
-    node.clock.go(1_000.0)
+    node.clock.advance(1_000.0)
     assert node.taken_out == {"s1"}
     node.step(step_ms)
-    node.clock.go(1_000.0)
+    node.clock.advance(1_000.0)
     node.write("s1", delete=True)
-    node.clock.go(100.0)
+    node.clock.advance(100.0)
     assert node.taken_out == frozenset()
 
 
@@ -76,7 +76,7 @@
     node.write("s1")
     node.write("s1", delete=True)
     node.step(step_ms)
-    node.clock.go(HOUR_MS - 5_000.0)
+    node.clock.advance(HOUR_MS - 5_000.0)
     assert node.driver.replica.entries
-    node.clock.go(10_000.0)
+    node.clock.advance(10_000.0)
     assert not node.driver.replica.entries
--- a/tests/runtime/test_clock.py
+++ b/tests/runtime/test_clock.py
@@ -4,7 +4,7 @@
 from types import SimpleNamespace
 
 import pytest
-from support.network import HandClock
+from support.network import ManualClock
 
 from flintridge.errors import FlintridgeError
 from flintridge.runtime.clock import (
@@ -28,7 +28,7 @@
 
 
 def test_with_timeout_when_the_result_comes_in_time_then_returns_it():
-    clock = HandClock()
+    clock = ManualClock()
 
     async def respond() -> str:
         await asyncio.sleep(0)
@@ -40,13 +40,13 @@
 
 def test_with_timeout_when_the_time_passes_first_then_raises_no_oserror():
     async def test():
-        clock = HandClock()
+        clock = ManualClock()
         waiting = asyncio.ensure_future(with_timeout(clock, 10.0, asyncio.Event().wait()))
         await asyncio.sleep(0)
-        clock.go(9.0)
+        clock.advance(9.0)
         await asyncio.sleep(0)
         assert not waiting.done()
-        clock.go(1.0)
+        clock.advance(1.0)
         with pytest.raises(DeadlineExceededError) as raised:
             await waiting
         assert isinstance(raised.value, FlintridgeError)
@@ -57,10 +57,10 @@
 
 def test_with_timeout_when_its_task_is_cancelled_too_then_lets_the_cancellation_through():
     async def test():
-        clock = HandClock()
+        clock = ManualClock()
         waiting = asyncio.ensure_future(with_timeout(clock, 10.0, asyncio.Event().wait()))
         await asyncio.sleep(0)
-        clock.go(10.0)
+        clock.advance(10.0)
         waiting.cancel()
         with pytest.raises(asyncio.CancelledError):
             await waiting
--- a/tests/runtime/test_listener.py
+++ b/tests/runtime/test_listener.py
@@ -9,7 +9,7 @@
 import pytest
 from support.downstream import FAILED, READ, DownstreamHarness, run_loop_turns
 from support.downstream_termination import read_until_end
-from support.network import HandClock, quiet, until
+from support.network import ManualClock, log_and_counters, until
 
 from flintridge.config.address import Address
 from flintridge.downstream.termination import SHUTDOWN_POLL_MS
@@ -52,10 +52,10 @@
     """A listener on a clock set by hand, that answers each connection with a byte; and its clients."""
 
     async def __aenter__(self) -> "Opened":
-        self.clock = HandClock()
+        self.clock = ManualClock()
         self.served = 0
         self.queued_since: list[float | None] = []
-        log, self.counters = quiet()
+        log, self.counters = log_and_counters()
         self.clients: list[asyncio.StreamWriter] = []
         self.listener = await open_listener(self.answer, LOCALHOST, False, self.clock, log, self.counters)
         return self
@@ -131,12 +131,12 @@
                 for _ in range(50):
                     await asyncio.sleep(0)
                 assert accept.calls == calls
-                opened.clock.go(pause_ms)
+                opened.clock.advance(pause_ms)
                 pause_ms = min(2 * pause_ms, MAX_PAUSE_MS)
             assert pause_ms == MAX_PAUSE_MS
             await opened.paused(8)
             accept.lasting = None
-            opened.clock.go(MAX_PAUSE_MS)
+            opened.clock.advance(MAX_PAUSE_MS)
             assert await reader.read() == b"y"
 
     asyncio.run(asyncio.wait_for(test(), 60))
@@ -162,12 +162,12 @@
             accept = FailingAccept(monkeypatch, lasting=errno.EMFILE)
             readers = await opened.close_before(3)
             for _ in range(int(PATIENCE_MS / CLOSE_PAUSE_MS) - 1):
-                opened.clock.go(CLOSE_PAUSE_MS)
+                opened.clock.advance(CLOSE_PAUSE_MS)
                 assert opened.listener.has_handovers
                 assert not opened.listener.is_open
             readers.append(await opened.connect())
             accept.lasting = None
-            opened.clock.go(CLOSE_PAUSE_MS)
+            opened.clock.advance(CLOSE_PAUSE_MS)
             assert [await reader.read() for reader in readers] == [b"y"] * 4
             assert not opened.listener.has_handovers
             assert opened.counters["connections_given_up"] == 0
@@ -185,11 +185,11 @@
             if again:
                 opened.listener.close()  # the process ends now
             else:
-                opened.clock.go(PATIENCE_MS)
+                opened.clock.advance(PATIENCE_MS)
             assert not opened.listener.has_handovers
             assert opened.counters["connections_given_up"] == 3
             calls = accept.calls
-            opened.clock.go(1000.0)
+            opened.clock.advance(1000.0)
             assert accept.calls == calls
             for reader in readers:
                 with contextlib.suppress(ConnectionResetError):
@@ -221,7 +221,7 @@
             accept.lasting = None
             opened.listener.close(PATIENCE_MS)
             assert await reader.read() == b"y"
-            opened.clock.go(1000.0)
+            opened.clock.advance(1000.0)
             assert not opened.listener.has_handovers
 
     asyncio.run(asyncio.wait_for(test(), 60))
@@ -234,23 +234,23 @@
             leaving = asyncio.ensure_future(harness.downstream.leave())
             await run_loop_turns(1)
             accept = FailingAccept(monkeypatch, lasting=errno.ENFILE)
-            harness.clock.go(SHUTDOWN_ACCEPT_MS - 1)
+            harness.clock.advance(SHUTDOWN_ACCEPT_MS - 1)
             client = socket.create_connection(("127.0.0.1", harness.port))
             harness.clients.append(client)
             client.sendall(READ % b"a1")
-            harness.clock.go(1)
+            harness.clock.advance(1)
             await run_loop_turns()
-            harness.clock.go(SHUTDOWN_POLL_MS)
+            harness.clock.advance(SHUTDOWN_POLL_MS)
             await run_loop_turns()
             assert not leaving.done()  # it has nothing open, but a connection waits
             accept.lasting = None
-            harness.clock.go(SHUTDOWN_POLL_MS)
+            harness.clock.advance(SHUTDOWN_POLL_MS)
             await until(lambda: harness.request_count == 1)
             assert harness.clock.now() < started_at + SHUTDOWN_ACCEPT_MS + 50.0
             harness.fail("a1")
             assert await read_until_end(client) == FAILED
             client.close()
-            await until(lambda: harness.clock.go(SHUTDOWN_POLL_MS) or leaving.done())
+            await until(lambda: harness.clock.advance(SHUTDOWN_POLL_MS) or leaving.done())
             assert harness.counters["connections_given_up"] == 0
 
     asyncio.run(asyncio.wait_for(test(), 60))
@@ -269,7 +269,7 @@
                 (reader,) = await opened.close_before(1)
                 assert opened.listener.has_handovers
             accept.lasting = None
-            opened.clock.go(CLOSE_PAUSE_MS)
+            opened.clock.advance(CLOSE_PAUSE_MS)
             assert await reader.read() == b"y"
             assert not opened.listener.has_handovers
 
@@ -284,10 +284,10 @@
             await opened.paused(1)
             with monkeypatch.context() as patched:
                 patched.setattr(asyncio.get_running_loop(), "add_reader", fail_for_want_of_memory)
-                opened.clock.go(FIRST_PAUSE_MS)
+                opened.clock.advance(FIRST_PAUSE_MS)
             assert opened.counters["accept_pauses"] == 2
             accept.lasting = None
-            opened.clock.go(2 * FIRST_PAUSE_MS)
+            opened.clock.advance(2 * FIRST_PAUSE_MS)
             assert await reader.read() == b"y"
 
     asyncio.run(asyncio.wait_for(test(), 60))
@@ -309,13 +309,13 @@
             await opened.connect()
             for pauses in range(1, 8):
                 await opened.paused(pauses)
-                opened.clock.go(MAX_PAUSE_MS)
+                opened.clock.advance(MAX_PAUSE_MS)
             await opened.paused(8)
             accept.lasting = None
-            opened.clock.go(MAX_PAUSE_MS)
+            opened.clock.advance(MAX_PAUSE_MS)
             await until(lambda: opened.served == 2)
             assert opened.queued_since == [failing_since, None]  # the other's request is still to come
-            opened.clock.go(500.0)
+            opened.clock.advance(500.0)
             await opened.connect()
             opened.clients[-1].write(b"request")
             await until(lambda: opened.served == 3)
--- a/tests/runtime/test_worker_processes.py
+++ b/tests/runtime/test_worker_processes.py
@@ -8,7 +8,7 @@
 import sys
 
 import pytest
-from support.network import HandClock, quiet
+from support.network import ManualClock, log_and_counters
 
 from flintridge.config.node_config import MAX_VALUE_MB
 from flintridge.config.platform_config import node_config
@@ -19,9 +19,9 @@
 LOCKING_PROGRAM = """
 import sys
 sys.path.insert(0, "tests")
-from support.network import HandClock, quiet
+from support.network import ManualClock, log_and_counters
 from flintridge.runtime.worker_processes import WorkerProcesses
-WorkerProcesses(sys.argv[1], HandClock(), quiet()[0], print).start()
+WorkerProcesses(sys.argv[1], ManualClock(), log_and_counters()[0], print).start()
 print("locked", flush=True)
 sys.stdin.read()
 """
@@ -69,9 +69,9 @@
 
 
 def start_counting(folder, log=None):
-    clock = HandClock()
+    clock = ManualClock()
     counts = []
-    processes = WorkerProcesses(str(folder), clock, log or quiet()[0], counts.append)
+    processes = WorkerProcesses(str(folder), clock, log or log_and_counters()[0], counts.append)
     processes.start()
     return processes, clock, counts
 
@@ -82,14 +82,14 @@
     assert processes.count == 1
     assert counts == []
     other = start_another_process(tmp_path / "node")
-    clock.go(COUNT_INTERVAL_MS)
+    clock.advance(COUNT_INTERVAL_MS)
     assert counts == [2]
     if end is None:
         other.stdin.close()
     else:
         other.send_signal(end)
     other.wait()
-    clock.go(COUNT_INTERVAL_MS)
+    clock.advance(COUNT_INTERVAL_MS)
     assert counts == [2, 1]
     assert processes.index_of_other() is None
     assert len(list((tmp_path / "node").iterdir())) == 1
@@ -101,7 +101,7 @@
     for name in ("7-0", f"{os.getpid()}-0", "notes.txt"):
         (tmp_path / name).write_text("left behind")
     processes, clock, counts = start_counting(tmp_path)
-    clock.go(4 * COUNT_INTERVAL_MS)
+    clock.advance(4 * COUNT_INTERVAL_MS)
     assert processes.count == 1
     assert counts == []
     assert len(list(tmp_path.iterdir())) == 1
@@ -111,7 +111,7 @@
 def test_start_when_the_folder_cannot_be_used_then_counts_this_process_alone(tmp_path):
     (tmp_path / "file").write_text("")
     processes, clock, counts = start_counting(tmp_path / "file" / "node")
-    clock.go(COUNT_INTERVAL_MS)
+    clock.advance(COUNT_INTERVAL_MS)
     assert processes.count == 1
     assert counts == []
     processes.close()
@@ -125,11 +125,11 @@
         },
         {},
     )  # fmt: skip
-    clock, (log, _) = HandClock(), quiet()
+    clock, (log, _) = ManualClock(), log_and_counters()
     nodes = [Node(config, clock, log, shared=str(tmp_path)) for _ in range(2)]
     for node in nodes:
         node._worker_processes.start()
-    clock.go(COUNT_INTERVAL_MS)
+    clock.advance(COUNT_INTERVAL_MS)
     assert [node._worker_processes.index_of_other() for node in nodes] == [1, 0]
     for limit_of, limit in (
         (lambda node: node.downstream.connections.limit, config.client_sockets),
@@ -140,7 +140,7 @@
         assert limit_of(nodes[0]) >= limit // 2
     assert nodes[0].core.memory_budget.total >= MAX_VALUE_MB * 1024 * 1024
     nodes[1]._worker_processes.close()
-    clock.go(COUNT_INTERVAL_MS)
+    clock.advance(COUNT_INTERVAL_MS)
     assert nodes[0].downstream.connections.limit == config.client_sockets
     nodes[0]._worker_processes.close()
 
@@ -152,11 +152,11 @@
     both = [start_counting(tmp_path) for _ in range(2)]
     for (processes, clock, _), started_ns in zip(both, (2, second_started_ns), strict=True):
         os.utime(processes._lock_path, ns=(started_ns, started_ns))
-        clock.go(COUNT_INTERVAL_MS)
+        clock.advance(COUNT_INTERVAL_MS)
     assert [processes.index_of_other() for processes, _, _ in both] == [1, 0]
     both[0][0].close()
     later, later_clock, _ = start_counting(tmp_path)  # after one that is not the first any more
-    later_clock.go(COUNT_INTERVAL_MS)
+    later_clock.advance(COUNT_INTERVAL_MS)
     assert later.index_of_other() == 0
     assert both[1][0].index_of_other() == 1
     later.close()
@@ -169,7 +169,7 @@
         patched.setattr(os, "listdir", lambda _: [])  # as they were before the first one's file came
         second, second_clock, _ = start_counting(tmp_path)
     for clock in (first_clock, second_clock):
-        clock.go(COUNT_INTERVAL_MS)
+        clock.advance(COUNT_INTERVAL_MS)
     assert (first.count, second.count) == (2, 2)
     assert (first.index_of_other(), second.index_of_other()) == (None, None)
     first.close()
@@ -184,7 +184,7 @@
     if not at_start:  # the upgrade was taken back
         descriptor = hold_lock(tmp_path / "7-0")
     os.utime(tmp_path / "7-0", ns=(1, 1))
-    clock.go(COUNT_INTERVAL_MS)
+    clock.advance(COUNT_INTERVAL_MS)
     assert processes.count == 2
     assert processes.index_of_other() == (0 if at_start else 1)
     os.close(descriptor)
@@ -194,7 +194,7 @@
 def test_order_when_the_other_holds_a_file_of_an_unknown_name_then_is_not_known(tmp_path):
     descriptor = hold_lock(tmp_path / "of-a-later-version")
     processes, clock, _ = start_counting(tmp_path)
-    clock.go(COUNT_INTERVAL_MS)
+    clock.advance(COUNT_INTERVAL_MS)
     assert processes.count == 2
     assert processes.index_of_other() is None
     os.close(descriptor)
@@ -219,17 +219,17 @@
         late, clock, _ = start_counting(tmp_path / "node", log)
         for _ in range(2):
             if failing.times:
-                clock.go(COUNT_INTERVAL_MS)
+                clock.advance(COUNT_INTERVAL_MS)
     assert not failing.times
     assert log.events == [("worker_processes_unknown", None)]
-    clock.go(COUNT_INTERVAL_MS)
+    clock.advance(COUNT_INTERVAL_MS)
     assert log.events == [("worker_processes_unknown", None), ("worker_processes", 1)]
     other, other_clock, _ = start_counting(tmp_path / "node")
-    clock.go(COUNT_INTERVAL_MS)
+    clock.advance(COUNT_INTERVAL_MS)
     assert (late.count, other.count) == (2, 2)
     assert (late.index_of_other(), other.index_of_other()) == (None, None)  # it listened for a while by then
     late.close()
-    other_clock.go(COUNT_INTERVAL_MS)
+    other_clock.advance(COUNT_INTERVAL_MS)
     assert other.count == 1
     other.close()
     assert len(os.listdir("/proc/self/fd")) == descriptors
@@ -242,8 +242,8 @@
         processes, clock, _ = start_counting(tmp_path)
     assert processes.count == 2
     assert processes.index_of_other() is None
-    clock.go(COUNT_INTERVAL_MS)
-    other_clock.go(COUNT_INTERVAL_MS)
+    clock.advance(COUNT_INTERVAL_MS)
+    other_clock.advance(COUNT_INTERVAL_MS)
     assert other.count == 2
     processes.close()
     other.close()
@@ -263,16 +263,16 @@
     log = RecordingLog()
     processes, clock, counts = start_counting(tmp_path, log)
     other, _, _ = start_counting(tmp_path)
-    clock.go(COUNT_INTERVAL_MS)
+    clock.advance(COUNT_INTERVAL_MS)
     FailingCall(monkeypatch, module, call, code, times=3)
-    clock.go(2 * COUNT_INTERVAL_MS)
+    clock.advance(2 * COUNT_INTERVAL_MS)
     assert counts == [2]
     assert log.events == [("worker_processes", 2), ("worker_processes_unknown", None)]
-    clock.go(2 * COUNT_INTERVAL_MS)
+    clock.advance(2 * COUNT_INTERVAL_MS)
     assert counts == [2]
     assert log.events[2:] == [("worker_processes", 2)]
     other.close()
-    clock.go(COUNT_INTERVAL_MS)
+    clock.advance(COUNT_INTERVAL_MS)
     assert counts == [2, 1]
     processes.close()
 
@@ -283,10 +283,10 @@
     FailingCall(monkeypatch, os, "unlink", errno.EROFS, times=8)
     log = RecordingLog()
     processes, clock, counts = start_counting(tmp_path, log)
-    clock.go(COUNT_INTERVAL_MS)
+    clock.advance(COUNT_INTERVAL_MS)
     assert (counts, log.events) == ([], [])
     processes.close()
-    clock.go(COUNT_INTERVAL_MS)
+    clock.advance(COUNT_INTERVAL_MS)
 
 
 def test_start_when_others_always_take_the_lock_then_ends_and_is_tried_again(tmp_path, monkeypatch):
@@ -296,7 +296,7 @@
         patched.setattr(worker_processes, "_is_file_at", lambda *args: attempts.append(args))
         processes, clock, _ = start_counting(tmp_path, log)
     assert len(attempts) == MAX_LOCK_ATTEMPTS
-    clock.go(COUNT_INTERVAL_MS)
+    clock.advance(COUNT_INTERVAL_MS)
     assert [event for event, _ in log.events] == ["worker_processes_unknown", "worker_processes"]
     assert len(list(tmp_path.iterdir())) == 1
     processes.close()
--- a/tests/support/codec.py
+++ b/tests/support/codec.py
@@ -14,7 +14,7 @@
 STREAM = READ + WRITE + b"mn\r\nfly away\r\nmg key7 v q\r\n" + READ
 
 
-def cut(data: bytes, cuts: list[int]) -> list[bytes]:
+def split_at(data: bytes, cuts: list[int]) -> list[bytes]:
     places = sorted({c % (len(data) + 1) for c in cuts})
     return [data[a:b] for a, b in zip([0, *places], [*places, len(data)], strict=True)]
 
--- a/tests/support/downstream.py
+++ b/tests/support/downstream.py
@@ -8,7 +8,7 @@
 from flintridge.core.response import Responder
 from flintridge.discovery.endpoint_list import EndpointList
 from flintridge.downstream.listener import Downstream
-from support.network import SETTINGS, HandClock, quiet, until
+from support.network import SETTINGS, ManualClock, log_and_counters, until
 
 READ = b"mg key7 v O%b Pc=read,t=acme,d=480\r\n"
 LONG_DEADLINE_READ = READ.replace(b"480", b"1900")
@@ -44,9 +44,9 @@
         self.settings = settings
 
     async def __aenter__(self):
-        self.clock = HandClock()
+        self.clock = ManualClock()
         self.clients: list[socket.socket | asyncio.StreamWriter] = []
-        log, self.counters = quiet()
+        log, self.counters = log_and_counters()
         self.core = RequestLifecycle(
             self.policy, self.settings, self.clock, self.memory_bytes, log, self.counters
         )
--- a/tests/support/downstream_termination.py
+++ b/tests/support/downstream_termination.py
@@ -6,20 +6,20 @@
 
 from support.downstream import BUSY, FAILED, READ, run_loop_turns
 
-__all__ = ["BUSY", "FAILED", "READ", "cross", "gone_with_a_reset", "read_until_end", "turns"]
+__all__ = ["BUSY", "FAILED", "READ", "send_or_close", "reset_connection", "read_until_end", "turns"]
 
 turns = run_loop_turns
 
 
-def gone_with_a_reset(client: socket.socket) -> None:
+def reset_connection(client: socket.socket) -> None:
     client.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
     client.close()
 
 
-def cross(end: socket.socket, crossing: bytes | str) -> None:
+def send_or_close(end: socket.socket, crossing: bytes | str) -> None:
     """What reaches the node in this moment: bytes, a reset ("rst"), or an orderly end (b"")."""
     if crossing == "rst":
-        gone_with_a_reset(end)
+        reset_connection(end)
     elif crossing:
         end.send(crossing)
     else:
--- a/tests/support/generated_days.py
+++ b/tests/support/generated_days.py
@@ -33,7 +33,7 @@
     return classes
 
 
-def _troubles(draw: random.Random, zones: list[str]) -> list[dict]:
+def _faults(draw: random.Random, zones: list[str]) -> list[dict]:
     some = {"share": draw.uniform(0.1, 0.4)}
     every: list[dict] = [
         {"what": "crash", **some},
@@ -71,7 +71,7 @@
     return chosen
 
 
-def day(seed: int) -> Scenario:
+def generated_scenario(seed: int) -> Scenario:
     """The day of a seed; the same at each call."""
     draw = random.Random(seed)
     zones = ["north", "south", "west"][: draw.randint(1, 3)]
@@ -116,6 +116,6 @@
             "cold_share": 0.32,
             "cold_s": draw.uniform(4, 9),
         },
-        "faults": _troubles(draw, zones),
+        "faults": _faults(draw, zones),
     }
     return msgspec.convert(plan, Scenario)
--- a/tests/support/lab_fake_runs.py
+++ b/tests/support/lab_fake_runs.py
@@ -50,7 +50,7 @@
     return Job(scenario=Scenario(about=about), seed=seed, runner=FAKE_RUNNER, **named)
 
 
-def gone(pid, within=5.0):
+def process_ends(pid, within=5.0):
     """Whether a process ends soon: it is killed at once, but reaped by others."""
     until = time.monotonic() + within
     while time.monotonic() < until:
--- a/tests/support/lab_fleet.py
+++ b/tests/support/lab_fleet.py
@@ -37,38 +37,38 @@
     """A NodeRunner of nodes that do nothing; if `slow_to_end` they never end by themselves."""
 
     def __init__(self, world: SimulatedFleet) -> None:
-        self.world, self.said, self.slow_to_end = world, [], False
+        self.world, self.calls, self.slow_to_end = world, [], False
         self._ended = {node: asyncio.Event() for node in world.nodes}
         for event in self._ended.values():
             event.set()
 
-    def say(self, what: str, node: str) -> None:
-        self.said.append((round(self.world.fabric.clock.now()), what, node))
+    def record(self, what: str, node: str) -> None:
+        self.calls.append((round(self.world.fabric.clock.now()), what, node))
 
     async def start(self, node):
         assert not self.running(node)
         self._ended[node].clear()
         node_config(self.world.node_config(node), {})
-        self.say("started", node)
+        self.record("started", node)
 
     def kill(self, node):
-        self.say("killed", node)
+        self.record("killed", node)
         self._ended[node].set()
 
     def term(self, node):
-        self.say("term", node)
+        self.record("term", node)
         if not self.slow_to_end:
             asyncio.get_running_loop().call_later(0.7, self._ended[node].set)
 
     def reload(self, node, config):
-        self.say(f"hup {config['discovery']}", node)
+        self.record(f"hup {config['discovery']}", node)
         assert node_config(config, {}).discovery.port
 
     def pause(self, node):
-        self.say("paused", node)
+        self.record("paused", node)
 
     def resume(self, node):
-        self.say("resumed", node)
+        self.record("resumed", node)
 
     def running(self, node):
         return not self._ended[node].is_set()
@@ -81,13 +81,13 @@
     """LoadControls that record their calls; of a burst, its factor at 1.5 s."""
 
     def __init__(self) -> None:
-        self.said = []
+        self.calls = []
 
     def __getattr__(self, name):
-        return lambda *told: self.said.append((name, *(a(1500.0) if callable(a) else a for a in told)))
+        return lambda *told: self.calls.append((name, *(a(1500.0) if callable(a) else a for a in told)))
 
 
-class Stage:
+class FleetHarness:
     def __init__(self, scenario, loop, seed=1) -> None:
         seeds, self.log, links = Seeds(seed), RecordLog(), loop.network._make_link.__self__
         self.fabric = VirtualFabric(loop, links, loop.time() + 1.0)
@@ -121,13 +121,13 @@
             writer.close()
 
 
-def played(test, *faults, **changes):
+def run_with_fleet(test, *faults, **changes):
     """Run `test` on a stage that is open, in virtual time."""
     scenario = replace(SCENE, **changes, faults=faults)
     assert check(scenario) == []
 
     async def main():
-        one = Stage(scenario, asyncio.get_running_loop())
+        one = FleetHarness(scenario, asyncio.get_running_loop())
         await one.world.open()
         for node in one.world.nodes:
             await one.runner.start(node)
--- a/tests/support/lab_reports.py
+++ b/tests/support/lab_reports.py
@@ -7,7 +7,7 @@
 from flintridge.lab.scenario.model import Scenario
 
 FAKE_RUNNER = __name__ + ":fake"
-NASTY = '</pre><script>alert(1)</script> & "quoted" [bold] {{ 7*7 }}'
+HOSTILE_TEXT = '</pre><script>alert(1)</script> & "quoted" [bold] {{ 7*7 }}'
 
 
 def windows(count=30, servers=3):
@@ -47,12 +47,12 @@
                 request_id="ab",
                 node="n0",
                 server="s-1",
-                text=NASTY,
-                records=[NASTY],
+                text=HOSTILE_TEXT,
+                records=[HOSTILE_TEXT],
             )
         ],
         "windows": windows(),
-        "faults": [("crash", 5.0, 12.0), ("drain", 9.0, 9.0), (NASTY, 20.0, 99.0)],
+        "faults": [("crash", 5.0, 12.0), ("drain", 9.0, 9.0), (HOSTILE_TEXT, 20.0, 99.0)],
         "counters": {"n0": {"taken": 5}, "n1": {"sent": 7}},
     }
     return Result(**{**plain, **named})
@@ -69,7 +69,7 @@
     return result(scenario=scenario.name, seed=seed, goodput=1 - rate / 1000, rules={"drain": breaks})
 
 
-def parts_of(page):
+def check_page(page):
     assert page.lstrip().startswith("<!DOCTYPE html>") and page.rstrip().endswith("</html>")
     # Nothing is loaded, nothing is run, and what came from the wire stays text.
     assert not re.search(r"<script|<link|<img|<iframe|@import|javascript:|\son\w+=", page)
--- a/tests/support/lab_world.py
+++ b/tests/support/lab_world.py
@@ -64,17 +64,17 @@
     return found
 
 
-class Peer(asyncio.Protocol):
+class ClientProtocol(asyncio.Protocol):
     """A node's end of a connection."""
 
     def __init__(self) -> None:
-        self.got, self.ended = b"", ""
+        self.received, self.ended = b"", ""
 
     def connection_made(self, transport):
         self.transport = transport
 
     def data_received(self, data):
-        self.got += data
+        self.received += data
 
     def eof_received(self):
         self.ended = "eof"
@@ -83,7 +83,7 @@
         self.ended = type(error).__name__ if error else self.ended
 
 
-class Stage:
+class ServerHarness:
     """Cache servers s0 and s1, an origin, and node n0 as mere connections."""
 
     def __init__(self, loop: VirtualLoop, scene: m.Scenario, links: LinkTable, seed: int) -> None:
@@ -101,9 +101,9 @@
             await server.start(cold=False)
         await self.origin.start()
 
-    async def connect(self, party: str) -> Peer:
+    async def connect(self, party: str) -> ClientProtocol:
         loop, node = asyncio.get_running_loop(), self.fabric.network.host("n0")
-        _, peer = await node.run(loop.create_connection(Peer, *self.fabric.address(party, "n0")))
+        _, peer = await node.run(loop.create_connection(ClientProtocol, *self.fabric.address(party, "n0")))
         return peer
 
     def ask(self, key="a", work=10.0, idem="", write=False, wait=1000, extra="", cls="") -> tuple[str, bytes]:
@@ -131,7 +131,7 @@
         return {record.request_id: record.outcome for record in self.seen(AttemptServed)}
 
 
-def play(body, scene: m.Scenario = SCENE, seed: int = 1, **box) -> Stage:
+def run_with_servers(body, scene: m.Scenario = SCENE, seed: int = 1, **box) -> ServerHarness:
     """Run `body(stage)`; `box` changes the kind of cache servers."""
     if box:
         scene = m.Scenario(
@@ -144,7 +144,7 @@
     for party in ("n0", "s0", "s1", "origin"):
         links.place(party, "a")
     loop = VirtualLoop(Network(links.link))
-    stage = Stage(loop, scene, links, seed)
+    stage = ServerHarness(loop, scene, links, seed)
 
     async def whole():
         await stage.open()
--- a/tests/support/loopback.py
+++ b/tests/support/loopback.py
@@ -25,18 +25,18 @@
 
 class Ways:
     def __init__(self, delay_ms=0.0, seed=None):
-        self.there, self.back = Way(delay_ms, seed), Way(delay_ms, seed and seed + 1)
+        self.there, self.back = ScriptedLink(delay_ms, seed), ScriptedLink(delay_ms, seed and seed + 1)
 
     def link(self, _source, target):
         return self.there if target.startswith("n") else self.back
 
 
-class End(asyncio.Protocol):
+class RecordingProtocol(asyncio.Protocol):
     """The lab's end of a connection: it remembers, and answers what it is told to."""
 
     def __init__(self, answer=b"", keep=False):
         self.answer, self.keep = answer, keep
-        self.got, self.sent_at, self.paused = [], [], []
+        self.received, self.sent_at, self.paused = [], [], []
         self.made, self.ended = asyncio.Event(), asyncio.get_running_loop().create_future()
 
     def connection_made(self, transport):
@@ -44,7 +44,7 @@
         self.made.set()
 
     def data_received(self, data):
-        self.got.append(data)
+        self.received.append(data)
         self.sent_at.append(self.transport.get_extra_info("sent_at"))
         self.transport.write(self.answer)
 
@@ -69,9 +69,9 @@
     raise AssertionError("it never came to hold")
 
 
-def on_fabric(test, ways=None):
+def run_on_fabric(test, ways=None):
     async def run():
-        fabric = LoopbackFabric(ways or Ways(), 3600)  # all within a warm-up: times are negative
+        fabric = LoopbackFabric(ways or LinkPair(), 3600)  # all within a warm-up: times are negative
         try:
             await asyncio.wait_for(test(fabric), 30)
         finally:
@@ -83,9 +83,9 @@
         runner.run(run())
 
 
-async def joined(fabric, **how):
+async def connected_pair(fabric, **how):
     """A server's end of the lab, and the streams of a node's end to it."""
-    end = End(**how)
+    end = RecordingProtocol(**how)
     listener = await fabric.listen("box", "n0", lambda: end)
     reader, writer = await asyncio.open_connection(*fabric.address("box", "n0"))
     OPENED.append(writer)
@@ -94,6 +94,6 @@
     return end, reader, writer
 
 
-def change(fabric, state):
+def set_link_state(fabric, state):
     fabric.links.there.state = fabric.links.back.state = state
     fabric.links_changed()
--- a/tests/support/network.py
+++ b/tests/support/network.py
@@ -33,7 +33,7 @@
 )
 
 
-class HandClock:
+class ManualClock:
     """Stands still until `go`; calls what falls due on the way, in order."""
 
     def __init__(self, at: float = 10_000.0) -> None:
@@ -52,11 +52,11 @@
         return unix_ms - 500.0
 
     def call_at(self, at, call, *args):
-        entry = HandTimer([at, next(self.order), call, args])
+        entry = ManualTimer([at, next(self.order), call, args])
         heapq.heappush(self.due, entry)
         return entry
 
-    def go(self, ms: float) -> None:
+    def advance(self, ms: float) -> None:
         until = self.at + ms
         while self.due and self.due[0][0] <= until:
             at, _, call, args = heapq.heappop(self.due)
@@ -66,12 +66,12 @@
         self.at = until
 
 
-class HandTimer(list):
+class ManualTimer(list):
     def cancel(self) -> None:
         self[2] = None
 
 
-class Passing:
+class RecordedStream:
     """A streamed response that remembers; `open` lets pieces through."""
 
     def __init__(self, length: int) -> None:
@@ -96,27 +96,27 @@
         self.ended = "cut"
 
 
-class Replies:
+class RecordingResponder:
     """A responder that remembers."""
 
     def __init__(self) -> None:
-        self.said: list = []
+        self.responses: list = []
 
     def check_client(self) -> None:
         """Its client stays."""
 
     def respond(self, response: Response) -> None:
-        self.said.append(response.body)
+        self.responses.append(response.body)
 
-    def start_stream(self, length: int) -> "Passing":
-        self.said.append(passing := Passing(length))
+    def start_stream(self, length: int) -> "RecordedStream":
+        self.responses.append(passing := RecordedStream(length))
         return passing
 
     def reject(self, retry_after_ms: float) -> None:
-        self.said.append(("busy", retry_after_ms))
+        self.responses.append(("busy", retry_after_ms))
 
     def fail(self) -> None:
-        self.said.append("failed")
+        self.responses.append("failed")
 
 
 def make_request(
@@ -126,7 +126,7 @@
     return Request(uid.encode(), b"key7", options, (16, 19), value, timeout_ms=wait, **changes)
 
 
-def quiet() -> tuple[Log, Counters]:
+def log_and_counters() -> tuple[Log, Counters]:
     return Log("test", io.BytesIO()), Counters()
 
 
@@ -139,16 +139,16 @@
     raise AssertionError("it never came to hold")
 
 
-class Peer:
+class ScriptedServer:
     """A server on an ephemeral port; `answer` makes of what is read: bytes, None to end, "rst" to reset."""
 
     def __init__(self, answer) -> None:
         self.answer = answer
-        self.got: list[bytes] = []
+        self.received: list[bytes] = []
         self.connections = 0
         self.writers: list[asyncio.StreamWriter] = []
 
-    async def __aenter__(self) -> "Peer":
+    async def __aenter__(self) -> "ScriptedServer":
         self.server = await asyncio.start_server(self.serve, "127.0.0.1", 0)
         self.port = self.server.sockets[0].getsockname()[1]
         return self
@@ -162,7 +162,7 @@
         self.connections += 1
         self.writers.append(writer)
         while data := await reader.read(1 << 20):
-            self.got.append(data)
+            self.received.append(data)
             answer = self.answer(data)
             if answer == b"":
                 continue
--- a/tests/support/program.py
+++ b/tests/support/program.py
@@ -9,7 +9,7 @@
 import sys
 from collections.abc import AsyncIterator
 
-from support.network import Peer
+from support.network import ScriptedServer
 from support.paths import ROOT
 
 SETTINGS = {
@@ -45,7 +45,7 @@
 class Program:
     """A node's program with a configuration of its own."""
 
-    def __init__(self, tmp_path, peers: dict[str, Peer], discovery: Peer) -> None:
+    def __init__(self, tmp_path, peers: dict[str, ScriptedServer], discovery: ScriptedServer) -> None:
         members = [
             {"id": name, "host_port": f"127.0.0.1:{peer.port}", "flavor": name, "phase": "in_service"}
             for name, peer in peers.items()
--- a/tests/support/upstream.py
+++ b/tests/support/upstream.py
@@ -10,7 +10,7 @@
 from flintridge.upstream import connection_pool
 from flintridge.upstream.connection import UpstreamConnection
 from flintridge.upstream.dispatcher import Dispatcher
-from support.network import SETTINGS, HandClock, make_request, quiet, until
+from support.network import SETTINGS, ManualClock, log_and_counters, make_request, until
 
 READ = b"mg key7 v O%b Pc=read,t=acme,d=480\r\n"
 
@@ -35,12 +35,12 @@
         monkeypatch=None,
         clock=None,
     ) -> None:
-        self.clock = clock or HandClock()
+        self.clock = clock or ManualClock()
         self.endpoints = EndpointList((), ("m2", "origin"), settings, self.clock)
         entry = {"id": "s1", "host_port": f"127.0.0.1:{port}", "flavor": flavor, "phase": "in_service"}
         self.endpoints.apply({"revision": 1, "complete": True, "members": [entry]})
         self.results: list[AttemptResult] = []
-        log, self.counters = quiet()
+        log, self.counters = log_and_counters()
         self.dispatcher = Dispatcher(
             self.endpoints,
             settings,
@@ -110,13 +110,13 @@
 
 
 def pass_write_deadline(harness, _attempt) -> None:
-    harness.clock.go(201)
+    harness.clock.advance(201)
 
 
-async def pass_time(harness, ms: int) -> None:
+async def advance_time(harness, ms: int) -> None:
     """Let the clock go on by so many ms, one at a time, with some turns of the event loop after each."""
     for _ in range(ms):
-        harness.clock.go(1)
+        harness.clock.advance(1)
         for _ in range(4):
             await asyncio.sleep(0)
 
--- a/tests/test_generated_days.py
+++ b/tests/test_generated_days.py
@@ -4,7 +4,7 @@
 """
 
 import pytest
-from support.generated_days import day
+from support.generated_days import generated_scenario
 
 from flintridge.lab.run import play
 from flintridge.lab.scenario.model import Scenario
@@ -15,14 +15,14 @@
 
 @pytest.mark.parametrize("seed", [*range(1, 13), *FOUND])
 def test_no_rule_is_broken_whatever_the_customer_set(seed):
-    result = play(day(seed), seed)
+    result = play(generated_scenario(seed), seed)
     assert result.end_reason == "whole" and result.violations == [] and result.violation_count == 0
     assert result.requests and result.served
 
 
 def test_the_days_cover_what_customers_may_set():
     """Guards against a generator that leaves something out and so proves nothing about it."""
-    days = [day(seed) for seed in range(1, 13)]
+    days = [generated_scenario(seed) for seed in range(1, 13)]
     assert all(isinstance(one, Scenario) for one in days)
     assert {cls.effect for one in days for cls in one.classes} == {"safe", "keyed", "unsafe"}
     assert {cls.deduplication_scope for one in days for cls in one.classes} == {"all", "zone", "cell"}
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -9,7 +9,7 @@
 import sys
 
 import pytest
-from support.network import Peer, until
+from support.network import ScriptedServer, until
 from support.paths import ROOT
 from support.program import Program, cache, origin
 
@@ -17,9 +17,9 @@
 def test_program_when_reads_misses_and_writes_come_then_serves_them_and_exits_cleanly_at_sigterm(tmp_path):
     async def test():
         async with (
-            Peer(cache) as cache_server,
-            Peer(origin) as origin_server,
-            Peer(lambda _: b"") as discovery,
+            ScriptedServer(cache) as cache_server,
+            ScriptedServer(origin) as origin_server,
+            ScriptedServer(lambda _: b"") as discovery,
         ):
             program = Program(tmp_path, {"box": cache_server, "origin": origin_server}, discovery)
             async with program.running() as port:
@@ -32,11 +32,11 @@
                 )
                 assert await reader.readexactly(len(expected)) == expected
                 timeout = re.search(
-                    rb"Req-Id: a2\r\nReq-Extra: c=read,d=(\d+)\r\n", b"".join(origin_server.got)
+                    rb"Req-Id: a2\r\nReq-Extra: c=read,d=(\d+)\r\n", b"".join(origin_server.received)
                 )
                 assert timeout is not None
                 assert 0 < int(timeout[1]) < 9000  # what remains of the client's
-                assert discovery.got[0].startswith(b"GET /api/targets?after=41&wait_ms=")
+                assert discovery.received[0].startswith(b"GET /api/targets?after=41&wait_ms=")
                 program.process.send_signal(signal.SIGUSR1)
                 counters = await program.event("counters")
                 assert (counters["requests"], counters["responses_served"]) == (3, 3)
@@ -50,15 +50,15 @@
 
 def test_requests_when_in_flight_at_sigterm_then_have_their_responses(tmp_path):
     async def test():
-        async with Peer(lambda _: b"") as cache_server, Peer(lambda _: b"") as discovery:
+        async with ScriptedServer(lambda _: b"") as cache_server, ScriptedServer(lambda _: b"") as discovery:
             program = Program(tmp_path, {"box": cache_server}, discovery)
             async with program.running() as port:
                 reader, writer = await asyncio.open_connection("127.0.0.1", port)
                 writer.write(b"mg kept v Oa1 Pc=read,d=9000\r\n")
-                await until(lambda: cache_server.got)
+                await until(lambda: cache_server.received)
                 program.process.send_signal(signal.SIGTERM)
                 await program.event("leaving")
-                cache_server.writers[0].write(cache(cache_server.got[0]))
+                cache_server.writers[0].write(cache(cache_server.received[0]))
                 assert await reader.read() == b"VA 4 Oa1\r\nmenu\r\n"
                 assert await program.process.wait() == 0
 
@@ -69,7 +69,7 @@
     """Guards against a second without any accept: more were accepted in one go than could be rejected."""
 
     async def test():
-        async with Peer(cache) as cache_server, Peer(lambda _: b"") as discovery:
+        async with ScriptedServer(cache) as cache_server, ScriptedServer(lambda _: b"") as discovery:
             program = Program(tmp_path, {"box": cache_server}, discovery)
             config = json.loads(program.config.read_text())
             program.config.write_text(json.dumps(config | {"limits": {"sockets": 128}}))
@@ -95,16 +95,16 @@
 def test_sighup_when_the_configuration_changed_then_applies_it_unless_it_is_bad(tmp_path):
     async def test():
         async with (
-            Peer(cache) as cache_server,
-            Peer(lambda _: b"") as origin_server,
-            Peer(lambda _: b"") as first_discovery,
-            Peer(lambda _: b"") as next_discovery,
+            ScriptedServer(cache) as cache_server,
+            ScriptedServer(lambda _: b"") as origin_server,
+            ScriptedServer(lambda _: b"") as first_discovery,
+            ScriptedServer(lambda _: b"") as next_discovery,
         ):
             program = Program(tmp_path, {"box": cache_server, "origin": origin_server}, first_discovery)
             async with program.running() as port:
                 reader, writer = await asyncio.open_connection("127.0.0.1", port)
                 writer.write(b"mg other v Oa1 Pc=read,d=9000\r\n")  # the origin responds at the end only
-                await until(lambda: origin_server.got)
+                await until(lambda: origin_server.received)
                 valid_text = program.config.read_text()
                 program.config.write_text(valid_text[:-9])
                 program.process.send_signal(signal.SIGHUP)
@@ -114,13 +114,13 @@
                 program.process.send_signal(signal.SIGHUP)
                 reloaded = await program.event("reloaded")
                 assert (reloaded["changed"], reloaded["until_restart"]) == (["discovery"], ["name"])
-                await until(lambda: next_discovery.got)
-                assert next_discovery.got[0].startswith(b"GET /api/targets HTTP")
+                await until(lambda: next_discovery.received)
+                assert next_discovery.received[0].startswith(b"GET /api/targets HTTP")
                 program.process.send_signal(signal.SIGHUP)  # with nothing new in the file
                 assert (await program.event("reloaded"))["changed"] == []
-                origin_server.writers[0].write(origin(origin_server.got[0]))
+                origin_server.writers[0].write(origin(origin_server.received[0]))
                 assert await reader.readexactly(19) == b"VA 7 Oa1\r\nfresh\r\n\r\n"
-                assert len(origin_server.got) == 1
+                assert len(origin_server.received) == 1
                 assert (first_discovery.connections, next_discovery.connections) == (1, 1)
                 program.process.send_signal(signal.SIGTERM)
                 assert await program.process.wait() == 0
--- a/tests/test_program_narrow_moments.py
+++ b/tests/test_program_narrow_moments.py
@@ -5,8 +5,8 @@
 from dataclasses import replace
 
 import pytest
-from support.network import SETTINGS, Peer, quiet
-from support.node import whole
+from support.network import SETTINGS, ScriptedServer, log_and_counters
+from support.node import endpoint_list
 
 from flintridge import api
 from flintridge.config.address import Address
@@ -33,14 +33,16 @@
 class WholeNode:
     """A node towards cache servers and a discovery that tells nothing new."""
 
-    def __init__(self, servers: list[Peer], discovery: Peer, settings: api.Settings) -> None:
-        known = whole(1, **{f"s{number}": "in_service" for number in range(len(servers))})
+    def __init__(
+        self, servers: list[ScriptedServer], discovery: ScriptedServer, settings: api.Settings
+    ) -> None:
+        known = endpoint_list(1, **{f"s{number}": "in_service" for number in range(len(servers))})
         for entry, server in zip(known["members"], servers, strict=True):
             entry |= {"host_port": f"127.0.0.1:{server.port}", "flavor": "m2"}
         listen, asked = Address("127.0.0.1", 0), Address("127.0.0.1", discovery.port)
         config = NodeConfig("n1", listen, asked, 1, settings, kinds=("m2", "origin"), known=known)
         self.loop = asyncio.get_running_loop()
-        log, self.counters = quiet()
+        log, self.counters = log_and_counters()
         self.node = Node(config, SystemClock(self.loop), log, self.counters)
 
     async def start(self) -> None:
@@ -56,7 +58,7 @@
 @pytest.mark.parametrize("answer", [value_for, lambda _: b""], ids=["answers", "hangs"])
 def test_request_when_it_has_hardly_any_time_left_then_is_answered_and_told_no_more_than_that(left, answer):
     async def test():
-        async with Peer(answer) as server, Peer(lambda _: b"") as discovery:
+        async with ScriptedServer(answer) as server, ScriptedServer(lambda _: b"") as discovery:
             whole_node = WholeNode([server], discovery, settings_with_deadline(1_000))
             await whole_node.start()
             began = whole_node.loop.time()
@@ -64,7 +66,7 @@
             line = await reader.readline()
             assert FINAL_ANSWER.match(line)
             assert whole_node.loop.time() - began <= max(int(left), 0) / 1000 + 0.01
-            told = [int(figure) for figure in re.findall(rb"d=(-?\d+)", b"".join(server.got))]
+            told = [int(figure) for figure in re.findall(rb"d=(-?\d+)", b"".join(server.received))]
             assert all(0 < figure <= int(left) for figure in told)
             assert whole_node.node.core.idle
             writer.close()
@@ -78,7 +80,7 @@
     """Connections to servers have ended meanwhile, or have not; timers and windows are an hour old."""
 
     async def test():
-        async with Peer(value_for) as server, Peer(lambda _: b"") as discovery:
+        async with ScriptedServer(value_for) as server, ScriptedServer(lambda _: b"") as discovery:
             whole_node = WholeNode([server], discovery, settings_with_deadline(1_000))
             await whole_node.start()
             for number in range(3):
@@ -108,9 +110,9 @@
 def test_request_when_every_attempt_fails_at_once_then_has_its_one_final_answer(response):
     async def test():
         async with (
-            Peer(lambda _: response) as first,
-            Peer(lambda _: response) as second,
-            Peer(lambda _: b"") as discovery,
+            ScriptedServer(lambda _: response) as first,
+            ScriptedServer(lambda _: response) as second,
+            ScriptedServer(lambda _: b"") as discovery,
         ):
             settings = settings_with_deadline(1_000)
             whole_node = WholeNode([first, second], discovery, settings)
@@ -122,7 +124,7 @@
             lines = [await reader.readline() for _ in range(3)]
             assert all(FINAL_ANSWER.match(line) for line in lines[:2]) and lines[2] == b"MN\r\n"
             assert whole_node.loop.time() - began <= 1.0
-            attempts = b"".join(first.got + second.got).count(b"mg ")
+            attempts = b"".join(first.received + second.received).count(b"mg ")
             assert 1 <= attempts <= 2 * settings.limits.max_attempts
             writer.close()
             await whole_node.node.close()
@@ -160,9 +162,9 @@
 
     async def test():
         async with (
-            Peer(lambda _: b"") as first,
-            Peer(lambda _: b"") as second,
-            Peer(lambda _: b"") as discovery,
+            ScriptedServer(lambda _: b"") as first,
+            ScriptedServer(lambda _: b"") as second,
+            ScriptedServer(lambda _: b"") as discovery,
         ):
             whole_node = WholeNode([first, second], discovery, settings_with_deadline(deadline_ms))
             await whole_node.start()
--- a/tests/test_program_signals.py
+++ b/tests/test_program_signals.py
@@ -6,7 +6,7 @@
 import signal
 
 import pytest
-from support.network import Peer
+from support.network import ScriptedServer
 from support.program import Program, cache
 
 
@@ -14,7 +14,7 @@
     """The configuration is a pipe that nobody has written to yet: the program waits for it, for certain."""
 
     async def test():
-        async with Peer(cache) as cache_server, Peer(lambda _: b"") as discovery:
+        async with ScriptedServer(cache) as cache_server, ScriptedServer(lambda _: b"") as discovery:
             program = Program(tmp_path, {"box": cache_server}, discovery)
             text = program.config.read_bytes()
             program.config.unlink()
@@ -47,7 +47,7 @@
     """The configuration is a pipe to which nobody writes: it must not wait for that either."""
 
     async def test():
-        async with Peer(cache) as cache_server, Peer(lambda _: b"") as discovery:
+        async with ScriptedServer(cache) as cache_server, ScriptedServer(lambda _: b"") as discovery:
             program = Program(tmp_path, {"box": cache_server}, discovery)
             program.config.unlink()
             os.mkfifo(program.config)
@@ -68,7 +68,7 @@
     """It comes as the loop has closed and the log is written out: the last thing that the program does."""
 
     async def test():
-        async with Peer(cache) as cache_server, Peer(lambda _: b"") as discovery:
+        async with ScriptedServer(cache) as cache_server, ScriptedServer(lambda _: b"") as discovery:
             program = Program(tmp_path, {"box": cache_server}, discovery)
             text = (
                 "import os, runpy, signal\n"
@@ -92,7 +92,7 @@
     """Both wait while it is stopped, on an idle connection and in the listener's queue."""
 
     async def test():
-        async with Peer(cache) as cache_server, Peer(lambda _: b"") as discovery:
+        async with ScriptedServer(cache) as cache_server, ScriptedServer(lambda _: b"") as discovery:
             program = Program(tmp_path, {"box": cache_server}, discovery)
             async with program.running() as port:
                 reader, writer = await asyncio.open_connection("127.0.0.1", port)
--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -6,7 +6,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 from support.downstream import READ, PassivePolicy
-from support.network import FIXED, SETTINGS, HandClock, quiet, until
+from support.network import FIXED, SETTINGS, ManualClock, log_and_counters, until
 
 from flintridge.config.address import Address
 from flintridge.core.lifecycle import RequestLifecycle
@@ -92,8 +92,8 @@
     """A client side in virtual time, whose requests the test responds to."""
 
     def __init__(self, max_connections: int = 64) -> None:
-        self.clock = HandClock()
-        log, self.counters = quiet()
+        self.clock = ManualClock()
+        log, self.counters = log_and_counters()
         self.core = RequestLifecycle(PassivePolicy(), SETTINGS, self.clock, 1 << 20, log, self.counters)
         endpoints = EndpointList((), (), SETTINGS, self.clock)
         entry = {"id": "s1", "host_port": "127.0.0.1:1", "phase": "in_service"}
@@ -138,11 +138,11 @@
         node.start_drain()
         probing_writer.write(b"mn\r\n")
         assert await probing.readline() != b"MN\r\n"
-        node.clock.go(IDLE_CLOSE_DELAY_MS - 1)
+        node.clock.advance(IDLE_CLOSE_DELAY_MS - 1)
         late, late_writer = await node.client(READ % b"r2")  # load balancers still send some
         await settle()
         assert not probing.at_eof()
-        node.clock.go(1)
+        node.clock.advance(1)
         assert await probing.read() == b""
         node.respond("r1")
         assert await busy.read() == b"SERVER_ERROR failed\r\n"
@@ -151,13 +151,13 @@
         late_writer.close()
         await settle()
         assert node.shutdown.state is ServiceState.DRAINING  # two have not closed their half
-        node.clock.go(LINGERING_CLOSE_MS)
+        node.clock.advance(LINGERING_CLOSE_MS)
         await until(lambda: node.shutdown.state is ServiceState.DRAINED)
         late_client, _ = await node.client(READ % b"r3")  # it is served, not dropped
         node.respond("r3")
         assert await late_client.read() == b"SERVER_ERROR failed\r\n"
         unused, _ = await node.client()
-        node.clock.go(DRAIN_FIRST_COMMAND_TIMEOUT_MS + 250)
+        node.clock.advance(DRAIN_FIRST_COMMAND_TIMEOUT_MS + 250)
         assert await unused.read() == BUSY
 
     virtual.run(test())
@@ -169,13 +169,13 @@
         reader, writer = await node.client(READ % b"r0")
         node.start_drain()
         for i in range(1, 4):
-            node.clock.go(IDLE_CLOSE_DELAY_MS)
+            node.clock.advance(IDLE_CLOSE_DELAY_MS)
             writer.write(READ % b"r%d" % i)  # before the response to the one before
             await settle()
             node.respond(f"r{i - 1}")
             await settle()
         assert node.counters["requests"] == 4
-        node.clock.go(STOP_READING_DELAY_MS)
+        node.clock.advance(STOP_READING_DELAY_MS)
         writer.write(READ % b"r9")
         await settle()
         node.respond("r3")
@@ -224,12 +224,12 @@
                 assert (line == b"MN\r\n") == (node.shutdown.state is ServiceState.SERVING)
                 writer.close()
             elif step == "wait":
-                node.clock.go(300)
+                node.clock.advance(300)
             await settle()
         for request_id in accepted[responded:]:
             node.respond(request_id)
         node.terminate()
-        node.clock.go(STOP_READING_DELAY_MS)
+        node.clock.advance(STOP_READING_DELAY_MS)
         responses = b""
         for reader, _ in clients:
             responses += await reader.read()
--- a/tests/upstream/test_attempt_termination.py
+++ b/tests/upstream/test_attempt_termination.py
@@ -7,9 +7,9 @@
 from dataclasses import replace
 
 import pytest
-from support.downstream_termination import BUSY, FAILED, READ, cross, gone_with_a_reset, turns
-from support.network import SETTINGS, Peer, until
-from support.node import Alone, whole
+from support.downstream_termination import BUSY, FAILED, READ, reset_connection, send_or_close, turns
+from support.network import SETTINGS, ScriptedServer, until
+from support.node import NodeHarness, endpoint_list
 from support.upstream import (
     VALUE,
     UpstreamHarness,
@@ -31,7 +31,7 @@
     play, monkeypatch, meanwhile, limit
 ):
     async def test():
-        async with Peer(lambda _: VALUE) as peer:
+        async with ScriptedServer(lambda _: VALUE) as peer:
             harness = UpstreamHarness(peer.port, monkeypatch=monkeypatch)
             harness.dispatcher._connect_timeout_ms = 400.0
             attempt = await harness.start(**{limit: 200})
@@ -43,7 +43,7 @@
             assert harness.counters["attempts_expired_unsent"] == 1
             await turns()
             assert peer.connections == 1
-            assert peer.got == []
+            assert peer.received == []
             assert (await harness.result()).outcome is Outcome.OK  # the connection is as good as new
             assert peer.connections == 1
             await harness.dispatcher.close()
@@ -53,12 +53,12 @@
 
 def test_attempt_when_its_connection_comes_up_at_the_limit_is_written(play, monkeypatch):
     async def test():
-        async with Peer(lambda _: VALUE) as peer:
+        async with ScriptedServer(lambda _: VALUE) as peer:
             harness = UpstreamHarness(peer.port, monkeypatch=monkeypatch)
             harness.dispatcher._connect_timeout_ms = 400.0
             await harness.start(begin_by=200, written_by=200)
             await until(lambda: harness.connects_started == 1)
-            harness.clock.go(200)
+            harness.clock.advance(200)
             harness.allow_connect.set()
             await until(lambda: harness.results)
             assert harness.results[0].outcome is Outcome.OK
@@ -85,10 +85,10 @@
         size = 32 << 20
         await harness.start(value=b"x" * size, wait=5000, written_by=300)
         await until(lambda: got)
-        harness.clock.go(299)
+        harness.clock.advance(299)
         await turns()
         assert harness.results == []
-        harness.clock.go(2)
+        harness.clock.advance(2)
         await until(lambda: harness.results)
         assert harness.results[0].outcome is Outcome.CONNECT_FAILED
         free.set()
@@ -138,7 +138,7 @@
 
         def crossing() -> None:
             resume()
-            harness.clock.go(400)
+            harness.clock.advance(400)
 
         protocol.resume_writing = crossing
         free.set()
@@ -163,7 +163,7 @@
         server, _ = await asyncio.get_running_loop().sock_accept(listener)
         await asyncio.get_running_loop().sock_recv(server, 4096)
         held = weakref.ref(next(iter(harness.connections)).writer)
-        gone_with_a_reset(server)
+        reset_connection(server)
         await until(lambda: harness.results)
         assert harness.results[0].outcome is Outcome.RESET
         harness.connections.clear()
@@ -179,14 +179,14 @@
     """One end of the attempt, and its descriptor is free once."""
 
     async def test():
-        async with Peer(lambda _: VALUE) as peer:
+        async with ScriptedServer(lambda _: VALUE) as peer:
             harness = UpstreamHarness(peer.port, monkeypatch=monkeypatch)
             if what == "answer":
                 feed = UpstreamReader.feed_data
 
                 def crossing(reader, data: bytes) -> None:
                     feed(reader, data)
-                    harness.clock.go(400)
+                    harness.clock.advance(400)
 
                 monkeypatch.setattr(UpstreamReader, "feed_data", crossing)
                 harness.allow_connect.set()
@@ -195,7 +195,7 @@
                 await harness.start()
                 await until(lambda: harness.connects_started == 1)
                 harness.allow_connect.set()
-                harness.clock.go(250)
+                harness.clock.advance(250)
             await until(lambda: harness.results)
             await turns()
             expected = Outcome.TIMEOUT if what == "answer" else Outcome.CONNECT_FAILED
@@ -224,7 +224,7 @@
         first.send(VALUE)
         await until(lambda: harness.results)
         assert harness.results[0].outcome is Outcome.OK
-        cross(first, crossing)
+        send_or_close(first, crossing)
         harness.dispatcher.start(harness.make_attempt())  # its first step is the next of the loop
         second, _ = await loop.sock_accept(listener)
         assert (await loop.sock_recv(second, 4096)).startswith(b"mg key7 ")
@@ -254,7 +254,7 @@
 
     async def test():
         answers = [first, second]
-        async with Peer(lambda _: answers.pop(0)) as peer:
+        async with ScriptedServer(lambda _: answers.pop(0)) as peer:
             harness = UpstreamHarness(peer.port, flavor=flavor)
             await harness.result(value=b"x")
             await harness.start(value=b"y")
@@ -263,7 +263,7 @@
             await until(lambda: len(harness.results) == 2)
             assert (harness.results[1].outcome, harness.results[1].response) == expected
             await until(lambda: harness.counters["connections_unexpected_data"] == 1)
-            harness.clock.go(QUARANTINE_MS)
+            harness.clock.advance(QUARANTINE_MS)
             answers.append(second)
             assert (await harness.result(value=b"z")).response == expected[1]
             assert peer.connections == 2
@@ -290,7 +290,7 @@
             if orderly:
                 one.close()
             else:
-                gone_with_a_reset(one)
+                reset_connection(one)
             await until(lambda ended=harness.results: ended)
             served = Response(b"r12", receipt=value is not None)
             expected = (Outcome.OK, served) if orderly else (Outcome.RESET, None)
@@ -307,20 +307,20 @@
     to servers, and how long a request was held, counted from when it was read."""
 
     async def test():
-        async with Peer(lambda _: b"") as discovery, Peer(lambda _: b"") as box:
-            known = whole(1, s1="in_service")
+        async with ScriptedServer(lambda _: b"") as discovery, ScriptedServer(lambda _: b"") as box:
+            known = endpoint_list(1, s1="in_service")
             known["members"][0] |= {"host_port": f"127.0.0.1:{box.port}", "flavor": "m2"}
-            alone = Alone(discovery, known, SETTINGS, kinds=("m2", "origin"))
+            alone = NodeHarness(discovery, known, SETTINGS, kinds=("m2", "origin"))
             alone.clock.behind = behind
             reader, writer = await asyncio.open_connection("127.0.0.1", await alone.node.start())
             writer.write(READ % b"a1")
             if behind < 480:
-                await until(lambda: box.got)
-                assert b"d=%d\r\n" % (470 - behind) in box.got[0]
-                alone.clock.go(470 - behind + 5)
+                await until(lambda: box.received)
+                assert b"d=%d\r\n" % (470 - behind) in box.received[0]
+                alone.clock.advance(470 - behind + 5)
             await until(lambda: alone.node.core.idle)
             assert (await reader.readline()).startswith(b"SERVER_ERROR")
-            assert len(box.got) == (behind < 480)
+            assert len(box.received) == (behind < 480)
             writer.close()
             await alone.node.close()
 
@@ -333,22 +333,26 @@
 
     async def test():
         settings = replace(SETTINGS, discovery=api.DiscoveryMode.POLLED)
-        async with Peer(lambda _: b"") as discovery, Peer(lambda _: b"") as one, Peer(lambda _: b"") as two:
-            known = whole(1, s1="in_service", s2="in_service")
+        async with (
+            ScriptedServer(lambda _: b"") as discovery,
+            ScriptedServer(lambda _: b"") as one,
+            ScriptedServer(lambda _: b"") as two,
+        ):
+            known = endpoint_list(1, s1="in_service", s2="in_service")
             for entry, peer, flavor in zip(known["members"], (one, two), ("m2", further), strict=True):
                 entry |= {"host_port": f"127.0.0.1:{peer.port}", "flavor": flavor}
-            alone = Alone(discovery, known, settings, kinds=("m2", "origin"))
+            alone = NodeHarness(discovery, known, settings, kinds=("m2", "origin"))
             port = await alone.node.start()
             _, writer = await asyncio.open_connection("127.0.0.1", port)
             writer.write(READ % b"a1")
-            await until(lambda: one.got or two.got)
-            first, second = (one, two) if one.got else (two, one)
-            assert b"d=470\r\n" in first.got[0]  # 10 ms are kept for the way back
-            alone.clock.go(300)
+            await until(lambda: one.received or two.received)
+            first, second = (one, two) if one.received else (two, one)
+            assert b"d=470\r\n" in first.received[0]  # 10 ms are kept for the way back
+            alone.clock.advance(300)
             first.writers[0].write(b"EN Oa1\r\n" if further == "origin" else BUSY)
-            await until(lambda: second.got)
-            assert second.got[0].startswith(b"GET /key7 " if further == "origin" else b"mg key7 ")
-            assert b"c=read,t=acme,d=170\r\n" in second.got[0]
+            await until(lambda: second.received)
+            assert second.received[0].startswith(b"GET /key7 " if further == "origin" else b"mg key7 ")
+            assert b"c=read,t=acme,d=170\r\n" in second.received[0]
             writer.close()
             await alone.node.close()
 
--- a/tests/upstream/test_connection_errors.py
+++ b/tests/upstream/test_connection_errors.py
@@ -4,8 +4,8 @@
 import errno
 
 import pytest
-from support.network import Peer, until
-from support.upstream import VALUE, FaultySocket, UpstreamHarness, on_connect, pass_time
+from support.network import ScriptedServer, until
+from support.upstream import VALUE, FaultySocket, UpstreamHarness, advance_time, on_connect
 
 from flintridge.api import Outcome
 from flintridge.core.response import AttemptResult
@@ -19,7 +19,7 @@
 
 def with_harness(test, answer=lambda _: VALUE) -> None:
     async def run():
-        async with Peer(answer) as peer:
+        async with ScriptedServer(answer) as peer:
             harness = UpstreamHarness(peer.port)
             await test(harness, peer)
             await until(lambda: not harness.dispatcher._tasks)
@@ -33,7 +33,7 @@
 async def use_idle(harness) -> FaultySocket:
     """Have one connection idle for a while; its socket."""
     assert await harness.outcome() is Outcome.OK
-    harness.clock.go(300)
+    harness.clock.advance(300)
     (connection,) = harness.connections
     return FaultySocket(connection.writer.transport)
 
@@ -61,7 +61,7 @@
     async def test(harness, peer):
         on_connect(harness, lambda sock: setattr(sock, "send_error", code))
         assert await harness.result() == AttemptResult(Outcome.CONNECT_FAILED)
-        assert peer.got == []
+        assert peer.received == []
 
     with_harness(test)
 
@@ -73,7 +73,7 @@
     async def test(harness, peer):
         (await use_idle(harness)).send_error = code
         assert await harness.result() == WITHDRAWN
-        assert len(peer.got) == 1
+        assert len(peer.received) == 1
         assert harness.counters["attempts_on_broken_idle_connection"] == 1
         assert await harness.outcome() is Outcome.OK
         assert peer.connections == 2
@@ -111,7 +111,7 @@
         on_connect(harness, lambda sock: setattr(sock, "send_error", code))
         assert await harness.result() == WITHDRAWN
         assert harness.counters["attempts_failed_locally"] == 1
-        assert peer.got == []
+        assert peer.received == []
 
     with_harness(test)
 
@@ -120,7 +120,7 @@
     async def test(harness, peer):
         on_connect(harness, lambda sock: setattr(sock, "max_send", 1))
         assert await harness.outcome() is Outcome.OK
-        assert b"".join(peer.got).startswith(b"mg key7 ")
+        assert b"".join(peer.received).startswith(b"mg key7 ")
 
     with_harness(test, answer=lambda data: VALUE if data.endswith(b"\n") else b"")
 
@@ -133,20 +133,20 @@
         limits = {"begin_by": {reason: 19}, "written_by": {reason: 20}, "deadline": {"wait": 20}}
         attempt = await harness.start(value=value, **limits.get(reason, {}))
         await until(lambda: sockets)
-        await pass_time(harness, 10)
+        await advance_time(harness, 10)
         assert harness.results == []
         if reason == "seen":
             attempt.request_ended = True
         elif reason == "unseen":
             attempt.check_client = lambda: setattr(attempt, "request_ended", True)
-        await pass_time(harness, 15)
+        await advance_time(harness, 15)
         sockets[0].send_error = 0
-        await pass_time(harness, 30)
+        await advance_time(harness, 30)
         await until(lambda: harness.results)
         assert harness.results == [WITHDRAWN]
         await until(lambda: not harness.dispatcher.pool.open_count)  # what waits there is never written
         assert sockets[0].sent == 0
-        assert peer.got == []
+        assert peer.received == []
 
     with_harness(test)
 
@@ -156,11 +156,11 @@
         sockets = on_connect(harness, lambda sock: setattr(sock, "send_error", errno.EAGAIN))
         await harness.start()
         await until(lambda: sockets)
-        await pass_time(harness, 35)
+        await advance_time(harness, 35)
         assert harness.results == []
         sockets[0].send_error = 0
-        await until(lambda: peer.got)
-        await pass_time(harness, 10)
+        await until(lambda: peer.received)
+        await advance_time(harness, 10)
         await until(lambda: harness.results)
         assert harness.outcomes == [Outcome.OK]
 
@@ -172,10 +172,10 @@
         sockets = on_connect(harness, lambda sock: setattr(sock, "send_error", errno.EAGAIN))
         await harness.start(wait=25)
         await until(lambda: sockets)
-        await pass_time(harness, 21)
+        await advance_time(harness, 21)
         sockets[0].send_error = 0
-        await until(lambda: peer.got)
-        harness.clock.go(4)  # before the next look at the buffer
+        await until(lambda: peer.received)
+        harness.clock.advance(4)  # before the next look at the buffer
         await until(lambda: harness.results)
         assert harness.outcomes == [Outcome.TIMEOUT]
 
--- a/tests/upstream/test_dispatcher.py
+++ b/tests/upstream/test_dispatcher.py
@@ -3,8 +3,8 @@
 import asyncio
 
 import pytest
-from support.network import Peer, until
-from support.upstream import VALUE, UpstreamHarness, pass_time
+from support.network import ScriptedServer, until
+from support.upstream import VALUE, UpstreamHarness, advance_time
 
 from flintridge import api
 from flintridge.api import Outcome
@@ -17,7 +17,7 @@
 )
 def test_attempt_when_the_server_answers_or_ends_has_its_outcome(play, answer, outcome):
     async def test():
-        async with Peer(lambda _: answer) as peer:
+        async with ScriptedServer(lambda _: answer) as peer:
             harness = UpstreamHarness(peer.port)
             assert await harness.outcome() is outcome
             await harness.dispatcher.close()
@@ -27,7 +27,7 @@
 
 def test_attempt_when_the_connection_is_refused_is_never_executed(play):
     async def test():
-        async with Peer(lambda _: None) as peer:
+        async with ScriptedServer(lambda _: None) as peer:
             harness = UpstreamHarness(peer.port)
         await peer.server.wait_closed()
         assert await harness.outcome() is Outcome.CONNECT_FAILED
@@ -53,17 +53,17 @@
 
 def test_attempt_when_written_ends_at_its_deadline_as_timeout_and_cancellation_closes_the_connection(play):
     async def test():
-        async with Peer(lambda _: b"") as peer:
+        async with ScriptedServer(lambda _: b"") as peer:
             harness = UpstreamHarness(peer.port)
             await harness.start()
-            await until(lambda: peer.got)
-            harness.clock.go(399)
+            await until(lambda: peer.received)
+            harness.clock.advance(399)
             await asyncio.sleep(0)
             assert harness.outcomes == []
-            harness.clock.go(1)
+            harness.clock.advance(1)
             await until(lambda: harness.outcomes == [Outcome.TIMEOUT])
             attempt = await harness.start()
-            await until(lambda: len(peer.got) == 2)
+            await until(lambda: len(peer.received) == 2)
             attempt.abort()
             await until(lambda: harness.outcomes[1:] == [Outcome.CANCELLED])
             await until(lambda: all(w.transport.is_closing() for w in peer.writers))
@@ -75,17 +75,17 @@
 def test_idle_connection_when_near_the_server_timeout_or_ended_is_not_reused(play):
     async def test():
         settings = api.Settings(limits=api.Limits(conn_idle_ns=5_000_000_000))
-        async with Peer(lambda _: VALUE) as peer:
+        async with ScriptedServer(lambda _: VALUE) as peer:
             harness = UpstreamHarness(peer.port, settings=settings)
             for expected in (1, 1):
                 assert await harness.outcome() is Outcome.OK
                 assert peer.connections == expected
-            harness.clock.go(4000)  # four fifths of what the server allows: it may close at any moment
+            harness.clock.advance(4000)  # four fifths of what the server allows: it may close at any moment
             assert await harness.outcome() is Outcome.OK
             assert peer.connections == 2
             peer.writers[1].close()
             await asyncio.sleep(0.01)
-            harness.clock.go(SWEEP_INTERVAL_MS)
+            harness.clock.advance(SWEEP_INTERVAL_MS)
             assert await harness.outcome() is Outcome.OK
             assert peer.connections == 3
             harness.dispatcher.close_idle_connections("s1")
@@ -100,7 +100,7 @@
 def test_connection_when_unexpected_data_arrives_is_closed_and_answers_no_other_request(play, late):
     async def test():
         answers = [VALUE, VALUE] if late else [VALUE + VALUE, VALUE]
-        async with Peer(lambda _: answers.pop(0)) as peer:
+        async with ScriptedServer(lambda _: answers.pop(0)) as peer:
             harness = UpstreamHarness(peer.port)
             assert await harness.outcome() is Outcome.OK  # the response before them counts
             if late:
@@ -116,14 +116,14 @@
 
 def test_attempt_when_the_connection_limit_is_reached_is_withdrawn(play):
     async def test():
-        async with Peer(lambda _: b"") as peer:
+        async with ScriptedServer(lambda _: b"") as peer:
             harness = UpstreamHarness(peer.port, max_connections=2)
             for _ in range(3):
                 await harness.start()
-            await until(lambda: len(peer.got) == 2)
-            await pass_time(harness, 249)  # a connection might become free
+            await until(lambda: len(peer.received) == 2)
+            await advance_time(harness, 249)  # a connection might become free
             assert harness.outcomes == []
-            await pass_time(harness, 1)
+            await advance_time(harness, 1)
             await until(lambda: harness.results)
             assert harness.outcomes == [Outcome.WITHDRAWN]  # no fault of its server
             assert harness.counters["attempts_no_descriptor"] == 1
@@ -139,16 +139,16 @@
     async def test():
         settings = api.Settings(limits=api.Limits(conn_idle_ns=5_000_000_000))
         answers = [VALUE, "rst", VALUE, "rst", VALUE, VALUE, VALUE]
-        async with Peer(lambda _: answers.pop(0)) as peer:
+        async with ScriptedServer(lambda _: answers.pop(0)) as peer:
             harness = UpstreamHarness(peer.port, settings=settings)
             for expected in (Outcome.OK, Outcome.RESET, Outcome.OK, Outcome.RESET, Outcome.OK):
                 assert await harness.outcome() is expected
-                harness.clock.go(1500)
+                harness.clock.advance(1500)
             assert peer.connections == 3
             # Closed before it is as old.
             assert await harness.outcome() is Outcome.OK
             assert peer.connections == 4
-            harness.clock.go(1000)
+            harness.clock.advance(1000)
             assert await harness.outcome() is Outcome.OK
             assert peer.connections == 4
             await harness.dispatcher.close()
@@ -158,7 +158,7 @@
 
 def test_pool_when_a_server_is_no_longer_used_keeps_nothing_of_it(play):
     async def test():
-        async with Peer(lambda _: VALUE) as peer:
+        async with ScriptedServer(lambda _: VALUE) as peer:
             harness = UpstreamHarness(peer.port)
             assert await harness.outcome() is Outcome.OK
             assert len(harness.dispatcher.pool._idle) == 1
@@ -174,18 +174,18 @@
 def test_origin_when_asked_over_http_twice_reuses_the_connection(play):
     async def test():
         text = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
-        async with Peer(lambda _: text) as peer:
+        async with ScriptedServer(lambda _: text) as peer:
             harness = UpstreamHarness(peer.port, flavor="origin")
             for _ in range(2):
                 assert await harness.outcome() is Outcome.OK
                 # A duplicate of a response that names no request would show by then.
-                harness.clock.go(QUARANTINE_MS)
+                harness.clock.advance(QUARANTINE_MS)
             assert peer.connections == 1
-            assert peer.got[0].startswith(b"GET /key7 HTTP/1.1\r\n")
+            assert peer.received[0].startswith(b"GET /key7 HTTP/1.1\r\n")
             loads: list = []
             harness.dispatcher.check_health("s1", loads.append)
             await until(lambda: loads)
-            assert peer.got[-1].startswith(b"GET /-/load ")
+            assert peer.received[-1].startswith(b"GET /-/load ")
             assert loads[0].outcome is Outcome.OK
             await harness.dispatcher.close()
 
