--- a/tests/upstream/test_local_failures.py
+++ b/tests/upstream/test_local_failures.py
@@ -6,8 +6,8 @@
 import socket
 
 import pytest
-from support.network import Peer, until
-from support.upstream import VALUE, UpstreamHarness, pass_time
+from support.network import ScriptedServer, until
+from support.upstream import VALUE, UpstreamHarness, advance_time
 
 from flintridge.api import Outcome
 from flintridge.runtime.local_failure import LOCAL_ERRNOS
@@ -49,7 +49,7 @@
 
 def with_harness(play, test, answer=lambda _: VALUE, **options) -> None:
     async def run():
-        async with Peer(answer) as peer:
+        async with ScriptedServer(answer) as peer:
             harness = UpstreamHarness(peer.port, **options)
             await test(harness, peer)
             await harness.dispatcher.close()
@@ -62,12 +62,12 @@
     async def test(harness, peer):
         connects = FailingConnects(monkeypatch, harness, failing_until(100, code))
         await harness.start()
-        await pass_time(harness, 120)
+        await advance_time(harness, 120)
         await until(lambda: harness.results)
         assert harness.outcomes == [Outcome.OK]
         assert connects.tried_at == [0, 2, 6, 14, 30, 62, 112]  # pauses that double, no busy loop
         assert harness.counters["connects_failed_locally"] == 6
-        assert len(peer.got) == 1
+        assert len(peer.received) == 1
 
     with_harness(play, test)
 
@@ -79,9 +79,9 @@
         monkeypatch.setattr(harness.dispatcher._log, "event", lambda name, **fields: events.append(name))
         connects = FailingConnects(monkeypatch, harness, failing_until(1000, code))
         await harness.start()
-        await pass_time(harness, CONNECT_TIMEOUT_MS - 1)
+        await advance_time(harness, CONNECT_TIMEOUT_MS - 1)
         assert harness.results == []
-        await pass_time(harness, 1)
+        await advance_time(harness, 1)
         await until(lambda: harness.results)
         # With no route for so long, it is the way to this server that is missing.
         out_of_reach = code == errno.ENETUNREACH
@@ -100,7 +100,7 @@
         codes = iter([errno.ENETUNREACH, errno.ENOBUFS] * 20)
         FailingConnects(monkeypatch, harness, lambda _: os_error(next(codes)))
         await harness.start()
-        await pass_time(harness, CONNECT_TIMEOUT_MS)
+        await advance_time(harness, CONNECT_TIMEOUT_MS)
         await until(lambda: harness.results)
         assert harness.outcomes == [Outcome.WITHDRAWN]
 
@@ -112,7 +112,7 @@
     async def test(harness, _peer):
         FailingConnects(monkeypatch, harness, lambda at: os_error(errno.ENOBUFS if at < 10 else code))
         await harness.start()
-        await pass_time(harness, 15)
+        await advance_time(harness, 15)
         await until(lambda: harness.results)
         assert harness.outcomes == [Outcome.CONNECT_FAILED]
 
@@ -124,9 +124,9 @@
     async def test(harness, peer):
         connects = FailingConnects(monkeypatch, harness, failing_until(1000))
         await harness.start(**({"wait": 100} if limit == "deadline" else {limit: 100}))
-        await pass_time(harness, 99)
+        await advance_time(harness, 99)
         assert harness.results == []
-        await pass_time(harness, 1)
+        await advance_time(harness, 1)
         await until(lambda: harness.results)
         assert harness.outcomes == [Outcome.WITHDRAWN]
         assert max(connects.tried_at) < 100
@@ -140,12 +140,12 @@
     async def test(harness, peer):
         connects = FailingConnects(monkeypatch, harness, failing_until(40))
         attempt = await harness.start()
-        await pass_time(harness, 31)
+        await advance_time(harness, 31)
         if seen:
             attempt.request_ended = True
         else:  # the system holds its end, and the event loop has not come to it
             attempt.check_client = lambda: setattr(attempt, "request_ended", True)
-        await pass_time(harness, 50)
+        await advance_time(harness, 50)
         await until(lambda: harness.results)
         assert harness.outcomes == [Outcome.WITHDRAWN]
         assert connects.tried_at == [0, 2, 6, 14, 30]
@@ -157,15 +157,15 @@
 def test_attempt_when_a_connection_becomes_idle_in_a_pause_uses_it(play, monkeypatch):
     async def test(harness, peer):
         await harness.start()
-        await until(lambda: peer.got)
+        await until(lambda: peer.received)
         FailingConnects(monkeypatch, harness, failing_until(1000))
         await harness.start()
-        await pass_time(harness, 10)
+        await advance_time(harness, 10)
         assert harness.results == []
         peer.writers[0].write(VALUE)
         await until(lambda: len(harness.results) == 1)
-        await pass_time(harness, 10)
-        await until(lambda: len(peer.got) == 2)
+        await advance_time(harness, 10)
+        await until(lambda: len(peer.received) == 2)
         peer.writers[0].write(VALUE)
         await until(lambda: len(harness.results) == 2)
         assert harness.outcomes == [Outcome.OK, Outcome.OK]
@@ -178,13 +178,13 @@
     async def test(harness, peer):
         for _ in range(2):
             await harness.start()
-        await until(lambda: peer.got)
-        await pass_time(harness, 30)
+        await until(lambda: peer.received)
+        await advance_time(harness, 30)
         assert harness.results == []
         peer.writers[0].write(VALUE)
         await until(lambda: harness.results)
-        await pass_time(harness, 50)
-        await until(lambda: len(peer.got) == 2)
+        await advance_time(harness, 50)
+        await until(lambda: len(peer.received) == 2)
         assert harness.counters["attempts_no_descriptor"] == 0
 
     with_harness(play, test, answer=lambda _: b"", max_connections=1)
@@ -204,7 +204,7 @@
         monkeypatch.setattr(connection_pool, "open_connection", hanging)
         FailingConnects(monkeypatch, harness, failing_until(failing_ms))
         await harness.start()
-        await pass_time(harness, CONNECT_TIMEOUT_MS)
+        await advance_time(harness, CONNECT_TIMEOUT_MS)
         await until(lambda: harness.results)
         assert harness.outcomes == [outcome]
         assert peer.connections == 0
@@ -255,7 +255,7 @@
     """What asyncio makes of the errors of socket(2) and connect(2), at once or as the connect is awaited."""
 
     async def test():
-        async with Peer(lambda _: VALUE) as peer:
+        async with ScriptedServer(lambda _: VALUE) as peer:
             harness = UpstreamHarness(peer.port)
             with monkeypatch.context() as patched:
                 patched.setattr(FailingSocket, "call", call)
@@ -266,7 +266,7 @@
                 await until(lambda: FailingSocket.failures < 3)
                 for failures in (1, 2, 3):
                     await until(lambda count=failures: harness.counters["connects_failed_locally"] == count)
-                    harness.clock.go(8)
+                    harness.clock.advance(8)
                 await until(lambda: harness.results)
             assert harness.outcomes == [Outcome.OK]
             assert peer.connections >= 1
--- a/tests/upstream/test_stalls.py
+++ b/tests/upstream/test_stalls.py
@@ -4,7 +4,7 @@
 import re
 
 import pytest
-from support.network import HandClock, Peer, until
+from support.network import ManualClock, ScriptedServer, until
 from support.upstream import VALUE, FaultySocket, UpstreamHarness, on_connect
 
 from flintridge.api import Outcome
@@ -15,7 +15,7 @@
 WITHDRAWN = AttemptResult(Outcome.WITHDRAWN)
 
 
-class StallingClock(HandClock):
+class StallingClock(ManualClock):
     """Stands still, but for a stall behind one look at it.
 
     Attributes:
@@ -59,7 +59,7 @@
         self.told_ms: int | None = None
 
     async def play(self, client_closes: bool = False, **limits) -> None:
-        async with Peer(lambda _: VALUE) as peer:
+        async with ScriptedServer(lambda _: VALUE) as peer:
             self.clock = StallingClock()
             harness = UpstreamHarness(peer.port, clock=self.clock)
             if self.reused:
--- a/tests/upstream/test_upstream_streaming.py
+++ b/tests/upstream/test_upstream_streaming.py
@@ -4,7 +4,7 @@
 
 import pytest
 from support.long_values import ANSWER, LENGTH
-from support.network import Passing, Peer, until
+from support.network import RecordedStream, ScriptedServer, until
 from support.upstream import UpstreamHarness
 
 from flintridge.lab import virtual
@@ -17,7 +17,7 @@
 
     def __init__(self, port: int) -> None:
         super().__init__(port, start_stream=self._start_stream)
-        self.streamed = Passing(0)
+        self.streamed = RecordedStream(0)
         self.started_lengths: list[int] = []
 
     def _start_stream(self, _attempt, value):
@@ -29,7 +29,7 @@
     async def test():
         length = 2 << 20
         big = b"VA %d Oa1\r\n" % length + b"x" * length + b"\r\n"
-        async with Peer(lambda _: big) as peer:
+        async with ScriptedServer(lambda _: big) as peer:
             harness = StreamingHarness(peer.port)
             harness.streamed.open.clear()
             await harness.start()
@@ -53,7 +53,7 @@
 def test_long_value_when_it_breaks_on_its_way_is_aborted_and_not_retried(how):
     async def test():
         text = {"end": ANSWER[:-3000], "bad end": ANSWER[:-2] + b"XY", "silence": ANSWER[:-9]}[how]
-        async with Peer(lambda _: text) as peer:
+        async with ScriptedServer(lambda _: text) as peer:
             harness = StreamingHarness(peer.port)
             await harness.start()
             await until(lambda: harness.streamed.pieces)
@@ -62,7 +62,7 @@
             if how == "silence":
                 await asyncio.sleep(0.1)
                 assert harness.streamed.ended is None
-                harness.clock.go(SERVER_STALL_MS)
+                harness.clock.advance(SERVER_STALL_MS)
             await until(lambda: harness.streamed.ended == "cut")
             assert sum(map(len, harness.streamed.pieces)) < LENGTH
             assert peer.connections == 1
