--- a/tests/codec/test_all_exchanges.py
+++ b/tests/codec/test_all_exchanges.py
@@ -33,9 +33,9 @@
         expected = feed_all(unsplit, [text])
         assert expected is not None
         assert expected.outcome is Outcome.OK
-        assert feed_all(parted, [p for p in split_at(text, cuts) if p]) == expected
-        assert parted.reusable
-        assert whole.reusable
+        assert feed_all(split, [p for p in split_at(text, cuts) if p]) == expected
+        assert split.reusable
+        assert unsplit.reusable
 
 
 def test_response_when_it_cannot_be_read_is_malformed_and_informational_ones_are_skipped():
--- a/tests/test_compatibility.py
+++ b/tests/test_compatibility.py
@@ -1,15 +1,28 @@
 """Data written by the previous version is read correctly: datagrams, lease messages, traces, kept scenarios.
 
-The files in `tests/fixtures` were written by commit 3453447, before its names were changed. Messages are
-compared field by field, in the order of their encoding.
+The messages, the trace, the kept scenario and the snapshot in `tests/fixtures` were written by commit
+3453447, before its names were changed. Messages are compared field by field, in the order of their encoding.
+The parsed configurations and the directory of a search were written by commit a3571a2, before the next
+change of names.
 """
 
+import dataclasses
+import enum
+import fcntl
 import json
+import os
+import shutil
+from collections.abc import Mapping
 
 import msgspec
 import pytest
+from support.network import ManualClock, log_and_counters
 from support.paths import ROOT
 
+from flintridge.config.loader import load_config
+from flintridge.lab.experiment.output import json_text
+from flintridge.lab.experiment.search_directory import SearchDirectory
+from flintridge.lab.experiment.search_results import SearchResult
 from flintridge.lab.load import trace
 from flintridge.lab.scenario.load import load
 from flintridge.leases import messages as lease_messages
@@ -17,6 +30,7 @@
 from flintridge.replication import messages as replication_messages
 from flintridge.replication.limits import ReplicaLimits
 from flintridge.replication.replica import Replica
+from flintridge.runtime.worker_processes import COUNT_INTERVAL_MS, WorkerProcesses
 
 FIXTURES = ROOT / "tests" / "fixtures"
 PEER_MESSAGES = json.loads((FIXTURES / "peer_messages.json").read_text())
@@ -99,3 +113,49 @@
             for version in entry.versions
         ]
         assert bodies == [(one["body"], one["by"], one["why"], one["deleted"]) for one in versions]
+
+
+def values_of(value: object) -> object:
+    """Convert a configuration to lists of its values, in the order of its fields."""
+    match value:
+        case enum.Enum():
+            return value.value
+        case Mapping():
+            return {str(key): values_of(item) for key, item in value.items()}
+        case frozenset():
+            return sorted(value)
+        case list() | tuple():
+            return [values_of(item) for item in value]
+    if dataclasses.is_dataclass(value):
+        return [values_of(getattr(value, field.name)) for field in dataclasses.fields(value)]
+    return plain(value)
+
+
+@pytest.mark.parametrize("name", ["platform_config.json", "node_config.toml"])
+def test_configurations_of_the_version_before_are_read_as_they_were_meant(name):
+    config = load_config({"PROXY_CONFIG": str(FIXTURES / name)})
+    assert values_of(config) == json.loads((FIXTURES / "configurations.json").read_text())[name]
+
+
+def test_a_search_of_the_version_before_is_continued_and_its_results_are_written_alike(tmp_path):
+    path = shutil.copytree(FIXTURES / "search", tmp_path / "search")
+    found = SearchDirectory(path).open(seed=3)
+    (run,) = found.runs
+    assert (run.number, run.name, run.seed, found.sound) == (0, "found-3-000000", 851812951, True)
+    text = (path / "days" / "000000.json").read_bytes()
+    assert json_text(msgspec.to_builtins(msgspec.json.decode(text, type=SearchResult))) == text
+
+
+def test_a_process_of_the_version_before_is_counted_by_its_lock_and_precedes_this_one(tmp_path):
+    descriptor = os.open(tmp_path / "4-17-0", os.O_RDWR | os.O_CREAT)
+    fcntl.flock(descriptor, fcntl.LOCK_EX)
+    log, _ = log_and_counters()
+    clock = ManualClock()
+    processes = WorkerProcesses(str(tmp_path), clock, log, lambda count: None)
+    processes.start()
+    assert (processes.count, processes.index_of_other()) == (2, 0)
+    assert sorted(os.listdir(tmp_path)) == ["4-17-0", f"5-{os.getpid()}-0"]
+    os.close(descriptor)
+    clock.advance(COUNT_INTERVAL_MS)
+    assert processes.count == 1
+    processes.close()
