--- a/flintridge/runtime/__init__.py
+++ b/flintridge/runtime/__init__.py
@@ -1,1 +1,1 @@
-"""What the whole node runs on: clock, streams, listeners, worker processes."""
+"""Runtime services that all parts of a node use: clock, streams, listeners, worker processes."""
--- a/flintridge/runtime/acceptor.py
+++ b/flintridge/runtime/acceptor.py
@@ -1,8 +1,8 @@
-"""Accepts the connections of one listening socket, through all errors that accept() is documented to have.
+"""Accepts the connections of one listening socket, and handles every documented error of accept().
 
-The event loop's own server stops to accept for a whole second where descriptors or memory are short for a
-moment; clients wait unread meanwhile. Here such an error is tried again at once, and after a short pause
-where it stays.
+The event loop's own server stops accepting for a whole second when descriptors or memory run short, even
+briefly, and clients wait unread meanwhile. The acceptor retries immediately, and after a short pause if
+accept() keeps failing.
 """
 
 import asyncio
@@ -17,28 +17,31 @@
 from flintridge.telemetry.counters import Counters
 from flintridge.telemetry.log import EventLog
 
-# In one iteration of the event loop so many connections are accepted, before any of them can be rejected.
-# Guards the spare descriptors against a burst.
+# Connections accepted in one iteration of the event loop, before any of them can be rejected. The bound keeps
+# a burst from using up the spare descriptors.
 ACCEPTS_PER_ITERATION = 4
 
-# Bytes that came with a connection are no older than an iteration, unless it waited for longer than this.
+# If a connection waited to be accepted for less than this, its first bytes count as no older than the current
+# iteration of the event loop.
 MIN_QUEUED_MS = 10.0
 
-# After an iteration in which every call failed; doubled with each further one, until a call succeeds.
+# Pause after an iteration in which every call of accept() failed. It doubles with each further such
+# iteration, until a call succeeds.
 FIRST_PAUSE_MS = 4.0
 MAX_PAUSE_MS = 32.0
 
-# While the listener closes
-CLOSE_MAX_FAILURES = 16  # calls that fail in a row, before there is a pause
+# Used while the listener closes.
+CLOSE_MAX_FAILURES = 16  # consecutive failed calls before a pause
 CLOSE_PAUSE_MS = 2.0
 
-# tcpi_unacked of Linux's struct tcp_info: of a listening socket, the connections that wait to be accepted.
+# The field tcpi_unacked of Linux's struct tcp_info. For a listening socket, it is the number of connections
+# that wait to be accepted.
 TCP_INFO_BYTES = 32
 TCP_INFO_UNACKED_OFFSET = 24
 
 NONE_WAITING_ERRNOS = frozenset({errno.EAGAIN, errno.EWOULDBLOCK})
 
-# What concerns one connection, or one call: accept(2) says to treat these as EAGAIN, that is, to try again.
+# Errors of a single connection or call: accept(2) says to treat them like EAGAIN, by retrying.
 CONNECTION_ERRNOS = frozenset(
     {
         errno.EINTR,
@@ -58,18 +61,18 @@
 
 
 class AcceptResult(Enum):
-    """What came of one call of accept()."""
+    """The result of one call of accept()."""
 
     ACCEPTED = auto()
     NONE_WAITING = auto()
     CONNECTION_FAILED = auto()
-    """The connection ended while it waited: the next one may be there."""
+    """The connection ended while it waited; another one may be waiting behind it."""
     SHORTAGE = auto()
-    """Of descriptors or memory (EMFILE, ENFILE, ENOBUFS, ENOMEM); the connection still waits."""
+    """Descriptors or memory run short (EMFILE, ENFILE, ENOBUFS, ENOMEM); the connection still waits."""
 
 
 def classify(error: OSError) -> AcceptResult:
-    """What an error of accept() means; one that is not documented counts as a shortage."""
+    """Map an error of accept() to a result; an undocumented error counts as a shortage."""
     if error.errno in NONE_WAITING_ERRNOS:
         return AcceptResult.NONE_WAITING
     if error.errno in CONNECTION_ERRNOS:
@@ -78,10 +81,10 @@
 
 
 class Acceptor:
-    """Accepts from a listening socket, which it owns, until it is closed.
+    """Accepts connections from a listening socket, which it owns, until it is closed.
 
     Attributes:
-        listening: The socket.
+        listening: The listening socket.
     """
 
     def __init__(
@@ -92,15 +95,16 @@
         log: EventLog,
         counters: Counters,
     ) -> None:
-        """Begin to accept in the running event loop.
+        """Start accepting in the running event loop.
 
         Args:
-            listening: A socket that listens.
-            on_accept: Called with each connection, which is non-blocking, and with the instant since when
-                bytes that it has already may have waited; None: there are none, or they came just now.
-            clock: Times the pauses.
-            log: Takes `accept_failed` and `connections_given_up`.
-            counters: Takes the counts of failed calls, of pauses and of what was given up.
+            listening: A socket in the listening state.
+            on_accept: Called with each accepted, non-blocking connection and the earliest instant at which
+                bytes that wait on it may have arrived; None if no bytes wait, or they have only just arrived.
+            clock: The node's clock, for the pauses.
+            log: Receives the events `accept_failed` and `connections_given_up`.
+            counters: Receives the counts of failed calls, of pauses and of connections that were never
+                accepted.
         """
         self.listening = listening
         self._on_accept = on_accept
@@ -110,36 +114,37 @@
         self._loop = asyncio.get_running_loop()
         self._timer: Timer | None = None
         self._pause_ms = FIRST_PAUSE_MS
-        self._queued_since: float | None = None  # no connection that waits came before; None: none waits
-        self._close_by: float | None = None  # once it closes
+        # No waiting connection arrived before this instant; None while no connection waits.
+        self._queued_since: float | None = None
+        self._close_by: float | None = None  # deadline for closing the socket; None until `close` is called
         self._closed = False
         listening.setblocking(False)
         self._loop.add_reader(listening.fileno(), self._accept_some)
 
     @property
     def closed(self) -> bool:
-        """Whether the socket is closed, after whatever waited there."""
+        """Whether the socket is closed; `close` first accepts the connections that wait."""
         return self._closed
 
-    def close(self, patience_ms: float) -> None:
-        """Accept what waits, then close in the same step.
+    def close(self, timeout_ms: float) -> None:
+        """Accept the connections that wait, then close without returning to the event loop in between.
 
-        Guards the connections that clients have made and the program has not seen: the kernel resets them
-        when their listener closes, though another process listens on the same address.
+        When a listening socket closes, the kernel resets the connections that clients have opened and nobody
+        has accepted, even if another process listens on the same address.
 
         Args:
-            patience_ms: How long it may go on trying where accept() fails. A second call may shorten this.
+            timeout_ms: How long accept() is retried if it fails. A second call may shorten this.
         """
         if self._closed:
             return
         if self._close_by is None:
             self._loop.remove_reader(self.listening.fileno())
-        self._close_by = self._clock.now() + patience_ms
+        self._close_by = self._clock.now() + timeout_ms
         self._cancel_timer()
         self._accept_last()
 
     def _accept_some(self) -> None:
-        """One iteration's share; the event loop calls again where more wait."""
+        """Accept up to ACCEPTS_PER_ITERATION connections; the event loop calls again if more wait."""
         if self._queued_since is None:
             self._queued_since = self._clock.earliest_arrival()
         accepted = False
@@ -164,10 +169,10 @@
         return AcceptResult.ACCEPTED
 
     def _input_queued_since(self, connection: socket.socket) -> float | None:
-        """Since when bytes of a connection may have waited.
+        """The earliest instant at which a connection's waiting bytes may have arrived; see `on_accept`.
 
-        Guards servers against being told a time that the client no longer has: in a crowd, or while accept()
-        fails, a request waits here with its connection.
+        During a burst of connections, or while accept() fails, a request waits together with its connection.
+        Without this instant servers would be sent a remaining time that the client no longer has.
         """
         since = self._queued_since
         if since is None or self._clock.now() - since < MIN_QUEUED_MS or not socket_has_input(connection):
@@ -186,9 +191,10 @@
         return result
 
     def _pause(self) -> None:
-        """Accept nothing for a moment.
+        """Stop accepting for the current pause.
 
-        Guards against a busy loop: a listening socket stays readable as long as a connection waits there.
+        A listening socket stays readable as long as a connection waits, so without a pause the event loop
+        would spin.
         """
         self._counters.add("accept_pauses")
         self._loop.remove_reader(self.listening.fileno())
@@ -198,15 +204,15 @@
     def _resume(self) -> None:
         try:
             self._loop.add_reader(self.listening.fileno(), self._accept_some)
-        except OSError:  # the selector is short of memory, too
+        except OSError:  # the selector can't allocate memory either
             self._pause()
 
     def _accept_last(self) -> None:
-        """Accept all that wait, and close; where accept() keeps failing, go on after a pause."""
+        """Accept all connections that wait, then close; if accept() keeps failing, continue after a pause."""
         failures = 0
         while failures < CLOSE_MAX_FAILURES:
             result = self._accept_next()
-            # Without a descriptor accept() fails also where nothing waits.
+            # Without a free descriptor, accept() also fails when no connection waits.
             if result is AcceptResult.NONE_WAITING or (
                 result is AcceptResult.SHORTAGE and not self._count_waiting()
             ):
@@ -215,21 +221,21 @@
             failures = 0 if result is AcceptResult.ACCEPTED else failures + 1
         assert self._close_by is not None
         if self._clock.now() >= self._close_by:
-            self._give_up()
+            self._abandon_waiting()
             return
         self._timer = self._clock.call_at(self._clock.now() + CLOSE_PAUSE_MS, self._accept_last)
 
-    def _give_up(self) -> None:
+    def _abandon_waiting(self) -> None:
         count = self._count_waiting()
         self._counters.add("connections_given_up", count)
         self._log.event("connections_given_up", count=count)
         self._finish()
 
     def _count_waiting(self) -> int:
-        """How many connections wait to be accepted; one where the system doesn't tell."""
+        """The number of connections that wait to be accepted; 1 if the system doesn't report it."""
         try:
             info = self.listening.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, TCP_INFO_BYTES)
-        except OSError:  # short of memory too, or no such option
+        except OSError:  # the system is short of memory, or doesn't have this option
             return 1
         (count,) = struct.unpack_from("=I", info, TCP_INFO_UNACKED_OFFSET)
         return int(count)
--- a/flintridge/runtime/clock.py
+++ b/flintridge/runtime/clock.py
@@ -1,4 +1,4 @@
-"""The clock of a node: milliseconds as floats, timers, and time limits on what is awaited."""
+"""The clock of a node: times as float milliseconds, timers, and timeouts of awaitables."""
 
 import asyncio
 import selectors
@@ -9,52 +9,53 @@
 from flintridge.errors import FlintridgeError
 
 NS_PER_MS = 1_000_000
-WAITED_MIN_S = 0.001  # a call of the selector that took less found what had been there before
+MIN_SELECT_WAIT_S = 0.001  # if select() takes less, the input that it reports had arrived before the call
 
 T = TypeVar("T")
 
 
 def to_ns(ms: float) -> int:
-    """Milliseconds as the policy's whole nanoseconds."""
+    """Convert milliseconds to the whole nanoseconds that the policy uses."""
     return round(ms * NS_PER_MS)
 
 
 def to_ms(ns: int) -> float:
-    """The policy's nanoseconds as milliseconds."""
+    """Convert the policy's nanoseconds to milliseconds."""
     return ns / NS_PER_MS
 
 
 class Timer(Protocol):
-    """A call that was scheduled."""
+    """A scheduled call."""
 
     def cancel(self) -> None:
-        """Drop the call; nothing happens where it was made already."""
+        """Cancel the call; does nothing if it has already been made."""
 
 
 class Clock(Protocol):
-    """What the parts of a node need to know of time."""
+    """The time source and timers that the parts of a node use."""
 
     def now(self) -> float:
-        """Milliseconds from an arbitrary origin, moving forward only."""
+        """The monotonic time in milliseconds since an arbitrary origin."""
 
     def from_unix(self, unix_ms: float) -> float:
-        """An instant in Unix time on this clock; the same instant always gives the same figure."""
+        """Convert an instant in Unix time to this clock; the same instant always gives the same result."""
 
     def call_at(self, at: float, call: Callable[..., None], *args: object) -> Timer:
         """Call `call(*args)` at the instant `at` of this clock."""
 
     def earliest_arrival(self) -> float:
-        """No byte that is read in this iteration of the event loop had arrived before this instant."""
+        """A lower bound for the arrival of every byte that this iteration of the event loop reads."""
 
 
 class ArrivalTrackingSelector(selectors.DefaultSelector):
-    """Notes how long the input that an iteration of its event loop reads may have waited.
+    """Records how long the input that an iteration of the event loop reads may have waited.
 
-    Guards what is reckoned from the arrival of a request: under load an iteration takes some tenths of a
-    second, and a request that came at its begin is read in the next one.
+    Deadlines are computed from the arrival of a request. Under load an iteration takes some tenths of a
+    second, and a request that arrives at its beginning is read only in the next one.
 
     Attributes:
-        earliest_arrival_s: No input of this iteration had arrived before; seconds, as the loop's time.
+        earliest_arrival_s: No input of this iteration arrived before this instant, in seconds of the loop's
+            time.
     """
 
     def __init__(self) -> None:
@@ -63,20 +64,20 @@
         self.earliest_arrival_s = self._last_select_s
 
     def select(self, timeout: float | None = None) -> list[tuple[selectors.SelectorKey, int]]:
-        """As the base does it, and note the time."""
+        """Select as the base class does, and update `earliest_arrival_s`."""
         called_s = time.monotonic()
         ready = super().select(timeout)
         returned_s = time.monotonic()
-        if returned_s - called_s >= WAITED_MIN_S:
+        if returned_s - called_s >= MIN_SELECT_WAIT_S:
             self.earliest_arrival_s = returned_s
-        else:  # it was there at once: it came at some time since the call before
+        else:  # the input was already there: it arrived at some time since the previous call returned
             self.earliest_arrival_s = self._last_select_s
         self._last_select_s = returned_s
         return ready
 
 
 class SystemClock:
-    """The event loop's clock."""
+    """A `Clock` on the time and the timers of an event loop."""
 
     def __init__(
         self,
@@ -84,27 +85,27 @@
         unix_ms: float | None = None,
         selector: ArrivalTrackingSelector | None = None,
     ) -> None:
-        """Fix the difference to Unix time.
+        """Fix the offset from Unix time.
 
         Args:
-            loop: Gives the time and runs the timers.
-            unix_ms: The Unix time at this moment in milliseconds; None: the system's.
-            selector: The loop's, where that notes arrivals.
+            loop: The event loop, which provides the time and runs the timers.
+            unix_ms: The current Unix time in milliseconds; None to read the system clock.
+            selector: The loop's selector, if it tracks arrivals.
         """
         self._loop = loop
         self._selector = selector
-        # Fixed at the start: a restart is recognized by a changed instant, so a stepped system clock
-        # must not move the instants that were converted before. It may have been stepped by now too: the
-        # endpoint list corrects what it tells by `flintridge.discovery.server_starts`.
+        # Fixed at the start: a server's restart is recognized by a changed start instant, so a step of the
+        # system clock must not move instants that were converted before. The system clock may also be wrong
+        # already: `flintridge.discovery.server_starts` corrects the starts in the endpoint list for that.
         unix_now_ms = time.time() * 1000 if unix_ms is None else unix_ms
         self._unix_origin_ms = unix_now_ms - self.now()
 
     def now(self) -> float:
-        """Milliseconds of the loop's time."""
+        """The loop's time in milliseconds."""
         return self._loop.time() * 1000
 
     def from_unix(self, unix_ms: float) -> float:
-        """An instant in Unix time on this clock, whatever became of the system's clock since the start."""
+        """Convert an instant in Unix time to this clock; steps of the system clock don't affect it."""
         return unix_ms - self._unix_origin_ms
 
     def call_at(self, at: float, call: Callable[..., None], *args: object) -> Timer:
@@ -112,32 +113,33 @@
         return self._loop.call_at(at / 1000, call, *args)
 
     def earliest_arrival(self) -> float:
-        """No byte read in this iteration had arrived before; now, where the selector notes nothing."""
+        """A lower bound for the arrival of the bytes read in this iteration; now, if none is tracked."""
         if self._selector is None:
             return self.now()
         return self._selector.earliest_arrival_s * 1000
 
 
 class DeadlineExceededError(FlintridgeError):
-    """What was awaited did not come within its time limit.
+    """An awaitable did not complete within its timeout.
 
-    It is no OSError: callers tell a connection that broke from a peer that is slow.
+    It is not an OSError, so that callers can distinguish a broken connection from a slow peer.
     """
 
 
 async def with_timeout(clock: Clock, timeout_ms: float, awaitable: Awaitable[T]) -> T:
-    """Await something for a limited time.
+    """Await something with a timeout.
 
     Args:
-        clock: Measures the time; this is why `asyncio.timeout` doesn't do, which knows the loop's only.
-        timeout_ms: From now on; zero or less: it may do what it can without another iteration of the loop.
-        awaitable: Is cancelled when the time has passed.
+        clock: Measures the timeout; `asyncio.timeout` can't be used, as it knows only the loop's clock.
+        timeout_ms: Counted from now; if it is zero or less, the awaitable may still complete if it needs no
+            further iteration of the event loop.
+        awaitable: Cancelled when the timeout expires.
 
     Returns:
-        What `awaitable` returned.
+        The result of `awaitable`.
 
     Raises:
-        DeadlineExceededError: The time passed first.
+        DeadlineExceededError: The timeout expired before `awaitable` completed.
     """
     task = asyncio.current_task()
     assert task is not None
@@ -152,7 +154,7 @@
     try:
         return await awaitable
     except asyncio.CancelledError:
-        if expired and not task.uncancel():  # else whoever started this task cancelled it as well
+        if expired and not task.uncancel():  # otherwise this task was also cancelled from outside
             raise DeadlineExceededError from None
         raise
     finally:
@@ -160,7 +162,7 @@
 
 
 async def sleep(clock: Clock, ms: float) -> None:
-    """Wait for so many milliseconds of `clock`."""
+    """Wait for `ms` milliseconds of `clock`."""
     woken = asyncio.Event()
     timer = clock.call_at(clock.now() + ms, woken.set)
     try:
--- a/flintridge/runtime/listener.py
+++ b/flintridge/runtime/listener.py
@@ -1,4 +1,4 @@
-"""Listening sockets: alone or shared with another process on an address, closed without a loss."""
+"""Listening sockets, which can share an address with another process and close without losing connections."""
 
 import asyncio
 import contextlib
@@ -16,9 +16,10 @@
 from flintridge.telemetry.counters import Counters
 from flintridge.telemetry.log import EventLog
 
-KERNEL_BACKLOG = 512  # connections that may really wait to be accepted
+# Connections that the kernel may queue for accept(); replaces the `backlog` that create_server is given.
+KERNEL_BACKLOG = 512
 
-# Of Linux, for listeners that share an address (SO_REUSEPORT); the socket module does not name them.
+# Linux socket options of listeners that share an address (SO_REUSEPORT); Python's socket module lacks them.
 SO_ATTACH_REUSEPORT_CBPF = 51
 SO_DETACH_REUSEPORT_BPF = 68
 BPF_RETURN_CONSTANT = 0x06  # BPF_RET | BPF_K of classic BPF
@@ -27,61 +28,61 @@
 
 
 class ListenError(FlintridgeError, OSError):
-    """A listener that could not be opened; its text is one line for the operator."""
+    """A listener could not be opened; the message is one line for the operator."""
 
 
 class Listener:
     """An open listener.
 
     Attributes:
-        port: On which it listens.
+        port: The port that it listens on.
     """
 
     def __init__(self, port: int, on_connection: ConnectionHandler) -> None:
-        """`accept_from` or `accept_by` makes it accept."""
+        """Create a listener that accepts nothing until `accept_from` or `accept_by` is called."""
         self.port = port
         self._on_connection = on_connection
         self._acceptors: list[Acceptor] = []
         self._server: asyncio.Server | None = None
         self._closing = False
-        # The event loop holds tasks weakly only.
+        # Strong references: the event loop keeps only weak ones to its tasks.
         self._handover_tasks: dict[asyncio.Task[None], None] = {}
 
     @property
     def is_open(self) -> bool:
-        """Whether it accepts connections, and is not about to close."""
+        """Whether it accepts connections; False once `close` was called."""
         return not self._closing
 
     @property
     def has_handovers(self) -> bool:
-        """Whether connections are to come that `on_connection` was not called with yet.
+        """Whether `on_connection` is still to be called with further connections.
 
-        They were accepted, or wait at a listener that goes on trying while it closes.
+        They have been accepted, or they wait at a closing listener that still retries accept().
         """
         return bool(self._handover_tasks) or (
             self._closing and not all(acceptor.closed for acceptor in self._acceptors)
         )
 
     def accept_from(self, listening: socket.socket, clock: Clock, log: EventLog, counters: Counters) -> None:
-        """Accept from a listening socket, which is closed with this listener."""
+        """Accept from a listening socket, which this listener owns and closes."""
         self._acceptors.append(Acceptor(listening, self._hand_over, clock, log, counters))
 
     async def accept_by(self, server: asyncio.Server) -> None:
-        """Have an event loop without descriptors accept, as the lab's in virtual time."""
+        """Accept with the loop's own server, for loops without descriptors such as the lab's virtual one."""
         self._server = server
         await server.start_serving()
 
     def divert_to(self, index: int) -> bool:
-        """Have the kernel give new connections to another listener that shares the address.
+        """Have the kernel assign new connections to another listener that shares the address.
 
-        Guards the connections that would come between the last accept and the close, which are reset.
+        A connection that arrives between the last accept() and the close would be reset.
 
         Args:
-            index: Which one, counted from 0 in the order in which they began to listen. Where there is none
-                the kernel spreads connections as before.
+            index: The index of that listener, from 0, in the order in which the listeners were opened. If
+                there is none, the kernel distributes connections as before.
 
         Returns:
-            False where the kernel does not do it: nothing is changed then.
+            Whether the kernel supports this; if not, nothing changes.
         """
         code = array("Q", struct.pack("=HBBI", BPF_RETURN_CONSTANT, 0, 0, index))
         program = struct.pack("@HP", len(code), code.buffer_info()[0])
@@ -92,28 +93,28 @@
             return False
         return True
 
-    def close(self, patience_ms: float = 0.0) -> None:
-        """Accept what waits, then close in the same step.
+    def close(self, timeout_ms: float = 0.0) -> None:
+        """Accept the connections that wait, then close without returning to the event loop in between.
 
         Args:
-            patience_ms: How long it may go on trying where connections wait that can't be accepted just now;
-                `has_handovers` until then. A second call may shorten this.
+            timeout_ms: How long accept() is retried if connections wait but can't be accepted. Until then,
+                `has_handovers` is true. A second call may shorten this.
         """
         self._closing = True
         if self._server is not None:
             self._server.close()
         for acceptor in self._acceptors:
-            acceptor.close(patience_ms)
+            acceptor.close(timeout_ms)
 
     def _hand_over(self, connection: socket.socket, queued_since: float | None) -> None:
-        """Start a connection as asyncio's server does it with one that it accepted."""
+        """Attach the stream protocol to an accepted connection, as asyncio's own server does."""
         loop = asyncio.get_running_loop()
         protocol = _stream_protocol(loop, self._on_connection, queued_since)
 
         async def attach() -> None:
             try:
                 await loop.connect_accepted_socket(lambda: protocol, connection)
-            except OSError:  # it ended meanwhile
+            except OSError:  # the connection has ended meanwhile
                 connection.close()
 
         task = loop.create_task(attach())
@@ -133,17 +134,17 @@
 
     Args:
         on_connection: Called with each connection; its reader is a TrackingReader.
-        address: Where to listen; port 0: any free one.
-        shared: Whether another process of the same user may listen there as well.
-        clock: Times the pauses after accept() failed.
-        log: Takes the events of an Acceptor.
-        counters: Takes the counts of an Acceptor.
+        address: The address to listen on; port 0 selects any free port.
+        shared: Whether another process of the same user may listen on the same address.
+        clock: Times the pauses after a failed accept().
+        log: Receives the events of the acceptors.
+        counters: Receives the counts of the acceptors.
 
     Returns:
         The open listener.
 
     Raises:
-        ListenError: The address can't be had.
+        ListenError: The address can't be listened on.
     """
     loop = asyncio.get_running_loop()
     try:
@@ -168,13 +169,14 @@
 
 
 def _take_sockets(server: asyncio.Server, shared: bool) -> list[socket.socket]:
-    """A server's bound sockets, listening, under descriptors of their own, while the server's are closed.
+    """Duplicate a server's bound sockets and start listening on them; the server itself is closed.
 
     Returns:
-        Them; none in an event loop that has no descriptors: its server stays as it is.
+        The listening sockets. If the event loop has no descriptors, the list is empty and the server stays
+        open.
 
     Raises:
-        OSError: They can't listen.
+        OSError: A socket can't be duplicated or can't listen.
     """
     descriptors = [sock.fileno() for sock in server.sockets if sock.fileno() >= 0]
     taken: list[socket.socket] = []
@@ -193,10 +195,10 @@
 
 
 def _prepare(listening: socket.socket, shared: bool) -> None:
-    """Listen, and set who gets connections at a shared address."""
+    """Start listening; at a shared address, reset which listener gets new connections."""
     listening.listen(KERNEL_BACKLOG)
     if shared:
-        # What a process that has ended by now diverted to others holds no longer.
+        # Removes a diversion that a process which has since ended left behind.
         with contextlib.suppress(OSError):
             listening.setsockopt(socket.SOL_SOCKET, SO_DETACH_REUSEPORT_BPF, 0)
 
@@ -204,7 +206,7 @@
 def _stream_protocol(
     loop: asyncio.AbstractEventLoop, on_connection: ConnectionHandler, queued_since: float | None = None
 ) -> asyncio.StreamReaderProtocol:
-    """As asyncio.start_server makes it, with a reader of our own."""
+    """Create a protocol as asyncio.start_server does, but with a TrackingReader."""
     reader = TrackingReader(loop)
     reader.queued_since = queued_since
     return asyncio.StreamReaderProtocol(reader, on_connection, loop=loop)
--- a/flintridge/runtime/local_failure.py
+++ b/flintridge/runtime/local_failure.py
@@ -1,11 +1,12 @@
-"""Failures of this machine, not of a server, as a connection is opened: which they are.
+"""Recognizes errors of opening a connection that are caused by this machine and not by the server.
 
-They say nothing of the server that was to be reached: it gets no connect backoff for them.
+They are no evidence about the server, which gets no connect backoff for them.
 """
 
 import errno
 
-# What connect(2) and socket(2) document for a lack of ports, memory, descriptors or routes of this machine.
+# Errors that connect(2) and socket(2) document for a lack of ports, memory, descriptors or routes on this
+# machine.
 LOCAL_ERRNOS = frozenset(
     {
         errno.EADDRINUSE,
@@ -19,15 +20,16 @@
         errno.ENOMEM,
     }
 )
-# One of them that may also be about the way to one server: where it lasts, the server is out of reach.
+# The one local error that may also concern the route to a single server: if it persists, that server is
+# unreachable.
 ROUTE_ERRNO = errno.ENETUNREACH
 
 
 def is_local_failure(error: OSError) -> bool:
-    """Whether an error of a system call is a matter of this machine."""
+    """Whether an error of a system call is caused by this machine."""
     return error.errno in LOCAL_ERRNOS
 
 
 def describe_errno(error: OSError) -> str:
-    """The symbolic name of an error's number, as `ENOBUFS`; the error itself where it has none."""
+    """The symbolic name of an error's number, such as `ENOBUFS`; the error's `repr` if it has none."""
     return errno.errorcode.get(error.errno or 0, repr(error))
--- a/flintridge/runtime/streams.py
+++ b/flintridge/runtime/streams.py
@@ -1,4 +1,4 @@
-"""What all streams of a node have in common: how much they read at a time, and how their end is noticed."""
+"""Helpers for a node's stream connections: bounded reads, and detection of their end and of unread input."""
 
 import asyncio
 import contextlib
@@ -7,39 +7,40 @@
 import socket
 from collections.abc import Callable
 
-READ_MAX_BYTES = 32 * 1024  # taken from a connection at a time; up to twice as many may wait on it
+READ_MAX_BYTES = 32 * 1024  # read from a connection at a time; up to twice as many may wait in its buffer
 DISCARD_READ_BYTES = 64 * 1024
 
-# Nothing where the system has no such event: then the end shows only when all before it was read.
+# The poll event for the end of the peer's stream; 0 if the system has none. Without it, the end is detected
+# only after all bytes before it have been read.
 PEER_CLOSED_EVENT = getattr(select, "POLLRDHUP", 0)
 
 
 def limit_read_size(transport: asyncio.BaseTransport) -> None:
     """Have a transport read no more than READ_MAX_BYTES at a time.
 
-    Guards memory: by itself it takes 256 KiB, in whatever number of connections they wait.
+    Bounds memory: by default a transport reads 256 KiB at a time, on any number of connections.
     """
     if hasattr(transport, "max_size"):
         transport.max_size = READ_MAX_BYTES
 
 
 class TrackingReader(asyncio.StreamReader):
-    """Counts the bytes that arrive and those that were read, and reports the end of its stream at once.
+    """Counts the bytes that arrive and the bytes that are read, and reports the stream's end immediately.
 
-    Guards against an end that shows only when somebody reads that far: of a client that disconnected while
-    its requests wait, of a connection closed while a request lies in it.
+    A plain StreamReader reports the end only to a reader that has read everything before it. That is too late
+    if a client disconnects while its requests wait, or a connection closes with an unread request in it.
 
     Attributes:
-        received_bytes: Those that arrived.
-        read_bytes: Those of them that were read.
-        on_end: Called at the end of the stream, though bytes before it are unread; and again should more
-            show the end.
-        queued_since: Since when its first bytes may have waited with their connection to be accepted, in
-            milliseconds of the node's clock; None: they came later.
+        received_bytes: Number of bytes that have arrived.
+        read_bytes: Number of the received bytes that have been read.
+        on_end: Called when the stream ends or fails, even if bytes before that are unread. It can be called
+            more than once.
+        queued_since: The earliest instant at which the first bytes may have arrived while the connection
+            waited to be accepted, in milliseconds of the node's clock; None if they arrived later.
     """
 
     def __init__(self, loop: asyncio.AbstractEventLoop, limit: int = 64 * 1024) -> None:
-        """`limit`: half of the bytes that may wait unread before the transport pauses."""
+        """Create a reader whose transport pauses when more than 2 * `limit` bytes are unread."""
         super().__init__(limit=limit, loop=loop)
         self.received_bytes = 0
         self.read_bytes = 0
@@ -48,7 +49,7 @@
 
     @property
     def has_unread(self) -> bool:
-        """Whether bytes have arrived that nobody has read yet."""
+        """Whether received bytes have not been read yet."""
         return self.received_bytes > self.read_bytes
 
     @property
@@ -57,31 +58,31 @@
         return self.at_eof() or self.exception() is not None
 
     async def read(self, n: int = -1) -> bytes:
-        """Up to `n` bytes, as the base has it; they are counted."""
+        """Read up to `n` bytes as the base class does, and count them."""
         data = await super().read(n)
         self.read_bytes += len(data)
         return data
 
-    def feed_data(self, data: bytes) -> None:  # type: ignore[override]  # what transports hand over
-        """Bytes arrived."""
+    def feed_data(self, data: bytes) -> None:  # type: ignore[override]  # transports pass bytes
+        """Buffer bytes that arrived, and count them."""
         self.received_bytes += len(data)
         super().feed_data(data)
 
     def feed_eof(self) -> None:
-        """The other side has ended its stream."""
+        """Handle the end of the peer's stream."""
         super().feed_eof()
         if self.on_end is not None:
             self.on_end()
 
     def set_exception(self, exc: Exception) -> None:
-        """The connection broke."""
+        """Handle a failure of the connection."""
         super().set_exception(exc)
         if self.on_end is not None:
             self.on_end()
 
 
 async def open_connection(reader: TrackingReader, host: str, port: int) -> asyncio.StreamWriter:
-    """As asyncio.open_connection does it, with a reader of our own.
+    """Open a connection as asyncio.open_connection does, but with the given reader.
 
     Returns:
         The connection's writer.
@@ -97,23 +98,23 @@
 
 
 def is_reusable(reader: TrackingReader, writer: asyncio.StreamWriter) -> bool:
-    """Whether another request may be sent on a connection, as far as the event loop has seen.
+    """Whether another request may be sent on a connection, as far as the event loop knows.
 
-    It may not where the connection has ended, or holds bytes that belong to no request.
+    It may not if the connection has ended, or if unread bytes wait on it, which belong to no request.
     """
     return not (reader.has_unread or reader.at_eof() or writer.is_closing())
 
 
 def discard_input(transport: asyncio.BaseTransport, max_bytes: int) -> None:
-    """Take and drop what the system holds of a connection's input.
+    """Read and discard a connection's input that the kernel has buffered.
 
-    It ends after `max_bytes`, or those of one read more.
+    It stops once `max_bytes` have been read; the last read may exceed that.
     """
     descriptor = _descriptor(transport)
     if descriptor < 0:
         return
     remaining = max_bytes
-    with contextlib.suppress(OSError):  # nothing is there, or it was reset
+    with contextlib.suppress(OSError):  # no input waits, or the connection was reset
         while remaining > 0:
             data = os.read(descriptor, DISCARD_READ_BYTES)
             if not data:
@@ -122,20 +123,17 @@
 
 
 def peer_has_closed(transport: asyncio.BaseTransport) -> bool:
-    """Whether the other side has ended its stream or reset the connection.
-
-    Seen also behind bytes that nobody has read yet.
-    """
+    """Whether the peer has ended its stream or reset the connection, even if bytes before that are unread."""
     return _pending_events(transport, PEER_CLOSED_EVENT) != 0
 
 
 def has_pending_input(transport: asyncio.BaseTransport) -> bool:
-    """Whether the system holds bytes of a connection, or its end, that the event loop has not come to yet."""
+    """Whether the kernel holds input of a connection, or its end, that the event loop has not read yet."""
     return _pending_events(transport, select.POLLIN | PEER_CLOSED_EVENT) != 0
 
 
 def _descriptor(transport: asyncio.BaseTransport) -> int:
-    """-1 where there is none, or none any more."""
+    """The descriptor of a transport's socket; -1 if it has no socket or the socket is closed."""
     sock = transport.get_extra_info("socket")
     return -1 if sock is None else int(sock.fileno())
 
@@ -146,7 +144,7 @@
 
 
 def socket_has_input(sock: socket.socket) -> bool:
-    """Whether a socket has something to read, or a listening one a connection to accept."""
+    """Whether a socket has input to read or, if it listens, a connection to accept."""
     return _poll(sock.fileno(), select.POLLIN) != 0
 
 
--- a/flintridge/runtime/worker_processes.py
+++ b/flintridge/runtime/worker_processes.py
@@ -1,12 +1,13 @@
-"""Counts the processes of one node, so that an old and a new one share its limits during an upgrade.
+"""Counts the processes of one node, so that the old and the new one share its limits during an upgrade.
 
-Each holds a lock on a file of its own in one folder. The kernel frees it with the process, however that
-ends; a file whose lock can be had is one that a process left behind, and is removed.
+Each process holds a lock on a file of its own in a common folder. The kernel releases the lock when the
+process ends, however it ends. A file that is not locked was left behind by an ended process, and is removed.
 
-A file's name, `SEQUENCE-PID-ATTEMPT`, tells the order of the starts: its number is one more than the highest
-that its process found. Time stamps can't tell it, as the wall clock that writes them may be stepped. Earlier
-versions named theirs `PID-ATTEMPT`. `late-PID-ATTEMPT` is that of a process which could not be counted at its
-start, but served: where it stands in the order isn't known.
+File names have the form `SEQUENCE-PID-ATTEMPT`. SEQUENCE gives the order of the starts: it is one more than
+the highest one that the process found in the folder. Time stamps can't give this order, since the wall clock
+that they come from may be stepped. Files of earlier versions are named `PID-ATTEMPT`. A process that could
+not lock a file at its start, but serves, later locks `late-PID-ATTEMPT`. Its position in the order is
+unknown.
 """
 
 import contextlib
@@ -19,15 +20,15 @@
 from flintridge.runtime.clock import Clock, Timer
 from flintridge.telemetry.log import EventLog
 
-COUNT_INTERVAL_MS = 250.0  # from one count of the processes to the next
-MAX_LOCK_ATTEMPTS = 64  # at one count
+COUNT_INTERVAL_MS = 250.0  # between two counts of the processes
+MAX_LOCK_ATTEMPTS = 64  # per count
 
 NUMBERED_NAME = re.compile(r"(\d+)-\d+-\d+")
 EARLIER_VERSION_NAME = re.compile(r"\d+-\d+")
 LATE_PREFIX = "late"
 
-# What opening something in the folder fails with that is no lock file of this user: a folder, a socket, a
-# link to itself, another user's.
+# Errors of opening a directory entry that is not a lock file of this user: a folder, a socket, a symbolic
+# link to itself, or a file of another user.
 NO_LOCK_FILE_ERRNOS = frozenset(
     {errno.EISDIR, errno.ENXIO, errno.ELOOP, errno.EACCES, errno.EPERM, errno.ENODEV}
 )
@@ -37,48 +38,48 @@
     """The processes of this node, this one included.
 
     Attributes:
-        count: How many run, as of the last count; 1 at first.
+        count: Number of running processes, as of the last count; 1 before the first count.
     """
 
     def __init__(self, folder: str, clock: Clock, log: EventLog, on_change: Callable[[int], None]) -> None:
-        """Nothing is counted before `start`.
+        """Prepare for counting, which `start` begins.
 
         Args:
-            folder: Where the processes of this node have their lock files; it is made where there is none.
+            folder: The folder of the lock files of this node's processes; created if it does not exist.
             clock: Times the counts.
-            log: Takes `worker_processes` and `worker_processes_unknown`.
-            on_change: Called with the number of processes whenever it has changed.
+            log: Receives the events `worker_processes` and `worker_processes_unknown`.
+            on_change: Called with the number of processes whenever it changes.
         """
         self.count = 1
         self._folder = folder
         self._clock = clock
         self._log = log
         self._on_change = on_change
-        self._lock_descriptor = -1  # open as long as this process runs
+        self._lock_descriptor = -1  # kept open, as closing it releases the lock
         self._lock_path: str | None = None
-        self._sequence: int | None = None  # in the order of starts; None where it isn't known
-        self._names_before: frozenset[str] = frozenset()  # the files that were there before this process's
-        self._error: str | None = None  # why the processes are not known just now
+        self._sequence: int | None = None  # position in the order of starts; None if unknown
+        self._names_before: frozenset[str] = frozenset()  # files that existed before this process's own
+        self._error: str | None = None  # why the last count failed; None if it succeeded
         self._timer: Timer | None = None
 
     def start(self) -> None:
-        """Be counted, and count; call this before the node listens.
+        """Lock this process's file and start counting; call this before the node listens.
 
-        What fails is logged, and tried again with each count. Until then the last count holds.
+        Failures are logged and retried with each count. Until a retry succeeds, the last count stays valid.
         """
         self._update_count(at_start=True)
 
     def index_of_other(self) -> int | None:
-        """Of two processes, the position of the other one in the order of their starts.
+        """The other process's position in the order of starts, if exactly two processes run.
 
         Returns:
-            0 or 1; None where there are not two, or their order isn't known.
+            0 or 1; None if there are not exactly two processes, or their order is unknown.
         """
         if self._sequence is None or self.count != 2:
             return None
         try:
             (other,) = self._other_names()
-        except (OSError, ValueError):  # it ended just now, or a third one began
+        except (OSError, ValueError):  # the other process has just ended, or a third one has started
             return None
         if EARLIER_VERSION_NAME.fullmatch(other):
             return 0 if other in self._names_before else 1
@@ -88,7 +89,7 @@
         return 1 if self._sequence < int(numbered[1]) else 0
 
     def close(self) -> None:
-        """Be counted no longer, and stop counting."""
+        """Stop counting, and release and remove this process's lock file."""
         if self._timer is not None:
             self._timer.cancel()
         if self._lock_path is not None:
@@ -106,7 +107,7 @@
             error = str(raised)
         try:
             self._note_count(1 + sum(_is_locked(self._path(name)) for name in self._other_names()))
-        except OSError as raised:  # a process that can't be looked at may run: the last count holds
+        except OSError as raised:  # a process whose lock can't be checked may be running: keep the last count
             error = error or str(raised)
         self._note_error(error)
 
@@ -117,7 +118,7 @@
             self._on_change(count)
 
     def _note_error(self, error: str | None) -> None:
-        """Log where the processes cease to be known, and where they are known again."""
+        """Log when counting begins to fail, and when it works again."""
         if error is not None and self._error is None:
             self._log.event("worker_processes_unknown", folder=self._folder, error=error)
         elif error is None and self._error is not None:
@@ -125,13 +126,14 @@
         self._error = error
 
     def _take_lock(self, at_start: bool) -> None:
-        """Lock a file of this process's own, unless it has one. Raises OSError."""
+        """Create and lock this process's file, unless it has one. Raises OSError."""
         if self._lock_path is not None:
             return
         os.makedirs(self._folder, mode=0o700, exist_ok=True)
         for attempt in range(MAX_LOCK_ATTEMPTS):
             names_before = frozenset(os.listdir(self._folder))
-            # A late process listens already: it may have begun to before those that it finds, or after.
+            # A late process already listens. It may have started to do so before or after the processes whose
+            # files it finds here.
             sequence = _next_sequence(names_before) if at_start else None
             path = self._path(f"{LATE_PREFIX if sequence is None else sequence}-{os.getpid()}-{attempt}")
             descriptor = _create_locked(path)
@@ -141,10 +143,10 @@
                 self._sequence = sequence
                 self._names_before = names_before
                 return
-        raise BlockingIOError(errno.EAGAIN, "other processes have the locks")
+        raise BlockingIOError(errno.EAGAIN, "other processes hold the locks")
 
     def _other_names(self) -> list[str]:
-        """The files of the folder but this process's own. Raises OSError."""
+        """The names of all files in the folder except this process's own. Raises OSError."""
         return [name for name in os.listdir(self._folder) if self._path(name) != self._lock_path]
 
     def _path(self, name: str) -> str:
@@ -152,22 +154,25 @@
 
 
 def _next_sequence(names: frozenset[str]) -> int:
-    """One more than the highest in the names of lock files; 1 where there is none."""
+    """One more than the highest sequence number in the names of lock files; 1 if there is none."""
     numbered = (NUMBERED_NAME.fullmatch(name) for name in names)
     return 1 + max((int(match[1]) for match in numbered if match is not None), default=0)
 
 
 def _create_locked(path: str) -> int | None:
-    """The descriptor of a lock file that this process holds; None where another one has or had it.
+    """Create a lock file and lock it.
+
+    Returns:
+        The descriptor that holds the lock; None if another process holds the lock, or removed the file.
 
     Raises:
-        OSError: The file can't be made or locked.
+        OSError: The file can't be created or locked.
     """
     descriptor = os.open(path, os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, 0o600)
     is_locked = False
     try:
-        # Guards the moment between the two calls: another process may have had the lock, and removed the
-        # file as one left behind; or a process with the same id left it.
+        # Between open() and flock() another process may have locked the file and removed it as left behind.
+        # It may also be a file that an ended process with the same id left behind.
         is_locked = _try_lock(descriptor) and _is_file_at(descriptor, path)
     finally:
         if not is_locked:
@@ -176,15 +181,15 @@
 
 
 def _is_locked(path: str) -> bool:
-    """Whether a process holds the lock on a file; one that nobody holds is removed.
+    """Whether a process holds the lock on a file; a file that is not locked is removed.
 
     Raises:
-        OSError: It can't be told, as for want of a descriptor.
+        OSError: The lock can't be checked, for example for lack of a descriptor.
     """
     try:
         descriptor = os.open(path, os.O_RDWR | os.O_CLOEXEC)
     except FileNotFoundError:
-        return False  # gone meanwhile
+        return False  # removed meanwhile
     except OSError as error:
         if error.errno in NO_LOCK_FILE_ERRNOS:
             return False
@@ -199,7 +204,7 @@
 
 
 def _try_lock(descriptor: int) -> bool:
-    """Whether the lock could be had; it is held from then on."""
+    """Acquire an exclusive lock without waiting; returns whether that succeeded."""
     try:
         fcntl.flock(descriptor, fcntl.LOCK_EX | fcntl.LOCK_NB)
     except BlockingIOError:
@@ -208,8 +213,8 @@
 
 
 def _remove(path: str) -> None:
-    """Remove a file that nobody holds; where that fails it stays, and counts for nothing without a lock."""
-    with contextlib.suppress(OSError):  # another process was quicker, or the folder can't be written
+    """Remove a lock file; if that fails, the file stays, but is not counted without a lock."""
+    with contextlib.suppress(OSError):  # another process removed it first, or the folder is not writable
         os.unlink(path)
 
 
--- a/flintridge/telemetry/__init__.py
+++ b/flintridge/telemetry/__init__.py
@@ -1,1 +1,1 @@
-"""What a node reports of itself: log events (`log.EventLog`) and metrics (`counters.Counters`)."""
+"""A node's telemetry: log events (`log.EventLog`) and metrics (`counters.Counters`)."""
--- a/flintridge/telemetry/counters.py
+++ b/flintridge/telemetry/counters.py
@@ -1,4 +1,4 @@
-"""A node's metrics: counts, and histograms of rarer figures; logged on SIGUSR1 and at exit."""
+"""A node's metrics: counts, and histograms of less frequent values; logged on SIGUSR1 and at exit."""
 
 from __future__ import annotations
 
@@ -10,18 +10,18 @@
 
 
 class Counters:
-    """Counts, which are all that a request adds to, and histograms, by name."""
+    """Counts and histograms by name; processing a request updates counts only."""
 
     def __init__(self) -> None:
         self._counts: Counter[str] = Counter()
         self._histograms: dict[str, Histogram] = {}
 
     def add(self, name: str, count: int = 1) -> None:
-        """Add to the count of that name, which begins at 0."""
+        """Add to the count of this name, which starts at 0."""
         self._counts[name] += count
 
     def __getitem__(self, name: str) -> int:
-        """The count of that name; 0 where nothing was added."""
+        """The count of this name; 0 if nothing was added."""
         return self._counts[name]
 
     def snapshot(self) -> dict[str, int]:
@@ -29,23 +29,25 @@
         return dict(sorted(self._counts.items()))
 
     def observe(self, name: str, value: float) -> None:
-        """Add a figure to a histogram.
+        """Add a value to a histogram.
 
         Args:
-            name: The histogram's, which says its unit, as `list_ms`.
-            value: Zero or more.
+            name: The name of the histogram, which ends with its unit, such as `list_ms`.
+            value: A finite number, zero or more.
 
         Raises:
-            ValueError: `value` is no such figure.
+            ValueError: `value` is negative or not finite.
         """
         histogram = self._histograms.get(name)
         if histogram is None:
-            from flintridge.telemetry.histogram import Histogram  # not imported by a node that has none
+            from flintridge.telemetry.histogram import (
+                Histogram,
+            )  # so that a node without histograms does not import it
 
             histogram = Histogram()
             self._histograms[name] = histogram
         histogram.observe(value)
 
     def histograms(self) -> dict[str, dict[str, float]]:
-        """All histograms by name, each as `Histogram.snapshot` has it."""
+        """The `Histogram.snapshot` of each histogram, sorted by name."""
         return {name: histogram.snapshot() for name, histogram in sorted(self._histograms.items())}
--- a/flintridge/telemetry/histogram.py
+++ b/flintridge/telemetry/histogram.py
@@ -1,20 +1,20 @@
-"""A histogram with buckets in geometric progression: figures of any size, within 4.5%, in little memory."""
+"""A histogram with exponential buckets: covers values of any size in little memory, within 4.5%."""
 
 import math
 
 BUCKETS_PER_DOUBLING = 8
-SMALLEST_VALUE = 2.0**-20  # what is less counts as this
+SMALLEST_VALUE = 2.0**-20  # smaller values are counted in this one's bucket
 
 QUANTILES = {"p50": 0.5, "p90": 0.9, "p99": 0.99, "p999": 0.999}
 
 
 class Histogram:
-    """Figures of zero or more, in whatever unit the name of the histogram carries.
+    """A distribution of values of zero or more, in the unit that the histogram's name ends with.
 
     Attributes:
-        count: How many figures there are.
-        total: Their sum.
-        max: The largest; 0 where there are none.
+        count: The number of values.
+        total: The sum of the values.
+        max: The largest value; 0 if there are none.
     """
 
     __slots__ = ("_buckets", "count", "max", "total")
@@ -26,13 +26,13 @@
         self.max = 0.0
 
     def observe(self, value: float) -> None:
-        """Add a figure.
+        """Add a value.
 
         Raises:
-            ValueError: It is not zero or more, or not finite; nothing is counted then.
+            ValueError: The value is negative or not finite; it is not counted.
         """
         if not 0 <= value < math.inf:
-            raise ValueError(f"{value!r} is not a figure of zero or more")
+            raise ValueError(f"{value!r} is not a finite number of zero or more")
         bucket = math.ceil(math.log2(max(value, SMALLEST_VALUE)) * BUCKETS_PER_DOUBLING)
         self._buckets[bucket] = self._buckets.get(bucket, 0) + 1
         self.count += 1
@@ -40,7 +40,7 @@
         self.max = max(self.max, value)
 
     def quantile(self, fraction: float) -> float:
-        """The figure that such a fraction (0 to 1) of all does not exceed; 0 where there are none."""
+        """The value that the given fraction (0 to 1) of all values does not exceed; 0 if there are none."""
         remaining = max(1, math.ceil(fraction * self.count))
         for bucket in sorted(self._buckets):
             remaining -= self._buckets[bucket]
@@ -50,6 +50,6 @@
         return 0.0
 
     def snapshot(self) -> dict[str, float]:
-        """`count`, `total`, `max`, `p50`, `p90`, `p99` and `p999`."""
-        figures = {"count": self.count, "total": self.total, "max": self.max}
-        return figures | {name: self.quantile(fraction) for name, fraction in QUANTILES.items()}
+        """The statistics `count`, `total`, `max`, `p50`, `p90`, `p99` and `p999`."""
+        statistics = {"count": self.count, "total": self.total, "max": self.max}
+        return statistics | {name: self.quantile(fraction) for name, fraction in QUANTILES.items()}
--- a/flintridge/telemetry/log.py
+++ b/flintridge/telemetry/log.py
@@ -1,4 +1,4 @@
-"""The event log: one JSON line an event, with levels, bound context and sampling of repeated events."""
+"""The event log: one JSON line per event, with levels, bound context and sampling of repeated events."""
 
 from __future__ import annotations
 
@@ -10,46 +10,46 @@
 from flintridge.telemetry.sampling import SUMMARY_EVENT, EventSampler
 from flintridge.telemetry.writer import ThreadedWriter
 
-QUEUE_MAX_LINES = 2048  # that wait to be written; more are dropped and counted
-TRACE_MAX_ENTRIES = 4  # of a traceback, the last ones
+QUEUE_MAX_LINES = 2048  # lines that may wait to be written; further ones are dropped and counted
+TRACE_MAX_ENTRIES = 4  # the last entries of a traceback are logged, up to this number
 
 
 class EventLog(Protocol):
-    """What the parts of a node write their events to."""
+    """The interface through which the parts of a node log their events."""
 
     def event(self, event: str, **fields: object) -> None:
-        """Log an event of that name, at the level `info`."""
+        """Log an event with this name at the level `info`."""
 
     def error(self, event: str, error: BaseException, **fields: object) -> None:
-        """Log an event of that name with an error and where it was raised."""
+        """Log an event with this name, an error and where the error was raised."""
 
 
 class BoundLog:
-    """A log whose lines all carry a context: a request's id, a server, an attempt."""
+    """A log that adds context fields to each line, such as a request's id, a server or an attempt."""
 
     def __init__(self, logger: logging.Logger, context: dict[str, object]) -> None:
         self._logger = logger
         self._context = context
 
     def event(self, event: str, **fields: object) -> None:
-        """Log an event of that name, at the level `info`."""
+        """Log an event with this name at the level `info`."""
         self._log(logging.INFO, event, fields)
 
     def debug(self, event: str, **fields: object) -> None:
-        """Log an event for whoever looks for a fault."""
+        """Log an event that helps to diagnose faults, at the level `debug`."""
         self._log(logging.DEBUG, event, fields)
 
     def warning(self, event: str, **fields: object) -> None:
-        """Log an event that an operator should look at."""
+        """Log an event that an operator should look at, at the level `warning`."""
         self._log(logging.WARNING, event, fields)
 
     def error(self, event: str, error: BaseException, **fields: object) -> None:
-        """Log an event of that name with an error and the end of its traceback."""
+        """Log an event with this name, an error and the end of its traceback, at the level `error`."""
         trace = "".join(traceback.format_exception(error)[-TRACE_MAX_ENTRIES:])
         self._log(logging.ERROR, event, {"error": repr(error), "trace": trace, **fields})
 
     def bind(self, **context: object) -> BoundLog:
-        """The same log with more context; a name that is bound already takes its new value."""
+        """Return this log with more context; a field that is already bound gets the new value."""
         return BoundLog(self._logger, {**self._context, **context})
 
     def _log(self, level: int, event: str, fields: dict[str, object]) -> None:
@@ -60,22 +60,23 @@
 
 
 class Log(BoundLog):
-    """The log of one node, written by a thread.
+    """The log of one node, written by a separate thread.
 
     Attributes:
-        logger: The standard library's, of this log alone: whoever embeds a node may add handlers.
+        logger: The standard library's logger, used by this log only. A program that embeds a node may add
+            handlers to it.
     """
 
     def __init__(
         self, name: str, sink: BinaryIO | None = None, level: str = "info", repeats_per_s: int = 0
     ) -> None:
-        """Start the thread that writes.
+        """Start the writer thread.
 
         Args:
-            name: The node's, which all lines carry.
-            sink: Where the lines go; None: standard output.
-            level: Events below it are not written.
-            repeats_per_s: How many events of one name are written in a second; 0: all.
+            name: The node's name, which is a field of every line.
+            sink: The stream that the lines are written to; None for standard output.
+            level: Events below this level are not written.
+            repeats_per_s: How many events of the same name are written per second; 0 for all.
         """
         self.logger = logging.Logger(name, level.upper())
         super().__init__(self.logger, {})
@@ -90,13 +91,13 @@
 
     @property
     def dropped_lines(self) -> int:
-        """How many lines were not written, as too many waited."""
+        """Number of lines that were dropped because the queue was full."""
         return self._writer.dropped_lines
 
     def close(self, timeout_s: float = 1.0) -> None:
-        """Write out what waits, as `ThreadedWriter.finish` limits it."""
+        """Write the queued lines, within the time limits of `ThreadedWriter.finish`."""
         if self._sampler:
-            self._sampler.flush(at_once=True)
+            self._sampler.flush(include_current_second=True)
         if self.dropped_lines:
             self.event("log_lines_dropped", count=self.dropped_lines)
         self._writer.finish(timeout_s)
--- a/flintridge/telemetry/sampling.py
+++ b/flintridge/telemetry/sampling.py
@@ -1,4 +1,4 @@
-"""Sampling of log events: so many of each a second are written, the others counted and summarized."""
+"""Sampling of log events: a limited number of each per second is written, the others are summarized."""
 
 import logging
 import threading
@@ -13,7 +13,7 @@
 
 
 class EventSampler(logging.Filter):
-    """Lets the first events of a name pass in each second, and counts those that it suppresses."""
+    """Passes the first events of each name in every second, and counts the events that it suppresses."""
 
     def __init__(
         self,
@@ -22,13 +22,14 @@
         on_first_suppressed: Callable[[], None] = _do_nothing,
         now_s: Callable[[], float] = time.monotonic,
     ) -> None:
-        """Begin with the second that `now_s` is in.
+        """Start in the current second of `now_s`.
 
         Args:
-            max_per_s: How many events of a name pass in a second.
-            report: Called with an event's name and how many of it were suppressed, once their second is over.
-            on_first_suppressed: Called as the first one of a name is suppressed in a second.
-            now_s: Gives seconds.
+            max_per_s: How many events of the same name pass per second.
+            report: Called with an event's name and its number of suppressed events, after the second in which
+                they were suppressed.
+            on_first_suppressed: Called when the first event of a name is suppressed in a second.
+            now_s: Returns the monotonic time in seconds.
         """
         super().__init__()
         self._max_per_s = max_per_s
@@ -37,16 +38,16 @@
         self._now_s = now_s
         self._current_second = int(now_s())
         self._counts: dict[str, int] = {}  # events in the current second, by name
-        self._lock = threading.Lock()  # the writer's thread calls as well
+        self._lock = threading.Lock()  # the writer's thread calls this object too
 
     @property
     def has_suppressed(self) -> bool:
-        """Whether events were suppressed that have not been reported yet."""
+        """Whether there are suppressed events that have not been reported yet."""
         with self._lock:
             return any(count > self._max_per_s for count in self._counts.values())
 
     def filter(self, record: logging.LogRecord) -> bool:
-        """Whether the record's event passes; summaries always do."""
+        """Whether the record's event passes; summaries always pass."""
         if record.msg == SUMMARY_EVENT:
             return True
         self.flush()
@@ -57,11 +58,15 @@
             self._on_first_suppressed()
         return count <= self._max_per_s
 
-    def flush(self, at_once: bool = False) -> None:
-        """Report what was suppressed in a second that is over; `at_once`: in the current one too."""
+    def flush(self, include_current_second: bool = False) -> None:
+        """Report the events that were suppressed in a second that is over.
+
+        Args:
+            include_current_second: Whether to report those of the current second too.
+        """
         with self._lock:
             second = int(self._now_s())
-            if second == self._current_second and not at_once:
+            if second == self._current_second and not include_current_second:
                 return
             self._current_second = second
             suppressed = {
@@ -70,5 +75,5 @@
                 if count > self._max_per_s
             }
             self._counts.clear()
-        for event, count in suppressed.items():  # outside of the lock: what is reported passes `filter`
+        for event, count in suppressed.items():  # outside the lock, as the summary goes through `filter`
             self._report(event, count)
--- a/flintridge/telemetry/writer.py
+++ b/flintridge/telemetry/writer.py
@@ -1,4 +1,4 @@
-"""Writes log records as JSON lines, in a thread of its own: a blocked pipe must not block the node."""
+"""Writes log records as JSON lines, in a separate thread so that a blocked pipe does not block the node."""
 
 import logging
 import queue
@@ -10,11 +10,11 @@
 
 POLL_INTERVAL_S = 1.0
 
-_WAKE_UP = b""  # no line: the thread asks again whether it polls
+_WAKE_UP = b""  # an empty line, which makes the thread call `should_poll` again
 
 
 def encode_line(record: logging.LogRecord) -> bytes:
-    """A record as one JSON line. The level is in it where it is not `info`."""
+    """Encode a record as one JSON line, which contains the level unless it is `info`."""
     line: dict[str, object] = {"node": record.name, "event": record.msg}
     if record.levelno != logging.INFO:
         line["level"] = record.levelname.lower()
@@ -22,15 +22,16 @@
     try:
         return orjson.dumps({**line, **fields}, default=str, option=orjson.OPT_NON_STR_KEYS) + b"\n"
     except (TypeError, ValueError) as error:
-        # Guards the node against fields that no JSON holds: numbers beyond 64 bits, lone surrogates.
+        # Some fields can't be encoded as JSON, such as numbers beyond 64 bits and lone surrogates. They must
+        # not raise into the node.
         return orjson.dumps({**line, "unserializable": str(error)}) + b"\n"
 
 
 class ThreadedWriter(logging.Handler):
-    """Queues lines for a thread that writes them, and never blocks the caller: a full queue drops them.
+    """Queues lines for a thread that writes them; if the queue is full, drops lines instead of blocking.
 
     Attributes:
-        dropped_lines: How many were dropped.
+        dropped_lines: Number of dropped lines.
     """
 
     def __init__(
@@ -40,34 +41,39 @@
         should_poll: Callable[[], bool],
         on_poll: Callable[[], None],
     ) -> None:
-        """Start the thread.
+        """Start the writer thread.
 
         Args:
-            sink: Where the lines go; the thread alone writes to it.
-            queue_max_lines: How many may wait to be written.
-            should_poll: Asked in the thread whether it is to call `on_poll` while there is nothing to write.
-            on_poll: Called in the thread, POLL_INTERVAL_S after the last line and again.
+            sink: The stream that the lines are written to; only the thread writes to it.
+            queue_max_lines: How many lines may wait to be written.
+            should_poll: Called in the thread; returns whether it should call `on_poll` while the queue is
+                empty.
+            on_poll: Called in the thread POLL_INTERVAL_S after the last line, and then at this interval.
         """
         super().__init__()
         self._sink = sink
         self._should_poll = should_poll
         self._on_poll = on_poll
-        self._queue: queue.Queue[bytes | None] = queue.Queue(queue_max_lines)  # None: the thread ends
+        self._queue: queue.Queue[bytes | None] = queue.Queue(queue_max_lines)  # None ends the thread
         self.dropped_lines = 0
         self._thread = threading.Thread(target=self._write_lines, daemon=True)
         self._thread.start()
 
     def emit(self, record: logging.LogRecord) -> None:
-        """Queue a record's line."""
+        """Queue the line of a record."""
         self._enqueue(encode_line(record))
 
     def wake_up(self) -> None:
-        """Have the thread ask `should_poll` again, as it does by itself after each line."""
+        """Have the thread call `should_poll` again, as it also does after each line."""
         if self._queue.empty():
             self._enqueue(_WAKE_UP)
 
     def finish(self, timeout_s: float) -> None:
-        """Write out what waits. It takes at most so many seconds to queue the end, and as many to write."""
+        """Write the queued lines and end the thread.
+
+        Args:
+            timeout_s: Limits both the wait for room in a full queue and the wait for the thread to end.
+        """
         try:
             self._queue.put(None, timeout=timeout_s)
         except queue.Full:
@@ -93,5 +99,5 @@
                 self._sink.write(line)
                 if self._queue.empty():
                     self._sink.flush()
-            except (OSError, ValueError):  # nobody reads the log any more; there is nowhere to say so
+            except (OSError, ValueError):  # nobody reads the log any more, so the error can't be logged
                 return
--- a/tests/runtime/test_clock.py
+++ b/tests/runtime/test_clock.py
@@ -1,4 +1,4 @@
-"""The clock: how long input may have waited, and time limits."""
+"""The clock: tracking of the arrival of input, timeouts, and steps of the wall clock."""
 
 import asyncio
 from types import SimpleNamespace
@@ -15,19 +15,19 @@
 )
 
 
-def test_earliest_arrival_when_input_was_there_at_once_then_is_the_previous_select(monkeypatch):
+def test_earliest_arrival_when_select_returned_without_waiting_then_is_the_previous_select(monkeypatch):
     times_s = iter([1.0, *(2.0, 2.0), *(2.3, 2.3), *(2.3, 2.9), *(3.2, 3.2)])
     monkeypatch.setattr("flintridge.runtime.clock.time.monotonic", lambda: next(times_s))
     selector = ArrivalTrackingSelector()
     earliest = []
-    for _ in range(4):  # at once, at once, after a wait, and at once behind that
+    for _ in range(4):  # returns immediately, immediately, after a wait, and immediately again
         selector.select(0)
         earliest.append(selector.earliest_arrival_s)
     assert earliest == [1.0, 2.0, 2.9, 2.9]
     selector.close()
 
 
-def test_with_timeout_when_the_result_comes_in_time_then_returns_it():
+def test_with_timeout_when_the_awaitable_completes_in_time_then_returns_its_result():
     clock = ManualClock()
 
     async def respond() -> str:
@@ -35,10 +35,10 @@
         return "done"
 
     assert asyncio.run(with_timeout(clock, 10.0, respond())) == "done"
-    assert [call for _, _, call, _ in clock.due] == [None]  # its timer is cancelled
+    assert [call for _, _, call, _ in clock.due] == [None]  # the timer is cancelled
 
 
-def test_with_timeout_when_the_time_passes_first_then_raises_no_oserror():
+def test_with_timeout_when_the_timeout_expires_first_then_raises_an_error_other_than_oserror():
     async def test():
         clock = ManualClock()
         waiting = asyncio.ensure_future(with_timeout(clock, 10.0, asyncio.Event().wait()))
@@ -55,7 +55,7 @@
     asyncio.run(test())
 
 
-def test_with_timeout_when_its_task_is_cancelled_too_then_lets_the_cancellation_through():
+def test_with_timeout_when_its_task_is_also_cancelled_then_raises_the_cancellation():
     async def test():
         clock = ManualClock()
         waiting = asyncio.ensure_future(with_timeout(clock, 10.0, asyncio.Event().wait()))
@@ -69,9 +69,7 @@
 
 
 @pytest.mark.parametrize("step_s", [-3_600.0, -5.0, 5.0, 3_600.0])
-def test_system_clock_when_the_wall_clock_is_stepped_keeps_its_time_and_what_it_converted(
-    monkeypatch, step_s
-):
+def test_system_clock_when_the_wall_clock_is_stepped_then_keeps_its_time_and_conversions(monkeypatch, step_s):
     times_s = {"wall": 1_700_000_000.0, "loop": 50.0}
     monkeypatch.setattr("flintridge.runtime.clock.time.time", lambda: times_s["wall"])
     clock = SystemClock(SimpleNamespace(time=lambda: times_s["loop"]))
--- a/tests/runtime/test_listener.py
+++ b/tests/runtime/test_listener.py
@@ -1,4 +1,4 @@
-"""Listeners: what accept() may fail with, tried again soon, while serving and at the close."""
+"""Listeners: errors of accept(), which is retried soon, both while serving and while closing."""
 
 import asyncio
 import contextlib
@@ -27,12 +27,12 @@
 
 SHORTAGES = (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM)
 LOCALHOST = Address("127.0.0.1", 0)
-PATIENCE_MS = 50.0
+CLOSE_TIMEOUT_MS = 50.0
 real_accept = socket.socket.accept
 
 
 class FailingAccept:
-    """Stands in for accept(): fails with each of `errors` once, from then on with `lasting` if given."""
+    """Replaces accept(): fails once with each of `errors`, and afterwards with `lasting` if it is set."""
 
     def __init__(self, monkeypatch, *errors: int, lasting: int | None = None) -> None:
         self.errors = list(errors)
@@ -48,10 +48,10 @@
         return real_accept(listening)
 
 
-class Opened:
-    """A listener on a clock set by hand, that answers each connection with a byte; and its clients."""
+class ListenerHarness:
+    """A listener with a manual clock, which answers each connection with one byte, and its clients."""
 
-    async def __aenter__(self) -> "Opened":
+    async def __aenter__(self) -> "ListenerHarness":
         self.clock = ManualClock()
         self.served = 0
         self.queued_since: list[float | None] = []
@@ -71,46 +71,46 @@
         writer.write(b"y")
         writer.close()
 
-    async def paused(self, times: int) -> None:
+    async def wait_for_pauses(self, times: int) -> None:
         await until(lambda: self.counters["accept_pauses"] == times)
 
     async def connect(self) -> asyncio.StreamReader:
-        """Connect; the kernel does it, whether or not the listener accepts."""
+        """Connect; the kernel completes this whether or not the listener accepts."""
         reader, writer = await asyncio.open_connection("127.0.0.1", self.listener.port)
         self.clients.append(writer)
         return reader
 
-    async def close_before(self, count: int) -> list[asyncio.StreamReader]:
-        """Close the listener while connections wait that it has not come to: all in one step of the loop."""
+    async def close_with_waiting(self, count: int) -> list[asyncio.StreamReader]:
+        """Connect `count` clients and close the listener in the same iteration of the event loop."""
         sockets = []
         for _ in range(count):
             sock = socket.create_connection(("127.0.0.1", self.listener.port))
             sock.setblocking(False)
             sockets.append(sock)
-        self.listener.close(PATIENCE_MS)
+        self.listener.close(CLOSE_TIMEOUT_MS)
         opened = [await asyncio.open_connection(sock=sock) for sock in sockets]
         self.clients += [writer for _, writer in opened]
         return [reader for reader, _ in opened]
 
 
 @pytest.mark.parametrize("error", [*SHORTAGES, *sorted(CONNECTION_ERRNOS)])
-def test_accept_when_it_fails_once_then_the_connection_is_served_at_once(monkeypatch, error):
+def test_accept_when_it_fails_once_then_the_connection_is_served_immediately(monkeypatch, error):
     async def test():
-        async with Opened() as opened:
+        async with ListenerHarness() as harness:
             accept = FailingAccept(monkeypatch, error)
-            reader = await opened.connect()
-            assert await reader.read() == b"y"  # the clock has stood still
+            reader = await harness.connect()
+            assert await reader.read() == b"y"  # the clock has not advanced
             assert accept.errors == []
-            await opened.connect()
-            await until(lambda: opened.served == 2, turns=100)  # the event loop's server would pause now
-            assert opened.counters["accept_pauses"] == 0
-            failures = opened.counters["accept_shortages"], opened.counters["accept_connection_errors"]
+            await harness.connect()
+            await until(lambda: harness.served == 2, turns=100)  # asyncio's own server would pause here
+            assert harness.counters["accept_pauses"] == 0
+            failures = harness.counters["accept_shortages"], harness.counters["accept_connection_errors"]
             assert failures == ((1, 0) if error in SHORTAGES else (0, 1))
 
     asyncio.run(asyncio.wait_for(test(), 60))
 
 
-def test_classify_when_given_any_error_then_only_an_empty_queue_ends_the_turn():
+def test_classify_when_given_any_error_then_only_eagain_means_that_no_connection_waits():
     assert classify(BlockingIOError(errno.EAGAIN, "")) is AcceptResult.NONE_WAITING
     assert {classify(OSError(code, "")) for code in CONNECTION_ERRNOS} == {AcceptResult.CONNECTION_FAILED}
     others = set(errno.errorcode) - CONNECTION_ERRNOS - {errno.EAGAIN}
@@ -119,77 +119,77 @@
 
 
 @pytest.mark.parametrize("error", [errno.ENFILE, errno.EPERM])
-def test_accept_when_it_keeps_failing_then_pauses_shortly_and_never_spins(monkeypatch, error):
+def test_accept_when_it_keeps_failing_then_pauses_shortly_and_does_not_spin(monkeypatch, error):
     async def test():
-        async with Opened() as opened:
+        async with ListenerHarness() as harness:
             accept = FailingAccept(monkeypatch, lasting=error)
-            reader = await opened.connect()
+            reader = await harness.connect()
             pause_ms = FIRST_PAUSE_MS
             for pauses in range(1, 8):
-                await opened.paused(pauses)
+                await harness.wait_for_pauses(pauses)
                 calls = accept.calls
                 for _ in range(50):
                     await asyncio.sleep(0)
                 assert accept.calls == calls
-                opened.clock.advance(pause_ms)
+                harness.clock.advance(pause_ms)
                 pause_ms = min(2 * pause_ms, MAX_PAUSE_MS)
             assert pause_ms == MAX_PAUSE_MS
-            await opened.paused(8)
+            await harness.wait_for_pauses(8)
             accept.lasting = None
-            opened.clock.advance(MAX_PAUSE_MS)
+            harness.clock.advance(MAX_PAUSE_MS)
             assert await reader.read() == b"y"
 
     asyncio.run(asyncio.wait_for(test(), 60))
 
 
 @pytest.mark.parametrize("error", SHORTAGES)
-def test_close_when_accept_fails_for_a_moment_then_what_waits_is_served(monkeypatch, error):
+def test_close_when_accept_fails_briefly_then_waiting_connections_are_served(monkeypatch, error):
     async def test():
-        async with Opened() as opened:
+        async with ListenerHarness() as harness:
             FailingAccept(monkeypatch, error, error, error)
-            readers = await opened.close_before(8)
+            readers = await harness.close_with_waiting(8)
             assert [await reader.read() for reader in readers] == [b"y"] * 8
-            assert not opened.listener.has_handovers
+            assert not harness.listener.has_handovers
             with pytest.raises(ConnectionRefusedError):
-                await opened.connect()
+                await harness.connect()
 
     asyncio.run(asyncio.wait_for(test(), 60))
 
 
-def test_close_when_accept_fails_for_longer_then_the_listener_stays_open_and_tries_on(monkeypatch):
+def test_close_when_accept_fails_for_longer_then_the_listener_stays_open_and_retries(monkeypatch):
     async def test():
-        async with Opened() as opened:
+        async with ListenerHarness() as harness:
             accept = FailingAccept(monkeypatch, lasting=errno.EMFILE)
-            readers = await opened.close_before(3)
-            for _ in range(int(PATIENCE_MS / CLOSE_PAUSE_MS) - 1):
-                opened.clock.advance(CLOSE_PAUSE_MS)
-                assert opened.listener.has_handovers
-                assert not opened.listener.is_open
-            readers.append(await opened.connect())
+            readers = await harness.close_with_waiting(3)
+            for _ in range(int(CLOSE_TIMEOUT_MS / CLOSE_PAUSE_MS) - 1):
+                harness.clock.advance(CLOSE_PAUSE_MS)
+                assert harness.listener.has_handovers
+                assert not harness.listener.is_open
+            readers.append(await harness.connect())
             accept.lasting = None
-            opened.clock.advance(CLOSE_PAUSE_MS)
+            harness.clock.advance(CLOSE_PAUSE_MS)
             assert [await reader.read() for reader in readers] == [b"y"] * 4
-            assert not opened.listener.has_handovers
-            assert opened.counters["connections_given_up"] == 0
+            assert not harness.listener.has_handovers
+            assert harness.counters["connections_given_up"] == 0
 
     asyncio.run(asyncio.wait_for(test(), 60))
 
 
 @pytest.mark.parametrize("again", [False, True])
-def test_close_when_accept_never_works_then_says_what_it_gave_up_when_its_time_is_over(monkeypatch, again):
+def test_close_when_accept_never_works_then_counts_the_lost_connections_at_the_timeout(monkeypatch, again):
     async def test():
-        async with Opened() as opened:
+        async with ListenerHarness() as harness:
             accept = FailingAccept(monkeypatch, lasting=errno.ENFILE)
-            readers = await opened.close_before(3)
-            assert opened.listener.has_handovers
+            readers = await harness.close_with_waiting(3)
+            assert harness.listener.has_handovers
             if again:
-                opened.listener.close()  # the process ends now
+                harness.listener.close()  # as when the process ends
             else:
-                opened.clock.advance(PATIENCE_MS)
-            assert not opened.listener.has_handovers
-            assert opened.counters["connections_given_up"] == 3
+                harness.clock.advance(CLOSE_TIMEOUT_MS)
+            assert not harness.listener.has_handovers
+            assert harness.counters["connections_given_up"] == 3
             calls = accept.calls
-            opened.clock.advance(1000.0)
+            harness.clock.advance(1000.0)
             assert accept.calls == calls
             for reader in readers:
                 with contextlib.suppress(ConnectionResetError):
@@ -198,36 +198,36 @@
     asyncio.run(asyncio.wait_for(test(), 60))
 
 
-def test_close_when_accept_fails_though_nothing_waits_then_it_is_over_at_once(monkeypatch):
-    """As Linux does it without a free descriptor, before it looks whether a connection waits."""
+def test_close_when_accept_fails_and_no_connection_waits_then_closes_immediately(monkeypatch):
+    """Without a free descriptor, Linux fails accept() before it checks whether a connection waits."""
 
     async def test():
-        async with Opened() as opened:
+        async with ListenerHarness() as harness:
             accept = FailingAccept(monkeypatch, lasting=errno.EMFILE)
-            opened.listener.close(PATIENCE_MS)
-            assert not opened.listener.has_handovers
+            harness.listener.close(CLOSE_TIMEOUT_MS)
+            assert not harness.listener.has_handovers
             assert accept.calls < CLOSE_MAX_FAILURES
-            assert opened.counters["connections_given_up"] == 0
+            assert harness.counters["connections_given_up"] == 0
 
     asyncio.run(asyncio.wait_for(test(), 60))
 
 
-def test_close_when_accept_works_again_in_a_pause_then_no_pause_follows(monkeypatch):
+def test_close_when_accept_works_again_during_a_pause_then_no_pause_follows(monkeypatch):
     async def test():
-        async with Opened() as opened:
+        async with ListenerHarness() as harness:
             accept = FailingAccept(monkeypatch, lasting=errno.ENFILE)
-            reader = await opened.connect()
-            await opened.paused(1)
+            reader = await harness.connect()
+            await harness.wait_for_pauses(1)
             accept.lasting = None
-            opened.listener.close(PATIENCE_MS)
+            harness.listener.close(CLOSE_TIMEOUT_MS)
             assert await reader.read() == b"y"
-            opened.clock.advance(1000.0)
-            assert not opened.listener.has_handovers
+            harness.clock.advance(1000.0)
+            assert not harness.listener.has_handovers
 
     asyncio.run(asyncio.wait_for(test(), 60))
 
 
-def test_leave_when_accept_fails_at_its_end_then_what_was_connected_by_then_is_answered(monkeypatch):
+def test_leave_when_accept_fails_at_its_end_then_clients_connected_by_then_are_answered(monkeypatch):
     async def test():
         async with DownstreamHarness() as harness:
             started_at = harness.clock.now()
@@ -242,7 +242,7 @@
             await run_loop_turns()
             harness.clock.advance(SHUTDOWN_POLL_MS)
             await run_loop_turns()
-            assert not leaving.done()  # it has nothing open, but a connection waits
+            assert not leaving.done()  # no connection is open, but one waits to be accepted
             accept.lasting = None
             harness.clock.advance(SHUTDOWN_POLL_MS)
             await until(lambda: harness.request_count == 1)
@@ -256,9 +256,9 @@
     asyncio.run(asyncio.wait_for(test(), 60))
 
 
-def test_close_when_the_system_does_not_tell_how_many_wait_then_goes_on_as_if_one_did(monkeypatch):
+def test_close_when_the_number_of_waiting_connections_is_unknown_then_assumes_one(monkeypatch):
     async def test():
-        async with Opened() as opened:
+        async with ListenerHarness() as harness:
             accept = FailingAccept(monkeypatch, lasting=errno.ENOMEM)
 
             def getsockopt(*_: object) -> bytes:
@@ -266,59 +266,59 @@
 
             with monkeypatch.context() as patched:
                 patched.setattr(socket.socket, "getsockopt", getsockopt)
-                (reader,) = await opened.close_before(1)
-                assert opened.listener.has_handovers
+                (reader,) = await harness.close_with_waiting(1)
+                assert harness.listener.has_handovers
             accept.lasting = None
-            opened.clock.advance(CLOSE_PAUSE_MS)
+            harness.clock.advance(CLOSE_PAUSE_MS)
             assert await reader.read() == b"y"
-            assert not opened.listener.has_handovers
+            assert not harness.listener.has_handovers
 
     asyncio.run(asyncio.wait_for(test(), 60))
 
 
-def test_accept_when_it_can_not_be_watched_again_after_a_pause_then_pauses_once_more(monkeypatch):
+def test_accept_when_the_socket_can_not_be_registered_after_a_pause_then_pauses_again(monkeypatch):
     async def test():
-        async with Opened() as opened:
+        async with ListenerHarness() as harness:
             accept = FailingAccept(monkeypatch, lasting=errno.ENOMEM)
-            reader = await opened.connect()
-            await opened.paused(1)
+            reader = await harness.connect()
+            await harness.wait_for_pauses(1)
             with monkeypatch.context() as patched:
-                patched.setattr(asyncio.get_running_loop(), "add_reader", fail_for_want_of_memory)
-                opened.clock.advance(FIRST_PAUSE_MS)
-            assert opened.counters["accept_pauses"] == 2
+                patched.setattr(asyncio.get_running_loop(), "add_reader", raise_out_of_memory)
+                harness.clock.advance(FIRST_PAUSE_MS)
+            assert harness.counters["accept_pauses"] == 2
             accept.lasting = None
-            opened.clock.advance(2 * FIRST_PAUSE_MS)
+            harness.clock.advance(2 * FIRST_PAUSE_MS)
             assert await reader.read() == b"y"
 
     asyncio.run(asyncio.wait_for(test(), 60))
 
 
-def fail_for_want_of_memory(*_: object) -> None:
+def raise_out_of_memory(*_: object) -> None:
     raise OSError(errno.ENOMEM, os.strerror(errno.ENOMEM))
 
 
-def test_accept_when_a_request_waited_with_its_connection_then_says_since_when(monkeypatch):
-    """Its client's time runs while accept() fails: a server must not be told of more than is left."""
+def test_accept_when_a_request_waited_with_its_connection_then_reports_since_when(monkeypatch):
+    """The client's timeout runs while accept() fails: servers must not be sent a longer time than remains."""
 
     async def test():
-        async with Opened() as opened:
+        async with ListenerHarness() as harness:
             accept = FailingAccept(monkeypatch, lasting=errno.ENFILE)
-            failing_since = opened.clock.now()
-            await opened.connect()
-            opened.clients[-1].write(b"request")
-            await opened.connect()
+            failing_since = harness.clock.now()
+            await harness.connect()
+            harness.clients[-1].write(b"request")
+            await harness.connect()
             for pauses in range(1, 8):
-                await opened.paused(pauses)
-                opened.clock.advance(MAX_PAUSE_MS)
-            await opened.paused(8)
+                await harness.wait_for_pauses(pauses)
+                harness.clock.advance(MAX_PAUSE_MS)
+            await harness.wait_for_pauses(8)
             accept.lasting = None
-            opened.clock.advance(MAX_PAUSE_MS)
-            await until(lambda: opened.served == 2)
-            assert opened.queued_since == [failing_since, None]  # the other's request is still to come
-            opened.clock.advance(500.0)
-            await opened.connect()
-            opened.clients[-1].write(b"request")
-            await until(lambda: opened.served == 3)
-            assert opened.queued_since[-1] is None
+            harness.clock.advance(MAX_PAUSE_MS)
+            await until(lambda: harness.served == 2)
+            assert harness.queued_since == [failing_since, None]  # the second client has sent no request yet
+            harness.clock.advance(500.0)
+            await harness.connect()
+            harness.clients[-1].write(b"request")
+            await until(lambda: harness.served == 3)
+            assert harness.queued_since[-1] is None
 
     asyncio.run(asyncio.wait_for(test(), 60))
--- a/tests/runtime/test_streams.py
+++ b/tests/runtime/test_streams.py
@@ -1,4 +1,4 @@
-"""Streams: what is noticed of a connection, and when."""
+"""Streams: counting of bytes, detection of a connection's end, and bounded reads."""
 
 import asyncio
 
@@ -17,7 +17,7 @@
 
 
 class Connection:
-    """A connection to a server in this process, whose own end is `peer`."""
+    """A connection to a server in this process; `peer` is the server's end of it."""
 
     async def __aenter__(self) -> "Connection":
         accepted = asyncio.get_running_loop().create_future()
@@ -38,7 +38,7 @@
         await self._server.wait_closed()
 
 
-def test_reader_when_bytes_arrive_then_counts_them_and_those_that_are_read():
+def test_reader_when_bytes_arrive_then_counts_the_received_and_the_read_ones():
     async def test():
         async with Connection() as connection:
             assert is_reusable(connection.reader, connection.writer)
@@ -54,7 +54,7 @@
     asyncio.run(test())
 
 
-def test_reader_when_the_stream_ends_behind_unread_bytes_then_reports_it_at_once():
+def test_reader_when_the_stream_ends_after_unread_bytes_then_reports_the_end_immediately():
     async def test():
         async with Connection() as connection:
             ends = []
@@ -89,7 +89,7 @@
     asyncio.run(test())
 
 
-def test_pending_input_when_the_event_loop_has_not_read_it_then_is_seen_and_can_be_discarded():
+def test_pending_input_when_the_event_loop_has_not_read_it_then_is_detected_and_can_be_discarded():
     async def test():
         async with Connection() as connection:
             connection.transport.pause_reading()
--- a/tests/runtime/test_worker_processes.py
+++ b/tests/runtime/test_worker_processes.py
@@ -1,4 +1,4 @@
-"""The count of a node's processes, by locks that end with them, among the files that dead ones left."""
+"""The count of a node's processes by their file locks, also when ended processes left files behind."""
 
 import errno
 import fcntl
@@ -45,7 +45,7 @@
 
 
 class FailingCall:
-    """Stands in for a system call: fails `times` times, where its first argument has `part` in it."""
+    """Replaces a system call: fails `times` times, in calls whose first argument contains `part`."""
 
     def __init__(self, monkeypatch, module, name: str, code: int, times: int, part: str = "") -> None:
         self.real = getattr(module, name)
@@ -62,7 +62,7 @@
 
 
 def hold_lock(path) -> int:
-    """As a process does; the descriptor, with which the lock ends."""
+    """Lock a file as a process of the node does; closing the returned descriptor releases the lock."""
     descriptor = os.open(path, os.O_RDWR | os.O_CREAT)
     fcntl.flock(descriptor, fcntl.LOCK_EX)
     return descriptor
@@ -77,7 +77,7 @@
 
 
 @pytest.mark.parametrize("end", [signal.SIGKILL, None])
-def test_count_when_another_process_starts_and_ends_then_follows_however_it_ended(tmp_path, end):
+def test_count_when_another_process_starts_and_ends_then_follows_regardless_of_how_it_ended(tmp_path, end):
     processes, clock, counts = start_counting(tmp_path / "node")
     assert processes.count == 1
     assert counts == []
@@ -117,7 +117,7 @@
     processes.close()
 
 
-def test_limits_when_two_processes_run_then_are_shared_by_both(tmp_path):
+def test_limits_when_two_processes_run_then_are_divided_between_them(tmp_path):
     config = node_config(
         {
             "settings": {}, "listen": "127.0.0.1:7", "discovery": "127.0.0.1:8",
@@ -146,7 +146,7 @@
 
 
 @pytest.mark.parametrize("second_started_ns", [1, 2, 3])
-def test_order_when_the_wall_clock_was_stepped_between_the_starts_then_holds_all_the_same(
+def test_order_when_the_wall_clock_was_stepped_between_the_starts_then_is_still_correct(
     tmp_path, second_started_ns
 ):
     both = [start_counting(tmp_path) for _ in range(2)]
@@ -155,7 +155,7 @@
         clock.advance(COUNT_INTERVAL_MS)
     assert [processes.index_of_other() for processes, _, _ in both] == [1, 0]
     both[0][0].close()
-    later, later_clock, _ = start_counting(tmp_path)  # after one that is not the first any more
+    later, later_clock, _ = start_counting(tmp_path)  # the remaining process is no longer the first
     later_clock.advance(COUNT_INTERVAL_MS)
     assert later.index_of_other() == 0
     assert both[1][0].index_of_other() == 1
@@ -163,10 +163,10 @@
     both[1][0].close()
 
 
-def test_order_when_two_start_at_once_then_is_not_known(tmp_path, monkeypatch):
+def test_order_when_two_start_simultaneously_then_is_unknown(tmp_path, monkeypatch):
     first, first_clock, _ = start_counting(tmp_path)
     with monkeypatch.context() as patched:
-        patched.setattr(os, "listdir", lambda _: [])  # as they were before the first one's file came
+        patched.setattr(os, "listdir", lambda _: [])  # the folder before the first process created its file
         second, second_clock, _ = start_counting(tmp_path)
     for clock in (first_clock, second_clock):
         clock.advance(COUNT_INTERVAL_MS)
@@ -177,11 +177,13 @@
 
 
 @pytest.mark.parametrize("at_start", [True, False])
-def test_order_when_the_other_is_of_an_earlier_version_then_goes_by_who_found_whom(tmp_path, at_start):
+def test_order_when_the_other_is_of_an_earlier_version_then_depends_on_which_file_existed_first(
+    tmp_path, at_start
+):
     if at_start:
         descriptor = hold_lock(tmp_path / "7-0")
     processes, clock, _ = start_counting(tmp_path)
-    if not at_start:  # the upgrade was taken back
+    if not at_start:  # the upgrade was rolled back
         descriptor = hold_lock(tmp_path / "7-0")
     os.utime(tmp_path / "7-0", ns=(1, 1))
     clock.advance(COUNT_INTERVAL_MS)
@@ -191,7 +193,7 @@
     processes.close()
 
 
-def test_order_when_the_other_holds_a_file_of_an_unknown_name_then_is_not_known(tmp_path):
+def test_order_when_the_name_of_the_other_file_is_not_recognized_then_is_unknown(tmp_path):
     descriptor = hold_lock(tmp_path / "of-a-later-version")
     processes, clock, _ = start_counting(tmp_path)
     clock.advance(COUNT_INTERVAL_MS)
@@ -209,9 +211,7 @@
         (os, "stat", "node/"),  # of the lock file
     ],
 )
-def test_start_when_it_fails_once_then_is_tried_again_with_each_count(
-    tmp_path, monkeypatch, module, call, part, code
-):
+def test_start_when_it_fails_then_is_retried_with_each_count(tmp_path, monkeypatch, module, call, part, code):
     descriptors = len(os.listdir("/proc/self/fd"))
     with monkeypatch.context() as patched:
         failing = FailingCall(patched, module, call, code, times=2, part=part)
@@ -227,7 +227,7 @@
     other, other_clock, _ = start_counting(tmp_path / "node")
     clock.advance(COUNT_INTERVAL_MS)
     assert (late.count, other.count) == (2, 2)
-    assert (late.index_of_other(), other.index_of_other()) == (None, None)  # it listened for a while by then
+    assert (late.index_of_other(), other.index_of_other()) == (None, None)  # `late` had listened before
     late.close()
     other_clock.advance(COUNT_INTERVAL_MS)
     assert other.count == 1
@@ -235,7 +235,7 @@
     assert len(os.listdir("/proc/self/fd")) == descriptors
 
 
-def test_start_when_it_fails_then_the_others_are_counted_all_the_same(tmp_path, monkeypatch):
+def test_start_when_it_fails_then_the_others_are_still_counted(tmp_path, monkeypatch):
     other, other_clock, _ = start_counting(tmp_path)
     with monkeypatch.context() as patched:
         FailingCall(patched, worker_processes, "_create_locked", errno.ENOSPC, times=1)
@@ -257,7 +257,7 @@
         *((os, "listdir", code) for code in (errno.EMFILE, errno.ENFILE, errno.ENOMEM, errno.EIO)),
     ],
 )
-def test_count_when_a_file_cannot_be_looked_at_then_the_last_count_holds(
+def test_count_when_a_file_cannot_be_checked_then_the_last_count_is_kept(
     tmp_path, monkeypatch, module, call, code
 ):
     log = RecordingLog()
@@ -277,7 +277,7 @@
     processes.close()
 
 
-def test_count_when_what_was_left_behind_cannot_be_removed_then_it_does_not_count(tmp_path, monkeypatch):
+def test_count_when_a_file_left_behind_cannot_be_removed_then_it_is_not_counted(tmp_path, monkeypatch):
     (tmp_path / "7-0").write_text("left behind")
     (tmp_path / "folder").mkdir()
     FailingCall(monkeypatch, os, "unlink", errno.EROFS, times=8)
@@ -289,7 +289,7 @@
     clock.advance(COUNT_INTERVAL_MS)
 
 
-def test_start_when_others_always_take_the_lock_then_ends_and_is_tried_again(tmp_path, monkeypatch):
+def test_start_when_others_always_take_the_lock_then_stops_and_is_retried(tmp_path, monkeypatch):
     log = RecordingLog()
     attempts = []
     with monkeypatch.context() as patched:
--- a/tests/telemetry/test_log_writer.py
+++ b/tests/telemetry/test_log_writer.py
@@ -1,4 +1,4 @@
-"""The thread that writes the log."""
+"""The writer thread of the log."""
 
 import io
 import threading
@@ -8,7 +8,7 @@
 from flintridge.telemetry.log import QUEUE_MAX_LINES, Log
 
 
-def test_log_when_its_sink_blocks_then_drops_lines_and_blocks_nobody():
+def test_log_when_its_sink_blocks_then_drops_lines_and_does_not_block_the_caller():
     class BlockedSink(io.BytesIO):
         def write(self, data):
             unblocked.wait()
