--- a/benchmarks/__init__.py
+++ b/benchmarks/__init__.py
@@ -1,1 +1,1 @@
-"""What the node, the policy and the lab cost, and what their mechanisms gain."""
+"""Benchmarks of the cost of the node, the policy and the lab, and of the gain by the node's mechanisms."""
--- a/benchmarks/budget_days.py
+++ b/benchmarks/budget_days.py
@@ -1,9 +1,10 @@
-"""Random days of processes that lend one another parts of budgets, by seed: is the sum ever over?
+"""Checks in random runs that processes which lease fractions of a limit never exceed it together.
 
-    python -m benchmarks.budget_days --days 500 --count 20 --jobs 4      # some minutes
+    python -m benchmarks.budget_days --days 500 --count 20 --jobs 4      # takes some minutes
 
-Virtual time; `flintridge/lab/partial/lease_fleet.py` tells what happens in a day. Exit code 1 if the sum of
-what all may use was ever over the budget, looked at each 20 ms and by each process's own clock.
+The runs are in virtual time, one for each seed; `flintridge/lab/partial/lease_fleet.py` defines their events.
+The exit code is 1 if the sum of the usable fractions ever exceeded the limit. It is checked every 20 ms, with
+each process's own clock.
 """
 
 import sys
@@ -15,7 +16,7 @@
 
 
 def main() -> None:
-    """Play what the arguments ask for and print it."""
+    """Run the benchmark that the arguments describe, and print the results."""
     parser = harness.argument_parser(__doc__)
     parser.add_argument("--days", type=int, default=500)
     harness.add_first_seed(parser)
@@ -25,22 +26,22 @@
     started_at = time.perf_counter()
     seeds = range(arguments.first, arguments.first + arguments.days)
     with ProcessPoolExecutor(arguments.jobs) as pool:
-        days = list(pool.map(random_run, seeds, [arguments.count] * arguments.days, chunksize=4))
-    over = [day for day in days if day.violations]
-    deeds: dict[str, int] = {}
-    for day in days:
-        for name, count in day.event_counts.items():
-            deeds[name] = deeds.get(name, 0) + count
-    print(f"{len(days)} days of {arguments.count} nodes and 30 s, seeds {seeds[0]} to {seeds[-1]}")
-    print(f"loans granted: {sum(day.granted_count for day in days):,}; days without any:", end=" ")
-    print(sum(not day.granted_count for day in days))
-    greatest = max(day.max_usable for day in days)
-    print(f"greatest sum of one budget, in parts of {arguments.count}: {greatest:.3f}")
-    print("what happened:", ", ".join(f"{name} {count:,}" for name, count in sorted(deeds.items())))
-    print(f"days over: {len(over)}; {time.perf_counter() - started_at:.0f} s")
-    for day in over[:10]:
-        print(f"  seed {day.seed}: {day.violations[0]}")
-    sys.exit(bool(over))
+        runs = list(pool.map(random_run, seeds, [arguments.count] * arguments.days, chunksize=4))
+    violating = [run for run in runs if run.violations]
+    event_counts: dict[str, int] = {}
+    for run in runs:
+        for name, count in run.event_counts.items():
+            event_counts[name] = event_counts.get(name, 0) + count
+    print(f"{len(runs)} runs of {arguments.count} nodes and 30 s, seeds {seeds[0]} to {seeds[-1]}")
+    print(f"leases granted: {sum(run.granted_count for run in runs):,}; runs without any:", end=" ")
+    print(sum(not run.granted_count for run in runs))
+    max_usable = max(run.max_usable for run in runs)
+    print(f"greatest sum of one limit, in even fractions, of {arguments.count}: {max_usable:.3f}")
+    print("events by type:", ", ".join(f"{name} {count:,}" for name, count in sorted(event_counts.items())))
+    print(f"runs beyond the limit: {len(violating)}; {time.perf_counter() - started_at:.0f} s")
+    for run in violating[:10]:
+        print(f"  seed {run.seed}: {run.violations[0]}")
+    sys.exit(bool(violating))
 
 
 if __name__ == "__main__":
--- a/benchmarks/budget_process_days.py
+++ b/benchmarks/budget_process_days.py
@@ -1,11 +1,12 @@
-"""Random days of real processes that lend one another parts of a strict quota, by what got to servers.
+"""Checks in random runs of real processes, which lease fractions of a strict quota, what arrived at servers.
 
-    python -m benchmarks.budget_process_days --days 50 --jobs 3         # 15 s a day
+    python -m benchmarks.budget_process_days --days 50 --jobs 3         # 15 s per run
 
-Five nodes with relays between any two; more load at one zone's nodes than their even parts. Several faults at
-once, by seed: ways cut, one-way, lossy, slow, doubling; processes killed, stopped and restarted in order. The
-rule `quota_sum` knows the records of servers and clients alone. Exit code 1 if it was broken. Others, which
-a busy machine may seem to break in real time (late answers), are counted beside it.
+Five nodes with a relay between any two; the nodes of one zone get more load than their even fractions. The
+seed determines the faults, several of which act at the same time: links that are cut, cut in one direction,
+lossy, slow or duplicate datagrams; processes that are killed, paused or restarted in order. The rule
+`quota_sum` uses only the records of servers and clients. The exit code is 1 if it was violated. Violations of
+other rules are counted as well: in real time, a busy machine may cause them (late responses).
 """
 
 import json
@@ -26,8 +27,8 @@
 LENGTH_S = 12.0
 
 
-def day(seed: int) -> dict[str, Any]:
-    """The scenario of a seed: load beyond the even parts of one zone, and faults at random."""
+def random_scenario(seed: int) -> dict[str, Any]:
+    """The scenario of a seed: load beyond the even fractions of one zone's nodes, and random faults."""
     rng = Random(seed)
     faults: list[dict[str, Any]] = []
     at = 0.0
@@ -62,11 +63,11 @@
     }
 
 
-def play(seed: int) -> dict[str, Any]:
-    """The result of a day, or why it was not played."""
+def run_seed(seed: int) -> dict[str, Any]:
+    """The result of a run, or the error output of a run that produced none."""
     with tempfile.TemporaryDirectory() as folder:
         scenario, result = Path(folder, "day.toml"), Path(folder, "day.json")
-        scenario.write_text(tomli_w.dumps(day(seed)))
+        scenario.write_text(tomli_w.dumps(random_scenario(seed)))
         command = ["lab", "run", str(scenario), "--backend", "loopback", "--seed", str(seed)]
         done = subprocess.run(
             [sys.executable, "-m", "flintridge.cli", *command, "--json", str(result)],
@@ -75,37 +76,41 @@
         )
         if not result.exists():
             return {"seed": seed, "not_played": done.stderr[-300:]}
-        figures: dict[str, Any] = json.loads(result.read_text())
-        return {"seed": seed} | figures
+        fields: dict[str, Any] = json.loads(result.read_text())
+        return {"seed": seed} | fields
 
 
 def main() -> None:
-    """Play what the arguments ask for and print it."""
+    """Run the benchmark that the arguments describe, and print the results."""
     parser = harness.argument_parser(__doc__)
     parser.add_argument("--days", type=int, default=50)
     harness.add_first_seed(parser)
     harness.add_jobs(parser, 3)
     arguments = parser.parse_args()
     with ThreadPoolExecutor(arguments.jobs) as pool:
-        days = list(pool.map(play, range(arguments.first, arguments.first + arguments.days)))
-    failed = [one for one in days if "not_played" in one or one["ended"] != "whole"]
-    whole = [one for one in days if one not in failed]
+        runs = list(pool.map(run_seed, range(arguments.first, arguments.first + arguments.days)))
+    failed = [run for run in runs if "not_played" in run or run["ended"] != "whole"]
+    completed = [run for run in runs if run not in failed]
     rules: Counter[str] = Counter()
     counts: Counter[str] = Counter()
-    for one in whole:
-        rules.update({rule: count for rule, count in one["rules"].items() if count})
-        for seen in one["counters"].values():
+    for run in completed:
+        rules.update({rule: count for rule, count in run["rules"].items() if count})
+        for counters in run["counters"].values():
             counts.update(
-                {name.removeprefix("leases_"): seen[name] for name in seen if name.startswith("leases_")}
+                {
+                    name.removeprefix("leases_"): counters[name]
+                    for name in counters
+                    if name.startswith("leases_")
+                }
             )
-    print(f"{len(days)} days of {NODES} processes and {LENGTH_S:g} s; not played to their end: {len(failed)}")
-    print("rules broken:", ", ".join(f"{rule} {count}" for rule, count in rules.items()) or "none")
-    print("told by processes that ended in order:", ", ".join(f"{n} {c}" for n, c in sorted(counts.items())))
-    for one in whole:
-        for breach in one["breaches"]:
-            print(f"  seed {one['seed']}, {breach['rule']}: {breach['text']}")
-    for one in failed[:5]:
-        print(f"  seed {one['seed']}: {one.get('not_played') or one['ended']}")
+    print(f"{len(runs)} runs of {NODES} processes and {LENGTH_S:g} s; not completed: {len(failed)}")
+    print("rules violated:", ", ".join(f"{rule} {count}" for rule, count in rules.items()) or "none")
+    print("counts of processes shut down in order:", ", ".join(f"{n} {c}" for n, c in sorted(counts.items())))
+    for run in completed:
+        for violation in run["breaches"]:
+            print(f"  seed {run['seed']}, {violation['rule']}: {violation['text']}")
+    for run in failed[:5]:
+        print(f"  seed {run['seed']}: {run.get('not_played') or run['ended']}")
     sys.exit(bool(rules["quota_sum"] or rules["budget_sum"] or failed))
 
 
--- a/benchmarks/budget_silence.py
+++ b/benchmarks/budget_silence.py
@@ -1,10 +1,10 @@
-"""A node that hears nothing for a minute under full load: does it hold its even part, and no more?
+"""Checks that a node which is cut off for a minute under full load uses exactly its even fraction.
 
     python -m benchmarks.budget_silence --seconds 60
 
-Three real processes with strict quotas; the crowded one borrows, then its ways are cut. Its console is
-asked ten times a second. Exit code 1 if it told anything but its even part once its loans were over, or if
-more arrived at the servers than the quota allows.
+Three real processes with strict quotas run. The one with the most load borrows, then its links to the others
+are cut. Its admin API is polled ten times a second. The exit code is 1 if it reported anything but its even
+fraction after its leases had expired, or if more requests arrived at the servers than the quota allows.
 """
 
 import asyncio
@@ -35,8 +35,8 @@
 )
 
 
-async def play(seconds: float) -> bool:
-    """Whether the node held its even part, and the servers got no more than the quota."""
+async def check_cut_off_node(seconds: float) -> bool:
+    """Whether the node used its even fraction, and the servers got no more than the quota."""
     async with Rig(3, 1, SCENARIO, loaded=True) as rig:
         await rig.wait_until(rig.all_reachable)
 
@@ -44,29 +44,32 @@
             response = await rig.request_admin("n0", "/admin/budgets")
             return float("nan") if response is None else response["budgets"][0]["usable"]
 
-        while not await usable() > 1.05:  # noqa: ASYNC110  the console is all there is to ask
+        while not await usable() > 1.05:  # noqa: ASYNC110  the admin API can only be polled
             await asyncio.sleep(POLL_S)
         before = await usable()
         rig.cut([0], [1, 2])
         await asyncio.sleep(LEASE_MS * 1.02 / 0.98 / 1000)
         end = time.monotonic() + seconds
-        seen = []
+        fractions = []
         while time.monotonic() < end:
-            seen.append(await usable())
+            fractions.append(await usable())
             await asyncio.sleep(POLL_S)
         findings = Findings(rules.RULES)
         rules.check(History(rig.log, rig.scenario, "loopback"), findings)
-    wrong = [fraction for fraction in seen if fraction != 1.0]
-    print(f"before the cut {before:g} parts; {len(seen)} looks in {seconds:g} s, not 1 part: {len(wrong)}")
+    wrong = [fraction for fraction in fractions if fraction != 1.0]
+    print(
+        f"before the cut {before:g} even fractions; {len(fractions)} polls in {seconds:g} s, not 1: "
+        f"{len(wrong)}"
+    )
     print("quota_sum:", "; ".join(violation.text for violation in findings.violations) or "kept")
     return not wrong and not findings.violations
 
 
 def main() -> None:
-    """Play what the arguments ask for and print it."""
+    """Run the benchmark that the arguments describe, and print the results."""
     parser = harness.argument_parser(__doc__)
     parser.add_argument("--seconds", type=float, default=60.0)
-    sys.exit(not asyncio.run(play(parser.parse_args().datagram_bytes)))
+    sys.exit(not asyncio.run(check_cut_off_node(parser.parse_args().datagram_bytes)))
 
 
 if __name__ == "__main__":
--- a/benchmarks/budgets_cold.py
+++ b/benchmarks/budgets_cold.py
@@ -1,19 +1,28 @@
-"""Cold servers in a large fleet: the work there, and who walks on, by chance and with parts lent.
+"""Measures how leases change the work at cold servers in a large fleet, and the requests that skip them.
 
     python -m benchmarks.budgets_cold [--nodes 60] [--servers 60] [--replaced 12] [--seeds 2] [--jobs 2]
                                       [--skews 0,0.4] [--rate 600] [--quota 0] [--json FILE]
 
-A day of 13 s in virtual time after 9 s of warm-up; so many servers are replaced by new ones, which are cold
-for 9 s, at 2 s. `off`: each node keeps within its even part; `cold`: nodes lend parts of it. `--quota` over
-all nodes, in requests a second: 0 for none. `--skews`: of the traffic, what the first of two zones gets
-beyond its half.
-
-`used`: mean over the servers' six rule windows of the work that came, of the budget of rule 4 at the window's
-end; `most`: the greatest of any server and window that ends with an attempt. `met`: requests that came to a
-cold server on their walk; `walked`: the part of them that its budget sent on, at any time. `dealt`: of these
-looks at a cold server, those in which the part that is lent was more than what the node saw warm servers do,
-and so decided. `missed`: attempts at caches that found nothing, of all; `origin`: fetches there for each
-request; `borrowed`: even parts a node, the mean of all looks from 2 s on.
+Each run takes 13 s in virtual time after 9 s of warm-up. At 2 s, `--replaced` servers are replaced by new
+ones, which are cold (warming up) for 9 s. In the mode `off` each node keeps within its even fraction of a
+cold server's budget; in the mode `cold` nodes lease fractions of it to one another. `--quota` is over all
+nodes, in requests per second; 0 for none. `--skews` are the fractions of the traffic that the first of two
+zones gets beyond its half.
+
+The columns are:
+
+`fallen`: overloads of servers.
+`rule`: violations of the rule `cold`.
+`used`: the work that arrived at a cold server in a window of the rule `cold`, as a fraction of the rule's
+    budget at the window's end; the mean over the servers' six windows.
+`most`: the greatest such fraction of any server and window that ends with an attempt.
+`met`: requests whose walk on the ring reached a cold server.
+`walked`: the fraction of these requests that skipped a cold server at least once because of its budget.
+`dealt`: the fraction of budget checks of a cold server in which the allocation allowed more than the work
+    that the node had observed at warm servers, and so determined the budget.
+`missed`: the fraction of the attempts at cache servers that were a miss.
+`origin`: fetches from the origin per request.
+`borrowed`: even fractions borrowed per node, the mean over all reports after 2 s.
 """
 
 from collections import Counter
@@ -60,87 +69,100 @@
 
 
 def scenario_of(args: dict[str, Any], mode: str, skew: float) -> Scenario:
-    """The day of that size."""
-    day = load("uneven", [f"load.zone_skew={skew}", f"load.rate_per_s={args['rate']}", *MODES[mode]])
+    """The scenario of the given size."""
+    base = load("uneven", [f"load.zone_skew={skew}", f"load.rate_per_s={args['rate']}", *MODES[mode]])
     return replace(
-        day,
+        base,
         length_s=LENGTH_S,
         warmup_s=WARMUP_S,
-        nodes=replace(day.nodes, count=args["nodes"]),
-        servers=(replace(day.servers[0], count=args["servers"]),),
-        classes=(replace(day.classes[0], work_ms=WORK_MS, latency_objective_ms=600.0, deadline_ms=2000.0),),
+        nodes=replace(base.nodes, count=args["nodes"]),
+        servers=(replace(base.servers[0], count=args["servers"]),),
+        classes=(replace(base.classes[0], work_ms=WORK_MS, latency_objective_ms=600.0, deadline_ms=2000.0),),
         tenants=(Tenant(name="all", quota_per_s=args["quota"]),),
         faults=(Replace(at_s=AT_S, for_s=0.5, count=args["replaced"]),),
         wall_limit_s=3000.0,
     )
 
 
-class Walks:
-    """Counts at the decisions where a cold server's budget sent a request on. It changes none of them."""
+class BudgetChecks:
+    """Counts the budget checks of cold servers and their results, without changing any decision.
+
+    Attributes:
+        met: The ids of the requests whose walk reached a cold server.
+        skipped: The ids of the requests that a cold server's budget did not admit.
+        count: Number of checks.
+        by_allocation: Number of checks in which the allocation determined the budget.
+    """
 
     def __init__(self) -> None:
         self.met: set[str] = set()
-        self.walked: set[str] = set()
-        self.looks = 0
-        self.dealt = 0
+        self.skipped: set[str] = set()
+        self.count = 0
+        self.by_allocation = 0
         is_within_budget = ServerSelection.is_within_budget
 
-        def counted(selection: ServerSelection, server: Server, request: OpenRequest, now: int) -> bool:
-            free = is_within_budget(selection, server, request, now)
+        def check_and_count(
+            selection: ServerSelection, server: Server, request: OpenRequest, now: int
+        ) -> bool:
+            admitted = is_within_budget(selection, server, request, now)
             slow_start = selection.slow_start
             if slow_start.warmth(server.endpoint, now) < 1:
                 self.met.add(request.event.id)
-                self.looks += 1
+                self.count += 1
                 if slow_start.node_work() > slow_start.warm_work:
-                    self.dealt += 1
-                if not free:
-                    self.walked.add(request.event.id)
-            return free
+                    self.by_allocation += 1
+                if not admitted:
+                    self.skipped.add(request.event.id)
+            return admitted
 
         self._is_within_budget = is_within_budget
-        setattr(ServerSelection, "is_within_budget", counted)  # noqa: B010  mypy refuses an assignment
+        setattr(  # noqa: B010  mypy rejects an assignment
+            ServerSelection, "is_within_budget", check_and_count
+        )
 
     def close(self) -> None:
-        """Let the decisions go uncounted again."""
+        """Restore the original method."""
         setattr(ServerSelection, "is_within_budget", self._is_within_budget)  # noqa: B010
 
 
 @dataclass(frozen=True)
 class ColdLoad:
-    """The work at cold servers, as fractions of what rule 4 allows in a window.
+    """The work at cold servers, as fractions of what the rule `cold` allows in a window.
 
     Attributes:
-        used: By server and window.
-        most: The greatest of any window that ends with an attempt.
+        used: The fraction of each server and window.
+        most: The greatest fraction of any window that ends with an attempt.
     """
 
     used: list[float]
     most: float
 
 
-def cold_load(day: History, scenario: Scenario, caches: list[AttemptOutcome]) -> ColdLoad:
-    """What came to servers that started during the day, while they were cold."""
+def cold_load(history: History, scenario: Scenario, cache_attempts: list[AttemptOutcome]) -> ColdLoad:
+    """The work that arrived, while they were cold, at servers that started during the run."""
     by_server: dict[str, list[AttemptOutcome]] = {}
-    for sent in caches:
-        by_server.setdefault(sent.record.server, []).append(sent)
+    for attempt in cache_attempts:
+        by_server.setdefault(attempt.record.server, []).append(attempt)
     rules = scenario.rules
     used = []
     most = 0.0
-    for starts in day.server_starts.values():
+    for starts in history.server_starts.values():
         for start in (start for start in starts if start.at_ms > 0):
-            mine = [
-                s
-                for s in by_server.get(start.server, [])
-                if 0 <= s.record.at_ms - start.at_ms < start.warm_up_ms
+            attempts = [
+                attempt
+                for attempt in by_server.get(start.server, [])
+                if 0 <= attempt.record.at_ms - start.at_ms < start.warm_up_ms
             ]
             for i in range(round(start.warm_up_ms / rules.overload_window_ms)):
                 since = start.at_ms + i * rules.overload_window_ms
                 until = since + rules.overload_window_ms
-                work = sum(sent.record.work_ms for sent in mine if since <= sent.record.at_ms < until)
+                work = sum(
+                    attempt.record.work_ms for attempt in attempts if since <= attempt.record.at_ms < until
+                )
                 used.append(
                     work / (rules.overload_multiple * capacity(start, until) * rules.overload_window_ms)
                 )
-            for window, work in windows(mine, rules.overload_window_ms):
+            for window, work in windows(attempts, rules.overload_window_ms):
                 budget = (
                     rules.overload_multiple
                     * capacity(start, window[-1].record.at_ms)
@@ -150,44 +172,46 @@
     return ColdLoad(used, most)
 
 
-def play_job(job: tuple[dict[str, Any], str, float, int]) -> dict[str, Any]:
-    """A day played: the figures."""
+def run_job(job: tuple[dict[str, Any], str, float, int]) -> dict[str, Any]:
+    """Run a scenario, and return its result row."""
     args, mode, skew, seed = job
     scenario = scenario_of(args, mode, skew)
-    walks = Walks()
+    checks = BudgetChecks()
     try:
         with TemporaryDirectory() as folder:
             events = Path(folder) / "events"
             result = play(scenario, seed, events=events)
             with events.open("rb") as lines:
-                day = History(read_records(lines), scenario, "virtual")
+                history = History(read_records(lines), scenario, "virtual")
     finally:
-        walks.close()
-    caches = [sent for sent in day.outcomes.values() if not sent.record.is_origin]
-    load_of_cold = cold_load(day, scenario, caches)
-    held = [
-        record for record in day.records if isinstance(record, LeaseReported) and record.at_ms > AT_S * 1000
+        checks.close()
+    cache_attempts = [attempt for attempt in history.outcomes.values() if not attempt.record.is_origin]
+    load_of_cold = cold_load(history, scenario, cache_attempts)
+    reports = [
+        record
+        for record in history.records
+        if isinstance(record, LeaseReported) and record.at_ms > AT_S * 1000
     ]
-    lent = [report.borrowed for report in held]
-    report_times = {report.at_ms for report in held}
-    outcomes = Counter(sent.served.outcome for sent in caches if sent.served is not None)
+    borrowed = [report.borrowed for report in reports]
+    report_times = {report.at_ms for report in reports}
+    outcomes = Counter(attempt.served.outcome for attempt in cache_attempts if attempt.served is not None)
     return {
         "args": args,
         "mode": mode,
         "skew": skew,
         "seed": seed,
-        "fallen": sum(map(len, day.server_overloads.values())),
+        "fallen": sum(map(len, history.server_overloads.values())),
         "rule": result.rules.get("cold", 0),
         "used": mean(load_of_cold.used),
         "most": load_of_cold.most,
-        "met": len(walks.met),
-        "walked": len(walks.walked) / max(1, len(walks.met)),
-        "dealt": walks.dealt / max(1, walks.looks),
-        "missed": outcomes["miss"] / max(1, len(caches)),
+        "met": len(checks.met),
+        "walked": len(checks.skipped) / max(1, len(checks.met)),
+        "dealt": checks.by_allocation / max(1, checks.count),
+        "missed": outcomes["miss"] / max(1, len(cache_attempts)),
         "origin": result.origin_per_request,
         "goodput": result.goodput,
         "p99": result.latency_ms.p99,
-        "borrowed": sum(lent) / (max(1, len(report_times)) * args["nodes"]),
+        "borrowed": sum(borrowed) / (max(1, len(report_times)) * args["nodes"]),
         "ended": result.end_reason,
         "rules": {rule: count for rule, count in result.rules.items() if count},
         "wall_s": result.wall_s,
@@ -195,7 +219,7 @@
 
 
 def main() -> None:
-    """Play what the arguments ask for and print it."""
+    """Run the benchmark that the arguments describe, and print the results."""
     parser = harness.argument_parser(__doc__)
     parser.add_argument("--nodes", type=int, default=60)
     parser.add_argument("--servers", type=int, default=60)
@@ -210,21 +234,21 @@
     args = {name: getattr(arguments, name) for name in ("nodes", "servers", "replaced", "rate", "quota")}
     skews = [float(skew) for skew in arguments.skews.split(",")]
     jobs = [(args, mode, s, seed) for s in skews for seed in range(1, arguments.seeds + 1) for mode in MODES]
-    kept = harness.KeptRows(arguments.json)
-    kept.select(["args"], [args])
-    known = kept.keys(["mode", "skew", "seed"])
+    stored = harness.StoredRows(arguments.json)
+    stored.select(["args"], [args])
+    known = stored.keys(["mode", "skew", "seed"])
     print(f"{'skew':>5} {'mode':5} {'seed':>4}" + "".join(f"{name:>10}" for name in FIGURES))
-    for row in kept.rows:
+    for row in stored.rows:
         print_row(row)
-    for row in kept.play(play_job, [job for job in jobs if job[1:] not in known], arguments.jobs):
+    for row in stored.run_jobs(run_job, [job for job in jobs if job[1:] not in known], arguments.jobs):
         print_row(row)
 
 
 def print_row(row: dict[str, Any]) -> None:
-    """Print a row."""
-    figures = "".join(f"{row[name]:>10.4g}" for name in FIGURES)
+    """Print a row, with the columns of FIGURES."""
+    cells = "".join(f"{row[name]:>10.4g}" for name in FIGURES)
     print(
-        f"{row['skew']:>5} {row['mode']:5} {row['seed']:>4}{figures}  {row['ended']} {row['rules']}",
+        f"{row['skew']:>5} {row['mode']:5} {row['seed']:>4}{cells}  {row['ended']} {row['rules']}",
         flush=True,
     )
 
--- a/benchmarks/budgets_cost.py
+++ b/benchmarks/budgets_cost.py
@@ -1,10 +1,11 @@
-"""What shared budgets cost: the policy and the node's hook a request, and the lease managers a second.
+"""Measures the cost of leased limits: of the policy and the node's hook per request, and of lease managers.
 
     python -m benchmarks.budgets_cost
 
-All times are CPU of this process. Of the decisions: medians over ROUNDS rounds of REQUESTS requests, with and
-without in turn. Lease managers run in virtual time on the links of `flintridge/lab/partial/virtual_fleet.py`,
-half of the nodes needing 1.8 parts and half 0.2; what the lab itself takes for them is in both figures.
+All times are CPU times of this process. The costs of decisions are medians over ROUNDS rounds of REQUESTS
+requests, in which rounds with and without allocations alternate. Lease managers run in virtual time on the
+links of `flintridge/lab/partial/virtual_fleet.py`; half of the nodes need 1.8 even fractions and half 0.2.
+Both results for them, with and without leases, include the cost of the lab itself.
 """
 
 import asyncio
@@ -28,56 +29,62 @@
 SERVERS = 20
 TENANTS = 3
 UPDATE_INTERVAL_NS = 50 * MS  # between two events that carry allocations
-REQUEST_RATES = (100, 1_000)  # requests a second at a node
+REQUEST_RATES = (100, 1_000)  # requests per second at a node
 NODE_COUNTS = (20, 200)
 SETTLE_MS = 10_000.0
 MEASURED_MS = 10_000.0
 
 
 class UncheckedLeaseProcesses(LeaseProcesses):
-    """Without the lab's own look at the sum."""
+    """Lease processes without the lab's check of the sum of the usable fractions."""
 
     def _check_sums(self) -> None:
         pass
 
 
 def settings() -> api.Settings:
-    """Tenants with quotas in a fleet of ten."""
+    """Settings of tenants with quotas in a fleet of ten nodes."""
     tenants = tuple(api.Tenant(quota_per_s=200.0) for _ in range(TENANTS))
     return api.Settings(tenants=tenants, fleet_size=10)
 
 
 class MeasuredPolicy:
-    """A module with its own time (ns), to which requests come one by one; each is served at once."""
+    """A balancer with a virtual clock, which gets requests one at a time; each is served immediately."""
 
     def __init__(self, per_s: int, with_updates: bool) -> None:
-        self._module = Balancer(settings(), 1)
-        self._step = 1000 * MS // per_s
+        """Create the balancer.
+
+        Args:
+            per_s: Rate of the requests, per second of virtual time.
+            with_updates: Whether the balancer also gets allocations.
+        """
+        self._balancer = Balancer(settings(), 1)
+        self._request_interval_ns = 1000 * MS // per_s
         self._with_updates = with_updates
-        self._now = 1000 * MS
-        self._number = 0
-        self._next = 0
+        self._now_ns = 1000 * MS
+        self._request_count = 0
+        self._next_update_ns = 0
         members = tuple(api.Endpoint(f"s{i}") for i in range(SERVERS))
-        self._module.handle(self._now, api.EndpointUpdate(api.UpdateKind.FULL, 1, members))
+        self._balancer.handle(self._now_ns, api.EndpointUpdate(api.UpdateKind.FULL, 1, members))
 
     def round(self) -> float:
-        """Microseconds a request, the events with holdings among them."""
-        handle = self._module.handle
-        now = self._now
+        """Run a round, and return the microseconds per request, including the events with allocations."""
+        handle = self._balancer.handle
+        now = self._now_ns
         took = 0.0
-        for i in range(self._number, self._number + REQUESTS):
-            uid = f"r{i}"
-            now += self._step
+        for i in range(self._request_count, self._request_count + REQUESTS):
+            request_id = f"r{i}"
+            now += self._request_interval_ns
             request = api.RequestReceived(
-                uid, now + 1000 * MS, key=f"k{i % 997}", tenant=i % TENANTS, work_ns=20 * MS
+                request_id, now + 1000 * MS, key=f"k{i % 997}", tenant=i % TENANTS, work_ns=20 * MS
             )
             events: list[api.Event] = [request]
-            if self._with_updates and now >= self._next:
-                self._next = now + UPDATE_INTERVAL_NS
-                after = api.AllocationUpdate(dict.fromkeys(range(TENANTS), 1.0))
+            if self._with_updates and now >= self._next_update_ns:
+                self._next_update_ns = now + UPDATE_INTERVAL_NS
+                fallback = api.AllocationUpdate(dict.fromkeys(range(TENANTS), 1.0))
                 allocations = {tenant: 1.5 + i % 2 / 10 for tenant in range(TENANTS)}
                 events.insert(
-                    0, api.AllocationUpdate(allocations, 1.5, valid_until=now + 2000 * MS, fallback=after)
+                    0, api.AllocationUpdate(allocations, 1.5, valid_until=now + 2000 * MS, fallback=fallback)
                 )
             started_at = time.thread_time()
             for event in events:
@@ -85,17 +92,17 @@
             took += time.thread_time() - started_at
             for action in actions:
                 if isinstance(action, api.Send):
-                    ended = api.AttemptEnded(uid, 0, action.server, api.Outcome.OK, 20 * MS, True)
+                    ended = api.AttemptEnded(request_id, 0, action.server, api.Outcome.OK, 20 * MS, True)
                     started_at = time.thread_time()
                     handle(now, ended)
                     took += time.thread_time() - started_at
-        self._number += REQUESTS
-        self._now = now
+        self._request_count += REQUESTS
+        self._now_ns = now
         return took / REQUESTS * 1e6
 
 
-def decisions(per_s: int) -> None:
-    """Print the cost of the decisions of a request at so many a second, with and without allocations."""
+def print_decision_cost(per_s: int) -> None:
+    """Print the cost of a request's decisions at a rate per second, with and without allocations."""
     off = MeasuredPolicy(per_s, False)
     on = MeasuredPolicy(per_s, True)
     off.round()
@@ -103,63 +110,65 @@
     pairs = [(off.round(), on.round()) for _ in range(ROUNDS)]
     without, with_updates = (statistics.median(column) for column in zip(*pairs, strict=True))
     low, ratio, high = statistics.quantiles([b / a for a, b in pairs], n=4)
-    costs = f"{without:.2f} us, told of holdings {with_updates:.2f}"
-    print(f"decisions, {per_s} requests a second: {costs};", end=" ")
+    costs = f"{without:.2f} us, with allocations {with_updates:.2f}"
+    print(f"decisions, {per_s} requests per second: {costs};", end=" ")
     print(f"ratio {ratio:.3f} (quartiles {low:.3f} to {high:.3f})")
 
 
-async def hook() -> None:
-    """`RequestLifecycle.on_new_request`: one call a new request."""
+async def print_hook_cost() -> None:
+    """Print the cost of `RequestLifecycle.on_new_request`, which is called once per new request."""
     limits = ConfiguredLimits({tenant: f"quota {tenant}" for tenant in range(TENANTS)}, (), {})
     endpoints = EndpointList((), (), settings(), SystemClock(asyncio.get_running_loop()))
-    found = []
+    costs_ns = []
     for _ in range(ROUNDS):
         count = DemandMeter(limits, {}, endpoints, 0.0).on_new_request
         started_at = time.thread_time()
         for i in range(100_000):
             count(i % TENANTS)
-        found.append((time.thread_time() - started_at) / 100_000 * 1e9)
-    print(f"the node's hook: {statistics.median(found):.0f} ns a request")
+        costs_ns.append((time.thread_time() - started_at) / 100_000 * 1e9)
+    print(f"the node's hook: {statistics.median(costs_ns):.0f} ns per request")
 
 
 def fleet_cost(fleet: VirtualFleet[Any]) -> tuple[float, float]:
-    """Bytes a node a second, and milliseconds of CPU a node a second."""
+    """Bytes sent, and milliseconds of CPU time, both per node and second."""
     fleet.run(SETTLE_MS)
-    before = sent(fleet)
+    before = bytes_sent(fleet)
     started_at = time.thread_time()
     fleet.run(MEASURED_MS)
     took = time.thread_time() - started_at
-    each = len(fleet.names) * MEASURED_MS / 1000
-    return (sent(fleet) - before) / each, took * 1000 / each
+    node_seconds = len(fleet.names) * MEASURED_MS / 1000
+    return (bytes_sent(fleet) - before) / node_seconds, took * 1000 / node_seconds
 
 
-def sent(fleet: VirtualFleet[Any]) -> int:
-    """Bytes that all processes have sent."""
-    processes = [process for found in fleet.processes.values() for process in found]
-    return sum(sum(one.datagram_bytes.values()) + sum(one.transfer_bytes.values()) for one in processes)
+def bytes_sent(fleet: VirtualFleet[Any]) -> int:
+    """Bytes that all processes have sent so far."""
+    processes = [process for of_node in fleet.processes.values() for process in of_node]
+    return sum(
+        sum(process.datagram_bytes.values()) + sum(process.transfer_bytes.values()) for process in processes
+    )
 
 
-def lease_managers(count: int) -> None:
-    """Print what lease managers cost so many nodes, beside peers alone."""
-    alone = fleet_cost(MembershipFleet(count, 1))
-    lenders = UncheckedLeaseProcesses(count, 1, LeaseTerms(EVEN_FRACTION_UNITS, 250, 4_000.0))
-    for i, name in enumerate(lenders.names):
-        lenders.set_demand(name, 1.8 if i % 2 else 0.2)
-    both = fleet_cost(lenders)
-    held = sum(lenders.usable(name) for name in lenders.names[1::2]) / (count / 2)
-    for what, alike, more in zip(("bytes", "ms of CPU"), alone, both, strict=True):
-        figures = f"{alike:.4g} of peers alone, {more:.4g} with two budgets, ratio {more / alike:.2f}"
-        print(f"{count} nodes, {what} a node a second: {figures}")
-    print(f"{count} nodes: who needs 1.8 parts has {held:.2f}")
+def print_lease_manager_cost(count: int) -> None:
+    """Print the cost of a fleet of `count` nodes with lease managers, and with membership alone."""
+    membership = fleet_cost(MembershipFleet(count, 1))
+    fleet = UncheckedLeaseProcesses(count, 1, LeaseTerms(EVEN_FRACTION_UNITS, 250, 4_000.0))
+    for i, name in enumerate(fleet.names):
+        fleet.set_demand(name, 1.8 if i % 2 else 0.2)
+    with_leases = fleet_cost(fleet)
+    usable = sum(fleet.usable(name) for name in fleet.names[1::2]) / (count / 2)
+    for unit, alone, both in zip(("bytes", "ms of CPU"), membership, with_leases, strict=True):
+        costs = f"{alone:.4g} of peers alone, {both:.4g} with two limits, ratio {both / alone:.2f}"
+        print(f"{count} nodes, {unit} per node and second: {costs}")
+    print(f"{count} nodes: those that need 1.8 even fractions may use {usable:.2f}")
 
 
 def main() -> None:
-    """Play what the arguments ask for and print it."""
+    """Measure and print all costs."""
     for per_s in REQUEST_RATES:
-        decisions(per_s)
-    asyncio.run(hook())
+        print_decision_cost(per_s)
+    asyncio.run(print_hook_cost())
     for count in NODE_COUNTS:
-        lease_managers(count)
+        print_lease_manager_cost(count)
 
 
 if __name__ == "__main__":
--- a/benchmarks/budgets_gain.py
+++ b/benchmarks/budgets_gain.py
@@ -1,15 +1,22 @@
-"""What it gains to lend budgets between nodes, beside parts dealt out by one who sees all demand.
+"""Measures the gain by leasing fleet-wide limits between nodes, and by an oracle that knows all demand.
 
     python -m benchmarks.budgets_gain [--days uneven,zones] [--modes even,quotas,floors,oracle] [--seeds 20]
                                       [--jobs 4] [--json FILE]
 
-Days in virtual time, each seed played in each mode. `level` is the same day with even traffic and even parts;
-`even` has even parts; `quotas`, `floors` and `oracle` (both) have those budgets dealt out by demand, once a
-second. `lent` lends between the nodes, `lent-cut` with all ways between them cut from the start, `lent-third`
-with a third of them cut off from 5 s on; `heard` has the peers of those and lends nothing.
+The runs are in virtual time, each seed in each of these modes:
 
-`goodput` is of all requests, also those beyond quotas. `due` counts of each tenant what its quota entitles it
-to, and of that what it got: `min(got, quota) / min(asked, quota)`, by requests. Intervals: 95%, paired.
+`level`: even fractions, and even traffic in place of the scenario's.
+`even`: even fractions.
+`quotas`, `floors`, `oracle` (both): an oracle allocates these limits by demand, once a second.
+`heard`: the nodes are peers, but lease nothing.
+`lent`: the nodes lease fractions to one another; `lent-quotas` and `lent-floors` only of these limits.
+`lent-strict`: as `lent`, with strict quotas.
+`lent-cut`: as `lent`, with all links between the nodes cut from the start.
+`lent-third`: as `lent`, with a third of the nodes cut off from 5 s on.
+
+`goodput` is that of all requests, including those beyond quotas. `due` is the fraction that tenants got of
+the requests that their quotas entitle them to: the sum of `min(got, quota)` over the sum of
+`min(asked, quota)`. The intervals are paired 95% confidence intervals.
 """
 
 from pathlib import Path
@@ -26,8 +33,8 @@
 
 DAYS = Path(__file__).resolve().parent / "days"
 FOR_GOOD_S = 100_000.0
-# From when on (s), and one of how many nodes. The first: before the warm-up, as soon as all nodes are ready
-# and before any may have lent.
+# For each mode, the start of the cut in seconds, and n if every nth node is cut off. `lent-cut` starts before
+# the warm-up: as soon as all nodes are ready, and before any can have granted a lease.
 CUTS = {"lent-cut": (-60.0, 1), "lent-third": (5.0, 3)}
 PEERS = "peers={}"
 MODES: dict[str, tuple[AllocationMode | None, list[str]]] = {
@@ -46,56 +53,58 @@
 }
 
 
-def scenario_of(day: str, mode: str, more: list[str]) -> Scenario:
-    """The day in a mode."""
+def scenario_of(day: str, mode: str, overrides: list[str]) -> Scenario:
+    """The scenario of a mode."""
     file = DAYS / f"bench-{day}.toml"
     source = file if file.exists() else day
-    scenario = load(source, [*MODES[mode][1], *more])
+    scenario = load(source, [*MODES[mode][1], *overrides])
     if mode == "level":
         tenants = tuple(replace(tenant, zone=None) for tenant in scenario.tenants)
         return replace(scenario, load=replace(scenario.load, zone_skew=0.0), tenants=tenants)
     if mode in CUTS:
-        at_s, one_in = CUTS[mode]
-        cut = range(0, scenario.nodes.count, one_in)
-        # Each of them by itself: cut off from all others, also from those that are cut off.
-        ways = [PeerLink(at_s=at_s, for_s=FOR_GOOD_S, nodes=(i,), both=True, cut=True) for i in cut]
-        return replace(scenario, faults=(*scenario.faults, *ways))
+        at_s, step = CUTS[mode]
+        cut = range(0, scenario.nodes.count, step)
+        # A fault for each node, so that the nodes are also cut off from one another.
+        faults = [PeerLink(at_s=at_s, for_s=FOR_GOOD_S, nodes=(i,), both=True, cut=True) for i in cut]
+        return replace(scenario, faults=(*scenario.faults, *faults))
     return scenario
 
 
-def play_job(job: tuple[str, str, int, list[str]]) -> dict[str, Any]:
-    """A day played: the figures."""
-    day, mode, seed, more = job
-    scenario = scenario_of(day, mode, more)
+def run_job(job: tuple[str, str, int, list[str]]) -> dict[str, Any]:
+    """Run a scenario, and return its result row."""
+    day, mode, seed, overrides = job
+    scenario = scenario_of(day, mode, overrides)
     result = play(scenario, seed, allocation=MODES[mode][0])
-    sent = sum(tenant.share * tenant.usage for tenant in scenario.tenants)
-    owed = got = 0.0
+    usage = sum(tenant.share * tenant.usage for tenant in scenario.tenants)
+    entitled = got = 0.0
     for tenant in scenario.tenants:
-        asked = scenario.load.rate_per_s * tenant.share * tenant.usage / sent
-        owed += min(asked, tenant.quota_per_s)
+        asked = scenario.load.rate_per_s * tenant.share * tenant.usage / usage
+        entitled += min(asked, tenant.quota_per_s)
         got += min(asked * result.goodput_by_tenant[tenant.name], tenant.quota_per_s)
-    figures = {"goodput": result.goodput, "due": got / owed}
-    figures |= {name: share for name, share in sorted(result.goodput_by_tenant.items())}
+    goodput = {"goodput": result.goodput, "due": got / entitled}
+    goodput |= {name: fraction for name, fraction in sorted(result.goodput_by_tenant.items())}
     rest = {"attempts": result.attempts_per_request, "deferred": result.rejected / result.requests}
-    broken = {rule: count for rule, count in result.rules.items() if count}
+    violations = {rule: count for rule, count in result.rules.items() if count}
     return {
         "day": day,
         "mode": mode,
         "seed": seed,
-        "set": more,
-        **figures,
+        "set": overrides,
+        **goodput,
         **rest,
-        "rules": broken,
+        "rules": violations,
         "ended": result.end_reason,
     }
 
 
 def print_rows(day: str, modes: list[str], rows: list[dict[str, Any]]) -> None:
-    """Print the means of a day by mode, and how they differ from even parts."""
+    """Print the means of a scenario by mode, and their differences from the mode `even`."""
     names = [name for name in rows[0] if name not in ("day", "mode", "seed", "set", "rules", "ended")]
     by_mode = {mode: [row for row in rows if row["mode"] == mode] for mode in modes}
-    same = set.intersection(*({row["seed"] for row in found} for found in by_mode.values()))
-    by_mode = {mode: [row for row in found if row["seed"] in same] for mode, found in by_mode.items()}
+    common_seeds = set.intersection(*({row["seed"] for row in of_mode} for of_mode in by_mode.values()))
+    by_mode = {
+        mode: [row for row in of_mode if row["seed"] in common_seeds] for mode, of_mode in by_mode.items()
+    }
     print(f"\n{day}, {len(by_mode[modes[0]])} seeds")
     print(f"{'mode':12}" + "".join(f"{name:>11}" for name in names))
     for mode in modes:
@@ -104,38 +113,40 @@
     for mode in modes:
         if mode == "even" or "even" not in by_mode:
             continue
-        print(f"{mode} against even")
+        print(f"{mode} compared with even")
         for name in names:
-            pairs = [b[name] - a[name] for a, b in zip(by_mode["even"], by_mode[mode], strict=True)]
-            low, high = bootstrap(pairs)
-            print(f"    {name:12} {mean(pairs):+.4f} ({low:+.4f} to {high:+.4f})")
+            differences = [b[name] - a[name] for a, b in zip(by_mode["even"], by_mode[mode], strict=True)]
+            low, high = bootstrap(differences)
+            print(f"    {name:12} {mean(differences):+.4f} ({low:+.4f} to {high:+.4f})")
     for row in rows:
         if row["rules"] or row["ended"] != "whole":
             print(f"seed {row['seed']} {row['mode']}: {row['ended']} {row['rules']}")
 
 
 def main() -> None:
-    """Play what the arguments ask for and print it."""
+    """Run the benchmark that the arguments describe, and print the results."""
     parser = harness.argument_parser(__doc__)
     parser.add_argument("--days", default="uneven,zones")
     parser.add_argument("--modes", default="level,even,quotas,floors,oracle")
     parser.add_argument("--seeds", type=int, default=20)
     harness.add_first_seed(parser)
     harness.add_jobs(parser, 4)
-    parser.add_argument("--set", action="append", default=[], help="a change of the day, as of `lab run`")
+    parser.add_argument(
+        "--set", action="append", default=[], help="overrides a scenario value, as in `lab run`"
+    )
     harness.add_json(parser)
     arguments = parser.parse_args()
     days = arguments.days.split(",")
     modes = arguments.modes.split(",")
     seeds = range(arguments.first, arguments.first + arguments.seeds)
     jobs = [(day, mode, seed, arguments.set) for day in days for seed in seeds for mode in modes]
-    kept = harness.KeptRows(arguments.json)
-    kept.select(["set"], [arguments.set])
-    known = kept.keys(["day", "mode", "seed"])
-    for _ in kept.play(play_job, [job for job in jobs if job[:3] not in known], arguments.jobs):
+    stored = harness.StoredRows(arguments.json)
+    stored.select(["set"], [arguments.set])
+    known = stored.keys(["day", "mode", "seed"])
+    for _ in stored.run_jobs(run_job, [job for job in jobs if job[:3] not in known], arguments.jobs):
         pass
     for day in days:
-        of_day = [row for row in kept.rows if row["day"] == day]
+        of_day = [row for row in stored.rows if row["day"] == day]
         print_rows(day, modes, sorted(of_day, key=lambda row: row["seed"]))
 
 
--- a/benchmarks/lease_search.py
+++ b/benchmarks/lease_search.py
@@ -1,9 +1,10 @@
-"""All interleavings of a few processes that lend one another parts of a budget, to exhaustion.
+"""Explores all interleavings of a few processes that lease fractions of a limit to one another.
 
     python -m benchmarks.lease_search            # two minutes on six cores
 
-A row for each bound on what may happen: how often processes ask, renew, lose or double a word, are stopped,
-or start anew; the states seen, the steps to the farthest, whether that was all, and what broke.
+Each search bounds how often an event may happen: a request or renewal of a lease, a lost or duplicated
+message, a paused or restarted process, a canceled request. Its row has the number of states, the steps to the
+most distant one, whether all states were explored, and the violation that was found.
 """
 
 import time
@@ -14,25 +15,25 @@
 from flintridge.lab.explore.leases import LeaseState, RemainingSteps
 
 SEARCHES: dict[str, tuple[tuple[float, ...], RemainingSteps]] = {
-    "two processes, one loan, everything once": ((4.0, 6.0), RemainingSteps(requests=1)),
-    "two, two loans, a loss, a double, a restart": (
+    "two processes, one lease, each other event once": ((4.0, 6.0), RemainingSteps(requests=1)),
+    "two, two leases, a loss, a duplicate, a restart": (
         (4.0, 6.0),
         RemainingSteps(renewals=0, pauses=0),
     ),
-    "two, two loans, a renewal, a pause": ((4.0, 6.0), RemainingSteps(losses=0, duplicates=0, restarts=0)),
-    "two, two loans, a call taken back, a double": (
+    "two, two leases, a renewal, a pause": ((4.0, 6.0), RemainingSteps(losses=0, duplicates=0, restarts=0)),
+    "two, two leases, a canceled request, a duplicate": (
         (4.0, 6.0),
         RemainingSteps(renewals=0, losses=0, pauses=0, restarts=0, cancellations=1),
     ),
-    "three, two loans": (
+    "three, two leases": (
         (4.0, 6.0, 4.0),
         RemainingSteps(renewals=0, losses=0, duplicates=0, pauses=0, restarts=0),
     ),
-    "three, two loans, a renewal": (
+    "three, two leases, a renewal": (
         (4.0, 6.0, 6.0),
         RemainingSteps(losses=0, duplicates=0, pauses=0, restarts=0),
     ),
-    "three, two loans, a restart": (
+    "three, two leases, a restart": (
         (4.0, 4.0, 6.0),
         RemainingSteps(renewals=0, losses=0, duplicates=0, pauses=0),
     ),
@@ -40,19 +41,26 @@
 
 
 def search(name: str) -> list[str]:
-    """Explore one of SEARCHES: its row."""
-    speeds, left = SEARCHES[name]
+    """Run one of SEARCHES, and return its row."""
+    clock_rates, steps = SEARCHES[name]
     started_at = time.perf_counter()
-    found = explore(LeaseState.begin(speeds, left))
+    exploration = explore(LeaseState.begin(clock_rates, steps))
     took = time.perf_counter() - started_at
-    extent = "all" if found.is_complete else "cut short"
-    broken = found.violation or "nothing"
-    return [name, f"{found.states:,}", str(found.depth), extent, str(broken), f"{took:.0f}"]
+    extent = "all" if exploration.is_complete else "stopped early"
+    violation = exploration.violation or "nothing"
+    return [
+        name,
+        f"{exploration.states:,}",
+        str(exploration.depth),
+        extent,
+        str(violation),
+        f"{took:.0f}",
+    ]
 
 
 def main() -> None:
-    """Explore each of SEARCHES and print its row."""
-    harness.print_table_head(["what may happen", "states", "steps", "seen", "broken", "s"])
+    """Run each of SEARCHES, and print its row."""
+    harness.print_table_head(["possible events", "states", "steps", "seen", "broken", "s"])
     with ProcessPoolExecutor(6) as pool:
         for row in pool.map(search, SEARCHES):
             harness.print_table_row(row)
--- a/examples/__init__.py
+++ b/examples/__init__.py
@@ -1,1 +1,1 @@
-"""A node's configuration, servers for it to stand in front of, and a client, to try it by hand."""
+"""A node's configuration, toy servers for it, and a client, to try a node by hand."""
--- a/examples/ask.py
+++ b/examples/ask.py
@@ -1,4 +1,4 @@
-"""Sends a few commands to the node of examples/config.json and prints them with the responses."""
+"""Sends a few commands to the node of examples/config.json, and prints the commands and the responses."""
 
 import socket
 
@@ -13,7 +13,7 @@
 
 
 def main() -> None:
-    """Send each command and print its response before the next."""
+    """Send the commands one at a time, and print each with its response."""
     with socket.create_connection(("127.0.0.1", 11211), timeout=5) as connection:
         responses = connection.makefile("rb")
         for command in COMMANDS:
