--- a/benchmarks/lab_cost.py
+++ b/benchmarks/lab_cost.py
@@ -1,8 +1,8 @@
-"""What a day in virtual time costs: CPU a request, the node's part and the lab's, and memory, at two sizes.
+"""Measures the cost of a run in virtual time at two sizes: memory, and CPU time per request of node and lab.
 
 Run from the repository's root on a quiet machine: python -m benchmarks.lab_cost [--repeats 3]
-Each figure is of a process of its own, the sizes in turn; of the repeats the one with the least CPU is shown.
-Requests of the warm-up are played as the others are, and counted with them; keys grow with the traffic.
+Each run has a process of its own, and the two sizes alternate. The repeat with the least CPU time is printed.
+Requests of the warm-up are counted like the others. The number of keys is proportional to the traffic.
 """
 
 import concurrent.futures
@@ -23,40 +23,41 @@
 }
 
 
-def sized(nodes: int, servers: int, rate: float, seconds: float) -> Scenario:
-    """The calm day at another size, at the same load of each server; the warm-up is part of `seconds`."""
-    day = load("calm")
-    work = day.classes[0].work_ms
+def scaled_scenario(nodes: int, servers: int, rate: float, seconds: float) -> Scenario:
+    """The scenario `calm` at another size with the same load per server; `seconds` includes the warm-up."""
+    base = load("calm")
+    work = base.classes[0].work_ms
     assert isinstance(work, float)
     scale = (servers / 8) / (rate / 300)
     classes = tuple(
         msgspec.structs.replace(each, work_ms=float(each.work_ms) * scale)  # type: ignore[arg-type]
-        for each in day.classes
+        for each in base.classes
     )
-    shares = [round(servers * part / 8) for part in (3, 2)]
-    counts = [*shares, servers - sum(shares)]
+    first_counts = [round(servers * eighths / 8) for eighths in (3, 2)]
+    counts = [*first_counts, servers - sum(first_counts)]
     return msgspec.structs.replace(
-        day,
+        base,
         length_s=seconds - WARMUP_S,
         warmup_s=WARMUP_S,
-        keys=msgspec.structs.replace(day.keys, count=round(day.keys.count * rate / 300)),
-        nodes=msgspec.structs.replace(day.nodes, count=nodes, zones=()),
+        keys=msgspec.structs.replace(base.keys, count=round(base.keys.count * rate / 300)),
+        nodes=msgspec.structs.replace(base.nodes, count=nodes, zones=()),
         servers=tuple(
-            Group(kind=g.kind, count=n, weight=g.weight) for g, n in zip(day.servers, counts, strict=True)
+            Group(kind=group.kind, count=count, weight=group.weight)
+            for group, count in zip(base.servers, counts, strict=True)
         ),
         classes=classes,
-        origin=msgspec.structs.replace(day.origin, slots=max(1, round(6 * rate / 300))),
-        load=msgspec.structs.replace(day.load, rate_per_s=rate, shape="flat"),
-        expect=type(day.expect)(),
+        origin=msgspec.structs.replace(base.origin, slots=max(1, round(6 * rate / 300))),
+        load=msgspec.structs.replace(base.load, rate_per_s=rate, shape="flat"),
+        expect=type(base.expect)(),
     )
 
 
 def measure(size: str) -> dict[str, float]:
-    """The figures of one play, in this process."""
+    """Run the scenario in this process, and return its costs."""
     started_at = time.process_time()
-    day = sized(*SIZES[size])
-    result = play(day, 1)
-    requests = result.requests * (day.length_s + day.warmup_s) / day.length_s
+    scenario = scaled_scenario(*SIZES[size])
+    result = play(scenario, 1)
+    requests = result.requests * (scenario.length_s + scenario.warmup_s) / scenario.length_s
     return {
         "requests": requests,
         "cpu_s": time.process_time() - started_at,
@@ -69,7 +70,7 @@
 
 
 def main() -> None:
-    """Play what the arguments ask for and print it."""
+    """Run the benchmark that the arguments describe, and print the results."""
     parser = harness.argument_parser(__doc__)
     parser.add_argument("--repeats", type=int, default=3)
     repeats = parser.parse_args().repeats
@@ -80,10 +81,10 @@
                 1, mp_context=multiprocessing.get_context("spawn")
             ) as pool:
                 runs[size].append(pool.submit(measure, size).result())
-    best = [min(each, key=lambda run: run["cpu_s"]) for each in runs.values()]
+    best = [min(of_size, key=lambda run: run["cpu_s"]) for of_size in runs.values()]
     for size, run in zip(SIZES, best, strict=True):
         print(size, *(f"{name} {value:,.3f}" for name, value in run.items()), sep="\n  ")
-    print(f"the lab's own cost a request, large over small: {best[1]['lab_us'] / best[0]['lab_us']:.2f}")
+    print(f"the lab's own cost per request, large over small: {best[1]['lab_us'] / best[0]['lab_us']:.2f}")
 
 
 if __name__ == "__main__":
--- a/benchmarks/node_cost.py
+++ b/benchmarks/node_cost.py
@@ -1,9 +1,10 @@
-"""Idle memory and CPU a small request of two trees of this project, in one run.
+"""Compares idle memory and the CPU time of a small request between two source trees of this project.
 
     .venv-dev/bin/python -m benchmarks.node_cost OLD_TREE [NEW_TREE]
 
-Starts the node of each tree between stand-ins on loopback, sends the same reads over eight connections to
-each in turn, and prints what the processes took and the ratios. Bounded: ROUNDS rounds of REQUESTS a tree.
+Starts the node of each tree with simulated servers on loopback, sends the same reads over eight connections
+to each node in turn, and prints the memory and CPU time of the processes and the ratios. The load is bounded:
+ROUNDS rounds of REQUESTS requests per tree.
 """
 
 import asyncio
@@ -15,9 +16,9 @@
 from typing import Any
 
 ROUNDS = 5
-REQUESTS = 4000  # of a round
+REQUESTS = 4000  # per round
 CLIENTS = 8
-TICK = os.sysconf("SC_CLK_TCK")
+TICKS_PER_S = os.sysconf("SC_CLK_TCK")
 SETTINGS = {
     "services": [{"name": "read", "effect": "retryable", "sloNs": 10**9, "hardLimitNs": 10**10}],
     "permissions": {"attemptsCap": 4, "connIdleNs": 5 * 10**9},
@@ -27,16 +28,16 @@
 }
 
 
-async def cache(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-    """A cache server that has every key."""
+async def serve_cache(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    """Serve a connection as a cache server that has every key."""
     while line := await reader.readline():
-        uid = line.split(b" O")[1].split()[0]
-        writer.write(b"VA 64 O%b h1\r\n%b\r\n" % (uid, b"v" * 64))
+        request_id = line.split(b" O")[1].split()[0]
+        writer.write(b"VA 64 O%b h1\r\n%b\r\n" % (request_id, b"v" * 64))
     writer.close()
 
 
-async def silent(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-    """A server that says nothing until the other side is done."""
+async def serve_nothing(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    """Send nothing, and close the connection when the peer ends its stream."""
     await reader.read()
     writer.close()
 
@@ -44,11 +45,11 @@
 class Node:
     """The node of a source tree, in a process of its own."""
 
-    def __init__(self, tree: str, box: int, discovery: int) -> None:
+    def __init__(self, tree: str, cache_port: int, discovery_port: int) -> None:
         self.tree = tree
-        member = {"id": "box", "host_port": f"127.0.0.1:{box}", "flavor": "box", "phase": "in_service"}
+        member = {"id": "box", "host_port": f"127.0.0.1:{cache_port}", "flavor": "box", "phase": "in_service"}
         self.config: dict[str, Any] = {
-            "name": "n1", "listen": "127.0.0.1:0", "discovery": f"127.0.0.1:{discovery}",
+            "name": "n1", "listen": "127.0.0.1:0", "discovery": f"127.0.0.1:{discovery_port}",
             "known": {"revision": 1, "complete": True, "members": [member]}, "settings": SETTINGS,
         }  # fmt: skip
         self.sent = 0
@@ -69,23 +70,23 @@
 
     @property
     def cpu_s(self) -> float:
-        """CPU seconds of the process so far."""
+        """CPU seconds that the process has used so far."""
         fields = Path(f"/proc/{self.process.pid}/stat").read_text().rpartition(")")[2].split()
-        return (int(fields[11]) + int(fields[12])) / TICK
+        return (int(fields[11]) + int(fields[12])) / TICKS_PER_S
 
     @property
     def memory_mb(self) -> float:
-        """Resident memory of the process."""
+        """Resident memory of the process in MiB."""
         pages = int(Path(f"/proc/{self.process.pid}/statm").read_text().split()[1])
         return pages * os.sysconf("SC_PAGE_SIZE") / 2**20
 
     async def round(self) -> float:
-        """Microseconds of CPU a request, over one round."""
+        """Run a round of requests, and return the microseconds of CPU time per request."""
         started_at = self.cpu_s
-        await asyncio.gather(*(self.client(REQUESTS // CLIENTS) for _ in range(CLIENTS)))
+        await asyncio.gather(*(self.run_client(REQUESTS // CLIENTS) for _ in range(CLIENTS)))
         return (self.cpu_s - started_at) / REQUESTS * 1e6
 
-    async def client(self, count: int) -> None:
+    async def run_client(self, count: int) -> None:
         """Read values one after the other over one connection."""
         reader, writer = await asyncio.open_connection("127.0.0.1", self.port)
         for _ in range(count):
@@ -98,10 +99,10 @@
 
 
 async def main(trees: list[str]) -> None:
-    """Measure two trees in turn and print their figures and ratios."""
-    box = await asyncio.start_server(cache, "127.0.0.1", 0)
-    discovery = await asyncio.start_server(silent, "127.0.0.1", 0)
-    ports = [server.sockets[0].getsockname()[1] for server in (box, discovery)]
+    """Measure two trees in turn, and print their costs and the ratios."""
+    cache = await asyncio.start_server(serve_cache, "127.0.0.1", 0)
+    discovery = await asyncio.start_server(serve_nothing, "127.0.0.1", 0)
+    ports = [server.sockets[0].getsockname()[1] for server in (cache, discovery)]
     nodes = [Node(str(Path(tree).resolve()), *ports) for tree in trees]
     with tempfile.TemporaryDirectory() as folder:
         try:
@@ -110,15 +111,15 @@
             idle = [node.memory_mb for node in nodes]
             costs: list[list[float]] = [[], []]
             for _ in range(ROUNDS):
-                for node, found in zip(nodes, costs, strict=True):
-                    found.append(await node.round())
-            old, new = (sorted(found)[len(found) // 2] for found in costs)
+                for node, of_node in zip(nodes, costs, strict=True):
+                    of_node.append(await node.round())
+            old, new = (sorted(of_node)[len(of_node) // 2] for of_node in costs)
             print(f"idle memory, MB: {idle[0]:.1f} and {idle[1]:.1f}, ratio {idle[1] / idle[0]:.3f}")
-            print(f"CPU a request, us: {old:.0f} and {new:.0f}, ratio {new / old:.3f} (medians)")
+            print(f"CPU per request, us: {old:.0f} and {new:.0f}, ratio {new / old:.3f} (medians)")
         finally:
             for node in nodes:
                 node.process.kill()
-    box.close()
+    cache.close()
     discovery.close()
 
 
--- a/benchmarks/place_cost.py
+++ b/benchmarks/place_cost.py
@@ -1,8 +1,8 @@
-"""Cost of evicting a connection for a new one, with few connections open and with thousands.
+"""Measures the cost of evicting a connection for a new one, with few and with thousands of open connections.
 
     .venv-dev/bin/python -m benchmarks.place_cost
 
-Prints microseconds a new connection, and how they grow with the number open.
+Prints the microseconds per new connection, and their growth with the number of open connections.
 """
 
 import asyncio
@@ -40,12 +40,12 @@
     """A policy that does nothing."""
 
     def handle(self, now: int, event: api.Event) -> list[api.Action]:
-        """No actions."""
+        """Return no actions."""
         return []
 
 
-async def cost(size: int) -> float:
-    """Microseconds a new connection, with so many open."""
+async def measure(size: int) -> float:
+    """Measure the microseconds per new connection, with `size` connections open."""
     clock = SystemClock(asyncio.get_running_loop())
     log = Log("bench", io.BytesIO())
     counters = Counters()
@@ -66,11 +66,11 @@
 
 
 def main() -> None:
-    """Print the cost at each size."""
-    figures = {size: asyncio.run(cost(size)) for size in SIZES}
-    first = figures[SIZES[0]]
-    for size, us in figures.items():
-        print(f"{size:6} open: {us:7.2f} us a new connection, {us / first:5.1f} times that of {SIZES[0]}")
+    """Measure and print the cost at each size."""
+    costs_us = {size: asyncio.run(measure(size)) for size in SIZES}
+    first = costs_us[SIZES[0]]
+    for size, us in costs_us.items():
+        print(f"{size:6} open: {us:7.2f} us per new connection, {us / first:5.1f} times that of {SIZES[0]}")
 
 
 if __name__ == "__main__":
--- a/benchmarks/ring_cost.py
+++ b/benchmarks/ring_cost.py
@@ -1,11 +1,11 @@
-"""What the ring costs, beside other ways to keep it.
+"""Measures the cost of the hash ring, and of other data structures for it.
 
 Run from the repository's root on a quiet machine: python -m benchmarks.ring_cost [--quick] [--candidates]
-Times are medians, in microseconds unless named: one server added, one removed, the first step of a walk, and
-each of the next 19. Memory is in bytes a server, ids left out; while it builds, a ring also holds all entries
-as Python numbers, 40 bytes each. `Loop` is the way before: the same array, walked by index in the policy.
-`--candidates` adds the other structures that were weighed, at the largest size; sortedcontainers only where
-it is installed.
+Times are medians, in microseconds unless the column names a unit: to add one server, to remove one, the first
+step of a walk, and each of the next 19 steps. Memory is in bytes per server, without the servers' ids; while
+a ring is built, it also holds all entries as Python integers of 40 bytes each. `FilteredArray` is the
+previous implementation: the same array, which the policy walked by index. `--candidates` adds the other
+structures that were considered, at the largest size; sortedcontainers only if it is installed.
 """
 
 import gc
@@ -25,29 +25,29 @@
 from flintridge.policy.hash_ring import HashRing, points, position_of
 
 SIZES = (8, 50, 200, 1_000, 5_000, 10_000)
-STEPS = 20
+WALK_STEPS = 20
 NUMBER_MASK = 0xFFFFFF
 
 
 class Ring(Protocol):
-    """Whatever is measured."""
+    """The interface of the measured data structures."""
 
     def replace(self, numbers: dict[str, int]) -> None:
-        """Keep these servers, by their numbers."""
+        """Make these the servers of the ring; `numbers` has their numbers by id."""
 
-    def walk(self, place: int) -> Iterator[int]:
-        """All entries clockwise from a place."""
+    def walk(self, position: int) -> Iterator[int]:
+        """Iterate over all entries clockwise from a position."""
 
 
-class Loop:
-    """As the balancer kept it: each change filters all entries, and what is added is sorted in."""
+class FilteredArray:
+    """The balancer's previous ring: each change filters all entries, then adds the new ones and sorts."""
 
     def __init__(self) -> None:
         self.entries: Any = array("Q")
         self.numbers: dict[str, int] = {}
 
     def replace(self, numbers: dict[str, int]) -> None:
-        """Keep these servers, by their numbers."""
+        """See `Ring.replace`."""
         if set(self.numbers) != set(numbers):
             stay = {number for server, number in numbers.items() if server in self.numbers}
             ring = [entry for entry in self.entries if entry >> 8 & NUMBER_MASK in stay]
@@ -57,21 +57,24 @@
             self.entries = array("Q", ring)
             self.numbers = dict(numbers)
 
-    def walk(self, place: int) -> Iterator[int]:
-        """All entries clockwise from a place."""
+    def walk(self, position: int) -> Iterator[int]:
+        """See `Ring.walk`."""
         entries = self.entries
-        start = bisect_left(entries, place)
+        start = bisect_left(entries, position)
         for i in itertools.chain(range(start, len(entries)), range(start)):
             yield entries[i]
 
 
-class OneArray(Loop):
-    """One array of all entries, changed by insort."""
+class InsortArray(FilteredArray):
+    """One array of all entries, changed by insort and deletion of single entries."""
 
     def replace(self, numbers: dict[str, int]) -> None:
-        """Keep these servers, by their numbers."""
-        if not self.numbers:  # one by one it takes minutes
-            self.entries = array("Q", sorted(e for s, n in numbers.items() for e in points(s, n)))
+        """See `Ring.replace`."""
+        if not self.numbers:  # inserting all entries one by one takes minutes
+            self.entries = array(
+                "Q",
+                sorted(entry for server, number in numbers.items() for entry in points(server, number)),
+            )
         else:
             for server in set(numbers) - set(self.numbers):
                 for entry in points(server, numbers[server]):
@@ -82,8 +85,8 @@
         self.numbers = dict(numbers)
 
 
-class Sorted(Loop):
-    """sortedcontainers, which holds Python numbers."""
+class SortedContainer(FilteredArray):
+    """A SortedList of sortedcontainers, whose entries are Python integers."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -92,7 +95,7 @@
         self.entries = SortedList()
 
     def replace(self, numbers: dict[str, int]) -> None:
-        """Keep these servers, by their numbers."""
+        """See `Ring.replace`."""
         for server in set(numbers) - set(self.numbers):
             self.entries.update(points(server, numbers[server]))
         for server in set(self.numbers) - set(numbers):
@@ -100,83 +103,88 @@
                 self.entries.remove(entry)
         self.numbers = dict(numbers)
 
-    def walk(self, place: int) -> Iterator[int]:
-        """All entries clockwise from a place."""
-        return itertools.chain(self.entries.irange(place), self.entries.irange(maximum=place))
+    def walk(self, position: int) -> Iterator[int]:
+        """See `Ring.walk`."""
+        return itertools.chain(self.entries.irange(position), self.entries.irange(maximum=position))
 
 
-def timed(calls: Sequence[Callable[[], object]]) -> float:
-    """The median, in microseconds."""
-    took = []
+def median_us(calls: Sequence[Callable[[], object]]) -> float:
+    """Make the calls, and return their median time in microseconds."""
+    took_s = []
     for call in calls:
         started_at = time.perf_counter()
         call()
-        took.append(time.perf_counter() - started_at)
-    return 1e6 * statistics.median(took)
+        took_s.append(time.perf_counter() - started_at)
+    return 1e6 * statistics.median(took_s)
 
 
-def memory(ring: object) -> int:
-    """Bytes of all that it holds, ids and classes left out."""
-    seen: dict[int, int] = {}
-    todo = [ring]
-    while todo:
-        one = todo.pop()
-        if id(one) in seen or isinstance(one, str | type | FunctionType | MethodType):
+def memory_bytes(ring: object) -> int:
+    """Bytes of all objects that a ring references, without ids, classes and functions."""
+    sizes: dict[int, int] = {}
+    pending = [ring]
+    while pending:
+        referenced = pending.pop()
+        if id(referenced) in sizes or isinstance(referenced, str | type | FunctionType | MethodType):
             continue
-        seen[id(one)] = sys.getsizeof(one)
-        if not isinstance(one, array | int | float):
-            todo += gc.get_referents(one)
-    return sum(seen.values())
+        sizes[id(referenced)] = sys.getsizeof(referenced)
+        if not isinstance(referenced, array | int | float):
+            pending += gc.get_referents(referenced)
+    return sum(sizes.values())
 
 
-def measure(kind: Callable[[], Ring], size: int, repeats: int) -> dict[str, float]:
-    """The figures of one structure at one size."""
-    ring = kind()
+def measure(create_ring: Callable[[], Ring], size: int, repeats: int) -> dict[str, float]:
+    """Measure a data structure with `size` servers, and return its costs by column."""
+    ring = create_ring()
     numbers = {f"s-{i:08x}": i for i in range(size)}
     started_at = time.perf_counter()
     ring.replace(numbers)
     build_s = time.perf_counter() - started_at
-    held = memory(ring) / size
-    chance = random.Random(size)
-    places = [position_of(f"key:{i}") for i in range(200)]
-    gone = chance.sample(sorted(numbers), min(repeats, size // 2))
-    added = []
-    removed = []
+    bytes_per_server = memory_bytes(ring) / size
+    rng = random.Random(size)
+    positions = [position_of(f"key:{i}") for i in range(200)]
+    removed_servers = rng.sample(sorted(numbers), min(repeats, size // 2))
+    additions = []
+    removals = []
     for number in range(size, size + repeats):
         numbers = numbers | {f"n-{number}": number}
-        added.append(lambda listed=numbers: ring.replace(listed))
-    add = timed(added)
-    for server in gone:
+        additions.append(lambda listed=numbers: ring.replace(listed))
+    add_us = median_us(additions)
+    for server in removed_servers:
         numbers = {name: number for name, number in numbers.items() if name != server}
-        removed.append(lambda listed=numbers: ring.replace(listed))
-    row = {"build ms": 1000 * build_s, "bytes": held, "add": add, "remove": timed(removed)}
-    row["first"] = timed([lambda p=p: next(iter(ring.walk(p))) for p in places])  # type: ignore[misc]
-    steps = [lambda p=p: list(itertools.islice(ring.walk(p), STEPS)) for p in places]
-    row["next"] = (timed(steps) - row["first"]) / (STEPS - 1)
+        removals.append(lambda listed=numbers: ring.replace(listed))
+    row = {
+        "build ms": 1000 * build_s,
+        "bytes": bytes_per_server,
+        "add": add_us,
+        "remove": median_us(removals),
+    }
+    row["first"] = median_us([lambda p=p: next(iter(ring.walk(p))) for p in positions])  # type: ignore[misc]
+    walks = [lambda p=p: list(itertools.islice(ring.walk(p), WALK_STEPS)) for p in positions]
+    row["next"] = (median_us(walks) - row["first"]) / (WALK_STEPS - 1)
     return row
 
 
 def main() -> None:
-    """Play what the arguments ask for and print it."""
+    """Run the benchmark that the arguments describe, and print the results."""
     parser = harness.argument_parser(__doc__)
-    parser.add_argument("--quick", action="store_true", help="up to 1,000 servers only")
-    parser.add_argument("--candidates", action="store_true", help="the others that were weighed, too")
+    parser.add_argument("--quick", action="store_true", help="measure up to 1,000 servers only")
+    parser.add_argument("--candidates", action="store_true", help="also measure the other structures")
     arguments = parser.parse_args()
     sizes = SIZES[:4] if arguments.quick else SIZES
     rows: list[tuple[str, int, dict[str, float]]] = []
     for size in sizes:
         repeats = 5 if size >= 1000 else 30
-        rows += [(kind.__name__, size, measure(kind, size, repeats)) for kind in (Loop, HashRing)]
+        rows += [(kind.__name__, size, measure(kind, size, repeats)) for kind in (FilteredArray, HashRing)]
     if arguments.candidates:
-        kinds: list[Callable[[], Ring]] = [OneArray]
-        if find_spec("sortedcontainers"):  # not among the project's libraries
-            kinds.append(Sorted)
+        kinds: list[Callable[[], Ring]] = [InsortArray]
+        if find_spec("sortedcontainers"):  # not a dependency of the project
+            kinds.append(SortedContainer)
         rows += [(kind.__name__, sizes[-1], measure(kind, sizes[-1], 5)) for kind in kinds]
     names = list(rows[0][2])
-    print("| kept as | servers |", " | ".join(names), "|")
+    print("| data structure | servers |", " | ".join(names), "|")
     print("| --- " * (2 + len(names)) + "|")
-    for kept, size, row in rows:
-        print(f"| {kept} | {size:,} |", " | ".join(f"{row[name]:,.2f}" for name in names), "|")
+    for kind_name, size, row in rows:
+        print(f"| {kind_name} | {size:,} |", " | ".join(f"{row[name]:,.2f}" for name in names), "|")
 
 
 if __name__ == "__main__":
