--- a/flintridge/telemetry/counters.py
+++ b/flintridge/telemetry/counters.py
@@ -40,9 +40,8 @@
         """
         histogram = self._histograms.get(name)
         if histogram is None:
-            from flintridge.telemetry.histogram import (
-                Histogram,
-            )  # so that a node without histograms does not import it
+            # Imported here so that a node without histograms does not load the module.
+            from flintridge.telemetry.histogram import Histogram
 
             histogram = Histogram()
             self._histograms[name] = histogram
--- a/flintridge/telemetry/sampling.py
+++ b/flintridge/telemetry/sampling.py
@@ -1,4 +1,4 @@
-"""Sampling of log events: a limited number of each per second is written, the others are summarized."""
+"""Sampling of log events: some of each name are written per second, the others counted and summarized."""
 
 import logging
 import threading
--- a/flintridge/telemetry/writer.py
+++ b/flintridge/telemetry/writer.py
@@ -10,7 +10,7 @@
 
 POLL_INTERVAL_S = 1.0
 
-_WAKE_UP = b""  # an empty line, which makes the thread call `should_poll` again
+_WAKE_UP = b""  # queued in place of a line to make the thread call `should_poll` again
 
 
 def encode_line(record: logging.LogRecord) -> bytes:
