--- a/flintridge/config/address.py
+++ b/flintridge/config/address.py
@@ -1,4 +1,4 @@
-"""Numeric IP addresses with a port, as configurations name them."""
+"""Numeric IP addresses with a port, as configuration files contain them."""
 
 import ipaddress
 from dataclasses import dataclass
@@ -11,7 +11,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Address:
-    """Where a node listens, or what it connects to.
+    """The IP address and port that a node listens on or connects to.
 
     Attributes:
         host: A numeric IPv4 or IPv6 address, without brackets.
@@ -23,22 +23,22 @@
 
     @classmethod
     def parse(cls, text: object) -> "Address":
-        """Read `10.0.0.4:11211` or `[::1]:11211`.
+        """Parse a text such as `10.0.0.4:11211` or `[::1]:11211`.
 
         Args:
             text: A value from a configuration or the environment, of any type.
 
         Raises:
-            AddressError: It is not a numeric address with a port.
+            AddressError: `text` is not a numeric address with a port.
         """
         try:
             if not isinstance(text, str):
-                raise ValueError("no text")
+                raise ValueError("not a string")
             host, _, port_text = text.rpartition(":")
             host = host.strip("[]")
-            ipaddress.ip_address(host)  # names cannot be resolved where nodes run
+            ipaddress.ip_address(host)  # host names are rejected: they cannot be resolved where nodes run
             if not port_text.isdecimal() or int(port_text) > PORT_MAX:
-                raise ValueError("no port")
+                raise ValueError("no port from 0 to 65535")
         except ValueError as error:
             raise AddressError(f"{text!r} must be {ADDRESS_FORMAT}") from error
         return cls(host, int(port_text))
@@ -48,13 +48,13 @@
 
 
 def optional_address(text: object) -> Address | None:
-    """Read an address that may be left out.
+    """Parse an address that may be omitted.
 
     Returns:
-        None where the text is missing or empty.
+        The address, or None if the text is missing or empty.
 
     Raises:
-        AddressError: It is not a numeric address with a port.
+        AddressError: `text` is not a numeric address with a port.
     """
     if text is None or text == "":
         return None
--- a/flintridge/config/check.py
+++ b/flintridge/config/check.py
@@ -14,23 +14,24 @@
 from flintridge.config.platform_validation import validate_platform_file
 from flintridge.config.syntax import ConfigSyntaxError, parse_json, parse_toml
 
-# A file may leave its addresses to the environment of the machine that it is for, which is not this one.
+# A file may leave its addresses to the environment of the node, which is usually another machine than the
+# one that checks the file. These values stand in for them.
 PLACEHOLDER_ENV: Mapping[str, str] = {"PROXY_LISTEN": "127.0.0.1:1", "PROXY_DISCOVERY": "127.0.0.1:2"}
 
 
 def check_file(file: str, env: Mapping[str, str] = os.environ) -> str:
-    """Validate a file.
+    """Validate a configuration file.
 
     Args:
-        file: Its path.
-        env: Variables that stand in for what the file leaves out.
+        file: The path of the file.
+        env: Environment variables, which supply addresses and a name that the file omits.
 
     Returns:
-        What a valid file configures, in a few words.
+        A one-line summary of what the valid file configures.
 
     Raises:
-        ConfigFaultsError: It has faults.
-        OSError: It cannot be read.
+        ConfigFaultsError: The file has faults.
+        OSError: The file cannot be read.
     """
     with open(file, "rb") as opened:
         text = opened.read()
@@ -45,7 +46,7 @@
         decoded = decode_values(file, values, PlatformFile, validate_platform_file)
     try:
         config = load_config({**PLACEHOLDER_ENV, **env, "PROXY_CONFIG": file})
-    except ConfigError as error:  # guards against a fault that only the node finds
+    except ConfigError as error:  # guards against a fault that only the node's own loading detects
         reason = str(error).removeprefix(f"{file}: ")
         raise ConfigFaultsError([ConfigFault(file, "", UNSET, reason)]) from error
     return _summary(config, decoded)
--- a/flintridge/config/cross_field.py
+++ b/flintridge/config/cross_field.py
@@ -1,6 +1,7 @@
-"""Cross-field checks that the formats have in common: duplicates and addresses.
+"""Cross-field checks that both formats share: duplicates and addresses.
 
-All take values of a file that may be faulty in parts: a value that is `UNSET` conflicts with nothing.
+All functions accept values of a file in which other values are invalid: an invalid value is `UNSET`, and
+`UNSET` conflicts with nothing.
 """
 
 from collections.abc import Iterator, Sequence
@@ -12,23 +13,23 @@
 
 
 class HasAddresses(Protocol):
-    """A file that names the addresses of a node."""
+    """A configuration file, as far as it contains the addresses of a node."""
 
     @property
     def listen(self) -> str | None:
-        """For clients."""
+        """The address on which the node accepts clients."""
 
     @property
     def discovery(self) -> str | None:
-        """The discovery service."""
+        """The address of the discovery service."""
 
     @property
     def console(self) -> str | None:
-        """Of the admin API."""
+        """The address of the admin API."""
 
 
 def duplicate_faults(entries: Sequence[Any], path: str, field: str) -> Iterator[ConfigFault]:
-    """Find entries of a list whose `field` has the value of an earlier entry's."""
+    """Report entries of a list whose `field` has the same value as that of an earlier entry."""
     first_index: dict[Any, int] = {}
     for i, entry in enumerate(entries):
         value = getattr(entry, field) if all_valid(entry) else entry
@@ -41,7 +42,7 @@
 
 
 def address_faults(path: str, text: Any) -> Iterator[ConfigFault]:
-    """Find an address that a node could not use; a missing one is none."""
+    """Report an address that a node cannot use; a missing address is not a fault."""
     if not all_valid(text) or text is None:
         return
     try:
@@ -51,24 +52,24 @@
 
 
 def member_address_faults(members: Sequence[Any], path: str) -> Iterator[ConfigFault]:
-    """Find servers of a list whose `host_port` a node could not use."""
+    """Report servers of a list whose `host_port` a node cannot use."""
     for i, member in enumerate(members):
         if all_valid(member):
             yield from address_faults(f"{path}[{i}].host_port", member.host_port)
 
 
 def missing_member_address_faults(members: Sequence[Any], path: str) -> Iterator[ConfigFault]:
-    """Find servers of a list in the platform's form that have no address and are not terminated."""
+    """Report servers of a list in the platform's format that have no address and are not terminated."""
     for i, member in enumerate(members):
         if not all_valid(member) or not all_valid(member.phase):
             continue
         if member.phase != "terminated" and member.host_port is None:
-            yield fault_at(f"{path}[{i}].host_port", UNSET, "is missing for a server that is not gone")
+            yield fault_at(f"{path}[{i}].host_port", UNSET, "is missing, and the server is not terminated")
 
 
 def console_address_faults(file: HasAddresses) -> Iterator[ConfigFault]:
-    """Find a console that has the address of something else."""
+    """Report an admin API address that is also the `listen` or the `discovery` address."""
     for field in ("listen", "discovery"):
         used = getattr(file, field)
         if all_valid(file.console, used) and file.console and file.console == used:
-            yield fault_at("console", file.console, f"is {field} too", "an address of its own")
+            yield fault_at("console", file.console, f"is also the {field} address", "an address of its own")
--- a/flintridge/config/decoding.py
+++ b/flintridge/config/decoding.py
@@ -1,4 +1,4 @@
-"""Decoding of a file into a struct, with all of its faults reported at once, a line each."""
+"""Decoding of a file into a struct. All faults of the file are reported together, one line each."""
 
 from collections.abc import Callable, Iterable
 from dataclasses import replace
@@ -18,11 +18,11 @@
     """Decode the text of a file.
 
     Args:
-        file: Its name, for faults; the suffix `.json` stands for JSON, any other for TOML.
+        file: The file's name, for the messages. The suffix `.json` selects JSON, any other one TOML.
         text: The file's bytes.
         target: The type to decode into.
-        validate_fields: Looks for values that cannot stand together. It is called with the struct even where
-            some values are not valid: these are `UNSET`, see `all_valid`.
+        validate_fields: Reports values that conflict with each other. It is also called if some values are
+            invalid: these are `UNSET` in the struct, see `all_valid`.
 
     Raises:
         ConfigFaultsError: The file has faults.
@@ -37,20 +37,20 @@
 def decode_values(
     file: str, values: Any, target: type[T], validate_fields: CrossFieldValidation | None = None
 ) -> T:
-    """Decode what has been parsed already; as `decode`.
+    """Decode values that are already parsed; the arguments are as for `decode`.
 
     Raises:
         ConfigFaultsError: The values have faults.
     """
     validator = TypeValidator()
-    # Of all values that are valid, also where others are not.
+    # Built from the valid values, even if others are invalid.
     partial = validator.validate(type_info(cast(Any, target)), values, "")
     faults = validator.faults
     decoded: T | None = None
     if not faults:
         try:
             decoded = partial = msgspec.convert(values, target)
-        except msgspec.ValidationError as error:  # guards against a kind of type that the validator lacks
+        except msgspec.ValidationError as error:  # guards against a type that `TypeValidator` does not check
             faults = [fault_at("", UNSET, str(error))]
     if validate_fields is not None and all_valid(partial):
         faults = [*faults, *validate_fields(partial)]
@@ -60,5 +60,5 @@
 
 
 def syntax_fault(file: str, error: ConfigSyntaxError) -> ConfigFaultsError:
-    """The error for a file whose text cannot be parsed."""
+    """Return the error for a file whose text cannot be parsed."""
     return ConfigFaultsError([ConfigFault(file, error.position, UNSET, error.reason)])
--- a/flintridge/config/descriptions.py
+++ b/flintridge/config/descriptions.py
@@ -1,4 +1,4 @@
-"""Descriptions of values, and of what a type allows, in one line of an error message."""
+"""Descriptions of values, and of the values that a type allows, for one line of an error message."""
 
 from collections.abc import Iterable
 from typing import Any
@@ -6,11 +6,11 @@
 from msgspec import inspect
 
 SHOWN_CHARACTERS_MAX = 60
-EXACT_INTEGER_MAX = 1e15  # larger floats are not written out as integers
+EXACT_INTEGER_MAX = 1e15  # larger whole numbers are shown in scientific notation
 
 
 def shown(value: Any) -> str:
-    """A value in an error message: one line, cut where it is long. Never raises."""
+    """Format a value for an error message: on one line, truncated if it is long. Never raises."""
     if value is None:
         return "null"
     if isinstance(value, bool):
@@ -22,21 +22,21 @@
     try:
         text = repr(value)
     except (ValueError, RecursionError):  # a number of thousands of digits, lists nested hundreds deep
-        return "what is too long to show"
+        return "a value too long to show"
     if len(text) <= SHOWN_CHARACTERS_MAX:
         return text
     return f"{text[: SHOWN_CHARACTERS_MAX - 3]}..."
 
 
 def number(value: float) -> str:
-    """A number without a fraction of zero."""
+    """Format a number; a whole number is shown without `.0`."""
     if float(value).is_integer() and abs(value) < EXACT_INTEGER_MAX:
         return str(int(value))
     return f"{value:g}"
 
 
 def bounds(info: inspect.FloatType | inspect.IntType) -> str:
-    """The range of a number, as in `>= 0 and <= 1`; empty where there is none."""
+    """Describe the range of a number, as in `>= 0 and <= 1`; empty if any number is allowed."""
     limits = ((">", info.gt), (">=", info.ge), ("<", info.lt), ("<=", info.le))
     descriptions = [f"{sign} {number(limit)}" for sign, limit in limits if limit is not None]
     if info.multiple_of is not None:
@@ -45,7 +45,7 @@
 
 
 def length(info: inspect.StrType | inspect.ListType | inspect.VarTupleType, unit: str) -> str:
-    """The allowed length, as in `1 to 64 characters`; empty where any length is allowed."""
+    """Describe the allowed length, as in `1 to 64 characters`; empty if any length is allowed."""
     minimum = info.min_length
     maximum = info.max_length
     if minimum is None and maximum is None:
@@ -60,15 +60,15 @@
 
 
 def choice(values: Iterable[Any]) -> str:
-    """The values of which one is allowed."""
+    """Describe a choice between several values, as in `one of 'a', 'b'`."""
     choices = [shown(value) for value in values]
     return choices[0] if len(choices) == 1 else f"one of {', '.join(choices)}"
 
 
 def allowed_by(info: inspect.Type) -> str:
-    """What a type allows, as in `a number >= 0 and <= 1`."""
+    """Describe the values that a type allows, as in `a number >= 0 and <= 1`."""
     match info:
-        case inspect.Metadata():  # descriptions, which the JSON Schema has
+        case inspect.Metadata():  # only adds a description for the JSON Schema
             return allowed_by(info.type)
         case inspect.FloatType():
             return f"a number {bounds(info)}".strip()
--- a/flintridge/config/errors.py
+++ b/flintridge/config/errors.py
@@ -4,7 +4,7 @@
 
 
 class ConfigError(FlintridgeError, ValueError):
-    """A configuration that no node can be started with; its text has a line for each fault."""
+    """A node cannot be started with the configuration; the message has one line for each fault."""
 
 
 class AddressError(FlintridgeError, ValueError):
--- a/flintridge/config/faults.py
+++ b/flintridge/config/faults.py
@@ -1,4 +1,4 @@
-"""Faults of a file, each with its place, its value and what is allowed there."""
+"""Faults of a file, each with its path in the file, the invalid value and the allowed values."""
 
 from dataclasses import dataclass
 from typing import Any
@@ -8,19 +8,19 @@
 from flintridge.config.descriptions import shown
 from flintridge.errors import FlintridgeError
 
-UNSET: Any = msgspec.UNSET  # in place of a value that is missing or not valid
+UNSET: Any = msgspec.UNSET  # stands in for a value that is missing or invalid
 
 
 @dataclass(slots=True, frozen=True)
 class ConfigFault:
-    """What is wrong at one place of a file.
+    """One fault of a file.
 
     Attributes:
         file: The file's name; empty until the fault is reported.
-        path: As in `classes[1].aim_ms`; empty for the file as a whole.
-        value: What is there; UNSET where it is missing or not to be shown.
-        reason: What is wrong with it.
-        allowed: What is allowed there; empty where the reason says all.
+        path: The path of the value, as in `classes[1].aim_ms`; empty for the file as a whole.
+        value: The value in the file; UNSET if it is missing or is not to be shown.
+        reason: Why the value is rejected.
+        allowed: The allowed values; empty if the reason already describes them.
     """
 
     file: str
@@ -35,7 +35,7 @@
 
 
 class ConfigFaultsError(FlintridgeError, ValueError):
-    """A file is not valid; the text has a line for each fault.
+    """A file is not valid; the message has one line for each fault.
 
     Attributes:
         faults: All faults of the file.
@@ -47,10 +47,10 @@
 
 
 def fault_at(path: str, value: Any, reason: str, allowed: str = "") -> ConfigFault:
-    """A fault of a file whose name is filled in later, see `ConfigFault`."""
+    """Return a fault without its file's name, which is filled in when the fault is reported."""
     return ConfigFault("", path, value, reason, allowed)
 
 
 def all_valid(*values: Any) -> bool:
-    """Whether none of the values is UNSET: nothing can be said to conflict with a value that is not valid."""
+    """Whether none of the values is UNSET. An invalid value is not checked for conflicts with others."""
     return all(value is not UNSET for value in values)
--- a/flintridge/config/format_types.py
+++ b/flintridge/config/format_types.py
@@ -1,7 +1,7 @@
-"""What the node's own configuration format and the lab's scenario format have in common.
+"""Types and key names that the node's own configuration format and the lab's scenario format share.
 
-Fields have the names of `flintridge.api`. Where a key of a file has another name, these tables of field to
-key have it; a class takes from them what it has.
+Fields have the names of `flintridge.api`. Where a key in the file has another name, these tables map the
+field to the key. A table may have entries for fields that a class does not have.
 """
 
 from collections.abc import Callable
@@ -12,7 +12,7 @@
 
 StructT = TypeVar("StructT", bound=msgspec.Struct)
 
-# The last part guards against an ending newline, which `$` alone lets pass.
+# The negative lookahead rejects a trailing newline, which `$` alone would accept.
 Name = Annotated[str, Meta(min_length=1, max_length=64, pattern=r"^[A-Za-z0-9._-]+$(?!\n)")]
 
 REQUEST_CLASS_KEYS = {
@@ -41,7 +41,11 @@
 
 
 def schema_description(text: str | None) -> Callable[[type[StructT]], type[StructT]]:
-    """Give a class a description in the JSON Schema, in place of its doc comment; None: no description."""
+    """Set the description of a class in the JSON Schema, in place of its doc comment.
+
+    Args:
+        text: The description; None: the JSON Schema has no description for the class.
+    """
 
     def describe(table: type[StructT]) -> type[StructT]:
         table.__doc__ = text
--- a/flintridge/config/loader.py
+++ b/flintridge/config/loader.py
@@ -15,11 +15,12 @@
     """Load the file that PROXY_CONFIG names.
 
     Raises:
-        ConfigError: It is missing, cannot be read or is not valid; the text has a line for each fault.
+        ConfigError: The file is missing, cannot be read or is not valid; the message has one line for each
+            fault.
     """
     path = env.get("PROXY_CONFIG")
     if not path:
-        raise ConfigError("PROXY_CONFIG is not set: it names the configuration file")
+        raise ConfigError("PROXY_CONFIG is not set: it must name the configuration file")
     try:
         with open(path, "rb") as file:
             text = file.read()
@@ -37,11 +38,11 @@
 
 
 def is_node_format(path: str, config: Any) -> bool:
-    """Whether a file is in the node's own format: TOML, or JSON of the same shape, with its `classes`.
+    """Whether a file is in the node's own format: TOML, or JSON of the same structure with a key `classes`.
 
     Args:
         path: The file's path.
-        config: The file's decoded JSON; of no account for TOML.
+        config: The file's decoded JSON; not used for TOML.
     """
     if path.endswith(".toml"):
         return True
@@ -49,9 +50,9 @@
 
 
 def _load_node_format(path: str, text: bytes, env: Mapping[str, str]) -> NodeConfig:
-    # Imported here: it imports msgspec, which a node that is started by the platform's JSON does without.
+    # Imported only here: it imports msgspec, which a node started with the platform's JSON does not need.
     try:
         from flintridge.config.node_file import parse_node_file
     except ModuleNotFoundError as error:
-        raise ConfigError(f"{path}: {error.name} is not installed, which this format needs") from error
+        raise ConfigError(f"{path}: this format needs {error.name}, which is not installed") from error
     return parse_node_file(path, text, env)
--- a/flintridge/config/node_config.py
+++ b/flintridge/config/node_config.py
@@ -1,6 +1,6 @@
 """The configuration that a node is started with, and the limits that are derived from it.
 
-Fields have the names of those in the node's own format (`model`), where each is described with its range.
+Fields have the same names as in the node's own format (`model`), which also gives their ranges.
 """
 
 from dataclasses import dataclass
@@ -10,29 +10,34 @@
 from flintridge.config.address import Address
 
 # Descriptors for the listener, discovery, the event loop, the log, accepted connections that are not counted
-# yet, and connections beyond the limit that are still read from: in a burst up to 16 are accepted before the
-# first of them is seen.
+# yet, and connections over the limit that are still being read: in a burst, up to 16 connections are accepted
+# before the first of them is handled.
 RESERVED_DESCRIPTORS = 32
-ADMIN_CONNECTIONS_MAX = 12  # at once, and descriptors beyond the reserved ones, where there is an admin API
-PEER_DESCRIPTORS = 8  # datagrams, exchanges both ways and their listener, where there are peers
-# Of the remaining sockets, for clients: their requests need a third of all, and each of these an attempt or
-# two. The rest lets idle clients wait for their timeout without taking sockets from active ones.
+# Concurrent connections to the admin API. A node that has one reserves as many further descriptors.
+ADMIN_CONNECTIONS_MAX = 12
+# Further descriptors of a node with peers: for datagrams, exchanges in both directions and their listener.
+PEER_DESCRIPTORS = 8
+# The fraction of the remaining sockets that is for clients. Clients with a request need a third of all, and
+# each such request one or two attempts. The rest lets idle clients stay connected until their timeout without
+# taking sockets from active ones.
 CLIENT_SOCKETS_FRACTION = 0.6
 MAX_VALUE_MB = 4.0
-BASE_MEMORY_MB = 24.0  # what a node takes with no request in flight
+BASE_MEMORY_MB = 24.0  # memory that a node uses with no request in flight
 BYTES_PER_MB = 1024 * 1024
 
 
 @dataclass(slots=True, frozen=True)
 class PeersConfig:
-    """The other nodes of the fleet; only in the node's own format.
+    """The other nodes of the fleet; available only in the node's own format.
 
     Attributes:
-        listen: For datagrams and exchanges.
-        known: Peers by name, with the address at which this node reaches each; its own entry is not used.
+        listen: The address for datagrams (UDP) and exchanges (TCP).
+        known: The names of the peers and the address at which this node reaches each. The node's own entry
+            is not used.
         fleet: The fleet's name; traffic of another fleet is dropped.
-        key: Authenticates the traffic; None: nothing is authenticated, and all of it stays on this machine.
-        bytes_per_s: Of all that is sent to peers.
+        key: The key that authenticates the traffic; None: the traffic is not authenticated and stays on this
+            machine.
+        bytes_per_s: The maximum of all traffic to peers, in bytes per second.
     """
 
     listen: Address
@@ -44,22 +49,22 @@
 
 @dataclass(slots=True, frozen=True)
 class BudgetsConfig:
-    """Which fleet-wide limits are leased between nodes that reach one another; only in the node's own format.
+    """The fleet-wide limits that are leased between nodes that reach one another.
 
-    Each is divided into one equal allocation a node.
+    Available only in the node's own format. Each limit is divided into equal allocations, one per node.
 
     Attributes:
-        tenants: The tenants' quotas.
-        floors: What concurrency limiters admit at the least.
-        slow_start: The work that may go to a server that is warming up.
-        cache_permits: Attempts in flight at the caches, over all nodes; 0: no such limit.
+        tenants: Whether the tenants' quotas are leased.
+        floors: Whether the minimum that concurrency limiters admit is leased.
+        slow_start: Whether the work that may be sent to a server that is warming up is leased.
+        cache_permits: Attempts in flight at the cache servers, over all nodes; 0: no such limit.
         origin_permits: Attempts in flight at the origin, over all nodes; 0: no such limit.
-        retries_per_s: Retries over all nodes; 0: no such limit.
-        retries_per_attempt: Retries allowed beside these for each first attempt.
-        strict: Reject what exceeds a quota, whatever capacity is free.
+        retries_per_s: Retries per second over all nodes; 0: no such limit.
+        retries_per_attempt: Retries allowed in addition to `retries_per_s`, per first attempt.
+        strict: Whether requests over quota are rejected even if capacity is free.
         floor: The fraction of its allocation that a node never grants to others.
-        lease_ms: Length of a lease, by the lessee's clock.
-        bytes_per_s: Of lease messages; included in what [peers] allows.
+        lease_ms: The length of a lease in milliseconds, by the lessee's clock.
+        bytes_per_s: The maximum of lease messages, in bytes per second; included in the limit of [peers].
     """
 
     tenants: bool = False
@@ -77,14 +82,16 @@
 
 @dataclass(slots=True, frozen=True)
 class StateConfig:
-    """The replica of the fleet's state that a node has; only in the node's own format.
+    """The node's replica of the fleet's state; available only in the node's own format.
 
     Attributes:
-        entries: At most, remembered deletions included.
-        entry_bytes: Of one entry, at most.
-        remember_s: How long deletions are remembered, at the least.
-        wait_ms: For a peer that is synchronized, before `mn` is answered without one.
-        bytes_per_s: Of entries in datagrams; included in what [peers] allows.
+        entries: The maximum number of entries, including remembered deletions.
+        entry_bytes: The maximum size of an entry, in bytes.
+        remember_s: The minimum time for which deletions are remembered, in seconds.
+        wait_ms: How long a starting node waits for a synchronized peer before it answers `mn` without one, in
+            milliseconds.
+        bytes_per_s: The maximum of entries in datagrams, in bytes per second; included in the limit of
+            [peers].
     """
 
     entries: int = 10_000
@@ -96,26 +103,27 @@
 
 @dataclass(slots=True, frozen=True)
 class NodeConfig:
-    """All that a node is started with.
+    """The complete configuration of a node.
 
     Attributes:
         name: The node's name in logs and to its peers.
-        listen: For clients.
-        discovery: The discovery service.
-        seed: Of the policy's random numbers.
-        settings: For the policy.
-        zones: Names by position, as the policy counts them.
-        kinds: Names of the kinds of servers by position.
-        known: The list of cache servers as last seen, decoded JSON in discovery's form that is validated only
-            when it is applied; None: no such list.
-        sockets: Descriptors that the node may open.
-        memory_mb: Memory that the node may use.
-        log_level: Lines below it are not written.
-        log_repeats_per_s: Lines of one event; further ones are counted in one line.
+        listen: The address on which the node accepts clients.
+        discovery: The address of the discovery service.
+        seed: The seed of the policy's random numbers.
+        settings: The settings of the policy.
+        zones: The names of the zones; the policy refers to a zone by its position here.
+        kinds: The names of the kinds of servers; the policy refers to a kind by its position here.
+        known: The last known list of cache servers, as decoded JSON in discovery's format, which is validated
+            only when it is applied; None: no such list.
+        sockets: The number of descriptors that the node may open.
+        memory_mb: The memory that the node may use, in megabytes.
+        log_level: The lowest level of log lines that are written.
+        log_repeats_per_s: How many lines of one event are written per second; one line reports the count
+            of the others.
         console: The address of the admin API; None: no admin API.
-        peers: None: this node reaches no other, and has no state of membership.
-        budgets: None: this node uses its equal allocation of each limit, as without peers.
-        state: None: this node has no replica of the fleet's state.
+        peers: The other nodes; None: this node reaches no other node and has no membership state.
+        budgets: The leased limits; None: this node uses its equal allocation of each limit, as without peers.
+        state: The replica of the fleet's state; None: this node has no replica.
     """
 
     name: str
@@ -137,19 +145,19 @@
 
     @property
     def client_sockets(self) -> int:
-        """Connections of clients that the node accepts."""
+        """The number of client connections that the node accepts."""
         return int(CLIENT_SOCKETS_FRACTION * (self.sockets - self._reserved_sockets))
 
     @property
     def server_sockets(self) -> int:
-        """Connections to servers that the node opens."""
+        """The number of connections to servers that the node opens."""
         return self.sockets - self._reserved_sockets - self.client_sockets
 
     @property
     def memory_budget_bytes(self) -> int:
-        """Memory for the values of writes: a third of what exceeds the node's base, at least a largest value.
+        """Memory for the values of writes: a third of what exceeds BASE_MEMORY_MB, at least MAX_VALUE_MB.
 
-        Another third is for what is being sent to clients, as short responses and as chunks of long ones.
+        Another third is for data that is being sent to clients: short responses and chunks of long ones.
         """
         budget_mb = max(MAX_VALUE_MB, (self.memory_mb - BASE_MEMORY_MB) / 3)
         return int(budget_mb * BYTES_PER_MB)
@@ -161,5 +169,5 @@
             reserved += ADMIN_CONNECTIONS_MAX
         if self.peers is not None:
             reserved += PEER_DESCRIPTORS
-        # Guards against a small limit that the reserved ones would use up.
+        # With a small `sockets`, the reserved descriptors would leave none for connections.
         return min(reserved, self.sockets // 4)
--- a/flintridge/config/node_file.py
+++ b/flintridge/config/node_file.py
@@ -16,7 +16,7 @@
 from flintridge.config.node_file_settings import policy_settings
 from flintridge.config.node_file_validation import validate_node_file
 
-# As in flintridge/membership/messages.py, which a node without peers does not import.
+# The same limits as in flintridge/membership/messages.py, which a node without peers does not import.
 KEY_BYTES_MIN = 16
 KEY_BYTES_MAX = 64
 ADDRESS_ALLOWED = "a numeric address with a port"
@@ -27,12 +27,12 @@
     """Parse a file in the node's own format.
 
     Args:
-        file: The file's name; the suffix `.json` stands for JSON, any other for TOML.
+        file: The file's name; the suffix `.json` selects JSON, any other one TOML.
         text: The file's bytes.
-        env: Variables that stand in for addresses and a name that the file leaves out.
+        env: Environment variables, which supply addresses and a name that the file omits.
 
     Raises:
-        ConfigError: The file is not valid; the text has a line for each fault.
+        ConfigError: The file is not valid; the message has one line for each fault.
     """
     try:
         node_file = decode(file, text, NodeFile, validate_node_file)
@@ -42,7 +42,7 @@
 
 
 class _NodeConfigBuilder:
-    """Completes a valid file from the environment, and collects what is missing in both."""
+    """Completes a valid file with values of the environment, and collects faults of the result."""
 
     def __init__(self, file: str, node_file: NodeFile, env: Mapping[str, str]) -> None:
         self._file = file
@@ -54,7 +54,7 @@
         """Build the configuration.
 
         Raises:
-            ConfigFaultsError: The file and the environment together are not enough.
+            ConfigFaultsError: A value is invalid, or is missing in both the file and the environment.
         """
         node_file = self._node_file
         listen = self._required_address("listen", node_file.listen, "PROXY_LISTEN")
@@ -95,7 +95,7 @@
         try:
             return Address.parse(text)
         except AddressError:
-            reason = f"is missing, and {variable} holds no address either"
+            reason = f"is missing, and {variable} has no address either"
             self._report(path, UNSET if text is None else text, reason, ADDRESS_ALLOWED)
             return None
 
@@ -104,16 +104,16 @@
         try:
             console = optional_address(text)
         except AddressError:
-            self._report("console", text, "is no address", ADDRESS_ALLOWED)
+            self._report("console", text, "is not an address", ADDRESS_ALLOWED)
             return None
         if not self._faults and console in (listen, discovery):
-            self._report("console", text, "is listen or discovery too", "an address of its own")
+            self._report("console", text, "is also the listen or discovery address", "an address of its own")
         return console
 
     def _peers(self, peers: Peers) -> PeersConfig | None:
-        """None where a fault was found in it."""
+        """Build the configuration of [peers]. Returns None if its key file has a fault, which is reported."""
         if not self._name:
-            reason = "is missing, and PROXY_NAME is not set: peers know a node by its name"
+            reason = "is missing, and PROXY_NAME is not set: peers identify a node by its name"
             self._report("name", UNSET, reason, "a name of its own")
         key = None
         if peers.key_file is not None:
@@ -129,7 +129,7 @@
         )
 
     def _peer_key(self, key_file: str) -> bytes | None:
-        """The key without the line's end; None where a fault was found in it."""
+        """Read the key without its line ending. Returns None if the file has a fault, which is reported."""
         allowed = f"a file of {KEY_BYTES_MIN} to {KEY_BYTES_MAX} bytes"
         try:
             with open(key_file, "rb") as opened:
@@ -143,7 +143,7 @@
         return key
 
     def _check_fleet_size(self) -> None:
-        """Check the fleet's size by the environment's name; by the file's it was checked with the file."""
+        """Check `fleet_size` if PROXY_NAME supplies the name; for a name in the file this is already done."""
         name = self._env.get("PROXY_NAME")
         if self._node_file.budgets is None or self._node_file.name or not name:
             return
@@ -152,16 +152,16 @@
 
 
 def budgets_config(budgets: Budgets) -> BudgetsConfig:
-    """The configuration of a valid table [budgets]."""
+    """Convert a valid table [budgets]."""
     return BudgetsConfig(**msgspec.structs.asdict(budgets))
 
 
 def state_config(state: State) -> StateConfig:
-    """The configuration of a valid table [state]."""
+    """Convert a valid table [state]."""
     return StateConfig(**msgspec.structs.asdict(state))
 
 
 def _discovery_list(known: Known) -> dict[str, Any]:
-    """In discovery's form, with all keys: the node reads it as it does discovery's responses."""
+    """Convert to discovery's format, with all keys: the node parses it like discovery's responses."""
     members = [msgspec.structs.asdict(member) for member in known.members]
     return {"revision": known.revision, "complete": known.complete, "members": members}
--- a/flintridge/config/node_file_settings.py
+++ b/flintridge/config/node_file_settings.py
@@ -40,7 +40,7 @@
 
 
 def _in_nanoseconds(section: msgspec.Struct) -> dict[str, Any]:
-    """The section's values by field, with times as whole nanoseconds in fields that end in `_ns`."""
+    """Return the values by field name; `_ms` and `_s` fields become `_ns` fields in whole nanoseconds."""
     values = {}
     for field, value in msgspec.structs.asdict(section).items():
         if field.endswith("_ms"):
--- a/flintridge/config/node_file_validation.py
+++ b/flintridge/config/node_file_validation.py
@@ -1,6 +1,7 @@
-"""Cross-field validation of a node's own format: values that are allowed each, but not together.
+"""Cross-field validation of a node's own format: values that are valid one by one, but conflict.
 
-All checks take a file that may be faulty in parts: a value that is `UNSET` conflicts with nothing.
+All checks accept a file in which other values are invalid: an invalid value is `UNSET`, and `UNSET` conflicts
+with nothing.
 """
 
 from collections.abc import Iterator, Sequence
@@ -20,13 +21,13 @@
 
 
 def validate_node_file(file: NodeFile) -> Iterator[ConfigFault]:
-    """Find all values of a file that cannot stand together."""
+    """Report all values of a file that conflict with each other."""
     yield from _addresses_faults(file)
     yield from _names_faults(file)
     yield from _mode_faults(file)
     if all_valid(file.self_index, file.fleet_size) and file.self_index >= file.fleet_size:
         allowed = f"0 to {file.fleet_size - 1}"
-        yield fault_at("self_index", file.self_index, f"must be {allowed}, by fleet_size", allowed)
+        yield fault_at("self_index", file.self_index, f"must be {allowed}, given fleet_size", allowed)
     if all_valid(file.limits):
         yield from _limits_faults(file.limits)
     if all_valid(file.rules):
@@ -54,14 +55,14 @@
 
 
 def _names_faults(file: NodeFile) -> Iterator[ConfigFault]:
-    """Find names of zones and kinds that stand twice, and a zone that is not named."""
+    """Report duplicate names of zones and kinds, and a `zone` that is missing or not in `zones`."""
     for path in ("zones", "kinds"):
         names = getattr(file, path)
         if not all_valid(names):
             continue
         for i, name in enumerate(names):
             if all_valid(name) and name in names[:i]:
-                yield fault_at(f"{path}[{i}]", name, "stands there twice")
+                yield fault_at(f"{path}[{i}]", name, "is a duplicate")
     has_several_zones = all_valid(file.zones) and len(file.zones) > 1
     yield from _reference_faults("zone", file.zone, file.zones, "zones", required=has_several_zones)
 
@@ -72,14 +73,14 @@
     is_aside = file.mode == "aside"
     yield from _reference_faults("origin_kind", file.origin_kind, file.kinds, "kinds", required=is_aside)
     if not is_aside and all_valid(file.origin_kind) and file.origin_kind is not None:
-        reason = "has no meaning where mode is 'through'"
+        reason = "has no effect if mode is 'through'"
         yield fault_at("origin_kind", file.origin_kind, reason, "aside")
 
 
 def _reference_faults(
     path: str, name: str | None, names: Sequence[str], names_path: str, *, required: bool
 ) -> Iterator[ConfigFault]:
-    """Find a name that is not in the list it must be from, or is missing where one is required."""
+    """Report a name that is not in the list that it must come from, or that is required and missing."""
     if not all_valid(name, names) or not all_valid(*names):
         return
     allowed = f"named in {names_path}, which is empty"
@@ -107,7 +108,7 @@
         yield fault_at(f"{path}.aim_ms", objective_ms, f"must be {allowed}", allowed)
     if not all_valid(request_class.effect) or request_class.effect == "keyed":
         return
-    reason = f"has a meaning for effect 'keyed' only, and this class is {request_class.effect!r}"
+    reason = f"is allowed only with effect 'keyed', and the effect of this class is {request_class.effect!r}"
     window_ms = request_class.deduplication_window_ms
     if all_valid(window_ms) and window_ms > 0:
         yield fault_at(f"{path}.window_ms", window_ms, reason, "0")
@@ -121,13 +122,13 @@
         return
     shares_sum = sum(tenant.share for tenant in tenants)
     if shares_sum > 1 + TENANT_SHARES_TOLERANCE:
-        yield fault_at("tenants", f"shares of {shares_sum:g} in all", "must not be more than 1", "<= 1")
+        yield fault_at("tenants", f"shares of {shares_sum:g} in total", "must not be more than 1", "<= 1")
 
 
 def _limits_faults(limits: Limits) -> Iterator[ConfigFault]:
     maximum_ms = limits.max_retry_after_ms
     if all_valid(limits.retry_after, maximum_ms) and maximum_ms > 0 and not limits.retry_after:
-        reason = "has no meaning while retry_after is false"
+        reason = "has no effect while retry_after is false"
         yield fault_at("limits.max_retry_after_ms", maximum_ms, reason, "0")
     if not all_valid(limits.max_attempts, limits.hedged_requests):
         return
@@ -149,20 +150,20 @@
 
 def _slow_start_faults(fraction: float, duration_s: float) -> Iterator[ConfigFault]:
     if duration_s > 0 and fraction == 1:
-        reason = "says that servers start cold, but a cold_share of 1 that they can do all at once"
+        reason = "has no effect: with a cold_share of 1, servers start at full capacity"
         yield fault_at("rules.cold_s", duration_s, reason, "0, or a cold_share < 1")
     if duration_s == 0 and fraction < 1:
-        reason = "says that servers start cold, but a cold_s of 0 that they are warm at once"
+        reason = "has no effect: with a cold_s of 0, servers have full capacity from the start"
         yield fault_at("rules.cold_share", fraction, reason, "1, or a cold_s > 0")
 
 
 def _overload_fault(missing: str, present: str) -> ConfigFault:
-    reason = f"must be over 0 as {present} is: a load, and how long it is borne"
+    reason = f"must be above 0 because {present} is: one is a load, the other how long servers withstand it"
     return fault_at(f"rules.{missing}", 0, reason, "> 0")
 
 
 def _goal_faults(goal: Goal) -> Iterator[ConfigFault]:
     weights = [getattr(goal, name) for name in GOAL_WEIGHTS]
     if all_valid(*weights) and not any(weights):
-        reason = f"counts nothing: one of {', '.join(GOAL_WEIGHTS)} must be over 0"
+        reason = f"has no weight: one of {', '.join(GOAL_WEIGHTS)} must be above 0"
         yield fault_at("goal", 0, reason)
--- a/flintridge/config/platform_config.py
+++ b/flintridge/config/platform_config.py
@@ -11,15 +11,15 @@
 from flintridge.config.platform_settings import settings_from
 
 SOCKETS_MIN = 32
-# Beyond what any machine has. Guards a reload against figures that overflow when they are converted or
-# multiplied, after a part of the configuration was taken over.
+# These maximums exceed what any machine has. They guard a reload against values that overflow when they are
+# converted or multiplied, after a part of the configuration is already applied.
 SOCKETS_MAX = 2**31 - 1
 MEMORY_MAX_MB = 1e9
 
 
 @dataclass(slots=True, frozen=True)
 class _Addresses:
-    """What a node listens on and connects to."""
+    """The addresses that a node listens on and connects to."""
 
     listen: Address
     discovery: Address
@@ -28,21 +28,21 @@
 
 @dataclass(slots=True, frozen=True)
 class _Resources:
-    """What a node may use of its machine."""
+    """Resources of its machine that a node may use."""
 
     sockets: int
     memory_mb: float
 
 
 def node_config(config: Any, env: Mapping[str, str]) -> NodeConfig:
-    """Build a node's configuration; keys that are not known are ignored.
+    """Build a node's configuration; unknown keys are ignored.
 
     Args:
         config: The file's decoded JSON.
-        env: Variables that stand in for addresses and a name that the file leaves out.
+        env: Environment variables, which supply addresses and a name that the file omits.
 
     Raises:
-        ConfigError: A section cannot be used; the text names the first such section.
+        ConfigError: A section is invalid; the message names the first such section.
     """
     if not isinstance(config, dict):
         raise ConfigError("the configuration is not a JSON object")
@@ -81,7 +81,9 @@
     with _naming_section("console"):
         console = optional_address(config.get("console") or env.get("PROXY_CONSOLE"))
         if console in (listen, discovery):
-            raise ValueError(f"{console} is listen or discovery as well; it must be an address of its own")
+            raise ValueError(
+                f"{console} is also the listen or discovery address; it must be an address of its own"
+            )
     return _Addresses(listen, discovery, console)
 
 
@@ -93,15 +95,15 @@
     if sockets > SOCKETS_MAX:
         raise ValueError(f"{sockets} sockets are too many: at most {SOCKETS_MAX}")
     if not memory_mb > 0:
-        raise ValueError(f"{memory_mb} MB of memory are too few")
+        raise ValueError(f"{memory_mb} MB of memory is too little")
     if memory_mb > MEMORY_MAX_MB:
-        raise ValueError(f"{memory_mb} MB of memory are too many: at most {MEMORY_MAX_MB:.0f}")
+        raise ValueError(f"{memory_mb} MB of memory is too much: at most {MEMORY_MAX_MB:.0f}")
     return _Resources(sockets, memory_mb)
 
 
 @contextmanager
 def _naming_section(section: str) -> Iterator[None]:
-    """Turn what goes wrong in reading a section into an error that names it."""
+    """Convert an error in reading a section into a ConfigError that names the section."""
     try:
         yield
     except (ValueError, KeyError, TypeError, AttributeError, OverflowError) as error:
--- a/flintridge/config/platform_model.py
+++ b/flintridge/config/platform_model.py
@@ -1,7 +1,8 @@
-"""The platform's JSON as `flintridge check` reads it: keys that are not known are ignored, as by a node.
+"""The platform's JSON as `flintridge check` validates it. Like a node, it ignores unknown keys.
 
-It is stricter than a node, which starts with what it can make sense of: what passes here, a node accepts.
-Fields have the names of `flintridge.api`; where a key is not such a name in camel case, `field` has it.
+It is stricter than a node, which also starts with some values that are rejected here; a node accepts every
+file that is valid here. Fields have the names of `flintridge.api`; where a key is not such a name in camel
+case, `field` gives the key.
 """
 
 from typing import Annotated, Literal
@@ -15,7 +16,7 @@
 
 
 class Section(msgspec.Struct, rename="camel", kw_only=True, frozen=True):
-    """An object of the settings; null stands for a key that is left out."""
+    """An object of the settings; null is treated as an omitted key."""
 
 
 class Service(Section, kw_only=True, frozen=True):
@@ -54,7 +55,7 @@
 
 
 class Permissions(Section, kw_only=True, frozen=True):
-    """What a node may do."""
+    """Limits on a node, and the optional features that it may use."""
 
     max_attempts: Annotated[int, Meta(ge=1)] | None = field(default=None, name="attemptsCap")
     hedged_requests: Flag = field(default=None, name="parallelTries")
@@ -69,7 +70,7 @@
 
 
 class Prices(Section, kw_only=True, frozen=True):
-    """Cost of each event, in units of the result."""
+    """Prices of a node's overhead, in points of the result, each multiplied by its fraction or rate."""
 
     cross_zone: Amount = None
     waste: Amount = None
@@ -84,7 +85,7 @@
 
 
 class Goal(Section, kw_only=True, frozen=True):
-    """Weights of the parts of the result."""
+    """Weights of the components of the result."""
 
     whole: Amount = None
     worst_window: Amount = None
@@ -97,7 +98,7 @@
 
 
 class FamilyInfo(Section, kw_only=True, frozen=True):
-    """Who fetches what is not cached."""
+    """Who fetches a value that is not cached: the cache server (through) or the node (aside)."""
 
     mode: Literal["through", "aside"] = "through"
     origin_kind: int = -1
@@ -110,7 +111,7 @@
 
 
 class Settings(Section, kw_only=True, frozen=True):
-    """The settings that the policy is given."""
+    """The settings of the policy."""
 
     services: tuple[Service, ...] | None = None
     tenants: tuple[Tenant, ...] | None = None
@@ -138,7 +139,7 @@
 
 
 class ListedServer(msgspec.Struct, kw_only=True, frozen=True):
-    """A server as discovery lists it."""
+    """A server in discovery's list."""
 
     id: Annotated[str, Meta(min_length=1)]
     phase: Literal["in_service", "terminating", "terminated"]
@@ -151,7 +152,7 @@
 
 
 class ServerList(msgspec.Struct, kw_only=True, frozen=True):
-    """The list of servers as last seen."""
+    """The last known list of servers."""
 
     revision: int
     complete: bool
@@ -159,7 +160,7 @@
 
 
 class PlatformFile(msgspec.Struct, kw_only=True, frozen=True):
-    """The file as a whole; `listen`, `discovery` and `console` may be left to the environment."""
+    """The whole file; `listen`, `discovery` and `console` may be left to the environment."""
 
     settings: Settings
     name: str | None = None
--- a/flintridge/config/platform_settings.py
+++ b/flintridge/config/platform_settings.py
@@ -11,7 +11,7 @@
     "fragile": api.Effect.UNSAFE,
 }
 
-# Keys of the JSON -> fields of `flintridge.api`; other keys are ignored.
+# These tables map keys of the JSON to fields of `flintridge.api`; other keys are ignored.
 CLASS_KEYS: Mapping[str, str] = {
     "name": "name",
     "sloNs": "latency_objective_ns",
@@ -80,10 +80,10 @@
     """Build the policy's settings.
 
     Args:
-        config: The decoded JSON object; absent and null keys take the defaults of `flintridge.api`.
+        config: The decoded JSON object; missing and null keys have the defaults of `flintridge.api`.
 
     Raises:
-        ValueError, KeyError, TypeError, AttributeError: A value has a wrong type or is not allowed.
+        ValueError, KeyError, TypeError, AttributeError: A value has the wrong type or is not allowed.
     """
     family = config.get("familyInfo", {})
     values = _renamed(config, SETTINGS_KEYS)
--- a/flintridge/config/platform_validation.py
+++ b/flintridge/config/platform_validation.py
@@ -1,4 +1,4 @@
-"""Cross-field validation of the platform's JSON: values that are allowed each, but not together."""
+"""Cross-field validation of the platform's JSON: values that are valid one by one, but conflict."""
 
 from collections.abc import Iterator, Sequence, Sized
 from typing import Any
@@ -15,7 +15,7 @@
 
 
 def validate_platform_file(file: PlatformFile) -> Iterator[ConfigFault]:
-    """Find all values that cannot stand together, in a file that may be faulty in parts."""
+    """Report all values that conflict with each other; values that are invalid are `UNSET` in the file."""
     yield from address_faults("listen", file.listen or None)
     yield from address_faults("discovery", file.discovery or None)
     yield from address_faults("console", file.console or None)
@@ -27,9 +27,11 @@
 
 
 def validate_server_list(servers: ServerList) -> Iterator[ConfigFault]:
-    """Find all values that cannot stand together in a file that holds discovery's list alone."""
+    """Report all values that conflict in a file that contains only discovery's list."""
     if all_valid(servers.complete) and not servers.complete:
-        yield fault_at("complete", False, "must be true: this is a change of a list, not a list", "true")
+        yield fault_at(
+            "complete", False, "must be true: this is an update of a list, not a whole list", "true"
+        )
     if not all_valid(servers.members):
         return
     yield from duplicate_faults(servers.members, "members", "id")
@@ -77,7 +79,7 @@
 
 
 def _position_faults(path: str, position: Any, names: Sized | None, names_path: str) -> Iterator[ConfigFault]:
-    """Find a position that is outside its list; without a list it cannot be checked."""
+    """Report a position that is outside its list; without a list it cannot be checked."""
     if not all_valid(position, names) or position is None or not names:
         return
     if position >= len(names):
--- a/flintridge/config/syntax.py
+++ b/flintridge/config/syntax.py
@@ -1,4 +1,4 @@
-"""Parsing of a file's text into plain values: TOML, or JSON by the file's suffix `.json`."""
+"""Parsing of a file's text into plain values: JSON if the file has the suffix `.json`, otherwise TOML."""
 
 import json
 import re
@@ -15,7 +15,7 @@
     """Text that cannot be parsed.
 
     Attributes:
-        position: The line and the column, both from 1.
+        position: The line and the column, both counted from 1.
         reason: What is wrong there.
     """
 
@@ -29,11 +29,11 @@
     """Parse the text of a file.
 
     Args:
-        file: Its name, whose suffix tells JSON from TOML.
+        file: The file's name; the suffix `.json` selects JSON, any other one TOML.
         text: The file's bytes.
 
     Raises:
-        ConfigSyntaxError: It is not text of that format.
+        ConfigSyntaxError: `text` is not valid in that format.
     """
     return parse_json(text) if file.lower().endswith(".json") else parse_toml(text)
 
@@ -42,7 +42,7 @@
     """Parse TOML.
 
     Raises:
-        ConfigSyntaxError: It is not TOML in UTF-8.
+        ConfigSyntaxError: `text` is not TOML in UTF-8.
     """
     decoded = _decode_utf8(text)
     try:
@@ -59,10 +59,10 @@
 
 
 def parse_json(text: bytes) -> Any:
-    """Parse JSON. A name that an object has twice is rejected: one of the two values would be lost.
+    """Parse JSON. A duplicate name in an object is rejected, because one of the two values would be lost.
 
     Raises:
-        ConfigSyntaxError: It is not JSON in UTF-8, or an object has a name twice.
+        ConfigSyntaxError: `text` is not JSON in UTF-8, or an object has a duplicate name.
     """
     decoded = _decode_utf8(text)
     try:
@@ -102,9 +102,9 @@
     if len(values) < len(pairs):
         names = [name for name, _ in pairs]
         duplicate = next(name for name in names if names.count(name) > 1)
-        raise ValueError(f"{duplicate!r} stands twice in one object")
+        raise ValueError(f"{duplicate!r} is a duplicate name in an object")
     return values
 
 
 def _reject_constant(name: str) -> Any:
-    raise ValueError(f"{name} is not a value")
+    raise ValueError(f"{name} is not a JSON value")
--- a/flintridge/config/type_validation.py
+++ b/flintridge/config/type_validation.py
@@ -1,4 +1,4 @@
-"""Validation of plain values against a type, each field on its own, so that one fault hides no other."""
+"""Validation of plain values against a type; each field is validated separately, so all faults are found."""
 
 import functools
 import math
@@ -16,7 +16,8 @@
 ListInfo: TypeAlias = inspect.ListType | inspect.VarTupleType
 
 BARE_NAME = re.compile(r"[A-Za-z0-9_-]+")
-# Types of values, and the described types that accept them; `bool` first as it is an `int` to Python.
+# Python types of values, and the msgspec types that accept them. `bool` is first because it is a subclass of
+# `int`.
 ACCEPTED_BY: tuple[tuple[type | tuple[type, ...], tuple[type, ...]], ...] = (
     (bool, (inspect.BoolType,)),
     (int, (inspect.IntType, inspect.FloatType)),
@@ -31,22 +32,22 @@
 
 @functools.cache
 def type_info(target: Any) -> inspect.Type:
-    """The description of a type; cached, as making it takes longer than to validate a file."""
+    """Return msgspec's description of a type; cached because creating it takes longer than a validation."""
     return inspect.type_info(target)
 
 
 def joined_path(path: str, name: str) -> str:
-    """The path of an entry of the table at `path`; a name that could be mistaken for a path is quoted."""
+    """Return the path of an entry of the table at `path`; a name that could be read as a path is quoted."""
     if not BARE_NAME.fullmatch(name):
         name = repr(name)
     return f"{path}.{name}" if path else name
 
 
 class TypeValidator:
-    """Validates values against described types and collects what is wrong.
+    """Validates values against msgspec types and collects the faults.
 
     Attributes:
-        faults: All that was found, without the file's name.
+        faults: All faults found so far, without the file's name.
     """
 
     def __init__(self) -> None:
@@ -56,12 +57,12 @@
         """Validate a value.
 
         Args:
-            info: The type it must be of.
-            value: A plain value.
-            path: Where it stands in the file.
+            info: The type that the value must have.
+            value: A plain value, as parsed from JSON or TOML.
+            path: The path of the value in the file.
 
         Returns:
-            The value, with structs built and otherwise not converted; UNSET where it is not valid.
+            The value, in which tables are structs and nothing else is converted; UNSET if it is not valid.
         """
         if isinstance(info, inspect.Metadata):
             return self.validate(info.type, value, path)
@@ -95,7 +96,7 @@
                 return self._validate_number(info, value, path)
             case inspect.StrType():
                 return self._validate_text(info, value, path)
-        return value  # of a type that msgspec alone validates
+        return value  # a type that only msgspec validates
 
     def _report(self, path: str, value: Any, reason: str, allowed: str) -> Any:
         self.faults.append(fault_at(path, value, reason, allowed))
@@ -107,7 +108,7 @@
         if isinstance(value, str):
             name = path.rsplit(".", 1)[-1]
             if amount := units.amount_in_unit(name, value):
-                reason += f": write {amount}, the unit is in the name"
+                reason += f": write {amount}, the unit is part of the name"
         return self._report(path, value, reason, allowed)
 
     def _validate_number(self, info: NumberInfo, value: Any, path: str) -> Any:
@@ -120,13 +121,13 @@
         try:
             return float(value)
         except OverflowError:
-            return self._report(path, value, "too large a number", allowed_by(info))
+            return self._report(path, value, "the number is too large", allowed_by(info))
 
     def _validate_text(self, info: inspect.StrType, value: str, path: str) -> Any:
         try:
             value.encode()
-        except UnicodeEncodeError:  # half of a surrogate pair, as JSON can name it: it cannot be printed
-            return self._report(path, value, "holds half a character", allowed_by(info))
+        except UnicodeEncodeError:  # an unpaired surrogate: JSON can contain it, but it cannot be printed
+            return self._report(path, value, "contains an unpaired surrogate", allowed_by(info))
         matches = info.pattern is None or re.search(info.pattern, value)
         if matches and _fits_length(info, value):
             return value
@@ -164,7 +165,7 @@
         return info.cls(**built)
 
     def _validate_names(self, info: inspect.StructType, value: dict[str, Any], path: str) -> None:
-        """Report a wrong tag, and names that the struct does not have where it forbids these."""
+        """Report a wrong tag, and unknown names if the struct forbids them."""
         names = [field.encode_name for field in info.fields]
         if info.tag_field is not None:
             names.insert(0, info.tag_field)
@@ -190,12 +191,15 @@
             return self._validate_tagged(tagged, value, path)
         if not accepting:
             return self._report_wrong(info, value, path)
-        if len(accepting) == 1:  # such as a table that may be left out: its valid values are retained
+        if len(accepting) == 1:  # such as an optional table: its valid values are kept
             return self.validate(accepting[0], value, path)
         return self._validate_alternatives(accepting, value, path)
 
     def _validate_alternatives(self, alternatives: list[inspect.Type], value: Any, path: str) -> Any:
-        """Take the first type that a value is valid for, or report the faults of the one with the fewest."""
+        """Return the value as the first type that accepts it, or report the faults of the closest type.
+
+        The closest type is the one with the fewest faults.
+        """
         trials = []
         for alternative in alternatives:
             trial = TypeValidator()
@@ -237,7 +241,7 @@
 
 
 def _accepts(info: inspect.Type, value: Any) -> bool:
-    """Whether a value is of a Python type that a described type accepts, whatever its content."""
+    """Whether a msgspec type accepts the Python type of a value, regardless of the value's content."""
     if isinstance(info, inspect.Metadata):
         return _accepts(info.type, value)
     if isinstance(info, inspect.LiteralType):
--- a/tests/config/test_decoding.py
+++ b/tests/config/test_decoding.py
@@ -1,4 +1,4 @@
-"""Decoding: every fault at once, and nothing but faults for whatever comes in."""
+"""Decoding: all faults are reported together, and arbitrary input causes no other error."""
 
 import tomllib
 
@@ -51,8 +51,7 @@
         "n.toml: classes[2].aim_ms: true: must be a number > 0 and <= 86400000",
         "n.toml: listen: 'here:1': must be a numeric address with a port, as 10.0.0.4:11211",
         "n.toml: origin_kind: is missing: it must be named in kinds, which is empty",
-        "n.toml: rules.cold_s: 9: says that servers start cold,"
-        " but a cold_share of 1 that they can do all at once",
+        "n.toml: rules.cold_s: 9: has no effect: with a cold_share of 1, servers start at full capacity",
         "n.toml: classes[0].aim_ms: 5000: must be at most the deadline_ms of 100",
         "n.toml: classes[1].name: 'read': is the name of classes[0] too",
     ]
@@ -67,7 +66,7 @@
 
 
 def is_valid_for_decoding(values, target, validate_fields=None) -> bool:
-    """Whether it decodes; if not, each fault must have its reason and a line of its own."""
+    """Whether the values can be decoded; if not, checks that each fault has a reason and its own line."""
     try:
         decode_values("f.toml", values, target, validate_fields)
     except ConfigFaultsError as error:
@@ -83,7 +82,7 @@
 
 @PROPERTY
 @given(malformed(NODE) | any_value)
-def test_decode_when_a_configuration_is_malformed_then_refuses_what_msgspec_refuses(values):
+def test_decode_when_a_configuration_is_malformed_then_rejects_what_msgspec_rejects(values):
     decodes = is_valid_for_decoding(values, NodeFile)
     assert is_valid_for_msgspec(values, NodeFile) or not decodes
     decodes_with_fields = is_valid_for_decoding(values, NodeFile, validate_node_file)
@@ -92,12 +91,12 @@
 
 @PROPERTY
 @given(malformed(SCENARIO) | any_value)
-def test_decode_when_a_scenario_is_malformed_then_refuses_exactly_what_msgspec_refuses(values):
+def test_decode_when_a_scenario_is_malformed_then_rejects_exactly_what_msgspec_rejects(values):
     decodes = is_valid_for_decoding(values, Scenario)
     converts = is_valid_for_msgspec(values, Scenario)
     text = repr(values)
     assert converts or not decodes
-    # Beyond msgspec: numbers that are not finite, and halves of surrogate pairs.
+    # Rejected although msgspec accepts them: numbers that are not finite, and unpaired surrogates.
     assert decodes or not converts or "nan" in text or "inf" in text or "\\ud" in text
 
 
--- a/tests/config/test_loader.py
+++ b/tests/config/test_loader.py
@@ -25,13 +25,13 @@
     return load_config({"PROXY_CONFIG": str(path)})
 
 
-def test_load_config_when_given_the_platforms_example_then_reads_mode_and_address():
+def test_load_config_when_given_the_platforms_example_then_loads_mode_and_address():
     config = load(PLATFORM_EXAMPLE)
     assert config.settings.mode is api.CacheMode.ASIDE
     assert config.listen.host == "127.0.0.1"
 
 
-def test_load_config_when_the_examples_differ_in_format_then_the_nodes_are_the_same(tmp_path):
+def test_load_config_when_the_examples_differ_in_format_then_the_configurations_are_equal(tmp_path):
     as_json = tmp_path / "own.json"
     as_json.write_text(json.dumps(NODE))
     assert load(NODE_EXAMPLE) == load(PLATFORM_EXAMPLE)
@@ -48,7 +48,7 @@
 def test_parse_node_file_when_listen_is_left_out_then_takes_it_from_the_environment():
     values = {name: value for name, value in NODE.items() if name != "listen"}
     text = tomli_w.dumps(values).encode()
-    with pytest.raises(ConfigError, match="listen: is missing, and PROXY_LISTEN holds no address either"):
+    with pytest.raises(ConfigError, match="listen: is missing, and PROXY_LISTEN has no address either"):
         parse_node_file("f.toml", text, {})
     assert parse_node_file("f.toml", text, {"PROXY_LISTEN": "[::1]:5"}).listen.host == "::1"
 
@@ -73,7 +73,7 @@
     ("limits", "reason"),
     [
         ({"sockets": 1e300}, "limits: .* sockets are too many"),
-        ({"memory_mb": 1e308}, "limits: .* MB of memory are too many"),
+        ({"memory_mb": 1e308}, "limits: .* MB of memory is too much"),
     ],
 )
 def test_load_config_when_a_limit_is_beyond_any_machine_then_names_the_section(tmp_path, limits, reason):
@@ -84,6 +84,8 @@
 
 
 def test_load_config_when_an_integer_is_given_as_an_infinite_number_then_names_the_section():
-    config = PLATFORM | {"limits": {"sockets": float("inf")}}  # as from a caller that decoded it itself
+    config = PLATFORM | {
+        "limits": {"sockets": float("inf")}
+    }  # JSON has no infinity; a caller that builds the object may pass it
     with pytest.raises(ConfigError, match="limits: cannot convert float infinity to integer"):
         node_config(config, {})
--- a/tests/config/test_platform_file.py
+++ b/tests/config/test_platform_file.py
@@ -1,4 +1,4 @@
-"""The platform's JSON: what `flintridge check` accepts of it, a node accepts."""
+"""The platform's JSON: a node accepts every file that `flintridge check` accepts."""
 
 import json
 
@@ -16,7 +16,7 @@
 
 
 class StoppedClock:
-    """A clock for the times of servers in the list."""
+    """A clock that stands still, for the start times of servers in the list."""
 
     from_unix = staticmethod(float)
 
@@ -39,7 +39,7 @@
     configured_endpoints(config, endpoints)
 
 
-def test_platform_model_has_every_key_that_a_node_reads():
+def test_platform_model_when_compared_with_the_keys_that_a_node_reads_then_has_them_all():
     tables = {
         platform_model.Service: platform_settings.CLASS_KEYS,
         platform_model.Tenant: platform_settings.TENANT_KEYS,
@@ -53,7 +53,7 @@
         assert set(keys) <= {field.encode_name for field in msgspec.structs.fields(struct)}
 
 
-def test_check_when_a_listed_server_is_malformed_then_names_the_later_one_by_its_own_position(tmp_path):
+def test_check_when_a_listed_server_is_malformed_then_reports_later_servers_by_their_own_position(tmp_path):
     members = [5, {"id": "s", "phase": "in_service", "host_port": "no-port"}]
     path = tmp_path / "platform.json"
     path.write_text(json.dumps(PLATFORM | {"known": {"revision": 1, "complete": True, "members": members}}))
--- a/tests/config/test_syntax.py
+++ b/tests/config/test_syntax.py
@@ -1,4 +1,4 @@
-"""Text that cannot be parsed."""
+"""Parsing errors: the position and the reason that are reported."""
 
 import pytest
 from support.configuration import fault_lines
@@ -17,11 +17,11 @@
         ("a.toml", b"a = " + b"[" * 10**5, "not TOML: nested too deeply"),
         ("a.toml", b"a = 1" + b"0" * 5000, "not TOML: "),
         ("a.json", b'{"a": 1,\n "b": }', "a.json: line 2, column 7: not JSON: Expecting value"),
-        ("a.json", b'{"a": 1, "a": 2}', "'a' stands twice in one object"),
-        ("a.json", b'{"a": NaN}', "NaN is not a value"),
+        ("a.json", b'{"a": 1, "a": 2}', "'a' is a duplicate name in an object"),
+        ("a.json", b'{"a": NaN}', "NaN is not a JSON value"),
         ("a.json", b"[" * 10**5, "not JSON: nested too deeply"),
         ("a.json", b"[1]", "a.json: [1]: must be a table"),
-        ("a.json", b'{"classes": [{"name": "\\ud800"}]}', "holds half a character"),
+        ("a.json", b'{"classes": [{"name": "\\ud800"}]}', "contains an unpaired surrogate"),
         ("a.json", b'{"\\ud800": 1, "classes": [{"name": "a"}]}', "'\\ud800': 1: unknown name"),
     ],
 )
--- a/tests/config/test_units.py
+++ b/tests/config/test_units.py
@@ -1,4 +1,4 @@
-"""Units in names of keys, and names that are not known."""
+"""Suggestions for unknown keys and for values with a wrong unit."""
 
 import pytest
 from support.configuration import fault_lines
@@ -15,13 +15,13 @@
         ("aim_ns = 1", "wrong unit: it is aim_ms (milliseconds)"),
         ("aimSeconds = 1", "wrong unit: it is aim_ms (milliseconds)"),
         ("aimMs = 1", "unknown name: did you mean aim_ms?"),
-        ('aim_ms = "1.2s"', "write 1200, the unit is in the name"),
+        ('aim_ms = "1.2s"', "write 1200, the unit is part of the name"),
         ('aim_ms = "12"', "'12': must be a number > 0"),
         ("aim_ms = nan", "nan: must be a number > 0"),
         ("aim_ms = inf", "inf: must be a number > 0"),
         ("aim_ms = 1979-05-27", "must be a number > 0"),
         (f"aim_ms = 0x{'f' * 5000}", "must be > 0 and <= 86400000"),
-        ("qqq = 1", "unknown name: known here are name, aim_ms, deadline_ms,"),
+        ("qqq = 1", "unknown name: the known names are name, aim_ms, deadline_ms,"),
         ('"a\\nb" = 1', "classes[0].'a\\nb': 1: unknown name"),
         ('"" = 1', "classes[0].'': 1: unknown name"),
     ],
--- a/tests/leases/test_leases_config.py
+++ b/tests/leases/test_leases_config.py
@@ -54,7 +54,7 @@
     ("change", "fault"),
     [
         ((PEERS, ""), "budgets: is allowed only beside a table [peers]"),
-        (("tenants = true", ""), "budgets: switches nothing on: it must name one of tenants, floors, cold"),
+        (("tenants = true", ""), "budgets: enables no limit: it must set one of tenants, floors, cold"),
         (("quota_per_s = 100", ""), "budgets.tenants: true: must be false: no tenant has a quota"),
         (("tenants = true", "floors = true\nstrict = true"), "budgets.strict: true: must be false while"),
         (
@@ -75,7 +75,7 @@
         ),
         (
             ("tenants = true", "tenants = true\nquota = true"),
-            "budgets.quota: true: unknown name: known here are tenants, floors",
+            "budgets.quota: true: unknown name: the known names are tenants, floors",
         ),
         (("tenants = true", "tenants = true\nlease = 3"), "budgets.lease: 3: wrong unit: it is lease_ms"),
         (
@@ -84,7 +84,7 @@
         ),
         (
             ("tenants = true", "cache_places = 9"),
-            "budgets.lease_ms: 4000: must be at least 5500: the longest deadline_ms of a class, and 1500",
+            "budgets.lease_ms: 4000: must be at least 5500: the longest deadline_ms of a class plus 1500",
         ),
         (("fleet_size = 3", ""), "fleet_size: 1: must be 3, the names in peers"),
         (("fleet_size = 3", "fleet_size = 4"), "fleet_size: 4: must be 3, the names in peers"),
--- a/tests/membership/test_membership_config.py
+++ b/tests/membership/test_membership_config.py
@@ -57,11 +57,14 @@
     ("change", "fault"),  
     [
         (("127.0.0.1:7201\"\nfleet", "here:1\"\nfleet"), "peers.listen: 'here:1': must be a numeric address"),
-        (("127.0.0.1:7201\"\nfleet", "127.0.0.1:11211\"\nfleet"), ": '127.0.0.1:11211': is listen too"),
+        (
+            ("127.0.0.1:7201\"\nfleet", "127.0.0.1:11211\"\nfleet"),
+            ": '127.0.0.1:11211': is also the listen address",
+        ),
         (("127.0.0.1:7201\"\nfleet", "10.0.0.1:7201\"\nfleet"), "must be a loopback address, or a key_file"),
         (("n2 = \"127.0.0.1:7202\"", "n2 = \"127.0.0.1:7201\""), "peers.known.n2: '127.0.0.1:7201'"),
         (("n2 = \"127.0.0.1:7202\"", "n2 = 3"), "peers.known.n2: 3"),
-        (("n2 = \"127.0.0.1:7202\"", "\"no name\" = \"127.0.0.1:7202\""), "is no name"),
+        (("n2 = \"127.0.0.1:7202\"", "\"no name\" = \"127.0.0.1:7202\""), "is not a valid name"),
         (("known = {", "known = {} #"), "peers.known: '0 names': must be 1 to 2000 peers"),
         (("fleet = \"canteens\"", "fleet = \"\""), "peers.fleet: ''"),
         (("fleet = \"canteens\"", "fleet = \"c\"\nbytes_per_s = 10"), "peers.bytes_per_s: 10: must be"),
