--- a/flintridge/lab/backend/processes.py
+++ b/flintridge/lab/backend/processes.py
@@ -18,7 +18,7 @@
 from flintridge.lab.faults.injection import SystemState
 from flintridge.lab.partial.peer_network import PeerNetwork
 from flintridge.lab.record_log import RecordLog
-from flintridge.lab.scenario.model import Scenario, keeps_lines
+from flintridge.lab.scenario.model import Scenario, records_node_logs
 
 NODE_COMMAND = (sys.executable, "-m", "flintridge")
 INTERNAL_SOCKETS = 4  # of a node: its listener, its loop's own pair, its watch of discovery
@@ -60,7 +60,7 @@
             clients_of: Counts the connections that clients hold to a node.
         """
         self.peers: PeerNetwork | None = None
-        self._recorder = NodeRecorder(log, clock, with_log_lines=keeps_lines(scenario))
+        self._recorder = NodeRecorder(log, clock, with_log_lines=records_node_logs(scenario))
         self._table = ProcessTable(self._recorder)
         self._config_of = config_of
         self._clients_of = clients_of
--- a/flintridge/lab/scenario/model.py
+++ b/flintridge/lab/scenario/model.py
@@ -119,6 +119,6 @@
     wall_limit_s: Annotated[float, Meta(gt=0, le=86_400)] = 600.0  # of real time; a run beyond it is ended
 
 
-def keeps_lines(scenario: Scenario) -> bool:
+def records_node_logs(scenario: Scenario) -> bool:
     """Whether the nodes' own logs belong to what is seen of the day."""
     return scenario.peers is not None or any(fault.once is not None for fault in scenario.faults)
--- a/flintridge/lab/virtual_run.py
+++ b/flintridge/lab/virtual_run.py
@@ -10,7 +10,7 @@
 from flintridge.lab.partial.allocation_oracle import AllocationMode, AllocationOracle
 from flintridge.lab.record_log import RecordLog
 from flintridge.lab.records import NodeStateChanged
-from flintridge.lab.scenario.model import Scenario, Span, keeps_lines
+from flintridge.lab.scenario.model import Scenario, Span, records_node_logs
 from flintridge.lab.seeds import Seeds
 from flintridge.lab.truth import GroundTruth
 from flintridge.lab.virtual import LivelockError, Network, VirtualLoop
@@ -100,7 +100,7 @@
             scenario.nodes.sockets,
             peers,
         )
-        nodes.records_log_lines = keeps_lines(scenario)
+        nodes.records_log_lines = records_node_logs(scenario)
         self._nodes = nodes
         return nodes
 
