--- a/flintridge/lab/scenario/__init__.py
+++ b/flintridge/lab/scenario/__init__.py
@@ -1,4 +1,4 @@
-"""A day as a file: the fleet, its load, and what goes wrong, in TOML."""
+"""Scenarios: TOML files that describe a simulated fleet, its load and the faults of a run."""
 
 from flintridge.lab.scenario.model import Fault, Scenario
 
--- a/flintridge/lab/scenario/faults.py
+++ b/flintridge/lab/scenario/faults.py
@@ -1,6 +1,7 @@
-"""The faults of a scenario, but for those of a node's operating system.
+"""The faults of a scenario, except those of a node's operating system (see `system_faults`).
 
-A fraction `part` is of what the fault names; `for_s` is how long it lasts.
+`part` is the affected fraction of what the fault's description names, and `for_s` the fault's duration in
+seconds.
 """
 
 from typing import Annotated, Literal
@@ -19,11 +20,15 @@
 
 
 @schema_description(
-    "A fault of servers: those with these ids, or so many (or such a share, at least one) drawn by the seed\n"
-    "among those of the zone and the kind."
+    "A fault of the cache servers with these ids, or of a count or share (at least one server) of those of\n"
+    "the zone and kind, drawn by the seed."
 )
 class ServerFault(TimedFault, frozen=True):
-    """A fault of servers: by id, or a count or fraction drawn by the seed among those of a zone and kind."""
+    """A fault of cache servers.
+
+    It affects the servers with the given ids, or a count or share (at least one server) of those of the zone
+    and kind, drawn by the seed. Without ids, count and share it affects all servers of the zone and kind.
+    """
 
     ids: tuple[str, ...] = ()
     count: Count = 0
@@ -33,99 +38,112 @@
 
 
 @schema_description(
-    "Processes die: connections reset, new ones refused; after `for_s` they start again, cold and empty\n"
-    "(0: never)."
+    "Processes die: connections are reset and new ones refused. After `for_s` the processes start again,\n"
+    "cold and empty (0: never)."
 )
 class Crash(ServerFault, tag="crash", frozen=True):
-    """Processes die, and start again cold and empty after `for_s` (0: never)."""
+    """Processes die: connections are reset and new ones refused.
+
+    After `for_s` the processes start again, cold and empty (0: never).
+    """
 
 
 @schema_description(
-    "Machines vanish: connections stay open and silent, new ones never come up; after `for_s` they are back\n"
-    "with what they held, and old connections are reset."
+    "Machines become unreachable: open connections stop responding and new ones are never established.\n"
+    "After `for_s` the machines are back with their cached values, and the old connections are reset."
 )
 class Silence(ServerFault, tag="silence", frozen=True):
-    """Machines vanish: connections stay open without a response; after `for_s` old ones are reset.
+    """Machines become unreachable: open connections stop responding and new ones are never established.
 
-    They are back with what they held.
+    After `for_s` the machines are back with their cached values, and the old connections are reset.
     """
 
 
 class Resets(ServerFault, tag="resets", frozen=True):
-    """A share of attempts has its connection reset once the command arrived."""
+    """For a fraction of attempts, the connection is reset once the command has arrived."""
 
     part: Fraction = 0.3
 
 
 @schema_description(None)
 class QuickErrors(ServerFault, tag="quick_errors", frozen=True):
-    """A fraction of attempts fails at once."""
+    """A fraction of attempts fails immediately."""
 
     part: Fraction = 0.5
 
 
 @schema_description(None)
 class Slowness(ServerFault, tag="slowness", frozen=True):
-    """Servers are slower by a factor."""
+    """The servers are slower by a factor."""
 
     factor: Annotated[float, Meta(ge=1, le=1e6)] = 10.0
 
 
 class Spoilt(ServerFault, tag="spoilt", frozen=True):
-    """A share of answers is noise, of the wrong length, unending, of another id, or has more behind it."""
+    """A fraction of responses is corrupted.
+
+    Such a response is random bytes, has the wrong length, never ends, carries another request's id, or is
+    followed by extra bytes.
+    """
 
     part: Fraction = 0.05
 
 
 class LostAnswers(ServerFault, tag="lost_answers", frozen=True):
-    """A share of answers never leaves its server; the request has run."""
+    """A fraction of responses is never sent, although the request was executed."""
 
     part: Fraction = 0.02
 
 
 class Stale(ServerFault, tag="stale", frozen=True):
-    """Connections unused for `after_ms` are dropped unseen: what is sent on one gets a reset or nothing."""
+    """The servers drop connections that were idle for `after_ms`, without notice to the node.
+
+    What the node sends on such a connection gets a reset, or no response with `silent`.
+    """
 
     after_ms: Positive = 500.0
     silent: bool = False
 
 
 class Crowding(ServerFault, tag="crowding", frozen=True):
-    """Others use so much of the servers' cores."""
+    """Other processes use this fraction of the servers' cores."""
 
     part: Fraction = 0.5
 
 
 class Drain(ServerFault, tag="drain", frozen=True):
-    """Servers are told to drain, and stop `for_s` later. `back` starts them again after that, cold."""
+    """The servers drain, and stop `for_s` later. With `back` they start again after that, cold."""
 
     back: bool = False
 
 
 class Replace(ServerFault, tag="replace", frozen=True):
-    """Servers stop at once; new ones with new ids start `for_s` later, at the old addresses if so said."""
+    """The servers stop immediately, and servers with new ids start `for_s` later.
+
+    With `same_address` the new servers listen at the addresses of the old ones.
+    """
 
     same_address: bool = True
 
 
 class Churn(TimedFault, tag="churn", frozen=True):
-    """One server after another is drained and replaced by a new id, every `every_s`."""
+    """Every `every_s` seconds the next server is drained and replaced by one with a new id."""
 
     every_s: Positive = 2.0
     same_address: bool = True
 
 
 class ZoneLoss(TimedFault, tag="zone_loss", kw_only=True, frozen=True):
-    """A zone is lost: its machines cut off in silence, its links reset, or its processes dead."""
+    """A zone fails: its machines become unreachable, its connections are reset, or its processes die."""
 
     zone: Name
     how: Literal["silent", "reset", "die"] = "silent"
-    nodes: bool = False  # its nodes too
-    cold: bool = True  # its servers come back cold and empty
+    nodes: bool = False  # whether the zone's nodes fail too
+    cold: bool = True  # whether the zone's servers come back cold and empty
 
 
 class Cut(TimedFault, tag="cut", kw_only=True, frozen=True):
-    """The links between two zones are cut; machines within each go on."""
+    """The links between two zones are cut; links within each zone still work."""
 
     zone: Name
     other: Name
@@ -134,7 +152,7 @@
 
 @schema_description(None)
 class SlowLink(TimedFault, tag="slow_link", kw_only=True, frozen=True):
-    """The links between two zones have `add_ms` more delay."""
+    """The links between two zones have `add_ms` milliseconds of additional delay."""
 
     zone: Name
     other: Name
@@ -142,20 +160,20 @@
 
 
 class Flush(Fault, tag="flush", frozen=True):
-    """Such a share of keys goes void in every server at once."""
+    """A fraction of the keys is invalidated in all servers at the same time."""
 
     part: Fraction = 0.8
 
 
 class HotKey(TimedFault, tag="hot_key", frozen=True):
-    """One key, drawn by the seed among the unpopular, takes such a share of all reads."""
+    """One unpopular key, drawn by the seed, gets this fraction of all reads."""
 
     part: Fraction = 0.5
 
 
 @schema_description(None)
 class Burst(TimedFault, tag="burst", frozen=True):
-    """The load is multiplied by `factor`, reached within `ramp_s`."""
+    """The request rate is multiplied by `factor`; it rises and falls over `ramp_s` seconds."""
 
     factor: Annotated[float, Meta(ge=0, le=1000)] = 2.0
     ramp_s: Amount = 0.5
@@ -170,88 +188,91 @@
 
 @schema_description(None)
 class OriginDown(TimedFault, tag="origin_down", frozen=True):
-    """The origin rejects, fails, vanishes, or refuses connections."""
+    """The origin rejects requests, responds with errors, stops responding, or refuses connections."""
 
     how: Literal["declines", "errors", "silent", "refuses"] = "declines"
 
 
 @schema_description(None)
 class DiscoveryDown(TimedFault, tag="discovery_down", frozen=True):
-    """Discovery refuses connections, fails, vanishes, or answers what cannot be parsed."""
+    """Discovery refuses connections, responds with errors, stops responding, or sends malformed responses."""
 
     how: Literal["refuses", "errors", "silent", "garbage"] = "refuses"
 
 
 class DiscoveryStale(TimedFault, tag="discovery_stale", frozen=True):
-    """It answers, but lists nothing that happened since `at_s`."""
+    """Discovery responds, but its list shows no change since `at_s`."""
 
 
 @schema_description(None)
 class DiscoverySlow(TimedFault, tag="discovery_slow", frozen=True):
-    """Discovery's calls take longer by a factor."""
+    """Calls to discovery take longer by a factor."""
 
     factor: Annotated[float, Meta(ge=1, le=1e6)] = 20.0
 
 
 class NodeKill(TimedFault, tag="node_kill", frozen=True):
-    """Nodes are killed outright, and started anew after `for_s` (0: never)."""
+    """Nodes are killed (SIGKILL), and started again after `for_s` (0: never)."""
 
     nodes: tuple[Count, ...] = ()
     count: Count = 1
 
 
 class NodeRestart(TimedFault, tag="node_restart", frozen=True):
-    """SIGTERM; started anew once ended, `for_s` after the signal at the earliest."""
+    """Nodes get SIGTERM and start again once they have ended, `for_s` after the signal at the earliest."""
 
     nodes: tuple[Count, ...] = ()
     count: Count = 1
 
 
 class NodeDrain(TimedFault, tag="node_drain", frozen=True):
-    """Operators drain the node, and end that after `for_s`; the process runs on. In virtual time only."""
+    """Operators drain the nodes and end the drain after `for_s`; the processes keep running.
+
+    Supported on the virtual backend only.
+    """
 
     nodes: tuple[Count, ...] = ()
     count: Count = 1
 
 
 class NodePause(TimedFault, tag="node_pause", frozen=True):
-    """The process stands still (SIGSTOP) for `for_s`."""
+    """The processes of the nodes are paused (SIGSTOP) for `for_s`."""
 
     nodes: tuple[Count, ...] = ()
     count: Count = 1
 
 
 class PeerLink(TimedFault, tag="peer_link", kw_only=True, frozen=True):
-    """What is wrong on the ways from these nodes to others, each direction of each pair by itself."""
+    """The links from `nodes` to `to` are impaired, each direction of each pair of nodes independently."""
 
     nodes: Annotated[tuple[Count, ...], Meta(min_length=1)]
-    to: tuple[Count, ...] = ()  # empty: all that are not in `nodes`
-    both: bool = False  # on the ways back as well
-    cut: bool = False  # datagrams are lost; streams stay open and pass nothing
-    loss: Fraction = 0.0  # of datagrams
-    double: Fraction = 0.0
-    add_ms: Amount = 0.0
-    jitter_ms: Amount = 0.0  # up to so much more for each, so that they arrive in another order
-    bytes_per_s: Amount = 0.0  # 0: no bound
+    to: tuple[Count, ...] = ()  # empty: all nodes that are not in `nodes`
+    both: bool = False  # whether the links in the other direction are impaired as well
+    cut: bool = False  # all datagrams are lost; streams stay open but carry nothing
+    loss: Fraction = 0.0  # fraction of datagrams that are lost
+    double: Fraction = 0.0  # fraction of datagrams that arrive twice
+    add_ms: Amount = 0.0  # additional delay
+    jitter_ms: Amount = 0.0  # maximum random delay added to each datagram, so that datagrams are reordered
+    bytes_per_s: Amount = 0.0  # bandwidth (0: no limit)
 
 
 @schema_description(
-    "SIGHUP with a configuration that names another address of discovery; the old one accepts no more and\n"
-    "closes after 1.5 s."
+    "Nodes get SIGHUP with a configuration that names another address of discovery. The old address accepts\n"
+    "no new connections, and its open connections are closed after 1.5 s."
 )
 class Reload(Fault, tag="reload", frozen=True):
-    """SIGHUP with a configuration that names another address of discovery.
+    """Nodes get SIGHUP with a configuration that names another address of discovery.
 
-    The old address accepts no more and closes after 1.5 s.
+    The old address accepts no new connections, and its open connections are closed after 1.5 s.
     """
 
     nodes: tuple[Count, ...] = ()
-    count: Count = 0  # 0 with no nodes named: all
+    count: Count = 0  # 0 with empty `nodes`: all nodes
 
 
 @schema_description(None)
 class BadClients(TimedFault, tag="bad_clients", frozen=True):
-    """Clients that send what cannot be parsed, `per_s` a second."""
+    """Clients that send malformed requests; `per_s` of them start each second."""
 
     per_s: Positive = 5.0
     kinds: tuple[
@@ -268,7 +289,7 @@
             "silent",
         ],
         ...,
-    ] = ()  # empty: all
+    ] = ()  # empty: all kinds
 
 
 AnyFault = (
--- a/flintridge/lab/scenario/load.py
+++ b/flintridge/lab/scenario/load.py
@@ -1,4 +1,4 @@
-"""Scenarios from files, by name and with single values changed; and back to TOML."""
+"""Loads scenarios from files or by name, applies overrides to them, and dumps them as TOML."""
 
 from collections.abc import Sequence
 from importlib import import_module
@@ -16,14 +16,14 @@
 
 
 def load(path_or_name: str | Path, overrides: Sequence[str] = ()) -> Scenario:
-    """A scenario from a file (TOML, or JSON by its suffix) or by the name of a shipped one.
+    """Load a scenario from a file (TOML, or JSON with the suffix `.json`) or by the name of a shipped one.
 
-    Each of `overrides` changes one value, as `load.rate_per_s=300`, `faults[0].for_s=3` or `nodes.count=5`;
-    values are TOML, and a bare word is text. A file may stand upon another one by `base = "calm"`. A trace is
-    taken as relative to the file that names it and made absolute.
+    Each of `overrides` changes one value, such as `load.rate_per_s=300`, `faults[0].for_s=3` or
+    `nodes.count=5`; values are TOML, and a bare word is text. A file may extend another one with
+    `base = "calm"`. The path of a trace is relative to the file that names it, and is made absolute.
 
     Raises:
-        ConfigFaultsError: With every fault of the scenario.
+        ConfigFaultsError: The scenario is malformed or contradictory; the error has every fault found.
         OSError: The file cannot be read.
     """
     changes = [Override.parse(one) for one in overrides]
@@ -42,12 +42,12 @@
 
 
 def names() -> dict[str, str]:
-    """The shipped scenarios in the order of their names, each with its `about`."""
+    """Return the `about` text of each shipped scenario, in the order of their names."""
     return {name: sources.about(text) for name, text in sources.shipped().items()}
 
 
 def dump(scenario: Scenario, *, with_defaults: bool = False) -> str:
-    """As TOML that `load` takes; values left at their defaults only `with_defaults`."""
+    """Return a scenario as TOML that `load` accepts; default values are included only `with_defaults`."""
     plain = _with_defaults(scenario) if with_defaults else msgspec.to_builtins(scenario)
     return tomli_w.dumps(plain)
 
@@ -64,13 +64,13 @@
 
 
 def _split_fault(text: str) -> tuple[str, Any, str]:
-    """`path: reason` as the parts of a fault."""
+    """Split `path: reason` into the path, value and reason of a fault."""
     path, _, reason = text.partition(": ")
     return (path, UNSET, reason) if reason else ("", UNSET, text)
 
 
 def _attributed(fault: ConfigFault, changes: Sequence[Override]) -> ConfigFault:
-    """Report a fault in what an override set as the override's, not the file's."""
+    """Attribute a fault to the override that set the value; other faults stay attributed to the file."""
     for change in changes:
         if fault.path == change.path or fault.path.startswith((f"{change.path}.", f"{change.path}[")):
             return ConfigFault(source(change.text), fault.path, fault.value, fault.reason, fault.allowed)
@@ -78,7 +78,13 @@
 
 
 def _with_trace(scenario: Scenario) -> tuple[Scenario, list[str]]:
-    """With the trace's path made absolute; one that an override names is relative to the current folder."""
+    """Make the path of the trace absolute and check the trace.
+
+    A path set by an override is relative to the current folder.
+
+    Returns:
+        The scenario, and the faults of its trace as `path: reason`.
+    """
     trace = scenario.load.trace
     if not trace:
         return scenario, []
@@ -87,7 +93,7 @@
     scenario = msgspec.structs.replace(scenario, load=load_table)
     if not path.is_file():
         return scenario, [f"load.trace: there is no file {str(path)!r}"]
-    from flintridge.lab.load.trace import read  # of use to few scenarios
+    from flintridge.lab.load.trace import read  # imported late: few scenarios have a trace
 
     try:
         read(path, scenario)
@@ -97,7 +103,7 @@
 
 
 def _with_defaults(value: Any) -> Any:
-    """Plain values with the defaults in; None is left out, as TOML cannot express it."""
+    """Convert to plain values including defaults; None is left out, as TOML cannot express it."""
     if isinstance(value, Table):
         config = value.__struct_config__
         plain = {str(config.tag_field): config.tag} if config.tag_field is not None else {}
--- a/flintridge/lab/scenario/model.py
+++ b/flintridge/lab/scenario/model.py
@@ -1,12 +1,12 @@
 """The scenario format: every name, its unit, its range and its default.
 
-Units are part of the names: `_s` seconds, `_ms` milliseconds, `_mb` megabytes, `_per_s` a second; fractions
-are from 0 to 1. A `Span` is a number, or `[low, high]` from which each server (or the run) draws one by the
-seed.
+Units are part of the names: `_s` seconds, `_ms` milliseconds, `_mb` megabytes, `_per_s` per second; fractions
+are from 0 to 1. A `Span` is a number, or a range `[low, high]` from which a value is drawn by the seed, once
+for each server or once for the run.
 
-Fields have the names of `flintridge.api` where it has them; where a key of the file has another name,
-`rename` has it. The JSON Schema that `flintridge check --schema --scenario` prints has the keys, the names of
-these classes and the descriptions that `schema_description` gives them.
+Fields that exist in `flintridge.api` have the same names here; `rename` maps a field to its key in the file
+where the two differ. The JSON Schema that `flintridge check --schema --scenario` prints has the keys, the
+names of these classes and the descriptions that `schema_description` gives them.
 """
 
 from typing import Annotated
@@ -80,22 +80,24 @@
 from flintridge.lab.scenario.traffic import Tenant as Tenant
 
 
-@schema_description("What a run must show, beside no broken rule; `lab run` exits with 1 where it does not.")
+@schema_description(
+    "Expected results of a run, beside no broken rule; `lab run` exits with 1 if one is unmet."
+)
 class Expect(Table, kw_only=True, frozen=True):
-    """What a run must show, beside no broken rule; `lab run` exits with 1 where it does not."""
+    """Expected results of a run, beside no broken rule; `lab run` exits with 1 if one is unmet."""
 
     goodput_at_least: Fraction | None = None
-    breaks: tuple[str, ...] = ()  # rules that this scenario is known to break: exit 1 when they hold
+    breaks: tuple[str, ...] = ()  # rules that a run of this scenario must break; exit 1 if one is kept
 
 
-@schema_description("A day.")
+@schema_description("A scenario: the fleet, its load and the faults of a run.")
 class Scenario(Table, kw_only=True, frozen=True):
-    """A scenario: what there is, what is offered to it, and what goes wrong."""
+    """A scenario: the fleet, its load and the faults of a run."""
 
     name: Name = "unnamed"
     about: str = ""
     length_s: Annotated[float, Meta(ge=1, le=86_400)] = 30.0
-    warmup_s: Annotated[float, Meta(ge=0, le=600)] = 5.0  # of the same load before the day; it does not count
+    warmup_s: Annotated[float, Meta(ge=0, le=600)] = 5.0  # the same load before the run; it is not measured
     zones: Annotated[tuple[Name, ...], Meta(min_length=1, max_length=64)] = ("east",)
     nodes: Nodes = Nodes()
     kinds: Annotated[tuple[Kind, ...], Meta(min_length=1)] = (Kind(name="box"),)
@@ -112,13 +114,13 @@
     rules: Rules = Rules()
     prices: Prices = Prices()
     goal: Goal = Goal()
-    peers: Peers | None = None  # none: the nodes hear nobody
-    budgets: Budgets | None = None  # none: each node holds its even part
+    peers: Peers | None = None  # None: the nodes do not gossip
+    budgets: Budgets | None = None  # None: each node has its even part of each fleet-wide limit
     faults: tuple[AnyFault, ...] = ()
     expect: Expect = Expect()
-    wall_limit_s: Annotated[float, Meta(gt=0, le=86_400)] = 600.0  # of real time; a run beyond it is ended
+    wall_limit_s: Annotated[float, Meta(gt=0, le=86_400)] = 600.0  # real time after which a run is ended
 
 
 def records_node_logs(scenario: Scenario) -> bool:
-    """Whether the nodes' own logs belong to what is seen of the day."""
+    """Whether the lines of the nodes' logs are recorded: where nodes gossip or a fault has a trigger."""
     return scenario.peers is not None or any(fault.once is not None for fault in scenario.faults)
--- a/flintridge/lab/scenario/platform_terms.py
+++ b/flintridge/lab/scenario/platform_terms.py
@@ -1,4 +1,4 @@
-"""The tables of a scenario for the platform's terms: limits, rules, prices and the goal."""
+"""The tables of a scenario for the platform's settings: limits, rules, prices and the goal."""
 
 from typing import Annotated
 
@@ -8,9 +8,9 @@
 from flintridge.lab.scenario.fault_base import Amount, Positive, Table
 
 
-@schema_description("What the nodes are told they may do; see the settings of the deployment.")
+@schema_description("Limits and permitted features of the nodes; see the settings of the deployment.")
 class Limits(Table, kw_only=True, frozen=True, rename=LIMIT_KEYS):
-    """What the nodes' settings permit."""
+    """Limits and permitted features of the nodes; see the settings of the deployment."""
 
     max_attempts: Annotated[int, Meta(ge=1, le=100)] = 6
     hedged_requests: bool = True
@@ -25,7 +25,7 @@
 
 @schema_description(None)
 class Rules(Table, kw_only=True, frozen=True, rename=RULE_KEYS):
-    """Rules of the platform that servers and nodes keep to."""
+    """Rules of the platform with which servers and nodes comply."""
 
     answer_slack_ms: Amount = 70.0
     poll_interval_s: Positive = 10.0
@@ -38,7 +38,7 @@
 
 @schema_description(None)
 class Prices(Table, kw_only=True, frozen=True):
-    """Points of service lost, each times its fraction or rate."""
+    """Penalties that are subtracted from the goal, each multiplied by its fraction or rate."""
 
     cross_zone: Amount = 0.0
     waste: Amount = 0.0
@@ -46,9 +46,9 @@
     probe: Amount = 0.0
 
 
-@schema_description("What `goal` in the result mixes, beside the plain `goodput`.")
+@schema_description("The weights of the goodputs that `goal` combines; `goodput` is reported separately.")
 class Goal(Table, kw_only=True, frozen=True):
-    """The weights of `goal` in the result, beside the plain `goodput`."""
+    """The weights of the goodputs that `goal` combines; `goodput` is reported separately."""
 
     whole: Amount = 1.0
     worst_window: Amount = 0.0
--- a/flintridge/lab/scenario/system_faults.py
+++ b/flintridge/lab/scenario/system_faults.py
@@ -1,4 +1,4 @@
-"""Faults of a node's operating system, in the scenario format: calls, clock, scheduler and folder."""
+"""Faults of a node's operating system in the scenario format: socket calls, clock, scheduler and folder."""
 
 import errno
 from typing import Annotated, Literal
@@ -8,13 +8,14 @@
 from flintridge.config.format_types import schema_description
 from flintridge.lab.scenario.fault_base import Count, Fault, Fraction, TimedFault
 
-MAX_STALL_MS = 150.0  # between reading the clock and writing
-MAX_STEP_S = 3600.0  # of a wall clock, forward or back
+MAX_STALL_MS = 150.0  # the longest stall between reading the clock and writing
+MAX_STEP_S = 3600.0  # the largest step of a wall clock, forward or back
 
 Call = Literal["accept", "connect", "socket", "read", "write"]
 Errno = Annotated[str, Meta(min_length=1, max_length=32)]
 
-# What Linux documents for each call of a TCP socket. EAGAIN is no error of a call that does not block.
+# The errors that Linux documents for each call on a TCP socket. EAGAIN is left out: for a non-blocking call
+# it is not an error.
 ERRORS_OF_CALL: dict[Call, tuple[str, ...]] = {
     "accept": (
         "ECONNABORTED",
@@ -57,17 +58,17 @@
 
 
 class NodeFault(TimedFault, kw_only=True, frozen=True):
-    """A fault of these nodes, or of so many drawn by the seed; of all where neither is given."""
+    """A fault of the given nodes, or of `count` nodes drawn by the seed; of all nodes if neither is given."""
 
     nodes: tuple[Count, ...] = ()
     count: Count = 0
 
 
 class SystemCallErrors(NodeFault, tag="system_call_errors", kw_only=True, frozen=True):
-    """A share of the calls on TCP sockets fails, each with one of `errors` drawn for it.
+    """A fraction of the calls on TCP sockets fails, each with a randomly drawn one of `errors`.
 
-    `read` and `write` errors other than EINTR break the connection. They hit only connections that the node
-    itself opened: no node could answer on a client's connection that is broken.
+    `read` and `write` errors other than EINTR break the connection. They affect only connections that the
+    node itself opened, because no node could respond on a broken connection of a client.
     """
 
     call: Call
@@ -76,18 +77,18 @@
 
 
 class ShortIo(NodeFault, tag="short_io", kw_only=True, frozen=True):
-    """A share of reads and writes on TCP sockets takes `most_bytes` at the most."""
+    """A fraction of reads and writes on TCP sockets transfers at most `most_bytes`."""
 
     part: Fraction = 0.2
     most_bytes: Annotated[int, Meta(ge=1, le=1_000_000)] = 16
 
 
 @schema_description(
-    "The wall clock of nodes steps, for good; their monotonic clock runs on. Steps add up, and a process\n"
-    "that is started later starts with the stepped clock."
+    "The wall clock of nodes steps permanently; their monotonic clock is not affected. Steps add up, and a\n"
+    "process that is started later starts with the stepped clock."
 )
 class ClockStep(Fault, tag="clock_step", kw_only=True, frozen=True):
-    """The wall clock of nodes steps, for good; their monotonic clock runs on.
+    """The wall clock of nodes steps permanently; their monotonic clock is not affected.
 
     Steps add up, and a process that is started later starts with the stepped clock.
     """
@@ -98,25 +99,28 @@
 
 
 class Stall(NodeFault, tag="stall", kw_only=True, frozen=True):
-    """A node is held up before a share of its writes on TCP sockets, after it read its clock."""
+    """A node stalls before a fraction of its writes on TCP sockets, after it has read its clock."""
 
     part: Fraction = 0.005
-    most_ms: Annotated[float, Meta(gt=0, le=MAX_STALL_MS)] = MAX_STALL_MS  # each draws up to this
+    # The maximum duration of a stall; each duration is drawn from 0 to this.
+    most_ms: Annotated[float, Meta(gt=0, le=MAX_STALL_MS)] = MAX_STALL_MS
 
 
 @schema_description(
-    "Calls on a node's temporary folder fail: all of them by EIO, those that make something by ENOSPC. On\n"
-    "loopback only."
+    "Calls on a node's temporary folder fail: any call with EIO, calls that may allocate space also with\n"
+    "ENOSPC. Supported on the loopback backend only."
 )
 class FolderErrors(NodeFault, tag="folder_errors", kw_only=True, frozen=True):
-    """Calls on a node's temporary folder fail. On loopback only.
+    """Calls on a node's temporary folder fail. Supported on the loopback backend only.
 
-    All of them by EIO, those that make something by ENOSPC.
+    Any call may fail with EIO, and calls that may allocate space also with ENOSPC.
     """
 
     errors: Annotated[tuple[Literal["ENOSPC", "EIO"], ...], Meta(min_length=1)] = ("ENOSPC", "EIO")
     part: Fraction = 1.0
-    half_written: Count = 0  # files that lie in it from the beginning of the fault on, as a kill leaves them
+    # The number of incomplete files in the folder from the start of the fault on, such as a killed process
+    # leaves behind.
+    half_written: Count = 0
 
 
 SystemFault = SystemCallErrors | ShortIo | ClockStep | Stall | FolderErrors
--- a/tests/lab/scenario/test_scenario_files.py
+++ b/tests/lab/scenario/test_scenario_files.py
@@ -1,4 +1,4 @@
-"""Scenario files: those that ship, overrides, and bases."""
+"""Scenario files: the shipped ones, overrides and bases."""
 
 import pytest
 from support.configuration import fault_lines
@@ -16,7 +16,7 @@
         assert load(tmp_path / "day.toml") == scenario
 
 
-def test_load_when_given_overrides_then_changes_single_values_also_those_left_out(tmp_path):
+def test_load_when_given_overrides_then_changes_single_values_even_if_the_file_omits_them(tmp_path):
     (tmp_path / "day.toml").write_text('faults = [{ what = "crash", count = 1 }]\n')
     changes = ["load.rate_per_s=300", "faults[0].for_s=3", "kinds[0].cores=4", "load.shape=wave"]
     scenario = load(tmp_path / "day.toml", [*changes, "discovery.notice_s[1]=9", 'zones=["a", "b"]'])
@@ -33,8 +33,8 @@
     [
         ("load.rate=3", "--set load.rate=3: load.rate: 3: wrong unit: it is rate_per_s (a second)"),
         ("faults[9].for_s=3", "--set faults[9].for_s=3: there is no [9] in a list of 6"),
-        ("links.jitter[1]=3", "a value stands where a list is needed"),
-        ("length_s.x=3", "a value stands where a table is needed"),
+        ("links.jitter[1]=3", "the path names [1] of a value that is not a list"),
+        ("length_s.x=3", "the path names x of a value that is not a table"),
         ("load", "must be PATH=VALUE"),
         ("a..b=1", "'a..b' is not a path"),
         ("[0]=1", "'[0]' is not a path"),
@@ -62,12 +62,12 @@
     assert scenario.load.trace == str(tmp_path / "t.jsonl")
 
 
-def test_load_when_a_base_leads_back_or_is_missing_then_says_so(tmp_path):
+def test_load_when_a_base_is_circular_or_missing_then_reports_it(tmp_path):
     (tmp_path / "b.toml").write_text('base = "a.toml"\nservers = [{ kind = "mid", count = 3 }]\n')
     (tmp_path / "a.toml").write_text('base = "b.toml"\n')
     (line,) = fault_lines(load, tmp_path / "b.toml")
     assert "base: " in line
-    assert "leads back" in line
+    assert "extends this file, directly or indirectly" in line
     (tmp_path / "a.toml").write_text('base = "none.toml"\n')
     assert "cannot be read" in fault_lines(load, tmp_path / "a.toml")[0]
 
