--- a/flintridge/lab/faults/__init__.py
+++ b/flintridge/lab/faults/__init__.py
@@ -1,1 +1,1 @@
-"""Faults of a scenario on a fleet that runs."""
+"""Plays the faults of a scenario on a running fleet."""
--- a/flintridge/lab/faults/active_faults.py
+++ b/flintridge/lab/faults/active_faults.py
@@ -1,7 +1,7 @@
-"""What the active faults make of each part of the fleet, however they overlap.
+"""The combined effect of the active faults on each part of the fleet.
 
-Only the faults themselves are remembered: each state is computed from all of them, so that the end of one
-never undoes another.
+Only the faults themselves are stored. Each effect is computed from all active faults, so that the end of one
+fault never undoes another that overlaps with it.
 """
 
 from collections.abc import Iterable
@@ -12,22 +12,22 @@
 from flintridge.lab.scenario import model as m
 
 F = TypeVar("F", bound=m.Fault)
-_ORIGIN_FAILURES = ("", "declines", "errors", "silent", "refuses")  # the worst comes last
+_ORIGIN_FAILURES = ("", "declines", "errors", "silent", "refuses")  # in order of severity, the worst last
 _DISCOVERY_FAILURES = ("", "garbage", "errors", "silent", "refuses")
 _FRACTION_FAULTS = (m.QuickErrors, m.Resets, m.Spoilt, m.LostAnswers, m.Crowding)
 
 
 @dataclass(slots=True, frozen=True)
 class ServerImpairments:
-    """What is wrong with one cache server while it runs.
+    """The effect of the active faults on a running cache server.
 
     Attributes:
-        slowdown: Multiple of the usual service times.
-        error_fraction: Fraction of requests that are answered by an error at once.
+        slowdown: Factor by which service times are longer than usual.
+        error_fraction: Fraction of requests that immediately get an error.
         reset_fraction: Fraction of requests whose connection is reset.
         corrupted_fraction: Fraction of responses that are corrupted.
         lost_fraction: Fraction of responses that are never sent.
-        contention_fraction: Fraction of the cores that other programs take.
+        contention_fraction: Fraction of the cores that other programs use.
         stale_after_ms: Idle time after which a connection is closed on the server's side; 0: never.
         stale_unresponsive: Whether such a connection is not closed but stops responding.
     """
@@ -44,14 +44,14 @@
 
 @dataclass(slots=True)
 class ActiveFault:
-    """A fault that is active, and what it affects.
+    """An active fault and its targets.
 
     Attributes:
-        fault: The fault as the scenario has it.
-        servers: Ids of cache servers.
-        nodes: Names of nodes.
-        links: Source and target of links between nodes.
-        servers_stopped: Whether the servers of a drain have stopped.
+        fault: The fault as the scenario defines it.
+        servers: The ids of the affected cache servers.
+        nodes: The names of the affected nodes.
+        links: The source and target of each affected link between nodes.
+        servers_stopped: Whether the servers affected by a drain have stopped.
     """
 
     fault: m.AnyFault
@@ -59,28 +59,28 @@
     nodes: tuple[str, ...] = ()
     links: tuple[tuple[str, str], ...] = ()
     servers_stopped: bool = False
-    _server_set: frozenset[str] = field(init=False)  # asked for each server at each change
+    _server_set: frozenset[str] = field(init=False)  # a set, as it is searched for each server at each change
 
     def __post_init__(self) -> None:
-        """Prepare `affects`."""
+        """Build the set that `affects` searches."""
         self._server_set = frozenset(self.servers)
 
     def affects(self, server: str) -> bool:
         """Whether a cache server is among the targets.
 
         Args:
-            server: Its id.
+            server: The server's id.
         """
         return server in self._server_set
 
 
 @dataclass(slots=True, frozen=True)
-class MalformedClients:
-    """Clients that send malformed requests.
+class MalformedClientLoad:
+    """The rate and kinds of clients that send malformed requests.
 
     Attributes:
-        per_s: How many begin in a second.
-        kinds: What they send; empty: of all kinds.
+        per_s: Clients that start per second.
+        kinds: The kinds of malformed requests that they send; empty: all kinds.
     """
 
     per_s: float = 0.0
@@ -95,16 +95,16 @@
     """
 
     def __init__(self) -> None:
-        """Begin without faults."""
+        """Create it without active faults."""
         self.by_number: dict[int, ActiveFault] = {}
 
     # Servers
 
     def server_impairments(self, server: str) -> ServerImpairments:
-        """What is wrong with a server while it runs."""
+        """The effect of the active faults on a server while it runs."""
         slowdown = 1.0
         fractions = dict.fromkeys(_FRACTION_FAULTS, 0.0)
-        stale: list[tuple[float, bool]] = []  # idle ms, and whether it closes
+        stale: list[tuple[float, bool]] = []  # idle time in ms, and whether the server closes the connection
         for active in self._affecting(server):
             fault = active.fault
             if isinstance(fault, m.Slowness):
@@ -127,7 +127,7 @@
         )
 
     def server_down(self, server: str) -> bool:
-        """Whether a server's process must not run."""
+        """Whether a fault keeps a server's process stopped."""
         return any(
             isinstance(active.fault, m.Crash)
             or (isinstance(active.fault, m.ZoneLoss) and active.fault.how == "die")
@@ -136,18 +136,18 @@
         )
 
     def server_draining(self, server: str) -> bool:
-        """Whether a server drains."""
+        """Whether a fault drains a server."""
         return any(
             isinstance(active.fault, m.Drain) and not active.servers_stopped
             for active in self._affecting(server)
         )
 
     def server_unreachable(self, server: str) -> bool:
-        """Whether a server's machine alone is cut off, without a word."""
+        """Whether a fault makes a server's machine alone unreachable: its links lose everything silently."""
         return any(isinstance(active.fault, m.Silence) for active in self._affecting(server))
 
     def server_unobserved(self, server: str) -> bool:
-        """Whether discovery observes nothing of a server: its machine or its zone is cut off."""
+        """Whether discovery cannot observe a server, because its machine or its zone is unreachable."""
         return self.server_unreachable(server) or any(
             isinstance(active.fault, m.ZoneLoss) and active.fault.how != "die"
             for active in self._affecting(server)
@@ -156,45 +156,45 @@
     # Origin and discovery
 
     def origin_slowdown(self) -> float:
-        """Multiple of the origin's usual service times."""
+        """The factor by which the origin's service times are longer than usual."""
         return _product(fault.factor for fault in self.of_type(m.OriginSlow))
 
     def origin_failure(self, zone: str) -> str:
-        """How the origin fails, the worst of all; it dies with its zone.
+        """Return the most severe failure of the origin; the death of its zone counts as one.
 
         Args:
-            zone: Where it stands.
+            zone: The zone of the origin.
 
         Returns:
-            As `OriginDown.how` has it; empty where it does not fail.
+            One of the values of `OriginDown.how`, or an empty string if the origin does not fail.
         """
         failures = [fault.how for fault in self.of_type(m.OriginDown)]
         return max([*failures, *self._zone_deaths(zone)], key=_ORIGIN_FAILURES.index, default="")
 
     def discovery_slowdown(self) -> float:
-        """Multiple of discovery's usual service times."""
+        """The factor by which discovery's service times are longer than usual."""
         return _product(fault.factor for fault in self.of_type(m.DiscoverySlow))
 
     def discovery_failure(self, zone: str) -> str:
-        """How discovery fails, the worst of all; it dies with its zone.
+        """Return the most severe failure of discovery; the death of its zone counts as one.
 
         Args:
-            zone: Where it stands.
+            zone: The zone of discovery.
 
         Returns:
-            As `DiscoveryDown.how` has it; empty where it does not fail.
+            One of the values of `DiscoveryDown.how`, or an empty string if discovery does not fail.
         """
         failures = [fault.how for fault in self.of_type(m.DiscoveryDown)]
         return max([*failures, *self._zone_deaths(zone)], key=_DISCOVERY_FAILURES.index, default="")
 
     def discovery_stale_since(self) -> float | None:
-        """Since when (ms of the run) discovery's list is stale; None: it is not."""
+        """The time of the run (ms) since which discovery's list is stale; None: it is not stale."""
         return min((fault.at_s * 1000 for fault in self.of_type(m.DiscoveryStale)), default=None)
 
     # Nodes and clients
 
     def node_down(self, node: str) -> bool:
-        """Whether a node's process is down and must stay so."""
+        """Whether a fault keeps a node's process stopped."""
         return any(
             node in active.nodes
             and (
@@ -205,14 +205,14 @@
         )
 
     def node_paused(self, node: str) -> bool:
-        """Whether a node's process is paused."""
+        """Whether a fault pauses a node's process."""
         return any(
             isinstance(active.fault, m.NodePause) and node in active.nodes
             for active in self.by_number.values()
         )
 
     def system_state(self, node: str) -> SystemState:
-        """What is wrong with a node's operating system."""
+        """The effect of the active faults on a node's operating system."""
         faults = [active.fault for active in self.by_number.values() if node in active.nodes]
         shorts = [fault for fault in faults if isinstance(fault, m.ShortIo)]
         stalls = [fault for fault in faults if isinstance(fault, m.Stall)]
@@ -235,19 +235,19 @@
         )
 
     def hot_key_fraction(self) -> float:
-        """Fraction of reads for the hot key that came last; 0 where there is none."""
+        """The fraction of reads for the hot key of the fault that started last; 0 without a hot key."""
         fractions = [fault.part for fault in self.of_type(m.HotKey)]
         return fractions[-1] if fractions else 0.0
 
-    def malformed_clients(self) -> MalformedClients:
-        """The clients of all faults together."""
+    def malformed_clients(self) -> MalformedClientLoad:
+        """The malformed clients of all active faults together."""
         faults = self.of_type(m.BadClients)
         kinds = [kind for fault in faults for kind in fault.kinds]
         if any(not fault.kinds for fault in faults):
             kinds = []
-        return MalformedClients(sum(fault.per_s for fault in faults), tuple(dict.fromkeys(kinds)))
+        return MalformedClientLoad(sum(fault.per_s for fault in faults), tuple(dict.fromkeys(kinds)))
 
-    # Inner
+    # Helpers
 
     def _affecting(self, server: str) -> list[ActiveFault]:
         return [active for active in self.by_number.values() if active.affects(server)]
@@ -257,7 +257,7 @@
         return [active.fault for active in self.by_number.values() if isinstance(active.fault, fault_type)]
 
     def _zone_deaths(self, zone: str) -> list[str]:
-        """How what stands in a zone fails, for each fault by which the zone dies."""
+        """The failure of a service in a zone, once for each fault that kills the zone's processes."""
         deaths = [fault for fault in self.of_type(m.ZoneLoss) if fault.how == "die" and fault.zone == zone]
         return ["refuses" for _ in deaths]
 
@@ -270,7 +270,7 @@
 
 
 def union_fraction(first: float, second: float) -> float:
-    """Return the fraction that at least one of two independent faults affects."""
+    """Return the fraction that is affected by at least one of two independent faults."""
     return first + second - first * second
 
 
--- a/flintridge/lab/faults/bursts.py
+++ b/flintridge/lab/faults/bursts.py
@@ -1,4 +1,4 @@
-"""The request rate over bursts."""
+"""The effect of bursts on the request rate."""
 
 from collections.abc import Sequence
 
@@ -6,11 +6,11 @@
 
 
 def burst_factor(faults: Sequence[m.AnyFault], at_ms: float) -> float:
-    """Return the multiple of the usual rate; all bursts rise and fall over their ramps.
+    """Return the factor by which bursts multiply the usual request rate; they rise and fall over their ramps.
 
     Args:
         faults: All faults of the scenario.
-        at_ms: Time of the run.
+        at_ms: The time of the run, in milliseconds.
     """
     factor = 1.0
     for fault in faults:
@@ -20,7 +20,7 @@
 
 
 def _ramp_height(burst: m.Burst, at_ms: float) -> float:
-    """How much of the burst's rise is reached, from 0 to 1."""
+    """Return how far the burst's rate has risen: 0 for the usual rate, 1 for the whole factor."""
     elapsed_s = at_ms / 1000 - burst.at_s
     remaining_s = burst.at_s + burst.for_s - at_ms / 1000
     if elapsed_s < 0 or remaining_s <= 0:
--- a/flintridge/lab/faults/check.py
+++ b/flintridge/lab/faults/check.py
@@ -1,4 +1,4 @@
-"""Contradictions in a scenario that its types cannot show: names and faults that mean nothing."""
+"""Checks a scenario for contradictions that its types cannot rule out, such as unknown names."""
 
 from collections.abc import Iterator
 from typing import Any
@@ -14,7 +14,7 @@
     """Return all contradictions of a scenario, each as `path: what is wrong; what is allowed`.
 
     Args:
-        scenario: The scenario, as its types have it.
+        scenario: The decoded scenario.
     """
     found: list[str] = []
     found.extend(_check_names(scenario))
@@ -34,7 +34,7 @@
     yield from duplicate_names("tenants", [tenant.name for tenant in scenario.tenants])
     for i, kind in enumerate(scenario.kinds):
         if kind.name == ORIGIN_KIND:
-            yield f"kinds[{i}].name: {ORIGIN_KIND!r} is the origin's own kind; any other name is allowed"
+            yield f"kinds[{i}].name: {ORIGIN_KIND!r} is reserved for the origin; any other name is allowed"
     for i, zone in enumerate(scenario.nodes.zones):
         yield from unknown_name(f"nodes.zones[{i}]", zone, scenario.zones, "zone")
     for i, tenant in enumerate(scenario.tenants):
@@ -49,17 +49,17 @@
         yield from unknown_name(f"servers[{i}].kind", group.kind, kinds, "kind")
         yield from unknown_name(f"servers[{i}].zone", group.zone, scenario.zones, "zone")
     if not any(group.count for group in scenario.servers):
-        yield "servers: they are none; at least one group needs a count above 0"
+        yield "servers: there are no servers; at least one group needs a count above 0"
     rules = scenario.rules
     for i, kind in enumerate(scenario.kinds):
         if kind.cold_from < rules.slow_start_fraction:
             yield (
-                f"kinds[{i}].cold_from: {kind.cold_from:g} is below rules.cold_share, which is promised;"
+                f"kinds[{i}].cold_from: {kind.cold_from:g} is below rules.cold_share, the guaranteed minimum;"
                 f" allowed is {rules.slow_start_fraction:g} to 1"
             )
         if kind.cold_s > rules.slow_start_s:
             yield (
-                f"kinds[{i}].cold_s: {kind.cold_s:g} is more than rules.cold_s, which is promised;"
+                f"kinds[{i}].cold_s: {kind.cold_s:g} is more than rules.cold_s, the guaranteed maximum;"
                 f" allowed is 0 to {rules.slow_start_s:g}"
             )
 
@@ -69,13 +69,13 @@
     for i, request_class in enumerate(scenario.classes):
         if request_class.latency_objective_ms > request_class.deadline_ms:
             yield (
-                f"classes[{i}].aim_ms: {request_class.latency_objective_ms:g} is beyond the deadline;"
+                f"classes[{i}].aim_ms: {request_class.latency_objective_ms:g} is more than the deadline;"
                 f" allowed is up to deadline_ms ({request_class.deadline_ms:g})"
             )
         if request_class.effect == "keyed" and 0 < repeats_ms < request_class.deduplication_window_ms:
             yield (
                 f"classes[{i}].window_ms: {request_class.deduplication_window_ms:g}"
-                " is longer than the origin knows a write's key;"
+                " is longer than the origin remembers a write's key;"
                 f" allowed is up to origin.repeats_s ({repeats_ms:g} ms)"
             )
 
@@ -87,17 +87,17 @@
     yield from _check_budget_bytes(scenario, budgets)
     values = budgets.by_key()
     if not any(values[key] for key in BUDGET_SWITCHES):
-        yield f"budgets: nothing is switched on; one of {', '.join(BUDGET_SWITCHES)} must be"
+        yield f"budgets: no limit is enabled; one of {', '.join(BUDGET_SWITCHES)} must be"
     if budgets.tenants and not any(tenant.quota_per_s for tenant in scenario.tenants):
         yield "budgets.tenants: no tenant has a quota_per_s above 0; false is allowed"
     if budgets.strict and not budgets.tenants:
-        yield "budgets.strict: quotas are not shared; it must be false while budgets.tenants is"
+        yield "budgets.strict: quotas are not leased; it must be false while budgets.tenants is"
     yield from _check_budget_permits(scenario, budgets)
 
 
 def _check_budget_bytes(scenario: m.Scenario, budgets: m.Budgets) -> Iterator[str]:
     if scenario.peers is None:
-        yield "budgets: parts are lent to nodes that are heard; the scenario needs a table [peers]"
+        yield "budgets: nodes lease limits to their peers only; the scenario needs a table [peers]"
         return
     max_bytes_per_s = scenario.peers.bytes_per_s / 4
     if budgets.bytes_per_s > max_bytes_per_s:
@@ -115,18 +115,18 @@
         permits = values[key]
         if 0 < permits < scenario.nodes.count:
             yield (
-                f"budgets.{key}: {permits} is less than one a node;"
+                f"budgets.{key}: {permits} is less than one per node;"
                 f" allowed is 0, or at least {scenario.nodes.count}"
             )
         if permits and budgets.lease_ms < min_lease_ms:
             yield (
-                f"budgets.lease_ms: {budgets.lease_ms:g} is too short for places, which are taken up as long"
+                f"budgets.lease_ms: {budgets.lease_ms:g} is too short for permits, which are in use as long"
                 f" as a client waits; allowed is {min_lease_ms:g} and more"
             )
 
 
 def _check_spans(table: m.Table, path: str) -> Iterator[str]:
-    """Spans whose low end is above the high one, wherever they are."""
+    """Yield a contradiction for each span in the table, at any depth, whose low end is above the high end."""
     for name, value in table.by_key().items():
         path_of_value = f"{path}.{name}".lstrip(".")
         if isinstance(value, m.Table):
@@ -137,7 +137,7 @@
                     yield from _check_spans(element, f"{path_of_value}[{i}]")
             if name != "nodes" and _is_span(value) and value[0] > value[1]:
                 low, high = value
-                yield f"{path_of_value}: from {low:g} to {high:g}; the first must not be above the second"
+                yield f"{path_of_value}: {low:g} is above {high:g}; the first must not be above the second"
 
 
 def _is_span(value: tuple[Any, ...]) -> bool:
--- a/flintridge/lab/faults/fault_recorder.py
+++ b/flintridge/lab/faults/fault_recorder.py
@@ -1,4 +1,4 @@
-"""Records of the starts and ends of faults."""
+"""Records the starts and ends of faults in the run's log."""
 
 from collections.abc import Sequence
 
@@ -9,25 +9,25 @@
 from flintridge.lab.records import FaultChanged
 from flintridge.lab.scenario import model as m
 
-MAX_NAMES = 20  # in one record
+MAX_NAMES = 20  # names of targets in one record
 TIMING_KEYS = ("at_s", "for_s", "once")
 
 
 class FaultRecorder:
-    """Records each fault's start and end, with the same text at both."""
+    """Records each fault's start and end, both with the same description."""
 
     def __init__(self, faults: Sequence[m.AnyFault], log: RecordLog, clock: RunClock) -> None:
-        """Record the faults of a scenario.
+        """Create a recorder for the faults of a scenario.
 
         Args:
-            faults: The scenario's faults; elsewhere they are known by their numbers in it.
-            log: The run's records.
+            faults: The scenario's faults; a fault's number is its index in this sequence.
+            log: The log of the run's records.
             clock: The run's clock.
         """
         self._faults = faults
         self._log = log
         self._clock = clock
-        self._details: dict[int, str] = {}  # of the faults that began and have not ended
+        self._details: dict[int, str] = {}  # descriptions of the faults that have started and not ended
 
     def start(self, number: int, active: ActiveFault) -> None:
         """Record a fault's start.
@@ -44,7 +44,7 @@
         """Record a fault's end.
 
         Args:
-            number: The fault's number in the scenario; it has begun.
+            number: The number in the scenario of a fault that has started.
         """
         self._add(number, False, self._details.pop(number))
 
@@ -59,7 +59,7 @@
 
 
 def describe(active: ActiveFault) -> str:
-    """Return the names of a fault's targets, or its own figures where it has none.
+    """Return the names of a fault's targets, or its parameters if it has no named targets.
 
     Args:
         active: The fault with its targets.
@@ -69,5 +69,5 @@
         names = active.servers or active.nodes
         omitted = f" and {len(names) - MAX_NAMES} more" if len(names) > MAX_NAMES else ""
         return ", ".join(names[:MAX_NAMES]) + omitted
-    figures = [(key, value) for key, value in fault.by_key().items() if key not in TIMING_KEYS]
-    return ", ".join(f"{key}={value}" for key, value in figures)
+    parameters = [(key, value) for key, value in fault.by_key().items() if key not in TIMING_KEYS]
+    return ", ".join(f"{key}={value}" for key, value in parameters)
--- a/flintridge/lab/faults/fleet_reconciler.py
+++ b/flintridge/lab/faults/fleet_reconciler.py
@@ -1,4 +1,4 @@
-"""Brings the servers, links, origin and discovery to what the active faults make of them."""
+"""Applies the effects of the active faults to the servers, links, origin and discovery."""
 
 from collections.abc import Sequence
 from dataclasses import asdict
@@ -24,15 +24,15 @@
 
 
 class FleetReconciler:
-    """Applies the active faults to a fleet: only what differs from before is changed."""
+    """Applies the active faults to a fleet; effects that are unchanged are not applied again."""
 
     def __init__(self, fleet: SimulatedFleet, fabric: Fabric, active: ActiveFaults) -> None:
-        """Begin with a fleet without faults.
+        """Create a reconciler for a fleet on which no fault has been applied yet.
 
         Args:
             fleet: The fleet.
             fabric: The backend's network and clock.
-            active: The faults that are active.
+            active: The active faults, which change during the run.
         """
         self._fleet = fleet
         self._fabric = fabric
@@ -49,14 +49,14 @@
         self._peer_faults: dict[tuple[str, str], LinkFault] = {}
 
     async def apply(self, start: bool = True, cold: Sequence[str] = ()) -> None:
-        """Change what differs from before.
+        """Apply the effects that differ from those applied before.
 
         Args:
-            start: Whether servers that no fault keeps down any more start again.
-            cold: Servers that start anew now, cold and empty.
+            start: Whether to start the servers that no fault keeps stopped any longer.
+            cold: The ids of servers that are restarted now, cold and empty.
 
         Raises:
-            OSError: If a server cannot listen again.
+            OSError: A server cannot listen again.
         """
         self._apply_links()
         await self._apply_origin_and_discovery()
@@ -76,7 +76,7 @@
         was_unobserved = fleet.is_silent(server)
         unobserved = active.server_unobserved(server)
         if was_unobserved and not unobserved:
-            # The peers of a machine that was away have long given its connections up.
+            # The other ends closed their connections to the machine while it was unreachable.
             host.reset_connections()
         if active.server_down(server):
             self._stopped_by_faults[server] = None
@@ -85,7 +85,8 @@
             del self._stopped_by_faults[server]
             await fleet.start(server)
         elif cold and host.up:
-            # Before discovery observes it again, or it would be listed as one that runs since long ago.
+            # The restart must precede discovery's next observation: otherwise the server would be listed as
+            # having run since long before, and not as one that has just started.
             fleet.stop(server)
             await fleet.start(server)
         if active.server_draining(server):
@@ -96,7 +97,7 @@
         impairments = self._active.server_impairments(server)
         before = self._impairments.get(server, _UNIMPAIRED)
         self._impairments[server] = impairments
-        # Each is set only where it differs: some setters have the model compute its rates anew.
+        # Only differing values are set, because some setters make the model recompute its rates.
         if impairments.slowdown != before.slowdown:
             controls.slowdown = impairments.slowdown
         if impairments.error_fraction != before.error_fraction:
--- a/flintridge/lab/faults/injection.py
+++ b/flintridge/lab/faults/injection.py
@@ -1,4 +1,7 @@
-"""Faults of a node's operating system, and the draws by which single calls fail; for both backends."""
+"""Faults of a node's operating system, and the random injection of failures into single calls.
+
+Both backends use it.
+"""
 
 import errno
 import os
@@ -12,12 +15,12 @@
 
 
 class CallErrors(msgspec.Struct, frozen=True):
-    """Calls of one kind that fail.
+    """Failures of one kind of socket call.
 
     Attributes:
         call: The kind of call.
-        errors: Names of the errors, of which each failure has one.
-        fraction: Fraction of the calls that fail.
+        errors: The names of the errors from which each failure draws one.
+        fraction: The fraction of the calls that fail.
     """
 
     call: Call
@@ -26,12 +29,12 @@
 
 
 class FolderState(msgspec.Struct, frozen=True):
-    """Calls on a node's own folder that fail.
+    """Failures of calls on a node's own folder.
 
     Attributes:
-        errors: Names of the errors, of which each failure has one.
-        fraction: Fraction of the calls that fail.
-        half_written: Files that lie there as a killed process leaves them.
+        errors: The names of the errors from which each failure draws one.
+        fraction: The fraction of the calls that fail.
+        half_written: The number of incomplete files in the folder, such as a killed process leaves behind.
     """
 
     errors: tuple[Literal["ENOSPC", "EIO"], ...]
@@ -40,16 +43,16 @@
 
 
 class SystemState(msgspec.Struct, frozen=True):
-    """What is wrong with one node's operating system; by default nothing.
+    """The faults of one node's operating system; by default none.
 
     Attributes:
-        calls: Socket calls that fail.
-        short_io_fraction: Fraction of reads and writes that transfer fewer bytes than asked.
-        short_io_bytes: The bytes that such a call transfers.
-        stall_fraction: Fraction of writes before which the process stands still.
-        max_stall_ms: The longest time for which it does.
-        clock_offset_ms: How much its wall clock is ahead.
-        folder: Calls on its own folder that fail.
+        calls: The failures of socket calls.
+        short_io_fraction: The fraction of reads and writes that transfer fewer bytes than requested.
+        short_io_bytes: The number of bytes that such a call transfers.
+        stall_fraction: The fraction of writes before which the process stalls.
+        max_stall_ms: The maximum duration of a stall.
+        clock_offset_ms: The time by which the node's wall clock is ahead.
+        folder: The failures of calls on the node's own folder.
     """
 
     calls: tuple[CallErrors, ...] = ()
@@ -65,33 +68,33 @@
 
 
 class Injector:
-    """Draws, for one process, which of its calls fail and how.
+    """Decides at random which calls of one process fail, and how.
 
     Attributes:
-        state: What is wrong now.
-        counts: The faults injected so far, by the names of their counters.
+        state: The current faults of the operating system.
+        counts: The number of faults injected so far, by the names of their counters.
     """
 
     def __init__(self, seed: str, state: SystemState = NO_FAULTS) -> None:
-        """Begin with no fault injected.
+        """Create an injector that has injected no fault yet.
 
         Args:
-            seed: Of the draws.
-            state: What is wrong now.
+            seed: The seed of the random decisions.
+            state: The current faults of the operating system.
         """
         self.state = state
         self.counts: Counter[str] = Counter()
         self._random = random.Random(seed)
 
     def error(self, call: Call, opened: bool = True) -> OSError | None:
-        """Draw how a socket call fails.
+        """Decide whether a socket call fails.
 
         Args:
             call: The kind of call.
-            opened: Whether it is made on a connection that the process itself opened.
+            opened: Whether the process itself opened the connection on which the call is made.
 
         Returns:
-            The error, or None where the call succeeds.
+            The error, or None if the call succeeds.
         """
         for faulty in self.state.calls:
             if faulty.call != call or self._random.random() >= faulty.fraction:
@@ -104,7 +107,7 @@
         return None
 
     def short(self, size: int) -> int:
-        """Draw how many of `size` bytes one call transfers."""
+        """Decide how many of `size` bytes one call transfers."""
         state = self.state
         if size <= state.short_io_bytes or self._random.random() >= state.short_io_fraction:
             return size
@@ -112,7 +115,7 @@
         return state.short_io_bytes
 
     def stall_s(self) -> float:
-        """Draw how long (s) the process stands still before a write."""
+        """Decide how long (s) the process stalls before a write; 0: it does not stall."""
         state = self.state
         if not state.stall_fraction or self._random.random() >= state.stall_fraction:
             return 0.0
@@ -120,13 +123,13 @@
         return self._random.uniform(0, state.max_stall_ms) / 1000
 
     def folder_error(self, allocates: bool) -> OSError | None:
-        """Draw how a call on the node's own folder fails.
+        """Decide whether a call on the node's own folder fails.
 
         Args:
-            allocates: Whether the call may need space on the disk.
+            allocates: Whether the call may allocate space on the disk.
 
         Returns:
-            The error, or None where the call succeeds.
+            The error, or None if the call succeeds.
         """
         for faulty in self.state.folder:
             names = [name for name in faulty.errors if allocates or name != "ENOSPC"]
@@ -137,6 +140,6 @@
 
 
 def _os_error(name: str) -> OSError:
-    """An error of the subclass that Python has for this errno."""
+    """Return an OSError, of the subclass that Python defines for this errno."""
     number: int = getattr(errno, name)
     return OSError(number, os.strerror(number))
--- a/flintridge/lab/faults/link_effects.py
+++ b/flintridge/lab/faults/link_effects.py
@@ -1,4 +1,4 @@
-"""What the active faults make of the links between zones and between nodes."""
+"""The combined effect of the active faults on the links between zones and between nodes."""
 
 from collections.abc import Sequence
 from dataclasses import dataclass
@@ -13,11 +13,11 @@
 
 @dataclass(slots=True, frozen=True)
 class ZoneIsolation:
-    """A zone that is cut off.
+    """The isolation of a zone's machines.
 
     Attributes:
-        state: State of its links.
-        spared_nodes: Nodes that stand in the zone and are not cut off with it.
+        state: The state of the zone's links.
+        spared_nodes: The names of the zone's nodes, which are not isolated.
     """
 
     state: str
@@ -25,7 +25,7 @@
 
 
 def zone_isolations(active_faults: ActiveFaults) -> dict[str, ZoneIsolation]:
-    """Return the zones that are cut off without their nodes."""
+    """Return the isolation of each zone that is isolated while its nodes are not."""
     found: dict[str, ZoneIsolation] = {}
     for active in active_faults.by_number.values():
         fault = active.fault
@@ -39,8 +39,8 @@
 def zone_link_states(active_faults: ActiveFaults, zones: Sequence[str]) -> dict[tuple[str, str], str]:
     """Return the states of the links between zones that are not up, by the sorted pair of zones.
 
-    A zone that is lost with its nodes is cut off from all zones, itself included; clients still reach
-    its nodes, which can do nothing for them.
+    A zone that is lost with its nodes is isolated from all zones, itself included. Clients still reach its
+    nodes, but the nodes cannot serve their requests.
 
     Args:
         active_faults: The faults that are active.
@@ -69,7 +69,8 @@
 def peer_link_faults(active_faults: ActiveFaults) -> dict[tuple[str, str], LinkFault]:
     """Return the faults of the links between nodes, by source and target.
 
-    Where several are active, one that cuts outweighs all, fractions and delays combine.
+    If several faults affect a link, it is cut if one of them cuts it, fractions and delays are combined, and
+    the lowest bandwidth applies.
     """
     found: dict[tuple[str, str], LinkFault] = {}
     for active in active_faults.by_number.values():
--- a/flintridge/lab/faults/node_reconciler.py
+++ b/flintridge/lab/faults/node_reconciler.py
@@ -1,4 +1,4 @@
-"""Brings the nodes' processes to what the active faults make of them."""
+"""Applies the effects of the active faults to the nodes' processes."""
 
 import asyncio
 
@@ -8,32 +8,32 @@
 from flintridge.lab.scenario.model import Scenario
 from flintridge.lab.world.fleet import SimulatedFleet
 
-MAX_DEADLINE_MS = 3000.0  # what a node that ends may take for the requests it has, at most
-LINGER_MS = 700.0  # in which it is still sent requests
+MAX_DEADLINE_MS = 3000.0  # the maximum time that a terminating node may spend on the requests it has
+LATE_REQUESTS_MS = 700.0  # time after SIGTERM during which a node still gets new requests
 
 
 def termination_grace_ms(scenario: Scenario) -> float:
-    """Return the time (ms) between SIGTERM and the SIGKILL for a node that has not ended.
+    """Return the time (ms) after SIGTERM at which a node that has not ended gets SIGKILL.
 
     Args:
-        scenario: The scenario, which has the deadlines.
+        scenario: The scenario with the deadlines of the request classes.
     """
     max_deadline_ms = max(request_class.deadline_ms for request_class in scenario.classes)
-    return min(max_deadline_ms, MAX_DEADLINE_MS) + LINGER_MS
+    return min(max_deadline_ms, MAX_DEADLINE_MS) + LATE_REQUESTS_MS
 
 
 class NodeReconciler:
-    """Applies the active faults to the nodes: kills, ends, pauses and starts their processes."""
+    """Applies the active faults to the nodes: kills, terminates, pauses and starts their processes."""
 
     def __init__(
         self, fleet: SimulatedFleet, nodes: NodeRunner, active: ActiveFaults, clock: RunClock
     ) -> None:
-        """Begin with nodes without faults.
+        """Create a reconciler for nodes on which no fault has been applied yet.
 
         Args:
             fleet: The fleet.
-            nodes: The nodes' processes.
-            active: The faults that are active.
+            nodes: The runner of the nodes' processes.
+            active: The active faults, which change during the run.
             clock: The run's clock.
         """
         self._fleet = fleet
@@ -41,16 +41,16 @@
         self._active = active
         self._clock = clock
         self._paused: dict[str, None] = {}
-        self._killed_while_paused: dict[str, None] = {}  # their new processes are not paused
+        self._killed_while_paused: dict[str, None] = {}  # the new processes of these nodes are not paused
         self._stopped_by_faults: dict[str, None] = {}
         self._system_states: dict[str, SystemState] = {}  # as last applied
         self._termination_grace_ms = termination_grace_ms(fleet.scenario)
 
     async def apply(self, start: bool = True) -> None:
-        """Pause, resume and start nodes.
+        """Apply system faults and pauses, and start nodes.
 
         Args:
-            start: Whether nodes that no fault keeps down any more start again.
+            start: Whether to start the nodes that no fault keeps stopped any longer.
         """
         for node in self._fleet.nodes:
             self._apply_system(node)
@@ -63,7 +63,7 @@
                     await self._nodes.start(node)
 
     def kill(self, node: str) -> None:
-        """Kill a node's process where it runs."""
+        """Kill a node's process if it is running."""
         if self._nodes.running(node):
             self._nodes.kill(node)
         if node in self._paused:
@@ -72,26 +72,26 @@
         self._fleet.node_stopped(node)
 
     def term(self, node: str) -> None:
-        """Send a node SIGTERM where it runs."""
+        """Send SIGTERM to a node if it is running."""
         if self._nodes.running(node):
             self._nodes.term(node)
 
     def quiesce(self, node: str) -> None:
-        """Have a node drain where it runs."""
+        """Drain a node if it is running."""
         if self._nodes.running(node):
             self._nodes.quiesce(node)
 
     def unquiesce(self, node: str) -> None:
-        """End a node's drain where it runs."""
+        """End the drain of a node if it is running."""
         if self._nodes.running(node):
             self._nodes.unquiesce(node)
 
     async def end(self, node: str, terminated_at_ms: float) -> None:
-        """Wait for a node's end, and kill it if that takes too long.
+        """Wait until a node has ended, and kill it if that takes too long.
 
         Args:
-            node: Its name.
-            terminated_at_ms: When it was sent SIGTERM.
+            node: The name of the node.
+            terminated_at_ms: The time of the run (ms) at which the node was sent SIGTERM.
         """
         remaining_ms = terminated_at_ms + self._termination_grace_ms - self._clock.now()
         try:
@@ -102,7 +102,7 @@
         self._fleet.node_stopped(node)
 
     async def reload(self, node: str) -> None:
-        """Give a node another address of discovery, by SIGHUP."""
+        """Reload a node by SIGHUP with a configuration that has another address of discovery."""
         if not self._nodes.running(node):
             return
         await self._fleet.discovery.move(node)
--- a/flintridge/lab/faults/server_replacement.py
+++ b/flintridge/lab/faults/server_replacement.py
@@ -1,4 +1,4 @@
-"""Faults that replace servers: by others at once, or one after another (churn)."""
+"""Faults that replace servers: several at the same time, or one after another (churn)."""
 
 import random
 from collections.abc import Awaitable, Callable, Sequence
@@ -11,24 +11,25 @@
 from flintridge.lab.world.fleet import SimulatedFleet
 from flintridge.lab.world.fleet_plan import ServerPlan
 
-SPARE_MS = 500.0  # that a churned server drains beyond the notice and the nodes' grace
+# Time that a server under churn drains in addition to discovery's delay and the nodes' drain grace.
+DRAIN_MARGIN_MS = 500.0
 
 
 @dataclass(slots=True, frozen=True)
 class _RemovedServer:
     plan: ServerPlan
-    address_of: str  # the party at whose address it listened
+    address_of: str  # the party at whose address the server listened
 
 
 @dataclass(slots=True)
 class _ChurnRun:
     fault: m.Churn
     rng: random.Random
-    remaining: list[str] = field(default_factory=list)  # servers in the order of their turns, last first
+    remaining: list[str] = field(default_factory=list)  # servers still to drain, the next one last
 
 
 class ServerReplacement:
-    """Removes servers and starts others for them, maybe at the same addresses."""
+    """Removes servers and starts new ones in their place, optionally at the same addresses."""
 
     def __init__(
         self,
@@ -38,14 +39,14 @@
         apply: Callable[[], Awaitable[None]],
         record_end: Callable[[int], None],
     ) -> None:
-        """Replace servers of a fleet.
+        """Create it for a fleet.
 
         Args:
             fleet: The fleet.
             clock: The run's clock.
-            steps: Where later steps are scheduled.
-            apply: Brings the fleet to what the active faults make of it.
-            record_end: Records the end of the fault of a number.
+            steps: The queue in which later steps are scheduled.
+            apply: Applies the effects of the active faults to the fleet.
+            record_end: Records the end of the fault with a number.
         """
         self._fleet = fleet
         self._clock = clock
@@ -55,14 +56,14 @@
         self._removed: dict[int, list[_RemovedServer]] = {}  # by the fault's number
 
     async def start_replacement(self, number: int, servers: Sequence[str], fault: m.Replace) -> None:
-        """Remove servers at once, and schedule the start of those that replace them.
+        """Remove servers immediately, and schedule the start of their replacements.
 
         Args:
             number: The fault's number in the scenario.
-            servers: Their ids.
+            servers: The ids of the servers.
             fault: The fault.
         """
-        # All addresses are read before the first is removed.
+        # All addresses are read before the first server is removed.
         addresses = [self._fleet.servers[server].party for server in servers]
         self._removed[number] = [
             _RemovedServer(self._fleet.remove(server), address)
@@ -82,8 +83,8 @@
         """Schedule the drains of one server after another.
 
         Args:
-            fault: The fault; its end is for the caller to schedule.
-            rng: The fault's own generator.
+            fault: The fault; the caller schedules its end.
+            rng: The fault's own random generator.
         """
         start_ms = fault.at_s * 1000
         interval_ms = fault.every_s * 1000
@@ -94,7 +95,7 @@
             self._steps.add(start_ms + index * interval_ms, StepPhase.START, step)
 
     async def _drain_next(self, churn: _ChurnRun) -> None:
-        """Drain the next server in an order that comes to each once, and then to what replaced them."""
+        """Drain the next server: each server once in random order, then their replacements."""
         servers = self._fleet.servers
         for _ in range(2):
             while churn.remaining:
@@ -108,15 +109,15 @@
 
     async def _replace_drained(self, fault: m.Churn, server: str) -> None:
         host = self._fleet.servers.get(server)
-        if host is None:  # another fault has replaced it meanwhile
+        if host is None:  # another fault has replaced the server in the meantime
             return
         address_of = host.party if fault.same_address else None
         await self._fleet.replace(self._fleet.remove(server), address_of)
         await self._apply()
 
     def _drain_ms(self) -> float:
-        """Long enough for every node to be notified and to end what it has there."""
+        """Return a drain time (ms) in which every node is notified and ends its attempts at the server."""
         scenario = self._fleet.scenario
         notice = scenario.discovery.notice_s
         max_notice_s = max(notice) if isinstance(notice, tuple) else notice
-        return max_notice_s * 1000 + scenario.rules.drain_grace_ms + SPARE_MS
+        return max_notice_s * 1000 + scenario.rules.drain_grace_ms + DRAIN_MARGIN_MS
--- a/flintridge/lab/faults/step_queue.py
+++ b/flintridge/lab/faults/step_queue.py
@@ -1,4 +1,4 @@
-"""The steps of a run's faults in the order of their times."""
+"""A queue of the steps of a run's faults, ordered by time."""
 
 import asyncio
 import contextlib
@@ -13,7 +13,7 @@
 
 
 class StepPhase(IntEnum):
-    """The order of steps at the same instant."""
+    """The phase of a step: at the same time, steps that end something run before those that start it."""
 
     END = 0
     START = 1
@@ -28,10 +28,10 @@
 
 
 class StepQueue:
-    """A priority queue of steps, to which triggers that are awaited may still add one."""
+    """A priority queue of steps; triggers that are still awaited may add further steps."""
 
     def __init__(self, clock: RunClock) -> None:
-        """Make an empty queue.
+        """Create an empty queue.
 
         Args:
             clock: The run's clock.
@@ -43,26 +43,26 @@
         self._trigger_resolved = asyncio.Event()
 
     def add(self, at_ms: float, phase: StepPhase, step: Step) -> None:
-        """Schedule a step; at the same time and phase, what was added first comes first.
+        """Schedule a step; steps of the same time and phase run in the order in which they were added.
 
         Args:
-            at_ms: Time of the run.
-            phase: Whether something begins or ends.
+            at_ms: The time of the run, in milliseconds.
+            phase: Whether the step starts or ends something.
             step: Called at that time.
         """
         self._added += 1
         heapq.heappush(self._scheduled, _ScheduledStep(at_ms, phase, self._added, step))
 
     def clear(self) -> None:
-        """Drop all steps that are scheduled."""
+        """Remove all scheduled steps."""
         self._scheduled.clear()
 
     def expect_trigger(self) -> None:
-        """Keep `next_step` waiting until one more `trigger_resolved`."""
+        """Keep `next_step` from ending until `trigger_resolved` is called once more."""
         self._awaited_triggers += 1
 
     def trigger_resolved(self) -> None:
-        """Go on after a trigger was seen, and its step added, or its time is over."""
+        """Note that a trigger was observed and its step added, or that its wait timed out."""
         self._awaited_triggers -= 1
         self._trigger_resolved.set()
 
@@ -70,7 +70,7 @@
         """Wait until the next step is due.
 
         Returns:
-            The step, or None where none is scheduled and no trigger is awaited.
+            The step, or None if no step is scheduled and no trigger is awaited.
         """
         while self._scheduled or self._awaited_triggers:
             if not self._scheduled:
@@ -79,7 +79,7 @@
                 continue
             at_ms = self._scheduled[0].at_ms
             if self._awaited_triggers and at_ms > self._clock.now():
-                # What a trigger starts may be due before it.
+                # A step added by a trigger may be due before the first scheduled step.
                 with contextlib.suppress(TimeoutError):
                     timeout_s = (at_ms - self._clock.now()) / 1000
                     await asyncio.wait_for(self._trigger_resolved.wait(), timeout_s)
--- a/flintridge/lab/faults/target_selection.py
+++ b/flintridge/lab/faults/target_selection.py
@@ -1,4 +1,4 @@
-"""Selection of the servers and nodes that a fault affects, by a generator of its own for each fault."""
+"""Selection of the servers and nodes that a fault affects, with a random generator for each fault."""
 
 import random
 from collections.abc import Sequence
@@ -10,13 +10,13 @@
 
 @dataclass(slots=True, frozen=True)
 class Candidate:
-    """A cache server that may be selected; the origin is never among them.
+    """A cache server that may be selected; the origin is never a candidate.
 
     Attributes:
-        id: Its id.
-        label: Its place in the scenario: `s0`, `s1` ...
-        zone: Where it stands.
-        kind: The name of its kind.
+        id: The server's id.
+        label: The server's position in the scenario: `s0`, `s1` ...
+        zone: The name of the server's zone.
+        kind: The name of the server's kind.
     """
 
     id: str
@@ -26,16 +26,18 @@
 
 
 def fault_name(fault: AnyFault) -> str:
-    """Return a fault's name, as the scenario file has it in `what`."""
+    """Return a fault's name, which is the value of `what` in the scenario file."""
     return str(fault.__struct_config__.tag)
 
 
 def fault_generators(faults: Sequence[AnyFault], seeds: Seeds) -> list[random.Random]:
-    """Return a generator for each fault, by its name and time: its draws depend on no other fault.
+    """Return a random generator for each fault, whose draws do not depend on other faults.
+
+    A generator is seeded by the fault's name and time, and its index among faults that have both in common.
 
     Args:
         faults: All faults of the scenario.
-        seeds: Of the run.
+        seeds: The seeds of the run.
     """
     counts: dict[tuple[str, float], int] = {}
     generators: list[random.Random] = []
@@ -49,7 +51,7 @@
 
 
 def matching_servers(fault: ServerFault, candidates: Sequence[Candidate]) -> list[Candidate]:
-    """Return the candidates of the fault's zone and kind, where it names them."""
+    """Return the candidates of the fault's zone and kind; an empty zone or kind matches all."""
     return [
         candidate
         for candidate in candidates
@@ -62,13 +64,13 @@
     """Select the servers that a fault affects.
 
     Args:
-        fault: It names them by id or label, or has a count or a fraction (at least one) of those of its
-            zone and kind; all of these where it has neither.
+        fault: The fault. Among the servers of its zone and kind, it affects those with its ids or labels, or
+            a number given by its count or share (at least one server), or all if it has none of these.
         candidates: All servers.
-        rng: The fault's own generator.
+        rng: The fault's own random generator.
 
     Returns:
-        Their ids, in the order of the candidates.
+        The ids of the selected servers, in the order of the candidates.
     """
     matching = matching_servers(fault, candidates)
     if fault.ids:
@@ -79,7 +81,8 @@
         count = max(1, round(fault.share * len(matching)))
     else:
         return [server.id for server in matching]
-    # A shuffle of all, of which the first are taken: another count selects the same servers and a few more.
+    # All servers are shuffled and the first ones taken, so that a larger count selects the same servers and
+    # some more.
     order = rng.sample(range(len(matching)), len(matching))
     return [matching[index].id for index in sorted(order[:count])]
 
@@ -88,13 +91,13 @@
     """Select the nodes that a fault affects.
 
     Args:
-        numbers: Their numbers; empty: `count` of them.
-        count: How many are drawn; 0: all.
+        numbers: The numbers of the nodes; empty: `count` nodes are drawn.
+        count: The number of nodes to draw; 0: all nodes.
         nodes: The names of all nodes.
-        rng: The fault's own generator.
+        rng: The fault's own random generator.
 
     Returns:
-        Their names, in the order of their numbers.
+        The names of the selected nodes, in the order of their numbers.
     """
     if numbers:
         return [nodes[number] for number in sorted(dict.fromkeys(numbers)) if number < len(nodes)]
--- a/flintridge/lab/faults/targets.py
+++ b/flintridge/lab/faults/targets.py
@@ -1,4 +1,4 @@
-"""The targets of a fault in the fleet as it is when the fault begins."""
+"""Resolves the targets of a fault in the fleet at the fault's start."""
 
 import random
 from collections.abc import Sequence
@@ -9,7 +9,7 @@
 from flintridge.lab.scenario.system_faults import NodeFault
 from flintridge.lab.world.fleet import SimulatedFleet
 
-# Faults that name nodes, or have some drawn
+# Faults that affect given nodes or a number of drawn nodes.
 NODE_FAULTS = (m.NodeKill, m.NodeRestart, m.NodeDrain, m.NodePause, m.Reload, NodeFault, m.ClockStep)
 
 
@@ -17,9 +17,9 @@
     """Return a fault with the servers, nodes or links that it affects.
 
     Args:
-        fault: The fault that begins.
+        fault: The fault that starts.
         fleet: The fleet.
-        rng: The fault's own generator.
+        rng: The fault's own random generator.
     """
     if isinstance(fault, m.ServerFault):
         return ActiveFault(fault, servers=tuple(select_servers(fault, _candidates(fleet), rng)))
@@ -42,7 +42,7 @@
 
 
 def _directed_links(fault: m.PeerLink, nodes: Sequence[str]) -> tuple[tuple[str, str], ...]:
-    """Source and target of each affected link, each pair once."""
+    """Return the source and target of each affected link, without duplicates."""
     sources = [nodes[index] for index in fault.nodes]
     targets = [nodes[index] for index in fault.to]
     if not targets:
--- a/flintridge/lab/faults/timeline.py
+++ b/flintridge/lab/faults/timeline.py
@@ -1,4 +1,4 @@
-"""Plays a scenario's faults: each starts at its time or at its trigger, and its effects end with it."""
+"""Plays a scenario's faults: starts each at its time or trigger, and removes its effects at its end."""
 
 import asyncio
 from functools import partial
@@ -21,7 +21,7 @@
 from flintridge.lab.seeds import Seeds
 from flintridge.lab.world.fleet import SimulatedFleet
 
-RESTART_MS = 1000.0  # from a drained server's end to its start, where it comes back
+RESTART_MS = 1000.0  # time between the stop and the restart of a drained server with `back`
 
 
 class Timeline:
@@ -40,7 +40,7 @@
 
         Args:
             scenario: The scenario.
-            seeds: Of the run; each fault has a generator of its own.
+            seeds: The seeds of the run; each fault has a random generator of its own.
             fleet: The fleet.
             fabric: The backend's network and clock.
             nodes: The nodes' processes.
@@ -59,16 +59,16 @@
         self._replacement = ServerReplacement(
             fleet, self._clock, self._steps, self._apply, self._recorder.end
         )
-        self._step_lock = asyncio.Lock()  # one change at a time
+        self._step_lock = asyncio.Lock()  # serializes all changes
         self._restarts: list[asyncio.Task[None]] = []
         self._run_task: asyncio.Task[None] | None = None
         self._stopped = False
 
     async def run(self) -> None:
-        """Play all faults to the end of the last, in a task of its own.
+        """Play all faults until the last has ended; must run in a task of its own, which `stop` cancels.
 
         Raises:
-            OSError: If a server cannot listen again.
+            OSError: A server cannot listen again.
         """
         self._run_task = asyncio.current_task()
         self._load.announce_bursts()
@@ -81,7 +81,7 @@
         await asyncio.gather(*self._restarts)
 
     async def stop(self) -> None:
-        """End the run and undo all that is active; processes that are down stay so."""
+        """Stop playing and undo all active faults; processes that are stopped are not started again."""
         if self._stopped:
             return
         self._stopped = True
@@ -101,7 +101,7 @@
     # Starts
 
     async def _await_trigger(self, number: int, fault: m.AnyFault) -> None:
-        """Have the fault begin once its trigger is seen; its time counts from then on."""
+        """Start the fault once its trigger is observed; its duration counts from then on."""
         trigger = fault.once
         assert trigger is not None
         node = None if trigger.node is None else self._fleet.nodes[trigger.node]
@@ -120,7 +120,7 @@
                 self._fleet.objects.invalidate(fault.part, str(number))
                 self._recorder.end(number)
             case m.ClockStep():
-                self._active.by_number[number] = active  # it never ends
+                self._active.by_number[number] = active  # the step is permanent
                 await self._apply()
                 self._recorder.end(number)
             case m.Reload():
@@ -144,14 +144,14 @@
             end_ms = fault.at_s * 1000 + fault.for_s * 1000
             self._steps.add(end_ms, StepPhase.END, partial(self._end_drain, number, active, fault))
         elif isinstance(fault, m.NodeRestart):
-            pass  # it ends with the restart
+            pass  # `_restart_nodes` ends the fault
         elif isinstance(fault, (m.Crash, m.NodeKill)) and not fault.for_s:
-            pass  # it never ends
+            pass  # the fault never ends
         else:
             self._schedule_end(number, fault)
 
     def _start_on_nodes(self, number: int, active: ActiveFault) -> None:
-        """Kill, end or drain the nodes that the fault is about."""
+        """Kill, terminate or drain the nodes that the fault affects."""
         fault = active.fault
         if isinstance(fault, m.NodeKill) or (
             isinstance(fault, m.ZoneLoss) and fault.how == "die" and fault.nodes
@@ -186,7 +186,7 @@
         await self._apply(cold=active.servers if starts_warming_up else ())
 
     async def _end_drain(self, number: int, active: ActiveFault, fault: m.Drain) -> None:
-        """Stop the drained servers, for good or for a moment."""
+        """Stop the drained servers: permanently, or until they are restarted after `RESTART_MS`."""
         active.servers_stopped = True
         await self._apply()
         if fault.back:
@@ -196,7 +196,7 @@
             self._recorder.end(number)
 
     async def _restart_nodes(self, number: int, nodes: tuple[str, ...], fault: m.NodeRestart) -> None:
-        """Wait for the nodes' ends, and start them when the fault is over."""
+        """Wait until the nodes have ended and the fault is over, then start them again."""
         for node in nodes:
             await self._nodes.end(node, fault.at_s * 1000)
         await self._clock.sleep_until((fault.at_s + fault.for_s) * 1000)
@@ -204,7 +204,7 @@
             await self._end(number)
 
     async def _apply(self, start: bool = True, cold: tuple[str, ...] = ()) -> None:
-        """Bring the fleet, the nodes and the clients to what the active faults make of them."""
+        """Apply the effects of the active faults to the fleet, the nodes and the clients."""
         await self._fleet_reconciler.apply(start, cold)
         await self._nodes.apply(start)
         self._load.apply()
--- a/flintridge/lab/faults/triggers.py
+++ b/flintridge/lab/faults/triggers.py
@@ -1,4 +1,4 @@
-"""Faults that begin when something is observed: a log line, a membership report or a datagram."""
+"""Triggers that start faults when something is observed: a log line, a membership report or a datagram."""
 
 from collections.abc import Callable
 
@@ -9,7 +9,7 @@
 from flintridge.lab.scenario import model as m
 from flintridge.membership.messages import MessageKind
 
-DATAGRAM_NAMES = {  # as scenarios name them
+DATAGRAM_NAMES = {  # the names of datagrams in scenarios
     int(MessageKind.PING): "ping",
     int(MessageKind.ACK): "ack",
     int(MessageKind.PING_REQUEST): "ask",
@@ -22,12 +22,12 @@
 
 
 def matches(trigger: m.Seen, node: str | None, record: AnyRecord) -> bool:
-    """Whether a record shows what a trigger waits for.
+    """Whether a record matches a trigger.
 
     Args:
-        trigger: What is waited for.
-        node: The node at which it must be observed; None: at any.
-        record: What was recorded.
+        trigger: The trigger of a fault.
+        node: The name of the node at which the trigger must be observed; None: at any node.
+        record: The record.
     """
     match record:
         case NodeLogLine() if trigger.line:
@@ -40,7 +40,7 @@
 
 
 class TriggerWait:
-    """Waits for one trigger, and schedules the fault's start once it is seen often enough."""
+    """Waits for one trigger, and schedules the fault's start once `trigger.nth` records have matched."""
 
     def __init__(
         self,
@@ -53,11 +53,11 @@
         """Prepare the wait; `start` starts it.
 
         Args:
-            trigger: What is waited for.
-            node: The node at which it must be observed; None: at any.
-            steps: Where the start is scheduled.
+            trigger: The trigger of the fault.
+            node: The name of the node at which the trigger must be observed; None: at any node.
+            steps: The queue in which the start is scheduled.
             clock: The run's clock.
-            start_at: Returns the step that begins the fault, given the time (ms) at which it does.
+            start_at: Returns the step that starts the fault, given the time of the run (ms) of the start.
         """
         self._trigger = trigger
         self._node = node
@@ -67,10 +67,10 @@
         self._remaining = trigger.nth
 
     def start(self, log: RecordLog) -> None:
-        """Watch the records from now on, for as long as the trigger says.
+        """Watch new records until the trigger is observed or its `until_s` has passed.
 
         Args:
-            log: The run's records.
+            log: The log of the run's records.
         """
         self._steps.expect_trigger()
         self._timeout = self._clock.call_later(self._trigger.until_s * 1000, self._expire)
--- a/tests/lab/faults/test_active_faults.py
+++ b/tests/lab/faults/test_active_faults.py
@@ -1,4 +1,4 @@
-"""What active faults make of the fleet, however they overlap."""
+"""The combined effects of overlapping faults."""
 
 from hypothesis import given
 from hypothesis import strategies as st
@@ -9,17 +9,25 @@
 from flintridge.lab.faults.link_effects import zone_isolations, zone_link_delays, zone_link_states
 from flintridge.lab.scenario import model as m
 
-MANY = [m.Slowness(factor=10.0), m.Slowness(factor=2.0), m.QuickErrors(part=0.5), m.QuickErrors(part=0.5)]
-MANY += [m.Stale(after_ms=500.0), m.Stale(after_ms=200.0, silent=True), m.Crowding(part=0.25)]
-MANY += [m.Resets(part=1.0), m.LostAnswers(), m.Spoilt(), m.Crash(), m.Silence(), m.NodeKill(), m.NodePause()]
-MANY += [m.ZoneLoss(zone="west", how="reset"), m.ZoneLoss(zone="west", nodes=True)]
-MANY += [m.ZoneLoss(zone="west", how="die", nodes=True), m.Cut(zone="west", other="east", how="reset")]
-MANY += [m.SlowLink(zone="east", other="west", add_ms=7.0), m.OriginDown(how="silent"), m.OriginDown()]
-MANY += [m.DiscoveryDown(how="garbage"), m.DiscoveryStale(at_s=3.0), m.HotKey(part=0.2)]
-MANY += [m.BadClients(per_s=2.0, kinds=("flood",))]
+FAULTS = [m.Slowness(factor=10.0), m.Slowness(factor=2.0), m.QuickErrors(part=0.5), m.QuickErrors(part=0.5)]
+FAULTS += [m.Stale(after_ms=500.0), m.Stale(after_ms=200.0, silent=True), m.Crowding(part=0.25)]
+FAULTS += [
+    m.Resets(part=1.0),
+    m.LostAnswers(),
+    m.Spoilt(),
+    m.Crash(),
+    m.Silence(),
+    m.NodeKill(),
+    m.NodePause(),
+]
+FAULTS += [m.ZoneLoss(zone="west", how="reset"), m.ZoneLoss(zone="west", nodes=True)]
+FAULTS += [m.ZoneLoss(zone="west", how="die", nodes=True), m.Cut(zone="west", other="east", how="reset")]
+FAULTS += [m.SlowLink(zone="east", other="west", add_ms=7.0), m.OriginDown(how="silent"), m.OriginDown()]
+FAULTS += [m.DiscoveryDown(how="garbage"), m.DiscoveryStale(at_s=3.0), m.HotKey(part=0.2)]
+FAULTS += [m.BadClients(per_s=2.0, kinds=("flood",))]
 
 
-def state(active: ActiveFaults) -> list[object]:
+def effects(active: ActiveFaults) -> list[object]:
     servers = [
         getattr(active, name)("a")
         for name in (
@@ -46,26 +54,26 @@
 
 
 @FIXED
-@given(st.permutations(range(len(MANY))), st.permutations(range(len(MANY))))
-def test_the_end_of_one_fault_undoes_no_other(begin, end):
-    active, fresh = ActiveFaults(), state(ActiveFaults())
-    for number in begin:
-        active.by_number[number] = ActiveFault(MANY[number], ("a",), ("n0",))
+@given(st.permutations(range(len(FAULTS))), st.permutations(range(len(FAULTS))))
+def test_active_faults_when_one_ends_then_the_others_stay_in_effect(start_order, end_order):
+    active, no_effects = ActiveFaults(), effects(ActiveFaults())
+    for number in start_order:
+        active.by_number[number] = ActiveFault(FAULTS[number], ("a",), ("n0",))
     everything = active.server_impairments("a")
     assert everything.slowdown == 20.0 and everything.error_fraction == 0.75
     assert (everything.stale_after_ms, everything.stale_unresponsive) == (200.0, True)
     assert active.server_impairments("b") == ServerImpairments()
     assert active.origin_failure("west") == "refuses"
     assert zone_link_states(active, ["east", "west"])["east", "west"] == "silent"
-    for i, number in enumerate(end):
+    for i, number in enumerate(end_order):
         del active.by_number[number]
-        again = ActiveFaults()
-        again.by_number = {n: on for n, on in active.by_number.items() if n not in end[: i + 1]}
-        assert state(active) == state(again)
-    assert state(active) == fresh
+        remaining = ActiveFaults()
+        remaining.by_number = {n: on for n, on in active.by_number.items() if n not in end_order[: i + 1]}
+        assert effects(active) == effects(remaining)
+    assert effects(active) == no_effects
 
 
-def test_active_when_faults_overlap_then_shares_combine_and_steps_add_up():
+def test_active_faults_when_they_overlap_then_fractions_combine_and_clock_steps_add_up():
     active = ActiveFaults()
     faults = [
         m.ShortIo(part=0.5, most_bytes=9),
--- a/tests/lab/faults/test_scenario_check.py
+++ b/tests/lab/faults/test_scenario_check.py
@@ -1,4 +1,4 @@
-"""Contradictions in a scenario, by their paths."""
+"""The check of a scenario for contradictions, which are reported with their paths."""
 
 import pytest
 from msgspec.structs import replace
@@ -43,16 +43,16 @@
         ({"tenants": (m.Tenant(name="a"), m.Tenant(name="a"))}, "tenants"),
     ],
 )
-def test_contradictions_are_told_by_path_with_what_is_allowed(changes, path):
-    [told] = check(replace(SCENARIO, **changes))
-    assert told.startswith(f"{path}: ") and len(told) < 200
+def test_check_when_a_scenario_is_contradictory_then_reports_the_path(changes, path):
+    [message] = check(replace(SCENARIO, **changes))
+    assert message.startswith(f"{path}: ") and len(message) < 200
 
 
-def test_what_is_sound_is_let_through():
-    fine = [m.Crash(for_s=0.0, share=0.001), m.Drain(for_s=0.0, kind="big"), m.Reload(), m.Churn()]
-    fine += [m.NodeKill(for_s=0.0, nodes=(1, 0)), m.SlowLink(zone="east", other="east")]
-    fine += [m.ZoneLoss(at_s=29.9, for_s=100.0, zone="east")]
-    assert check(replace(SCENARIO, faults=fine)) == []
+def test_check_when_a_scenario_is_sound_then_reports_nothing():
+    faults = [m.Crash(for_s=0.0, share=0.001), m.Drain(for_s=0.0, kind="big"), m.Reload(), m.Churn()]
+    faults += [m.NodeKill(for_s=0.0, nodes=(1, 0)), m.SlowLink(zone="east", other="east")]
+    faults += [m.ZoneLoss(at_s=29.9, for_s=100.0, zone="east")]
+    assert check(replace(SCENARIO, faults=faults)) == []
     assert check(m.Scenario()) == []
 
 
@@ -70,9 +70,9 @@
         (m.FolderErrors(nodes=(9,)), "faults[0].nodes[0]"),
     ],
 )
-def test_check_when_a_system_fault_means_nothing_then_names_its_path(fault, path):
-    [told] = check(day_of(fault))
-    assert told.startswith(f"{path}: ")
+def test_check_when_a_system_fault_is_contradictory_or_has_no_effect_then_reports_the_path(fault, path):
+    [message] = check(day_of(fault))
+    assert message.startswith(f"{path}: ")
 
 
 @pytest.mark.parametrize(
@@ -86,6 +86,6 @@
         'what = "system_call_errors", call = "read", errors = []',
     ],
 )
-def test_load_when_a_system_fault_is_out_of_range_then_is_refused(text):
+def test_load_when_a_system_fault_is_out_of_range_then_rejects_it(text):
     with pytest.raises(Exception, match="faults"):
         load("calm", [f"faults=[{{{text}}}]"])
--- a/tests/lab/partial/test_lease_scenarios.py
+++ b/tests/lab/partial/test_lease_scenarios.py
@@ -37,8 +37,8 @@
     ("table", "message"),
     [
         ("tenants=true", None),
-        ("floors=true, strict=true", "budgets.strict: quotas are not shared"),
-        ("floor=0.5", "budgets: nothing is switched on; one of tenants, floors"),
+        ("floors=true, strict=true", "budgets.strict: quotas are not leased"),
+        ("floor=0.5", "budgets: no limit is enabled; one of tenants, floors"),
         ("floors=true, bytes_per_s=5000", "allowed is up to 4000"),
         ("origin_places=3", "allowed is 0, or at least 10"),
         ("origin_places=40, lease_ms=2000", "allowed is 2500 and more"),
@@ -50,7 +50,7 @@
     if message is None:
         assert load("uneven", changes).budgets == Budgets(tenants=True)
         changes = changes[1:]
-        message = "budgets: parts are lent to nodes that are heard"
+        message = "budgets: nodes lease limits to their peers only"
     with pytest.raises(ConfigFaultsError) as raised:
         load("uneven", changes)
     assert message in str(raised.value)
--- a/tests/membership/test_membership_config.py
+++ b/tests/membership/test_membership_config.py
@@ -149,23 +149,23 @@
 @pytest.mark.parametrize(
     ("changes", "found"),
     [
-        ({"peers": None}, "faults[0].what: 'peer_link' is about what the nodes tell one another"),
+        ({"peers": None}, "faults[0].what: 'peer_link' impairs links between peers"),
         ({"faults": [{**FAULT, "nodes": [9]}]}, "faults[0].nodes[0]: there is no node 9; allowed is 0 to 2"),
         ({"faults": [{**FAULT, "to": [3]}]}, "faults[0].to[0]: there is no node 3; allowed is 0 to 2"),
         ({"faults": [{**FAULT, "nodes": [0, 1, 2]}]}, "faults[0].to: all nodes are in nodes"),
-        ({"faults": [{**FAULT, "cut": False}]}, "faults[0].cut: nothing is wrong"),
+        ({"faults": [{**FAULT, "cut": False}]}, "faults[0].cut: the link is not impaired"),
         (
             {"faults": [{**FAULT, "once": {"line": "peers", "node": 5}}]},
             "faults[0].once.node: there is no node 5",
         ),
-        ({"faults": [{**FAULT, "once": {"node": 1}}]}, "faults[0].once: it waits for exactly one of"),
+        ({"faults": [{**FAULT, "once": {"node": 1}}]}, "faults[0].once: exactly one of line, heard and"),
         (
             {"peers": None, "faults": [{"what": "flush", "once": {"heard": 1}}]},
-            "faults[0].once.heard: nodes that hear nobody show none",
+            "faults[0].once.heard: nodes without peers never show this",
         ),
         (
             {"faults": [{"what": "burst", "once": {"line": "peers"}}]},
-            "faults[0].once: clients plan a burst ahead",
+            "faults[0].once: clients schedule a burst in advance",
         ),
     ],
 )
