--- a/flintridge/lab/judge/__init__.py
+++ b/flintridge/lab/judge/__init__.py
@@ -1,1 +1,1 @@
-"""Rules and metrics from what both sides of the nodes saw; it never asks a node."""
+"""The judge: rules and metrics from what clients and servers recorded; it never queries a node."""
--- a/flintridge/lab/judge/fault_spans.py
+++ b/flintridge/lab/judge/fault_spans.py
@@ -1,4 +1,4 @@
-"""When which faults were on."""
+"""The time spans in which faults were active."""
 
 import math
 from collections.abc import Iterable
@@ -6,8 +6,8 @@
 
 from flintridge.lab.records import AnyRecord, FaultChanged
 
-# Faults that touch no connection and no link to a server: during any other, a node may be trying to reach a
-# server, or waiting on a connection that is dead, and no record tells of it.
+# Name prefixes of faults that affect no connection and no link to a server. During any other fault, a node
+# may be trying to reach a server or waiting on a dead connection without any record of it.
 HARMLESS_TO_LINKS = (
     "flush",
     "hot_key",
@@ -23,11 +23,18 @@
     "reload",
     "node_",
 )
-LINK_FAULT_TAIL_MS = 1000.0  # so long after such a fault its last connections may still be waited for
+# For this long after a fault of links ends, a node may still be waiting on connections that it broke.
+LINK_FAULT_TAIL_MS = 1000.0
 
 
 class FaultSpan(NamedTuple):
-    """A fault that was on; infinite where no end was seen."""
+    """The time span of a fault.
+
+    Attributes:
+        name: The fault's name.
+        start_ms: When it began.
+        end_ms: When it ended; infinite if no end was recorded.
+    """
 
     name: str
     start_ms: float
@@ -35,12 +42,18 @@
 
     @property
     def disturbs_links(self) -> bool:
-        """Whether it may keep a node waiting for a server without any record of it."""
+        """Whether the fault may keep a node waiting for a server without any record of it."""
         return not self.name.startswith(HARMLESS_TO_LINKS)
 
 
 class _OpenFault(NamedTuple):
-    """A fault without an end yet, with the position of its span."""
+    """A fault that has not ended yet.
+
+    Attributes:
+        position: Index of its span in the list of all spans.
+        name: The fault's name.
+        detail: The detail of the record of its beginning.
+    """
 
     position: int
     name: str
@@ -48,7 +61,7 @@
 
 
 def fault_spans(records: Iterable[AnyRecord]) -> list[FaultSpan]:
-    """The faults, in the order of their starts."""
+    """Return the spans of all faults, in the order of their beginnings."""
     spans: list[FaultSpan] = []
     open_faults: list[_OpenFault] = []
     for record in records:
@@ -66,7 +79,11 @@
 
 
 def _closed_by(record: FaultChanged, open_faults: list[_OpenFault]) -> _OpenFault | None:
-    """The one of the same detail, or the oldest: an end may have other details than its start had."""
+    """Return the open fault that a record ends; None if none has its name.
+
+    Prefers a fault with the same detail over the oldest one, because the detail may differ between the
+    beginning and the end of a fault.
+    """
     same_name = [fault for fault in open_faults if fault.name == record.name]
     for fault in same_name:
         if fault.detail == record.detail:
--- a/flintridge/lab/judge/findings.py
+++ b/flintridge/lab/judge/findings.py
@@ -1,4 +1,4 @@
-"""The violations that the rules find: counts of all, and the proof of the first few."""
+"""The violations that the rules find: counts of all, and the evidence for the first few of each rule."""
 
 from collections.abc import Iterable
 
@@ -12,11 +12,11 @@
 
 
 class Findings:
-    """Violations by rule; only the first `keep` of each keep their records.
+    """Violations by rule: all are counted, and the first `keep` of each rule are kept with their records.
 
     Attributes:
-        counts: How many of each rule.
-        violations: Those that are kept.
+        counts: Number of violations of each rule.
+        violations: The violations that are kept.
     """
 
     def __init__(self, rules: Iterable[str], keep: int = 5) -> None:
@@ -35,19 +35,19 @@
         node: str = "",
         server: str = "",
     ) -> None:
-        """Count one violation.
+        """Count a violation, and keep it if it is among the first of its rule.
 
         Args:
             rule: The rule's name.
-            at_ms: When it was found.
-            text: What was found.
-            proof: The records that show it; None among them is passed over.
-            request_id: The request that it is about.
-            node: The node that it is about.
-            server: The server that it is about.
+            at_ms: When the rule was violated.
+            text: Description of the violation.
+            proof: The records that prove it; None entries are skipped.
+            request_id: The request concerned; empty if there is none.
+            node: The node concerned; empty if there is none.
+            server: The server concerned; empty if there is none.
 
         Raises:
-            KeyError: There is no such rule.
+            KeyError: The rule is unknown.
         """
         self.counts[rule] += 1
         if self.counts[rule] > self._keep:
--- a/flintridge/lab/judge/history.py
+++ b/flintridge/lab/judge/history.py
@@ -1,6 +1,6 @@
-"""An index of the log for the rules: requests with their responses and attempts, processes, servers, faults.
+"""Indexes of the log for the rules: requests with their responses and attempts, processes, servers, faults.
 
-Nothing is judged here. Every index is built from the records alone, in the order of the log.
+This module judges nothing. Every index is built from the records alone, in the order of the log.
 """
 
 from collections.abc import Iterable
@@ -24,7 +24,8 @@
 )
 from flintridge.lab.scenario.model import RequestClass, Scenario
 
-MAX_COUNTED_DEADLINE_MS = 3000.0  # SIGKILL waits for no longer one
+# The longest deadline that SIGKILL waits for after SIGTERM; a longer deadline counts as this.
+MAX_COUNTED_DEADLINE_MS = 3000.0
 
 
 class History:
@@ -32,19 +33,19 @@
 
     Attributes:
         records: The log.
-        scenario: What was played.
-        is_real_time: Whether on real processes.
-        tolerances: How much later than a limit something may be seen.
+        scenario: The scenario that was run.
+        is_real_time: Whether the run was in real time, with real processes.
+        tolerances: How much later than a limit an event may be recorded.
         classes: Request classes by name.
-        client_attempts: By request id.
-        outcomes: Attempts at servers, by the attempt's number.
-        served_by_digest: The first response that was made with a body digest.
-        server_starts: Of each server.
-        server_overloads: Of each server.
-        client_closed_ms: When a client closed its connection, by connection.
-        first_attempt_on: The number of the first attempt on a server's connection.
+        client_attempts: Attempts of clients by request id.
+        outcomes: Attempts at servers by attempt id.
+        served_by_digest: By body digest, the first response that a server sent with it.
+        server_starts: Starts of each server, in order of time.
+        server_overloads: Crashes of each server by overload, in order of time.
+        client_closed_ms: When a client closed its connection, by the number of the connection.
+        first_attempt_on: Id of the first attempt on each connection to a server, by the connection's number.
         processes: The nodes' processes.
-        faults: When which faults were on.
+        faults: The spans in which faults were active.
         end_ms: The time of the last record.
     """
 
@@ -69,31 +70,32 @@
             self._index(record)
         self._link_faults = [span for span in self.faults if span.disturbs_links]
 
-    # What rules query
+    # Queries of the rules
 
     def request_class(self, name: str) -> RequestClass:
-        """The class of a name; a default one where the scenario has none."""
+        """Return the request class of a name; one with default settings if the scenario has none."""
         return self.classes.get(name) or RequestClass(name="unknown")
 
     def links_disturbed(self, since_ms: float, until_ms: float) -> bool:
-        """Whether a fault was on that may keep a node waiting for a server without any record of it."""
+        """Whether a fault may have kept a node waiting for a server in this span without any record of it."""
         return any(
             span.start_ms <= until_ms and since_ms <= span.end_ms + LINK_FAULT_TAIL_MS
             for span in self._link_faults
         )
 
     def had_fault(self, name: str, since_ms: float, until_ms: float) -> bool:
-        """Whether a fault of this name was on somewhere between two instants."""
+        """Whether a fault of this name was active at any time of this span."""
         return any(
             span.name == name and span.start_ms <= until_ms and span.end_ms >= since_ms
             for span in self.faults
         )
 
     def is_excused(self, accepted: AcceptedRequest, until_ms: float) -> bool:
-        """Whether its node did not live, or stood still, somewhere between the sending and `until_ms`.
+        """Whether the request's node was dead or paused at any time from the request's sending to `until_ms`.
 
-        A node that ended by itself after SIGTERM is not excused for what came in time before, nor is one that
-        had all its time after it and was killed then.
+        A request that is sent too late after SIGTERM is excused as well. A node that exited by itself after
+        SIGTERM is not excused for requests that arrived in time, nor is one that was killed only after its
+        whole termination time.
         """
         request = accepted.request
         process = self.processes.at(request.node, request.at_ms)
@@ -113,12 +115,12 @@
 
     @property
     def termination_time_ms(self) -> float:
-        """From SIGTERM to the SIGKILL that may come first."""
+        """The shortest time from SIGTERM to SIGKILL."""
         max_deadline_ms = max(request_class.deadline_ms for request_class in self.scenario.classes)
         return min(max_deadline_ms, MAX_COUNTED_DEADLINE_MS) + TERMINATION_ACCEPT_MS
 
     def had_termination_time(self, process: ProcessLifetime) -> bool:
-        """Whether a process was killed only after all the time that it has for its end after SIGTERM."""
+        """Whether a process was killed only after the whole termination time that follows SIGTERM."""
         termination = process.termination
         end = process.end
         if termination is None or end is None or end.state != "killed":
@@ -127,7 +129,7 @@
         return end.at_ms >= due_ms - self.tolerances.limit_ms - ROUNDING_MS
 
     def closed_by_client_ms(self, accepted: AcceptedRequest) -> float | None:
-        """When a request's client closed its connection, over it or another one; None: not seen."""
+        """Return when the client closed the request's connection, for any request on it; None if not seen."""
         abandoned = accepted.abandoned
         if abandoned is None:
             return None
@@ -135,19 +137,19 @@
         return min(closed_ms, self.client_closed_ms.get(accepted.request.connection, closed_ms))
 
     def server_zone(self, server: str, is_origin: bool) -> str | None:
-        """A server's zone; None where none is known."""
+        """Return a server's zone; None if it is not known."""
         if is_origin and server not in self.server_starts:
             return self.scenario.origin.zone
         starts = self.server_starts.get(server)
         return starts[-1].zone or None if starts else None
 
     def node_zone(self, node: str) -> str:
-        """The zone of `n0`, `n1` ...: the scenario's zones of nodes in turn."""
+        """Return a node's zone: the nodes `n0`, `n1` ... are assigned to the scenario's zones in turn."""
         zones = self.scenario.nodes.zones or self.scenario.zones
         number = node[1:]
         return zones[int(number) % len(zones)] if number.isdecimal() else zones[0]
 
-    # Building
+    # Building the indexes
 
     def _client_attempt(self, request_id: str) -> ClientAttempt:
         attempt = self.client_attempts.get(request_id)
@@ -183,8 +185,8 @@
         attempt = self._client_attempt(record.request_id)
         _note_resent(attempt, record.at_ms)
         accepted = AcceptedRequest(record, self._last_on_connection.get(record.connection))
-        if accepted.previous is not None and accepted.previous.over_ms <= record.at_ms:
-            accepted.previous = None  # over before: nothing is kept of a long chain
+        if accepted.previous is not None and accepted.previous.ended_ms <= record.at_ms:
+            accepted.previous = None  # had ended before; dropped so that no long chain is kept in memory
         self._last_on_connection[record.connection] = accepted
         attempt.accepted.append(accepted)
 
--- a/flintridge/lab/judge/metrics.py
+++ b/flintridge/lab/judge/metrics.py
@@ -1,4 +1,4 @@
-"""The metrics of a run: goodput, latency, attempts and the goal. They violate no rule."""
+"""The metrics of a run: goodput, latency, attempts and the goal. No rule depends on them."""
 
 import math
 from collections.abc import Iterable, Sequence
@@ -14,7 +14,7 @@
 
 
 def fill(result: Result, history: History) -> None:
-    """Write all metrics of a run to `result`."""
+    """Compute all metrics of a run and store them in `result`."""
     outcomes = list(request_outcomes(history).values())
     goodput = _fill_requests(result, outcomes)
     result.windows = windows_of(history, outcomes)
@@ -28,7 +28,7 @@
 
 
 def _fill_requests(result: Result, outcomes: list[RequestOutcome]) -> WeightedGoodput:
-    """The metrics of requests; returns the goodput of all."""
+    """Store the metrics of requests; return the goodput of all of them."""
     total = WeightedGoodput()
     by_class = WeightedGoodput()
     by_tenant = WeightedGoodput()
@@ -86,7 +86,7 @@
 
 
 def _hit_fraction(counted: list[AttemptOutcome]) -> float:
-    """Of the reads at cache servers, how many found the value."""
+    """Return the fraction of served reads at cache servers that found the value."""
     hits = 0
     misses = 0
     for outcome in counted:
@@ -100,7 +100,7 @@
 
 
 def _wasted_fraction(history: History, counted: list[AttemptOutcome]) -> float:
-    """Of the work that was done, the fraction whose response no client got."""
+    """Return the fraction of the executed work whose response reached no client in time."""
     done_ms = 0.0
     used_ms = 0.0
     for outcome in counted:
@@ -113,7 +113,7 @@
 
 
 def _reached_client(history: History, outcome: AttemptOutcome) -> bool:
-    """Whether a client got the attempt's value or receipt before it stopped to wait."""
+    """Whether a client received the attempt's value or receipt before it stopped waiting."""
     digest = "" if outcome.served is None else outcome.served.body_digest
     if not digest:
         return False
@@ -133,7 +133,7 @@
 def _goal(
     history: History, result: Result, outcomes: Iterable[RequestOutcome], offered_weight: float
 ) -> float:
-    """The scenario's mix of goodputs, each by its weight, less the prices."""
+    """Return the weighted mean of the goal's goodputs, less the scenario's prices."""
     goal = history.scenario.goal
     prices = history.scenario.prices
     min_class = min(result.goodput_by_class.values(), default=result.goodput)
@@ -153,7 +153,7 @@
 
 
 def _faults_s(history: History) -> list[tuple[str, float, float]]:
-    """Names with seconds from and to; what was not seen to end goes on to the end of the run."""
+    """Return name, start and end (seconds) of each fault; one without an end lasts until the run ends."""
     last_s = max(history.scenario.length_s, history.end_ms / 1000)
     faults: list[tuple[str, float, float]] = []
     for span in history.faults:
--- a/flintridge/lab/judge/observations.py
+++ b/flintridge/lab/judge/observations.py
@@ -1,4 +1,4 @@
-"""What was seen of requests: by their clients, and by the servers that nodes sent them to."""
+"""What clients recorded of requests, and servers of the attempts that nodes sent for them."""
 
 import math
 from dataclasses import dataclass, field
@@ -14,19 +14,19 @@
     ResponseReceived,
 )
 
-FINAL_KINDS = ("served", "refused", "failed", "error")  # kinds of a response that ends a request
-NOT_EXECUTED_OUTCOMES = ("busy", "miss")  # outcomes that prove that a request was not executed
+FINAL_KINDS = ("served", "refused", "failed", "error")  # kinds of responses that end a request
+NOT_EXECUTED_OUTCOMES = ("busy", "miss")  # these prove that the server did not execute the request
 
 
 @dataclass(slots=True, eq=False)
 class AttemptOutcome:
-    """An attempt of a node as it arrived at a server, and what became of it there.
+    """An attempt of a node that arrived at a server, and its outcome there.
 
     Attributes:
-        record: Its arrival.
-        served: What the server responded.
-        dropped: The node's end of it, as the server saw that.
-        executed: Whether the server executed it.
+        record: The record of its arrival.
+        served: The server's response; None if there was none.
+        dropped: The close of the connection by the node while the attempt was in flight; None if not seen.
+        executed: Whether the server executed the request.
     """
 
     record: AttemptReceived
@@ -36,18 +36,18 @@
 
     @property
     def server(self) -> str:
-        """The server."""
+        """The server's id."""
         return self.record.server
 
     @property
     def response_digest(self) -> str:
-        """Of a value or receipt whose response was not lost; empty where there is none."""
+        """The body digest of the value or receipt; empty if there is none or the response was lost."""
         if self.served is None or self.served.lost:
             return ""
         return self.served.body_digest
 
     def is_not_executed_by(self, at_ms: float) -> bool:
-        """Whether by then a response had left that proves that it was not executed."""
+        """Whether a response that proves that the request was not executed had left the server by `at_ms`."""
         served = self.served
         if served is None or served.lost or served.outcome not in NOT_EXECUTED_OUTCOMES:
             return False
@@ -55,9 +55,9 @@
 
     @property
     def finished_ms(self) -> float | None:
-        """When its response left or the node's end of it was seen; None where neither was.
+        """When the response left the server or the node closed the connection; None if neither was seen.
 
-        A corrupted response need be no end: a node may wait for the rest of what never comes.
+        A corrupted response does not count as the end, because a node may go on waiting for the rest of it.
         """
         served_ms = math.inf
         if self.served is not None and not self.served.lost and self.served.outcome != "spoilt":
@@ -68,21 +68,21 @@
 
     @property
     def in_flight_until_ms(self) -> float:
-        """When it ended, or else when its time was over."""
+        """When the attempt ended; if that was not seen, when the time that the node sent with it was over."""
         finished_ms = self.finished_ms
         return self.record.at_ms + self.record.time_left_ms if finished_ms is None else finished_ms
 
 
 @dataclass(slots=True, eq=False)
 class AcceptedRequest:
-    """A request as a node accepted it: sent once, with what came back on that connection.
+    """One sending of a request that a node accepted, with the responses on that connection.
 
     Attributes:
-        request: As its client sent it.
-        previous: The one sent before it on its connection, if that was not over yet.
-        responses: What came back.
-        abandoned: When its client stopped to wait.
-        resent_ms: When its client sent it once more, or tried to.
+        request: The request as its client sent it.
+        previous: The request sent before it on the same connection, if that had not ended yet.
+        responses: The responses, and the end of the connection if it came first, in order of time.
+        abandoned: The record that its client stopped waiting; None if it did not.
+        resent_ms: When its client sent the same attempt again, or tried to; None if it did not.
     """
 
     request: RequestSent
@@ -93,17 +93,17 @@
 
     @property
     def first_response(self) -> ResponseReceived | None:
-        """Whatever came first, also the end of the connection."""
+        """The first response, which may be the end of the connection; None if there is none."""
         return self.responses[0] if self.responses else None
 
     @property
     def final_response(self) -> ResponseReceived | None:
-        """The first complete response."""
+        """The first response of a final kind; None if there is none."""
         return next((response for response in self.responses if response.kind in FINAL_KINDS), None)
 
     @property
-    def over_ms(self) -> float:
-        """When it was over for its client, however; infinite where that was not seen."""
+    def ended_ms(self) -> float:
+        """When the request ended for its client, in whatever way; infinite if no end was seen."""
         if self.responses:
             return self.responses[0].at_ms
         if self.abandoned is not None:
@@ -112,21 +112,24 @@
 
     @property
     def unblocked_ms(self) -> float:
-        """From when on no response before it on its connection was awaited; its sending, where none was."""
+        """When the request became the first in line on its connection.
+
+        Responses come in the order of the requests, so until then it waits for the previous request.
+        """
         if self.previous is None:
             return self.request.at_ms
-        return max(self.request.at_ms, self.previous.over_ms)
+        return max(self.request.at_ms, self.previous.ended_ms)
 
 
 @dataclass(slots=True, eq=False)
 class ClientAttempt:
-    """All that was seen under one request id.
+    """Everything recorded under one request id, which stands for one attempt of a client.
 
     Attributes:
         request_id: The id.
-        accepted: The times that a node accepted it; several where a close crossed it.
-        not_accepted: Where no node did.
-        outcomes: The attempts of nodes at servers, by arrival.
+        accepted: Each sending that a node accepted; several if a close of the connection crossed the request.
+        not_accepted: The record that no node accepted the attempt; None if one did.
+        outcomes: The attempts of nodes at servers, in the order of their arrival.
     """
 
     request_id: str
--- a/flintridge/lab/judge/process_history.py
+++ b/flintridge/lab/judge/process_history.py
@@ -1,4 +1,4 @@
-"""The processes of the nodes, as their starts, ends and pauses were seen."""
+"""The recorded starts, ends and pauses of the nodes' processes."""
 
 import math
 from collections.abc import Iterable
@@ -7,12 +7,12 @@
 
 from flintridge.lab.records import NodeStateChanged
 
-PAUSE_RECOVERY_MS = 200.0  # after a pause: what was delivered meanwhile is read first
-TERMINATION_ACCEPT_MS = 700.0  # after SIGTERM: what arrives within this must be responded to
+PAUSE_RECOVERY_MS = 200.0  # after a pause, a process first reads the input that arrived during it
+TERMINATION_ACCEPT_MS = 700.0  # a request that arrives within this time after SIGTERM must get a response
 
 
 class Pause(NamedTuple):
-    """A time in which a process stood still; infinite where no end was seen."""
+    """A span in which a process was paused; `end_ms` is infinite if no end was recorded."""
 
     start_ms: float
     end_ms: float
@@ -23,12 +23,12 @@
     """One process of a node, from its start to its end.
 
     Attributes:
-        node: The node.
-        started_ms: When it started; minus infinity where no start was seen.
-        termination: Its SIGTERM, if it got one before its end.
-        end: Killed, exited or stuck, whichever came first.
-        pauses: Those that have ended.
-        paused_since_ms: The start of a pause without an end.
+        node: The node's name.
+        started_ms: When it started; minus infinity if no start was recorded.
+        termination: The record of its SIGTERM; None if it got none before its end.
+        end: The first record that it was killed, exited or stuck; None if there is none.
+        pauses: Its pauses that have ended.
+        paused_since_ms: The start of a pause that has not ended; None if there is none.
     """
 
     node: str
@@ -40,13 +40,13 @@
 
     @property
     def all_pauses(self) -> list[Pause]:
-        """Also one without an end."""
+        """All pauses, including one that has not ended."""
         if self.paused_since_ms is None:
             return list(self.pauses)
         return [*self.pauses, Pause(self.paused_since_ms, math.inf)]
 
     def was_paused(self, since_ms: float, until_ms: float) -> bool:
-        """Whether it stood still, or had only just gone on, at any time between these."""
+        """Whether the process was paused, or recovering from a pause, at any time of this span."""
         if not self.pauses and self.paused_since_ms is None:
             return False
         return any(
@@ -55,7 +55,7 @@
         )
 
     def observe(self, record: NodeStateChanged) -> None:
-        """Take in what was seen of this process."""
+        """Apply a record about this process."""
         match record.state:
             case "term" if self.termination is None and self.end is None:
                 self.termination = record
@@ -69,10 +69,10 @@
 
 
 class ProcessHistory:
-    """All processes.
+    """The processes of all nodes.
 
     Attributes:
-        by_node: Those of each node, in the order of their starts.
+        by_node: The processes of each node, in the order of their starts.
     """
 
     def __init__(self, records: Iterable[NodeStateChanged]) -> None:
@@ -86,9 +86,10 @@
             lifetimes[-1].observe(record)
 
     def at(self, node: str, at_ms: float) -> ProcessLifetime:
-        """The process that was there at an instant, or else the last one before.
+        """Return the process of a node that had started last by `at_ms`.
 
-        One without an end if none was.
+        Before the first start it is the first process; for a node without records, one that has neither start
+        nor end.
         """
         lifetimes = self.by_node.setdefault(node, [ProcessLifetime(node, -math.inf)])
         found = lifetimes[0]
--- a/flintridge/lab/judge/rules/__init__.py
+++ b/flintridge/lab/judge/rules/__init__.py
@@ -1,4 +1,4 @@
-"""The rules: each is judged from the records of both sides alone."""
+"""The rules. Each is judged only from the records of clients, servers and processes."""
 
 from flintridge.lab.judge.findings import Findings
 from flintridge.lab.judge.history import History
--- a/flintridge/lab/judge/rules/attempts.py
+++ b/flintridge/lab/judge/rules/attempts.py
@@ -1,8 +1,8 @@
-"""Rules on what attempts may do.
+"""Rules on attempts of nodes at servers.
 
-`twice`: nothing may be executed twice that must not be, and nothing is in flight twice where hedged
-requests are not allowed. `attempts`: no more than allowed. `after_answer`: none for a request that had its
-response.
+`twice`: a request is executed twice only if that is harmless, and it has two attempts in flight only if
+hedged requests are allowed. `attempts`: a node makes no more attempts for a request than allowed.
+`after_answer`: a node makes no attempt for a request that it has already responded to.
 """
 
 from flintridge.lab.judge.findings import Findings
@@ -15,11 +15,11 @@
 
 RULES = ("twice", "attempts", "after_answer")
 
-FORWARDING_MS = 1.0  # after the response, until which a node's last attempt may start
+FORWARDING_MS = 1.0  # a node's last attempt may start this long after the response
 
 
 def check(history: History, findings: Findings) -> None:
-    """Add what attempts violate."""
+    """Add all violations of the rules on attempts."""
     for attempt in history.client_attempts.values():
         if not attempt.accepted or not attempt.outcomes:
             continue
@@ -44,13 +44,13 @@
     outcome: AttemptOutcome,
     findings: Findings,
 ) -> None:
-    """`twice`: a further attempt does no harm, and is not in flight beside an earlier one."""
+    """`twice`: a repeat is harmless, and overlaps no earlier attempt unless hedging is allowed."""
     record = outcome.record
     reason = None
     if request_class.effect != "safe":
-        reason = _harm(history, request_class, earlier, outcome)
+        reason = _double_execution_reason(history, request_class, earlier, outcome)
     if reason is None and not history.scenario.limits.hedged_requests:
-        reason = _overlap(history, earlier, outcome)
+        reason = _overlap_reason(history, earlier, outcome)
     if reason is None:
         return
     what = f"{record.node} sent {record.request_id} ({request_class.name}, {request_class.effect})"
@@ -65,10 +65,10 @@
     )
 
 
-def _harm(
+def _double_execution_reason(
     history: History, request_class: RequestClass, earlier: list[AttemptOutcome], outcome: AttemptOutcome
 ) -> str | None:
-    """Why a repeat may be executed a second time; None where it can't be."""
+    """Return why the request may be executed a second time; None if it can't be."""
     started_ms = outcome.record.started_ms
     maybe_executed = [o for o in earlier if not o.is_not_executed_by(started_ms)]
     if not maybe_executed:
@@ -76,22 +76,22 @@
     first = maybe_executed[0].record
     after_ms = started_ms - first.started_ms
     if request_class.effect == "unsafe":
-        return f"{after_ms:.1f} ms after an attempt at {first.server} that may have run"
+        return f"{after_ms:.1f} ms after an attempt at {first.server} that may have been executed"
     window_ms = request_class.deduplication_window_ms
     if after_ms > window_ms + history.tolerances.limit_ms + ROUNDING_MS:
-        what = f"{after_ms:.1f} ms after the first that may have run"
-        return f"{what}, beyond the window of {window_ms:.0f} ms"
+        what = f"{after_ms:.1f} ms after the first attempt that may have been executed"
+        return f"{what}, beyond the deduplication window of {window_ms:.0f} ms"
     if request_class.deduplication_scope == "all" or _deduplicate_together(
         history, request_class.deduplication_scope, maybe_executed[0], outcome
     ):
         return None
-    return f"outside the {request_class.deduplication_scope} of {first.server}, where it may have run"
+    return f"outside the {request_class.deduplication_scope} of {first.server}, which may have executed it"
 
 
 def _deduplicate_together(
     history: History, scope: str, first: AttemptOutcome, second: AttemptOutcome
 ) -> bool:
-    """Whether two attempts went to servers that drop each other's repeats."""
+    """Whether two attempts went to servers that share the deduplication of repeats."""
     if first.server == second.server:
         return True
     if scope == "zone":
@@ -105,11 +105,11 @@
     return starts[-1].cell if starts else -1
 
 
-def _overlap(history: History, earlier: list[AttemptOutcome], outcome: AttemptOutcome) -> str | None:
-    """Where hedged requests are not allowed: an earlier attempt was in flight on an open connection.
+def _overlap_reason(history: History, earlier: list[AttemptOutcome], outcome: AttemptOutcome) -> str | None:
+    """Return which earlier attempt was still in flight on an open connection; None if none was.
 
-    Only one whose end was seen, later than the bytes' passage explains: a connection that broke leaves no
-    end.
+    Only an attempt counts whose end was seen, and later than the delay of the links explains: an attempt on a
+    broken connection has no recorded end.
     """
     started_ms = outcome.record.started_ms
     if history.links_disturbed(earlier[0].record.started_ms, started_ms):
@@ -118,12 +118,12 @@
     for other in earlier:
         finished_ms = other.finished_ms
         if finished_ms is not None and finished_ms > latest_ms:
-            return f"while its attempt at {other.server} was still out"
+            return f"while its attempt at {other.server} was still in flight"
     return None
 
 
 def _check_rejection(case: RequestCase, request_class: RequestClass, findings: Findings) -> None:
-    """`twice`: a rejection says that a retry is harmless, so it must be."""
+    """`twice`: a rejection tells the client that a retry is harmless, so no server may have executed it."""
     if request_class.effect == "safe":
         return
     if request_class.effect == "keyed" and request_class.deduplication_scope == "all":
@@ -134,7 +134,7 @@
     for outcome in case.node_outcomes:
         if outcome.record.started_ms <= final.at_ms and not outcome.is_not_executed_by(final.at_ms):
             what = f"{case.request.request_id} ({request_class.name}, {request_class.effect})"
-            text = f"{case.request.node} refused {what}, which may have run at {outcome.server}"
+            text = f"{case.request.node} rejected {what}, which {outcome.server} may have executed"
             case.report(findings, "twice", final.at_ms, text, server=outcome.server)
             return
 
@@ -159,9 +159,10 @@
 
 
 def _check_after_response(history: History, case: RequestCase, findings: Findings) -> None:
-    """`after_answer`: no attempt for a request that its node had responded to for good.
+    """`after_answer`: a node starts no attempt for a request after its final response.
 
-    One on a new connection may have been decided before, and be late by the time that connections may take.
+    An attempt on a new connection may have been decided before the response, so it may be late by the time
+    that connecting may take.
     """
     final = case.accepted.final_response
     if final is None:
@@ -176,7 +177,7 @@
             late_ms = record.started_ms - final.at_ms
             text = (
                 f"{record.node} sent {case.request.request_id} to {record.server} {late_ms:.1f} ms after "
-                f"its client had the answer"
+                f"the final response to its client"
             )
             case.report(findings, "after_answer", record.started_ms, text, server=record.server)
             return
--- a/flintridge/lab/judge/rules/connection_leaks.py
+++ b/flintridge/lab/judge/rules/connection_leaks.py
@@ -1,4 +1,4 @@
-"""The rule `leak`: a node holds no more connections than it needs and may."""
+"""The rule `leak`: a node has no more open connections than it needs and is allowed."""
 
 import math
 from itertools import accumulate, pairwise
@@ -8,29 +8,33 @@
 from flintridge.lab.judge.history import History
 from flintridge.lab.records import ConnectionCount
 
-IDLE_FACTOR = 2.0  # times the connections that are needed, and
-IDLE_EXTRA = 50  # more; attempts that never got a connection leave no record
-GROWTH_FACTOR = 1.5  # times the maximum of the run's first quarter, and
-GROWTH_EXTRA = 50  # more connections in its last one
+# A node may have IDLE_FACTOR times the connections that it needs, plus IDLE_EXTRA: attempts that never got a
+# connection leave no record.
+IDLE_FACTOR = 2.0
+IDLE_EXTRA = 50
+# In the run's last quarter, a node may have GROWTH_FACTOR times the maximum of the first quarter, plus
+# GROWTH_EXTRA connections.
+GROWTH_FACTOR = 1.5
+GROWTH_EXTRA = 50
 QUARTERS = 4
 
 
-class _Change(NamedTuple):
-    """Of how many attempts are in flight."""
+class _InFlightChange(NamedTuple):
+    """A change of the number of attempts in flight."""
 
     at_ms: float
     by: int
 
 
 def check(history: History, findings: Findings) -> None:
-    """Add leaks of connections, one a node."""
+    """Add connection leaks, at most one violation per node."""
     by_node: dict[str, list[ConnectionCount]] = {}
     for record in history.records:
         if isinstance(record, ConnectionCount):
             by_node.setdefault(record.node, []).append(record)
     idle_ms = 1000 * max(kind.idle_s for kind in history.scenario.kinds)
     for node, samples in by_node.items():
-        # While links are disturbed servers may not see that a node has closed: these count for nothing.
+        # While links are disturbed, servers may not see that a node has closed: these samples are left out.
         clear = [s for s in samples if not history.links_disturbed(s.at_ms - idle_ms, s.at_ms)]
         if _check_limit(history, node, clear, findings) or _check_idle(history, node, clear, findings):
             continue
@@ -38,13 +42,13 @@
 
 
 def _check_limit(history: History, node: str, samples: list[ConnectionCount], findings: Findings) -> bool:
-    """`leak`: no more connections than a node has descriptors for."""
+    """`leak`: a node has no more connections than its descriptors allow."""
     limit = history.scenario.nodes.sockets
     for sample in samples:
         count = sample.server_side + sample.client_side
         if count > limit:
             text = (
-                f"{node} holds {count} connections, {sample.server_side} of them to servers; "
+                f"{node} has {count} connections, {sample.server_side} of them to servers; "
                 f"{limit} are allowed"
             )
             findings.add("leak", sample.at_ms, text, [sample], node=node)
@@ -53,21 +57,21 @@
 
 
 def _check_idle(history: History, node: str, samples: list[ConnectionCount], findings: Findings) -> bool:
-    """`leak`: no connections to servers that no attempt can have needed.
+    """`leak`: a node has no connections to servers that no attempt can have needed.
 
-    A node opens one where all it has are in use. This holds also where its descriptors ended the growth
-    before it could be seen as one.
+    A node opens a connection only when all that it has are in use. This check also finds a leak that the
+    limit of descriptors stopped before `_check_growth` could see it grow.
     """
     if all(sample.server_side <= IDLE_EXTRA for sample in samples):
         return False
     required = _required_connections(history, node)
-    if not required:  # without any attempt nothing is known
+    if not required:  # without any attempt, the need is not known
         return False
     for sample in samples:
         if sample.server_side > IDLE_FACTOR * required + IDLE_EXTRA:
             text = (
-                f"{node} holds {sample.server_side} connections to servers, where {required} would do for "
-                f"the most attempts that it ever had out at each"
+                f"{node} has {sample.server_side} connections to servers; {required} are enough for the "
+                f"maximum of its attempts in flight at each server"
             )
             findings.add("leak", sample.at_ms, text, [sample], node=node)
             return True
@@ -75,18 +79,18 @@
 
 
 def _required_connections(history: History, node: str) -> int:
-    """The maximum of a node's attempts in flight at each server, added up."""
-    by_server: dict[str, list[_Change]] = {}
+    """Return the sum over all servers of the maximum of a node's attempts in flight."""
+    by_server: dict[str, list[_InFlightChange]] = {}
     for outcome in history.outcomes.values():
         if outcome.record.node == node:
             changes = by_server.setdefault(outcome.server, [])
-            changes.append(_Change(outcome.record.started_ms, 1))
-            changes.append(_Change(outcome.in_flight_until_ms, -1))
+            changes.append(_InFlightChange(outcome.record.started_ms, 1))
+            changes.append(_InFlightChange(outcome.in_flight_until_ms, -1))
     return sum(max(accumulate(change.by for change in sorted(changes))) for changes in by_server.values())
 
 
 def _check_growth(history: History, node: str, samples: list[ConnectionCount], findings: Findings) -> None:
-    """`leak`: connections to servers do not grow all through the run where attempts in flight do not."""
+    """`leak`: connections to servers don't grow throughout the run unless the attempts in flight do."""
     quarter_ms = 1000 * history.scenario.length_s / QUARTERS
     quarters: list[list[ConnectionCount]] = [[] for _ in range(QUARTERS)]
     for sample in samples:
@@ -104,9 +108,9 @@
     if in_flight[-1] > GROWTH_FACTOR * in_flight[0] + GROWTH_EXTRA:
         return
     text = (
-        f"{node} holds more and more connections to servers: at most {maximum[0]} in the first quarter of "
-        f"the day, at least {minimum[-1]} in the last, with no more attempts out at once "
-        f"({in_flight[0]}, then {in_flight[-1]})"
+        f"{node} has a growing number of connections to servers: at most {maximum[0]} in the first quarter "
+        f"of the run, at least {minimum[-1]} in the last; its maximum of attempts in flight did not grow as "
+        f"much ({in_flight[0]}, then {in_flight[-1]})"
     )
     proof = [quarters[0][0], *(quarter[-1] for quarter in quarters)]
     findings.add("leak", quarters[-1][-1].at_ms, text, proof, node=node)
@@ -117,12 +121,12 @@
 
 
 def _peaks_in_flight(history: History, node: str, quarter_ms: float) -> list[int]:
-    """The maximum of a node's attempts in flight in each quarter of the run."""
-    changes: list[_Change] = []
+    """Return the maximum of a node's attempts in flight in each quarter of the run."""
+    changes: list[_InFlightChange] = []
     for outcome in history.outcomes.values():
         if outcome.record.node == node:
-            changes.append(_Change(outcome.record.started_ms, 1))
-            changes.append(_Change(outcome.in_flight_until_ms, -1))
+            changes.append(_InFlightChange(outcome.record.started_ms, 1))
+            changes.append(_InFlightChange(outcome.in_flight_until_ms, -1))
     changes.sort()
     peaks = [0] * QUARTERS
     in_flight = 0
--- a/flintridge/lab/judge/rules/contents.py
+++ b/flintridge/lab/judge/rules/contents.py
@@ -1,7 +1,8 @@
-"""Rules on bytes: what is served was made for the request, and what is forwarded is what the client sent.
+"""Rules on contents: a client gets the response to its own request, and a server gets what the client sent.
 
-`invented`: no server had made a value that a client got. `mixed`: it was made for another request.
-`altered`: a request was forwarded as another one. `malformed`: what a server got is no command.
+`invented`: a client got a value that no server had sent. `mixed`: the value was for another request.
+`altered`: a node forwarded a request with other contents. `malformed`: a server received something that is
+no command of a client.
 """
 
 from flintridge.lab.judge.findings import Findings
@@ -19,13 +20,14 @@
 
 RULES = ("invented", "mixed", "altered", "malformed")
 
-STALL_FAULT = "stall"  # nodes are held up between reading the clock and a write
-MAX_EXTRA_TIME_MS = 150.0  # that a server may be given beyond what the client has left, whatever explains it
-MIN_TIMEOUT_MS = 1.0  # that a server is given
+STALL_FAULT = "stall"  # the fault that delays nodes between reading the clock and a write
+# The most that a server's time may exceed the client's remaining time, whatever explains the difference.
+MAX_EXTRA_TIME_MS = 150.0
+MIN_TIMEOUT_MS = 1.0  # the shortest time that a node sends to a server
 
 
 def check(history: History, findings: Findings) -> None:
-    """Add what bytes violate."""
+    """Add all violations of the rules on contents."""
     for case in request_cases(history):
         for response in case.accepted.responses:
             _check_served(history, case, response, findings)
@@ -34,35 +36,35 @@
             _check_forwarded(history, attempt, outcome, findings)
     for record in history.records:
         if isinstance(record, MalformedMessage):
-            text = f"{record.node} sent {record.server} what no client sent: {record.text}"
+            text = f"{record.node} sent {record.server} data that no client sent: {record.text}"
             findings.add("malformed", record.at_ms, text, [record], node=record.node, server=record.server)
 
 
 def _check_served(
     history: History, case: RequestCase, response: ResponseReceived, findings: Findings
 ) -> None:
-    """`invented`, `mixed`: a server made the value or receipt for this very request, and sent it before."""
+    """`invented`, `mixed`: a server had sent this value or receipt before, and for this request."""
     digest = response.body_digest
     if response.kind != "served" or not digest:
         return
     outcomes = case.attempt.outcomes
-    if any(_was_made(outcome.served, digest, response.at_ms) for outcome in outcomes):
+    if any(_was_sent(outcome.served, digest, response.at_ms) for outcome in outcomes):
         return
     request_id = case.attempt.request_id
     first_served = history.served_by_digest.get(digest)
     rule = "invented"
     if first_served is None:
-        origin = "no server made"
+        origin = "no server sent"
     elif first_served.request_id != request_id:
         rule = "mixed"
-        origin = f"was made for {first_served.request_id}"
+        origin = f"was sent for {first_served.request_id}"
     else:
-        origin = "no server had made by then"
-    text = f"{case.request.node} served {request_id} a value that {origin} (token {digest})"
+        origin = "no server had sent by then"
+    text = f"{case.request.node} served {request_id} with a value that {origin} (digest {digest})"
     case.report(findings, rule, response.at_ms, text, proof=[*case.proof(), first_served])
 
 
-def _was_made(served: AttemptServed | None, digest: str, at_ms: float) -> bool:
+def _was_sent(served: AttemptServed | None, digest: str, at_ms: float) -> bool:
     if served is None or served.lost or served.body_digest != digest:
         return False
     return served.at_ms <= at_ms + ROUNDING_MS
@@ -71,18 +73,18 @@
 def _check_forwarded(
     history: History, attempt: ClientAttempt, outcome: AttemptOutcome, findings: Findings
 ) -> None:
-    """`altered`: a node forwards a request as it came."""
+    """`altered`: a node forwards a request unchanged."""
     record = outcome.record
     accepted = _accepted_before(attempt, record)
     if accepted is None:
-        return  # sent by no client: the servers' own check reports that
+        return  # no client sent it: the servers report that as `malformed`
     request = accepted.request
     differences = _differences(request, record)
     extra_ms = _extra_time_ms(history, accepted, record)
     if extra_ms is not None:
-        differences.append(f"{extra_ms:.1f} ms more to wait than the client had left")
+        differences.append(f"{extra_ms:.1f} ms more time than the client had left")
     if differences:
-        what = f"{record.node} passed {attempt.request_id} on to {record.server}"
+        what = f"{record.node} forwarded {attempt.request_id} to {record.server}"
         findings.add(
             "altered",
             record.at_ms,
@@ -95,7 +97,7 @@
 
 
 def _accepted_before(attempt: ClientAttempt, record: AttemptReceived) -> AcceptedRequest | None:
-    """The last time that the attempt's node had accepted the request by then."""
+    """Return the last request that the attempt's node accepted before the attempt arrived; None if none."""
     for accepted in reversed(attempt.accepted):
         if accepted.request.node == record.node and accepted.request.at_ms <= record.at_ms:
             return accepted
@@ -105,23 +107,26 @@
 def _differences(request: RequestSent, record: AttemptReceived) -> list[str]:
     differences: list[str] = []
     if record.key != request.key:
-        differences.append(f"key {record.key!r} for {request.key!r}")
+        differences.append(f"key {record.key!r} instead of {request.key!r}")
     if record.write != request.write:
-        differences.append("a write" if record.write else "a read")
+        differences.append("as a write" if record.write else "as a read")
     if request.write and record.value_digest != request.value_digest:
-        differences.append(f"value {record.value_digest} for {request.value_digest}")
+        differences.append(f"value {record.value_digest} instead of {request.value_digest}")
     if record.idempotency_key != request.idempotency_key:
-        differences.append(f"idempotency key {record.idempotency_key!r} for {request.idempotency_key!r}")
+        differences.append(
+            f"idempotency key {record.idempotency_key!r} instead of {request.idempotency_key!r}"
+        )
     return differences
 
 
 def _extra_time_ms(history: History, accepted: AcceptedRequest, record: AttemptReceived) -> float | None:
-    """How much longer a server was told to work than its client would wait; None where that is explained.
+    """Return by how much a server's time exceeds the client's remaining time; None if explained.
 
-    A node counts from when it read the request: later than the sending by the bytes' passage, or by the
-    commands that it read first on the same connection; and it may be held up before it writes, in a run that
-    plays that. This explains no more than MAX_EXTRA_TIME_MS. Only a request that came while its process stood
-    still may have been read later without its knowing.
+    A node counts a request's time from when it read the request. That is later than the sending, by the
+    delay of the link or by the commands that the node read before it on the same connection. The `stall`
+    fault may also delay the node before it writes. All this explains no more than MAX_EXTRA_TIME_MS. Only a
+    request that arrived while the process was paused may have been read any amount later, unnoticed by the
+    node.
     """
     request = accepted.request
     remaining_ms = request.at_ms + request.time_left_ms - record.started_ms
--- a/flintridge/lab/judge/rules/departed_clients.py
+++ b/flintridge/lab/judge/rules/departed_clients.py
@@ -1,23 +1,23 @@
-"""Work for clients that have gone: an attempt that starts after its client's close is `lost`."""
+"""Part of the rule `lost`: no attempt starts for a client that has closed its connection."""
 
 from flintridge.lab.judge.findings import Findings
 from flintridge.lab.judge.history import History
 from flintridge.lab.judge.rules.request_case import RequestCase, request_cases
 from flintridge.lab.judge.tolerances import ROUNDING_MS
 
-RULES: tuple[str, ...] = ()  # `lost` is of `responses`
+RULES: tuple[str, ...] = ()  # `lost` is listed by `responses`
 
-GRACE_MS = 100.0  # after its client's close, until which an attempt may still start
+GRACE_MS = 100.0  # an attempt may still start this long after its client closed the connection
 
 
 def check(history: History, findings: Findings) -> None:
-    """Add what attempts for departed clients violate."""
+    """Add all attempts that started for departed clients."""
     for case in request_cases(history):
         _check_started_after_close(history, case, findings)
 
 
 def _check_started_after_close(history: History, case: RequestCase, findings: Findings) -> None:
-    """One violation for each request: its first attempt that starts too long after its client closed."""
+    """Add at most one violation per request: its first attempt that starts too long after the close."""
     closed_ms = history.closed_by_client_ms(case.accepted)
     if closed_ms is None:
         return
@@ -26,7 +26,7 @@
         record = outcome.record
         if record.started_ms > last_ms:
             text = (
-                f"{record.node} began an attempt for {case.request.request_id} at {record.server} "
+                f"{record.node} started an attempt for {case.request.request_id} at {record.server} "
                 f"{record.started_ms - closed_ms:.1f} ms after its client had closed the connection"
             )
             case.report(findings, "lost", record.started_ms, text, server=record.server)
--- a/flintridge/lab/judge/rules/drains.py
+++ b/flintridge/lab/judge/rules/drains.py
@@ -1,4 +1,7 @@
-"""The rule `drain`: servers that are leaving or gone get no new attempts, some grace after a node knew."""
+"""The rule `drain`: a node sends no new attempts to a server that it knows to be leaving or gone.
+
+The grace period `drain_grace_ms` starts when the node is notified.
+"""
 
 import math
 from dataclasses import dataclass, field
@@ -13,12 +16,12 @@
 
 @dataclass(slots=True)
 class KnownEndpoints:
-    """What one process of a node was notified of the endpoint list.
+    """The endpoint list as far as one process of a node was notified of it.
 
     Attributes:
-        unavailable: Servers that are to get nothing new, and what notified of that first.
-        listed: Servers that any list named.
-        first_complete: The first complete list.
+        unavailable: Servers that must get no new attempts, each with the first notification that said so.
+        listed: Servers that were in any list.
+        first_complete: The first complete list; None if there was none.
     """
 
     unavailable: dict[str, EndpointNotified] = field(default_factory=dict)
@@ -26,7 +29,7 @@
     first_complete: EndpointNotified | None = None
 
     def update(self, notification: EndpointNotified) -> None:
-        """Take in a notification."""
+        """Apply a notification."""
         current: dict[str, None] = {}
         for server, phase, _ in notification.endpoints:
             current[server] = None
@@ -42,10 +45,11 @@
                     self.unavailable.setdefault(server, notification)
 
     def unavailable_since(self, server: str, started_ms: float) -> EndpointNotified | None:
-        """What notified first that a server is unavailable, if nothing said otherwise since.
+        """Return the first notification that a server is unavailable; None if it is available or not known.
 
-        One that no list ever named, as an old list may have had it, is unavailable since the first complete
-        one; not if it started later: what reached it was sent to the one that had its address before.
+        A server that was in no list may be known from an older list. It is unavailable since the first
+        complete list, unless it started after that: then the attempt was meant for the server that had the
+        address before.
         """
         if server in self.listed:
             return self.unavailable.get(server)
@@ -55,7 +59,7 @@
 
 
 def check(history: History, findings: Findings) -> None:
-    """Add attempts at servers that their node knew to be unavailable."""
+    """Add all attempts at servers that their node knew to be unavailable."""
     grace_ms = history.scenario.rules.drain_grace_ms + history.tolerances.limit_ms
     known: dict[str, KnownEndpoints] = {}
     for record in history.records:
@@ -76,10 +80,10 @@
 
 def _report(record: AttemptReceived, notification: EndpointNotified, findings: Findings) -> None:
     late_ms = record.started_ms - notification.at_ms
-    source = f"revision {notification.revision}{', deemed' if notification.assumed else ''}"
+    source = f"revision {notification.revision}{', assumed' if notification.assumed else ''}"
     text = (
         f"{record.node} sent {record.request_id} to {record.server} {late_ms:.1f} ms after it was "
-        f"told ({source}) that it is leaving or gone"
+        f"notified ({source}) that it is leaving or gone"
     )
     findings.add(
         "drain",
--- a/flintridge/lab/judge/rules/fleet_limits.py
+++ b/flintridge/lab/judge/rules/fleet_limits.py
@@ -1,21 +1,24 @@
-"""Rules on fleet-wide limits of which nodes lease one another parts: all together stay within the whole.
+"""Rules on fleet-wide limits: the nodes that lease parts of a limit to one another stay within the whole.
 
-`budget_sum`, in virtual time, where all nodes report in one instant: their parts of a limit, whatever they
-lent and borrowed, are never more than there are nodes.
+`budget_sum` applies in virtual time, where all nodes report at the same instant. A part is an even share of
+a limit. The sum of the parts that all processes may use, with those lent and borrowed, never exceeds the
+number of nodes.
 
-`quota_sum`, in runs in which what is beyond a quota is rejected: judged by what arrived at the servers and
-the origin alone. In any window of T seconds, the requests of a tenant that got to any of them are at most
+`quota_sum` applies to runs in which requests beyond a quota are rejected. It is judged only by what arrived
+at the servers and the origin. In any window of T seconds, the requests of a tenant that reached any of them
+are at most
 
     R * (T + D) + R + 8 * processes + (R / nodes + 8) * new processes    with R = QUOTA_FACTOR * quota_per_s
 
-A request takes from its node's bucket when it is admitted, and may wait before it is sent. So it counts at
-the time of its sending by the client; `D` is what may lie between that and its admission: the client's
-link, and in real time how late a process may be. A process that stands still admits later what was sent
-meanwhile, but its bucket holds no more for that. Buckets are filled at rates that add up to at most R at
-each instant, which gives R * (T + D). At the window's start a process's bucket holds at most what it gets
-in a second, or 8 where that is less: over all processes at most R + 8 * processes. A bucket is full when
-its process first sees the tenant. By then it has borrowed nothing, as it needed nothing, and so has at most
-an even part: R / nodes + 8 for each such new process.
+A node takes a token from its bucket when it admits a request, and the request may wait before it is sent to a
+server. So a request counts at the time when its client sent it. `D` is the maximum time from the sending to
+the admission: the delay of the client's link and, in real time, the lateness of a process. A paused process
+admits the requests that were sent meanwhile later, but its bucket holds no more tokens for that. The buckets
+are filled at rates whose sum is at most R at each instant, which gives R * (T + D). At the start of the
+window, a process's bucket holds at most the tokens of one second, or 8 if that is more: at most
+R + 8 * processes over all processes. A bucket is full when its process first sees the tenant. By then the
+process has borrowed nothing, as it needed nothing, so it has at most an even part: R / nodes + 8 for each
+such new process.
 """
 
 from bisect import bisect_left, bisect_right
@@ -30,26 +33,27 @@
 
 RULES = ("budget_sum", "quota_sum")
 
-# As the nodes promise it, not as they have it: a mistake there must not move the checker.
-QUOTA_FACTOR = 1.5  # what all nodes may admit of a tenant, in multiples of its quota
+# Stated here as documented and not imported from the nodes' code, so that a mistake there can't change the
+# judge.
+QUOTA_FACTOR = 1.5  # all nodes together may admit this multiple of a tenant's quota
 MIN_BUCKET_SIZE = 8  # requests that a process may admit at once, whatever its rate
 WINDOWS_S = (1.0, 2.0, 5.0)
-ROUNDING_PARTS = 1e-6  # for sums of floating point
+ROUNDING_PARTS = 1e-6  # covers rounding errors of floating-point sums
 
 
 class _Report(NamedTuple):
-    """An instant in which nodes reported a limit."""
+    """An instant at which nodes reported their parts of a limit."""
 
     at_ms: float
     limit_name: str
 
 
 class _TenantRequests(NamedTuple):
-    """What was seen of a tenant.
+    """The records of a tenant's requests.
 
     Attributes:
-        admitted: Its requests that got to any server, by their sending.
-        first_seen_ms: When each process first saw it, in order of time.
+        admitted: The requests that reached any server, ordered by when their clients sent them.
+        first_seen_ms: When each process was first sent a request of the tenant, in order of time.
     """
 
     admitted: list[RequestSent]
@@ -57,7 +61,7 @@
 
 
 def check(history: History, findings: Findings) -> None:
-    """Add what the use of fleet-wide limits violates."""
+    """Add all violations of fleet-wide limits."""
     if not history.is_real_time:
         _check_parts(history, findings)
     budgets = history.scenario.budgets
@@ -68,7 +72,7 @@
 
 
 def _check_parts(history: History, findings: Findings) -> None:
-    """`budget_sum`: the parts of all processes are no more than there are nodes."""
+    """`budget_sum`: the sum of the parts of all processes is at most the number of nodes."""
     nodes = history.scenario.nodes.count
     by_instant: dict[_Report, list[LeaseReported]] = {}
     for record in history.records:
@@ -82,9 +86,9 @@
 
 
 def _check_quota(history: History, tenant: Tenant, findings: Findings) -> None:
-    """`quota_sum`: the nodes admit no more of a tenant than its quota lets them.
+    """`quota_sum`: the nodes admit no more requests of a tenant than its quota allows.
 
-    One violation of a tenant and length of window at the most: the first.
+    Adds only the first violation of each tenant and length of window.
     """
     requests = _tenant_requests(history, tenant.name)
     for seconds in WINDOWS_S:
@@ -105,7 +109,7 @@
             first += 1
         count = last - first + 1
         limit = rate * (seconds + admission_delay_s + 1)
-        if count <= limit:  # mostly, and cheaper
+        if count <= limit:  # the usual case, without the costly terms
             continue
         new_processes = bisect_right(requests.first_seen_ms, end_ms)
         new_processes -= bisect_left(requests.first_seen_ms, start_ms)
@@ -113,8 +117,8 @@
         limit += (rate / history.scenario.nodes.count + MIN_BUCKET_SIZE) * new_processes
         if count > limit:
             text = (
-                f"{count} requests of {tenant.name} asked within {seconds:g} s got to servers; its quota of"
-                f" {tenant.quota_per_s:g} a second lets {limit:.1f} in at the most"
+                f"{count} requests of {tenant.name} asked within {seconds:g} s reached servers; its quota of"
+                f" {tenant.quota_per_s:g} a second allows at most {limit:.1f}"
             )
             findings.add("quota_sum", end_ms, text, requests.admitted[first : last + 1])
             return
@@ -126,7 +130,7 @@
     for record in sent:
         process = history.processes.at(record.node, record.at_ms)
         first_seen_ms.setdefault((record.node, process.started_ms), record.at_ms)
-    # A request that was sent more than once counts at the first time.
+    # A request that was sent more than once counts at its first sending.
     admitted = {
         record.request_id: record
         for record in reversed(sent)
@@ -138,7 +142,7 @@
 
 
 def _living_count(processes: Sequence[ProcessLifetime], since_ms: float, until_ms: float) -> int:
-    """How many processes lived at any time between these."""
+    """Return how many processes lived at any time of this span."""
     return sum(
         process.started_ms <= until_ms and (process.end is None or process.end.at_ms >= since_ms)
         for process in processes
--- a/flintridge/lab/judge/rules/held_rejections.py
+++ b/flintridge/lab/judge/rules/held_rejections.py
@@ -1,4 +1,4 @@
-"""The rule `held`: no rejection or failure that comes only once it is of no use to anyone."""
+"""The rule `held`: no rejection or failure comes so late that it is of no use to the client."""
 
 import math
 from bisect import bisect_right
@@ -11,12 +11,13 @@
 from flintridge.lab.judge.rules.request_case import RequestCase
 from flintridge.lab.records import ResponseReceived
 
-MIN_SERVED_ATTEMPTS = 3  # that a node has seen before it can know how long they take
-USEFUL_FRACTION = 0.5  # of the minimum service time: with less left than this, no sound node still waits
+MIN_SERVED_ATTEMPTS = 3  # a node must have seen this many before it can know the minimum service time
+# Fraction of the minimum service time: with less time left than this, a correct node no longer waits.
+USEFUL_FRACTION = 0.5
 
 
 class _ServiceKey(NamedTuple):
-    """What a node tells service times apart by."""
+    """The key by which a node groups service times."""
 
     node: str
     process_started_ms: float
@@ -30,16 +31,17 @@
 
 
 class _Minimums(NamedTuple):
-    """When attempts were served, and the minimum service time until each."""
+    """When attempts were served, and the minimum service time up to each of them."""
 
     served_ms: list[float]
     minimum_ms: list[float]
 
 
 class MinimumServiceTimes:
-    """The minimum time that served attempts took, as a node could know it.
+    """The minimum service time of attempts, as a node could know it.
 
-    By process, class, and whether of the origin. At any time only what was served until then counts.
+    It is kept by process, request class, and whether the server is the origin. At any time, only attempts
+    count that were served by then.
     """
 
     def __init__(self, history: History) -> None:
@@ -64,7 +66,10 @@
             self._minimums[key] = _Minimums([entry.served_ms for entry in entries], minimum_ms)
 
     def at(self, node: str, at_ms: float, class_name: str, is_origin: bool) -> float | None:
-        """The minimum of the service times that the node's process had seen; None if they are few."""
+        """Return the minimum service time that the node's process had seen by `at_ms`.
+
+        None if it had seen fewer than MIN_SERVED_ATTEMPTS.
+        """
         minimums = self._minimums.get(self._key(node, at_ms, class_name, is_origin))
         if minimums is None:
             return None
@@ -76,11 +81,11 @@
 
 
 def check_held(history: History, case: RequestCase, times: MinimumServiceTimes, findings: Findings) -> None:
-    """Add what a request's rejection or failure violates.
+    """Add a violation if a request's rejection or failure came too late.
 
-    It came without any attempt after more than half of the time; or with nothing in flight, and less time
-    left than any response of its kind has taken: a sound node that waits for a permit gives up while a
-    response could still come in time.
+    That is the case if it came without any attempt after more than half of the request's time. It is also the
+    case if nothing was in flight and less time was left than any response of its kind has taken: a correct
+    node stops waiting for a permit while a response could still come in time.
     """
     request = case.request
     final = case.accepted.final_response
@@ -98,17 +103,17 @@
 def _check_without_attempts(
     history: History, case: RequestCase, final: ResponseReceived, findings: Findings
 ) -> None:
-    """A request without attempts is rejected by half of its time."""
+    """Check that a request without attempts was rejected within half of its time."""
     request = case.request
     tolerances = history.tolerances
     waited_ms = final.at_ms - request.at_ms
-    # With so little time, an attempt may have ended before its connection was up: no record shows it.
+    # With so little time, an attempt may have ended before its connection was open, which leaves no record.
     if request.time_left_ms < tolerances.server_round_ms:
         return
     if waited_ms > request.time_left_ms / 2 + tolerances.client_round_ms:
         text = (
-            f"{request.node} {final.kind} {request.request_id}, untried, after {waited_ms:.1f} ms of its "
-            f"{request.time_left_ms:.0f} ms"
+            f"{request.node} {final.kind} {request.request_id}, without any attempt, after {waited_ms:.1f} "
+            f"ms of its {request.time_left_ms:.0f} ms"
         )
         case.report(findings, "held", final.at_ms, text)
 
@@ -121,7 +126,7 @@
     times: MinimumServiceTimes,
     findings: Findings,
 ) -> None:
-    """A request with nothing in flight is rejected while a response could still come in time."""
+    """Check that a request with nothing in flight was rejected before a response would be too late."""
     request = case.request
     since_ms = _idle_since_ms(outcomes, final.at_ms)
     if since_ms is None:
@@ -137,13 +142,13 @@
     if idle_ms > minimum_ms + history.tolerances.server_round_ms and remaining_ms < useful_ms:
         text = (
             f"{request.node} {final.kind} {request.request_id} with {remaining_ms:.1f} ms left and nothing "
-            f"out for {idle_ms:.1f} ms, though no answer ever took less than {minimum_ms:.1f} ms"
+            f"in flight for {idle_ms:.1f} ms, though every response took at least {minimum_ms:.1f} ms"
         )
         case.report(findings, "held", final.at_ms, text)
 
 
 def _idle_since_ms(outcomes: list[AttemptOutcome], at_ms: float) -> float | None:
-    """Since when nothing had been in flight for a request; None where something was, or may have been."""
+    """Return since when nothing was in flight for a request; None if something was or may have been."""
     last_ms = -math.inf
     for outcome in outcomes:
         finished_ms = outcome.finished_ms
@@ -154,10 +159,11 @@
 
 
 def _minimum_ms(case: RequestCase, since_ms: float, times: MinimumServiceTimes) -> float | None:
-    """The minimum time that a further attempt could have taken, as far as the node knew; None if it did not.
+    """Return the minimum time of a further attempt, as the node knew it; None if it did not know.
 
-    What it knew when it started to wait: a sound node may estimate then how long that can be of use. A read
-    that missed may go to the origin, or to a cache server that has stored the key since.
+    What counts is what the node knew when it started to wait, because a correct node may estimate then how
+    long waiting is useful. A read that missed may go to the origin, or to a cache server that has stored the
+    key since.
     """
     request = case.request
     at_origin_ms = times.at(request.node, since_ms, request.class_name, is_origin=True)
--- a/flintridge/lab/judge/rules/membership.py
+++ b/flintridge/lab/judge/rules/membership.py
@@ -1,8 +1,9 @@
-"""Rules on what nodes know of one another, judged from their admin APIs, processes and links.
+"""Rules on what nodes know of one another, judged by their admin APIs, their processes and their links.
 
-`peers_stale`: nothing is known fresher than it is. `peers_gap`: a pause makes all old. `peers_cut_off`:
-nothing new comes over cut links. `peers_deaf`: nobody is missed for long. `peers_bytes`: few bytes are
-sent.
+`peers_stale`: no node reports that another was alive at a time when it was not. `peers_gap`: after a long
+pause, a node no longer uses what it knew before. `peers_cut_off`: a node whose incoming links are all cut
+learns nothing new. `peers_deaf`: once links and processes are stable for long enough, every node knows all
+nodes that live. `peers_bytes`: a process sends its peers no more bytes a second than allowed.
 """
 
 import math
@@ -17,11 +18,11 @@
 
 RULES = ("peers_stale", "peers_gap", "peers_cut_off", "peers_deaf", "peers_bytes")
 
-# Ages are reported in whole milliseconds, and a node's clock is read a little before or after.
+# Ages are reported in whole milliseconds, and a node reads its clock a little before or after the report.
 TOLERANCE_MS = 20.0
-REAL_TIME_TOLERANCE_MS = 150.0  # processes start, stop and are signalled in real time
-MAX_FRESH_PAUSE_MS = 1_500.0  # a pause beyond this must make all old
-SETTLE_MS = 10_000.0  # beyond the limit of knowledge, until all that live are known again
+REAL_TIME_TOLERANCE_MS = 150.0  # also covers how long processes take to start, stop and handle signals
+MAX_FRESH_PAUSE_MS = 1_500.0  # after a longer pause, a node must not use what it knew before
+SETTLE_MS = 10_000.0  # added to a node's age limit: by then it must know all nodes that live
 REACHABLE_STATES = ("heard", "through", "suspect")
 ZONE_FAULTS = ("cut", "zone_loss", "slow_link")
 # A link is unusable beyond any of these.
@@ -37,9 +38,9 @@
 
     Attributes:
         processes: The processes of each node.
-        link_faults: What was wrong with links, in order of time.
-        tolerance_ms: Of ages.
-        by_incarnation: Processes by what they call their incarnation, as far as their admin APIs reported it.
+        link_faults: The changes of link faults, in order of time.
+        tolerance_ms: How much a reported age may differ from the true one.
+        by_incarnation: Processes by incarnation, as far as their admin APIs reported it.
     """
 
     processes: dict[str, list[ProcessLifetime]]
@@ -48,9 +49,9 @@
     by_incarnation: dict[str, ProcessLifetime]
 
     def was_alive(self, node: str, incarnation: str, since_ms: float, until_ms: float) -> bool:
-        """Whether that incarnation ran, and did not stand still, at any time between these.
+        """Whether the incarnation ran, without being paused, at any time of this span.
 
-        For one that no admin API reported, any process of its node stands in.
+        If no admin API reported the incarnation, any process of the node counts.
         """
         known = self.by_incarnation.get(incarnation)
         candidates = self.processes.get(node, []) if known is None else [known]
@@ -60,13 +61,13 @@
         end_ms = math.inf if process.end is None else process.end.at_ms
         running_from_ms = max(since_ms, process.started_ms - self.tolerance_ms)
         for pause in sorted(process.all_pauses):
-            if pause.start_ms + self.tolerance_ms < running_from_ms:  # it stood still by then
+            if pause.start_ms + self.tolerance_ms < running_from_ms:  # it was paused by then
                 running_from_ms = max(running_from_ms, pause.end_ms - self.tolerance_ms)
         return running_from_ms <= min(until_ms, end_ms + self.tolerance_ms)
 
 
 class _Isolation(NamedTuple):
-    """A time in which every link into a node was cut, and the cut that made it so."""
+    """A span in which every link into a node was cut, and the last cut that completed it."""
 
     start_ms: float
     end_ms: float
@@ -74,7 +75,7 @@
 
 
 def check(history: History, findings: Findings) -> None:
-    """Add what the nodes' knowledge of one another violates."""
+    """Add all violations of the rules on the nodes' knowledge of one another."""
     reports = [record for record in history.records if isinstance(record, MembershipReported)]
     if not reports:
         return
@@ -95,22 +96,22 @@
 
 
 def _check_stale(report: MembershipReported, ground_truth: _GroundTruth, findings: Findings) -> None:
-    """`peers_stale`: of nobody is it known that it was alive at a time, or later, where it was not."""
+    """`peers_stale`: no node reports another as alive after its end or during its pause."""
     for name, incarnation, state, age_ms in report.members:
         processes = ground_truth.processes.get(name)
         if age_ms < 0 or not processes:
             continue
         if ground_truth.was_alive(name, incarnation, report.at_ms - age_ms, report.at_ms):
             continue
-        what = f"{report.node} holds that {name} ({incarnation}, {state})"
-        text = f"{what} lived {age_ms:.0f} ms ago; it did not since"
+        what = f"{report.node} reports that {name} ({incarnation}, {state})"
+        text = f"{what} was alive {age_ms:.0f} ms ago; it was not, then or since"
         ends = [process.end for process in processes if process.end is not None]
         findings.add("peers_stale", report.at_ms, text, [report, *ends], node=report.node)
         return
 
 
 def _check_pauses(report: MembershipReported, ground_truth: _GroundTruth, findings: Findings) -> None:
-    """`peers_gap`: after a pause nothing counts that was known before."""
+    """`peers_gap`: after a long pause, a node does not use what it knew before."""
     for process in ground_truth.processes.get(report.node, ()):
         for pause in process.pauses:
             if pause.end_ms - pause.start_ms <= MAX_FRESH_PAUSE_MS + ground_truth.tolerance_ms:
@@ -119,11 +120,11 @@
                 continue
             if process.end is not None and report.at_ms > process.end.at_ms:
                 continue
-            if _counts_old(report, pause.end_ms, ground_truth, findings):
+            if _report_outdated(report, pause.end_ms, ground_truth, findings):
                 return
 
 
-def _counts_old(
+def _report_outdated(
     report: MembershipReported, pause_end_ms: float, ground_truth: _GroundTruth, findings: Findings
 ) -> bool:
     for name, incarnation, state, age_ms in report.members:
@@ -131,8 +132,8 @@
             continue
         if report.at_ms - age_ms < pause_end_ms - ground_truth.tolerance_ms:
             text = (
-                f"{report.node} counts {name} ({incarnation}) by what it knew {age_ms:.0f} ms ago, before"
-                f" the end of its own pause {report.at_ms - pause_end_ms:.0f} ms ago"
+                f"{report.node} counts {name} ({incarnation}) by news that is {age_ms:.0f} ms old, from "
+                f"before the end of its own pause {report.at_ms - pause_end_ms:.0f} ms ago"
             )
             findings.add("peers_gap", report.at_ms, text, [report], node=report.node)
             return True
@@ -142,7 +143,7 @@
 def _check_isolated(
     history: History, reports: list[MembershipReported], ground_truth: _GroundTruth, findings: Findings
 ) -> None:
-    """`peers_cut_off`: where every link into a node is cut it learns nothing new."""
+    """`peers_cut_off`: a node learns nothing new while every link into it is cut."""
     nodes = [f"n{i}" for i in range(history.scenario.nodes.count)]
     for node in nodes:
         isolations = _isolations(node, nodes, ground_truth.link_faults)
@@ -154,7 +155,9 @@
                 newest_ms = max(alive_ms, default=-math.inf)
                 if newest_ms > isolation.start_ms + ground_truth.tolerance_ms:
                     late_ms = newest_ms - isolation.start_ms
-                    text = f"{node} knows of a life {late_ms:.0f} ms after every way to it was cut"
+                    text = (
+                        f"{node} knows that a peer was alive {late_ms:.0f} ms after every link to it was cut"
+                    )
                     findings.add("peers_cut_off", report.at_ms, text, [isolation.cut, report], node=node)
 
 
@@ -180,7 +183,7 @@
 def _check_reachable(
     history: History, reports: list[MembershipReported], ground_truth: _GroundTruth, findings: Findings
 ) -> None:
-    """`peers_deaf`: long enough after the last trouble each node knows all that live."""
+    """`peers_deaf`: long after the last fault or process change, each node knows all nodes that live."""
     zone_faults = [r for r in history.records if isinstance(r, FaultChanged) and r.name in ZONE_FAULTS]
     disturbed_ms = [record.at_ms for record in (*ground_truth.link_faults, *zone_faults)]
     for report in reports:
@@ -194,14 +197,14 @@
         alive = _alive_nodes(ground_truth, settled_ms, report.at_ms)
         if alive is not None and alive > report.reachable:
             text = (
-                f"{report.node} hears {report.reachable} of {alive} nodes that live, long after the last "
-                "trouble"
+                f"{report.node} reaches {report.reachable} of {alive} nodes that live, long after the last "
+                "fault"
             )
             findings.add("peers_deaf", report.at_ms, text, [report], node=report.node)
 
 
 def _alive_nodes(ground_truth: _GroundTruth, settled_ms: float, at_ms: float) -> int | None:
-    """How many nodes have a process that runs; None where any changed since `settled_ms`."""
+    """Return how many nodes have a running process; None if any process changed since `settled_ms`."""
     alive = 0
     for processes in ground_truth.processes.values():
         if not processes or any(settled_ms < change <= at_ms for change in _changes_ms(processes)):
@@ -238,7 +241,7 @@
 
 
 def _has_link_fault(link_faults: list[LinkFaultChanged], at_ms: float) -> bool:
-    """Whether some link is so bad at that time that nodes need not know of one another."""
+    """Whether any link is unusable at that time, so that nodes need not know of one another."""
     last: dict[tuple[str, str], LinkFaultChanged] = {}
     for link in link_faults:
         if link.at_ms <= at_ms:
@@ -248,7 +251,13 @@
 
 @dataclass(slots=True)
 class _SentBytes:
-    """The datagrams of a node within a second."""
+    """The datagrams that a node sent within a second.
+
+    Attributes:
+        datagrams: The datagrams, in the order of their sending.
+        total: Sum of their sizes in bytes.
+        is_reported: Whether a violation of the node was added.
+    """
 
     datagrams: deque[DatagramRelayed]
     total: int = 0
@@ -257,13 +266,13 @@
     def add(self, datagram: DatagramRelayed, tolerance_ms: float) -> None:
         self.datagrams.append(datagram)
         self.total += datagram.size
-        # Shorter by what the clocks of both ends may differ.
+        # The window is shorter by how much the clocks of both ends may differ.
         while self.datagrams[0].at_ms <= datagram.at_ms - BYTE_WINDOW_MS + 2 * tolerance_ms:
             self.total -= self.datagrams.popleft().size
 
 
 def _check_bytes(history: History, ground_truth: _GroundTruth, findings: Findings) -> None:
-    """`peers_bytes`: a process's datagrams are no more a second than its bound; one violation a node."""
+    """`peers_bytes`: a process sends at most `bytes_per_s` in datagrams; one violation per node."""
     assert history.scenario.peers is not None
     limit = history.scenario.peers.bytes_per_s
     by_node: dict[str, _SentBytes] = {}
@@ -274,7 +283,7 @@
         if sent.is_reported:
             continue
         sent.add(record, ground_truth.tolerance_ms)
-        if sent.total <= limit or _started_lately(ground_truth, record):
+        if sent.total <= limit or _started_recently(ground_truth, record):
             continue
         text = f"{record.source} sent {sent.total} bytes to its peers within a second; {limit:g} are allowed"
         proof = [sent.datagrams[0], record]
@@ -282,8 +291,11 @@
         sent.is_reported = True
 
 
-def _started_lately(ground_truth: _GroundTruth, record: DatagramRelayed) -> bool:
-    """Two processes of a node have a second's bytes each: one that was killed, and the next."""
+def _started_recently(ground_truth: _GroundTruth, record: DatagramRelayed) -> bool:
+    """Whether a process of the sender started within the window.
+
+    Then the previous process, which was killed, and the new one may each have sent a second's bytes.
+    """
     since_ms = record.at_ms - BYTE_WINDOW_MS - ground_truth.tolerance_ms
     processes = ground_truth.processes.get(record.source, ())
     return any(since_ms <= process.started_ms <= record.at_ms for process in processes)
--- a/flintridge/lab/judge/rules/request_case.py
+++ b/flintridge/lab/judge/rules/request_case.py
@@ -1,4 +1,4 @@
-"""A request as a rule sees it: what its client sent, and all that was seen under its id."""
+"""The view of a request that rules work on: what its client sent, and everything recorded under its id."""
 
 from collections.abc import Iterable, Iterator
 from typing import NamedTuple
@@ -8,7 +8,7 @@
 from flintridge.lab.judge.observations import AcceptedRequest, AttemptOutcome, ClientAttempt
 from flintridge.lab.records import AnyRecord, RequestSent
 
-# A node responds this much, or a tenth, before a client's time is over.
+# A node responds this long before a client's time is over, or a tenth of that time if that is shorter.
 RESPONSE_MARGIN_MS = 10.0
 RESPONSE_MARGIN_DIVISOR = 10
 
@@ -17,8 +17,8 @@
     """A request as a node accepted it.
 
     Attributes:
-        attempt: All that was seen under its id.
-        accepted: This time that a node accepted it.
+        attempt: Everything recorded under its id.
+        accepted: The sending that the node accepted.
     """
 
     attempt: ClientAttempt
@@ -31,22 +31,22 @@
 
     @property
     def node_outcomes(self) -> list[AttemptOutcome]:
-        """The attempts of its node."""
+        """The attempts that the node that accepted the request made for it."""
         node = self.request.node
         return [outcome for outcome in self.attempt.outcomes if outcome.record.node == node]
 
     @property
     def response_margin_ms(self) -> float:
-        """How long before the end of the client's time a sound node responds."""
+        """How long before the end of the client's time a correct node responds."""
         return min(RESPONSE_MARGIN_MS, self.request.time_left_ms / RESPONSE_MARGIN_DIVISOR)
 
     def was_forwarded_by(self, until_ms: float) -> bool:
-        """Whether its node sent the request to a server, up to an instant."""
+        """Whether the node sent the request to a server by `until_ms`."""
         sent_ms = self.request.at_ms
         return any(sent_ms <= outcome.record.started_ms <= until_ms for outcome in self.node_outcomes)
 
     def proof(self) -> list[AnyRecord | None]:
-        """All records of the request."""
+        """Return all records of the request; None entries stand for missing ones."""
         accepted = self.accepted
         records: list[AnyRecord | None] = [accepted.request, *accepted.responses, accepted.abandoned]
         records += records_of(self.attempt.outcomes)
@@ -65,12 +65,12 @@
         """Add a violation by this request's node.
 
         Args:
-            findings: Where it is added.
+            findings: Receives the violation.
             rule: The rule's name.
-            at_ms: When it was found.
-            text: What was found.
-            server: The server that it is about.
-            proof: The records that show it; None: all of the request.
+            at_ms: When the rule was violated.
+            text: Description of the violation.
+            server: The server concerned; empty if there is none.
+            proof: The records that prove it; None: all records of the request.
         """
         findings.add(
             rule,
@@ -84,14 +84,14 @@
 
 
 def request_cases(history: History) -> Iterator[RequestCase]:
-    """Each request as it was accepted."""
+    """Yield each sending of a request that a node accepted."""
     for attempt in history.client_attempts.values():
         for accepted in attempt.accepted:
             yield RequestCase(attempt, accepted)
 
 
 def records_of(outcomes: Iterable[AttemptOutcome]) -> list[AnyRecord | None]:
-    """The records of attempts at servers."""
+    """Return the records of attempts at servers; None entries stand for missing ones."""
     records: list[AnyRecord | None] = []
     for outcome in outcomes:
         records += [outcome.record, outcome.served, outcome.dropped]
--- a/flintridge/lab/judge/rules/responses.py
+++ b/flintridge/lab/judge/rules/responses.py
@@ -1,7 +1,8 @@
-"""Rules on responses to clients: exactly one final one for each request, in time, and none held back.
+"""Rules on responses to clients: each request gets exactly one final response, in time.
 
-`lost`: a request that a node accepted got no response. `late`: it came after the client's time. `double`:
-there was more than one. `garbled`: it can't be read. `held`: see `held_rejections`.
+`lost`: a request that a node accepted got no response. `late`: the response came after the client's time.
+`double`: there was more than one final response. `garbled`: the response can't be parsed or does not belong
+to the request. `held`: see `held_rejections`.
 """
 
 from typing import NamedTuple
@@ -16,7 +17,7 @@
 
 RULES = ("lost", "late", "double", "garbled", "held")
 
-TIMER_MS = 1.0  # of a client that leaves at its time
+TIMER_MS = 1.0  # tolerance of the timer of a client that leaves at the end of its time
 
 
 class _Loss(NamedTuple):
@@ -27,7 +28,7 @@
 
 
 def check(history: History, findings: Findings) -> None:
-    """Add what responses violate."""
+    """Add all violations of the rules on responses."""
     times = MinimumServiceTimes(history)
     for case in request_cases(history):
         _check_garbled(history, case, findings)
@@ -41,28 +42,31 @@
 
 
 def _limit_ms(history: History, case: RequestCase) -> float:
-    """By when a response must have come; time behind others on its connection does not count."""
+    """Return by when the response must have arrived.
+
+    The time that the request waited for the previous request on its connection does not count.
+    """
     request = case.request
     due_ms = max(request.at_ms + request.time_left_ms, case.accepted.unblocked_ms)
     return due_ms + history.scenario.rules.answer_slack_ms
 
 
 def _check_garbled(history: History, case: RequestCase, findings: Findings) -> None:
-    """`garbled`: what came can't be a response to the request."""
+    """`garbled`: every response can be one to the request."""
     request = case.request
     for response in case.accepted.responses:
         if response.kind == "garbled" and not history.is_excused(case.accepted, response.at_ms):
-            what = f"{request.node} answered {request.request_id}"
-            text = f"{what} with bytes that are no answer to it: {response.text!r}"
+            what = f"{request.node} responded to {request.request_id}"
+            text = f"{what} with bytes that are no response to it: {response.text!r}"
             case.report(findings, "garbled", response.at_ms, text)
 
 
 def _check_double(case: RequestCase, final: ResponseReceived, findings: Findings) -> None:
-    """`double`: a request has one final response."""
+    """`double`: a request gets only one final response."""
     kinds = (*FINAL_KINDS, "garbled")
     extra = [r for r in case.accepted.responses if r is not final and r.kind in kinds]
     if extra:
-        text = f"{case.request.node} gave {case.request.request_id} {1 + len(extra)} final answers"
+        text = f"{case.request.node} gave {case.request.request_id} {1 + len(extra)} final responses"
         case.report(findings, "double", extra[0].at_ms, text)
 
 
@@ -74,7 +78,7 @@
         return
     request = case.request
     late_ms = final.at_ms - request.at_ms - request.time_left_ms
-    what = f"{request.node} answered {request.request_id}"
+    what = f"{request.node} responded to {request.request_id}"
     text = f"{what} {late_ms:.1f} ms after its client's {request.time_left_ms:.0f} ms"
     case.report(findings, "late", final.at_ms, text)
 
@@ -89,7 +93,7 @@
 
 
 def _loss(history: History, case: RequestCase, limit_ms: float) -> _Loss | None:
-    """How a request without a final response was lost; None where it was not the node's fault."""
+    """Return how a request without a final response was lost; None if that was not the node's fault."""
     accepted = case.accepted
     first = accepted.first_response
     if first is not None:
@@ -101,19 +105,19 @@
             return None
         if history.is_excused(accepted, accepted.resent_ms):
             return None
-        return _Loss(accepted.resent_ms, "ended its connection after it had read it")
-    over_ms = min(limit_ms, history.end_ms)
+        return _Loss(accepted.resent_ms, "closed its connection after reading it")
+    ended_ms = min(limit_ms, history.end_ms)
     if history.end_ms < limit_ms or history.is_excused(accepted, limit_ms):
         return None
-    if _client_had_closed(history, case, over_ms):
+    if _client_had_closed(history, case, ended_ms):
         return None
-    return _Loss(limit_ms, "never answered")
+    return _Loss(limit_ms, "never responded")
 
 
 def _loss_by_end(history: History, case: RequestCase, first: ResponseReceived) -> _Loss | None:
-    """Of a request whose connection ended."""
+    """Return the loss of a request whose connection ended; None if that was not the node's fault."""
     if first.kind not in ("closed", "reset"):
-        return None  # what was garbled has a rule of its own
+        return None  # the rule `garbled` covers this
     end_ms = first.at_ms
     if history.is_excused(case.accepted, end_ms) and not _closed_under_attempt(history, case, end_ms):
         return None
@@ -124,16 +128,16 @@
 
 
 def _client_had_closed(history: History, case: RequestCase, until_ms: float) -> bool:
-    """Whether its client had closed the connection itself, over another request on it."""
+    """Whether the client had closed the connection itself by then, for any request on it."""
     closed_ms = history.client_closed_ms.get(case.request.connection)
     return closed_ms is not None and closed_ms <= until_ms + ROUNDING_MS
 
 
 def _closed_under_attempt(history: History, case: RequestCase, at_ms: float) -> bool:
-    """Whether the node itself ended a connection after SIGTERM on a request that it had forwarded.
+    """Whether the node itself closed the connection after SIGTERM, having forwarded the request.
 
-    What comes too long after SIGTERM need not be accepted; what was accepted all the same must be responded
-    to, unless the process was killed first.
+    A request that arrives too long after SIGTERM need not be accepted. If it is accepted all the same, it
+    must get a response, unless the process is killed first.
     """
     sent_ms = case.request.at_ms
     process = history.processes.at(case.request.node, sent_ms)
@@ -148,8 +152,8 @@
 def _may_have_crossed(history: History, case: RequestCase, at_ms: float) -> bool:
     """Whether the node may have closed the connection between requests, before it read this one.
 
-    Guards against a node that closes on what it has read: it then had forwarded it, or the end came later
-    than one that was already under way.
+    A node that closes the connection after reading the request is not excused: then it has forwarded the
+    request, or the end arrives later than a close that was already under way when the request was sent.
     """
     if case.accepted.resent_ms is None or case.was_forwarded_by(at_ms):
         return False
@@ -157,7 +161,7 @@
 
 
 def _loss_by_silence(history: History, case: RequestCase, limit_ms: float) -> _Loss | None:
-    """Of a client that waited for its whole time and left."""
+    """Return the loss of a request whose client waited its whole time; None if not the node's fault."""
     request = case.request
     abandoned = case.accepted.abandoned
     assert abandoned is not None
@@ -171,20 +175,22 @@
     if history.client_closed_ms.get(connection, abandoned.at_ms) < abandoned.at_ms - ROUNDING_MS:
         return None
     if case.accepted.unblocked_ms > request.at_ms + request.time_left_ms - case.response_margin_ms:
-        return None  # its response had to wait for that of another request of the same client
+        return None  # its response had to wait for that of the previous request on the connection
     closed_ms = min(closed_ms, history.client_closed_ms.get(connection, closed_ms), history.end_ms)
     if closed_ms < limit_ms - TIMER_MS and not _is_surely_unresponsive(history, case, closed_ms):
         return None
-    description = f"never answered: the client left after {waited_ms:.1f} ms of {request.time_left_ms:.0f}"
+    description = (
+        f"never responded: the client left after {waited_ms:.1f} ms of {request.time_left_ms:.0f} ms"
+    )
     return _Loss(closed_ms, description)
 
 
 def _is_surely_unresponsive(history: History, case: RequestCase, closed_ms: float) -> bool:
     """Whether no response can have been on its way to a client that left within the rule's tolerance.
 
-    A sound node responds a little before the client's time is over. Where the bytes, or the machine's own lag
-    in real time, may take longer than that, only a node counts as silent that had a response to give long
-    before, or never did a thing.
+    A correct node responds a little before the client's time is over. The delay of the link, or in real time
+    the lateness of the machine, may be longer than that margin. Then a node counts as unresponsive only if it
+    had received a serving response long before, or made no attempt at all.
     """
     tolerances = history.tolerances
     margin_ms = case.response_margin_ms
@@ -192,7 +198,7 @@
         return True
     early_ms = closed_ms - margin_ms - tolerances.client_round_ms - tolerances.server_round_ms
     outcomes = case.node_outcomes
-    if not outcomes:  # a request without attempts is responded to by half of its time
+    if not outcomes:  # a request without attempts must get a response within half of its time
         return case.request.time_left_ms / 2 > margin_ms + tolerances.client_round_ms
     for outcome in outcomes:
         served = outcome.served
--- a/flintridge/lab/judge/rules/warming_up.py
+++ b/flintridge/lab/judge/rules/warming_up.py
@@ -1,4 +1,4 @@
-"""The rule `cold`: servers that are warming up get no more work than they can do."""
+"""The rule `cold`: nodes send no more work to a server that is warming up than it can do."""
 
 import math
 from bisect import bisect_right
@@ -15,13 +15,14 @@
 
 RULES = ("cold",)
 
-BUDGET_FACTOR = 1.1  # what is allowed beyond the budget for chance, and
-EXTRA_REQUESTS = 2  # so many mean requests
-FEW_REQUESTS = 30.0  # that a server is allowed; with fewer, chance weighs more
+# To allow for chance, a server may get BUDGET_FACTOR times its budget and EXTRA_REQUESTS of mean work more.
+BUDGET_FACTOR = 1.1
+EXTRA_REQUESTS = 2
+FEW_REQUESTS = 30.0  # if a server is allowed fewer requests than this, chance has more effect
 FEW_REQUESTS_DEVIATIONS = 3
 DEVIATIONS = 2
-NOTIFIED_FRACTION = 2 / 3  # of the work that must come from nodes that were notified of the start
-CLOCK_TOLERANCE_MS = 100.0  # a start is told in whole milliseconds of another clock
+NOTIFIED_FRACTION = 2 / 3  # a violation needs this fraction of the work to come from notified nodes
+CLOCK_TOLERANCE_MS = 100.0  # discovery reports a start in whole milliseconds of another clock
 
 
 class _ProcessServer(NamedTuple):
@@ -34,7 +35,7 @@
 
 @dataclass(slots=True)
 class _NotifiedStarts:
-    """When a process was notified of starts of a server, and the latest start by then."""
+    """When a process was notified of starts of a server, and the latest start that it then knew."""
 
     notified_ms: list[float] = field(default_factory=list)
     latest_start_ms: list[float] = field(default_factory=list)
@@ -62,7 +63,7 @@
             starts.latest_start_ms.append(max(up_since_ms, previous_ms))
 
     def was_known(self, outcome: AttemptOutcome, started_ms: float) -> bool:
-        """Whether the node had been notified of this start, or of a later one, when it sent."""
+        """Whether the node had been notified of this start or a later one when it started the attempt."""
         record = outcome.record
         process_started_ms = self._processes.at(record.node, record.started_ms).started_ms
         starts = self._starts.get(_ProcessServer(record.node, process_started_ms, record.server))
@@ -73,11 +74,11 @@
 
 
 class AttemptWindow(NamedTuple):
-    """The attempts of a window that ends with the last of them, and the work of all.
+    """The attempts in a time window that ends with the last of them, and their total work.
 
     Attributes:
-        outcomes: The attempts; changes as the window moves on.
-        work_ms: Their work.
+        outcomes: The attempts. The deque is shared, and changes when the window moves on.
+        work_ms: Sum of their work in ms on a core of speed 1.
     """
 
     outcomes: deque[AttemptOutcome]
@@ -85,7 +86,13 @@
 
 
 class _WarmUp(NamedTuple):
-    """A server's warm-up, and what arrived in it."""
+    """A server's warm-up.
+
+    Attributes:
+        start: The start of the server.
+        overload: Its crash by overload during the warm-up; None if there was none.
+        arrived: The attempts that arrived during the warm-up, in order.
+    """
 
     start: ServerStateChanged
     overload: ServerStateChanged | None
@@ -93,7 +100,7 @@
 
 
 def check(history: History, findings: Findings) -> None:
-    """Add warm-ups with too much work."""
+    """Add all warm-ups in which a server was offered too much work."""
     if not history.scenario.rules.overload_multiple:
         return
     notifications = StartNotifications(history)
@@ -122,7 +129,7 @@
 
 
 def _overload(history: History, start: ServerStateChanged, until_ms: float) -> ServerStateChanged | None:
-    """Its falling over while it warmed up, if it did."""
+    """Return the server's crash by overload during the warm-up; None if there was none."""
     for overload in history.server_overloads.get(start.server, ()):
         if start.at_ms < overload.at_ms <= until_ms:
             return overload
@@ -130,7 +137,7 @@
 
 
 def capacity(start: ServerStateChanged, at_ms: float) -> float:
-    """Work-milliseconds a millisecond of a server that is warming up, at an instant."""
+    """Return the capacity of a server that is warming up, in work-milliseconds per millisecond."""
     warmth = min(1.0, (at_ms - start.at_ms) / start.warm_up_ms) if start.warm_up_ms else 1.0
     return start.capacity * (start.initial_fraction + (1 - start.initial_fraction) * warmth)
 
@@ -138,10 +145,11 @@
 def allowed_by_settings(
     history: History, start: ServerStateChanged, at_ms: float, mean_work_ms: float
 ) -> float:
-    """Work (ms) that a server may be offered in a window that ends at `at_ms`, by the settings of nodes.
+    """Return the work (ms) that the nodes' settings allow a server in a window that ends at `at_ms`.
 
-    N requests of mean work, as many as its capacity by the settings allows, and for chance twice the root of
-    N and 2 more; where N is under 30, three times the root and 3 more. How many nodes there are is no matter.
+    The settings allow N requests of mean work. To allow for chance, twice the square root of N and 2 more
+    requests are added, or three times the root and 3 more if N is under 30. The number of nodes has no
+    effect.
     """
     rules = history.scenario.rules
     warmth = min(1.0, (at_ms - start.at_ms) / (1000 * rules.slow_start_s)) if rules.slow_start_s else 1.0
@@ -153,7 +161,7 @@
 
 
 def windows(arrived: list[AttemptOutcome], span_ms: float) -> Iterator[AttemptWindow]:
-    """The window of so many milliseconds that ends with each attempt."""
+    """Yield, for each attempt, the window of `span_ms` that ends with it."""
     window: deque[AttemptOutcome] = deque()
     work_ms = 0.0
     for outcome in arrived:
@@ -171,10 +179,12 @@
     mean_work_ms: float,
     findings: Findings,
 ) -> None:
-    """`cold`, one violation a start: a window has more work than allowed, most from nodes that knew.
+    """`cold`: no window of a warm-up has more work than allowed, mostly from nodes that knew of the start.
 
-    A server that fell had been offered too much, and gets no more; else some is allowed beyond for chance:
-    the lesser of a tenth of what the machine bears with two requests, and of what the settings allow.
+    Adds at most one violation per start. A server that crashed by overload had been offered too much, so the
+    last window before the crash has no allowance beyond the budget. Otherwise an excess is allowed for
+    chance, up to the lesser of two limits: the budget by the server's own capacity plus a tenth and two
+    requests, and the limit by the nodes' settings.
     """
     rules = history.scenario.rules
     start = warm_up.start
@@ -198,9 +208,9 @@
         text = (
             f"{start.server}, started {now_ms - start.at_ms:.0f} ms before, was offered "
             f"{window.work_ms:.0f} ms of work within {rules.overload_window_ms:.0f} ms "
-            f"({known_ms:.0f} ms of it by nodes that were told of its start); "
+            f"({known_ms:.0f} ms of it by nodes that were notified of its start); "
             f"{min(budget_ms, allowed_ms):.0f} ms are allowed"
-            f"{'; it fell' if warm_up.overload is not None else ''}"
+            f"{'; it crashed' if warm_up.overload is not None else ''}"
         )
         proof = [start, *(outcome.record for outcome in window.outcomes), warm_up.overload]
         findings.add("cold", now_ms, text, proof, server=start.server)
--- a/flintridge/lab/judge/tolerances.py
+++ b/flintridge/lab/judge/tolerances.py
@@ -1,28 +1,28 @@
-"""How much later than a limit something may be seen, for the time that bytes take."""
+"""How much later than a limit an event may be recorded, because bytes take time on their way."""
 
 from dataclasses import dataclass
 
 from flintridge.lab.scenario.model import Scenario, Span
 
-REAL_TIME_MS = 50.0  # in real time every limit is longer by this
-ROUNDING_MS = 0.01  # for sums of floating point
+REAL_TIME_MS = 50.0  # added to every limit in real time
+ROUNDING_MS = 0.01  # covers rounding errors of floating-point sums
 LINK_MARGIN_MS = 1.0
 ROUND_MARGIN_MS = 5.0
 
 
 def maximum_of(span: Span) -> float:
-    """The largest number that may be drawn from a span."""
+    """Return the largest value that can be drawn from a span."""
     return span if isinstance(span, (int, float)) else max(span)
 
 
 @dataclass(frozen=True, slots=True)
 class Tolerances:
-    """What the passage of bytes may add, in milliseconds.
+    """What the delay of links may add to a limit, in milliseconds.
 
     Attributes:
-        client_ms: One way between a client and a node, at the most.
-        server_ms: One way between a node and a server, at the most.
-        limit_ms: Added to every limit of a rule.
+        client_ms: Maximum one-way delay between a client and a node.
+        server_ms: Maximum one-way delay between a node and a server.
+        limit_ms: Added to every limit of a rule: 0 in virtual time.
     """
 
     client_ms: float
@@ -31,7 +31,7 @@
 
     @classmethod
     def of(cls, scenario: Scenario, is_real_time: bool) -> "Tolerances":
-        """The tolerances of a scenario."""
+        """Return the tolerances that follow from a scenario's links."""
         links = scenario.links
         factor = 1 + links.jitter
         server_ms = max(maximum_of(links.same_ms), maximum_of(links.cross_ms)) * factor
@@ -43,10 +43,10 @@
 
     @property
     def client_round_ms(self) -> float:
-        """There and back between a client and a node."""
+        """Maximum round trip between a client and a node."""
         return 2 * self.client_ms + ROUND_MARGIN_MS + self.limit_ms
 
     @property
     def server_round_ms(self) -> float:
-        """There and back between a node and a server."""
+        """Maximum round trip between a node and a server."""
         return 2 * self.server_ms + ROUND_MARGIN_MS + self.limit_ms
--- a/flintridge/lab/judge/verdict.py
+++ b/flintridge/lab/judge/verdict.py
@@ -1,6 +1,6 @@
-"""The checker: a log in, the result of the run out.
+"""The judge: turns the log of a run into its result.
 
-It is pure: no clock, no files, nothing of a node's own.
+It is a pure function of the log: it uses no clock, no files and no internal state of a node.
 """
 
 from collections.abc import Iterable
@@ -13,26 +13,26 @@
 from flintridge.lab.scenario.model import Scenario
 
 RULES = rules.RULES
-REPORTED_VIOLATIONS = 5  # of each rule that are reported in full
+REPORTED_VIOLATIONS = 5  # violations of each rule that are reported in full
 
 
 def judge(
     log: Iterable[AnyRecord], scenario: Scenario, seed: int, backend: str, *, keep: int = REPORTED_VIOLATIONS
 ) -> Result:
-    """The rules and the metrics of a run, from its records in their order.
+    """Check the rules and compute the metrics of a run from its log.
 
-    What the log does not show (digest, costs, counters) is left to the caller.
+    The caller fills in the fields of the result that the log does not show: digest, costs and counters.
 
     Args:
-        log: The records.
-        scenario: What was played.
+        log: The records, in their order.
+        scenario: The scenario that was run.
         seed: The run's seed.
-        backend: `virtual`, or one in real time.
+        backend: `virtual`, or the name of a backend that runs in real time.
         keep: How many violations of each rule are reported in full.
 
     Returns:
-        The result: `rules` holds every rule by name, also at 0; `violations` the first of each rule, in the
-        order of their times.
+        The result. `rules` holds the count of every rule, also of those without violations. `violations`
+        holds the first ones of each rule, ordered by time.
     """
     history = History(log, scenario, backend)
     findings = Findings(RULES, keep)
--- a/flintridge/lab/judge/windows.py
+++ b/flintridge/lab/judge/windows.py
@@ -16,13 +16,13 @@
 
 
 def percentiles(times_ms: Sequence[float], at: tuple[float, ...]) -> list[float]:
-    """Of the times seen, each the minimum that so many in a hundred do not exceed."""
+    """Return, for each percentage in `at`, the least time that this share of the times does not exceed."""
     found = np.percentile(np.asarray(times_ms), at, method="inverted_cdf")
     return [round(float(value), MS_DIGITS) for value in found]
 
 
 def windows_of(history: History, outcomes: Iterable[RequestOutcome]) -> list[Window]:
-    """The windows of a run, by when requests were due and when attempts arrived."""
+    """Return the run's windows: requests by their scheduled times, attempts by their arrival at servers."""
     count = max(1, math.ceil(history.scenario.length_s))
     windows = [Window(t_s=float(second)) for second in range(count)]
     latencies_ms: list[list[float]] = [[] for _ in windows]
@@ -53,7 +53,7 @@
 
 
 def _add_attempts(history: History, windows: list[Window]) -> None:
-    """Attempts by when they arrived, and the mean in flight at each server."""
+    """Count attempts by the second of their arrival, and average the attempts in flight at each server."""
     for outcome in history.outcomes.values():
         second = math.floor(outcome.record.at_ms / WINDOW_MS)
         if 0 <= second < len(windows):
@@ -79,7 +79,7 @@
 
 
 def min_window_goodput(scenario: Scenario, windows: list[Window]) -> float:
-    """The minimum goodput of any stretch of the goal's length, moved on by one second at a time."""
+    """Return the minimum goodput of a sliding window of `goal.window_s`, which moves by one second."""
     span = min(len(windows), max(1, round(scenario.goal.window_s)))
     minimum = 1.0
     for first in range(len(windows) - span + 1):
--- a/tests/lab/judge/test_attempt_rules.py
+++ b/tests/lab/judge/test_attempt_rules.py
@@ -1,4 +1,4 @@
-"""Rules on what attempts may do."""
+"""Rules on attempts: `twice`, `attempts` and `after_answer`."""
 
 import pytest
 from support.judge import KEYED, attempt, repeat, request, response, served, violated_rules
@@ -27,7 +27,7 @@
 @pytest.mark.parametrize(
     ("log", "rules"),
     [
-        # nothing executed twice
+        # `twice`: repeats of a request that must not be executed twice
         ([*UNSAFE, *repeat(300, served_ms=400), response(410)], {"twice"}),
         ([*UNSAFE[:1], *rejected_attempt(299), *repeat(300, served_ms=400), response(410)], set()),
         ([*UNSAFE[:1], *rejected_attempt(301), *repeat(300, served_ms=400), response(410)], {"twice"}),
@@ -39,7 +39,7 @@
         ([*ZONAL, *repeat(300, "s3", served_ms=400), response(410)], set()),
         ([*ZONAL, *repeat(300, "s2", served_ms=400), response(410)], {"twice"}),
         ([*ZONAL, response(400, "refused")], {"twice"}),
-        # no more attempts than allowed, none after the response
+        # `attempts`: more than 3; `after_answer`: an attempt that starts after the response
         ([request(), *attempt(5), *attempt(20), *attempt(30, served_ms=50), response(60)], set()),
         (
             [request(), *attempt(5), *attempt(20), *attempt(30), *attempt(40, served_ms=50), response(60)],
@@ -51,11 +51,11 @@
         ([*served(), *attempt(390, connection=2)], {"after_answer"}),
     ],
 )
-def test_attempts_when_harmful_too_many_or_late_violate_their_rules_and_no_others(log, rules):
+def test_attempts_when_harmful_too_many_or_late_then_violate_only_their_rules(log, rules):
     assert set(violated_rules(log)) == rules
 
 
-def test_hedged_requests_when_not_allowed_violate_the_rule_on_repeats():
+def test_hedged_requests_when_not_allowed_then_violate_the_rule_on_repeats():
     limits = {"second_copies": False, "max_attempts": 6}
     finished = [
         request(),
--- a/tests/lab/judge/test_content_rules.py
+++ b/tests/lab/judge/test_content_rules.py
@@ -1,4 +1,4 @@
-"""Rules on what is served and what is forwarded."""
+"""Rules on contents: what clients are served and what servers are sent."""
 
 import pytest
 from support.judge import REQUEST_BEFORE, attempt, node_state, request, response, served, violated_rules
@@ -7,7 +7,7 @@
 
 
 def given_time_left(time_left_ms, is_origin=False):
-    """A request with 600 ms left to its client, forwarded with so much time."""
+    """Records of a request that is forwarded with `time_left_ms` when its client has 600 ms left."""
     forwarded = attempt(400, served_ms=880, time_left_ms=time_left_ms, is_origin=is_origin)
     return [request(), *forwarded, response(930)]
 
@@ -35,7 +35,7 @@
             [request(), *attempt(400, served_ms=450, time_left_ms=650, is_origin=True), response(460)],
             {"altered"},
         ),
-        # a request read late, behind others on its connection or after a pause: 0.15 s more, not beyond
+        # a request read late, behind others on its connection or after a pause: at most 150 ms are excused
         ([*REQUEST_BEFORE, response(900, "refused", request_id="u0"), *given_time_left(749)], set()),
         ([*REQUEST_BEFORE, response(900, "refused", request_id="u0"), *given_time_left(751)], {"altered"}),
         (
@@ -49,12 +49,12 @@
         ([node_state(300, "paused"), node_state(350, "resumed"), *given_time_left(749)], set()),
         ([node_state(300, "paused"), node_state(350, "resumed"), *given_time_left(751)], {"altered"}),
         ([node_state(-50, "paused"), node_state(350, "resumed"), *given_time_left(949)], set()),
-        # a node that is held up between its clock and its writes
+        # a node that the `stall` fault delays between reading its clock and writing
         ([STALL, *given_time_left(749)], set()),
         ([STALL, *given_time_left(751)], {"altered"}),
         ([STALL, STALL_END, *given_time_left(749)], {"altered"}),
         ([r.MalformedMessage(at_ms=1, node="n0", server="s1", text="mx")], {"malformed"}),
     ],
 )
-def test_contents_when_invented_mixed_or_altered_violate_their_rules_and_no_others(log, rules):
+def test_contents_when_invented_mixed_or_altered_then_violate_only_their_rules(log, rules):
     assert set(violated_rules(log)) == rules
--- a/tests/lab/judge/test_departed_client_rules.py
+++ b/tests/lab/judge/test_departed_client_rules.py
@@ -1,4 +1,4 @@
-"""The rule on attempts for clients that have gone."""
+"""The rule `lost` on attempts for clients that have closed their connections."""
 
 import pytest
 from support.judge import attempt, node_state, request, response, violated_rules
@@ -20,7 +20,7 @@
 @pytest.mark.parametrize(
     ("log", "rules"),
     [
-        # an attempt that starts more than 0.1 s after its client closed, whatever else was the matter
+        # an attempt that starts more than 0.1 s after its client closed, whatever else happened
         ([request(), LEFT_EARLY, *attempt(499.9)], set()),
         ([request(), LEFT_EARLY, *attempt(500.1)], {"lost"}),
         ([request(), *attempt(5, served_ms=400, outcome="miss"), LEFT_EARLY, *attempt(500.1)], {"lost"}),
@@ -32,10 +32,10 @@
         ),
         ([request(), LINGERING, *attempt(570)], set()),
         ([request(), LINGERING, *attempt(580)], {"lost"}),
-        # closed over another request on it, at 390, before its own lingering was over
+        # closed at 390 ms for another request on the connection, before the client's own linger time ended
         ([*SHARED_CONNECTION, *attempt(489)], set()),
         ([*SHARED_CONNECTION, *attempt(491)], {"lost"}),
     ],
 )
-def test_attempts_when_they_start_long_after_the_client_closed_are_lost(log, rules):
+def test_attempts_when_started_long_after_the_client_closed_then_count_as_lost(log, rules):
     assert set(violated_rules(log)) == rules
--- a/tests/lab/judge/test_drain_rules.py
+++ b/tests/lab/judge/test_drain_rules.py
@@ -1,4 +1,4 @@
-"""The rule on servers that are leaving or gone."""
+"""The rule `drain` on attempts at servers that are leaving or gone."""
 
 import pytest
 from support.judge import endpoints, node_state, served, server_started, violated_rules
@@ -16,12 +16,12 @@
             {"drain"},
         ),
         ([endpoints(0, "in_service", True, server="s2"), *served(2010)], {"drain"}),
-        # never listed, and started since: what reached it was sent to the one that had its address before
+        # never listed, and started later: the attempt was meant for the server that had its address before
         ([server_started(1), endpoints(0, "in_service", True, server="s2"), *served(2010)], set()),
         ([server_started(-1), endpoints(0, "in_service", True, server="s2"), *served(2010)], {"drain"}),
         ([endpoints(0, "in_service", server="s2"), *served(2010)], set()),
         ([endpoints(0, "terminating"), node_state(5, "started"), *served(2010)], set()),
     ],
 )
-def test_attempts_when_their_server_is_known_to_leave_violate_the_rule_on_drains(log, rules):
+def test_attempts_when_their_server_is_known_to_leave_then_violate_the_rule_on_drains(log, rules):
     assert set(violated_rules(log)) == rules
--- a/tests/lab/judge/test_held_rejections.py
+++ b/tests/lab/judge/test_held_rejections.py
@@ -1,4 +1,4 @@
-"""The rule on rejections that come too late to be of use."""
+"""The rule `held` on rejections that come too late to be useful."""
 
 import pytest
 from support.judge import attempt, request, response, served, violated_rules
@@ -14,15 +14,15 @@
         ([request(), r.FaultChanged(at_ms=1, name="silence", begins=True), response(990, "refused")], set()),
     ],
 )
-def test_rejection_when_it_comes_without_any_attempt_after_half_of_the_time_is_held(log, rules):
+def test_rejection_when_without_any_attempt_after_half_of_the_time_then_is_held(log, rules):
     assert set(violated_rules(log)) == rules
 
 
 @pytest.mark.parametrize(
     ("after_ms", "outcome", "held"), [(905, "miss", False), (960, "miss", True), (960, "spoilt", False)]
 )
-def test_rejection_when_nothing_was_in_flight_for_long_is_held(after_ms, outcome, held):
-    """A corrupted response may never end: its node may still have waited for the rest."""
+def test_rejection_when_nothing_was_in_flight_for_long_then_is_held(after_ms, outcome, held):
+    """After a corrupted response, the node may still have been waiting for the rest of it."""
     log = [record for i in range(4) for record in served(i * 10.0, f"w{i}", connection=i + 5)]
     origin = {"server": "origin", "is_origin": True}
     for i in range(4):
--- a/tests/lab/judge/test_metrics.py
+++ b/tests/lab/judge/test_metrics.py
@@ -15,7 +15,7 @@
 from flintridge.lab.judge.verdict import judge
 
 
-def test_metrics_of_a_run():
+def test_metrics_when_requests_are_served_late_or_rejected_then_match_the_log():
     log = [
         *served(-900, "w", counted=False),
         *served(100, "in"),
@@ -56,13 +56,13 @@
     result = judge(sorted(log, key=lambda x: x.at_ms), settings, 1, "virtual")
     counts = (result.requests, result.served, result.served_within_objective, result.rejected, result.failed)
     assert counts == (5, 3, 1, 1, 1)
-    # 1 in time, 0.5 late, of 4 reads and one of weight 3
+    # Weight 1 within the objective and 0.5 late, out of 4 reads of weight 1 and one request of weight 3.
     assert result.goodput == pytest.approx(1.5 / 7, abs=1e-6)
     assert result.goodput_by_class == {"pay": 0.0, "read": 0.375}
     assert (result.latency_ms.p50, result.latency_ms.max, result.latency_ms.count) == (600.0, 2100.0, 3)
     assert result.client_attempts_per_request == 1.2
     assert result.attempts_per_request == 0.6
-    assert result.goal == pytest.approx(0.5 * result.goodput)  # nothing failed after its objective
+    assert result.goal == pytest.approx(0.5 * result.goodput)  # no request failed after its objective
     assert [w.requests for w in result.windows] == [1, 1, 1, 1, 1, 0, 0, 0]
     assert result.windows[0].in_flight == {"s1": 0.089}
     assert sum(w.in_flight.get("s1", 0) for w in result.windows) == pytest.approx(0.089 + 0.589 + 2.089)
--- a/tests/lab/judge/test_process_rules.py
+++ b/tests/lab/judge/test_process_rules.py
@@ -22,12 +22,12 @@
         ([TERMINATION, node_state(900, "exited", code=1)], {"stopped"}),
         ([TERMINATION, node_state(4200, "exited")], set()),
         ([TERMINATION, node_state(4400, "exited")], {"stopped"}),
-        ([TERMINATION, node_state(4000, "killed")], {"stopped"}),  # it had all its time
+        ([TERMINATION, node_state(4000, "killed")], {"stopped"}),  # killed after its whole termination time
         ([TERMINATION, node_state(3990, "killed")], set()),
         ([TERMINATION], {"stopped"}),
         ([malformed_client("served", 1)], {"bad_clients"}),
         ([malformed_client("nothing", 9)], set()),
     ],
 )
-def test_processes_when_they_end_wrongly_violate_their_rules_and_no_others(log, rules):
+def test_processes_when_they_end_wrongly_then_violate_only_their_rules(log, rules):
     assert set(violated_rules(log)) == rules
--- a/tests/lab/judge/test_response_rules.py
+++ b/tests/lab/judge/test_response_rules.py
@@ -1,4 +1,4 @@
-"""Rules on responses: one final response a request, in time."""
+"""Rules on responses: each request gets one final response, in time."""
 
 import pytest
 from support.judge import (
@@ -25,7 +25,7 @@
 @pytest.mark.parametrize(
     ("log", "rules"),
     [
-        # lost and late
+        # `lost` and `late`
         ([*UNANSWERED, ABANDONED], {"lost"}),
         ([*UNANSWERED, r.RequestAbandoned(at_ms=400, node="n0", request_id="u1", left_early=True)], set()),
         (UNANSWERED, {"lost"}),
@@ -54,14 +54,14 @@
         ),
         ([*UNANSWERED, node_state(900, "paused"), node_state(5000, "resumed"), ABANDONED], set()),
         ([*UNANSWERED, node_state(-900, "paused"), node_state(-250, "resumed"), ABANDONED], {"lost"}),
-        # crossing: a close between requests, and the same request once more
+        # a close between requests that crosses a request, which the client then sends again
         ([request(), response(1, "closed"), *served(3, connection=2)], set()),
         ([request(), response(1, "closed")], {"lost"}),
         ([request(), response(400, "closed"), *served(403, connection=2)], {"lost"}),
         ([request(), *attempt(0.5), response(1.4, "closed"), *served(3, connection=2)], {"lost"}),
         ([request(), *served(3, connection=2)], set()),
         ([request(), *served(403, connection=2)], {"lost"}),
-        # behind another response on the same connection, time does not count
+        # the time spent waiting for an earlier response on the same connection does not count
         (
             [
                 *REQUEST_BEFORE,
@@ -80,7 +80,7 @@
             ],
             {"late"},
         ),
-        # a response before it excuses nothing, once it has come
+        # an earlier response that has already arrived excuses nothing
         (
             [
                 *REQUEST_BEFORE,
@@ -101,10 +101,10 @@
             ],
             set(),
         ),
-        # SIGTERM: what came within 0.7 s gets its response
+        # a request that arrives within 0.7 s after SIGTERM must get a response
         ([request(990), TERMINATION, response(995, "closed"), node_state(1500, "exited")], {"lost"}),
         ([request(1001), TERMINATION, response(1005, "closed"), node_state(1500, "exited")], set()),
-        # what comes later and is forwarded all the same gets its response, unless the process is killed
+        # a later request that is forwarded all the same must get a response, unless the process is killed
         (
             [
                 request(1001),
@@ -119,7 +119,7 @@
             [request(1001), TERMINATION, *attempt(1003), node_state(1500, "killed"), response(1501, "reset")],
             set(),
         ),
-        # SIGKILL comes the longest deadline and 0.7 s after SIGTERM: until then all get responses
+        # SIGKILL follows SIGTERM by the longest deadline and 0.7 s: until then requests must get responses
         (
             [
                 request(990, time_left_ms=3000),
@@ -147,12 +147,12 @@
             ],
             {"stopped"},
         ),
-        # two responses, or none that can be read
+        # `double` and `garbled`: two responses, or one that can't be parsed
         ([*served(), response(120)], {"double"}),
         ([*served(), response(120, "refused")], {"double"}),
         ([*served(), response(120, "closed")], set()),
         ([request(), *attempt(5, served_ms=50), response(60, "garbled")], {"garbled"}),
     ],
 )
-def test_responses_when_lost_late_double_or_garbled_violate_their_rules_and_no_others(log, rules):
+def test_responses_when_lost_late_double_or_garbled_then_violate_only_their_rules(log, rules):
     assert set(violated_rules(log)) == rules
--- a/tests/lab/judge/test_warming_up_rules.py
+++ b/tests/lab/judge/test_warming_up_rules.py
@@ -1,4 +1,4 @@
-"""The rule on servers that are warming up."""
+"""The rule `cold` on servers that are warming up."""
 
 import msgspec
 import pytest
@@ -14,8 +14,8 @@
 
 @FIXED
 @given(st.integers(1, 40), st.booleans(), st.sampled_from([0.0, -5000.0]))
-def test_server_when_warming_up_and_offered_more_than_its_budget_violates_the_rule(count, notified, start):
-    """Requests of 100 ms; 3 x 0.4 of a core for 1.5 s, a tenth of that and two requests are allowed."""
+def test_server_when_warming_up_and_over_its_budget_then_violates_the_rule(count, notified, start):
+    """Each request is 100 ms of work. Allowed: 3 x 0.4 of a core for 1.5 s, a tenth more and two requests."""
     rules = {"fall_multiple": 3.0, "fall_ms": 1500.0}
     log = [
         r.ServerStateChanged(
@@ -25,8 +25,8 @@
     ]
     for i in range(count):
         log += served(start + 200 + i * 12, f"u{i}", connection=i)
-        log[-3].work_ms = 100.0  # the attempt
-    # What is allowed grows a little with the age of the server.
+        log[-3].work_ms = 100.0  # the record of the attempt
+    # The allowed work grows a little with the age of the server.
     age = 206 + 12 * (count - 1)
     allowed = 1.1 * 3 * (0.4 + 0.6 * age / 9000) * 1500 + 200
     assert violated_rules(log, rules=rules) == ({"cold": 1} if notified and 100 * count > allowed else {})
@@ -34,9 +34,11 @@
 
 @pytest.mark.parametrize("nodes", [1, 5])
 @pytest.mark.parametrize(("count", "rules"), [(660, {}), (661, {"cold": 1})])
-def test_budget_when_any_number_of_nodes_send_is_the_same(count, rules, nodes):
-    """Requests of 10 ms at a fraction of 0.3386, 246 ms after the start: 3 x 4 cores x 1.5 s
-    allow 609.5 of them, and twice the root of that and 2 more."""
+def test_budget_when_any_number_of_nodes_send_then_is_the_same(count, rules, nodes):
+    """Each request is 10 ms of work, 246 ms after the start, at a warm-up fraction of 0.3386.
+
+    So 3 x 4 cores x 1.5 s allow 609.5 requests; twice the square root of that and 2 more are added.
+    """
     log = [
         r.ServerStateChanged(
             at_ms=0, server="s1", state="started", capacity=4.0, initial_fraction=0.4, warm_up_ms=7000.0
