--- a/flintridge/lab/load/__init__.py
+++ b/flintridge/lab/load/__init__.py
@@ -1,1 +1,1 @@
-"""Clients: which requests they send, when, and what they do with the responses."""
+"""The clients of a run: which requests they send, when, and how they handle the responses."""
--- a/flintridge/lab/load/arrival_schedule.py
+++ b/flintridge/lab/load/arrival_schedule.py
@@ -1,4 +1,4 @@
-"""The requests of a run, whatever the nodes do: when each arrives, and what it is."""
+"""The requests of a run and their arrival times, which do not depend on what the nodes do."""
 
 import math
 import random
@@ -24,20 +24,20 @@
 
 
 class ScheduledRequest(NamedTuple):
-    """A request, and the random stream of all that its attempts draw."""
+    """A request, and the random generator for everything that its attempts draw."""
 
     request: GeneratedRequest
     rng: random.Random
 
 
 class ArrivalSchedule:
-    """The slots of a run, step by step, and the request at each.
+    """The arrivals of a run, step by step, and the request of each.
 
     Attributes:
-        start_ms: The start of the warm-up, before 0.
+        start_ms: The start of the warm-up, at or before 0.
         end_ms: The end of the run.
         keys: The keys and their popularity.
-        generator: Generates requests, also where a trace is replayed.
+        generator: Generates requests; also available when a trace is replayed.
     """
 
     def __init__(
@@ -54,12 +54,12 @@
             scenario: The scenario.
             seeds: Random generators by name.
             node_zones: The zone of each node.
-            size_of: The bytes of a key's value; None: as the world has it.
-            base: The directory that a trace's path is relative to.
+            size_of: Returns the size in bytes of a key's value; None: as in the simulated servers.
+            base: The directory that the trace's path is relative to; None: the working directory.
 
         Raises:
             OSError: The trace can't be read.
-            ValueError: The trace does not fit the scenario.
+            ValueError: The trace does not match the scenario.
         """
         size_of = size_of or Objects(scenario, seeds).size
         self.start_ms = -scenario.warmup_s * 1000
@@ -78,16 +78,16 @@
             self._requests = self.generator
 
     def step(self, step: int, factor: RateFactor = baseline) -> list[Slot]:
-        """The slots of a step, in order of time."""
+        """Return the arrivals of a step, in order of time."""
         return self._arrivals.step(step, factor)
 
     def request(self, slot: Slot) -> ScheduledRequest:
-        """The request at a slot. Slots must come in order of time."""
+        """Return the request of an arrival. Call this in the order of the arrivals' times."""
         rng = stream(slot)
         return ScheduledRequest(self._requests.generate(slot, rng), rng)
 
     def all(self) -> Iterator[GeneratedRequest]:
-        """The requests of the whole run, without faults."""
+        """Yield the requests of the whole run, at the baseline rate."""
         for step in range(step_of(self.start_ms), math.ceil(self.end_ms / STEP_MS)):
             for slot in self.step(step):
                 yield self.request(slot).request
--- a/flintridge/lab/load/arrivals.py
+++ b/flintridge/lab/load/arrivals.py
@@ -1,9 +1,9 @@
-"""Arrival times of first attempts: an open loop, generated ahead by the seed, whatever the responses are.
+"""Arrival times of first attempts. The load is an open loop: it depends on the seed and not on responses.
 
-Time is divided into steps, and the rate into layers: layer 0 is the baseline rate, and each further one adds
-as much again while a burst lasts. Each step of each layer has a random stream of its own, and a reduced rate
-thins out candidates by a number of each candidate's own. So a burst never moves an arrival that comes
-without it.
+Time is divided into steps and the rate into layers. Layer 0 is the baseline rate, and each further layer adds
+the same rate again while a burst lasts. Each step of each layer has its own random stream. A reduced rate
+thins out the candidates, by a random number of each candidate. So a burst never moves an arrival that also
+occurs without it.
 """
 
 import math
@@ -17,26 +17,26 @@
 from flintridge.lab.world.draws import draw
 
 STEP_MS = 250.0
-SAMPLES_PER_STEP = 8  # instants of a step at which the rate factor is read, to know how many layers it needs
+SAMPLES_PER_STEP = 8  # the rate factor is sampled this often per step to find the number of layers
 SEED_BITS = 64
 
 RateFactor = Callable[[float], float]
-"""The multiple of the baseline rate at an instant of the run (ms)."""
+"""Returns the multiple of the baseline rate at a time of the run (ms)."""
 
 
 def baseline(_: float) -> float:
-    """The rate factor without any burst."""
+    """Return the rate factor without any burst: 1."""
     return 1.0
 
 
 class Slot(NamedTuple):
-    """An arrival; which request comes depends on `seed` alone.
+    """An arrival. Its request depends only on `seed`, or on the line of a trace.
 
     Attributes:
-        at_ms: When it is due.
-        layer: The layer of the rate, or which of a trace's repetitions.
-        number: Among the candidates of its layer and step, or the line of a trace.
-        seed: Of the request's random stream.
+        at_ms: When the request is scheduled.
+        layer: The layer of the rate; in a trace, the repetition of the line, from 0.
+        number: The index among the candidates of its layer and step; in a trace, the index of the line.
+        seed: The seed of the request's random stream.
     """
 
     at_ms: float
@@ -46,17 +46,17 @@
 
 
 def stream(slot: Slot) -> random.Random:
-    """All randomness of a slot's request and of its attempts."""
+    """Return the random generator for a slot's request and its attempts."""
     return random.Random(slot.seed)
 
 
 def step_of(at_ms: float) -> int:
-    """The step that an instant lies in."""
+    """Return the number of the step that a time lies in."""
     return math.floor(at_ms / STEP_MS)
 
 
 def layer_count(step: int, factor: RateFactor) -> int:
-    """How many layers a step needs; one more than the samples show, for what lies between them."""
+    """Return how many layers a step needs; in a burst one more than sampled, for peaks between samples."""
     maximum = max(factor((step + i / SAMPLES_PER_STEP) * STEP_MS) for i in range(SAMPLES_PER_STEP + 1))
     return 1 if maximum <= 1 else math.ceil(maximum) + 1
 
@@ -65,7 +65,7 @@
     """The baseline rate over time, as a multiple of its mean.
 
     Attributes:
-        peak: The maximum of the multiple.
+        peak: The largest multiple.
     """
 
     def __init__(self, load: Load, seeds: Seeds, start_ms: float, end_ms: float) -> None:
@@ -73,7 +73,7 @@
         self._swing = 0.0 if load.shape == "flat" else load.swing
         self._period_ms = load.period_s * 1000
         self.peak = 1.0 + self._swing
-        self._changes_ms: list[float] = []  # bursty: the instants at which high turns low, and low high
+        self._changes_ms: list[float] = []  # bursty: times at which the rate switches between high and low
         if load.shape == "bursty":
             rng = seeds.of("load/shape")
             at_ms = start_ms
@@ -82,7 +82,7 @@
                 self._changes_ms.append(at_ms)
 
     def __call__(self, at_ms: float) -> float:
-        """The multiple at an instant."""
+        """Return the multiple at a time of the run (ms)."""
         if self._kind == "wave":
             return 1.0 + self._swing * math.sin(math.tau * at_ms / self._period_ms)
         if self._kind == "bursty":
@@ -92,7 +92,7 @@
 
 
 class PoissonArrivals:
-    """Poisson arrivals over [start, end) in ms, at the load's rate, shape and bursts."""
+    """Poisson arrivals in [start_ms, end_ms), at the rate that load, shape and bursts give."""
 
     def __init__(self, load: Load, seeds: Seeds, start_ms: float, end_ms: float) -> None:
         self._seeds = seeds
@@ -102,7 +102,7 @@
         self._per_ms = draw(seeds.of("load/rate"), load.rate_per_s) / 1000 * self._shape.peak
 
     def step(self, step: int, factor: RateFactor = baseline) -> list[Slot]:
-        """The slots of a step, in order of time. The same arguments give the same slots."""
+        """Return the arrivals of a step, in order of time. The same arguments give the same arrivals."""
         slots: list[Slot] = []
         for layer in range(layer_count(step, factor)):
             self._add_layer(layer, step, factor, slots)
@@ -115,7 +115,7 @@
         at_ms = step * STEP_MS + rng.expovariate(self._per_ms)
         number = 0
         while at_ms < end_ms:
-            # Drawn for each candidate, admitted or not: one that is thinned out must not move the next one.
+            # Drawn also for candidates that are thinned out, so that they don't change the next candidates.
             threshold = rng.random()
             seed = rng.getrandbits(SEED_BITS)
             if self._start_ms <= at_ms < self._end_ms:
--- a/flintridge/lab/load/attempt_log.py
+++ b/flintridge/lab/load/attempt_log.py
@@ -1,4 +1,4 @@
-"""The records of a request's attempts, as its client sees them."""
+"""The client's records of the attempts of a request."""
 
 from dataclasses import dataclass
 
@@ -15,15 +15,15 @@
     """One attempt of a request.
 
     Attributes:
-        request_id: Its own id.
+        request_id: The attempt's own id.
         first_request_id: The id of the request's first attempt.
-        number: 0 for the first.
-        node: Where it goes; empty where no node is in use.
-        timeout_ms: How long the client will wait.
-        value_digest: Of the value that it writes.
+        number: 0 for the first attempt.
+        node: The node that it is sent to; empty if no node is in use.
+        timeout_ms: How long the client will wait for the response.
+        value_digest: Digest of the value that it writes; empty for a read.
         write_started_ms: When its first byte was written.
-        is_written: Whether its last byte has left.
-        is_resent: Whether it was sent once more, after a close that crossed it.
+        is_written: Whether its last byte has been written to the network.
+        is_resent: Whether it was sent again after a close of the connection crossed it.
     """
 
     request_id: str
@@ -38,7 +38,7 @@
 
 
 class AttemptLog:
-    """Records what becomes of the attempts of one request.
+    """Records the progress of the attempts of one request.
 
     Attributes:
         request: The request.
@@ -61,7 +61,7 @@
         self.request = request
 
     def sent(self, attempt: Attempt, connection: ClientConnection) -> None:
-        """Record that its last byte has left."""
+        """Record that an attempt's last byte has been sent."""
         request = self.request
         self._log.add(
             RequestSent(
@@ -85,7 +85,7 @@
         )
 
     def not_accepted(self, attempt: Attempt, reason: str) -> None:
-        """Record that it never got to a node as a whole."""
+        """Record that no node received an attempt completely."""
         request = self.request
         self._log.add(
             RequestNotAccepted(
@@ -106,12 +106,12 @@
         )
 
     def responded(self, attempt: Attempt, response: Response, kind: ResponseKind) -> None:
-        """Record its response; `kind` is what that is to this request."""
+        """Record a response to an attempt; `kind` is its kind as a response to this request."""
         now_ms = self._clock.now()
         self._log.add(response_record(now_ms, attempt.node, attempt.request_id, response, kind))
 
     def connection_closed(self, attempt: Attempt, end: ConnectionEnd) -> None:
-        """Record that its connection ended without a response."""
+        """Record that an attempt's connection ended without a complete response."""
         self._log.add(
             ResponseReceived(
                 at_ms=self._clock.now(),
@@ -123,12 +123,12 @@
         )
 
     def abandoned(self, attempt: Attempt, left_early: bool, lingers_ms: float = 0.0) -> None:
-        """Record that its client waits no more.
+        """Record that the client no longer waits for the response.
 
         Args:
             attempt: The attempt.
-            left_early: Whether before the time that it had said.
-            lingers_ms: How long it keeps the connection for a late response.
+            left_early: Whether the client left before the timeout that it had sent.
+            lingers_ms: How long the client keeps the connection open for a late response.
         """
         self._log.add(
             RequestAbandoned(
--- a/flintridge/lab/load/client_request.py
+++ b/flintridge/lab/load/client_request.py
@@ -1,4 +1,4 @@
-"""One request of a client: its attempts one after another, their timeouts, and what ends them."""
+"""One request of a client: its consecutive attempts, their timeouts, and how they end."""
 
 import asyncio
 import random
@@ -19,24 +19,24 @@
 from flintridge.lab.truth import RequestFacts
 
 CONNECT_TIMEOUT_MS = 1000.0
-MIN_SEND_MS = 1  # with less time left no attempt is sent
+MIN_SEND_MS = 1  # no attempt is sent with less time left than this
 
 
 @dataclass(frozen=True, slots=True)
 class ClientContext:
-    """What all requests share.
+    """What the requests of all clients share.
 
     Attributes:
-        settings: The scenario's clients.
-        retry_policy: What they do about retries.
+        settings: The scenario's settings of clients.
+        retry_policy: When clients retry.
         linger_ms: How long a client that has timed out keeps its connection for a late response.
-        encoder: Encodes their commands.
+        encoder: Encodes the clients' commands.
         clock: The run's clock.
-        log: Where they record what they see.
-        load_balancer: Which node a request goes to.
-        pools: Their connections.
-        put_facts: Takes what an attempt is about, by its id, before it is sent.
-        on_finished: Is notified when a request is over.
+        log: Receives the clients' records.
+        load_balancer: Chooses the node of a request.
+        pools: The clients' connections.
+        put_facts: Registers the ground truth about an attempt by its id, before it is sent.
+        on_finished: Called when a request has ended.
     """
 
     settings: ClientSettings
@@ -56,10 +56,10 @@
     """How the client of one request behaves.
 
     Attributes:
-        machine: The client machine.
-        follows_retry_after: Whether it waits as long as it is told to.
+        machine: Name of the client machine, such as `c0`.
+        follows_retry_after: Whether it waits for the retry-after time of a rejection.
         uses_dedicated_connections: Whether each attempt has a new connection that is never used again.
-        leaves_after: It goes away after this fraction of the first attempt's time; 0: it stays.
+        leaves_after: Fraction of the first attempt's timeout after which it leaves; 0: it stays.
     """
 
     machine: str
@@ -69,7 +69,7 @@
 
     @classmethod
     def generate(cls, settings: ClientSettings, rng: random.Random) -> "ClientTraits":
-        """Generate the traits of one client."""
+        """Draw the traits of one client."""
         machine = f"c{int(rng.random() * settings.pools)}"
         follows_retry_after = rng.random() < settings.honour
         uses_dedicated_connections = rng.random() < settings.once
@@ -79,10 +79,10 @@
 
 
 class ClientRequest:
-    """One request, through all its attempts. One of them is out at a time.
+    """One request with all its attempts, of which only one is in flight at a time.
 
     Attributes:
-        request_id: The id of the attempt that is out.
+        request_id: The id of the current attempt.
     """
 
     __slots__ = (
@@ -108,10 +108,10 @@
         """Create a request that is not started yet.
 
         Args:
-            context: What all requests share.
-            request: What it is about.
-            rng: Its own random stream.
-            counted: Whether metrics count it: not during the warm-up.
+            context: What the requests of all clients share.
+            request: The contents of the request.
+            rng: The request's own random generator.
+            counted: Whether metrics count the request; False during the warm-up.
         """
         settings = context.settings
         encoder = context.encoder
@@ -144,13 +144,13 @@
         self._route(on_new_connection=self._traits.uses_dedicated_connections)
 
     def stop(self) -> None:
-        """Forget it without a record: the run is over for the client, whatever is still out."""
+        """End the request without a record, at the end of the run."""
         self._stop_waiting()
 
     # ResponseHandler
 
     def on_connected(self, connection: ClientConnection) -> None:
-        """Write the attempt's command."""
+        """Write the attempt's command, unless it is too late for it."""
         context = self._context
         attempt = self._attempt
         now_ms = context.clock.now()
@@ -175,11 +175,11 @@
         connection.write(self, command.data)
 
     def on_connect_failed(self, reason: str) -> None:
-        """Take the attempt for one that no node accepted."""
+        """Record that no node accepted the attempt, and retry."""
         self._not_accepted(reason)
 
     def on_written(self) -> None:
-        """Start to wait: the last byte has left."""
+        """Record that the last byte has been sent, and start to wait for the response."""
         connection = self._connection
         assert connection is not None
         attempt = self._attempt
@@ -191,7 +191,7 @@
         self._log.sent(attempt, connection)
 
     def on_response(self, response: Response) -> bool:
-        """Finish or retry; returns whether it can be a response to this attempt."""
+        """Finish or retry; return False if the response can't be one to this attempt."""
         kind = kind_for(response, self.request_id, self._request.write)
         self._stop_waiting()
         self._log.responded(self._attempt, response, kind)
@@ -202,7 +202,7 @@
         return kind != "garbled"
 
     def on_connection_closed(self, end: ConnectionEnd) -> None:
-        """Send it once more where the end may have crossed it, else retry."""
+        """Send the attempt again if the close may have crossed it, else retry."""
         attempt = self._attempt
         self._stop_waiting()
         if not attempt.is_written:
@@ -216,7 +216,7 @@
             self._retry(is_harmless=False)
 
     def on_connection_dropped(self) -> None:
-        """Retry."""
+        """Record the end of the attempt, and retry."""
         self._stop_waiting()
         if self._attempt.is_written:
             self._log.abandoned(self._attempt, left_early=True)
@@ -227,7 +227,7 @@
     # The attempt
 
     def _route(self, on_new_connection: bool) -> None:
-        """Find a connection, through the load balancer."""
+        """Choose a node by the load balancer, and send the attempt on a connection to it."""
         attempt = self._attempt
         attempt.is_written = False
         balancer = self._context.load_balancer
@@ -240,7 +240,7 @@
         if node is not None and not on_new_connection and remaining_ms >= MIN_SEND_MS:
             connection = self._take(node)
             if connection is None and balancer.is_terminating(node):
-                node = balancer.choose(zone, fraction)  # no new connection goes to a terminating one
+                node = balancer.choose(zone, fraction)  # a terminating node gets no new connections
                 connection = None if node is None else self._take(node)
         attempt.node = node or ""
         if node is None:
@@ -257,7 +257,7 @@
         return self._context.pools.of(self._traits.machine, node).take()
 
     def _set_timer(self, sent_ms: float) -> None:
-        """Set until when this attempt's response is waited for."""
+        """Set the timer that ends the wait for the response."""
         if self._timer is not None:
             self._timer.cancel()
         attempt = self._attempt
@@ -283,7 +283,7 @@
         self._retry(is_harmless=not attempt.is_written)
 
     def _leave(self) -> None:
-        """Go away for good."""
+        """End the request because the client leaves early."""
         if self._attempt.is_written:
             self._log.abandoned(self._attempt, left_early=True)
         else:
@@ -303,14 +303,14 @@
             self._timer.cancel()
             self._timer = None
 
-    # What comes next
+    # Retries and the end
 
     def _not_accepted(self, reason: str) -> None:
         self._log.not_accepted(self._attempt, reason)
         self._retry(is_harmless=True)
 
     def _retry(self, is_harmless: bool, retry_after_ms: float = 0.0) -> None:
-        """Retry, or finish; `is_harmless`: the attempt that ended was surely not executed."""
+        """Retry, or finish; `is_harmless` says that the ended attempt was surely not executed."""
         clock = self._context.clock
         at_ms = self._schedule.next_attempt_ms(clock.now(), is_harmless, retry_after_ms, self._rng)
         if at_ms is None:
@@ -323,7 +323,7 @@
 
 
 class LateResponse:
-    """What is left of an attempt that timed out: a response soon after is recorded, no more."""
+    """The handler of an attempt that timed out: it only records a response that arrives soon after."""
 
     __slots__ = ("_attempt", "_log", "request_id")
 
@@ -333,25 +333,25 @@
         self.request_id = attempt.request_id
 
     def on_connected(self, connection: ClientConnection) -> None:
-        """Never comes: it had its connection."""
-        raise RuntimeError("an attempt that is over is not sent")
+        """Raise an error: the attempt already had its connection."""
+        raise RuntimeError("an attempt that has timed out can't be sent")
 
     def on_connect_failed(self, reason: str) -> None:
-        """Never comes: it had its connection."""
-        raise RuntimeError("an attempt that is over had its connection")
+        """Raise an error: the attempt already had its connection."""
+        raise RuntimeError("an attempt that has timed out needs no connection")
 
     def on_written(self) -> None:
-        """Nothing: it had been written before it timed out."""
+        """Do nothing: the attempt was written before it timed out."""
 
     def on_response(self, response: Response) -> bool:
-        """Record it; the client closes the connection."""
+        """Record the response; the client then closes the connection."""
         kind = kind_for(response, self.request_id, self._log.request.write)
         self._log.responded(self._attempt, response, kind)
         return False
 
     def on_connection_closed(self, end: ConnectionEnd) -> None:
-        """Record it."""
+        """Record the end of the connection."""
         self._log.connection_closed(self._attempt, end._replace(is_partial=False))
 
     def on_connection_dropped(self) -> None:
-        """Nothing: its client waits no more."""
+        """Do nothing: the client no longer waits."""
--- a/flintridge/lab/load/clients.py
+++ b/flintridge/lab/load/clients.py
@@ -1,4 +1,4 @@
-"""The clients of a run: they start requests, and know which are open."""
+"""The clients of a run, which start requests and keep track of the open ones."""
 
 import asyncio
 import random
@@ -17,7 +17,7 @@
 from flintridge.lab.seeds import Seeds
 from flintridge.lab.truth import GroundTruth, RequestFacts
 
-EXTRA_LINGER_MS = 5.0  # beyond the tolerance of the rule on responses, so that the end is surely seen
+EXTRA_LINGER_MS = 5.0  # beyond the tolerance of the rules on responses, so that its end is surely seen
 FACTS_RETENTION_MS = 60_000.0
 
 
@@ -27,7 +27,7 @@
 
 
 class RecentFacts:
-    """Ground truth about attempts, forgotten after a minute so that a long run does not grow."""
+    """Ground truth about attempts, which is dropped after a minute to bound the memory of a long run."""
 
     def __init__(self, ground_truth: GroundTruth, clock: RunClock) -> None:
         self._ground_truth = ground_truth
@@ -35,7 +35,7 @@
         self._expiries: deque[_Expiry] = deque()
 
     def put(self, request_id: str, facts: RequestFacts) -> None:
-        """Set what an attempt is about, before it is sent."""
+        """Set the ground truth about an attempt, before it is sent."""
         now_ms = self._clock.now()
         while self._expiries and self._expiries[0].put_ms < now_ms - FACTS_RETENTION_MS:
             self._ground_truth.forget(self._expiries.popleft().request_id)
@@ -44,13 +44,13 @@
 
 
 class Clients:
-    """Starts requests.
+    """Starts the requests of all clients.
 
     Attributes:
-        encoder: Encodes their commands.
-        facts: What their attempts are about.
-        open: The requests that are not over, in the order in which they came.
-        idle: Set while none is open.
+        encoder: Encodes the requests' commands.
+        facts: Ground truth about recent attempts.
+        open: The requests that have not ended, in the order of their starts.
+        idle: Set while no request is open.
     """
 
     def __init__(
@@ -82,12 +82,12 @@
         )
 
     def start(self, request: GeneratedRequest, rng: random.Random, counted: bool = True) -> None:
-        """Start a request that is due now.
+        """Start a request.
 
         Args:
             request: The request.
-            rng: Its own random stream.
-            counted: Whether metrics count it.
+            rng: The request's own random generator.
+            counted: Whether metrics count the request.
         """
         client_request = ClientRequest(self._context, request, rng, counted)
         self.open[client_request] = None
@@ -95,7 +95,7 @@
         client_request.start_attempt()
 
     def stop(self) -> None:
-        """Forget whatever is open, without a record."""
+        """End all open requests without a record."""
         for client_request in list(self.open):
             client_request.stop()
         self.open.clear()
--- a/flintridge/lab/load/commands.py
+++ b/flintridge/lab/load/commands.py
@@ -1,4 +1,4 @@
-"""The bytes of a request's attempts."""
+"""Encoding of requests as memcache commands."""
 
 import random
 from typing import NamedTuple
@@ -10,18 +10,18 @@
 from flintridge.lab.world.draws import lognormal
 
 MAX_VALUE_BYTES = 64 * 1024
-ROUGH_HINT_SIGMA = 0.3  # of a rough hint's logarithm
+ROUGH_HINT_SIGMA = 0.3  # standard deviation of the logarithm of a rough hint's error
 REQUEST_ID_BITS = 64
 _FILLER = bytes(97 + i * 7 % 26 for i in range(MAX_VALUE_BYTES))
 
 
 class Command(NamedTuple):
-    """The bytes of one attempt, and what they are about.
+    """The encoded command of one attempt.
 
     Attributes:
-        data: The bytes.
-        facts: What they are about.
-        value_digest: Of a write's value, by `record_log.body_digest`; empty for a read.
+        data: The command's bytes.
+        facts: The ground truth about the attempt.
+        value_digest: Digest of a write's value by `record_log.body_digest`; empty for a read.
     """
 
     data: bytes
@@ -43,14 +43,15 @@
         self._marks_retry = scenario.clients.marks_retry
 
     def work_hint_us(self, request: GeneratedRequest, rng: random.Random) -> int:
-        """The client's estimate of the work, in microseconds; 0 where it sends none."""
+        """Return the client's estimate of the work, in microseconds; 0 if it sends none."""
         if self._hints == "none":
             return 0
-        error = lognormal(rng, ROUGH_HINT_SIGMA)  # for exact ones too, so that the two differ in nothing else
+        # Also drawn for exact hints, so that runs with exact and rough hints differ in nothing else.
+        error = lognormal(rng, ROUGH_HINT_SIGMA)
         return max(1, round(request.work_ms * 1000 * (error if self._hints == "rough" else 1.0)))
 
     def is_keyed(self, request: GeneratedRequest) -> bool:
-        """Whether it goes with an idempotency key."""
+        """Whether the request has an idempotency key."""
         return request.write and self.classes[request.class_name].effect == "keyed"
 
     def encode(
@@ -62,15 +63,15 @@
         hint_us: int = 0,
         idempotency_key: str = "",
     ) -> Command:
-        """An attempt's command.
+        """Encode an attempt.
 
         Args:
-            request: What it requests.
+            request: The request.
             request_id: The attempt's id.
-            timeout_ms: How long the client will wait.
+            timeout_ms: How long the client will wait for the response.
             attempt_number: 0 for the first attempt.
-            hint_us: The estimate of the work; 0: none is sent.
-            idempotency_key: Empty: none is sent.
+            hint_us: Estimate of the work in microseconds; 0: none is sent.
+            idempotency_key: The idempotency key; empty: none is sent.
         """
         value = value_of(request.key, request_id, request.size) if request.write else b""
         size = len(value) if request.write else request.size
@@ -102,7 +103,10 @@
 
 
 def value_of(key: str, request_id: str, size: int) -> bytes:
-    """A write's value of about `size` bytes: which key and attempt it is of can be read in it."""
+    """Return a write's value, which starts with its key and request id.
+
+    It has `size` bytes, but at least those of that head and at most MAX_VALUE_BYTES.
+    """
     head = f"{key}|{request_id}|".encode()
     if size <= len(head):
         return head
@@ -110,5 +114,5 @@
 
 
 def new_id(rng: random.Random) -> str:
-    """16 hex digits."""
+    """Return a random id of 16 hexadecimal digits."""
     return f"{rng.getrandbits(REQUEST_ID_BITS):016x}"
--- a/flintridge/lab/load/connection.py
+++ b/flintridge/lab/load/connection.py
@@ -1,4 +1,4 @@
-"""A client's connection to a node: requests are pipelined, responses come in the order of the requests."""
+"""A client's connection to a node. Requests are pipelined; responses come in the order of the requests."""
 
 import asyncio
 from collections import deque
@@ -8,12 +8,12 @@
 
 
 class ConnectionEnd(NamedTuple):
-    """How the other end ended a connection.
+    """How the node ended a connection, as seen by one request on it.
 
     Attributes:
-        kind: By closing or by resetting it.
-        is_partial: Whether in the middle of this request's response.
-        may_have_crossed: Whether maybe between requests, without having read this one.
+        kind: Whether the node closed or reset the connection.
+        is_partial: Whether it ended in the middle of this request's response.
+        may_have_crossed: Whether the node may have closed it between requests, without reading this one.
     """
 
     kind: Literal["closed", "reset"]
@@ -22,7 +22,7 @@
 
 
 class ResponseHandler(Protocol):
-    """An attempt that waits for its response on a connection; it ends by one of the last three methods.
+    """An attempt that waits for its response on a connection. One of the last three methods ends it.
 
     Attributes:
         request_id: The attempt's id.
@@ -31,55 +31,55 @@
     request_id: str
 
     def on_connected(self, connection: "ClientConnection") -> None:
-        """Its connection is there."""
+        """A connection is ready for the attempt."""
 
     def on_connect_failed(self, reason: str) -> None:
-        """No connection came up."""
+        """No connection could be opened."""
 
     def on_written(self) -> None:
-        """The last byte of the command has left."""
+        """The last byte of the command has been sent."""
 
     def on_response(self, response: Response) -> bool:
-        """A response came; returns whether the connection may be used on."""
+        """A response arrived; return whether the connection may still be used."""
 
     def on_connection_closed(self, end: ConnectionEnd) -> None:
-        """The other end closed or reset the connection, in the middle of the response or before it."""
+        """The node closed or reset the connection, before or in the middle of the response."""
 
     def on_connection_dropped(self) -> None:
-        """The client closed the connection for another request's sake."""
+        """The client closed the connection because of another request on it."""
 
 
 class ConnectionOwner(Protocol):
-    """What a connection needs of its pool."""
+    """The methods of a pool that a connection calls."""
 
     def add(self, connection: "ClientConnection") -> None:
-        """It is open."""
+        """Add a connection that has been opened."""
 
     def release(self, connection: "ClientConnection") -> None:
-        """It is idle."""
+        """Take back a connection that has become idle."""
 
     def remove(self, connection: "ClientConnection") -> None:
-        """It is over."""
+        """Remove a connection that has ended."""
 
     def abandon_later(self, connection: "ClientConnection", delay_ms: float) -> None:
-        """Abandon it after a delay."""
+        """Abandon a connection after a delay."""
 
     def node_deaths(self) -> int:
-        """How often the node has died so far."""
+        """Return how often the node has died so far."""
 
     def log_response(self, request_id: str, response: Response) -> None:
-        """Record a response that no request waits for."""
+        """Record a response that no request is waiting for."""
 
 
 class ClientConnection(asyncio.Protocol):
-    """One connection.
+    """One connection of a client machine to a node.
 
     Attributes:
-        is_single_use: Whether it is kept open after its one request, and never used again.
-        pending: Who waits for a response, in the order of the requests.
-        number: Of the connection, unique in the run.
-        node_deaths: How often the node had died when it was opened.
-        idle_since_ms: When it was last used.
+        is_single_use: Whether it carries only one request. It then stays open, unused.
+        pending: The handlers that wait for a response, in the order of the requests.
+        number: The connection's number, unique in the run.
+        node_deaths: How often the node had died when the connection was opened.
+        idle_since_ms: When it last became idle.
     """
 
     __slots__ = (
@@ -104,9 +104,9 @@
         self._parser = ResponseParser()
         self._unwritten: deque[ResponseHandler] = deque()
         self._response_count = 0
-        self._last_request_id = ""  # that had a response
+        self._last_request_id = ""  # the last request that got a response
         self._is_over = False
-        self._awaits_late_response = False  # it is kept for that alone
+        self._awaits_late_response = False  # kept open only for a late response
         self.is_single_use = is_single_use
         self.pending: deque[ResponseHandler] = deque()
         self.number = 0
@@ -115,13 +115,13 @@
 
     @property
     def is_usable(self) -> bool:
-        """Whether a request may be written."""
+        """Whether a request may be written to the connection."""
         if self._is_over or self._awaits_late_response or self._transport is None:
             return False
         return not self._transport.is_closing()
 
     def write(self, handler: ResponseHandler, data: bytes) -> None:
-        """Send a command; its handler is notified when the last byte has left."""
+        """Send a command; its handler is notified when the last byte has been sent."""
         assert self._transport is not None
         self.pending.append(handler)
         self._transport.write(data)
@@ -131,14 +131,14 @@
             handler.on_written()
 
     def return_to_pool(self) -> None:
-        """Make it idle again: it was taken, and nothing was sent on it."""
+        """Return the connection to its pool, after it was taken and nothing was sent on it."""
         if self.is_usable and not self.pending:
             self._owner.release(self)
 
     def await_late_response(
         self, handler: ResponseHandler, late: ResponseHandler, duration_ms: float
     ) -> None:
-        """Let `late` wait in the place of a handler whose time is over, then close the connection."""
+        """Replace a handler that has timed out by `late` for this long, then close the connection."""
         if self._is_over:
             return
         self._awaits_late_response = True
@@ -146,7 +146,12 @@
         self._owner.abandon_later(self, duration_ms)
 
     def abandon(self, handler: ResponseHandler | None = None) -> None:
-        """Close it at once, for `handler`'s sake: the others on it lose their responses."""
+        """Close the connection at once.
+
+        Args:
+            handler: The handler that caused it, which is not notified. The other handlers are notified, and
+                lose their responses.
+        """
         if self._is_over:
             return
         handlers = self._finish()
@@ -159,22 +164,22 @@
     # asyncio.Protocol
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Join the pool."""
+        """Add the connection to its pool."""
         assert isinstance(transport, asyncio.Transport)
         self._transport = transport
         if self._is_over:  # abandoned while it was being opened
             transport.abort()
             return
-        transport.set_write_buffer_limits(high=0)  # so that it says when the last byte has left
+        transport.set_write_buffer_limits(high=0)  # so that resume_writing is called at the last byte
         self._owner.add(self)
 
     def resume_writing(self) -> None:
-        """Notify those whose last byte has left."""
+        """Notify the handlers whose last byte has been sent."""
         while self._unwritten:
             self._unwritten.popleft().on_written()
 
     def data_received(self, data: bytes) -> None:
-        """Hand each response to the request that is first in line."""
+        """Pass each response to the first pending handler."""
         for response in self._parser.feed(data):
             if self._is_over:
                 return
@@ -188,21 +193,22 @@
             self._on_idle()
 
     def eof_received(self) -> None:
-        """Take it for the end."""
+        """Handle the end of the node's data as the end of the connection."""
         self._on_closed("closed")
 
     def connection_lost(self, error: Exception | None) -> None:
-        """End what waits."""
+        """Notify all pending handlers of the end of the connection."""
         self._on_closed("closed" if error is None else "reset")
 
     def _dispatch(self, handler: ResponseHandler, response: Response) -> bool:
-        """Hand over a response; whether the connection may be used on."""
+        """Pass a response to its handler; return whether the connection may still be used."""
         previous = self._last_request_id
         if response.request_id and response.request_id == previous and previous != handler.request_id:
-            self._log(response)  # the request before got a second response
+            self._log(response)  # a second response to the previous request
         self._last_request_id = handler.request_id
         self._response_count += 1
-        if self._unwritten and self._unwritten[0] is handler:  # the response came before all was written
+        # The response may arrive before the command is completely written.
+        if self._unwritten and self._unwritten[0] is handler:
             self._unwritten.popleft().on_written()
         return handler.on_response(response)
 
@@ -215,7 +221,7 @@
             self._owner.release(self)
 
     def _on_unexpected(self, response: Response) -> None:
-        """A response to nobody: a second one to the last request, as far as anyone can tell."""
+        """Record an unexpected response as a second one to the last request, and close the connection."""
         if self._last_request_id:
             self._log(response)
         self.abandon()
@@ -227,7 +233,7 @@
         if self._is_over:
             return
         is_partial = self._parser.is_partial
-        # A process that was killed closed nothing "between requests": it may have read all of them.
+        # A killed process did not close the connection between requests: it may have read all of them.
         is_same_process = self.node_deaths == self._owner.node_deaths()
         may_have_crossed = self._response_count > 0 and not is_partial and is_same_process
         for handler in self._finish():
--- a/flintridge/lab/load/connection_pool.py
+++ b/flintridge/lab/load/connection_pool.py
@@ -1,6 +1,7 @@
 """Pools of the client machines' connections to nodes.
 
-The connection used latest is taken first, more are opened when all are busy, idle ones are closed in time.
+The most recently used connection is taken first, a new one is opened when all are busy, and connections that
+are idle for too long are closed.
 """
 
 import asyncio
@@ -23,11 +24,11 @@
         self._pools = pools
         self._machine = machine
         self._node = node
-        self._idle: list[ClientConnection] = []  # the latest used last
+        self._idle: list[ClientConnection] = []  # in the order of their last use
         self._open: dict[ClientConnection, None] = {}
 
     def take(self) -> ClientConnection | None:
-        """A connection that may be written to now; None where one must be opened."""
+        """Return a connection that can be written to now; None if one must be opened."""
         while self._idle:
             connection = self._idle.pop()
             if connection.is_usable:
@@ -39,23 +40,23 @@
         return None
 
     def open(self, handler: ResponseHandler, timeout_ms: float, is_single_use: bool) -> None:
-        """Open a connection for `handler`, which is notified."""
+        """Open a connection in the background; `handler` is notified of the result."""
         self._pools.start(self._connect(handler, timeout_ms, is_single_use))
 
     def add(self, connection: ClientConnection) -> None:
-        """Take in a connection that is open now."""
+        """Add a connection that has been opened."""
         connection.number = self._pools.next_number()
         connection.node_deaths = self.node_deaths()
         self._open[connection] = None
 
     def release(self, connection: ClientConnection) -> None:
-        """Take a connection for idle."""
+        """Keep an idle connection for further requests, unless it is for a single use."""
         if not connection.is_single_use:
             connection.idle_since_ms = self._pools.fabric.clock.now()
             self._idle.append(connection)
 
     def remove(self, connection: ClientConnection) -> None:
-        """Forget a connection that is over."""
+        """Remove a connection that has ended."""
         self._open.pop(connection, None)
         if connection in self._idle:
             self._idle.remove(connection)
@@ -65,7 +66,7 @@
         self._pools.fabric.clock.call_later(delay_ms, connection.abandon)
 
     def close_idle(self, before_ms: float) -> None:
-        """Close what was used last before this instant."""
+        """Close idle connections that were last used before this time."""
         while self._idle and self._idle[0].idle_since_ms < before_ms:
             self._idle[0].abandon()
 
@@ -75,11 +76,11 @@
             connection.abandon()
 
     def node_deaths(self) -> int:
-        """How often the node has died so far."""
+        """Return how often the node has died so far."""
         return self._pools.node_deaths(self._node)
 
     def log_response(self, request_id: str, response: Response) -> None:
-        """Record a response that no request waits for."""
+        """Record a response that no request is waiting for."""
         now_ms = self._pools.fabric.clock.now()
         self._pools.log.add(response_record(now_ms, self._node, request_id, response))
 
@@ -109,10 +110,10 @@
     """The pools of all client machines, by machine and node.
 
     Attributes:
-        fabric: What connections are opened by.
-        log: Where responses are recorded that no request waits for.
-        node_deaths: How often a node has died so far.
-        max_pipelined: Requests that may wait on one connection.
+        fabric: Opens the connections.
+        log: Receives the records of responses that no request is waiting for.
+        node_deaths: Returns how often a node has died so far.
+        max_pipelined: The most requests that may be in flight on one connection.
     """
 
     def __init__(
@@ -134,7 +135,7 @@
         self._timer: asyncio.TimerHandle | None = None
 
     def of(self, machine: str, node: str) -> ConnectionPool:
-        """The pool of a client machine for a node."""
+        """Return the pool of a client machine for a node, created on first use."""
         pool = self._pools.get((machine, node))
         if pool is None:
             pool = ConnectionPool(self, machine, node)
@@ -142,17 +143,17 @@
         return pool
 
     def next_number(self) -> int:
-        """The next connection's number."""
+        """Return the number of the next connection."""
         return next(self._numbers)
 
     def start(self, coroutine: Coroutine[Any, Any, None]) -> None:
-        """Run a coroutine until `close`."""
+        """Run a coroutine in the background, at most until `close`."""
         task = asyncio.ensure_future(coroutine)
         self._tasks[task] = None
         task.add_done_callback(lambda done: self._tasks.pop(done, None))
 
     def close_idle(self) -> None:
-        """Close connections that have been idle for too long, now and from now on."""
+        """Close connections that have been idle for too long, now and at regular intervals."""
         clock = self.fabric.clock
         before_ms = clock.now() - self._max_idle_ms
         for pool in self._pools.values():
@@ -160,7 +161,7 @@
         self._timer = clock.call_later(IDLE_CHECK_INTERVAL_MS, self.close_idle)
 
     async def close(self) -> None:
-        """Close all connections, and open no more."""
+        """Stop opening connections, and close all of them."""
         if self._timer is not None:
             self._timer.cancel()
         tasks = list(self._tasks)
--- a/flintridge/lab/load/driver.py
+++ b/flintridge/lab/load/driver.py
@@ -1,4 +1,4 @@
-"""The load of a run: requests are started when they are due, and faults change the load."""
+"""The load of a run: starts requests at their scheduled times, and changes the load as faults require."""
 
 import asyncio
 from collections import deque
@@ -18,7 +18,7 @@
 from flintridge.lab.seeds import Seeds
 from flintridge.lab.truth import GroundTruth
 
-FINISH_MARGIN_MS = 7_000.0  # beyond the longest deadline, until which a run waits for what is open
+FINISH_MARGIN_MS = 7_000.0  # a run waits for open requests this much longer than the longest deadline
 
 
 class LoadDriver:
@@ -27,8 +27,8 @@
     Faults change the load by `burst`, `hot_key`, `cool` and `bad_clients`.
 
     Attributes:
-        schedule: Which requests come when.
-        load_balancer: Which node a request goes to.
+        schedule: The requests and their arrival times.
+        load_balancer: Chooses the node of a request.
     """
 
     def __init__(
@@ -50,18 +50,18 @@
         Args:
             scenario: The scenario.
             seeds: Random generators by name.
-            log: Where the clients record what they see.
-            ground_truth: Where they put what a request is about.
-            fabric: What they connect by.
-            nodes: All nodes.
-            node_zones: Their zones.
+            log: Receives the clients' records.
+            ground_truth: Receives the facts about each attempt.
+            fabric: Opens the clients' connections.
+            nodes: Names of all nodes.
+            node_zones: The zone of each node.
             size_of: As for `ArrivalSchedule`.
             base: As for `ArrivalSchedule`.
-            on_request: Is notified of each request when it is started, as for a trace.
+            on_request: Called with each request when it is started, for example to write a trace.
 
         Raises:
             OSError: The scenario's trace can't be read.
-            ValueError: The trace does not fit the scenario.
+            ValueError: The trace does not match the scenario.
         """
         zones = [node_zones.get(node, "") for node in nodes]
         self.schedule = ArrivalSchedule(scenario, seeds, zones, size_of, base)
@@ -79,7 +79,7 @@
         self._factor: RateFactor = baseline
         self._due: deque[Slot] = deque()
         self._next_step = 0
-        self._passed_ms = 0.0  # up to which arrivals have been started, or passed over
+        self._handled_until_ms = 0.0  # arrivals up to this time have been started or skipped
         self._timer: asyncio.TimerHandle | None = None
         self._all_started: asyncio.Future[None] | None = None
 
@@ -104,23 +104,23 @@
     # The run
 
     async def start(self) -> None:
-        """Get ready to be notified of nodes; nothing is sent yet."""
+        """Start to close idle connections; nothing is sent yet."""
         self._pools.close_idle()
 
     async def wait_until_ready(self, timeout_ms: float) -> bool:
-        """Wait until all nodes are in use; False where the time ran out."""
+        """Wait until all nodes are in use; return False on a timeout."""
         return await self.load_balancer.wait_until_ready(timeout_ms)
 
     async def run(self) -> None:
-        """Run until the last arrival was started and every attempt is over.
+        """Run until the last arrival was started and every request has ended.
 
-        The clients' own deadlines bound that; what is still open some seconds after the longest of them is
-        left.
+        The clients' own deadlines bound that time. Requests that are still open FINISH_MARGIN_MS after the
+        longest deadline are dropped.
         """
         self._all_started = asyncio.get_running_loop().create_future()
-        # What was due before this is passed over: sent all at once, it would be a burst of its own.
-        self._passed_ms = max(self._clock.now(), self.schedule.start_ms)
-        self._next_step = step_of(self._passed_ms)
+        # Arrivals before this time are skipped: sent all at once, they would be a burst of their own.
+        self._handled_until_ms = max(self._clock.now(), self.schedule.start_ms)
+        self._next_step = step_of(self._handled_until_ms)
         self._schedule_next()
         await self._all_started
         self._malformed.stop()
@@ -132,7 +132,7 @@
             self._clients.stop()
 
     async def close(self) -> None:
-        """Send nothing any more, and close all connections."""
+        """Stop sending, and close all connections."""
         if self._timer is not None:
             self._timer.cancel()
         self._clients.stop()
@@ -142,45 +142,49 @@
 
     @property
     def open_requests(self) -> int:
-        """Requests that are not over."""
+        """The number of requests that have not ended."""
         return len(self._clients.open)
 
-    # What faults change
+    # LoadControls
 
     def burst(self, factor: RateFactor) -> None:
-        """Let the rate at an instant (ms of the run) be this multiple of the baseline, from now on."""
+        """Set the rate from now on.
+
+        Args:
+            factor: Returns the multiple of the baseline rate at a time of the run (ms).
+        """
         self._factor = factor
         if self._all_started is None or self._all_started.done():
             return
         if self._timer is not None:
             self._timer.cancel()
-        # What was scheduled under the old factor and is not due yet is scheduled anew; a timer may be late,
-        # so some of it may be due.
+        # Arrivals that the old factor scheduled and that are not due yet are scheduled again. The timer may
+        # be late, so some arrivals may be due; these are kept.
         now_ms = self._clock.now()
         overdue = [slot for slot in self._due if slot.at_ms <= now_ms]
-        self._passed_ms = max(self._passed_ms, now_ms)
+        self._handled_until_ms = max(self._handled_until_ms, now_ms)
         self._due = deque(overdue)
-        self._next_step = step_of(self._passed_ms)
+        self._next_step = step_of(self._handled_until_ms)
         self._schedule_next()
 
     def hot_key(self, fraction: float) -> str:
-        """Let one key, chosen among the less popular half, take this fraction of the reads; its name."""
-        return self.schedule.keys.heat(fraction)
+        """Direct this fraction of the reads to one key of the less popular half; return its name."""
+        return self.schedule.keys.set_hot_key(fraction)
 
     def cool(self) -> None:
-        """Let no key be hot any more."""
-        self.schedule.keys.cool()
+        """End the effect of `hot_key`."""
+        self.schedule.keys.clear_hot_key()
 
     def bad_clients(self, per_s: float, kinds: Sequence[str], on: bool) -> None:
         """Start or stop malformed clients.
 
         Args:
-            per_s: How many a second.
-            kinds: Of these kinds; none: of all.
-            on: Whether to start.
+            per_s: Malformed clients a second.
+            kinds: Their kinds; empty: all kinds.
+            on: Whether to start them; False stops them.
 
         Raises:
-            ValueError: There is no such kind.
+            ValueError: A kind is unknown.
         """
         if on:
             self._malformed.start(per_s, tuple(kinds))
@@ -190,14 +194,14 @@
     # Arrivals
 
     def _schedule_next(self) -> None:
-        """Set the timer for the next arrival, or for the next step where this one holds none."""
+        """Set the timer for the next arrival, or for the next step if this one has no further arrivals."""
         assert self._all_started is not None
         if not self._due:
             if self._next_step * STEP_MS >= self.schedule.end_ms:
                 self._all_started.set_result(None)
                 return
             slots = self.schedule.step(self._next_step, self._factor)
-            self._due.extend(slot for slot in slots if slot.at_ms > self._passed_ms)
+            self._due.extend(slot for slot in slots if slot.at_ms > self._handled_until_ms)
             self._next_step += 1
         at_ms = self._due[0].at_ms if self._due else self._next_step * STEP_MS
         self._timer = self._clock.call_at(at_ms, self._start_due)
@@ -206,7 +210,7 @@
         now_ms = self._clock.now()
         while self._due and self._due[0].at_ms <= now_ms:
             slot = self._due.popleft()
-            self._passed_ms = max(self._passed_ms, slot.at_ms)
+            self._handled_until_ms = max(self._handled_until_ms, slot.at_ms)
             scheduled = self.schedule.request(slot)
             if self._on_request is not None:
                 self._on_request(scheduled.request)
--- a/flintridge/lab/load/generated_requests.py
+++ b/flintridge/lab/load/generated_requests.py
@@ -1,4 +1,4 @@
-"""What a request is about: class, tenant, key, work, size and zone, generated at each arrival."""
+"""The contents of requests: class, tenant, key, work, size and zone, generated at each arrival."""
 
 import itertools
 import math
@@ -16,17 +16,17 @@
 
 
 class GeneratedRequest(msgspec.Struct, gc=False, frozen=True, forbid_unknown_fields=True):
-    """A first attempt, as it was generated; also one line of a trace.
+    """A request as it was generated; also one line of a trace.
 
     Attributes:
-        scheduled_ms: When it is due.
-        class_name: Its request class.
-        tenant: Its tenant; empty without tenants.
-        key: Its key.
+        scheduled_ms: When its first attempt is scheduled.
+        class_name: The name of its request class.
+        tenant: The name of its tenant; empty if the scenario has no tenants.
+        key: The key that it reads or writes.
         write: Whether it is a write.
-        work_ms: On a core of speed 1.
-        size: Bytes of the key's value.
-        zone: Of the load balancer that it goes to.
+        work_ms: The work that it costs, in ms on a core of speed 1.
+        size: The size of the key's value in bytes.
+        zone: The zone whose load balancer it arrives at.
     """
 
     scheduled_ms: float = msgspec.field(name="due_ms")
@@ -40,22 +40,22 @@
 
 
 class WeightedChoice:
-    """One of several by weight, from a number between 0 and 1."""
+    """A choice among several options by weight."""
 
     def __init__(self, weights: Sequence[float]) -> None:
         self._cumulative_weights = list(itertools.accumulate(weights))
 
     def at(self, fraction: float) -> int:
-        """The index of the choice at this fraction of all weight."""
+        """Return the index of the option at this fraction (0 to 1) of the total weight."""
         index = bisect_right(self._cumulative_weights, fraction * self._cumulative_weights[-1])
         return min(index, len(self._cumulative_weights) - 1)
 
 
 def zone_weights(zones: Sequence[str], node_zones: Sequence[str], skew: float) -> list[float]:
-    """Fractions of the traffic by zone.
+    """Return the fraction of the traffic of each zone.
 
-    Even over the nodes, the first zone's larger by `skew` at the others' cost. Where no node has a zone of
-    these, the zones get equal fractions.
+    The traffic is even over the nodes, but the first zone's fraction is larger by `skew`, at the cost of the
+    others. If no node is in any of the zones, the zones are weighted equally before the skew.
     """
     counts = [float(node_zones.count(zone)) for zone in zones]
     if not sum(counts):
@@ -69,7 +69,7 @@
 
 
 class RequestGenerator:
-    """Generates the request of a slot from the slot's own stream, so that none moves another's numbers."""
+    """Generates the request of each slot from the slot's own random stream, so that slots are independent."""
 
     def __init__(
         self,
@@ -82,10 +82,10 @@
         """Create a generator.
 
         Args:
-            scenario: Classes, tenants, zones and load.
+            scenario: Provides classes, tenants, zones and load.
             seeds: Random generators by name.
-            keys: Which keys are popular.
-            size_of: The bytes of a key's value.
+            keys: The keys and their popularity.
+            size_of: Returns the size in bytes of a key's value.
             node_zones: The zone of each node.
         """
         self._keys = keys
@@ -93,7 +93,7 @@
         self._classes = scenario.classes
         self._class_choice = WeightedChoice([c.share for c in scenario.classes])
         self._mean_work_ms = [draw(seeds.of(f"load/work/{c.name}"), c.work_ms) for c in scenario.classes]
-        # Of the work's logarithm: not used by an exponential spread, and 0 without any.
+        # Standard deviation of the work's logarithm: unused by an exponential spread, 0 without a spread.
         variations = [c.cv if c.spread == "lognormal" else 0.0 for c in scenario.classes]
         self._sigmas = [math.sqrt(math.log1p(cv * cv)) for cv in variations]
         self._tenants = scenario.tenants
@@ -104,7 +104,12 @@
         self._zone_choice = WeightedChoice(weights)
 
     def generate(self, slot: Slot, rng: random.Random) -> GeneratedRequest:
-        """The request of this slot; `rng` is its stream. Slots must come in order of time (keys drift)."""
+        """Return the request of a slot.
+
+        Args:
+            slot: The arrival. Slots must come in order of time, because the popularity of keys drifts.
+            rng: The slot's random generator.
+        """
         index = self._class_choice.at(rng.random())
         request_class = self._classes[index]
         tenant_fraction = rng.random()
@@ -126,7 +131,7 @@
         )
 
     def _work_factor(self, index: int, rng: random.Random) -> float:
-        """Of a single request's work, with mean 1."""
+        """Draw the factor of a single request's work, with mean 1."""
         if self._classes[index].spread == "exponential":
             return rng.expovariate(1.0)
         sigma = self._sigmas[index]
--- a/flintridge/lab/load/keys.py
+++ b/flintridge/lab/load/keys.py
@@ -1,4 +1,4 @@
-"""Which key a request is about: uneven popularity that drifts, and at times one hot key."""
+"""The keys of requests: their popularity is uneven and drifts, and one key may be hot for a time."""
 
 import itertools
 from array import array
@@ -7,7 +7,7 @@
 from flintridge.lab.scenario import model
 from flintridge.lab.seeds import Seeds
 
-# Multiplying by an odd number is one to one modulo a power of two: no two keys have the same name.
+# Multiplication by an odd number is a bijection modulo a power of two, so no two keys have the same name.
 _ODD_MULTIPLIER = 0x9E3779B1
 _SALT_BITS = 24
 _NAME_BITS = 24
@@ -15,17 +15,17 @@
 
 
 class Keys:
-    """Keys by Zipf's law: the one of rank r (from 1) is requested as often as 1 / (r + offset) ** zipf.
+    """Keys by Zipf's law: the key of rank r (from 1) has the weight 1 / (r + offset) ** zipf.
 
     Attributes:
-        hot: A key that takes a fraction of the reads.
-        hot_fraction: That fraction; 0 where no key is hot.
+        hot: The hot key, which gets a fraction of the reads; empty if no key is hot.
+        hot_fraction: That fraction; 0 if no key is hot.
     """
 
     def __init__(self, spec: model.Keys, seeds: Seeds, start_ms: float = 0.0) -> None:
         """Create keys whose popularity drifts from `start_ms` on."""
         weights = ((rank + spec.offset) ** -spec.zipf for rank in range(1, spec.count + 1))
-        # An array, not a list: ten million floats as objects would take a third of a gigabyte.
+        # An array, because a list of ten million float objects would take a third of a gigabyte.
         self._cumulative_weights = array("d", itertools.accumulate(weights))
         self._key_at_rank = array("I", range(spec.count))
         self._name_bits = _SHORT_NAME_BITS if spec.count <= 1 << _SHORT_NAME_BITS else _NAME_BITS
@@ -40,36 +40,36 @@
         self.hot_fraction = 0.0
 
     def name(self, index: int) -> str:
-        """The key's name, which does not tell how popular it is."""
+        """Return a key's name, which does not show how popular the key is."""
         number = ((index + self._salt) * _ODD_MULTIPLIER) & ((1 << self._name_bits) - 1)
         return f"menu:{number:0{self._name_bits // 4}x}"
 
     def sample(self, fraction: float, at_ms: float) -> str:
-        """The key at a quantile of popularity.
+        """Return the key at a quantile of popularity.
 
         Args:
-            fraction: The quantile, 0 to 1, without 1.
-            at_ms: The instant; never before that of the last call.
+            fraction: The quantile: at least 0 and less than 1.
+            at_ms: The time of the run; never earlier than in the last call.
         """
         if at_ms >= self._next_drift_ms:
             self._drift_until(at_ms)
         rank = bisect_right(self._cumulative_weights, fraction * self._cumulative_weights[-1])
         return self.name(self._key_at_rank[min(rank, len(self._key_at_rank) - 1)])
 
-    def heat(self, fraction: float) -> str:
-        """Let one key, chosen among the less popular half, take this fraction of the reads; its name."""
+    def set_hot_key(self, fraction: float) -> str:
+        """Make one key of the less popular half get this fraction of the reads; return its name."""
         count = len(self._key_at_rank)
         self.hot = self.name(self._key_at_rank[self._hot_rng.randrange(count // 2, count)])
         self.hot_fraction = fraction
         return self.hot
 
-    def cool(self) -> None:
-        """Let no key be hot any more."""
+    def clear_hot_key(self) -> None:
+        """Make no key hot any more."""
         self.hot = ""
         self.hot_fraction = 0.0
 
     def _drift_until(self, at_ms: float) -> None:
-        """Exchange popular keys, chosen by weight, with any others."""
+        """Swap the ranks of keys chosen by weight with those of any other keys."""
         rng = self._drift_rng
         keys = self._key_at_rank
         weights = self._cumulative_weights
--- a/flintridge/lab/load/load_balancer.py
+++ b/flintridge/lab/load/load_balancer.py
@@ -1,6 +1,6 @@
 """The load balancer between clients and nodes.
 
-It uses the nodes that it knows to be ready, and learns late of those that died.
+It uses the nodes that it knows to be ready, and learns of a node's death with a delay.
 """
 
 import asyncio
@@ -15,13 +15,13 @@
 from flintridge.lab.world.draws import draw
 
 CHECK_INTERVAL_MS = 100.0
-# After SIGTERM or a failed readiness check, until which new connections still go to a node.
+# New connections still go to a node this long after SIGTERM, or after a failed readiness check in a drain.
 TERMINATION_NOTICE_MS = (200.0, 400.0)
 DRAIN_NOTICE_MS = 200.0
 
 
 class ZonedNodes:
-    """Nodes over which requests are distributed evenly, by zone."""
+    """Nodes by zone, over which requests are distributed evenly."""
 
     def __init__(self, nodes: Iterable[str], zones: Mapping[str, str]) -> None:
         self._all = list(nodes)
@@ -30,17 +30,17 @@
             self._by_zone.setdefault(zones.get(node, ""), []).append(node)
 
     def at(self, zone: str, fraction: float) -> str | None:
-        """One of the zone's nodes, or of all where the zone has none; `fraction` (0 to 1) decides."""
+        """Return the zone's node at `fraction` (0 to 1), or one of all nodes if the zone has none."""
         nodes = self._by_zone.get(zone) or self._all
         return nodes[int(fraction * len(nodes))] if nodes else None
 
 
 class LoadBalancer:
-    """Which node a request goes to.
+    """Chooses the node of a request.
 
-    The runner notifies it of what happens to nodes; it acts on that as late as a load balancer would: on a
-    death after the scenario's `notice_s`, on SIGTERM after 0.2 to 0.4 s, on a start once the node has
-    responded to `mn` with `MN`. After SIGTERM clients send on the connections that stay open, until the
+    The runner notifies it of changes of nodes, and it reacts with the delay of a real load balancer: to a
+    death after the scenario's `notice_s`, to SIGTERM after 0.2 to 0.4 s, and to a start once the node has
+    responded to `mn` with `MN`. After SIGTERM, clients still use connections that stay open, until the
     process is killed or another one starts.
     """
 
@@ -56,11 +56,11 @@
         """Create a load balancer that uses no node yet.
 
         Args:
-            nodes: All nodes.
-            zones: Their zones.
-            notice_s: How late it learns of a death.
-            fabric: What it connects by.
-            log: Where it records which nodes are ready.
+            nodes: Names of all nodes.
+            zones: The zone of each node.
+            notice_s: The delay until it learns of a death, in seconds.
+            fabric: Opens its connections.
+            log: Receives the records of nodes that became ready.
             seeds: Random generators by name.
         """
         self._nodes = tuple(nodes)
@@ -71,19 +71,19 @@
         self._rng = seeds.of("load/front")
         self._is_used = dict.fromkeys(nodes, False)
         self._is_ready = dict.fromkeys(nodes, False)
-        # Changes with each start and death: what was under way for an earlier incarnation is void.
+        # Changes with each start and death: a delayed action for an earlier incarnation has no effect.
         self._incarnation = dict.fromkeys(nodes, 0)
         self._deaths = dict.fromkeys(nodes, 0)
         self._checks: dict[str, asyncio.Task[None]] = {}
         self._changed = asyncio.Event()
-        self._terminating: dict[str, None] = {}  # after SIGTERM: only open connections are used on
+        self._terminating: dict[str, None] = {}  # after SIGTERM: only open connections are used
         self._for_new_connections = ZonedNodes((), {})
-        self._for_open_connections = ZonedNodes((), {})  # those that terminate as well
+        self._for_open_connections = ZonedNodes((), {})  # includes terminating nodes
 
-    # What the runner notifies
+    # Notifications from the runner
 
     def node_started(self, node: str) -> None:
-        """Check it until it is ready."""
+        """Check a node that has started until it is ready."""
         self._incarnation[node] += 1
         self._forget_termination(node)
         self._is_ready[node] = False
@@ -91,7 +91,7 @@
         self._checks[node] = asyncio.ensure_future(self._check_until_ready(node))
 
     def node_killed(self, node: str) -> None:
-        """Its process died, or its machine vanished: noticed later."""
+        """Handle the death of a node's process or machine, of which the load balancer learns later."""
         self._incarnation[node] += 1
         self._deaths[node] += 1
         self._forget_termination(node)
@@ -101,41 +101,44 @@
         self._fabric.clock.call_later(delay_ms, self._notice_death, node)
 
     def node_terminating(self, node: str) -> None:
-        """It got SIGTERM."""
+        """Handle SIGTERM of a node: it gets no new connections after a delay."""
         self._stop_check(node)
         delay_ms = draw(self._rng, TERMINATION_NOTICE_MS)
         self._fabric.clock.call_later(delay_ms, self._stop_using, node, self._incarnation[node])
 
     def node_draining(self, node: str) -> None:
-        """It was told to drain. It is sent `mn` every 0.1 s, until it has said no and yes again."""
+        """Handle a call to drain: send `mn` every 0.1 s until the node is unready, and then ready again."""
         self._stop_check(node)
         self._checks[node] = asyncio.ensure_future(self._check_drain(node))
 
-    # What clients call
+    # Calls of clients
 
     def choose(self, zone: str, fraction: float) -> str | None:
-        """A node for a new connection: one of the zone's, or of all where the zone has none in use.
+        """Choose a node for a new connection; None if no node is in use.
 
         Args:
-            zone: The zone.
-            fraction: Decides which, 0 to 1.
+            zone: The zone whose nodes are preferred; all nodes count if it has none in use.
+            fraction: Random number from 0 to 1 that selects the node.
         """
         return self._for_new_connections.at(zone, fraction)
 
     def choose_open(self, zone: str, fraction: float) -> str | None:
-        """As `choose`, for a request that may go on an open connection: terminating nodes count as well."""
+        """Choose a node, as `choose` does, for an open connection: terminating nodes count as well."""
         return self._for_open_connections.at(zone, fraction)
 
     def is_terminating(self, node: str) -> bool:
-        """Whether it gets no new connections after SIGTERM, though those that stay open are used on."""
+        """Whether a node gets no new connections after SIGTERM, while its open ones are still used."""
         return node in self._terminating
 
     def deaths(self, node: str) -> int:
-        """How often it has died so far: a connection from before a death was not closed by a live node."""
+        """Return how often a node has died so far.
+
+        A connection that was opened before the last death was not closed by a live node.
+        """
         return self._deaths[node]
 
     async def wait_until_ready(self, timeout_ms: float) -> bool:
-        """Wait until all nodes are in use; False where the time ran out."""
+        """Wait until all nodes are in use; return False on a timeout."""
         try:
             async with asyncio.timeout(timeout_ms / 1000):
                 while not all(self._is_used.values()):
@@ -146,7 +149,7 @@
         return True
 
     async def close(self) -> None:
-        """End all checks."""
+        """Cancel all readiness checks."""
         checks = list(self._checks.values())
         for node in self._nodes:
             self._stop_check(node)
@@ -169,7 +172,7 @@
             self._update_choices()
 
     def _notice_death(self, node: str) -> None:
-        if not self._is_ready[node]:  # it may have come back unnoticed
+        if not self._is_ready[node]:  # it may have restarted before its death was noticed
             self._set_used(node, is_used=False)
 
     def _stop_using(self, node: str, incarnation: int) -> None:
@@ -184,7 +187,7 @@
             check.cancel()
 
     async def _check_until(self, node: str, is_ready: bool) -> None:
-        """Check a node every 0.1 s until it says that it is ready, or not."""
+        """Check a node every 0.1 s until its readiness is `is_ready`."""
         while True:
             if await check_readiness(self._fabric, node) == is_ready:
                 return
--- a/flintridge/lab/load/malformed_clients.py
+++ b/flintridge/lab/load/malformed_clients.py
@@ -1,4 +1,4 @@
-"""Clients that send what cannot be parsed, at full speed, and what they get for it."""
+"""Clients that send malformed data at full speed, and the records of what nodes respond."""
 
 import asyncio
 import random
@@ -25,14 +25,14 @@
 CONNECT_TIMEOUT_MS = 1000.0
 
 Outcome = Literal["nothing", "closed", "error", "served", "anew"]
-"""`anew`: served, but upon a request id whose first use had been rejected."""
+"""`anew`: served, but for a request id that was free again because its first use had been rejected."""
 
 
 class MalformedClient(asyncio.Protocol):
-    """One malformed client on its connection: sends its script as fast as it can, and reads what comes.
+    """One malformed client on its own connection: sends its script as fast as it can, and reads responses.
 
     Attributes:
-        finished: Done when it has ended.
+        finished: Done when the client has ended.
     """
 
     def __init__(
@@ -41,12 +41,12 @@
         """Create a client.
 
         Args:
-            kind: Of its script.
-            node: Where it connects to.
-            script: What it sends.
+            kind: The kind of its script.
+            node: The node that it connects to.
+            script: The data that it sends.
             clock: The run's clock.
-            log: Where it records what it sees.
-            number: Its connection's, counted over the run with those of usual clients.
+            log: Receives its records.
+            number: The number of its connection, from the same count as those of regular clients.
         """
         self.finished: asyncio.Future[None] = asyncio.get_running_loop().create_future()
         self._kind = kind
@@ -56,7 +56,7 @@
         self._log = log
         self._number = number
         self._parser = ResponseParser()
-        self._prefix = script.valid_prefix  # until its response came
+        self._prefix = script.valid_prefix  # None once its response has arrived
         self._prefix_was_rejected = False
         self._sent_bytes = 0
         self._may_write = True
@@ -65,7 +65,7 @@
         self._transport: asyncio.Transport | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Start to send."""
+        """Start to send the script."""
         assert isinstance(transport, asyncio.Transport)
         self._transport = transport
         self._started_ms = self._clock.now()
@@ -78,16 +78,16 @@
         self._write_more()
 
     def pause_writing(self) -> None:
-        """Wait until the transport takes more."""
+        """Stop sending until the transport accepts more."""
         self._may_write = False
 
     def resume_writing(self) -> None:
-        """Send on."""
+        """Continue to send."""
         self._may_write = True
         self._write_more()
 
     def data_received(self, data: bytes) -> None:
-        """Read the response to the valid request, where there is one, then that to what is malformed."""
+        """Read the response to the valid request, if there is one, then that to the malformed data."""
         for response in self._parser.feed(data):
             if self._prefix is not None:
                 now_ms = self._clock.now()
@@ -99,15 +99,15 @@
                 return
 
     def eof_received(self) -> None:
-        """Take it for the end."""
+        """Handle the end of the node's data as the end of the connection."""
         self._end("closed")
 
     def connection_lost(self, error: Exception | None) -> None:
-        """End."""
+        """End the client."""
         self._end("closed")
 
     def stop(self) -> None:
-        """End without a record."""
+        """End the client without a record."""
         if not self.finished.done():
             self.finished.set_result(None)
         if self._timer is not None:
@@ -118,7 +118,7 @@
     def _outcome(self, response: Response) -> Outcome:
         if response.kind not in ("served", "ready"):
             return "error"
-        # What was rejected never ran, and its id is free: the second use is a request like any other.
+        # A rejected request was not executed and its id is free again, so the second use is a valid request.
         return "anew" if self._prefix_was_rejected else "served"
 
     def _write_more(self) -> None:
@@ -174,7 +174,7 @@
 def _unanswered_record(
     at_ms: float, node: str, prefix: ValidPrefix, outcome: Outcome
 ) -> ResponseReceived | RequestAbandoned:
-    """How a valid request ended that got no response."""
+    """Return the record of how a valid request without a response ended."""
     if outcome == "closed":
         return ResponseReceived(at_ms=at_ms, node=node, request_id=prefix.request_id, kind="closed")
     return RequestAbandoned(at_ms=at_ms, node=node, request_id=prefix.request_id)
@@ -182,18 +182,18 @@
 
 @dataclass(frozen=True, slots=True)
 class MalformedClientContext:
-    """What malformed clients need.
+    """What all malformed clients share.
 
     Attributes:
-        fabric: What they connect by.
-        load_balancer: Which node they go to.
-        log: Where they record what they see.
+        fabric: Opens their connections.
+        load_balancer: Chooses the nodes that they connect to.
+        log: Receives their records.
         encoder: Encodes their valid commands.
         rng: Their random generator.
-        generate: Generates a usual request due at an instant (ms).
-        put_facts: Takes what a valid request is about, by its id.
-        machine_count: How many client machines there are.
-        next_number: Numbers connections over the run.
+        generate: Generates a regular request that is scheduled at a time of the run (ms).
+        put_facts: Registers the ground truth about a valid request by its id.
+        machine_count: The number of client machines.
+        next_number: Returns the number of the next connection.
     """
 
     fabric: Fabric
@@ -208,7 +208,7 @@
 
 
 class MalformedClients:
-    """Malformed clients at a rate, while they are switched on."""
+    """Starts malformed clients at a rate, between `start` and `stop`."""
 
     def __init__(self, context: MalformedClientContext) -> None:
         self._context = context
@@ -218,37 +218,37 @@
         self._tasks: dict[asyncio.Task[None], None] = {}
 
     def start(self, per_s: float, kinds: tuple[str, ...]) -> None:
-        """Start to send.
+        """Begin to start malformed clients at random times, in place of those of an earlier call.
 
         Args:
-            per_s: How many clients a second.
-            kinds: Of these kinds; none: of all.
+            per_s: Mean number of clients a second; 0: none.
+            kinds: Their kinds; empty: all kinds.
 
         Raises:
-            ValueError: There is no such kind.
+            ValueError: A kind is unknown.
         """
         self.stop()
         unknown = [kind for kind in kinds if kind not in MALFORMED_KINDS]
         if unknown:
-            raise ValueError(f"no kind of bad client: {unknown[0]!r}")
+            raise ValueError(f"unknown kind of bad client: {unknown[0]!r}")
         if per_s > 0:
             self._per_ms = per_s / 1000
             self._kinds = kinds or MALFORMED_KINDS
             self._set_timer()
 
     def stop(self) -> None:
-        """Start no more."""
+        """Start no further clients."""
         if self._timer is not None:
             self._timer.cancel()
             self._timer = None
 
     async def wait_until_finished(self) -> None:
-        """Wait until all that were started have ended."""
+        """Wait until all started clients have ended."""
         while self._tasks:
             await asyncio.gather(*self._tasks, return_exceptions=True)
 
     async def close(self) -> None:
-        """End all."""
+        """Start no further clients, and end all that are running."""
         self.stop()
         tasks = list(self._tasks)
         for task in tasks:
@@ -283,6 +283,6 @@
                 await context.fabric.connect(machine, node, lambda: client)
             await client.finished
         except OSError:
-            pass  # the node is down: nothing was sent, no response is expected
+            pass  # the node is down: nothing was sent, so no response is expected
         finally:
             client.stop()
--- a/flintridge/lab/load/malformed_scripts.py
+++ b/flintridge/lab/load/malformed_scripts.py
@@ -1,4 +1,4 @@
-"""What clients send that cannot be parsed: a script for each kind."""
+"""Scripts of malformed clients: the data that each kind sends."""
 
 import random
 from collections.abc import Callable
@@ -13,18 +13,18 @@
 HUGE_VALUE_LIMIT_MS = 6000.0
 MAX_SENT_BYTES = 2_000_000
 CHUNK_BYTES = 64 * 1024
-TIMEOUT_MS = 1000  # that commands state
+TIMEOUT_MS = 1000  # the timeout that the commands contain
 FLOOD_LINES_PER_CHUNK = 2000
 BAD_LENGTHS = ("-5", "12x", "99999999999", "5.0", "")
 BAD_TIMEOUTS = ("-5", "soon", "nan", "1e999", "", "0x10")
 
 
 class ValidPrefix(NamedTuple):
-    """A valid request that goes before what is malformed; recorded like any other, only not counted.
+    """A valid request before the malformed data. It is recorded like any other, but metrics don't count it.
 
     Attributes:
-        request_id: Its id.
-        command: Its command.
+        request_id: The request's id.
+        command: The encoded request.
     """
 
     request_id: str
@@ -32,14 +32,14 @@
 
 
 class MalformedScript(NamedTuple):
-    """What a malformed client sends.
+    """The data that a malformed client sends.
 
     Attributes:
         first: Sent first.
-        repeated: Then sent again and again.
-        total_bytes: Until so much was sent in all.
-        limit_ms: How long the node has for its response.
-        valid_prefix: The valid request at the start of `first`, if there is one.
+        repeated: Sent repeatedly after `first`, until `total_bytes` are sent.
+        total_bytes: The total number of bytes to send, including `first`.
+        limit_ms: How long the node has to respond or close the connection.
+        valid_prefix: The valid request at the start of `first`; None if there is none.
     """
 
     first: bytes
@@ -50,7 +50,7 @@
 
 
 class _Source(NamedTuple):
-    """What scripts are made of: a request as a usual client would send it."""
+    """What scripts are built from: a request as a regular client would send it."""
 
     request: GeneratedRequest
     request_id: str
@@ -68,20 +68,20 @@
 def malformed_script(
     kind: str, request: GeneratedRequest, encoder: CommandEncoder, rng: random.Random
 ) -> MalformedScript:
-    """The script of a kind.
+    """Build a script.
 
     Args:
         kind: One of `MALFORMED_KINDS`.
-        request: A request as a usual client would send it.
-        encoder: Encodes its valid commands.
+        request: A request as a regular client would send it.
+        encoder: Encodes the script's valid commands.
         rng: The random generator.
 
     Raises:
-        ValueError: There is no such kind.
+        ValueError: The kind is unknown.
     """
     build = _BUILDERS.get(kind)
     if build is None:
-        raise ValueError(f"no kind of bad client: {kind!r}")
+        raise ValueError(f"unknown kind of bad client: {kind!r}")
     return build(_Source(request, new_id(rng), encoder, rng))
 
 
--- a/flintridge/lab/load/readiness.py
+++ b/flintridge/lab/load/readiness.py
@@ -1,20 +1,20 @@
-"""A readiness check of a node, as the load balancer makes it on a connection of its own."""
+"""The load balancer's readiness check of a node, each on a connection of its own."""
 
 import asyncio
 
 from flintridge.lab.fabric import Fabric
 from flintridge.lab.load.responses import ResponseParser
 
-CHECK_TIMEOUT_MS = 1000.0  # a node that is paused responds to none
-CLIENT_MACHINE = "c0"  # whose links the checks go over
+CHECK_TIMEOUT_MS = 1000.0  # a paused node does not respond
+CLIENT_MACHINE = "c0"  # the checks use the links of this client machine
 
 
 class ReadinessCheck(asyncio.Protocol):
-    """Sends `mn`.
+    """Sends `mn`, and reads the response.
 
     Attributes:
-        is_ready: Becomes True upon `MN`, False upon anything else.
-        transport: Of its connection, once there is one.
+        is_ready: Completes with True on the response `MN`, with False on anything else.
+        transport: The transport of the connection; None until it is open.
     """
 
     def __init__(self) -> None:
@@ -34,7 +34,7 @@
             self._finish(response.kind == "ready")
 
     def connection_lost(self, error: Exception | None) -> None:
-        """Take the end of the connection for a no."""
+        """Handle the end of the connection as not ready."""
         self._finish(is_ready=False)
 
     def _finish(self, is_ready: bool) -> None:
@@ -43,13 +43,13 @@
 
 
 async def check_readiness(fabric: Fabric, node: str) -> bool:
-    """Whether a node says within a second that it is ready."""
+    """Return whether a node responds within a second that it is ready."""
     check = ReadinessCheck()
     try:
         async with asyncio.timeout(CHECK_TIMEOUT_MS / 1000):
             await fabric.connect(CLIENT_MACHINE, node, lambda: check)
             return await check.is_ready
-    except OSError:  # a timeout is one too
+    except OSError:  # includes TimeoutError
         return False
     finally:
         if check.transport is not None:
--- a/flintridge/lab/load/responses.py
+++ b/flintridge/lab/load/responses.py
@@ -1,4 +1,4 @@
-"""A strict parser of what a node writes to its clients. It shares no code with the node, nor its mistakes."""
+"""A strict parser of a node's responses. It shares no code with the node, so it can't share its mistakes."""
 
 from typing import Literal, NamedTuple
 
@@ -9,24 +9,24 @@
 MAX_VALUE_BYTES = 64 * 1024
 MAX_LENGTH_DIGITS = 5
 MAX_RETRY_AFTER_DIGITS = 9
-MAX_TEXT_CHARACTERS = 120  # of a line that are kept
+MAX_TEXT_CHARACTERS = 120  # a recorded line is cut to this length
 LINE_STARTS = (b"VA ", b"HD ", b"SERVER_ERROR ", b"CLIENT_ERROR", b"ERROR\r", b"MN\r")
-START_BYTES = 16  # enough to tell any of them
+START_BYTES = 16  # long enough to tell the line starts apart
 
 ResponseKind = Literal["served", "refused", "failed", "error", "ready", "garbled"]
-"""`ready` is the response to `mn`; after `garbled` nothing more is read."""
+"""`ready` is the response to `mn`. After a `garbled` response, the parser reads no more."""
 
 
 class Response(NamedTuple):
     """One response.
 
     Attributes:
-        kind: What it says.
-        text: Its line, cut to 120 characters.
-        request_id: The request that it names; empty where it names none.
+        kind: The kind of the response.
+        text: The response's line, cut to 120 characters.
+        request_id: The request id in the response; empty if it has none.
         is_receipt: Whether it is the receipt of a write.
-        body_digest: Of the value or receipt.
-        retry_after_ms: Of a rejection; 0 where it has none.
+        body_digest: Digest of the value or receipt; empty if it has none.
+        retry_after_ms: The retry-after time of a rejection; 0 if it has none.
     """
 
     kind: ResponseKind
@@ -38,25 +38,25 @@
 
 
 class ResponseParser:
-    """Reads responses in their order out of bytes that come in any pieces."""
+    """Parses a stream of responses, whose bytes may arrive in pieces of any size."""
 
     __slots__ = ("_buffer", "_head", "_is_garbled", "_value_length")
 
     def __init__(self) -> None:
         self._buffer = b""
-        self._head: Response | None = None  # of a value that is not complete yet
+        self._head: Response | None = None  # the line of a value that is not complete yet
         self._value_length = 0
         self._is_garbled = False
 
     @property
     def is_partial(self) -> bool:
-        """Whether a response has started and is not complete."""
+        """Whether a response has started but is not complete."""
         return bool(self._buffer) or self._head is not None
 
     def feed(self, data: bytes) -> list[Response]:
-        """Take bytes; return the responses that are complete now.
+        """Parse further bytes, and return the responses that are complete now.
 
-        Once a response was garbled, nothing more is read.
+        After a garbled response, all further bytes are ignored.
         """
         responses: list[Response] = []
         if self._is_garbled:
@@ -67,7 +67,7 @@
             if self._head is None:
                 end = buffer.find(b"\r\n", position)
                 if end < 0 or end - position > MAX_LINE_BYTES:
-                    if _is_hopeless(buffer, position):
+                    if _is_never_valid(buffer, position):
                         responses.append(self._garble(buffer[position : position + MAX_TEXT_CHARACTERS]))
                     break
                 response = self._parse_line(buffer[position:end])
@@ -92,7 +92,7 @@
         return Response("garbled", _text(line))
 
     def _parse_line(self, line: bytes) -> Response | None:
-        """The response; None where its value follows."""
+        """Return the response of a line; None if its value follows."""
         fields = line.split(b" ")
         match fields[0]:
             case b"VA" if len(fields) == 3 and _is_length(fields[1]) and _is_id(fields[2]):
@@ -129,7 +129,7 @@
 
 
 def kind_for(response: Response, request_id: str, is_write: bool) -> ResponseKind:
-    """What a response is to the request that it must belong to; `garbled` where it can't be one to it."""
+    """Return the kind of a response to a given request; `garbled` if it can't be a response to it."""
     if response.kind == "ready":
         return "garbled"
     if response.kind == "served" and (response.request_id != request_id or response.is_receipt != is_write):
@@ -140,14 +140,14 @@
 def response_record(
     at_ms: float, node: str, request_id: str, response: Response, kind: ResponseKind | None = None
 ) -> ResponseReceived:
-    """What the log keeps of a response.
+    """Return the record of a response.
 
     Args:
-        at_ms: When it came.
-        node: Which node sent it.
+        at_ms: When it arrived.
+        node: The node that sent it.
         request_id: The request that it is a response to.
         response: The response.
-        kind: Where it is another than the response says.
+        kind: Its kind as a response to that request; None: the kind of the response itself.
     """
     if kind is None:
         kind = "garbled" if response.kind == "ready" else response.kind
@@ -166,10 +166,10 @@
     return line[:MAX_TEXT_CHARACTERS].decode("ascii", "replace")
 
 
-def _is_hopeless(buffer: bytes, position: int) -> bool:
-    """Whether no end of line can make a response of this.
+def _is_never_valid(buffer: bytes, position: int) -> bool:
+    """Whether the incomplete line can't become a response, whatever follows.
 
-    Noise shows by its first bytes; nobody should wait for its end of line.
+    Malformed data can be recognized by its first bytes or its length, without waiting for the end of line.
     """
     if len(buffer) - position > MAX_LINE_BYTES:
         return True
@@ -178,7 +178,7 @@
 
 
 def _is_length(text: bytes) -> bool:
-    """Plain digits without needless zeros, no more than a value may hold."""
+    """Whether the text is a length: digits without leading zeros, at most MAX_VALUE_BYTES."""
     if not text.isdigit() or len(text) > MAX_LENGTH_DIGITS or int(text) > MAX_VALUE_BYTES:
         return False
     return text == b"0" or text[:1] != b"0"
--- a/flintridge/lab/load/trace.py
+++ b/flintridge/lab/load/trace.py
@@ -1,4 +1,4 @@
-"""Traces: the requests of a run as a file, one JSON line each, to be replayed in another run."""
+"""Traces: files with the requests of a run, one JSON line each, which another run can replay."""
 
 import random
 from bisect import bisect_left
@@ -27,7 +27,7 @@
         The number of lines.
 
     Raises:
-        FileExistsError: No file is written over.
+        FileExistsError: The file exists; it is not overwritten.
     """
     count = 0
     with path.open("xb") as file:
@@ -38,21 +38,21 @@
 
 
 def read(path: Path, scenario: Scenario) -> list[GeneratedRequest]:
-    """The requests of a trace.
+    """Read the requests of a trace.
 
     Raises:
         OSError: The file can't be read.
-        ValueError: It names the line that does not fit the scenario, and why.
+        ValueError: A line does not match the scenario; the message has its number and the reason.
     """
     with path.open("rb") as file:
         return list(parse(file, scenario, str(path)))
 
 
 def parse(lines: Iterable[bytes], scenario: Scenario, name: str = "trace") -> Iterator[GeneratedRequest]:
-    """The requests of a trace's lines; `name` is the trace's in messages.
+    """Parse the lines of a trace; error messages call the trace by `name`.
 
     Raises:
-        ValueError: It names the line that does not fit the scenario, and why.
+        ValueError: A line does not match the scenario; the message has its number and the reason.
     """
     check = _TraceCheck(scenario)
     for number, line in enumerate(lines, 1):
@@ -69,7 +69,7 @@
 
 
 class _TraceCheck:
-    """Whether the requests of a trace, one after another, can be sent in a scenario."""
+    """Checks whether the requests of a trace, in their order, can be sent in a scenario."""
 
     def __init__(self, scenario: Scenario) -> None:
         self._is_write = {c.name: c.write for c in scenario.classes}
@@ -78,7 +78,7 @@
         self._last_ms = float("-inf")
 
     def problem(self, request: GeneratedRequest) -> str:
-        """Why this request can't be sent; empty where it can."""
+        """Return why this request can't be sent; empty if it can."""
         reason = self._problem_of_names(request) or self._problem_of_values(request)
         if not reason:
             self._last_ms = request.scheduled_ms
@@ -89,7 +89,7 @@
         if class_name not in self._is_write:
             return f"cls: {class_name!r}: not a class of the scenario ({', '.join(self._is_write)})"
         if request.write != self._is_write[class_name]:
-            return f"write: {request.write}: the class {class_name} is otherwise"
+            return f"write: {request.write}: the class {class_name} requires the opposite"
         tenants = self._tenants or [""]
         if request.tenant not in tenants:
             known = ", ".join(self._tenants) or "none"
@@ -108,21 +108,29 @@
         if not 0 <= request.size <= MAX_VALUE_BYTES:
             return f"size: {request.size}: must be 0 to {MAX_VALUE_BYTES}"
         if not self._last_ms <= request.scheduled_ms < float("inf"):
-            return f"due_ms: {request.scheduled_ms}: must not be before the line above ({self._last_ms})"
+            return (
+                f"due_ms: {request.scheduled_ms}: must not be before that of the line above ({self._last_ms})"
+            )
         return ""
 
 
 class _LineDraw(NamedTuple):
-    """What is drawn for a line of a trace, whatever the rate: whether it is repeated, and its seed."""
+    """The random numbers of a line of a trace, which do not depend on the rate.
+
+    Attributes:
+        threshold: The line is repeated once more if the fraction of the rate factor exceeds this.
+        seed: The seed of the line's random streams.
+    """
 
     threshold: float
     seed: int
 
 
 class Replay:
-    """A trace as a source of arrivals, in place of generated ones.
+    """Replays a trace in place of generated arrivals.
 
-    A burst repeats requests, or leaves some out; what falls outside of [start, end) is not sent.
+    A rate factor above 1 repeats requests, and one below 1 leaves some out. Requests outside of
+    [start_ms, end_ms) are not sent.
     """
 
     def __init__(
@@ -134,15 +142,15 @@
         start_ms: float,
         end_ms: float,
     ) -> None:
-        """Create a source.
+        """Create a replay.
 
         Args:
             trace: The requests, in order of time.
             seeds: Random generators by name.
-            keys: Which key is hot.
-            size_of: The bytes of a key's value.
-            start_ms: The run's first instant.
-            end_ms: The run's end.
+            keys: Provides the hot key.
+            size_of: Returns the size in bytes of a key's value.
+            start_ms: The start of the run, including the warm-up.
+            end_ms: The end of the run.
         """
         self._trace = trace
         self._keys = keys
@@ -154,9 +162,9 @@
         self._end_ms = end_ms
 
     def step(self, step: int, factor: RateFactor) -> list[Slot]:
-        """The slots of a step, in order of time.
+        """Return the arrivals of a step, in order of time.
 
-        A slot's layer is the repetition, its number the line.
+        A slot's layer is the repetition of the line, and its number is the index of the line.
         """
         first = bisect_left(self._scheduled_ms, max(step * STEP_MS, self._start_ms))
         after = bisect_left(self._scheduled_ms, min((step + 1) * STEP_MS, self._end_ms))
@@ -172,7 +180,7 @@
         return slots
 
     def generate(self, slot: Slot, rng: random.Random) -> GeneratedRequest:
-        """The request as the trace has it, but for a key that is hot now."""
+        """Return the request of a slot as in the trace, but with the hot key in place of some reads' keys."""
         request = self._trace[slot.number]
         if rng.random() < self._keys.hot_fraction and not request.write:
             hot = self._keys.hot
--- a/tests/lab/load/test_arrivals.py
+++ b/tests/lab/load/test_arrivals.py
@@ -15,7 +15,7 @@
 
 
 @pytest.mark.parametrize("shape", ["flat", "wave", "bursty"])
-def test_arrivals_when_the_rate_changes_for_a_while_keep_all_others_where_they_were(shape):
+def test_arrivals_when_the_rate_changes_for_a_while_then_others_keep_their_times(shape):
     load = model.Load(rate_per_s=100, shape=shape, swing=0.5, period_s=4)
     plain = slots(load, lambda t: 1.0)
     burst = slots(load, lambda t: 3.5 if 5000 <= t < 6100 else 1.0)
--- a/tests/lab/load/test_client_connection.py
+++ b/tests/lab/load/test_client_connection.py
@@ -1,4 +1,4 @@
-"""Connections of clients: how they end, and what becomes of the requests on them."""
+"""Connections of clients: how they end, and how the requests on them go on."""
 
 from support.load import LoadTrial, one_class
 
@@ -9,8 +9,8 @@
 )
 
 
-def test_request_when_a_close_crosses_it_is_sent_once_more():
-    """The node closes while the second request is on its way; the repeat is closed too, and that counts."""
+def test_request_when_a_close_crosses_it_then_is_sent_again_once():
+    """The node closes while the second request is in transit. It closes on the repeat too, which is final."""
 
     async def crossing(trial):
         await trial.fabric.clock.sleep_until(99.9)
@@ -26,15 +26,18 @@
     assert trial.events == ["RequestSent", "served", "RequestSent", "closed", "RequestSent", "closed"]
     closed = trial.of(ResponseReceived)[1]
     _, before, after = trial.of(RequestSent)
-    assert closed.at_ms - before.at_ms < 1  # the log has the time of the close
+    assert closed.at_ms - before.at_ms < 1  # the close is recorded at its time
     assert (before.request_id, before.attempt_number) == (after.request_id, after.attempt_number)
     assert before.connection != after.connection
     assert [c.request_id for c in trial.nodes["n0"].received[1:]] == [after.request_id]
     first = LoadTrial(lambda c: "close", one_class(retries=0), requests=[0.0])
-    assert first.events == ["RequestSent", "closed"]  # on a fresh connection nothing crossed
+    assert first.events == [
+        "RequestSent",
+        "closed",
+    ]  # on a new connection, no close between requests can cross
 
 
-def test_request_when_its_node_is_killed_is_not_sent_once_more():
+def test_request_when_its_node_is_killed_then_is_not_sent_again():
     async def kill(trial):
         await trial.fabric.clock.sleep_until(150.0)
         trial.load.load_balancer.node_killed("n0")
@@ -49,7 +52,7 @@
     assert trial.events == ["RequestSent", "served", "RequestSent", "reset"]
 
 
-def test_pipelined_requests_when_one_times_out_lose_their_connection():
+def test_pipelined_requests_when_one_times_out_then_lose_their_connection():
     def script(c):
         return None if c.index == 0 else b""
 
@@ -65,7 +68,7 @@
     assert middle == [first, first] and last != first
 
 
-def test_second_response_is_recorded_and_ends_the_connection():
+def test_response_when_it_is_a_second_one_then_is_recorded_and_ends_the_connection():
     trial = LoadTrial(lambda c: c.served + c.served, one_class(), requests=[0.0, 50.0])
     assert trial.events == ["RequestSent", "served", "served"] * 2
     first = trial.of(ResponseReceived)[:2]
--- a/tests/lab/load/test_client_connection_pool.py
+++ b/tests/lab/load/test_client_connection_pool.py
@@ -7,7 +7,7 @@
 )
 
 
-def test_connections_are_reused_latest_first_closed_when_idle_and_kept_when_single_use():
+def test_connections_when_idle_are_reused_latest_first_then_closed_unless_single_use():
     at = [0.0, 1.0, 100.0, 3000.0]
     trial = LoadTrial(lambda c: (20.0, c.served), one_class(idle_s=1.0), requests=at)
     connections = [a.connection for a in trial.of(RequestSent)]
--- a/tests/lab/load/test_client_request.py
+++ b/tests/lab/load/test_client_request.py
@@ -1,4 +1,4 @@
-"""Attempts of a request: timeouts, and what their ends are taken for."""
+"""Attempts of a request: their timeouts, and how their ends are recorded."""
 
 import pytest
 from support.load import LoadTrial, one_class
@@ -12,7 +12,7 @@
 from flintridge.lab.scenario.model import Clients, RequestClass, Scenario
 
 
-def test_attempts_when_unanswered_time_out_to_the_millisecond_and_end_by_the_deadline():
+def test_attempts_when_unanswered_then_time_out_exactly_and_end_by_the_deadline():
     trial = LoadTrial(lambda c: None, one_class(retries=9), requests=[0.0])
     sent = trial.of(RequestSent)
     abandoned = trial.of(RequestAbandoned)
@@ -27,18 +27,18 @@
     assert first.options["d"] == "550" and "r" not in first.options and second.options["r"] == "1"
     assert (
         len(trial.nodes["n0"].closed_ms) == 3 and trial.open_connections == 0
-    )  # the readiness check's and both attempts'
+    )  # the connections of the readiness check and of both attempts
 
 
 @pytest.mark.parametrize("response", [b"VA 2 Oother\r\nok\r\n", b"HD O%b cok\r\n", b"MN\r\n", b"EN\r\n"])
-def test_response_when_it_does_not_fit_its_request_is_garbled(response):
+def test_response_when_it_does_not_match_its_request_then_is_garbled(response):
     trial = LoadTrial(
         lambda c: response.replace(b"%b", c.request_id.encode()), one_class(retries=0), requests=[0.0, 50.0]
     )
     assert trial.events == ["RequestSent", "garbled"] * 2 and trial.nodes["n0"].connections == 3
 
 
-def test_half_a_response_when_the_connection_ends_is_recorded_as_such():
+def test_partial_response_when_the_connection_ends_then_is_recorded_as_such():
     trial = LoadTrial(lambda c: b"VA 5 O" if c.index else c.served, one_class(retries=0), requests=[0.0])
     assert trial.events == ["RequestSent", "served"]
 
@@ -53,7 +53,7 @@
     assert (end.kind, end.text) == ("reset", "in the middle of the answer")
 
 
-def test_request_counts_as_sent_once_its_last_byte_has_left():
+def test_request_when_its_last_byte_has_been_sent_then_counts_as_sent():
     async def read_again(trial):
         node = trial.nodes["n0"]
         await trial.fabric.clock.sleep_until(-10.0)
--- a/tests/lab/load/test_client_retries.py
+++ b/tests/lab/load/test_client_retries.py
@@ -12,10 +12,10 @@
 
 @pytest.mark.parametrize(("effect", "attempts"), [("safe", 3), ("keyed", 2), ("unsafe", 1)])
 @pytest.mark.parametrize("response", [b"SERVER_ERROR failed\r\n", b"nonsense\r\n", "close"])
-def test_retry_when_the_attempt_may_have_been_executed_comes_only_where_that_is_harmless(
+def test_retry_when_the_attempt_may_have_been_executed_then_comes_only_if_harmless(
     effect, attempts, response
 ):
-    """A keyed one within its window, which ends with the second attempt here."""
+    """A keyed request is retried within its deduplication window, which ends with the second attempt here."""
     trial = LoadTrial(
         lambda c: (140.0, response), one_class(effect, backoff="fixed", backoff_ms=100), requests=[0.0]
     )
@@ -25,7 +25,7 @@
     assert len({a.value_digest for a in trial.of(RequestSent)}) == (attempts if effect != "safe" else 1)
 
 
-def test_unsafe_request_when_rejected_or_not_accepted_is_retried():
+def test_unsafe_request_when_rejected_or_not_accepted_then_is_retried():
     trial = LoadTrial(
         lambda c: [b"SERVER_ERROR busy\r\n", b"HD O%b cok\r\n" % c.request_id.encode()][c.index],
         one_class("unsafe"),
@@ -44,7 +44,7 @@
     assert trial.of(RequestNotAccepted)[0].reason == "no connection: ConnectionRefusedError"
 
 
-def test_retry_after_is_followed_by_clients_that_honour_it_up_to_the_maximum():
+def test_retry_after_when_clients_honour_it_then_is_followed_up_to_the_maximum():
     def busy(c):
         return b"SERVER_ERROR busy 300\r\n" if c.index == 0 else c.served
 
--- a/tests/lab/load/test_commands.py
+++ b/tests/lab/load/test_commands.py
@@ -1,4 +1,4 @@
-"""Attempts' commands, read by the node's own parser."""
+"""Encoded commands, parsed by the node's own parser."""
 
 from hypothesis import given
 from hypothesis import strategies as st
@@ -16,7 +16,7 @@
 
 @given(st.integers(0, 65_536), st.booleans(), st.integers(0, 2))
 @FIXED
-def test_commands_when_parsed_by_a_node_have_all_that_was_encoded(size, write, attempt_number):
+def test_commands_when_parsed_by_a_node_then_have_all_encoded_fields(size, write, attempt_number):
     keyed = RequestClass(name="put", write=True, effect="keyed")
     scenario = Scenario(classes=(RequestClass(name="read"), keyed), tenants=(Tenant(name="acme"),))
     encoder = CommandEncoder(scenario)
@@ -35,7 +35,7 @@
         assert command.value_digest == body_digest(parsed.value) and command.facts.size == len(parsed.value)
 
 
-def test_command_when_clients_state_nothing_has_no_more_than_it_must():
+def test_command_when_clients_send_no_optional_fields_then_has_only_required_ones():
     load = model.Load(hints="none", tells_size=False)
     encoder = CommandEncoder(Scenario(load=load, clients=Clients(marks_retry=False)))
     request = GeneratedRequest(0.0, "read", "", "k", False, 1.0, 9, "east")
--- a/tests/lab/load/test_load_balancer.py
+++ b/tests/lab/load/test_load_balancer.py
@@ -1,4 +1,4 @@
-"""Which nodes the load balancer uses, and how late it learns of their ends."""
+"""Which nodes the load balancer uses, and its delay in learning of their ends."""
 
 from support.load import LoadTrial, one_class
 
@@ -11,7 +11,7 @@
 from flintridge.lab.scenario.model import Clients, Scenario
 
 
-def test_load_balancer_waits_for_ready_nodes_and_learns_late_of_deaths():
+def test_load_balancer_when_nodes_start_and_die_then_waits_for_ready_ones_and_learns_late_of_deaths():
     scenario = Scenario(
         length_s=8,
         warmup_s=0,
@@ -44,12 +44,12 @@
     assert [round(r.at_ms, -2) for r in trial.of(NodeStateChanged) if r.node == "n1"] == [1100, 5000]
     sent = [a for a in trial.of(RequestSent) if a.node == "n0"]
     new = [a.at_ms for a in sent if a.connection not in {b.connection for b in sent if b.at_ms < a.at_ms}]
-    assert max(new) < 6410  # from then on only connections that stay open are used
+    assert max(new) < 6410  # afterwards only connections that stay open are used
     assert max(a.at_ms for a in sent) > 7900
     assert trial.end < 8010 and all(a.counted for a in trial.of(RequestSent))
 
 
-def test_open_connections_when_their_node_got_sigterm_are_used_until_the_kill():
+def test_open_connections_when_their_node_got_sigterm_then_are_used_until_the_kill():
     scenario = Scenario(
         length_s=6,
         warmup_s=0,
--- a/tests/lab/load/test_load_driver.py
+++ b/tests/lab/load/test_load_driver.py
@@ -1,4 +1,4 @@
-"""The load of a run, and a burst in it."""
+"""The load of a run with and without a burst."""
 
 from support.load import LoadTrial
 
@@ -10,7 +10,7 @@
 from flintridge.lab.scenario.model import Clients, Scenario
 
 
-def test_burst_when_it_starts_in_the_run_applies_from_then_on():
+def test_burst_when_set_during_the_run_then_applies_from_that_time():
     scenario = Scenario(
         length_s=4, warmup_s=1, load=model.Load(rate_per_s=200), clients=Clients(leave_early=0.2, pools=1)
     )
--- a/tests/lab/load/test_malformed_clients.py
+++ b/tests/lab/load/test_malformed_clients.py
@@ -1,4 +1,4 @@
-"""Clients that send what cannot be parsed."""
+"""Clients that send malformed data."""
 
 import pytest
 from support.load import LoadTrial, one_class
@@ -13,7 +13,7 @@
 from flintridge.lab.scenario.model import Clients, Scenario
 
 
-def test_malformed_clients_have_a_connection_each():
+def test_malformed_clients_when_started_then_have_a_connection_each():
     scenario = Scenario(length_s=4, warmup_s=0, load=model.Load(rate_per_s=20), classes=one_class().classes)
 
     async def during(trial):
@@ -25,7 +25,7 @@
     assert len(valid) > 20 and len(set(valid)) == len(valid) and not counted & set(valid)
 
 
-def test_malformed_clients_record_what_nodes_respond():
+def test_malformed_clients_when_nodes_respond_or_not_then_record_the_outcome():
     scenario = Scenario(length_s=9, warmup_s=0, load=model.Load(rate_per_s=1), clients=Clients(retries=0))
 
     async def send_for_a_while(trial, kinds=()):
@@ -45,7 +45,7 @@
     served = LoadTrial(lambda c: b"MN\r\n", scenario, during=send_for_a_while).of(MalformedClientEnded)
     assert {b.outcome for b in served if b.kind == "flood"} == {"served"}
     used = {a.request_id for a in rejected.of(RequestSent) if not a.counted}
-    # An id whose first use was rejected is free again; one whose first use was served is not.
+    # An id whose first use was rejected is free again; an id whose first use was served is not.
     for first, expected in ((lambda c: b"SERVER_ERROR busy\r\n", "anew"), (lambda c: c.served, "served")):
         seen = set()
 
@@ -62,6 +62,6 @@
     assert max(b.at_ms for b in unanswered) < 12_100
 
 
-def test_malformed_clients_when_the_kind_is_unknown_raise():
-    with pytest.raises(ValueError, match="no kind of bad client: 'x'"):
+def test_malformed_clients_when_the_kind_is_unknown_then_raise():
+    with pytest.raises(ValueError, match="unknown kind of bad client: 'x'"):
         LoadTrial(lambda c: None, during=None, requests=[0.0]).load.bad_clients(1.0, ("x",), True)
--- a/tests/lab/load/test_responses.py
+++ b/tests/lab/load/test_responses.py
@@ -34,7 +34,7 @@
 
 @given(st.lists(st.sampled_from(RESPONSES), max_size=6), st.lists(st.integers(1, 9), min_size=1))
 @FIXED
-def test_responses_when_they_come_in_any_pieces_are_parsed_complete(responses, sizes):
+def test_responses_when_they_arrive_in_any_pieces_then_are_parsed_completely(responses, sizes):
     data = b"".join(data for data, _ in responses)
     sizes = itertools.cycle(sizes)
     parser = ResponseParser()
@@ -49,7 +49,7 @@
 
 
 @pytest.mark.parametrize("data", MALFORMED)
-def test_parser_when_bytes_are_no_response_reports_garbled_and_reads_no_more(data):
+def test_parser_when_bytes_are_no_response_then_reports_garbled_and_reads_no_more(data):
     parser = ResponseParser()
     parsed = parser.feed(b"MN\r\n" + data + b"MN\r\n")
     assert [one.kind for one in parsed] == ["ready", "garbled"]
@@ -58,7 +58,7 @@
 
 @given(st.lists(st.binary(max_size=40), max_size=5))
 @FIXED
-def test_parser_when_fed_noise_raises_nothing(pieces):
+def test_parser_when_fed_random_bytes_then_raises_nothing(pieces):
     parser = ResponseParser()
     for piece in pieces:
         parser.feed(piece)
--- a/tests/lab/load/test_retry_schedule.py
+++ b/tests/lab/load/test_retry_schedule.py
@@ -1,4 +1,4 @@
-"""The retries of one request, without any client."""
+"""The retry schedule of one request, without a client."""
 
 import random
 
@@ -26,7 +26,7 @@
     return retries.next_attempt_ms(now_ms, is_harmless, retry_after_ms, random.Random(1))
 
 
-def test_retries_when_all_are_used_end():
+def test_retries_when_all_are_used_then_end():
     retries = schedule()
     due_ms = []
     for _ in range(3):
@@ -36,7 +36,7 @@
 
 
 @pytest.mark.parametrize(("now_ms", "due_ms"), [(895.0, 995.0), (895.1, None)])
-def test_retry_when_too_little_time_would_be_left_is_not_sent(now_ms, due_ms):
+def test_retry_when_too_little_time_would_be_left_then_is_not_sent(now_ms, due_ms):
     assert next_attempt_ms(schedule(), now_ms) == due_ms
 
 
@@ -51,7 +51,7 @@
         ("keyed", "zone", True, True),
     ],
 )
-def test_retry_when_the_attempt_may_have_been_executed_depends_on_the_effect(
+def test_retry_when_the_attempt_may_have_been_executed_then_depends_on_the_effect(
     effect, scope, is_harmless, is_retried
 ):
     due_ms = next_attempt_ms(schedule(effect, scope), is_harmless=is_harmless)
@@ -59,10 +59,10 @@
 
 
 @pytest.mark.parametrize(("now_ms", "due_ms"), [(250.0, 350.0), (250.1, None)])
-def test_retry_when_the_deduplication_window_is_over_is_not_sent(now_ms, due_ms):
+def test_retry_when_the_deduplication_window_has_ended_then_is_not_sent(now_ms, due_ms):
     retries = schedule("keyed")
     retries.attempt_sent(50.0)
-    retries.attempt_sent(200.0)  # the window starts with the first
+    retries.attempt_sent(200.0)  # the window starts with the first attempt
     assert next_attempt_ms(retries, now_ms, is_harmless=True) == due_ms
 
 
@@ -70,12 +70,14 @@
     ("follows", "retry_after_ms", "due_ms"),
     [(True, 300.0, 300.0), (True, 900.0, 500.0), (True, 0.0, 100.0), (False, 300.0, 100.0)],
 )
-def test_pause_when_the_node_gives_advice_follows_it_up_to_the_maximum(follows, retry_after_ms, due_ms):
+def test_delay_when_the_node_sends_retry_after_then_follows_it_up_to_the_maximum(
+    follows, retry_after_ms, due_ms
+):
     retries = schedule(follows_retry_after=follows)
     assert next_attempt_ms(retries, retry_after_ms=retry_after_ms) == due_ms
 
 
-def test_pause_follows_the_kind_of_backoff():
+def test_delay_when_there_is_no_retry_after_then_follows_the_kind_of_backoff():
     assert next_attempt_ms(schedule(backoff="none")) == 0.0
     jitter = 0.5 + random.Random(1).random()
     assert next_attempt_ms(schedule(backoff="jitter")) == pytest.approx(100.0 * jitter)
--- a/tests/lab/load/test_trace.py
+++ b/tests/lab/load/test_trace.py
@@ -16,7 +16,7 @@
 )
 
 
-def test_trace_when_replayed_gives_the_same_requests(tmp_path):
+def test_trace_when_replayed_then_gives_the_same_requests(tmp_path):
     schedule = ArrivalSchedule(SCENARIO, Seeds(3), ["east"])
     requests = list(schedule.all())
     path = tmp_path / "trace.jsonl"
@@ -30,7 +30,7 @@
         s for n in range(step_of(-1000), 17) for s in replayed.step(n, lambda t: 2.5 if t > 0 else 0.0)
     ]
     assert {s.layer for s in repeated} == {0, 1, 2} and min(s.at_ms for s in repeated) > 0
-    replayed.keys.heat(1.0)
+    replayed.keys.set_hot_key(1.0)
     assert replayed.request(repeated[0]).request.key == replayed.keys.hot
 
 
@@ -58,6 +58,6 @@
 
 
 @pytest.mark.parametrize(("first", "second", "message"), MALFORMED)
-def test_trace_when_malformed_is_reported_by_line_and_reason(first, second, message):
+def test_trace_when_malformed_then_is_reported_by_line_and_reason(first, second, message):
     with pytest.raises(ValueError, match=re.escape(f"t.jsonl: {message}")):
         list(trace.parse([first, second], Scenario(), "t.jsonl"))
