--- a/flintridge/lab/backend/loopback_channel.py
+++ b/flintridge/lab/backend/loopback_channel.py
@@ -112,7 +112,7 @@
         """
         offset = 0
         gap_ms = 0.0
-        for size in link.cuts(len(data)):
+        for size in link.segment_sizes(len(data)):
             due_ms = depart_ms + link.delay(depart_ms, size)
             piece = Data(data[offset : offset + size])
             self.put(piece, max(due_ms, self.last_due_ms + gap_ms), sent_ms)
--- a/flintridge/lab/fabric.py
+++ b/flintridge/lab/fabric.py
@@ -45,7 +45,7 @@
     def delay(self, now: float, size: int) -> float:
         """Milliseconds that these bytes take."""
 
-    def cuts(self, size: int) -> list[int]:
+    def segment_sizes(self, size: int) -> list[int]:
         """Sizes of the segments in which a write arrives."""
 
 
--- a/flintridge/lab/virtual/link.py
+++ b/flintridge/lab/virtual/link.py
@@ -30,7 +30,7 @@
             Milliseconds from `now` until they arrive.
         """
 
-    def cuts(self, size: int, /) -> list[int]:
+    def segment_sizes(self, size: int, /) -> list[int]:
         """The sizes of the segments in which `size` bytes arrive, each at a time of its own."""
 
 
@@ -52,7 +52,7 @@
         """The same for every size (ms)."""
         return self.delay_ms
 
-    def cuts(self, size: int) -> list[int]:
+    def segment_sizes(self, size: int) -> list[int]:
         """Segments of equal size; the last one has the rest."""
         if not self.segment_bytes:
             return [size]
--- a/flintridge/lab/virtual/send_path.py
+++ b/flintridge/lab/virtual/send_path.py
@@ -32,7 +32,7 @@
         """
         loop = self._loop
         size = len(data)
-        sizes = self.link.cuts(size)
+        sizes = self.link.segment_sizes(size)
         if len(sizes) > 1:
             self._send_segments(data, sizes, arrive)
             return
--- a/flintridge/lab/world/link.py
+++ b/flintridge/lab/world/link.py
@@ -118,7 +118,7 @@
         """Draw whether a datagram arrives twice."""
         return self.fault.duplication > 0 and self._draw() < self.fault.duplication
 
-    def cuts(self, size: int) -> list[int]:
+    def segment_sizes(self, size: int) -> list[int]:
         """Draw the fragments of a write.
 
         Args:
--- a/tests/lab/world/test_link_table.py
+++ b/tests/lab/world/test_link_table.py
@@ -50,7 +50,7 @@
         table.place("n0", "a")
         table.place("s0", "a")
     for _ in range(5):
-        pieces = tables[0].link("n0", "s1").cuts(size)
+        pieces = tables[0].link("n0", "s1").segment_sizes(size)
         assert sum(pieces) == size and (min(pieces) > 0 or size == 0) and len(pieces) <= 4
     delays = [[table.link("n0", "s0").delay(0, 9) for _ in range(50)] for table in tables]
     assert delays[0] == delays[1] and 0.5 <= min(delays[0]) < max(delays[0]) <= 3
--- a/tests/support/loopback.py
+++ b/tests/support/loopback.py
@@ -16,7 +16,7 @@
     def delay(self, _now, _size):
         return self.random.uniform(0, 2) if self.random else self.delay_ms
 
-    def cuts(self, size):
+    def segment_sizes(self, size):
         if not self.random or size < 2:
             return [size]
         at = sorted({self.random.randrange(1, size) for _ in range(self.random.randrange(4))})
--- a/tests/support/virtual_network.py
+++ b/tests/support/virtual_network.py
@@ -82,6 +82,6 @@
     def delay(self, now, size):
         return self.random.random() * 5
 
-    def cuts(self, size):
+    def segment_sizes(self, size):
         offsets = sorted({self.random.randrange(size + 1) for _ in range(4)} | {0, size})
         return [end - start for start, end in pairwise(offsets)]
