--- a/flintridge/lab/world/__init__.py
+++ b/flintridge/lab/world/__init__.py
@@ -1,1 +1,1 @@
-"""Models of the machines round the nodes, free of I/O, and the thin drivers that put them on a fabric."""
+"""Models, without I/O, of the machines that nodes talk to, and thin drivers that run them on a fabric."""
--- a/flintridge/lab/world/assumed_notifications.py
+++ b/flintridge/lab/world/assumed_notifications.py
@@ -1,7 +1,7 @@
 """Assumed notifications: when a node counts as notified of the endpoint list although it was not.
 
-The model favours the node: what might excuse it (a cut link, a call that failed, a pause) puts the moment
-off.
+The model favours the node: anything that may excuse it (a cut link, a failed call, a pause) postpones that
+time.
 """
 
 from collections.abc import Callable
@@ -9,19 +9,19 @@
 
 from flintridge.lab.world.endpoint_list import EndpointChange, EndpointList
 
-WATCH_GAP_MS = 200.0  # a watch goes on if the next call comes within this of a response
-RESPONSE_ASSUMED_MS = 6000.0  # after which a response counts as received, arrived or not,
-WATCH_RESPONSE_ASSUMED_MS = 2000.0  # and after the wait of a call that might wait
-RELOAD_ASSUMED_MS = 4000.0  # after SIGHUP
-FAILED_CALL_FACTOR = 4.0  # times as long that a node has after a failed call
+WATCH_GAP_MS = 200.0  # a watch counts as continued if the next call follows its response within this time
+RESPONSE_ASSUMED_MS = 6000.0  # from a call until its response counts as received, whether it arrives or not
+WATCH_RESPONSE_ASSUMED_MS = 2000.0  # the same for a watch, from the end of its wait
+RELOAD_ASSUMED_MS = 4000.0  # from a SIGHUP until the list at that time counts as received
+FAILED_CALL_FACTOR = 4.0  # extends the time in which a node has to call, after a failed call
 
 
 @dataclass(slots=True, frozen=True)
 class UnconfirmedRevision:
-    """A revision that counts as received later, arrived or not.
+    """A revision that counts as received from a later time on, whether it arrives or not.
 
     Attributes:
-        assumed_at: From when on it does (ms of the run).
+        assumed_at: When it starts to count as received (ms of the run).
         revision: The revision.
     """
 
@@ -31,15 +31,15 @@
 
 @dataclass(slots=True)
 class SubscriberState:
-    """What discovery knows of a node's process.
+    """What discovery knows about a node's process.
 
     Attributes:
         notified: The revision up to which it is notified.
         last_contact: When it last called, or its watch was last open (ms of the run).
         failed: Whether its last call failed.
-        paused: Whether the process stands still.
-        open_calls: When the response to each open call counts as received (ms of the run), by its key.
-        unconfirmed: Revisions that count as received later.
+        paused: Whether the process is paused.
+        open_calls: Time when the response to an open call counts as received (ms of the run), by call key.
+        unconfirmed: Revisions that start to count as received at a later time.
     """
 
     notified: int
@@ -52,12 +52,12 @@
 
 @dataclass(slots=True, frozen=True)
 class AssumedNotification:
-    """A node counts as notified.
+    """A node starts to count as notified although it was not.
 
     Attributes:
-        node: The node.
-        revision: Up to this revision.
-        changes: What it is assumed to know by it.
+        node: Name of the node.
+        revision: The revision up to which it counts as notified.
+        changes: The changes that it is assumed to know from now on.
     """
 
     node: str
@@ -66,7 +66,7 @@
 
 
 class NotificationModel:
-    """Follows the calls of each node and tells whom to assume notified."""
+    """Tracks the calls of each node and determines which nodes to assume notified."""
 
     def __init__(
         self, endpoints: EndpointList, poll_within_ms: float, is_cut_off: Callable[[str], bool]
@@ -74,9 +74,9 @@
         """Start with no node.
 
         Args:
-            endpoints: The list.
-            poll_within_ms: Time within which a node has to call.
-            is_cut_off: Whether no call of a node can arrive at present.
+            endpoints: The endpoint list.
+            poll_within_ms: Time within which a node has to make its next call (ms).
+            is_cut_off: Returns whether calls of a node currently cannot reach discovery.
         """
         self._endpoints = endpoints
         self._poll_within_ms = poll_within_ms
@@ -84,28 +84,28 @@
         self._subscribers: dict[str, SubscriberState] = {}
 
     def started(self, now: float, node: str, revision: int) -> None:
-        """Take note of a new process, notified of the list by its configuration."""
+        """Add a new process of a node, which its configuration has notified of this revision."""
         self._subscribers[node] = SubscriberState(revision, now)
 
     def stopped(self, node: str) -> None:
-        """Take note that a process is gone."""
+        """Remove the process of a node, which has ended."""
         self._subscribers.pop(node, None)
 
     def paused(self, now: float, node: str, paused: bool) -> None:
-        """Take note that a process stands still, or goes on; its time begins anew then."""
+        """Set whether a process is paused; its time to make the next call restarts."""
         subscriber = self._subscribers.get(node)
         if subscriber is not None:
             subscriber.paused = paused
             subscriber.last_contact = max(subscriber.last_contact, now)
 
     def called(self, now: float, node: str, key: int, wait_until: float) -> None:
-        """Take note of a call.
+        """Add a call that arrived.
 
         Args:
             now: Time of the run in milliseconds.
-            node: The caller.
-            key: Of the call.
-            wait_until: End of its wait (ms of the run), in the past for one that may not wait.
+            node: Name of the calling node.
+            key: Key of the call.
+            wait_until: End of its wait (ms of the run); not after `now` for a call that may not wait.
         """
         subscriber = self._subscribers.get(node)
         if subscriber is None:
@@ -119,15 +119,15 @@
     def responded(
         self, now: float, node: str, key: int, revision: int, *, watches: bool, delivered: bool
     ) -> None:
-        """Take note of a response.
+        """End a call with a response.
 
         Args:
             now: Time of the run in milliseconds.
-            node: The caller.
-            key: Of the call.
-            revision: Up to which the response goes.
-            watches: Whether the call might wait.
-            delivered: Whether the bytes are on their way.
+            node: Name of the calling node.
+            key: Key of the call.
+            revision: Revision of the list in the response.
+            watches: Whether the call was allowed to wait.
+            delivered: Whether the response can reach the node.
         """
         subscriber = self._subscribers.get(node)
         if subscriber is None:
@@ -141,7 +141,7 @@
             subscriber.unconfirmed.append(UnconfirmedRevision(max(assumed_at, now), revision))
 
     def failed(self, now: float, node: str, key: int) -> None:
-        """Take note of a call that ended in an error, or was never answered."""
+        """End a call that failed with an error or will never get a response."""
         subscriber = self._subscribers.get(node)
         if subscriber is not None:
             subscriber.open_calls.pop(key, None)
@@ -149,14 +149,15 @@
             subscriber.failed = True
 
     def disconnected(self, now: float, node: str, key: int, *, broken: bool) -> None:
-        """Take note that a node left a call before its response.
+        """End a call that the node abandoned before its response.
 
-        That is no failed call unless its time was over.
+        The call counts as failed only if the connection was reset or the time of the call was over, which is
+        `WATCH_RESPONSE_ASSUMED_MS` before its response would count as received.
 
         Args:
             now: Time of the run in milliseconds.
-            node: The caller.
-            key: Of the call.
+            node: Name of the calling node.
+            key: Key of the call.
             broken: Whether the connection was reset.
         """
         subscriber = self._subscribers.get(node)
@@ -168,21 +169,21 @@
             subscriber.failed = True
 
     def unreachable(self, now: float, node: str) -> None:
-        """Take note that no call of a node can arrive at `now` (ms): as good as one that failed."""
+        """Treat a node whose calls cannot reach discovery at `now` (ms) like a node whose call failed."""
         subscriber = self._subscribers.get(node)
         if subscriber is not None:
             subscriber.last_contact = max(subscriber.last_contact, now)
             subscriber.failed = True
 
     def reloaded(self, now: float, node: str) -> None:
-        """Take note of a SIGHUP with another address: a sound node calls there at once."""
+        """Note a SIGHUP with a new address of discovery, which a correct node calls at once."""
         subscriber = self._subscribers.get(node)
         if subscriber is not None:
             unconfirmed = UnconfirmedRevision(now + RELOAD_ASSUMED_MS, self._endpoints.revision)
             subscriber.unconfirmed.append(unconfirmed)
 
     def check(self, now: float) -> list[AssumedNotification]:
-        """Who counts as notified by `now` (ms) without having been; of each change once."""
+        """Return the nodes that start to count as notified by `now` (ms), once for each change."""
         assumed: list[AssumedNotification] = []
         for node, subscriber in self._subscribers.items():
             if subscriber.notified == self._endpoints.revision:
@@ -193,7 +194,9 @@
             if self._is_cut_off(node):
                 self.unreachable(now, node)
                 continue
-            revision = max(self._take_unconfirmed(now, subscriber), self._overdue(now, subscriber))
+            revision = max(
+                self._pop_due_unconfirmed(now, subscriber), self._overdue_revision(now, subscriber)
+            )
             if revision > subscriber.notified:
                 changes = self._endpoints.changes_between(subscriber.notified, revision)
                 subscriber.notified = revision
@@ -202,15 +205,15 @@
         return assumed
 
     @staticmethod
-    def _take_unconfirmed(now: float, subscriber: SubscriberState) -> int:
-        """The latest revision that counts as received by now; 0 for none."""
+    def _pop_due_unconfirmed(now: float, subscriber: SubscriberState) -> int:
+        """Remove the unconfirmed revisions that are due and return the latest of them; 0 if there is none."""
         due = [item.revision for item in subscriber.unconfirmed if item.assumed_at <= now]
         if due:
             subscriber.unconfirmed = [item for item in subscriber.unconfirmed if item.assumed_at > now]
         return max(due, default=0)
 
-    def _overdue(self, now: float, subscriber: SubscriberState) -> int:
-        """The revision that a node which makes no call counts as notified of by its age; 0 for none."""
+    def _overdue_revision(self, now: float, subscriber: SubscriberState) -> int:
+        """Return the revision listed longer ago than a node may go without a call; 0 while it is in time."""
         within_ms = self._poll_within_ms * (FAILED_CALL_FACTOR if subscriber.failed else 1.0)
         if subscriber.open_calls or subscriber.last_contact + within_ms > now:
             return 0
--- a/flintridge/lab/world/cache_connection.py
+++ b/flintridge/lab/world/cache_connection.py
@@ -19,20 +19,20 @@
     error_response,
     stats_response,
 )
-from flintridge.lab.world.request_check import mismatch
+from flintridge.lab.world.request_check import describe_mismatch
 from flintridge.lab.world.server_connection import ServerConnection
 
 HEALTH_CHECK_WORK_MS = 0.2
-CORRUPTED = "spoilt"  # as an outcome in records
+CORRUPTED = "spoilt"  # outcome in records of a response that was corrupted
 
 
 @dataclass(slots=True, frozen=True)
 class PlainResponse:
-    """The response to a command that is no attempt.
+    """The response to a command that is not an attempt of a client's request.
 
     Attributes:
-        response: What goes out.
-        closes: Whether the connection closes after it.
+        response: The bytes to send.
+        closes: Whether the connection is closed after it.
     """
 
     response: bytes
@@ -45,19 +45,19 @@
     __slots__ = ("_backlog", "_handshake_done", "_handshake_started", "_pending", "_reader", "_unresponsive")
 
     def __init__(self, host: CacheHost, node: str) -> None:
-        """Make the connection from `node` to `host`."""
+        """Create the connection from `node` to `host`."""
         super().__init__(host, node)
         self._reader = CommandReader()
         self._pending: deque[CacheRequest | PlainResponse] = deque()  # started, in the order of responses
-        self._backlog: deque[CacheRequest | PlainResponse] = deque()  # beyond MAX_PIPELINED
-        self._unresponsive = False  # nothing leaves any more, and nothing is read
+        self._backlog: deque[CacheRequest | PlainResponse] = deque()  # beyond MAX_PIPELINED, not started
+        self._unresponsive = False  # nothing is sent or read any more
         self._handshake_done = host.kind.handshake_ms <= 0
-        self._handshake_started = False  # the first request waits for its end
+        self._handshake_started = False  # requests received before its end wait for it
 
     # asyncio.Protocol
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Accept the connection; the work of its handshake begins."""
+        """Accept the connection and start the work of its handshake."""
         super().connection_made(transport)
         if self._open:
             host = self._host
@@ -101,7 +101,7 @@
         model = host.model
         fact = host.truth.get(command.request_id)
         write = command.kind is CommandKind.WRITE
-        reason = mismatch(fact, command.key, write, command.extras)
+        reason = describe_mismatch(fact, command.key, write, command.extras)
         if reason or fact is None:
             self._reject(now, command, reason)
             return
@@ -115,7 +115,7 @@
             value_digest=body_digest(command.value) if command.value is not None else "",
         )
         if model.overloaded:
-            self._pending.append(request)  # its end is recorded with that of all others
+            self._pending.append(request)  # so that the crash records it as dropped, like all others
             host.crash_by_overload()
             return
         if len(self._pending) >= MAX_PIPELINED:
@@ -154,7 +154,7 @@
             self._host.finish(now, request)
 
     def _on_handshake_done(self) -> None:
-        """Start what came during the handshake."""
+        """Start the requests that were received during the handshake."""
         if not self._open or self._handshake_done:
             return
         self._handshake_done = True
@@ -186,7 +186,7 @@
     # Responses
 
     def flush(self, now: float) -> None:
-        """Write what can leave at `now` (ms): responses keep the order of their commands."""
+        """Write the responses that are ready at `now` (ms), in the order of their commands."""
         pending = self._pending
         while self._open and pending and pending[0].response is not None:
             chunks: list[bytes] = []
@@ -217,13 +217,13 @@
             self._transport.resume_reading()
 
     def _finish_response(self, now: float, request: CacheRequest, response: bytes) -> bytes:
-        """Record a response as it leaves, malformed or lost where such a fault is on."""
+        """Record a response that is sent; faults may corrupt it or lose it. Return the bytes to send."""
         assert request.outcome is not None
         host = self._host
         faults = host.model.faults
         outcome: str = request.outcome.value
         if faults.lost_fraction and host.wire_rng.random() < faults.lost_fraction:
-            # What came behind on this connection would be taken for the response to another command.
+            # A later response on this connection would be taken for the response to the wrong command.
             self._unresponsive = True
         elif faults.corrupted_fraction and host.wire_rng.random() < faults.corrupted_fraction:
             corrupted = corrupt(host.wire_rng, request.request_id, response, request.body)
@@ -237,7 +237,7 @@
         request.connection = None
         return response
 
-    # Ends
+    # End of the connection
 
     def _abandon_attempts(self, now: float) -> None:
         host = self._host
@@ -259,7 +259,7 @@
         return self._unresponsive
 
     def _drop_if_stale(self, now: float) -> bool:
-        """The fault by which a machine on the path forgets idle connections; whether it hit this one."""
+        """Apply the fault that a middlebox forgets idle connections; return whether this one is affected."""
         faults = self._host.model.faults
         if self._is_busy() or now - self._used_at <= faults.stale_after_ms:
             return False
--- a/flintridge/lab/world/cache_host.py
+++ b/flintridge/lab/world/cache_host.py
@@ -1,4 +1,4 @@
-"""A cache server on a fabric: its incarnations, its listeners, and the model's time."""
+"""A cache server on a fabric: runs its incarnations, its listeners and the time of its model."""
 
 import asyncio
 from collections.abc import Callable
@@ -16,7 +16,7 @@
 from flintridge.lab.world.server_host import ServerHost
 
 ConnectionFactory = Callable[["CacheHost", str], asyncio.Protocol]
-"""Makes the connection of a node, by its name, to a host."""
+"""Creates a connection from the host and the name of the node."""
 
 
 class StopReason(Enum):
@@ -28,27 +28,29 @@
 
 
 class CacheHost(ServerHost):
-    """One cache server, by its id as discovery lists it.
+    """One cache server, identified by the id that discovery lists.
 
     Attributes:
-        kind: The kind of server.
-        zone: Where it stands.
-        cell: Its cell in that zone.
-        weight: Its weight as discovery lists it.
-        model: Of its present or last incarnation; faults set on it hold for later ones too.
-        party: At whose addresses it listens; its links are those of this party.
-        started_at: When it started (ms of the run); 0 for long ago.
-        started_unix_ms: The same as discovery tells it.
+        kind: Kind of the server.
+        zone: Zone of the server.
+        cell: Cell of the server within its zone.
+        weight: Weight of the server as discovery lists it.
+        model: Model of the current or last incarnation; faults set on it apply to later incarnations too.
+        party: The party at whose addresses it listens; its links are those of this party.
+        started_at: When the incarnation started (ms of the run); 0 if long before the run.
+        started_unix_ms: The same as Unix time (ms); 0 if long before the run.
         wire_rng: Draws the faults of its connections.
     """
 
-    def __init__(self, plan: ServerPlan, environment: Environment, connect: ConnectionFactory) -> None:
-        """Make a server that is down.
+    def __init__(
+        self, plan: ServerPlan, environment: Environment, make_connection: ConnectionFactory
+    ) -> None:
+        """Create a server that is down.
 
         Args:
-            plan: What it is.
-            environment: What all servers share.
-            connect: Makes its connections.
+            plan: Plan of the server.
+            environment: Objects that all servers share.
+            make_connection: Creates its connections.
         """
         kind = plan.kind
         super().__init__(plan.id, environment, kind.connections, kind.idle_s * 1000)
@@ -62,7 +64,7 @@
         self.started_at = 0.0
         self.started_unix_ms = 0.0
         self.wire_rng = seeds.of(f"server/{self.id}/wire")
-        self._connect = connect
+        self._make_connection = make_connection
         self._machine = Machine(kind, seeds.of(f"server/{self.id}"))
         self._store = CacheStore(self.objects, kind.memory_mb, scenario.keys.ttl_s)
         self._incarnations = 0
@@ -85,22 +87,22 @@
 
     @property
     def draining(self) -> bool:
-        """Whether it is up and rejects new requests because it was told to drain."""
+        """Whether the server is up and rejects new requests because it drains."""
         return self.up and self.model.draining
 
     async def start(self, *, cold: bool, at_address_of: str | None = None) -> None:
-        """Start a new incarnation. The first one, if warm, began long ago.
+        """Start a new incarnation. A warm first incarnation counts as started long before the run.
 
         Args:
-            cold: Whether it starts empty and warms up, rather than with the copies of the last incarnation.
+            cold: Whether it starts empty and warms up, instead of keeping the copies of the last incarnation.
             at_address_of: The party at whose addresses it listens from now on; None for no change.
 
         Raises:
-            RuntimeError: It is up.
+            RuntimeError: The server is already up.
             OSError: It cannot listen.
         """
         if self.up:
-            raise RuntimeError(f"server {self.id} is up")
+            raise RuntimeError(f"server {self.id} is already up")
         if at_address_of is not None:
             self.party = at_address_of
         earlier = self.model
@@ -116,7 +118,7 @@
         self.up = True
         self._log_started()
         try:
-            await self._listen(self.party, partial(self._connect, self))
+            await self._listen(self.party, partial(self._make_connection, self))
         except OSError:
             self.stop()
             raise
@@ -144,9 +146,9 @@
         )
 
     def stop(self, reason: StopReason = StopReason.CRASHED) -> None:
-        """End the process: connections are reset, new ones refused, all its work is lost.
+        """End the process: open connections are reset, new ones are refused and all its work is lost.
 
-        Nothing happens where it is down.
+        Does nothing if the server is down.
         """
         if not self.up:
             return
@@ -155,11 +157,11 @@
         self.reset_connections()
 
     def crash_by_overload(self) -> None:
-        """Stop as too much arrived during the warm-up; it stays down until somebody starts it."""
+        """Stop because too much work arrived during the warm-up; the server stays down until `start`."""
         self.stop(StopReason.OVERLOADED)
 
     def drain(self) -> None:
-        """Reject new requests from now on; those that are in flight go on."""
+        """Reject new requests from now on; requests in flight are completed."""
         if self.up and not self.model.draining:
             self.model.draining = True
             self._log_state("draining")
@@ -167,16 +169,16 @@
     # Time
 
     def catch_up(self) -> None:
-        """Bring the model up to date, as before and after a fault is set."""
+        """Advance the model to the current time; called before and after a fault is set."""
         if self.up:
             self.settle(self.clock.now())
 
     def settle(self, now: float) -> None:
-        """Respond to what has ended by `now` (ms), and be called again when more does."""
+        """Respond to requests that ended by `now` (ms) and set the timer for the next end."""
         model = self.model
         for job in model.advance(now):
             assert isinstance(job, CacheRequest)
-            if not self.up:  # it ended over the response to another
+            if not self.up:  # the server stopped while an earlier response was sent
                 return
             self.finish(now, job)
             if job.connection is not None:
@@ -187,11 +189,11 @@
         self._wake_at(model.due())
 
     def finish(self, now: float, request: CacheRequest) -> None:
-        """Make the response of a request that has its outcome; it leaves in its turn.
+        """Build the response of a request; the connection sends it in the order of its commands.
 
         Args:
             now: Time of the run in milliseconds.
-            request: The request.
+            request: The request, whose outcome is set.
         """
         request_id = request.request_id
         if request.executed:
--- a/flintridge/lab/world/cache_job.py
+++ b/flintridge/lab/world/cache_job.py
@@ -6,7 +6,7 @@
 
 
 class JobState(Enum):
-    """Where a job is."""
+    """State of a job at a cache server."""
 
     NEW = auto()
     WAITING = auto()
@@ -18,15 +18,15 @@
     """A request at a cache server.
 
     Attributes:
-        key: What is read or written.
+        key: The key that is read or written.
         write: Whether it is a write.
         work_ms: Work of a hit, in milliseconds of a core of speed 1.
         expires_at: When the caller stops waiting (ms of the run).
-        cost_ms: Work that it takes by what was stored when it arrived; negative before its arrival.
-        state: Where it is.
+        cost_ms: Work that it takes, as a hit or a miss at its arrival (work-ms); negative before the arrival.
+        state: State of the job.
         version: Version of the copy that it found; 0 for a miss.
-        outcome: How it ended; None before.
-        executed: Whether it took effect.
+        outcome: Outcome of the request; None until it ends.
+        executed: Whether the request took effect.
     """
 
     __slots__ = (
@@ -42,7 +42,7 @@
     )
 
     def __init__(self, key: str, write: bool, work_ms: float, expires_at: float) -> None:
-        """Make a job that has not arrived yet; the arguments are the attributes of the same names."""
+        """Create a job that has not arrived yet; the arguments are the attributes of the same names."""
         self.key = key
         self.write = write
         self.work_ms = work_ms
--- a/flintridge/lab/world/cache_model.py
+++ b/flintridge/lab/world/cache_model.py
@@ -1,7 +1,7 @@
-"""A cache server as a model: shared cores, an admission queue, memory, and the faults that it can have.
+"""Model of a cache server: shared cores, an admission queue, memory, and faults.
 
-It knows no I/O and no clock: times (ms of the run) are passed in and never go back. Work is counted in
-milliseconds of a core of speed 1.
+It does no I/O and reads no clock: times (ms of the run) are passed in and never decrease. Work is measured
+in milliseconds of a core of speed 1 ("work-ms").
 """
 
 import random
@@ -25,17 +25,17 @@
 
 
 class Machine:
-    """What was drawn for one server: it stays the same over its restarts.
+    """Properties that are drawn once for a server and stay the same across its restarts.
 
     Attributes:
-        speed: Of each core.
-        queue_limit: How many requests may wait.
+        speed: Speed of each core (work-ms per millisecond).
+        queue_limit: Number of requests that may wait for a slot.
     """
 
     __slots__ = ("queue_limit", "speed")
 
     def __init__(self, kind: Kind, rng: random.Random) -> None:
-        """Draw a machine of this kind."""
+        """Draw the properties of a machine of this kind."""
         self.speed = max(MIN_SPEED, draw(rng, kind.speed))
         self.queue_limit = max(0, round(draw(rng, kind.queue_per_core) * kind.cores))
 
@@ -43,12 +43,12 @@
 class CacheModel:
     """One incarnation of a cache server.
 
-    After `advance` or `offer`, `due()` tells when to call `advance` next.
+    After each call of `advance` or `offer`, `due()` returns when to call `advance` next.
 
     Attributes:
         kind: The kind of server.
         store: The copies that it caches.
-        overloaded: Whether so much arrived during its warm-up that it crashes; its driver must stop it.
+        overloaded: Whether too much work arrived during the warm-up; the driver then has to stop the server.
     """
 
     __slots__ = (
@@ -77,13 +77,13 @@
 
         Args:
             kind: The kind of server.
-            machine: What was drawn for it.
-            rules: The scenario's rules, for the limit of work during a warm-up.
+            machine: Properties that were drawn for this server.
+            rules: The scenario's rules, which limit the work that may arrive during a warm-up.
             store: The copies that it caches.
-            rng: Where its draws come from.
+            rng: Source of its random numbers.
             now: Time of the run in milliseconds.
-            warms_up: Whether it begins at `kind.cold_from` of its capacity rather than with all of it.
-            catch_up: Brings the model up to date; called before and after a fault changes its speed.
+            warms_up: Whether it starts at the fraction `kind.cold_from` of its capacity and not at all of it.
+            catch_up: Advances the model to the present; called before and after a fault changes its speed.
         """
         self.kind = kind
         self.store = store
@@ -94,63 +94,63 @@
         self._cores = SharedCores(kind, machine.speed, warm_up, pauses, now, catch_up)
         self._load_report = LoadReport(rng, now)
         self._executor = JobExecutor(kind, machine.queue_limit, store, self._cores, self._load_report, rng)
-        self._arrived_work = SlidingWindowSum(rules.overload_window_ms)  # during the warm-up
+        self._arrived_work = SlidingWindowSum(rules.overload_window_ms)  # work during the warm-up
 
-    # What it can do
+    # State
 
     @property
     def faults(self) -> FaultControls:
-        """What faults set on it."""
+        """Settings that faults change."""
         return self._cores.faults
 
     @property
     def draining(self) -> bool:
-        """Whether it rejects new requests."""
+        """Whether the server rejects new requests."""
         return self._executor.draining
 
     @draining.setter
     def draining(self, draining: bool) -> None:
-        """Take effect on what arrives from now on."""
+        """Set whether requests that arrive from now on are rejected."""
         self._executor.draining = draining
 
     @property
     def warm_capacity(self) -> float:
-        """Work-ms a millisecond when warm and without faults."""
+        """Work-ms per millisecond when warm and without faults."""
         return self._cores.warm_capacity
 
     def capacity(self, now: float) -> float:
-        """Work-ms a millisecond at `now` (ms): less during the warm-up, by slowness and by contention."""
+        """Work-ms per millisecond at `now` (ms); warm-up, slowdown and contention reduce it."""
         return self._cores.capacity(now)
 
     @property
     def warm_up_ms(self) -> float:
-        """From its start until it is warm; 0 for one that started warm."""
+        """Duration of the warm-up (ms); 0 for a server that started warm."""
         return self._cores.warm_up.duration_ms
 
     @property
     def in_flight(self) -> int:
-        """Requests that run or wait."""
+        """Number of requests that run or wait."""
         return self._executor.in_flight
 
     def report(self, now: float) -> LoadFigures:
-        """The load as it was at the last refresh, with noise."""
+        """Return the load as of the last refresh, with noise."""
         if now >= self._load_report.refresh_at:
             self._refresh_report(now)
         return self._load_report.figures
 
-    # What comes in
+    # Requests
 
     def arrive(self, now: float, job: Job) -> float:
-        """Count the work of a request, whether it will run or not.
+        """Count the work of an arriving request, even if it is rejected later.
 
-        During the warm-up too much of it crashes the server (`overloaded`).
+        Too much work during the warm-up crashes the server (`overloaded`).
 
         Args:
             now: Time of the run in milliseconds.
-            job: The request; its cost is set.
+            job: The request; its `cost_ms` is set.
 
         Returns:
-            The work that it takes here, by what is stored now (work-ms).
+            The work that it takes (work-ms), which depends on whether its key is stored now.
         """
         hit = not job.write and self.store.has(now, job.key)
         cost_ms = job.work_ms if hit else job.work_ms * self.kind.miss_work
@@ -160,14 +160,14 @@
         return cost_ms
 
     def offer(self, now: float, job: Job) -> Outcome | None:
-        """Start a request or let it wait.
+        """Start a request or queue it.
 
         Args:
             now: Time of the run in milliseconds.
             job: The request.
 
         Returns:
-            The outcome of a request that ends at once, None for any other.
+            The outcome of a request that ends at once; None for all others.
         """
         self._run_to(now)
         if job.cost_ms < 0:
@@ -175,17 +175,17 @@
         return self._executor.offer(job)
 
     def add_background(self, now: float, work_ms: float) -> None:
-        """Start work beside the requests, as of a handshake or a health check: it too uses the cores."""
+        """Start work that is not a request, such as a handshake or a health check; it shares the cores."""
         if work_ms <= 0:
             return
         self._run_to(now)
         self._cores.add_background(work_ms)
 
     def cancel(self, now: float, job: Job) -> bool:
-        """Say that nobody waits for a request any more.
+        """Cancel a request that nobody waits for any more.
 
         Returns:
-            Whether its work stops, by the kind's `drops_cancelled`.
+            Whether its work stops, which the kind's `drops_cancelled` decides.
         """
         self._run_to(now)
         return self._executor.cancel(job)
@@ -193,7 +193,7 @@
     # Time
 
     def due(self) -> float | None:
-        """When to call `advance` next (ms of the run); None while there is nothing to do."""
+        """Return when to call `advance` next (ms of the run); None while there is nothing to do."""
         if self._executor.has_finished:
             return self._cores.now
         if self._executor.is_idle:
@@ -202,10 +202,10 @@
         return due if due < inf else None
 
     def advance(self, now: float) -> list[Job]:
-        """Go on to `now` (ms).
+        """Advance the model to `now` (ms).
 
         Returns:
-            The jobs that ended since the last call, in their order.
+            The jobs that ended since the last call, in the order of their ends.
         """
         self._run_to(now)
         return self._executor.take_finished()
@@ -223,7 +223,8 @@
     # Overload and load report
 
     def _check_overload(self, now: float, cost_ms: float) -> None:
-        # By the warm-up alone, whatever else slows the server: that is what nodes are told of.
+        # The limit depends on the warm-up alone and on nothing else that slows the server, because nodes are
+        # only informed about the warm-up.
         rules = self._rules
         cores = self._cores
         limit_ms = (
--- a/flintridge/lab/world/cache_request.py
+++ b/flintridge/lab/world/cache_request.py
@@ -1,4 +1,4 @@
-"""An attempt at a cache server, between its connection and the host."""
+"""An attempt at a cache server, passed between its connection and the host."""
 
 from typing import Protocol
 
@@ -6,22 +6,22 @@
 
 
 class Flushable(Protocol):
-    """Whatever sends responses, in the order of their requests."""
+    """A connection that sends responses in the order of their requests."""
 
     def flush(self, now: float) -> None:
-        """Send what is ready at `now` (ms)."""
+        """Send the responses that are ready at `now` (ms)."""
 
 
 class CacheRequest(Job):
-    """An attempt, from its last byte to its response.
+    """An attempt, from the arrival of its last byte to its response.
 
     Attributes:
-        connection: Where the response goes; None once nobody waits for it.
+        connection: The connection that sends the response; None once nobody waits for it.
         attempt_id: Number of the attempt in records.
-        request_id: The client's request.
-        idempotency_key: Of a keyed write; empty for others.
-        response: What goes out; None before the request has ended.
-        body: The value in the response, where there is one.
+        request_id: Id of the client's request.
+        idempotency_key: Idempotency key of a keyed write; empty for other requests.
+        response: The bytes of the response; None until the request ends.
+        body: The value in the response; None if it carries none.
     """
 
     __slots__ = ("attempt_id", "body", "connection", "idempotency_key", "request_id", "response")
@@ -38,7 +38,7 @@
         work_ms: float,
         expires_at: float,
     ) -> None:
-        """Make a request without a response; the arguments are the attributes of the same names."""
+        """Create a request without a response; the arguments are the attributes of the same names."""
         super().__init__(key, write, work_ms, expires_at)
         self.connection: Flushable | None = connection
         self.attempt_id = attempt_id
--- a/flintridge/lab/world/cache_store.py
+++ b/flintridge/lab/world/cache_store.py
@@ -1,4 +1,4 @@
-"""A cache server's memory: copies by key, the least recently used evicted first."""
+"""Memory of a cache server: copies by key, with least recently used eviction."""
 
 from collections import OrderedDict
 from collections.abc import Callable
@@ -15,9 +15,9 @@
     """A copy of a value.
 
     Attributes:
-        version: Of the value.
-        expires_at: When its time to live is over (ms of the run).
-        size_bytes: What it uses.
+        version: Version of the value.
+        expires_at: When its time to live ends (ms of the run).
+        size_bytes: Memory that the copy uses.
     """
 
     version: int
@@ -26,10 +26,10 @@
 
 
 class CacheStore:
-    """Copies of values. One that is invalid by a change or by its age is found out when it is looked up.
+    """Copies of values. A copy that is outdated or expired is detected when it is looked up.
 
     Attributes:
-        used_bytes: What all copies use.
+        used_bytes: Memory that all copies use.
     """
 
     __slots__ = ("_capacity_bytes", "_copies", "_objects", "_ttl_ms", "used_bytes")
@@ -38,9 +38,9 @@
         """Start empty.
 
         Args:
-            objects: Sizes and versions of values.
-            memory_mb: Room for copies, in megabytes.
-            ttl_s: How long a copy is valid, in seconds; 0 for ever.
+            objects: Sizes and versions of all values.
+            memory_mb: Memory for copies, in megabytes.
+            ttl_s: Time to live of a copy, in seconds; 0 for no limit.
         """
         self._objects = objects
         self._capacity_bytes = memory_mb * BYTES_PER_MB
@@ -52,14 +52,14 @@
         return len(self._copies)
 
     def has(self, now: float, key: str) -> bool:
-        """Whether a lookup at `now` (ms) would find it; counts as no use."""
+        """Whether a lookup at `now` (ms) would be a hit; does not count as a use of the copy."""
         copy = self._copies.get(key)
         if copy is None:
             return False
         return copy.expires_at > now and copy.version == self._objects.version(key)
 
     def get(self, now: float, key: str) -> int:
-        """The version of the copy, which counts as used at `now` (ms); 0 where there is none."""
+        """Look up a copy at `now` (ms) and return its version; 0 for a miss. A hit counts as a use."""
         copy = self._copies.get(key)
         if copy is None:
             return 0
@@ -70,9 +70,9 @@
         return copy.version
 
     def put(self, now: float, key: str) -> None:
-        """Store the version that is current at `now` (ms), in place of the copy that was there.
+        """Store the value's current version at `now` (ms), replacing an existing copy.
 
-        A value larger than the whole memory is not stored.
+        A value that is larger than the whole memory is not stored.
         """
         size_bytes = self._objects.size(key)
         if key in self._copies:
@@ -85,7 +85,7 @@
             self._evict(next(iter(self._copies)))
 
     def invalidate(self, is_invalid: Callable[[str], bool]) -> None:
-        """Drop all copies whose key `is_invalid`."""
+        """Drop the copies of all keys for which `is_invalid` returns true."""
         for key in [key for key in self._copies if is_invalid(key)]:
             self._evict(key)
 
--- a/flintridge/lab/world/call_queue.py
+++ b/flintridge/lab/world/call_queue.py
@@ -1,4 +1,4 @@
-"""Calls to discovery: served one after another, and watches that wait until there is something newer."""
+"""Queue of calls to discovery: they are served one at a time, and watches wait for a newer revision."""
 
 import heapq
 from collections import deque
@@ -13,16 +13,16 @@
 
 @dataclass(slots=True)
 class Call:
-    """A node's call.
+    """A node's call for the endpoint list.
 
     Attributes:
-        key: The caller's own name for it.
-        node: The node that calls.
-        after: The revision that it has; 0 asks for the complete list.
-        watches: Whether it may wait for something newer.
-        wait_until: How long it may (ms of the run).
-        queued_at: When it last began to wait for its turn (ms of the run).
-        served: Whether its turn was taken; only its response is left to write.
+        key: Identifies the call; chosen by the caller of the queue.
+        node: Name of the calling node.
+        after: The revision that the node has; 0 asks for the complete list.
+        watches: Whether the call may wait for a newer revision.
+        wait_until: Until when it may wait (ms of the run).
+        queued_at: When it last entered the queue (ms of the run).
+        served: Whether it has been served once; after that only endpoints in its response take time.
         closed: Whether nobody waits for the response any more.
     """
 
@@ -38,15 +38,15 @@
 
 @dataclass(slots=True, frozen=True)
 class CallResponse:
-    """What to write to a call.
+    """The response to write to a call.
 
     Attributes:
         call: The call.
-        status: Of HTTP.
-        revision: Of the list.
+        status: HTTP status code.
+        revision: Revision of the list.
         complete: Whether `changes` are the complete list.
-        changes: Endpoints of the list, or those that changed.
-        malformed: Whether to write what no caller can read.
+        changes: All endpoints of the list, or only those that changed.
+        malformed: Whether to write a body that no node can parse.
     """
 
     call: Call
@@ -63,7 +63,7 @@
 
     Attributes:
         call: The call.
-        response: What is written to it at once, where discovery is down and says so.
+        response: The immediate response of a discovery that is down and responds; None otherwise.
     """
 
     call: Call
@@ -72,11 +72,11 @@
 
 @dataclass(slots=True, frozen=True)
 class ClosedCalls:
-    """What going down closes.
+    """The calls that end because discovery goes down.
 
     Attributes:
         calls: The calls that were open.
-        responses: What is written to those that get to know of it.
+        responses: Responses to them; empty in a mode that does not respond.
     """
 
     calls: list[Call]
@@ -85,7 +85,7 @@
 
 @dataclass(slots=True, frozen=True)
 class _Service:
-    """The call whose turn it is."""
+    """The call that is being served."""
 
     ends_at: float
     call: Call
@@ -93,11 +93,13 @@
 
 
 class CallQueue:
-    """Calls in their order. Whoever drives it calls `advance` when `due` has come, and after each change.
+    """Calls in the order of their arrival.
+
+    The driver calls `advance` at the time that `due` returns, and after each change.
 
     Attributes:
-        slow: Times as long that a call takes which is started from now on.
-        down: How discovery is down: refuses, errors, silent or garbage; empty for up.
+        slow: Factor on the time to serve a call; applies to calls whose service starts from now on.
+        down: How discovery is down: refuses, errors, silent or garbage; empty while it is up.
     """
 
     def __init__(
@@ -106,10 +108,10 @@
         """Start with no calls.
 
         Args:
-            endpoints: The list.
-            call_ms: What a call takes.
-            endpoint_ms: What each endpoint in its response takes on top.
-            timeout_ms: After which a call that waits for its turn fails.
+            endpoints: The endpoint list.
+            call_ms: Time to serve a call without endpoints in its response (ms).
+            endpoint_ms: Additional time for each endpoint in the response (ms).
+            timeout_ms: Time in the queue after which a call fails (ms).
         """
         self.slow = 1.0
         self.down = ""
@@ -120,19 +122,19 @@
         self._open: dict[int, Call] = {}
         self._queue: deque[Call] = deque()
         self._watches: dict[int, Call] = {}
-        self._watch_ends: list[tuple[float, int]] = []  # a heap: end, key; some are answered by now
+        self._watch_deadlines: list[tuple[float, int]] = []  # heap: deadline, key; some may have ended
         self._service: _Service | None = None
         self._seen_revision = endpoints.revision
 
     def arrive(self, now: float, key: int, node: str, after: int, wait_ms: float) -> Arrival:
-        """Take in a call, or answer it at once where discovery is down and says so.
+        """Queue a call; while discovery is down, return the response that its mode gives at once.
 
         Args:
             now: Time of the run in milliseconds.
-            key: The caller's own name for it, a new one for each.
-            node: The node that calls.
-            after: The revision that it has; 0 asks for the complete list.
-            wait_ms: How long it may wait for something newer.
+            key: Identifies the call; unique among all calls.
+            node: Name of the calling node.
+            after: The revision that the node has; 0 asks for the complete list.
+            wait_ms: How long the call may wait for a newer revision (ms).
         """
         wait_ms = min(wait_ms, MAX_WAIT_MS) if after > 0 else 0.0
         call = Call(key, node, after, wait_ms > 0, now + wait_ms, now)
@@ -142,8 +144,8 @@
         self._queue.append(call)
         return Arrival(call, None)
 
-    def leave(self, key: int) -> Call | None:
-        """Take out a call whose caller is gone; the call, if it was still open."""
+    def remove(self, key: int) -> Call | None:
+        """Remove a call whose connection has closed; return the call if it was still open."""
         call = self._open.pop(key, None)
         if call is not None:
             call.closed = True
@@ -151,7 +153,7 @@
         return call
 
     def set_down(self, mode: str) -> ClosedCalls:
-        """Go down, or come up with ""."""
+        """Go down in this mode, or come up if `mode` is empty."""
         if mode == self.down:
             return ClosedCalls([], [])
         self.down = mode
@@ -163,13 +165,13 @@
         self._open.clear()
         self._queue.clear()
         self._watches.clear()
-        self._watch_ends.clear()
+        self._watch_deadlines.clear()
         self._service = None
         failures = [self._failure(call) for call in calls]
         return ClosedCalls(calls, [failure for failure in failures if failure is not None])
 
     def due(self) -> float | None:
-        """When something happens next (ms of the run), if nothing changes."""
+        """Return when `advance` next has something to do (ms of the run), if nothing changes until then."""
         times: list[float] = []
         if self._service is not None:
             times.append(self._service.ends_at)
@@ -177,14 +179,14 @@
             return self._queue[0].queued_at
         if self._queue:
             times.append(self._queue[0].queued_at + self._timeout_ms)
-        while self._watch_ends and self._watch_ends[0][1] not in self._watches:
-            heapq.heappop(self._watch_ends)
-        if self._watch_ends:
-            times.append(self._watch_ends[0][0])
+        while self._watch_deadlines and self._watch_deadlines[0][1] not in self._watches:
+            heapq.heappop(self._watch_deadlines)
+        if self._watch_deadlines:
+            times.append(self._watch_deadlines[0][0])
         return min(times) if times else None
 
     def advance(self, now: float) -> list[CallResponse]:
-        """All responses that are ready by `now` (ms), in their order."""
+        """Return all responses that are ready by `now` (ms), in the order in which they became ready."""
         if self.down:
             return []
         self._wake_watches(now)
@@ -203,14 +205,14 @@
     # The steps of a call
 
     def _wake_watches(self, now: float) -> None:
-        """Put watches back into the queue once there is something newer, or their wait is over."""
+        """Put watches back into the queue if there is a newer revision or their wait has ended."""
         woken: list[int] = []
         if self._endpoints.revision != self._seen_revision:
             self._seen_revision = self._endpoints.revision
             woken = list(self._watches)
         else:
-            while self._watch_ends and self._watch_ends[0][0] <= now:
-                _, key = heapq.heappop(self._watch_ends)
+            while self._watch_deadlines and self._watch_deadlines[0][0] <= now:
+                _, key = heapq.heappop(self._watch_deadlines)
                 if key in self._watches and self._watches[key].wait_until <= now:
                     woken.append(key)
         for key in woken:
@@ -246,9 +248,9 @@
         response = self._response(now, call)
         if response is None:
             self._watches[call.key] = call
-            heapq.heappush(self._watch_ends, (call.wait_until, call.key))
+            heapq.heappush(self._watch_deadlines, (call.wait_until, call.key))
         elif response.changes:
-            # Something became listed while the call was served: its endpoints have still to be paid for.
+            # Endpoints were listed while the call was served: sending them takes another turn.
             call.queued_at = now
             self._queue.append(call)
         else:
@@ -256,7 +258,7 @@
             responses.append(response)
 
     def _response(self, now: float, call: Call) -> CallResponse | None:
-        """None: there is nothing newer, and it may still wait."""
+        """Return the response to a call; None if there is no newer revision and the call may still wait."""
         changes = self._endpoints.changes_since(call.after)
         revision = self._endpoints.revision
         if changes is None:
@@ -266,7 +268,7 @@
         return CallResponse(call, OK, revision, changes=tuple(changes))
 
     def _failure(self, call: Call) -> CallResponse | None:
-        """What a call is told while discovery is down; None for nothing."""
+        """Return the response to a call while discovery is down; None in a mode that does not respond."""
         if self.down == "errors":
             return CallResponse(call, UNAVAILABLE)
         if self.down == "garbage":
--- a/flintridge/lab/world/corruption.py
+++ b/flintridge/lab/world/corruption.py
@@ -1,29 +1,29 @@
-"""Malformed responses of a cache server."""
+"""Corruption of the responses of a cache server."""
 
 import random
 from dataclasses import dataclass
 
 from flintridge.lab.world.memcache import value_response
 
-ENDLESS_BYTES = 64 * 1024  # of a line or a value that does not end, as far as it is sent
+ENDLESS_BYTES = 64 * 1024  # that are sent of a line or a value that does not end
 
 INTACT_VARIANTS = ("twice", "noise_behind")
-"""Variants in which the right response comes first."""
+"""Variants that start with the correct response."""
 
 LINE_VARIANTS = ("noise", "unreadable", "endless_line", "other_id", "twice", "noise_behind")
-"""Variants of any response."""
+"""Variants for any response."""
 
 VARIANTS = (*LINE_VARIANTS, "short_length", "long_length", "huge_value")
-"""Variants of a response that carries a value."""
+"""Variants for a response that carries a value."""
 
 
 @dataclass(slots=True, frozen=True)
 class CorruptedResponse:
-    """What goes out in place of a response.
+    """The bytes that are sent in place of a response.
 
     Attributes:
         data: The bytes.
-        response_intact: Whether the response itself is still complete in them.
+        response_intact: Whether they still contain the complete response.
     """
 
     data: bytes
@@ -31,13 +31,13 @@
 
 
 def corrupt(rng: random.Random, request_id: str, response: bytes, body: bytes | None) -> CorruptedResponse:
-    """Draw a variant and apply it.
+    """Draw a variant and apply it to a response.
 
     Args:
-        rng: Where the draws come from.
-        request_id: Of the request.
-        response: The right response.
-        body: The value in it, or None.
+        rng: Source of random numbers.
+        request_id: Id of the request.
+        response: The correct response.
+        body: The value that it carries, or None.
     """
     variants = VARIANTS if body is not None else LINE_VARIANTS
     name = variants[rng.randrange(len(variants))]
@@ -45,7 +45,7 @@
 
 
 def corrupt_as(name: str, rng: random.Random, request_id: str, response: bytes, body: bytes | None) -> bytes:
-    """Apply one variant; the other arguments are those of `corrupt`.
+    """Return a response with one variant applied; the other arguments are those of `corrupt`.
 
     Raises:
         KeyError: There is no such variant.
@@ -63,10 +63,10 @@
             return response + response
         case "noise_behind":
             return response + rng.randbytes(rng.randint(1, 200))
-        case "short_length":  # there is more than the line says
+        case "short_length":  # the value is longer than the line says
             assert body is not None
             return _with_length(request_id, body, max(0, len(body) - rng.randint(1, 9)))
-        case "long_length":  # there is less than the line says
+        case "long_length":  # the value is shorter than the line says
             assert body is not None
             return _with_length(request_id, body, len(body) + rng.randint(3, 99))
         case "huge_value":
@@ -80,7 +80,7 @@
 
 
 def _with_foreign_id(request_id: str, response: bytes) -> bytes:
-    """A response to a request that nobody made; a value is another one's too."""
+    """Return a response to a request that nobody made; a value is replaced by a foreign one."""
     last = "0" if request_id[-1] != "0" else "1"
     foreign_id = request_id[:-1] + last
     if response.startswith(b"VA"):
--- a/flintridge/lab/world/deduplication.py
+++ b/flintridge/lab/world/deduplication.py
@@ -1,11 +1,11 @@
-"""Which keyed writes the origin has accepted of late, so that a repeat is not executed again."""
+"""Deduplication of keyed writes at the origin, so that a repeated write is not executed again."""
 
 from collections import deque
 from dataclasses import dataclass
 
 from flintridge.lab.world.origin_job import OriginJob
 
-LATE_REPEAT_MS = 50.0  # by which a repeat within its window may arrive later, for its time on the network
+LATE_REPEAT_MS = 50.0  # extends the window by the time that a repeat sent within it may be on the network
 
 
 @dataclass(slots=True, frozen=True)
@@ -19,14 +19,14 @@
 
 
 class DeduplicationTable:
-    """Accepted writes by their idempotency keys."""
+    """Recently accepted writes by idempotency key."""
 
     __slots__ = ("_expiries", "_writes")
 
     def __init__(self) -> None:
         """Start empty."""
         self._writes: dict[str, _AcceptedWrite] = {}
-        self._expiries: deque[tuple[float, str]] = deque()  # end of a window, idempotency key
+        self._expiries: deque[tuple[float, str]] = deque()  # end of the window, idempotency key
 
     def add(self, now: float, job: OriginJob) -> None:
         """Remember a write that was accepted at `now` (ms)."""
@@ -35,7 +35,7 @@
         self._expiries.append((write.window_ends_at, job.idempotency_key))
 
     def find(self, now: float, job: OriginJob) -> OriginJob | None:
-        """The write that this one repeats within its window, at `now` (ms)."""
+        """Return the write that this one repeats at `now` (ms) within its window; None if it is no repeat."""
         self._expire(now)
         write = self._writes.get(job.idempotency_key)
         if write is None or now > write.window_ends_at:
@@ -43,13 +43,13 @@
         return write.job
 
     def forget(self, job: OriginJob) -> None:
-        """Drop a write that was never executed: what repeats it is no repeat."""
+        """Remove a write that was never executed, so that a later write with its key is not a repeat."""
         write = self._writes.get(job.idempotency_key)
         if write is not None and write.job is job:
             del self._writes[job.idempotency_key]
 
     def _expire(self, now: float) -> None:
-        """Guards a long run against growing."""
+        """Remove expired writes, which bounds memory in a long run."""
         expiries = self._expiries
         while expiries and expiries[0][0] < now:
             expired_at, idempotency_key = expiries.popleft()
--- a/flintridge/lab/world/discovery_connection.py
+++ b/flintridge/lab/world/discovery_connection.py
@@ -12,16 +12,16 @@
     """Reads calls and writes their responses.
 
     Attributes:
-        node: The node that calls.
-        party: At whose address it is.
-        pending: Key of the call that awaits its response.
-        transport: Of the connection.
+        node: Name of the node.
+        party: The party at whose address the connection was accepted.
+        pending: Key of the call that awaits its response; None if there is none.
+        transport: Transport of the connection.
     """
 
     transport: asyncio.Transport
 
     def __init__(self, host: DiscoveryHost, node: str, party: str) -> None:
-        """Make the connection from `node` to `host` at the address of `party`."""
+        """Create the connection from `node` to `host` at the address of `party`."""
         self.node = node
         self.party = party
         self.pending: int | None = None
@@ -30,26 +30,26 @@
         self._target = ""
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Accept the connection."""
+        """Add the connection to the host."""
         assert isinstance(transport, asyncio.Transport)
         self.transport = transport
-        self._host.opened(self)
+        self._host.add_connection(self)
 
     def data_received(self, data: bytes) -> None:
-        """Take in a call once it is complete."""
+        """Pass a call to the host once it is complete."""
         self._http.receive_data(data)
         self._read()
 
     def eof_received(self) -> bool:
-        """Close."""
+        """Let the transport close."""
         return False
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Tell the host."""
-        self._host.lost(self, broken=exc is not None)
+        """Remove the connection from the host."""
+        self._host.remove_connection(self, broken=exc is not None)
 
     def respond(self, status: int, body: bytes) -> None:
-        """Write the response to the call that awaits one, and go on with the next."""
+        """Write the response to the pending call, then read the next call."""
         if self.transport.is_closing():
             return
         headers = [("Content-Type", "application/json"), ("Content-Length", str(len(body)))]
@@ -70,7 +70,7 @@
             self._reject(str(error))
 
     def _read_events(self) -> None:
-        """Read until a call is complete."""
+        """Read HTTP events until a call is complete or more bytes are needed."""
         while True:
             event = self._http.next_event()
             if isinstance(event, h11.Request):
@@ -78,13 +78,13 @@
                     raise MalformedCallError(f"method {event.method.decode('ascii', 'replace')}")
                 self._target = event.target.decode("ascii", "replace")
             elif isinstance(event, h11.EndOfMessage):
-                self._host.called(self, self._target)
+                self._host.handle_call(self, self._target)
                 return
             elif not isinstance(event, h11.Data):
                 return
 
     def _reject(self, reason: str) -> None:
-        self._host.malformed(self.node, reason)
+        self._host.record_malformed(self.node, reason)
         if self._http.our_state in (h11.IDLE, h11.SEND_RESPONSE):
             headers = [("Content-Length", "0"), ("Connection", "close")]
             self.transport.write(self._http.send(h11.Response(status_code=400, headers=headers)) or b"")
--- a/flintridge/lab/world/discovery_host.py
+++ b/flintridge/lab/world/discovery_host.py
@@ -1,4 +1,4 @@
-"""Discovery on its sockets: HTTP/1.1 at an address for each node, and the records of what nodes are told."""
+"""Discovery on its sockets: HTTP/1.1 at one address per node, and the records of all notifications."""
 
 import asyncio
 from collections.abc import Callable
@@ -20,9 +20,9 @@
 from flintridge.lab.world.sockets import reset
 
 PARTIES = ("discovery", "discovery2")
-CHECK_INTERVAL_MS = 100.0  # between two looks at who counts as notified
-OLD_ADDRESS_MS = 1500.0  # after which an address that a node has left closes what is open on it
-MAX_RECORDED_TEXT = 200  # characters of a malformed call
+CHECK_INTERVAL_MS = 100.0  # between two checks for nodes that count as notified by now
+OLD_ADDRESS_GRACE_MS = 1500.0  # from the move of a node to the close of its connections at the old address
+MAX_RECORDED_TEXT = 200  # characters of the reason that a malformed call is recorded with
 MALFORMED_BODIES = (
     b"<html><body>upstream error</body></html>",
     b'{"revision":',
@@ -38,10 +38,10 @@
     """A node's connection to discovery.
 
     Attributes:
-        node: The node.
-        party: At whose address it is.
-        pending: Key of the call that awaits its response.
-        transport: Of the connection.
+        node: Name of the node.
+        party: The party at whose address the connection was accepted.
+        pending: Key of the call that awaits its response; None if there is none.
+        transport: Transport of the connection.
     """
 
     node: str
@@ -50,18 +50,18 @@
     transport: asyncio.Transport
 
     def respond(self, status: int, body: bytes) -> None:
-        """Write the response to the call that awaits one."""
+        """Write the response to the pending call."""
 
 
 ConnectionFactory = Callable[["DiscoveryHost", str, str], asyncio.Protocol]
-"""Makes the connection of a node, by its name, at the address of a party, to the host."""
+"""Creates the protocol of a connection from the host, the name of the node and the party it connects to."""
 
 
 class DiscoveryHost:
-    """Drives one model for all nodes, each at the address where it finds discovery at present.
+    """Drives one model for all nodes; each node finds discovery at one of two addresses.
 
     Attributes:
-        model: What it does.
+        model: The model of discovery.
     """
 
     def __init__(
@@ -71,29 +71,29 @@
         model: DiscoveryModel,
         seeds: Seeds,
         nodes: list[str],
-        connect: ConnectionFactory,
+        make_connection: ConnectionFactory,
     ) -> None:
-        """Make a host that does not listen yet.
+        """Create a host that does not listen yet.
 
         Args:
             fabric: Clock, addresses, links and listeners.
-            log: Where records go.
-            model: What it does.
-            seeds: Where its draws come from.
+            log: The log that receives all records.
+            model: The model of discovery.
+            seeds: Source of its random numbers.
             nodes: Names of the nodes.
-            connect: Makes its connections.
+            make_connection: Creates its connections.
         """
         self.model = model
         self._fabric = fabric
         self._log = log
         self._nodes = nodes
-        self._connect = connect
+        self._make_connection = make_connection
         self._encoder = EndpointEncoder(fabric)
         self._rng = seeds.of("discovery/garbage")
         self._party_of = dict.fromkeys(nodes, PARTIES[0])
         self._listeners: dict[str, Listener] = {}
         self._callers: dict[Caller, None] = {}
-        self._awaiting: dict[int, Caller] = {}  # by the key of their call
+        self._awaiting: dict[int, Caller] = {}  # callers by the key of their pending call
         self._was_cut_off: dict[str, bool] = {}
         self._last_key = 0
         self._last_now = -1e18
@@ -102,13 +102,13 @@
         self._check_timer: asyncio.TimerHandle | None = None
         self._closed = False
 
-    # For the fleet and the faults
+    # Used by the fleet and the faults
 
     async def open(self) -> None:
         """Listen for every node.
 
         Raises:
-            OSError: An address is taken.
+            OSError: An address is already in use.
         """
         for node in self._nodes:
             await self._listen(node)
@@ -116,7 +116,7 @@
         self.update()
 
     async def close(self) -> None:
-        """Listen no more, and abort what is open."""
+        """Close all listeners and abort all connections."""
         self._closed = True
         for timer in (self._timer, self._check_timer):
             if timer is not None:
@@ -128,23 +128,23 @@
             caller.transport.abort()
 
     def address(self, node: str) -> str:
-        """Where the node finds discovery at present, as host:port."""
+        """Return the current address of discovery for the node, as host:port."""
         host, port = self._fabric.address(self._party_of[node], node)
         return f"{host}:{port}"
 
     def is_cut_off(self, node: str) -> bool:
-        """Whether no call of the node can arrive at present."""
+        """Whether calls of the node currently cannot reach discovery."""
         link = self._fabric.links.link
         party = self._party_of[node]
         return link(node, party).state != UP or link(party, node).state != UP
 
     def observe(self, endpoint: Endpoint, *, silent: bool = False) -> None:
-        """Take what an endpoint really is from now on; `silent`: nothing is heard of its machine."""
+        """Observe the actual state of an endpoint; `silent`: discovery receives nothing from its machine."""
         self.model.endpoints.observe(self._now(), endpoint, silent)
         self.update()
 
     def links_changed(self) -> None:
-        """Take note that links are cut, or no more: a node behind one could not call."""
+        """Update which nodes are cut off, after a change of links: such a node could not call."""
         for node in self._nodes:
             cut_off = self.is_cut_off(node)
             if cut_off or self._was_cut_off.get(node, False):
@@ -152,9 +152,9 @@
             self._was_cut_off[node] = cut_off
 
     async def move(self, node: str) -> None:
-        """Let the node find discovery at the other address from now on.
+        """Move discovery to its other address for this node.
 
-        The old one accepts nothing new, and later closes what is open on it.
+        The old address accepts no new connections and closes its open ones after `OLD_ADDRESS_GRACE_MS`.
         """
         old = self._party_of[node]
         self._party_of[node] = PARTIES[1 - PARTIES.index(old)]
@@ -164,10 +164,10 @@
         if old_listener is not None:
             old_listener.close()
         callers = [caller for caller in self._callers if caller.node == node]
-        self._fabric.clock.call_later(OLD_ADDRESS_MS, _close_all, callers)
+        self._fabric.clock.call_later(OLD_ADDRESS_GRACE_MS, _close_all, callers)
 
     async def set_down(self, mode: str) -> None:
-        """Go down, or come up with ""; `mode` as `DiscoveryModel.down`."""
+        """Go down, or come up if `mode` is empty; the modes are those of `DiscoveryModel.down`."""
         before = self.model.down
         if mode == before:
             return
@@ -183,12 +183,12 @@
                 if node not in self._listeners:
                     await self._listen(node)
         if before == "silent" and mode != "silent":
-            # Calls that came meanwhile are never answered; the process that comes up knows nothing of them.
+            # Calls received while silent never get a response: the restarted process does not know them.
             self._reset([caller for caller in self._callers if caller.pending is not None])
         self.update()
 
     def update(self) -> None:
-        """After any change: list what is due, write what is ready, and set the next timer."""
+        """List due changes, write ready responses and set the next timer; called after every change."""
         if self._closed:
             return
         for response in self.model.advance(self._now()):
@@ -204,7 +204,7 @@
             self._timer_at = due
 
     def record(self, notification: Notification | None) -> None:
-        """Record what a node is notified of."""
+        """Write the record of a notification, if there is one."""
         if notification is None:
             return
         endpoints = [
@@ -222,21 +222,21 @@
         )
 
     def list_for(self, node: str) -> EndpointListBody:
-        """The complete list as it is now, with the addresses of this node."""
+        """Return the current complete list, with the addresses that this node connects to."""
         endpoints = self.model.endpoints
         return self._encoder.body(node, endpoints.revision, endpoints.snapshot(), complete=True)
 
-    # For its connections
+    # Used by the connections
 
-    def opened(self, caller: Caller) -> None:
-        """Take in a connection."""
+    def add_connection(self, caller: Caller) -> None:
+        """Add an open connection."""
         self._callers[caller] = None
 
-    def called(self, caller: Caller, target: str) -> None:
-        """Take in a complete call.
+    def handle_call(self, caller: Caller, target: str) -> None:
+        """Pass a complete call to the model.
 
         Raises:
-            MalformedCallError: No sound node makes it.
+            MalformedCallError: No correct node makes such a call.
         """
         call = read_target(target)
         self._last_key += 1
@@ -248,24 +248,25 @@
             self._write(response)
         self.update()
 
-    def malformed(self, node: str, text: str) -> None:
-        """Record a call that no sound node makes."""
+    def record_malformed(self, node: str, text: str) -> None:
+        """Record a call that no correct node makes."""
         self._log.add(
             MalformedMessage(at_ms=self._now(), node=node, server="discovery", text=text[:MAX_RECORDED_TEXT])
         )
 
-    def lost(self, caller: Caller, *, broken: bool) -> None:
-        """Take note that a connection is gone; `broken`: by a reset."""
+    def remove_connection(self, caller: Caller, *, broken: bool) -> None:
+        """Remove a closed connection and end its pending call; `broken`: it was reset."""
         self._callers.pop(caller, None)
         if caller.pending is not None:
             self._awaiting.pop(caller.pending, None)
             self.model.disconnect(self._now(), caller.pending, broken=broken)
             caller.pending = None
 
-    # Within
+    # Internals
 
     def _now(self) -> float:
-        # By rounding a timer may fire a hair too early: it would be set for the same time without end.
+        # Rounding can make a timer fire slightly before its due time. Without a time that never goes back,
+        # the timer would then be set for the same due time again and again.
         self._last_now = max(self._last_now, self._fabric.clock.now())
         return self._last_now
 
@@ -281,12 +282,12 @@
 
     async def _listen(self, node: str) -> None:
         party = self._party_of[node]
-        factory = partial(self._connect, self, node, party)
+        factory = partial(self._make_connection, self, node, party)
         self._listeners[node] = await self._fabric.listen(party, node, factory)
 
     def _reset(self, callers: list[Caller]) -> None:
         for caller in callers:
-            self.lost(caller, broken=True)
+            self.remove_connection(caller, broken=True)
             reset(caller.transport)
 
     def _write(self, response: CallResponse) -> None:
--- a/flintridge/lab/world/discovery_model.py
+++ b/flintridge/lab/world/discovery_model.py
@@ -1,4 +1,4 @@
-"""Discovery without its sockets: the endpoint list, the calls, and who is notified."""
+"""Model of discovery without sockets: the endpoint list, the calls, and which nodes are notified."""
 
 import random
 from collections.abc import Callable, Sequence
@@ -12,19 +12,19 @@
 from flintridge.lab.world.endpoint_list import Endpoint, EndpointChange, EndpointList
 
 MIN_FIRST_REVISION = 20
-MAX_FIRST_REVISION = 2000  # excluded
+MAX_FIRST_REVISION = 2000  # exclusive
 
 
 @dataclass(slots=True, frozen=True)
 class Notification:
-    """A node counts as notified.
+    """A notification of a node.
 
     Attributes:
-        node: The node.
-        revision: Of the list.
-        complete: Whether it is the complete list.
-        endpoints: Of the list, or those that changed.
-        assumed: Whether it counts as notified although it may not be.
+        node: Name of the node.
+        revision: Revision of the list.
+        complete: Whether `endpoints` are the complete list.
+        endpoints: All endpoints of the list, or only those that changed.
+        assumed: Whether the node only counts as notified and may not have received the list.
     """
 
     node: str
@@ -35,14 +35,15 @@
 
 
 class DiscoveryModel:
-    """One service for all nodes, at whatever addresses.
+    """One discovery service for all nodes, independent of its addresses.
 
-    `calls.slow` and `endpoints.stale_since` may be set at any time; `set_down` is a call, as it ends others.
+    `calls.slow` and `endpoints.stale_since` may be set at any time. `set_down` is a method because going
+    down ends calls.
 
     Attributes:
         endpoints: The endpoint list.
-        calls: The calls to it.
-        notifications: Who counts as notified.
+        calls: The queue of calls.
+        notifications: Tracks which nodes count as notified.
     """
 
     def __init__(
@@ -51,10 +52,10 @@
         """Start with an empty list.
 
         Args:
-            spec: What the scenario says of it.
-            poll_within_ms: Time within which a node has to call.
-            seeds: Where its draws come from.
-            is_cut_off: Whether no call of a node can arrive at present.
+            spec: The scenario's settings of discovery.
+            poll_within_ms: Time within which a node has to make its next call (ms).
+            seeds: Source of its random numbers.
+            is_cut_off: Returns whether calls of a node currently cannot reach discovery.
         """
         rng = seeds.of("discovery")
         self.endpoints = EndpointList(
@@ -67,18 +68,18 @@
 
     @property
     def down(self) -> str:
-        """How it is down, as `CallQueue.down`."""
+        """How discovery is down, as in `CallQueue.down`."""
         return self.calls.down
 
     def set_down(self, now: float, mode: str) -> list[CallResponse]:
-        """Go down, or come up with "".
+        """Go down in this mode, or come up if `mode` is empty.
 
         Args:
             now: Time of the run in milliseconds.
-            mode: As `CallQueue.down`.
+            mode: One of the modes of `CallQueue.down`.
 
         Returns:
-            What is written to the calls that this ends.
+            Responses to the calls that end by this.
         """
         closed = self.calls.set_down(mode)
         for call in closed.calls:
@@ -86,10 +87,10 @@
         return closed.responses
 
     def call(self, now: float, key: int, node: str, after: int, wait_ms: float) -> CallResponse | None:
-        """Take in a node's call; the arguments are those of `CallQueue.arrive`.
+        """Queue a node's call; the arguments are those of `CallQueue.arrive`.
 
         Returns:
-            A response only if discovery is down and says so; all others come from `advance`.
+            The response if discovery is down and responds; `advance` returns all other responses.
         """
         arrival = self.calls.arrive(now, key, node, after, wait_ms)
         self.notifications.called(now, node, key, arrival.call.wait_until)
@@ -98,31 +99,31 @@
         return arrival.response
 
     def disconnect(self, now: float, key: int, *, broken: bool = False) -> None:
-        """End a call whose caller is gone at `now` (ms); `broken`: by a reset."""
-        call = self.calls.leave(key)
+        """End a call whose connection closed at `now` (ms); `broken`: it was reset."""
+        call = self.calls.remove(key)
         if call is not None:
             self.notifications.disconnected(now, call.node, key, broken=broken)
 
     def advance(self, now: float) -> list[CallResponse]:
-        """List what is due at `now` (ms), and go on with the calls; the responses to write."""
+        """List changes that are due at `now` (ms), serve calls, and return the responses to write."""
         self.endpoints.advance(now)
         return self.calls.advance(now)
 
     def due(self) -> float | None:
-        """When `advance` has something to do next (ms of the run), if nothing else happens."""
+        """Return when `advance` next has something to do (ms of the run), if nothing changes until then."""
         times = [at for at in (self.endpoints.due(), self.calls.due()) if at is not None]
         return min(times) if times else None
 
     def responded(self, now: float, response: CallResponse, *, delivered: bool) -> Notification | None:
-        """Take note of a response.
+        """Record that a response was written.
 
         Args:
             now: Time of the run in milliseconds.
-            response: What was written.
-            delivered: Whether the bytes are on their way.
+            response: The response.
+            delivered: Whether the response can reach the node.
 
         Returns:
-            What the node is notified of by it.
+            The notification that the response contains; None if there is none.
         """
         call = response.call
         if response.malformed or response.status != OK:
@@ -136,21 +137,21 @@
         return _notification(call.node, response.revision, response.changes, complete=response.complete)
 
     def node_started(self, now: float, node: str) -> Notification:
-        """Take note of a new process, which has the complete list as its known one.
+        """Add a new process of a node, whose configuration holds the complete list.
 
         Args:
             now: Time of the run in milliseconds.
-            node: The node.
+            node: Name of the node.
 
         Returns:
-            What it is notified of by that.
+            The notification by the configuration.
         """
         revision = self.endpoints.revision
         self.notifications.started(now, node, revision)
         return _notification(node, revision, self.endpoints.snapshot(), complete=True)
 
     def check(self, now: float) -> list[Notification]:
-        """Who counts as notified by `now` (ms) without having been."""
+        """Return the assumed notifications up to `now` (ms)."""
         return [
             _notification(item.node, item.revision, item.changes, assumed=True)
             for item in self.notifications.check(now)
@@ -169,5 +170,5 @@
 
 
 def _draws_of(span_s: Span, rng: random.Random) -> Callable[[], float]:
-    """Draws milliseconds from a span of seconds, one at a time."""
+    """Return a function that draws a number of milliseconds from a span of seconds."""
     return lambda: draw(rng, span_s) * 1000
--- a/flintridge/lab/world/endpoint_encoding.py
+++ b/flintridge/lab/world/endpoint_encoding.py
@@ -1,4 +1,4 @@
-"""The endpoint list in the JSON that discovery sends."""
+"""Encoding of the endpoint list as the JSON that discovery sends."""
 
 from collections.abc import Iterable
 from typing import Any
@@ -7,26 +7,26 @@
 from flintridge.lab.world.endpoint_list import Endpoint, EndpointChange
 
 EndpointListBody = dict[str, Any]
-"""A list, or a change of it, before it is encoded."""
+"""The complete list or a change of it, before it is encoded as JSON."""
 
 
 class EndpointEncoder:
-    """Makes the bodies of responses, with the addresses at which a node finds each endpoint."""
+    """Builds the bodies of responses, with the addresses that a node uses for each endpoint."""
 
     def __init__(self, fabric: Fabric) -> None:
-        """Make an encoder for the addresses and the clock of this fabric."""
+        """Create an encoder that uses the addresses and the clock of this fabric."""
         self._fabric = fabric
 
     def body(
         self, node: str, revision: int, changes: Iterable[EndpointChange], *, complete: bool
     ) -> EndpointListBody:
-        """The list as it is sent to a node.
+        """Return the body of a response to a node.
 
         Args:
-            node: The node.
-            revision: Of the list.
-            changes: Endpoints of the list, or those that changed.
-            complete: Whether they are the complete list.
+            node: Name of the node.
+            revision: Revision of the list.
+            changes: All endpoints of the list, or only those that changed.
+            complete: Whether `changes` are the complete list.
         """
         members = [self._member(node, change.endpoint) for change in changes]
         return {"revision": revision, "complete": complete, "members": members}
--- a/flintridge/lab/world/endpoint_list.py
+++ b/flintridge/lab/world/endpoint_list.py
@@ -1,4 +1,4 @@
-"""The endpoint list as discovery knows it: late, in revisions, with what changed since each."""
+"""The endpoint list as discovery publishes it: with a delay, in revisions, with the changes since each."""
 
 import heapq
 from collections import deque
@@ -6,11 +6,11 @@
 from dataclasses import dataclass, replace
 from enum import StrEnum
 
-MIN_REMEMBERED_CHANGES = 1000  # beside two for each endpoint
+MIN_REMEMBERED_CHANGES = 1000  # kept in addition to two changes per endpoint
 
 
 class Phase(StrEnum):
-    """Where an endpoint is in its life; the values are those that discovery sends."""
+    """Lifecycle phases of an endpoint; discovery sends these values."""
 
     IN_SERVICE = "in_service"
     TERMINATING = "terminating"
@@ -19,17 +19,17 @@
 
 @dataclass(slots=True, frozen=True)
 class Endpoint:
-    """What the list says of a server.
+    """An entry of the list, which describes one server.
 
     Attributes:
-        id: Its id.
-        party: At whose addresses it listens.
-        zone: Where it stands.
-        kind: Name of its kind.
-        cell: Its cell in that zone.
-        weight: Its weight.
-        phase: Where it is in its life.
-        started_at: When it started (ms of the run); 0 for long ago.
+        id: Id of the server.
+        party: The party at whose addresses the server listens.
+        zone: Zone of the server.
+        kind: Name of the server's kind.
+        cell: Cell of the server within its zone.
+        weight: Weight of the server.
+        phase: Lifecycle phase of the server.
+        started_at: When the server started (ms of the run); 0 if it started long before the run.
     """
 
     id: str
@@ -47,9 +47,9 @@
     """A change of the list.
 
     Attributes:
-        revision: Of the list, by this change.
+        revision: Revision of the list that this change created.
         listed_at: When it was listed (ms of the run).
-        endpoint: The endpoint as it is listed since.
+        endpoint: The endpoint as listed from this revision on.
     """
 
     revision: int
@@ -62,10 +62,10 @@
     """A change that is not listed yet.
 
     Attributes:
-        observed_at: When it came about (ms of the run).
-        endpoint: What will be listed.
-        by_silence: Whether the machine is listed as terminated because nothing was heard of it.
-        dropped: Whether the machine came back, or really terminated, before that was listed.
+        observed_at: When the change happened (ms of the run).
+        endpoint: The endpoint as it will be listed.
+        by_silence: Whether the change lists the machine as terminated because it is silent.
+        dropped: Whether the machine returned or really terminated first, so that the change is never listed.
     """
 
     observed_at: float
@@ -75,48 +75,48 @@
 
 
 class EndpointList:
-    """Endpoints become listed a while after what happens to them; the changes of one keep their order.
+    """Lists changes of endpoints after a delay; the changes of one endpoint keep their order.
 
     Attributes:
-        revision: Of the list at present.
-        stale_since: Nothing that came about since then is listed (ms of the run); None for no such fault.
+        revision: Current revision of the list.
+        stale_since: Changes since this time (ms of the run) are not listed; None without such a fault.
     """
 
     def __init__(
         self, first_revision: int, notice_ms: Callable[[], float], silent_ms: Callable[[], float]
     ) -> None:
-        """Make an empty list.
+        """Create an empty list.
 
         Args:
-            first_revision: Its revision.
-            notice_ms: Draws how long a start, a drain or a termination stays unlisted (ms).
+            first_revision: Revision of the empty list.
+            notice_ms: Draws the delay until a start, a drain or a termination is listed (ms).
             silent_ms: Draws how long a machine may be silent before it is listed as terminated (ms).
         """
         self.revision = first_revision
         self.stale_since: float | None = None
         self._notice_ms = notice_ms
         self._silent_ms = silent_ms
-        self._listed: dict[str, EndpointChange] = {}  # all but the terminated
+        self._listed: dict[str, EndpointChange] = {}  # by id, without terminated endpoints
         self._changes: deque[EndpointChange] = deque()
-        self._pending: list[tuple[float, int, PendingChange]] = []  # a heap: due at, order, change
-        self._backlog: list[PendingChange] = []  # due, but not listed while the list is stale
+        self._pending: list[tuple[float, int, PendingChange]] = []  # heap: due time, sequence, change
+        self._backlog: list[PendingChange] = []  # due changes that are held back while the list is stale
         self._sequence = 0
         self._last_due: dict[str, float] = {}
-        self._observed: dict[str, Endpoint] = {}  # the latest of each endpoint, listed or not
+        self._observed: dict[str, Endpoint] = {}  # latest observed state by id, listed or not
         self._silences: dict[str, PendingChange] = {}
 
     def add(self, now: float, endpoint: Endpoint) -> None:
-        """List an endpoint at once, as one that runs since long ago."""
+        """List an endpoint without delay, as one that has been running for a long time."""
         self._observed[endpoint.id] = endpoint
         self._list(now, endpoint)
 
     def observe(self, now: float, endpoint: Endpoint, silent: bool = False) -> None:
-        """Take what an endpoint really is; it is listed later.
+        """Observe the actual state of an endpoint, which is listed after a delay.
 
         Args:
             now: Time of the run in milliseconds.
-            endpoint: What it is.
-            silent: Whether nothing is heard of its machine, which then cannot tell what it is.
+            endpoint: Actual state of the endpoint.
+            silent: Whether its machine is silent, so that discovery cannot learn the actual state.
         """
         if silent:
             if endpoint.id not in self._silences and endpoint.phase != Phase.TERMINATED:
@@ -132,14 +132,14 @@
             self._schedule(now, self._notice_ms(), endpoint)
 
     def due(self) -> float | None:
-        """When there may be something to list next (ms of the run)."""
+        """Return when the next change is due (ms of the run); None if there is none."""
         return self._pending[0][0] if self._pending else None
 
     def advance(self, now: float) -> bool:
-        """List what is due at `now` (ms).
+        """List all changes that are due at `now` (ms).
 
         Returns:
-            Whether there was anything.
+            Whether the list changed.
         """
         before = self.revision
         ready = self._backlog
@@ -153,13 +153,13 @@
                 self._backlog.append(pending)
                 continue
             if pending.by_silence:
-                # So that a return is listed again.
+                # Makes a later return of the machine differ from the observed state, so that it is listed.
                 self._observed[pending.endpoint.id] = pending.endpoint
             self._list(now, pending.endpoint)
         return self.revision != before
 
     def changes_since(self, revision: int) -> list[EndpointChange] | None:
-        """The latest change of each endpoint after this revision; None: the complete list is needed."""
+        """Return the latest change of each endpoint after a revision; None if the complete list is needed."""
         if revision > self.revision or revision <= 0:
             return None
         if revision == self.revision:
@@ -169,11 +169,11 @@
         return self.changes_between(revision, self.revision)
 
     def changes_between(self, after: int, up_to: int) -> list[EndpointChange]:
-        """The latest change of each endpoint within these revisions, as far back as changes are remembered.
+        """Return the latest change of each endpoint in a range of revisions, as far back as changes are kept.
 
         Args:
-            after: The revision before the first of them.
-            up_to: The last of them.
+            after: The revision before the range.
+            up_to: The last revision of the range.
         """
         latest: dict[str, EndpointChange] = {}
         for change in reversed(self._changes):
@@ -184,11 +184,11 @@
         return sorted(latest.values(), key=_by_revision)
 
     def snapshot(self) -> list[EndpointChange]:
-        """All endpoints by id, so that their order tells nothing."""
+        """Return all endpoints, ordered by id so that the order reveals nothing about them."""
         return [self._listed[name] for name in sorted(self._listed)]
 
     def revision_at(self, at: float) -> int:
-        """The revision that was listed at `at` (ms) or before, as far back as changes are remembered."""
+        """Return the revision that was current at `at` (ms), as far back as changes are remembered."""
         for change in reversed(self._changes):
             if change.listed_at <= at:
                 return change.revision
@@ -197,9 +197,9 @@
     def _schedule(
         self, now: float, delay_ms: float, endpoint: Endpoint, *, by_silence: bool = False
     ) -> PendingChange:
-        # Guards the order of one endpoint's changes: a quick restart must not be listed before its end.
+        # Keeps the order of an endpoint's changes: a fast restart must not be listed before the termination.
         due = max(now + delay_ms, self._last_due.get(endpoint.id, now))
-        if not by_silence:  # which may be dropped, and then delays nothing
+        if not by_silence:  # such a change may be dropped and must not delay later ones
             self._last_due[endpoint.id] = due
         self._sequence += 1
         pending = PendingChange(now, endpoint, by_silence)
@@ -217,7 +217,7 @@
         self._changes.append(change)
         if endpoint.phase == Phase.TERMINATED:
             del self._listed[endpoint.id]
-            if self._observed.get(endpoint.id) == endpoint:  # guards a long run of new ids against growing
+            if self._observed.get(endpoint.id) == endpoint:  # bounds memory in a long run with many new ids
                 del self._observed[endpoint.id]
                 self._last_due.pop(endpoint.id, None)
         else:
--- a/flintridge/lab/world/environment.py
+++ b/flintridge/lab/world/environment.py
@@ -1,4 +1,4 @@
-"""What all simulated servers share."""
+"""Objects that all simulated servers share."""
 
 from dataclasses import dataclass
 
@@ -12,16 +12,16 @@
 
 @dataclass(slots=True, frozen=True)
 class Environment:
-    """What a simulated server needs from the run.
+    """The objects of a run that a simulated server needs.
 
     Attributes:
         fabric: Clock, addresses, links and listeners.
-        log: Where records go.
-        truth: What clients really sent.
+        log: The log that receives all records.
+        truth: What clients really sent, by request id.
         objects: The values that servers hold.
         scenario: The scenario of the run.
-        seeds: Where generators of random numbers come from.
-        nodes: Names of the nodes, each of which can connect.
+        seeds: Source of all random number generators.
+        nodes: Names of the nodes, each of which can connect to every server.
     """
 
     fabric: Fabric
--- a/flintridge/lab/world/fault_controls.py
+++ b/flintridge/lab/world/fault_controls.py
@@ -1,26 +1,26 @@
-"""What faults set on a cache server."""
+"""Settings of a cache server that faults change."""
 
 from collections.abc import Callable
 
 MIN_SLOWDOWN = 1e-6
 
 
-def _nothing() -> None:
-    """Nobody drives the model."""
+def _no_op() -> None:
+    """Do nothing; used for a model without a driver."""
 
 
 class FaultControls:
-    """Settings of a cache server that faults change at any time; they outlast a restart.
+    """Settings of a cache server that faults may change at any time; they survive a restart.
 
     `flintridge.lab.faults` sets them by their names.
 
     Attributes:
         error_fraction: Fraction of requests that end in an error at once.
-        reset_fraction: Fraction of requests whose connection is reset once they arrived.
+        reset_fraction: Fraction of requests whose connection is reset after they have arrived.
         corrupted_fraction: Fraction of responses that are malformed.
         lost_fraction: Fraction of responses that are never sent.
-        stale_after_ms: Idle time after which a connection is dropped unseen; 0 for never.
-        stale_unresponsive: Whether such a connection stays open and never responds, rather than being reset.
+        stale_after_ms: Idle time after which a connection is dropped without notice (ms); 0 for never.
+        stale_unresponsive: Whether a dropped connection stays open without any response, instead of a reset.
     """
 
     __slots__ = (
@@ -40,10 +40,10 @@
         """Start with no fault.
 
         Args:
-            catch_up: Brings the model up to date; called before and after a change of its speed.
-            rate_changed: Lets the model take its rate anew.
+            catch_up: Advances the model to the present; called before and after a change of its speed.
+            rate_changed: Makes the model recompute its rate.
         """
-        self._catch_up = catch_up or _nothing
+        self._catch_up = catch_up or _no_op
         self._rate_changed = rate_changed
         self._slowdown = 1.0
         self._contention_fraction = 0.0
@@ -56,12 +56,12 @@
 
     @property
     def slowdown(self) -> float:
-        """All work takes this many times as long."""
+        """Factor on the time that all work takes."""
         return self._slowdown
 
     @slowdown.setter
     def slowdown(self, factor: float) -> None:
-        """Let the model catch up before and after."""
+        """Advance the model to the present before and after the change."""
         self._catch_up()
         self._slowdown = max(factor, MIN_SLOWDOWN)
         self._rate_changed()
@@ -74,14 +74,14 @@
 
     @contention_fraction.setter
     def contention_fraction(self, fraction: float) -> None:
-        """Let the model catch up before and after."""
+        """Advance the model to the present before and after the change."""
         self._catch_up()
         self._contention_fraction = fraction
         self._rate_changed()
         self._catch_up()
 
     def copy_from(self, earlier: "FaultControls") -> None:
-        """Take over the settings of an earlier incarnation."""
+        """Copy the settings of an earlier incarnation."""
         self.error_fraction = earlier.error_fraction
         self.reset_fraction = earlier.reset_fraction
         self.corrupted_fraction = earlier.corrupted_fraction
--- a/flintridge/lab/world/fleet.py
+++ b/flintridge/lab/world/fleet.py
@@ -26,49 +26,49 @@
 from flintridge.lab.world.value_changes import ValueChanges
 
 NO_ZONE = "(nowhere)"
-"""Where machines stand that no zone is named for: outside of every zone, lost with none."""
+"""Zone of machines for which the scenario names none: outside all zones, and lost with none of them."""
 
-WATCH_INTERVAL_MS = 50.0  # between two looks for servers that crashed by overload
-FIRST_INSTANT_MS = 0.001  # stands for a start at the very first instant, as 0 means long ago
+CRASH_CHECK_INTERVAL_MS = 50.0  # between two checks for servers that crashed from overload
+EARLIEST_START_MS = 0.001  # listed for a start at 0 ms, because 0 means "started long ago"
 
 
 @dataclass(slots=True, frozen=True)
 class _PublishedState:
-    """A server as discovery last saw it."""
+    """The state of a server that was last published to discovery."""
 
     up: bool
     draining: bool
 
 
 class SimulatedFleet:
-    """All machines but the nodes' and the clients'.
+    """All machines except those of the nodes and the clients.
 
-    Whatever changes a server goes through the methods here, so that discovery gets to know.
+    Every change of a server has to be made through the methods of this class, so that discovery observes it.
 
     Attributes:
         scenario: The scenario.
         fabric: Clock, addresses, links and listeners.
-        log: Where records go.
+        log: The log that receives all records.
         nodes: Names of the nodes.
-        node_zones: Zones of the nodes.
+        node_zones: Zone of each node, by its name.
         objects: The values that servers hold.
-        plans: What each server is, by id.
-        servers: What is there, by id, down or not; what was replaced is gone from it.
-        origin: The origin.
-        discovery: Discovery.
+        plans: Plan of each server, by id.
+        servers: Hosts of the servers by id, whether up or down, without those that were removed.
+        origin: Host of the origin.
+        discovery: Host of the discovery service.
     """
 
     def __init__(
         self, scenario: Scenario, seeds: Seeds, log: RecordLog, fabric: Fabric, truth: GroundTruth
     ) -> None:
-        """Build the machines; none listens yet.
+        """Create the machines; none of them listens yet.
 
         Args:
             scenario: The scenario.
-            seeds: Where all draws come from.
-            log: Where records go.
+            seeds: Source of all random numbers.
+            log: The log that receives all records.
             fabric: Clock, addresses, links and listeners.
-            truth: What clients really send.
+            truth: What clients really send, by request id.
         """
         self.scenario = scenario
         self.fabric = fabric
@@ -85,17 +85,17 @@
         self.servers: dict[str, CacheHost] = {name: self._host(plan) for name, plan in self.plans.items()}
         self.origin = OriginHost(self._environment, OriginConnection)
         self.discovery = self._discovery_host()
-        self._silent: set[str] = set()  # servers; looked up by name only
+        self._silent: set[str] = set()  # ids of servers; only tested for membership, never iterated
         self._published: dict[str, _PublishedState] = {}
         self._configurations = NodeConfigurations(scenario, seeds, fabric, self.discovery)
         self._value_changes: ValueChanges | None = None
-        self._watch_timer: asyncio.TimerHandle | None = None
+        self._crash_check_timer: asyncio.TimerHandle | None = None
 
     async def open(self) -> None:
-        """Place all machines, open all listeners and start the steady processes.
+        """Assign zones to all machines, open all listeners and start the periodic tasks.
 
         Raises:
-            OSError: An address is taken.
+            OSError: An address is already in use.
         """
         self._place_machines()
         now = self.fabric.clock.now()
@@ -110,14 +110,14 @@
             clock = self.fabric.clock
             self._value_changes = ValueChanges(self.scenario.keys, self._seeds, self.objects, clock)
             self._value_changes.start()
-        self._watch_servers()
+        self._publish_changed_servers()
 
     async def close(self) -> None:
-        """Stop everything; nothing listens any more."""
+        """Stop all machines and tasks and close all listeners."""
         if self._value_changes is not None:
             self._value_changes.stop()
-        if self._watch_timer is not None:
-            self._watch_timer.cancel()
+        if self._crash_check_timer is not None:
+            self._crash_check_timer.cancel()
         await self.discovery.close()
         for host in self.servers.values():
             host.stop()
@@ -126,17 +126,17 @@
     # Nodes
 
     def node_config(self, node: str) -> NodeConfiguration:
-        """The configuration for a start of the node, which is notified of the endpoint list by it."""
+        """Return the configuration for a start of the node; its endpoint list counts as a notification."""
         notification = self.discovery.model.node_started(self.fabric.clock.now(), node)
         self.discovery.record(notification)
         return self._configurations.start(node)
 
     def reload_config(self, node: str) -> NodeConfiguration:
-        """The configuration for a SIGHUP: where discovery is now. Nothing else has changed."""
+        """Return the configuration for a SIGHUP: only the address of discovery can differ."""
         return self._configurations.current(node)
 
     def node_stopped(self, node: str) -> None:
-        """Take note that a node's process is gone, and what it was notified of with it."""
+        """Forget what the node was notified of, because its process has ended."""
         self.discovery.model.notifications.stopped(node)
 
     # Servers
@@ -145,11 +145,11 @@
         """Start a server that is down.
 
         Args:
-            server: Its id.
-            cold: Whether it starts empty and warms up.
+            server: Id of the server.
+            cold: Whether it starts with an empty cache and warms up.
 
         Raises:
-            OSError: An address is taken.
+            OSError: An address is already in use.
         """
         host = self.servers[server]
         if not host.up:
@@ -157,20 +157,20 @@
             self.publish(server)
 
     def stop(self, server: str, reason: StopReason = StopReason.CRASHED) -> None:
-        """End a server's process: connections are reset, its work is lost."""
+        """End a server's process: its connections are reset and its unfinished work is lost."""
         host = self.servers[server]
         host.stop(reason)
         self.publish(server)
 
     def drain(self, server: str) -> None:
-        """Let a server reject new requests."""
+        """Start draining a server: it rejects new requests."""
         host = self.servers[server]
         if host.up and not host.model.draining:
             host.drain()
             self.publish(server)
 
     def set_silent(self, server: str, silent: bool) -> None:
-        """Say whether discovery hears of a machine; its links are set by the caller."""
+        """Set whether a machine is silent to discovery; the caller sets the state of its links."""
         if (server in self._silent) == silent:
             return
         if silent:
@@ -188,11 +188,11 @@
         self.publish(server)
 
     def is_silent(self, server: str) -> bool:
-        """Whether discovery hears nothing of a machine."""
+        """Whether discovery receives nothing from a machine."""
         return server in self._silent
 
     def remove(self, server: str) -> ServerPlan:
-        """Stop a server for good; what it was, for `replace`."""
+        """Stop a server for good and return its plan, which `replace` takes."""
         if server in self._silent:
             self.set_silent(server, False)
         self.stop(server, StopReason.REMOVED)
@@ -202,17 +202,17 @@
         return self.plans.pop(server)
 
     async def replace(self, removed: ServerPlan, at_address_of: str | None) -> str:
-        """Start a machine like one that was removed, under a new id, cold and empty.
+        """Start a server like one that was removed, with a new id and an empty cache; it warms up.
 
         Args:
-            removed: What was removed.
-            at_address_of: The party at whose addresses it listens; None for its own.
+            removed: Plan of the removed server.
+            at_address_of: The party at whose addresses the new server listens; None for its own addresses.
 
         Returns:
-            The new id.
+            Id of the new server.
 
         Raises:
-            OSError: An address is taken.
+            OSError: An address is already in use.
         """
         plan = replace(removed, id=self._ids.new())
         host = self._host(plan)
@@ -224,12 +224,12 @@
         return plan.id
 
     def publish(self, server: str) -> None:
-        """Let discovery see a server as it is; it lists that some time later."""
+        """Pass the current state of a server to discovery, which lists it after a delay."""
         host = self.servers[server]
         self._published[server] = _PublishedState(host.up, host.model.draining)
         self.discovery.observe(self._endpoint(server), silent=server in self._silent)
 
-    # Within
+    # Internals
 
     @property
     def _links(self) -> LinkTable:
@@ -267,7 +267,7 @@
             phase = Phase.TERMINATING
         started_at = host.started_at
         if host.started_unix_ms and not started_at:
-            started_at = FIRST_INSTANT_MS
+            started_at = EARLIEST_START_MS
         return Endpoint(
             id=host.id,
             party=host.party,
@@ -282,10 +282,12 @@
     def _origin_endpoint(self) -> Endpoint:
         return Endpoint(ORIGIN, ORIGIN, self.scenario.origin.zone or "", ORIGIN_KIND)
 
-    def _watch_servers(self) -> None:
-        """Let discovery see servers that crashed by overload, by themselves."""
+    def _publish_changed_servers(self) -> None:
+        """Publish servers that changed without a call of this class, as by a crash from overload."""
         for server, host in self.servers.items():
             seen = self._published.get(server)
             if seen is None or seen.up != host.up or seen.draining != host.model.draining:
                 self.publish(server)
-        self._watch_timer = self.fabric.clock.call_later(WATCH_INTERVAL_MS, self._watch_servers)
+        self._crash_check_timer = self.fabric.clock.call_later(
+            CRASH_CHECK_INTERVAL_MS, self._publish_changed_servers
+        )
--- a/flintridge/lab/world/fleet_plan.py
+++ b/flintridge/lab/world/fleet_plan.py
@@ -1,4 +1,4 @@
-"""What a fleet consists of, drawn from the scenario by the seed before anything runs."""
+"""Plan of a fleet, drawn from the scenario with the seed before the run starts."""
 
 import random
 from dataclasses import dataclass
@@ -12,15 +12,15 @@
 
 @dataclass(slots=True, frozen=True)
 class ServerPlan:
-    """One cache server.
+    """Plan of one cache server.
 
     Attributes:
-        id: As discovery lists it; drawn, so that no order of ids hints at what a server is or where.
-        label: `s0`, `s1` ... by its position in the scenario's groups; a replacement keeps it.
-        kind: Its kind, with a number for each span.
-        zone: Where it stands.
-        cell: Its cell in that zone.
-        weight: Its weight as discovery lists it.
+        id: Id that discovery lists; drawn at random, so that the order of ids reveals neither kind nor zone.
+        label: `s0`, `s1` ... by its position in the scenario's groups; a replacement keeps the label.
+        kind: Kind of the server, with a drawn number in place of each span.
+        zone: Zone of the server.
+        cell: Cell of the server within its zone.
+        weight: Weight of the server as discovery lists it.
     """
 
     id: str
@@ -33,11 +33,11 @@
 
 @dataclass(slots=True, frozen=True)
 class PlacedServer:
-    """A server before its draws.
+    """A server before its random properties are drawn.
 
     Attributes:
         group: The scenario's group that it belongs to.
-        zone: Where it stands.
+        zone: Zone of the server.
     """
 
     group: Group
@@ -45,60 +45,60 @@
 
 
 def node_names(scenario: Scenario) -> list[str]:
-    """Names of the nodes."""
+    """Return the names of all nodes."""
     return [f"n{i}" for i in range(scenario.nodes.count)]
 
 
 def node_zones(scenario: Scenario) -> dict[str, str]:
-    """Zones by node, in turn."""
+    """Return the zone of each node by name, assigned round robin."""
     zones = scenario.nodes.zones or scenario.zones
     return {name: zones[i % len(zones)] for i, name in enumerate(node_names(scenario))}
 
 
 def placed_servers(scenario: Scenario) -> list[PlacedServer]:
-    """Every server with its zone, in the order of their labels."""
+    """Return every server with its zone, in the order of the labels."""
     servers: list[PlacedServer] = []
-    turn = 0
+    next_zone = 0
     for group in scenario.servers:
         for _ in range(group.count):
             if group.zone is None:
-                # One turn over all groups: several small groups must not all begin in the first zone.
-                servers.append(PlacedServer(group, scenario.zones[turn % len(scenario.zones)]))
-                turn += 1
+                # One round robin over all groups: several small groups must not all start in the first zone.
+                servers.append(PlacedServer(group, scenario.zones[next_zone % len(scenario.zones)]))
+                next_zone += 1
             else:
                 servers.append(PlacedServer(group, group.zone))
     return servers
 
 
 class ServerIds:
-    """Ids that were never given before."""
+    """Issues server ids that have never been issued before."""
 
     def __init__(self, rng: random.Random) -> None:
-        """Begin with none given; ids are drawn from `rng`."""
+        """Start with no id issued; ids are drawn from `rng`."""
         self._rng = rng
-        self._given: set[str] = set()
+        self._issued: set[str] = set()
 
     def new(self) -> str:
-        """Give another id."""
+        """Issue a new id."""
         while True:
             server_id = f"s-{self._rng.getrandbits(32):08x}"
-            if server_id not in self._given:
-                self._given.add(server_id)
+            if server_id not in self._issued:
+                self._issued.add(server_id)
                 return server_id
 
 
 def draw_kind(kind: Kind, rng: random.Random) -> Kind:
-    """The kind with a number for each of its spans, for one server."""
+    """Return the kind with a drawn number in place of each span, for one server."""
     spans = ("speed", "queue_per_core", "pause_ms")
     return msgspec.structs.replace(kind, **{name: draw(rng, getattr(kind, name)) for name in spans})
 
 
 def plan_servers(scenario: Scenario, seeds: Seeds, ids: ServerIds) -> list[ServerPlan]:
-    """The cache servers that are there from the start."""
+    """Return the plans of the cache servers that exist at the start of the run."""
     kinds = {kind.name: kind for kind in scenario.kinds}
     plans: list[ServerPlan] = []
     for number, server in enumerate(placed_servers(scenario)):
-        # A generator for each server: what one group draws does not move the servers of the others.
+        # Each server has its own generator, so that draws for one group never change servers of another.
         rng = seeds.of(f"server/{number}")
         group = server.group
         kind = draw_kind(kinds[group.kind], rng)
--- a/flintridge/lab/world/job_executor.py
+++ b/flintridge/lab/world/job_executor.py
@@ -1,4 +1,4 @@
-"""How a cache server executes requests: slots, an admission queue, and what comes of each request."""
+"""Execution of requests at a cache server: slots, an admission queue, and the outcome of each request."""
 
 import random
 from collections import deque
@@ -6,16 +6,16 @@
 from flintridge.lab.scenario.model import Kind
 from flintridge.lab.world.cache_job import Job, JobState
 from flintridge.lab.world.cache_store import CacheStore
-from flintridge.lab.world.draws import scatter
+from flintridge.lab.world.draws import lognormal_by_cv
 from flintridge.lab.world.load_report import LoadReport
 from flintridge.lab.world.outcomes import Outcome
 from flintridge.lab.world.shared_cores import SharedCores
 
-EXECUTED_ERROR_FRACTION = 0.5  # of the errors at the kind's own rate: the request took effect all the same
+EXECUTED_ERROR_FRACTION = 0.5  # of the errors from the kind's `error_rate`: the request still took effect
 
 
 class JobExecutor:
-    """Starts requests as slots are free, and ends them.
+    """Starts requests when slots are free, and completes them.
 
     Attributes:
         draining: Whether new requests are rejected.
@@ -47,12 +47,12 @@
         """Start with no request.
 
         Args:
-            kind: The kind of server.
-            queue_limit: How many requests may wait.
+            kind: Kind of the server.
+            queue_limit: Number of requests that may wait for a slot.
             store: The copies that the server caches.
-            cores: Where requests run.
-            load_report: Where those that were executed are counted.
-            rng: Where draws come from.
+            cores: The cores that run requests.
+            load_report: Counts the completed requests.
+            rng: Source of random numbers.
         """
         self.draining = False
         self._kind = kind
@@ -68,27 +68,27 @@
 
     @property
     def queued(self) -> int:
-        """Requests that wait for a slot."""
+        """Number of requests that wait for a slot."""
         return len(self._waiting)
 
     @property
     def in_flight(self) -> int:
-        """Requests that run or wait."""
+        """Number of requests that run or wait."""
         return self._cores.service.running + len(self._waiting) + len(self._paused_arrivals)
 
     @property
     def has_finished(self) -> bool:
-        """Whether there is something for `take_finished`."""
+        """Whether `take_finished` would return any request."""
         return bool(self._finished)
 
     @property
     def is_idle(self) -> bool:
-        """Whether nothing can end by itself."""
+        """Whether no request can end without another call."""
         service = self._cores.service
         return not (service.running or service.background or self._paused_arrivals)
 
     def offer(self, job: Job) -> Outcome | None:
-        """Start a request or let it wait; the outcome of one that ends at once."""
+        """Start or queue a request; return its outcome if it ends at once."""
         if self._cores.pauses.active:
             job.state = JobState.WAITING
             self._paused_arrivals.append(job)
@@ -96,7 +96,7 @@
         return self._admit(job)
 
     def cancel(self, job: Job) -> bool:
-        """Say that nobody waits for a request any more; whether its work stops."""
+        """Cancel a request that nobody waits for any more; return whether its work stops."""
         drops = self._kind.drops_cancelled
         if drops == "none" or job.state not in (JobState.WAITING, JobState.RUNNING):
             return False
@@ -113,7 +113,7 @@
         return True
 
     def change_state(self) -> None:
-        """Do what is due now: end a pause, start one, or complete requests."""
+        """Process the change that is due now: end a pause, start one, or complete requests."""
         cores = self._cores
         cores.mark_rate_stale()
         if cores.pauses.active:
@@ -126,7 +126,7 @@
             self._start_waiting()
 
     def take_finished(self) -> list[Job]:
-        """The requests that ended since the last call, in their order."""
+        """Return the requests that ended since the last call, in the order of their ends."""
         finished = self._finished
         if finished:
             self._finished = []
@@ -164,7 +164,7 @@
         job.version = 0 if job.write else self._store.get(self._cores.now, job.key)
         work_ms = job.work_ms if job.version else job.work_ms * self._kind.miss_work
         if self._kind.speed_cv:
-            work_ms *= scatter(self._rng, self._kind.speed_cv)
+            work_ms *= lognormal_by_cv(self._rng, self._kind.speed_cv)
         self._cores.add_job(work_ms, job)
 
     def _start_waiting(self) -> None:
@@ -194,5 +194,5 @@
         self._finished.append(job)
 
     def _update_queued(self) -> None:
-        # A longer queue may slow all.
+        # A longer queue may slow down all requests.
         self._cores.set_queued(len(self._waiting))
--- a/flintridge/lab/world/link.py
+++ b/flintridge/lab/world/link.py
@@ -1,4 +1,4 @@
-"""One direction of a network link between two machines: delays, fragments, losses."""
+"""One direction of a network link between two machines: delays, segments and losses."""
 
 from dataclasses import dataclass
 
@@ -6,9 +6,9 @@
 RESET = "reset"
 SILENT = "silent"
 STATES = (UP, RESET, SILENT)
-"""States of a link, the worse one later."""
+"""States of a link, in increasing order of severity."""
 
-MAX_FRAGMENTS = 4
+MAX_SEGMENTS = 4
 MINSTD_MODULUS = 2_147_483_647
 MINSTD_FACTOR = 48_271
 _UNIT = 1.0 / MINSTD_MODULUS
@@ -16,17 +16,17 @@
 
 @dataclass(slots=True, frozen=True)
 class LinkFault:
-    """What is wrong in one direction between two nodes, beside what is wrong between their zones.
+    """A fault in one direction between two nodes, in addition to faults between their zones.
 
-    What is sent later may arrive earlier: `jitter_ms` is drawn for each datagram. Attributes are those of
-    `flintridge.lab.records.LinkFaultChanged`.
+    Datagrams can overtake each other, because `jitter_ms` is drawn for each of them. The attributes are those
+    of `flintridge.lab.records.LinkFaultChanged`.
 
     Attributes:
         cut: Whether nothing arrives.
         loss: Fraction of datagrams that are lost.
         duplication: Fraction of datagrams that arrive twice.
-        added_delay_ms: By which everything arrives later.
-        jitter_ms: Up to which, on top of that, each datagram arrives later.
+        added_delay_ms: Additional delay of everything that is sent (ms).
+        jitter_ms: Upper bound of a further delay that is drawn for each datagram (ms).
         bytes_per_s: Bandwidth; 0 for no limit.
     """
 
@@ -42,25 +42,25 @@
 
 
 class SimulatedLink:
-    """One direction between two parties; see `flintridge.lab.fabric.Link`.
+    """The link from one party to another; see `flintridge.lab.fabric.Link`.
 
-    It has a small generator of its own (MINSTD), so that traffic on one link never moves the delays of
-    another, and thousands of links stay cheap.
+    It has its own small random number generator (MINSTD), so that traffic on one link never changes the
+    delays of another one, and thousands of links stay cheap.
 
     Attributes:
         source: The party that sends.
         target: The party that receives.
         state: One of `STATES`.
-        base_ms: Delay without jitter and without what is added.
-        added_ms: Delay that faults between the two zones add.
-        fault: What is wrong in this direction alone.
+        base_ms: Delay without jitter and without additional delays (ms).
+        added_ms: Delay that faults between the two zones add (ms).
+        fault: The fault of this direction.
     """
 
     __slots__ = (
-        "_fragment_fraction",
         "_free_at",
         "_generator_state",
         "_jitter",
+        "_segmented_fraction",
         "added_ms",
         "base_ms",
         "fault",
@@ -70,17 +70,17 @@
     )
 
     def __init__(
-        self, source: str, target: str, base_ms: float, jitter: float, fragment_fraction: float, seed: int
+        self, source: str, target: str, base_ms: float, jitter: float, segmented_fraction: float, seed: int
     ) -> None:
-        """Make a link that is up.
+        """Create a link that is up.
 
         Args:
             source: The party that sends.
             target: The party that receives.
-            base_ms: Delay without jitter.
-            jitter: Fraction of the delay by which it varies at most.
-            fragment_fraction: Fraction of writes that arrive in several fragments.
-            seed: Of the link's generator.
+            base_ms: Delay without jitter (ms).
+            jitter: Largest variation of the delay, as a fraction of it.
+            segmented_fraction: Fraction of writes that arrive in several segments.
+            seed: Seed of the link's random number generator.
         """
         self.source = source
         self.target = target
@@ -88,20 +88,20 @@
         self.base_ms = base_ms
         self.added_ms = 0.0
         self.fault = NO_FAULT
-        self._free_at = 0.0  # when all bytes before have left, on a link of limited bandwidth
+        self._free_at = 0.0  # when all earlier bytes have been sent, if the bandwidth is limited
         self._jitter = jitter
-        self._fragment_fraction = fragment_fraction
+        self._segmented_fraction = segmented_fraction
         self._generator_state = seed % (MINSTD_MODULUS - 1) + 1
 
     def delay(self, now: float, size: int) -> float:
-        """How long something takes that is sent now.
+        """Draw the delay of bytes that are sent now.
 
         Args:
             now: Time of the run in milliseconds.
-            size: Its bytes, which matter where a fault limits the bandwidth.
+            size: Number of bytes; it matters only if a fault limits the bandwidth.
 
         Returns:
-            Milliseconds.
+            The delay in milliseconds.
         """
         state = self._generator_state * MINSTD_FACTOR % MINSTD_MODULUS
         self._generator_state = state
@@ -119,24 +119,24 @@
         return self.fault.duplication > 0 and self._draw() < self.fault.duplication
 
     def segment_sizes(self, size: int) -> list[int]:
-        """Draw the fragments of a write.
+        """Draw the segments in which a write arrives.
 
         Args:
-            size: Its bytes.
+            size: Number of bytes of the write.
 
         Returns:
-            Sizes that add up to it: one, or two to `MAX_FRAGMENTS` of them.
+            One size, or two to `MAX_SEGMENTS` sizes, which add up to `size`.
         """
-        if size < 2 or not self._fragment_fraction or self._draw() >= self._fragment_fraction:
+        if size < 2 or not self._segmented_fraction or self._draw() >= self._segmented_fraction:
             return [size]
-        fragments: list[int] = []
-        count = min(size, 2 + int(self._draw() * (MAX_FRAGMENTS - 1)))
+        segments: list[int] = []
+        count = min(size, 2 + int(self._draw() * (MAX_SEGMENTS - 1)))
         for remaining in range(count - 1, 0, -1):
-            fragment = 1 + int(self._draw() * (size - remaining))  # leaves a byte for each that follows
-            fragments.append(fragment)
-            size -= fragment
-        fragments.append(size)
-        return fragments
+            segment = 1 + int(self._draw() * (size - remaining))  # leaves one byte for each later segment
+            segments.append(segment)
+            size -= segment
+        segments.append(size)
+        return segments
 
     def _fault_delay(self, now: float, size: int) -> float:
         fault = self.fault
--- a/flintridge/lab/world/link_table.py
+++ b/flintridge/lab/world/link_table.py
@@ -1,4 +1,4 @@
-"""All links between machines: how far they are apart, and what is cut off now."""
+"""All links between machines: their delays, their states and their faults."""
 
 from collections.abc import Collection, Hashable
 from dataclasses import dataclass
@@ -17,12 +17,12 @@
 
 @dataclass(slots=True, frozen=True)
 class _Isolation:
-    """A zone that is cut off.
+    """The isolation of one zone.
 
     Attributes:
-        state: Of the links that cross its border.
-        inside: Whether the links inside it are in this state too.
-        spared: Parties that count as outside of the zone.
+        state: State of the links that cross the border of the zone.
+        inside: Whether the links inside the zone have this state too.
+        spared: Parties that count as outside the zone.
     """
 
     state: str
@@ -31,25 +31,25 @@
 
 
 class LinkTable:
-    """The links by pairs of parties. After any change of states tell the fabric (`links_changed`).
+    """The links by pairs of parties. The caller notifies the fabric of changed states (`links_changed`).
 
-    A party that was not placed, or placed in zone "", is a client: it is `client_ms` from everyone, and
-    outside of every zone. Of all that applies to a link, silent beats reset, and reset beats up.
+    A party without a zone, or in zone "", is a client: its delay to every other party is `client_ms`, and it
+    is outside every zone. If several states apply to a link, silent overrides reset, and reset overrides up.
     """
 
     def __init__(self, links: Links, seeds: Seeds) -> None:
-        """Make a table where all links are up.
+        """Create a table in which all links are up.
 
         Args:
-            links: What the scenario says of them.
-            seeds: Where their delays come from.
+            links: The scenario's settings of the links.
+            seeds: Source of their delays.
         """
         self._spec = links
         self._seeds = seeds
         self._zones: dict[str, str] = {}
         self._links: dict[tuple[str, str], SimulatedLink] = {}
         self._links_of_party: dict[str, list[SimulatedLink]] = {}
-        # Only what is not up, or has a fault:
+        # Entries exist only for states other than up, and for faults:
         self._party_states: dict[str, str] = {}
         self._zone_pair_states: dict[ZonePair, str] = {}
         self._isolations: dict[str, _Isolation] = {}
@@ -57,7 +57,7 @@
         self._faults: dict[tuple[str, str], LinkFault] = {}
 
     def place(self, party: str, zone: str) -> None:
-        """Say where a machine stands; links that exist already get other delays."""
+        """Set the zone of a machine; the delays of its existing links change accordingly."""
         if self._zones.get(party) == zone:
             return
         self._zones[party] = zone
@@ -66,11 +66,11 @@
             self._refresh(link)
 
     def zone(self, party: str) -> str:
-        """Where a machine stands; empty for outside of every zone."""
+        """Return the zone of a machine; empty if it is outside every zone."""
         return self._zones.get(party, "")
 
     def link(self, source: str, target: str) -> SimulatedLink:
-        """The link from one party to another; always the same object for a pair."""
+        """Return the link from one party to another; it is always the same object for a pair."""
         link = self._links.get((source, target))
         if link is None:
             seed = int(hash_fraction(f"{self._seeds.seed}/passages/{source}/{target}") * MINSTD_MODULUS)
@@ -99,7 +99,7 @@
         self.set_party(party, UP)
 
     def set_zones(self, zone: str, peer_zone: str, state: str) -> None:
-        """Set the state of the links between two zones, both ways; of a zone with itself: those inside it.
+        """Set the state of the links between two zones, in both directions; for equal zones, inside the zone.
 
         Raises:
             KeyError: There is no such state.
@@ -112,18 +112,18 @@
         self.set_zones(zone, peer_zone, UP)
 
     def isolate_zone(self, zone: str, state: str, inside: bool = False, spared: Collection[str] = ()) -> None:
-        """Set the state of all links that cross the zone's border, to clients too.
+        """Set the state of all links that cross the border of a zone, links to clients included.
 
         Args:
             zone: The zone.
-            state: Of these links.
-            inside: Whether it is the state of the links inside it as well, as where its machines are lost.
-            spared: Parties that count as outside of the zone.
+            state: State of these links.
+            inside: Whether the links inside the zone get the state too, as when its machines are lost.
+            spared: Parties that count as outside the zone.
 
         Raises:
             KeyError: There is no such state.
         """
-        _RANK[state]  # KeyError on an unknown one
+        _RANK[state]  # raises KeyError for an unknown state
         self._isolations.pop(zone, None)
         if state != UP:
             self._isolations[zone] = _Isolation(state, inside, tuple(spared))
@@ -134,7 +134,7 @@
         self.isolate_zone(zone, UP)
 
     def add_delay(self, zone: str, peer_zone: str, added_ms: float) -> None:
-        """Let everything between two zones take so much longer, both ways; 0 ms ends it."""
+        """Add a delay (ms) to all links between two zones, in both directions; 0 removes it."""
         self._added_ms[_pair(zone, peer_zone)] = added_ms
         self._refresh_all()
 
@@ -143,13 +143,13 @@
         self.add_delay(zone, peer_zone, 0.0)
 
     def set_fault(self, source: str, target: str, fault: LinkFault = NO_FAULT) -> None:
-        """Set what is wrong from one node to another, in this direction alone."""
+        """Set the fault of the link from one node to another; the opposite direction is not affected."""
         self._faults.pop((source, target), None)
         if fault != NO_FAULT:
             self._faults[source, target] = fault
         self._refresh(self.link(source, target))
 
-    # What a link is
+    # Properties of links
 
     def _base_ms(self, source: str, target: str) -> float:
         spec = self._spec
@@ -162,7 +162,7 @@
         elif zone == peer_zone:
             span = spec.same_ms
             name = f"link/{source}/{target}"
-        else:  # the distance of two zones is the same for all machines in them
+        else:  # the delay between two zones is the same for all machines in them
             pair = _pair(zone, peer_zone)
             span = spec.cross_ms
             name = f"zones/{pair[0]}/{pair[1]}"
@@ -173,7 +173,7 @@
             self._refresh(link)
 
     def _refresh(self, link: SimulatedLink) -> None:
-        """Take the state, the added delay and the fault of a link anew."""
+        """Recompute the state, the added delay and the fault of a link."""
         zone = self.zone(link.source)
         peer_zone = self.zone(link.target)
         pair = _pair(zone, peer_zone)
@@ -196,12 +196,12 @@
 
 
 def _pair(zone: str, peer_zone: str) -> ZonePair:
-    """The same for both orders."""
+    """Return the pair in sorted order, so that both directions share one key."""
     return (zone, peer_zone) if zone <= peer_zone else (peer_zone, zone)
 
 
 def _set_state(states: dict[Key, str], key: Key, state: str) -> None:
-    _RANK[state]  # KeyError on an unknown one
+    _RANK[state]  # raises KeyError for an unknown state
     states.pop(key, None)
     if state != UP:
         states[key] = state
--- a/flintridge/lab/world/load_report.py
+++ b/flintridge/lab/world/load_report.py
@@ -1,16 +1,16 @@
-"""The load report of a cache server: refreshed now and then, with noise."""
+"""The load report of a cache server: refreshed at random intervals, with noise."""
 
 import random
 
 REFRESH_INTERVAL_MS = (100.0, 400.0)
-NOISE_STDDEV = 0.05  # of a figure, as a fraction of it
+NOISE_STDDEV = 0.05  # as a fraction of the figure
 
 LoadFigures = dict[str, float]
-"""Figures by their names in a load report."""
+"""The figures of a load report, by name."""
 
 
 class LoadReport:
-    """Counts what a server does, and turns it into figures at each refresh.
+    """Counts the work of a server and computes the figures of the report at each refresh.
 
     Attributes:
         refresh_at: When the next refresh is due (ms of the run).
@@ -20,10 +20,10 @@
     __slots__ = ("_busy_ms", "_completed", "_hits", "_misses", "_rng", "_since", "figures", "refresh_at")
 
     def __init__(self, rng: random.Random, now: float) -> None:
-        """Begin with figures of 0.
+        """Start with all figures at 0.
 
         Args:
-            rng: Where the noise and the times of refreshes come from.
+            rng: Source of the noise and of the refresh intervals.
             now: Time of the run in milliseconds.
         """
         self._rng = rng
@@ -36,11 +36,11 @@
         self.refresh_at = now + rng.uniform(*REFRESH_INTERVAL_MS)
 
     def add_busy(self, busy_ms: float) -> None:
-        """Count time of the cores, as milliseconds of all of them together."""
+        """Add busy time, averaged over all cores (ms)."""
         self._busy_ms += busy_ms
 
     def add_completed(self, *, hit: bool, write: bool) -> None:
-        """Count a request that was executed."""
+        """Count a completed request."""
         self._completed += 1
         if write:
             return
@@ -50,12 +50,12 @@
             self._misses += 1
 
     def refresh(self, now: float, in_flight: int, queued: int) -> None:
-        """Take the figures anew.
+        """Compute the figures from the counts since the last refresh.
 
         Args:
             now: Time of the run in milliseconds.
-            in_flight: Requests that run or wait at present.
-            queued: Those of them that wait.
+            in_flight: Number of requests that currently run or wait.
+            queued: Number of requests that currently wait.
         """
         elapsed_ms = max(1.0, now - self._since)
         lookups = self._hits + self._misses
--- a/flintridge/lab/world/memcache.py
+++ b/flintridge/lab/world/memcache.py
@@ -1,6 +1,6 @@
-"""The lab's own reading of memcache meta commands, strict: what no client may send is malformed.
+"""The lab's strict parser of memcache meta commands: anything that a client may not send is malformed.
 
-It is fed bytes, and shares nothing with the node's parser on purpose.
+It deliberately shares no code with the node's parser.
 """
 
 import re
@@ -13,16 +13,16 @@
 MAX_VALUE_BYTES = 65_536
 MAX_KEY_BYTES = 250
 MAX_PIPELINED = 128
-"""Commands of a connection that a server starts before the first of them has its response."""
+"""Maximum number of commands per connection that a server has started but not yet responded to."""
 
 TOKEN = re.compile(rb"[\x21-\x7e]+")
 _LENGTH = re.compile(rb"0|[1-9][0-9]{0,5}")
 _NAME = re.compile(r"[A-Za-z][A-Za-z0-9_]*")
-_FIGURE = re.compile(r"[0-9]{1,12}(\.[0-9]{1,12})?")
+_DECIMAL = re.compile(r"[0-9]{1,12}(\.[0-9]{1,12})?")
 
 
 class CommandKind(Enum):
-    """What a command is; the values name it in records."""
+    """Kinds of commands; the values stand in records."""
 
     READ = "mg"
     WRITE = "ms"
@@ -35,15 +35,15 @@
     """One complete command.
 
     Attributes:
-        kind: What it is.
-        started_at: When the bytes in which it begins were sent (ms of the run).
-        key: Of a read or a write.
-        request_id: The client's request.
-        time_left_ms: How long the caller waits.
+        kind: Kind of the command.
+        started_at: When the bytes that hold its first byte were sent (ms of the run).
+        key: Key of a read or a write; empty for other commands.
+        request_id: Id of the client's request.
+        time_left_ms: How long the caller waits for the response (ms).
         extras: All names and values of its P flag.
-        value: Of a write.
-        reason: Why it is malformed.
-        fatal: Whether it is not known where the next command begins.
+        value: Value of a write; None for other commands.
+        reason: Why a malformed command is malformed.
+        fatal: Whether the command is malformed such that the start of the next command is unknown.
     """
 
     __slots__ = (
@@ -59,7 +59,7 @@
     )
 
     def __init__(self, kind: CommandKind, started_at: float) -> None:
-        """Make a command of which no more is known."""
+        """Create a command with all other attributes empty."""
         self.kind = kind
         self.started_at = started_at
         self.key = ""
@@ -72,16 +72,16 @@
 
 
 class MalformedCommandError(ValueError):
-    """In a form that no client sends."""
+    """A command or a request has a form that no client may send."""
 
 
 @dataclass(slots=True, frozen=True)
 class Extras:
-    """The list of names and values with a request.
+    """The list of names and values that a request carries.
 
     Attributes:
-        values: All of them, by name.
-        time_left_ms: The value of `d`: how long the caller waits.
+        values: All values, by name.
+        time_left_ms: The value of `d`: how long the caller waits for the response (ms).
     """
 
     values: dict[str, str]
@@ -89,10 +89,10 @@
 
 
 def read_extras(text: str) -> Extras:
-    """Read the list of names and values.
+    """Parse the list of names and values.
 
     Raises:
-        MalformedCommandError: No client sends such a list.
+        MalformedCommandError: No client may send such a list.
     """
     values: dict[str, str] = {}
     for pair in text.split(","):
@@ -103,7 +103,7 @@
             raise MalformedCommandError(f"{name} twice")
         values[name] = value
     for name in ("d", "h", "size"):
-        if name in values and not _FIGURE.fullmatch(values[name]):
+        if name in values and not _DECIMAL.fullmatch(values[name]):
             raise MalformedCommandError(f"{name} is no figure")
     if "d" not in values:
         raise MalformedCommandError("no d")
@@ -115,7 +115,7 @@
 
 @dataclass(slots=True)
 class _AwaitedValue:
-    """A write whose value is still to come."""
+    """A write whose value has not been received yet."""
 
     command: Command
     length: int
@@ -123,29 +123,29 @@
 
 
 class CommandReader:
-    """Commands out of bytes, however these are cut."""
+    """Parses commands from a stream of bytes, which may arrive in pieces of any size."""
 
-    __slots__ = ("_awaited", "_buffer", "_dead", "_sent_at")
+    __slots__ = ("_awaited", "_buffer", "_sent_at", "_stopped")
 
     def __init__(self) -> None:
-        """Start with no bytes."""
+        """Start with an empty buffer."""
         self._buffer = b""
-        self._sent_at = 0.0  # the bytes in which the present command begins
+        self._sent_at = 0.0  # send time of the bytes that hold the first byte of the current command
         self._awaited: _AwaitedValue | None = None
-        self._dead = False
+        self._stopped = False
 
     def feed(self, data: bytes, sent_at: float) -> list[Command]:
-        """Read on. After a command that is fatal nothing more is read.
+        """Parse received bytes. After a fatal command all further bytes are ignored.
 
         Args:
-            data: The bytes that came.
+            data: The received bytes.
             sent_at: When they were sent (ms of the run).
 
         Returns:
-            All commands that are complete now.
+            The commands that these bytes complete.
         """
         commands: list[Command] = []
-        if self._dead:
+        if self._stopped:
             return commands
         if self._buffer:
             data = self._buffer + data
@@ -153,7 +153,7 @@
             self._sent_at = sent_at
         at = 0
         end = len(data)
-        while at < end and not self._dead:
+        while at < end and not self._stopped:
             if self._awaited is not None:
                 used = self._read_value(self._awaited, data, at)
             else:
@@ -162,7 +162,7 @@
                 break
             at += used
             if self._awaited is None:
-                self._sent_at = sent_at  # whatever follows came with these bytes
+                self._sent_at = sent_at  # the next command begins in these bytes
             elif self._awaited.complete:
                 commands.append(self._awaited.command)
                 self._awaited = None
@@ -171,7 +171,7 @@
         return commands
 
     def _read_line(self, data: bytes, at: int, commands: list[Command]) -> int:
-        """The bytes used; 0: no complete line yet."""
+        """Parse one line and return the number of bytes consumed; 0 if the line is not complete yet."""
         end = data.find(b"\r\n", at)
         if end < 0 and len(data) - at <= MAX_LINE_BYTES:
             return 0
@@ -184,7 +184,7 @@
         return end + 2 - at
 
     def _read_value(self, awaited: _AwaitedValue, data: bytes, at: int) -> int:
-        """The bytes used; 0: the value is not complete yet."""
+        """Take a write's value and return the number of bytes consumed; 0 if it is not complete yet."""
         end = at + awaited.length
         if len(data) < end + 2:
             return 0
@@ -193,7 +193,7 @@
             command.kind = CommandKind.MALFORMED
             command.reason = "a value of another length"
             command.fatal = True
-            self._dead = True
+            self._stopped = True
         else:
             command.value = data[at:end]
         awaited.complete = True
@@ -204,11 +204,11 @@
         command.reason = reason
         command.fatal = fatal
         if fatal:
-            self._dead = True
+            self._stopped = True
         return command
 
     def _parse_line(self, line: bytes) -> Command | None:
-        """A command; None where its value is still to come."""
+        """Return the command in a line; None for a write, whose value follows."""
         fields = line.split(b" ")
         name = fields[0]
         if name == b"mg":
@@ -229,7 +229,7 @@
         command = self._parse_request(CommandKind.WRITE, fields[1], fields[3], fields[4])
         if command.kind is CommandKind.MALFORMED:
             command.fatal = True
-            self._dead = True
+            self._stopped = True
             return command
         self._awaited = _AwaitedValue(command, int(fields[2]))
         return None
@@ -262,21 +262,21 @@
 
 
 def value_response(request_id: str, body: bytes) -> bytes:
-    """The response that carries a value."""
+    """Return the response to a hit, which carries the value."""
     return b"VA %d O%b\r\n%b\r\n" % (len(body), request_id.encode(), body)
 
 
 def miss_response(request_id: str) -> bytes:
-    """The response to a miss."""
+    """Return the response to a miss."""
     return b"EN O%b\r\n" % request_id.encode()
 
 
 def error_response(reason: str) -> bytes:
-    """The response to what no client may send."""
+    """Return the response to a malformed command."""
     return b"CLIENT_ERROR %b\r\n" % reason.encode("ascii", "replace")
 
 
 def stats_response(figures: LoadFigures) -> bytes:
-    """The response to `stats load`."""
+    """Return the response to `stats load`."""
     lines = [f"STAT {name} {value:.6g}\r\n" for name, value in figures.items()]
     return "".join(lines).encode() + b"END\r\n"
--- a/flintridge/lab/world/node_configuration.py
+++ b/flintridge/lab/world/node_configuration.py
@@ -1,4 +1,4 @@
-"""The configurations that nodes are started with."""
+"""The configurations that nodes start with."""
 
 from typing import Any
 
@@ -10,20 +10,20 @@
 from flintridge.lab.world.settings import node_settings
 
 NodeConfiguration = dict[str, Any]
-"""A node's configuration in the platform's form."""
+"""A node's configuration in the platform's format."""
 
 
 class NodeConfigurations:
-    """Makes them, with another seed for each start of a node."""
+    """Builds the configurations of nodes, with a different seed for each start of a node."""
 
     def __init__(self, scenario: Scenario, seeds: Seeds, fabric: Fabric, discovery: DiscoveryHost) -> None:
-        """Begin with no node started.
+        """Start with no node started.
 
         Args:
             scenario: The scenario.
-            seeds: Where the nodes' own seeds come from.
-            fabric: Where nodes listen.
-            discovery: Where they find it, and what is listed.
+            seeds: Source of the seeds of the nodes.
+            fabric: Provides the addresses at which nodes listen.
+            discovery: Provides its address and the endpoint list of each node.
         """
         self._scenario = scenario
         self._seeds = seeds
@@ -34,12 +34,12 @@
         self._starts: dict[str, int] = dict.fromkeys(self._nodes, 0)
 
     def start(self, node: str) -> NodeConfiguration:
-        """For another start of the node."""
+        """Return the configuration for a new start of the node."""
         self._starts[node] += 1
         return self.current(node)
 
     def current(self, node: str) -> NodeConfiguration:
-        """For the process that runs, as things are now."""
+        """Return the current configuration for the running process of the node."""
         index = self._nodes.index(node)
         host, port = self._fabric.address("listen", node)
         spec = self._scenario.nodes
--- a/flintridge/lab/world/objects.py
+++ b/flintridge/lab/world/objects.py
@@ -1,4 +1,4 @@
-"""The values behind the keys: their sizes, their versions, and who stores what the origin sends."""
+"""The values of the keys: their sizes, their versions, and which servers store the origin's responses."""
 
 import math
 import zlib
@@ -10,39 +10,39 @@
 from flintridge.lab.seeds import Seeds
 from flintridge.lab.world.draws import draw, hash_fraction, hash_normal
 
-MAX_BODY_BYTES = 65_536 - 256  # beyond 64 KiB no message could carry it
-MAX_STORING_SERVERS = 2  # that store what the origin answered: the first that missed
-MAX_REMEMBERED_MISSES = 65_536  # requests; most are never asked for again
-_FILL_BYTES = 1 << 16  # of filling, and as many offsets to begin at
+MAX_BODY_BYTES = 65_536 - 256  # keeps the message that carries the value within 64 KiB
+MAX_STORING_SERVERS = 2  # per request; the first servers that missed store the origin's response
+MAX_REMEMBERED_MISSES = 65_536  # requests; most remaining entries are never looked up again
+_PADDING_BYTES = 1 << 16  # size of the padding data, and number of offsets at which padding can begin
 
 
 class Counter:
-    """Counts over the run, for the whole fleet: 1, 2, 3 ...
+    """Issues the numbers 1, 2, 3 ... for the whole fleet over a run.
 
     Attributes:
-        last: The number that was given last; 0 for none.
+        last: The last number issued; 0 if there is none.
     """
 
     __slots__ = ("last",)
 
     def __init__(self) -> None:
-        """Begin before 1."""
+        """Start with no number issued."""
         self.last = 0
 
     def next(self) -> int:
-        """Give the next number."""
+        """Return the next number."""
         self.last += 1
         return self.last
 
 
 class CopyStore(Protocol):
-    """Where a server keeps copies (`flintridge.lab.world.cache_store.CacheStore`)."""
+    """The memory of a server (`flintridge.lab.world.cache_store.CacheStore`)."""
 
     def put(self, now: float, key: str) -> None:
-        """Store the version that is current at `now` (ms)."""
+        """Store the value's current version at `now` (ms)."""
 
     def invalidate(self, is_invalid: Callable[[str], bool]) -> None:
-        """Drop all copies whose key `is_invalid`."""
+        """Drop the copies of all keys for which `is_invalid` returns true."""
 
 
 @dataclass(slots=True, frozen=True)
@@ -55,12 +55,12 @@
     """All values of a run.
 
     Attributes:
-        attempts: Numbers the attempts at servers, of the whole fleet.
-        connections: Numbers the connections to servers, of the whole fleet.
+        attempts: Issues the numbers of attempts at all servers of the fleet.
+        connections: Issues the numbers of connections to all servers of the fleet.
     """
 
     def __init__(self, scenario: Scenario, seeds: Seeds) -> None:
-        """Draw what all values have in common."""
+        """Draw the mean size of all values and the padding data."""
         keys = scenario.keys
         mean_bytes = max(1.0, draw(seeds.of("objects/size"), keys.size_bytes))
         self._seed = seeds.seed
@@ -68,14 +68,14 @@
         self._mu = math.log(mean_bytes) - self._sigma**2 / 2
         self._sizes: dict[str, int] = {}
         self._versions: dict[str, int] = {}
-        self._fill = seeds.of("objects/fill").randbytes(_FILL_BYTES) * 2
+        self._padding = seeds.of("objects/fill").randbytes(_PADDING_BYTES) * 2
         self._stores: dict[str, _RegisteredStore] = {}
-        self._misses: dict[str, list[str]] = {}  # servers by request
+        self._misses: dict[str, list[str]] = {}  # ids of servers by request id
         self.attempts = Counter()
         self.connections = Counter()
 
     def size(self, key: str) -> int:
-        """Bytes of the key's value: lognormal over the keys, the same in every process."""
+        """Return the size of a key's value in bytes: lognormal over the keys, the same in every process."""
         size = self._sizes.get(key)
         if size is None:
             normal = hash_normal(f"{self._seed}/size/{key}")
@@ -84,52 +84,52 @@
         return size
 
     def version(self, key: str) -> int:
-        """The version of the key's value that is current, from 1."""
+        """Return the current version of a key's value; the first version is 1."""
         return self._versions.get(key, 1)
 
     def update(self, key: str) -> None:
-        """Make a new version, by a write or a change at the origin: every copy becomes invalid."""
+        """Create a new version, for a write or a change at the origin; all existing copies become invalid."""
         self._versions[key] = self._versions.get(key, 1) + 1
 
     def body(self, key: str, version: int, server: str, request_id: str) -> bytes:
-        """The value that a server sends for this request, and for no other.
+        """Return the value that a server sends for a request; it is unique to the request.
 
-        It is filled up to the key's size with bytes that depend on the request, so that mixed halves of two
-        values show.
+        It is padded to the size of the key's value with bytes that depend on the request, so that a mix of
+        two values is detected.
 
         Args:
-            key: What is read.
-            version: Of the value.
-            server: Who sends it.
-            request_id: Of the request.
+            key: The key that is read.
+            version: Version of the value.
+            server: Id of the server that sends it.
+            request_id: Id of the request.
         """
         head = f"{key}|{version}|{server}|{request_id}|".encode()
-        missing = self.size(key) - len(head)
-        if missing <= 0:
+        padding_bytes = self.size(key) - len(head)
+        if padding_bytes <= 0:
             return head
-        offset = zlib.crc32(head) & (_FILL_BYTES - 1)
-        return head + self._fill[offset : offset + missing]
+        offset = zlib.crc32(head) & (_PADDING_BYTES - 1)
+        return head + self._padding[offset : offset + padding_bytes]
 
     @staticmethod
     def receipt(request_id: str, number: int) -> bytes:
-        """What proves a write, by its number among all, made for this request; it may stand in a line."""
+        """Return the proof of a write, made of its number and the request id; it fits in a protocol line."""
         return b"w%d.%b" % (number, request_id.encode("ascii"))
 
     # Copies at cache servers
 
     def register(self, server: str, store: CopyStore, is_up: Callable[[], bool]) -> None:
-        """Add a server that stores what it missed, whenever it is up."""
+        """Add a server that stores values it missed while it is up."""
         self._stores[server] = _RegisteredStore(store, is_up)
 
     def unregister(self, server: str) -> None:
-        """Forget a server that never comes back."""
+        """Remove a server that never comes back."""
         self._stores.pop(server, None)
 
     def record_miss(self, request_id: str, server: str) -> None:
-        """Remember that a server lacked what this request reads."""
+        """Remember that a server did not have the value that a request reads."""
         servers = self._misses.get(request_id)
         if servers is None:
-            if len(self._misses) >= MAX_REMEMBERED_MISSES:  # guards a long run against growing
+            if len(self._misses) >= MAX_REMEMBERED_MISSES:  # bounds memory in a long run
                 del self._misses[next(iter(self._misses))]
             servers = []
             self._misses[request_id] = servers
@@ -137,11 +137,11 @@
             servers.append(server)
 
     def fill_misses(self, request_id: str, key: str, now: float = 0.0) -> None:
-        """Let the servers that missed store what the origin answered a read that its node waits for.
+        """Store the origin's response to a read at the servers that missed it; the node still waits for it.
 
         Args:
-            request_id: Of the read.
-            key: What it reads.
+            request_id: Id of the read.
+            key: The key that it reads.
             now: Time of the run in milliseconds.
         """
         for server in self._misses.pop(request_id, ()):
@@ -153,16 +153,16 @@
         """Drop the copies of a fraction of all keys, chosen by hash, at every server.
 
         Args:
-            fraction: Of the keys, 0 to 1.
-            salt: Another one chooses other keys.
+            fraction: Fraction of the keys, from 0 to 1.
+            salt: Salt of the hash; a different salt chooses different keys.
         """
-        known: dict[str, bool] = {}
+        invalid_by_key: dict[str, bool] = {}
 
         def is_invalid(key: str) -> bool:
-            invalid = known.get(key)
+            invalid = invalid_by_key.get(key)
             if invalid is None:
                 invalid = hash_fraction(f"{self._seed}/void/{salt}/{key}") < fraction
-                known[key] = invalid
+                invalid_by_key[key] = invalid
             return invalid
 
         for registered in self._stores.values():
--- a/flintridge/lab/world/origin_connection.py
+++ b/flintridge/lab/world/origin_connection.py
@@ -1,4 +1,4 @@
-"""A node's connection to the origin: HTTP/1.1, one request after another."""
+"""A node's connection to the origin: HTTP/1.1, one request at a time."""
 
 from dataclasses import dataclass
 from urllib.parse import unquote_to_bytes
@@ -18,7 +18,7 @@
 from flintridge.lab.world.origin_host import OriginHost
 from flintridge.lab.world.origin_request import OriginRequest
 from flintridge.lab.world.outcomes import Outcome
-from flintridge.lab.world.request_check import mismatch
+from flintridge.lab.world.request_check import describe_mismatch
 from flintridge.lab.world.server_connection import ServerConnection
 
 MAX_HEAD_BYTES = 16 * 1024
@@ -34,19 +34,19 @@
     __slots__ = ("_body", "_body_bytes", "_head", "_http", "_request", "_started_at")
 
     def __init__(self, host: OriginHost, node: str) -> None:
-        """Make the connection from `node` to `host`."""
+        """Create the connection from `node` to `host`."""
         super().__init__(host, node)
         self._http = h11.Connection(h11.SERVER, max_incomplete_event_size=MAX_HEAD_BYTES)
         self._head: h11.Request | None = None
         self._body: list[bytes] = []
         self._body_bytes = 0
-        self._started_at: float | None = None  # when the request that is being read was sent
-        self._request: OriginRequest | None = None  # awaits its response
+        self._started_at: float | None = None  # when the first bytes of the request being read were sent
+        self._request: OriginRequest | None = None  # the request that awaits its response
 
     # asyncio.Protocol
 
     def data_received(self, data: bytes) -> None:
-        """Start the request once it is complete."""
+        """Read received bytes and start a request once it is complete."""
         if not self._open:
             return
         now = self._host.clock.now()
@@ -64,7 +64,7 @@
     # Requests
 
     def _read(self, now: float, sent_at: float) -> None:
-        """Read events until a request is complete; the next one waits for its response."""
+        """Read events until a request is complete; the next request is read after its response."""
         while self._open and self._request is None:
             try:
                 event = self._http.next_event()
@@ -103,7 +103,7 @@
             self._reject(now, str(error))
             return
         fact = self._host.truth.get(parsed.request_id)
-        reason = mismatch(fact, parsed.key, parsed.write, parsed.extras.values)
+        reason = describe_mismatch(fact, parsed.key, parsed.write, parsed.extras.values)
         if reason or fact is None:
             self._reject(now, f"{reason}: {parsed.request_id}")
             return
@@ -160,12 +160,12 @@
     # Responses
 
     def respond(self, now: float, request: OriginRequest, body: bytes) -> None:
-        """Send the response to the request that awaits one; nothing where the origin is silent.
+        """Send the response to the pending request, unless the origin is silent.
 
         Args:
             now: Time of the run in milliseconds.
-            request: The request, with its outcome.
-            body: The value or receipt, empty for neither.
+            request: The request, whose outcome is set.
+            body: The value or the receipt; empty if there is neither.
         """
         if not self._open or self._request is not request or self._host.model.down == "silent":
             return
@@ -193,10 +193,10 @@
         elif http.our_state is h11.MUST_CLOSE:
             self._close(self._host.clock.now())
 
-    # Ends
+    # End of the connection
 
     def _abandon_attempts(self, now: float) -> None:
-        """The origin goes on with the request that was in flight."""
+        """Detach the request in flight; the origin still completes it."""
         request = self._request
         self._request = None
         if request is not None:
@@ -219,10 +219,10 @@
 
 
 def _parse_request(head: h11.Request, headers: dict[bytes, bytes], body: bytes) -> _ParsedRequest:
-    """Read a request.
+    """Parse a request.
 
     Raises:
-        MalformedCommandError: No node sends it.
+        MalformedCommandError: No correct node sends such a request.
     """
     if head.method not in (b"GET", b"PUT"):
         raise MalformedCommandError("neither GET nor PUT")
--- a/flintridge/lab/world/origin_host.py
+++ b/flintridge/lab/world/origin_host.py
@@ -1,4 +1,4 @@
-"""The origin on a fabric: its listeners, its faults, and the model's time."""
+"""The origin on a fabric: runs its listeners, its faults and the time of its model."""
 
 import asyncio
 from collections.abc import Callable
@@ -12,37 +12,37 @@
 from flintridge.lab.world.outcomes import Outcome
 from flintridge.lab.world.server_host import ServerHost
 
-ORIGIN = "origin"  # its party, and its id
+ORIGIN = "origin"  # both its party and its id
 
 ConnectionFactory = Callable[["OriginHost", str], asyncio.Protocol]
-"""Makes the connection of a node, by its name, to the origin."""
+"""Creates a connection from the origin's host and the name of the node."""
 
 
 class OriginHost(ServerHost):
-    """The one origin: it speaks HTTP/1.1 at the addresses of its party.
+    """The only origin of a run; it serves HTTP/1.1 at the addresses of its party.
 
-    Set `model.slow` and `model.down` at any time; the latter needs a running loop.
+    `model.slow` and `model.down` may be set at any time; setting `model.down` needs a running event loop.
 
     Attributes:
-        model: What it does.
+        model: The model of the origin.
     """
 
     is_origin = True
 
-    def __init__(self, environment: Environment, connect: ConnectionFactory) -> None:
-        """Make an origin that does not listen yet.
+    def __init__(self, environment: Environment, make_connection: ConnectionFactory) -> None:
+        """Create an origin that does not listen yet.
 
         Args:
-            environment: What all servers share.
-            connect: Makes its connections.
+            environment: Objects that all servers share.
+            make_connection: Creates its connections.
         """
         scenario = environment.scenario
         spec = scenario.origin
         idle_ms = min(kind.idle_s for kind in scenario.kinds) * 1000
         super().__init__(ORIGIN, environment, spec.connections, idle_ms)
         self.model = OriginModel(spec, environment.seeds.of("origin"), self._on_down_changed)
-        self._connect = connect
-        self._started = False  # and not stopped since
+        self._make_connection = make_connection
+        self._started = False  # whether it was started and has not been stopped since
         self._crashed = False
         self._windows_ms = {
             cls.name: spec.repeats_s * 1000 or cls.deduplication_window_ms for cls in scenario.classes
@@ -52,16 +52,16 @@
         self._opening: asyncio.Task[None] | None = None
 
     def deduplication_window_ms(self, class_name: str) -> float:
-        """Time within which a repeat of a keyed write of this class is not executed."""
+        """Return the time within which a repeated keyed write of this class is not executed (ms)."""
         return self._windows_ms.get(class_name, 0.0)
 
     # Listeners
 
     async def start(self) -> None:
-        """Listen.
+        """Start listening.
 
         Raises:
-            OSError: An address is taken.
+            OSError: An address is already in use.
         """
         self._log_state("started")
         self.up = True
@@ -69,9 +69,9 @@
         await self._open()
 
     def stop(self) -> None:
-        """End the process: connections are reset, new ones refused, what had not ended is lost.
+        """End the process: open connections are reset, new ones are refused, unfinished requests are lost.
 
-        Idempotency keys of writes that were executed are still known afterwards.
+        The idempotency keys of executed writes are kept.
         """
         self._started = False
         if self.up:
@@ -88,18 +88,18 @@
             self._shut_down_model()
         elif before == "refuses":
             self._reopen()
-        if before == "silent":  # whoever still waits on those has given up by now
+        if before == "silent":  # nodes that still wait on these connections have given up by now
             self.reset_connections()
 
     def _reopen(self) -> None:
-        """Listen again, once nothing prevents it any more."""
+        """Listen again unless the origin is stopped, crashed or refuses connections."""
         if self._started and not self.up and not self._crashed and self._down != "refuses":
             self._log_state("back")
             self.up = True
             self._opening = asyncio.get_running_loop().create_task(self._open())
 
     async def _open(self) -> None:
-        await self._listen(self.id, partial(self._connect, self))
+        await self._listen(self.id, partial(self._make_connection, self))
 
     def _shut_down_model(self) -> None:
         self._shut_down()
@@ -119,7 +119,7 @@
         )
 
     def crash_by_overload(self) -> None:
-        """Stop until `model.crashed_until`, as too much arrived."""
+        """Stop until `model.crashed_until`, because too much work arrived."""
         if self.up:
             self._crashed = True
             self._log_state("fallen")
@@ -133,7 +133,7 @@
     # Time
 
     def settle(self, now: float) -> None:
-        """Respond to what has ended by `now` (ms), and be called again when more does."""
+        """Respond to requests that ended by `now` (ms) and set the timer for the next end."""
         model = self.model
         for job in model.advance(now):
             assert isinstance(job, OriginRequest)
@@ -141,11 +141,11 @@
         self._wake_at(model.due())
 
     def finish(self, now: float, request: OriginRequest) -> None:
-        """Let a request that has its outcome take effect, and respond.
+        """Apply the effect of a request and respond.
 
         Args:
             now: Time of the run in milliseconds.
-            request: The request.
+            request: The request, whose outcome is set.
         """
         body = b""
         if request.outcome is Outcome.RECEIPT:
@@ -174,7 +174,7 @@
         )
 
     def _receipt(self, request: OriginRequest) -> bytes:
-        """Of a write that takes effect now, or of the one that it repeats."""
+        """Apply a write and return its receipt; a repeat returns the receipt of the write that it repeats."""
         if isinstance(request.leader, OriginRequest):
             return request.leader.receipt
         self.objects.update(request.key)
--- a/flintridge/lab/world/origin_job.py
+++ b/flintridge/lab/world/origin_job.py
@@ -7,15 +7,15 @@
     """A request at the origin.
 
     Attributes:
-        key: What is read or written.
+        key: The key that is read or written.
         write: Whether it is a write.
         expires_at: When the caller stops waiting (ms of the run).
-        idempotency_key: Of a keyed write; empty for others.
-        deduplication_window_ms: Time within which a repeat of this idempotency key is not executed.
-        service_ms: Time in a slot as long as nothing slows the origin.
-        outcome: How it ended; None before.
-        executed: Whether it took effect.
-        leader: The request whose response this one shares; it did nothing itself.
+        idempotency_key: Idempotency key of a keyed write; empty for other requests.
+        deduplication_window_ms: Time within which a repeat of this idempotency key is not executed (ms).
+        service_ms: Service time in a slot while nothing slows the origin (ms).
+        outcome: Outcome of the request; None until it ends.
+        executed: Whether the request took effect.
+        leader: The request whose response this one shares instead of running itself; None if it runs.
         followers: Requests that share the response of this one.
     """
 
@@ -40,7 +40,7 @@
         idempotency_key: str = "",
         deduplication_window_ms: float = 0.0,
     ) -> None:
-        """Make a job that has not arrived yet; the arguments are the attributes of the same names."""
+        """Create a job that has not arrived yet; the arguments are the attributes of the same names."""
         self.key = key
         self.write = write
         self.expires_at = expires_at
--- a/flintridge/lab/world/origin_model.py
+++ b/flintridge/lab/world/origin_model.py
@@ -1,6 +1,6 @@
-"""The origin as a model: slots, a bounded wait, repeats of keyed writes, and the faults that it can have.
+"""Model of the origin: slots, a queue with a bounded wait, deduplication of keyed writes, and faults.
 
-It knows no I/O and no clock: times (ms of the run) are passed in and never go back.
+It does no I/O and reads no clock: times (ms of the run) are passed in and never decrease.
 """
 
 import random
@@ -16,19 +16,19 @@
 from flintridge.lab.world.outcomes import Outcome
 from flintridge.lab.world.sliding_window import SlidingWindowSum
 
-MAX_CRASHES = 2  # by overload, in a run
+MAX_CRASHES = 2  # from overload, in one run
 MIN_READ_MS = 1e-3
 DOWN_MODES = ("", "declines", "errors", "silent", "refuses")
 
 
 class OriginModel:
-    """The one origin. It goes on with requests that nobody waits for any more.
+    """The only origin of a run. It also completes requests that nobody waits for any more.
 
     Attributes:
-        spec: What the scenario says of it.
-        zone: Where it stands; empty for outside of every zone.
-        crashes: How often it crashed by overload.
-        crashed_until: When it is back from the last such crash (ms of the run).
+        spec: The scenario's settings of the origin.
+        zone: Zone of the origin; empty if it is outside every zone.
+        crashes: How often it has crashed from overload.
+        crashed_until: When it recovers from the last such crash (ms of the run).
     """
 
     __slots__ = (
@@ -53,9 +53,9 @@
         """Start the origin.
 
         Args:
-            spec: What the scenario says of it.
-            rng: Where its draws come from.
-            down_changed: Called whenever `down` was set.
+            spec: The scenario's settings of the origin.
+            rng: Source of its random numbers.
+            down_changed: Called each time `down` is set.
         """
         self.spec = spec
         self.zone = spec.zone or ""
@@ -67,22 +67,22 @@
         self._read_ms = max(MIN_READ_MS, draw(rng, spec.read_ms))
         self._slots = OriginSlots(spec)
         self._finished: list[OriginJob] = []
-        self._fetches: dict[str, OriginJob] = {}  # by key, where reads share them
+        self._fetches: dict[str, OriginJob] = {}  # running or waiting reads by key, if reads share fetches
         self._accepted_writes = DeduplicationTable()
         self._arrived_work = SlidingWindowSum(spec.fall_ms)
 
     @property
     def down(self) -> str:
-        """How it is down, one of `DOWN_MODES`; empty for up.
+        """How the origin is down, one of `DOWN_MODES`; empty while it is up.
 
-        "declines" and "errors" respond so at once; "silent" takes requests and never starts them; "refuses"
-        is its driver's task.
+        With "declines" and "errors" it responds at once with that outcome. With "silent" it accepts requests
+        and never starts them. With "refuses" its driver closes the listeners.
         """
         return self._down
 
     @down.setter
     def down(self, mode: str) -> None:
-        """Call `down_changed`; an unknown mode raises ValueError."""
+        """Set the mode and call `down_changed`; an unknown mode raises ValueError."""
         if mode not in DOWN_MODES:
             raise ValueError(f"the origin cannot be {mode!r}")
         self._down = mode
@@ -91,31 +91,31 @@
 
     @property
     def slow(self) -> float:
-        """Times as long that a request takes which starts from now on; faults set it at any time."""
+        """Factor on the service time of requests that start from now on; faults may set it at any time."""
         return self._slots.slow
 
     @slow.setter
     def slow(self, factor: float) -> None:
-        """Take effect on what starts from now on."""
+        """Set the factor for requests that start from now on."""
         self._slots.slow = factor
 
     @property
     def read_ms(self) -> float:
-        """Mean time of a read in a slot."""
+        """Mean service time of a read in a slot (ms)."""
         return self._read_ms
 
     @property
     def capacity(self) -> float:
-        """Slot milliseconds a millisecond, without faults."""
+        """Milliseconds of service per millisecond without faults, which is the number of slots."""
         return float(self.spec.slots)
 
     @property
     def in_flight(self) -> int:
-        """Requests that run or wait."""
+        """Number of requests that run or wait."""
         return self._slots.running + self._slots.queued
 
     def report(self) -> LoadFigures:
-        """The load at present."""
+        """Return the current load."""
         utilization = self._slots.running / self.spec.slots
         return {
             "inflight": float(self.in_flight),
@@ -123,36 +123,36 @@
             "util": utilization,
         }
 
-    # What comes in
+    # Requests
 
     def arrive(self, now: float, job: OriginJob) -> float:
-        """Count the work of a request, whatever becomes of it.
+        """Count the work of an arriving request, even if it is rejected later.
 
-        Too much of it in a window crashes the origin (`crashed_until`).
+        Too much work within a window crashes the origin (`crashed_until`).
 
         Args:
             now: Time of the run in milliseconds.
-            job: The request; its time in a slot is drawn.
+            job: The request; its service time is drawn.
 
         Returns:
-            Its time in a slot (ms).
+            Its service time in a slot (ms).
         """
         spec = self.spec
-        times = spec.write_times if job.write else 1.0
-        job.service_ms = self._read_ms * lognormal(self._rng, spec.sigma) * times
+        work_factor = spec.write_times if job.write else 1.0
+        job.service_ms = self._read_ms * lognormal(self._rng, spec.sigma) * work_factor
         if spec.fall_multiple:
             self._check_overload(now, job.service_ms)
         return job.service_ms
 
     def offer(self, now: float, job: OriginJob) -> Outcome | None:
-        """Start a request or let it wait.
+        """Start a request or queue it.
 
         Args:
             now: Time of the run in milliseconds.
             job: The request.
 
         Returns:
-            The outcome of a request that ends at once; None for one that ends later, or never.
+            The outcome of a request that ends at once; None if it ends later or never.
         """
         self._run_to(now)
         if self._down == "silent":
@@ -173,7 +173,7 @@
         return None
 
     def _find_leader(self, now: float, job: OriginJob) -> OriginJob | None:
-        """The request whose response this one shares."""
+        """Return the request whose response this one shares, if there is one."""
         if job.idempotency_key:
             repeated = self._accepted_writes.find(now, job)
             if repeated is not None:
@@ -201,17 +201,17 @@
     # Time
 
     def due(self) -> float | None:
-        """When to call `advance` next (ms of the run); None while there is nothing to do."""
+        """Return when to call `advance` next (ms of the run); None while there is nothing to do."""
         if self._finished:
             return -inf
         return self._slots.next_end()
 
     def advance(self, now: float) -> list[OriginJob]:
-        """Go on to `now` (ms).
+        """Advance the model to `now` (ms).
 
         Returns:
-            The jobs that ended since the last call, in their order; those that share a response follow the
-            one that made it.
+            The jobs that ended since the last call, in the order of their ends; jobs that share a response
+            follow the job that produced it.
         """
         self._run_to(now)
         finished = self._finished
@@ -252,7 +252,7 @@
             self.drop_all()
 
     def drop_all(self) -> None:
-        """Lose all requests that have not ended; they were never executed."""
+        """Drop all requests that have not ended; they count as never executed."""
         for job in self._slots.jobs():
             self._accepted_writes.forget(job)
         self._slots.clear()
--- a/flintridge/lab/world/origin_request.py
+++ b/flintridge/lab/world/origin_request.py
@@ -1,4 +1,4 @@
-"""An attempt at the origin, between its connection and the host."""
+"""An attempt at the origin, passed between its connection and the host."""
 
 from typing import Protocol
 
@@ -6,20 +6,20 @@
 
 
 class Responder(Protocol):
-    """Whatever sends the response to a request."""
+    """A connection that sends the response to a request."""
 
     def respond(self, now: float, request: "OriginRequest", body: bytes) -> None:
-        """Send it at `now` (ms)."""
+        """Send the response at `now` (ms)."""
 
 
 class OriginRequest(OriginJob):
-    """An attempt, from its last byte to its response.
+    """An attempt, from the arrival of its last byte to its response.
 
     Attributes:
-        connection: Where the response goes; None once nobody waits for it.
+        connection: The connection that sends the response; None once nobody waits for it.
         attempt_id: Number of the attempt in records.
-        request_id: The client's request.
-        receipt: What proves the write, once it took effect.
+        request_id: Id of the client's request.
+        receipt: Proof of the write; empty until it has taken effect.
     """
 
     __slots__ = ("attempt_id", "connection", "receipt", "request_id")
@@ -36,7 +36,7 @@
         idempotency_key: str,
         deduplication_window_ms: float,
     ) -> None:
-        """Make a request without a response; the arguments are the attributes of the same names."""
+        """Create a request without a response; the arguments are the attributes of the same names."""
         super().__init__(key, write, expires_at, idempotency_key, deduplication_window_ms)
         self.connection: Responder | None = connection
         self.attempt_id = attempt_id
--- a/flintridge/lab/world/origin_slots.py
+++ b/flintridge/lab/world/origin_slots.py
@@ -1,4 +1,4 @@
-"""The slots of the origin, and the requests that wait for one."""
+"""The slots of the origin, and the requests that wait for a slot."""
 
 import heapq
 from collections import deque
@@ -9,10 +9,10 @@
 
 
 class OriginSlots:
-    """Each slot runs one request; the others wait in their order.
+    """Each slot runs one request; the other requests wait first in, first out.
 
     Attributes:
-        slow: Times as long that a request takes which starts from now on.
+        slow: Factor on the service time of requests that start from now on.
     """
 
     __slots__ = ("_running", "_sequence", "_spec", "_waiting", "_waiting_ms", "slow")
@@ -21,35 +21,35 @@
         """Start with no request."""
         self.slow = 1.0
         self._spec = spec
-        self._running: list[tuple[float, int, OriginJob]] = []  # a heap: ends at, order, job
+        self._running: list[tuple[float, int, OriginJob]] = []  # heap: end, sequence, job
         self._sequence = 0
         self._waiting: deque[OriginJob] = deque()
-        self._waiting_ms = 0.0  # their time in slots
+        self._waiting_ms = 0.0  # service time of all waiting requests
 
     @property
     def running(self) -> int:
-        """How many requests run."""
+        """Number of requests that run."""
         return len(self._running)
 
     @property
     def queued(self) -> int:
-        """How many requests wait."""
+        """Number of requests that wait."""
         return len(self._waiting)
 
     def jobs(self) -> Iterator[OriginJob]:
-        """All requests that run or wait."""
+        """Yield all requests that run or wait."""
         for _, _, job in self._running:
             yield job
         yield from self._waiting
 
     def wait_ms(self) -> float:
-        """What a request that comes now would wait, as far as can be told."""
+        """Estimate how long a request that arrives now would wait for a slot (ms)."""
         if len(self._running) < self._spec.slots:
             return 0.0
         return self._waiting_ms * self._slowdown() / self._spec.slots
 
     def add(self, now: float, job: OriginJob) -> None:
-        """Start a request at `now` (ms), or let it wait."""
+        """Start a request at `now` (ms), or queue it if no slot is free."""
         if len(self._running) < self._spec.slots:
             self._start(now, job)
         else:
@@ -57,18 +57,18 @@
             self._waiting_ms += job.service_ms
 
     def next_end(self) -> float | None:
-        """When a request ends next (ms of the run)."""
+        """Return when the next request ends (ms of the run); None if no request runs."""
         return self._running[0][0] if self._running else None
 
     def pop_ended(self) -> OriginJob:
-        """Take out the request that ends next."""
+        """Remove and return the request that ends next."""
         return heapq.heappop(self._running)[2]
 
     def start_waiting(self, now: float) -> list[OriginJob]:
-        """Start requests in the slots that are free at `now` (ms).
+        """Start waiting requests in the slots that are free at `now` (ms).
 
         Returns:
-            Those that nobody waits for any more, which are not started.
+            The requests that are not started because nobody waits for them any more.
         """
         expired: list[OriginJob] = []
         waiting = self._waiting
--- a/flintridge/lab/world/outcomes.py
+++ b/flintridge/lab/world/outcomes.py
@@ -1,10 +1,10 @@
-"""How a request at a server can end."""
+"""Outcomes of a request at a server."""
 
 from enum import StrEnum
 
 
 class Outcome(StrEnum):
-    """What a server makes of a request; the values are those of `flintridge.lab.records.AttemptServed`."""
+    """How a server ends a request; the values are those of `flintridge.lab.records.AttemptServed`."""
 
     VALUE = "value"
     RECEIPT = "receipt"
--- a/flintridge/lab/world/pauses.py
+++ b/flintridge/lab/world/pauses.py
@@ -1,4 +1,4 @@
-"""When a server stands still, as a process does during a garbage collection."""
+"""Pauses of a server, like those of a process during a garbage collection."""
 
 import random
 from math import inf
@@ -11,9 +11,9 @@
     """Pauses at exponentially distributed intervals; its owner calls `start` and `end` at their times.
 
     Attributes:
-        active: Whether a pause is on.
-        starts_at: When the next pause starts (ms of the run), as long as none is on.
-        ends_at: When the pause that is on ends (ms of the run).
+        active: Whether the server is paused.
+        starts_at: When the next pause starts (ms of the run); valid only while the server is not paused.
+        ends_at: When the current pause ends (ms of the run).
     """
 
     __slots__ = ("_duration_ms", "_interval_ms", "_rng", "active", "ends_at", "starts_at")
@@ -22,9 +22,9 @@
         """Draw the first pause.
 
         Args:
-            interval_ms: Mean time from a pause's end to the next one; 0 for no pauses.
-            duration_ms: How long a pause lasts.
-            rng: Where the draws come from.
+            interval_ms: Mean time from the end of a pause to the start of the next one (ms); 0 for no pauses.
+            duration_ms: Duration of a pause (ms).
+            rng: Source of random numbers.
             now: Time of the run in milliseconds.
         """
         self._interval_ms = interval_ms
--- a/flintridge/lab/world/processor_sharing.py
+++ b/flintridge/lab/world/processor_sharing.py
@@ -1,22 +1,23 @@
 """A processor-sharing queue: all jobs in service progress at the same rate.
 
-The queue counts the work that each job got so far, the same for all, and a job completes when that reaches a
-fixed figure: an event costs the same however many jobs are in service.
+The queue keeps one counter of the work that each job has received so far. A job completes when this counter
+reaches a value that is fixed when the job starts, so the cost of progress does not depend on the number of
+jobs in service.
 """
 
 import heapq
 
 from flintridge.lab.world.cache_job import Job, JobState
 
-ROUNDING_MS = 1e-9  # of work, within which jobs complete together
+ROUNDING_MS = 1e-9  # difference in work within which jobs count as completing together
 
 
 class ProcessorSharingQueue:
-    """Jobs in service, and background work beside them.
+    """Jobs and pieces of background work in service.
 
     Attributes:
-        running: How many jobs are in service.
-        background: How many pieces of background work are.
+        running: Number of jobs in service.
+        background: Number of pieces of background work in service.
     """
 
     __slots__ = ("_attained_ms", "_heap", "_sequence", "background", "running")
@@ -25,8 +26,8 @@
         """Start empty."""
         self.running = 0
         self.background = 0
-        self._attained_ms = 0.0  # work that each job got so far
-        self._heap: list[tuple[float, int, Job | None]] = []  # completes at, order, job (None: background)
+        self._attained_ms = 0.0  # work that each job has received so far
+        self._heap: list[tuple[float, int, Job | None]] = []  # end, sequence, job (None: background)
         self._sequence = 0
 
     def add_job(self, work_ms: float, job: Job) -> None:
@@ -41,26 +42,26 @@
         self.background += 1
 
     def cancel(self, job: Job) -> None:
-        """Take a job out of service. Its entry in the heap is passed over later."""
+        """Remove a job from service. Its entry in the heap is skipped later."""
         self.running -= 1
         job.state = JobState.FINISHED
 
     def progress(self, work_ms: float) -> None:
-        """Let each job get so much work."""
+        """Add this much work to each job."""
         self._attained_ms += work_ms
 
     def next_remaining_ms(self) -> float | None:
-        """Work until the next completion; None where nothing is in service."""
+        """Return the work until the next completion; None if nothing is in service."""
         heap = self._heap
         while heap and (job := heap[0][2]) is not None and job.state is JobState.FINISHED:
             heapq.heappop(heap)
         if not heap:
-            self._attained_ms = 0.0  # small figures keep their precision
+            self._attained_ms = 0.0  # keeps the counter small and thus precise
             return None
         return heap[0][0] - self._attained_ms
 
     def pop_completed(self) -> list[Job]:
-        """Take out what completes next, and all that completes together with it, in order."""
+        """Remove all work that completes next, which may be several jobs; return the jobs in order."""
         heap = self._heap
         completes_at = heap[0][0]
         self._attained_ms = max(self._attained_ms, completes_at)
--- a/flintridge/lab/world/request_check.py
+++ b/flintridge/lab/world/request_check.py
@@ -1,19 +1,19 @@
-"""Whether a request at a server is one that a client really made."""
+"""Check that a request received by a server is one that a client really sent."""
 
 from flintridge.lab.truth import RequestFacts
 
 
-def mismatch(fact: RequestFacts | None, key: str, write: bool, extras: dict[str, str]) -> str:
-    """Say what was not passed on as the client sent it.
+def describe_mismatch(fact: RequestFacts | None, key: str, write: bool, extras: dict[str, str]) -> str:
+    """Describe the first difference between a received request and the request that the client sent.
 
     Args:
-        fact: What the client sent; None where no client sent it.
-        key: As it arrived.
-        write: Whether a write arrived.
-        extras: Names and values as they arrived.
+        fact: The request that the client sent; None if no client sent a request with this id.
+        key: Key of the received request.
+        write: Whether the received request is a write.
+        extras: Names and values of the received request.
 
     Returns:
-        The difference, empty where there is none.
+        The difference; empty if there is none.
     """
     if fact is None:
         return "an id that no client sent"
--- a/flintridge/lab/world/server_connection.py
+++ b/flintridge/lab/world/server_connection.py
@@ -1,6 +1,6 @@
-"""What connections from a node have in common at a cache server and at the origin.
+"""Base class of the connections from nodes to cache servers and to the origin.
 
-How they begin and end, how long they may be idle, and what the log says of their attempts.
+It covers their start and end, the idle timeout and the records of their attempts.
 """
 
 import asyncio
@@ -14,7 +14,7 @@
 
 
 class Attempt(Protocol):
-    """An attempt, as the log tells of it."""
+    """The properties of an attempt that its records need."""
 
     attempt_id: int
     request_id: str
@@ -25,13 +25,13 @@
 
 
 class ServerConnection(asyncio.Protocol, Generic[HostT]):
-    """One connection from a node, as long as its host takes it; who derives from it reads and responds."""
+    """One connection from a node; subclasses read its requests and write the responses."""
 
     __slots__ = ("_host", "_idle_timer", "_node", "_number", "_open", "_transport", "_used_at")
     _transport: asyncio.Transport
 
     def __init__(self, host: HostT, node: str) -> None:
-        """Make the connection from `node` to `host`."""
+        """Create the connection from `node` to `host`."""
         self._host = host
         self._node = node
         self._number = host.objects.connections.next()
@@ -42,7 +42,7 @@
     # asyncio.Protocol
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Accept the connection, or reset it where the host takes no more."""
+        """Accept the connection, or reset it if the host is down or at its limit of connections."""
         assert isinstance(transport, asyncio.Transport)
         self._transport = transport
         host = self._host
@@ -56,38 +56,38 @@
         self._idle_timer = host.clock.call_at(now + host.idle_ms, self._on_idle)
 
     def eof_received(self) -> bool:
-        """End: a node gives up by ending its sending."""
+        """End the connection: a node that closes its sending side has given up."""
         self._end(self._host.clock.now())
         return False
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """End."""
+        """End the connection."""
         self._end(self._host.clock.now())
 
-    # What differs
+    # Implemented by subclasses
 
     def _is_busy(self) -> bool:
-        """Whether attempts are in flight on it."""
+        """Whether attempts are in flight on the connection."""
         raise NotImplementedError
 
     def _is_unresponsive(self) -> bool:
-        """Whether a fault keeps it from sending anything, and from closing."""
+        """Whether a fault prevents the connection from sending and from closing."""
         raise NotImplementedError
 
     def _abandon_attempts(self, now: float) -> None:
-        """It has ended: what was in flight on it gets no response any more."""
+        """Drop the attempts in flight, which get no response because the connection has ended."""
         raise NotImplementedError
 
-    # Ends
+    # End of the connection
 
     def kill(self, now: float) -> None:
-        """End it with a RST at `now` (ms)."""
+        """Reset the connection with a RST at `now` (ms)."""
         if self._open:
             reset(self._transport)
             self._end(now)
 
     def _close(self, now: float) -> None:
-        """End it once what was written has left."""
+        """Close the connection after all written bytes have been sent."""
         self._transport.close()
         self._end(now)
 
@@ -112,7 +112,7 @@
             return
         self._close(now)
 
-    # The log
+    # Records
 
     def _log_received(
         self,
--- a/flintridge/lab/world/server_host.py
+++ b/flintridge/lab/world/server_host.py
@@ -1,4 +1,4 @@
-"""What a cache server and the origin have in common on a fabric: listeners, connections, the model's time."""
+"""Base class of cache servers and the origin on a fabric: listeners, connections, time of the model."""
 
 import asyncio
 from collections.abc import Callable
@@ -10,24 +10,24 @@
 
 
 class Connection(Protocol):
-    """A connection, as far as its host ends it."""
+    """The part of a connection that its host needs to end it."""
 
     def kill(self, now: float) -> None:
-        """End it with a RST at `now` (ms)."""
+        """Reset the connection with a RST at `now` (ms)."""
 
 
 class ServerHost:
-    """A machine that answers nodes.
+    """A machine that responds to nodes.
 
     Attributes:
         is_origin: Whether this is the origin.
-        id: Its name in records.
-        up: Whether it listens, or is about to.
-        environment: What all servers share; some of it stands here by itself.
+        id: Id of the machine in records.
+        up: Whether it listens or is about to listen.
+        environment: Objects that all servers share; some of them are also attributes of the host.
         probes: Whether nodes may send health checks.
-        max_connections: How many it accepts at once.
-        idle_ms: Idle time after which it closes a connection.
-        connections: Those that are open, in the order of their opening.
+        max_connections: Number of connections that may be open at the same time.
+        idle_ms: Idle time after which it closes a connection (ms).
+        connections: The open connections, in the order in which they were accepted.
     """
 
     is_origin = False
@@ -35,7 +35,7 @@
     def __init__(
         self, server_id: str, environment: Environment, max_connections: int, idle_ms: float
     ) -> None:
-        """Make a host that does not listen yet; the arguments are the attributes of these names."""
+        """Create a host that does not listen yet; the arguments are the attributes of the same names."""
         self.id = server_id
         self.up = False
         self.environment = environment
@@ -49,32 +49,32 @@
         self.idle_ms = idle_ms
         self.connections: dict[Connection, None] = {}
         self._listeners: list[Listener] = []
-        self._shutdowns = 0  # an opening that began before the last of them is void
+        self._shutdowns = 0  # `_listen` stops if this changes while it runs
         self._timer: asyncio.TimerHandle | None = None
         self._timer_at = 0.0
 
     # Listeners
 
-    async def _listen(self, party: str, connect: Callable[[str], asyncio.Protocol]) -> None:
-        """Listen to all nodes.
+    async def _listen(self, party: str, make_connection: Callable[[str], asyncio.Protocol]) -> None:
+        """Open one listener for each node.
 
         Args:
-            party: At whose addresses.
-            connect: Makes the connection of a node.
+            party: The party at whose addresses the host listens.
+            make_connection: Creates a connection from the name of the node.
 
         Raises:
-            OSError: An address is taken.
+            OSError: An address is already in use.
         """
         shutdowns = self._shutdowns
         for node in self.environment.nodes:
-            listener = await self.fabric.listen(party, node, partial(connect, node))
-            if shutdowns != self._shutdowns:  # it was shut down while it was opening
+            listener = await self.fabric.listen(party, node, partial(make_connection, node))
+            if shutdowns != self._shutdowns:  # the host was shut down meanwhile
                 listener.close()
                 return
             self._listeners.append(listener)
 
     def _shut_down(self) -> None:
-        """Listen no more, and let the model's time stand still. Connections are left as they are."""
+        """Close all listeners and stop the timer of the model. Connections stay open."""
         self.up = False
         self._shutdowns += 1
         for listener in self._listeners:
@@ -85,7 +85,7 @@
             self._timer = None
 
     def reset_connections(self) -> None:
-        """End all connections with a RST, as when a machine is back after its peers gave it up."""
+        """Reset all connections with a RST, as when a machine returns after its peers gave up on it."""
         now = self.clock.now()
         for connection in list(self.connections):
             connection.kill(now)
@@ -93,12 +93,12 @@
     # Time
 
     def settle(self, now: float) -> None:
-        """Respond to what has ended by `now` (ms), and be called again when more does."""
+        """Respond to requests that ended by `now` (ms) and set the timer for the next end."""
         raise NotImplementedError
 
     def _wake_at(self, due: float | None) -> None:
-        """Settle again at `due` (ms), or somewhat earlier."""
-        # A timer that comes too early does no harm; to set each anew would cost more.
+        """Call `settle` again at `due` (ms) or earlier."""
+        # A timer that fires too early does no harm, and is cheaper than resetting the timer on each call.
         if due is not None and (self._timer is None or due < self._timer_at):
             if self._timer is not None:
                 self._timer.cancel()
@@ -107,5 +107,6 @@
 
     def _on_timer(self) -> None:
         self._timer = None
-        # Rounding may bring the timer a hair too early: it would then be set for the same time without end.
+        # Rounding can make the timer fire slightly before its due time. With the clock's time alone, the
+        # timer would then be set for the same due time again and again.
         self.settle(max(self.clock.now(), self._timer_at))
--- a/flintridge/lab/world/settings.py
+++ b/flintridge/lab/world/settings.py
@@ -1,4 +1,4 @@
-"""The settings that a node is given, in the platform's form, from the scenario."""
+"""Builds the settings of a node, in the platform's format, from the scenario."""
 
 from typing import Any
 
@@ -6,27 +6,27 @@
 from flintridge.lab.world.memcache import MAX_PIPELINED
 
 ORIGIN_KIND = "origin"
-"""Name of the origin's kind, beside the scenario's kinds."""
+"""Name of the origin's kind, which is added to the scenario's kinds."""
 
-OVER_QUOTA_WEIGHT = 0.05  # of the priority weight, for what a tenant sends beyond its quota
+OVER_QUOTA_WEIGHT = 0.05  # fraction of the priority weight, for requests beyond the quota of their tenant
 TICK_MS = 5.0
 _EFFECTS = {"safe": "retryable", "keyed": "dedup", "unsafe": "fragile"}
 
 Settings = dict[str, Any]
-"""Settings in the platform\'s form; durations in nanoseconds."""
+"""Settings in the platform's format; durations are in nanoseconds."""
 
 
 def node_settings(scenario: Scenario, fleet_size: int, index: int, zone: str) -> Settings:
-    """The `settings` object of a node.
+    """Return the `settings` object of a node.
 
     Args:
         scenario: The scenario.
-        fleet_size: How many nodes there are.
-        index: The node's position among them, from 0.
-        zone: Where it stands.
+        fleet_size: Number of nodes.
+        index: Position of the node among all nodes, from 0.
+        zone: Zone of the node.
 
     Raises:
-        ValueError: The zone is none of the scenario's.
+        ValueError: The scenario has no such zone.
     """
     kinds = [kind.name for kind in scenario.kinds]
     return {
