--- a/flintridge/lab/world/shared_cores.py
+++ b/flintridge/lab/world/shared_cores.py
@@ -1,4 +1,4 @@
-"""The cores of a cache server: how fast jobs progress on them as time goes on."""
+"""The cores of a cache server: the rate at which jobs progress on them."""
 
 from collections.abc import Callable
 from math import inf
@@ -10,18 +10,18 @@
 from flintridge.lab.world.processor_sharing import ProcessorSharingQueue
 from flintridge.lab.world.warm_up import WarmUpCurve
 
-MIN_CORE_FRACTION = 0.02  # that contention leaves at least
+MIN_CORE_FRACTION = 0.02  # lower bound of the fraction of the cores that contention leaves
 
 
 class SharedCores:
     """Cores that all jobs in service share, slowed by warm-up, pauses, faults and many waiting requests.
 
     Attributes:
-        now: Up to when the jobs have progressed (ms of the run).
+        now: Time up to which the jobs have progressed (ms of the run).
         service: The jobs in service.
-        pauses: When nothing progresses.
-        warm_up: What of the capacity there is after a start.
-        faults: What faults set on the server.
+        pauses: The pauses, during which no job progresses.
+        warm_up: The fraction of the capacity that is available after a start.
+        faults: Settings that faults change.
     """
 
     __slots__ = (
@@ -50,12 +50,12 @@
         """Start with no job.
 
         Args:
-            kind: The kind of server.
-            speed: Of each core.
-            warm_up: What of the capacity there is after a start.
-            pauses: When nothing progresses.
+            kind: Kind of the server.
+            speed: Speed of each core (work-ms per millisecond).
+            warm_up: The fraction of the capacity that is available after a start.
+            pauses: The pauses, during which no job progresses.
             now: Time of the run in milliseconds.
-            catch_up: Brings the server up to date; called before and after a fault changes its speed.
+            catch_up: Advances the server to the present; called before and after a fault changes its speed.
         """
         self.now = now
         self.service = ProcessorSharingQueue()
@@ -65,17 +65,17 @@
         self._kind = kind
         self._speed = speed
         self._queued = 0
-        self._rate = 0.0  # of one job when warm, work-ms a ms
-        self._rate_stale = True  # the rate and the due time must be taken anew
+        self._rate = 0.0  # of one job when warm, in work-ms per ms
+        self._rate_stale = True  # the rate and the due time have to be recomputed
         self._due = inf
 
     @property
     def warm_capacity(self) -> float:
-        """Work-ms a millisecond when warm and without faults."""
+        """Work-ms per millisecond when warm and without faults."""
         return self._kind.cores * self._speed
 
     def capacity(self, now: float) -> float:
-        """Work-ms a millisecond at `now` (ms): less during the warm-up, by slowness and by contention."""
+        """Return the work-ms per millisecond at `now` (ms); warm-up, slowdown and contention reduce it."""
         return self._available_cores() * self._speed * self.warm_up.fraction(now) / self.faults.slowdown
 
     def add_job(self, work_ms: float, job: Job) -> None:
@@ -93,28 +93,28 @@
         self._rate_stale = True
 
     def set_queued(self, queued: int) -> None:
-        """Say how many requests wait: many of them may slow all."""
+        """Set how many requests wait; many waiting requests may slow down all jobs."""
         self._queued = queued
         self._rate_stale = True
 
     def mark_rate_stale(self) -> None:
-        """Say that jobs may progress at another rate from `now` on."""
+        """Mark the rate as outdated, because jobs may progress at another rate from `now` on."""
         self._rate_stale = True
 
     def next_change(self) -> float:
-        """When a job completes next, or a pause starts or ends (ms of the run); infinity for never."""
+        """Return when a job next completes or a pause starts or ends (ms of the run); infinity for never."""
         if self._rate_stale:
             self._update_rate()
         return self._due
 
     def progress_to(self, now: float) -> float:
-        """Let jobs progress, where nothing changes until then.
+        """Let jobs progress to `now`, which must not be after `next_change`.
 
         Args:
             now: Time of the run in milliseconds.
 
         Returns:
-            How long the cores were busy, as milliseconds of all of them together.
+            Busy time averaged over all cores (ms).
         """
         elapsed_ms = now - self.now
         if elapsed_ms <= 0:
@@ -134,7 +134,7 @@
         return self._kind.cores * max(MIN_CORE_FRACTION, 1.0 - self.faults.contention_fraction)
 
     def _update_rate(self) -> None:
-        """Take the rate of each job as things are, and the next time at which they change by themselves."""
+        """Recompute the current rate of each job, and the time of the next change."""
         self._rate_stale = False
         pauses = self.pauses
         if pauses.active:
--- a/flintridge/lab/world/sliding_window.py
+++ b/flintridge/lab/world/sliding_window.py
@@ -1,10 +1,10 @@
-"""A sum over the most recent stretch of time."""
+"""A sum over a sliding window of time."""
 
 from collections import deque
 
 
 class SlidingWindowSum:
-    """Sums what was added within the last `window_ms`; calls come in the order of their times."""
+    """Sums the amounts added within the last `window_ms`; times must not decrease between calls."""
 
     __slots__ = ("_entries", "_total", "_window_ms")
 
@@ -19,14 +19,14 @@
         self._total = 0.0
 
     def add(self, now: float, amount: float) -> float:
-        """Count an amount.
+        """Add an amount.
 
         Args:
             now: Time of the run in milliseconds.
-            amount: What to add.
+            amount: The amount.
 
         Returns:
-            The sum of the window, this amount included.
+            The sum over the window, including this amount.
         """
         entries = self._entries
         entries.append((now, amount))
@@ -36,6 +36,6 @@
         return self._total
 
     def clear(self) -> None:
-        """Forget everything."""
+        """Remove all amounts."""
         self._entries.clear()
         self._total = 0.0
--- a/flintridge/lab/world/sockets.py
+++ b/flintridge/lab/world/sockets.py
@@ -1,4 +1,4 @@
-"""What asyncio's transports lack."""
+"""Additions to asyncio's transports."""
 
 import asyncio
 import socket
@@ -8,7 +8,7 @@
 
 
 def reset(transport: asyncio.Transport) -> None:
-    """End a connection with a RST, as the kernel does for a process that died: `abort` alone sends a FIN."""
+    """End a connection with a RST, as the kernel does for a dead process; `abort` alone sends a FIN."""
     virtual_reset = getattr(transport, "reset", None)
     if virtual_reset is not None:
         virtual_reset()
--- a/flintridge/lab/world/value_changes.py
+++ b/flintridge/lab/world/value_changes.py
@@ -1,4 +1,4 @@
-"""Values change at the origin all along, evenly over the keys."""
+"""Changes of values at the origin during the whole run, distributed uniformly over the keys."""
 
 import asyncio
 
@@ -13,11 +13,11 @@
     """Changes values at exponentially distributed intervals."""
 
     def __init__(self, spec: KeysSpec, seeds: Seeds, objects: Objects, clock: RunClock) -> None:
-        """Make a process that has not started.
+        """Create a process that has not started.
 
         Args:
-            spec: The keys, and how often their values change, which is not never.
-            seeds: Where the draws come from.
+            spec: The scenario's keys; the rate at which their values change must be above 0.
+            seeds: Source of random numbers.
             objects: The values.
             clock: The clock of the run.
         """
@@ -29,11 +29,11 @@
         self._timer: asyncio.TimerHandle | None = None
 
     def start(self) -> None:
-        """Begin."""
+        """Schedule the first change."""
         self._schedule(self._clock.now())
 
     def stop(self) -> None:
-        """Change nothing any more."""
+        """Cancel the next change."""
         if self._timer is not None:
             self._timer.cancel()
 
--- a/flintridge/lab/world/warm_up.py
+++ b/flintridge/lab/world/warm_up.py
@@ -1,22 +1,22 @@
-"""The warm-up curve: how much of its capacity a server has while it warms up."""
+"""The warm-up curve: the fraction of its capacity that a server has while it warms up."""
 
 from math import inf, sqrt
 
 
 class WarmUpCurve:
-    """A fraction of the full capacity that grows evenly from `initial_fraction` to 1.
+    """A fraction of the full capacity that grows linearly from `initial_fraction` to 1.
 
-    A duration of 0 ms stands for a server that is warm from its start.
+    With a duration of 0 ms the server is warm from its start.
     """
 
     __slots__ = ("_slope", "_started_at", "_warm_at")
 
     def __init__(self, started_at: float, duration_ms: float, initial_fraction: float) -> None:
-        """Begin the curve.
+        """Start the curve.
 
         Args:
             started_at: Time of the run in milliseconds.
-            duration_ms: How long it takes until the capacity is full.
+            duration_ms: Time until the full capacity is reached (ms).
             initial_fraction: Fraction of the capacity at the start.
         """
         self._started_at = started_at
@@ -28,25 +28,25 @@
 
     @property
     def duration_ms(self) -> float:
-        """Milliseconds from the start until the capacity is full; 0 where it is full from the start."""
+        """Duration of the warm-up (ms); 0 for a server that starts with its full capacity."""
         return max(0.0, self._warm_at - self._started_at)
 
     def is_warming_up(self, now: float) -> bool:
-        """Whether the capacity is not full yet at `now` (ms)."""
+        """Whether the full capacity is not reached yet at `now` (ms)."""
         return now < self._warm_at
 
     def fraction(self, now: float) -> float:
-        """The fraction of the full capacity at `now` (ms)."""
+        """Return the fraction of the full capacity at `now` (ms)."""
         if now >= self._warm_at:
             return 1.0
         return 1.0 - self._slope * (self._warm_at - max(now, self._started_at))
 
     def warm_ms(self, start_at: float, elapsed_ms: float) -> float:
-        """How long a warm server takes for what this one does in a stretch of time.
+        """Return how long a warm server needs for the work that this server does in an interval.
 
         Args:
-            start_at: Time of the run in milliseconds.
-            elapsed_ms: Length of the stretch in milliseconds.
+            start_at: Start of the interval (ms of the run).
+            elapsed_ms: Length of the interval in milliseconds.
 
         Returns:
             Milliseconds, at most `elapsed_ms`.
@@ -57,11 +57,11 @@
         return warming_ms * (self.fraction(start_at) + self._slope * warming_ms / 2) + elapsed_ms - warming_ms
 
     def elapsed_ms(self, start_at: float, warm_ms: float) -> float:
-        """The reverse of `warm_ms`: how long this server takes for the work of a warm one.
+        """Return how long this server needs for the work of a warm one; the inverse of `warm_ms`.
 
         Args:
-            start_at: Time of the run in milliseconds.
-            warm_ms: How long a warm server would take, in milliseconds.
+            start_at: Start of the work (ms of the run).
+            warm_ms: How long a warm server needs for the work, in milliseconds.
 
         Returns:
             Milliseconds, at least `warm_ms`.
--- a/tests/lab/world/test_call_queue.py
+++ b/tests/lab/world/test_call_queue.py
@@ -21,7 +21,7 @@
     queue = CallQueue(endpoint_list(0.0, 0.0, "a", "b"), call_ms=100.0, endpoint_ms=10.0, timeout_ms=250.0)
     for key in range(5):
         queue.arrive(0.0, key, "n0", 0, 0.0)
-    queue.leave(1)  # whoever hung up takes no turn
+    queue.remove(1)  # whoever hung up takes no turn
     ends = [(120.0, 0, 200, 2), (240.0, 2, 200, 2), (250.0, 4, 503, 0), (360.0, 3, 200, 2)]
     assert run_queue(queue, 1e6) == ends
 
