--- a/flintridge/lab/world/discovery_connection.py
+++ b/flintridge/lab/world/discovery_connection.py
@@ -1,4 +1,4 @@
-"""A node's connection to discovery: HTTP/1.1, one call after another."""
+"""A node's connection to discovery: HTTP/1.1, one call at a time."""
 
 import asyncio
 
--- a/flintridge/lab/world/fault_controls.py
+++ b/flintridge/lab/world/fault_controls.py
@@ -15,7 +15,7 @@
     `flintridge.lab.faults` sets them by their names.
 
     Attributes:
-        error_fraction: Fraction of requests that end in an error at once.
+        error_fraction: Fraction of requests that end immediately with an error.
         reset_fraction: Fraction of requests whose connection is reset after they have arrived.
         corrupted_fraction: Fraction of responses that are malformed.
         lost_fraction: Fraction of responses that are never sent.
--- a/flintridge/lab/world/link_table.py
+++ b/flintridge/lab/world/link_table.py
@@ -95,7 +95,7 @@
             self._refresh(link)
 
     def clear_party(self, party: str) -> None:
-        """End `set_party`."""
+        """Set all links from and to a machine back to up."""
         self.set_party(party, UP)
 
     def set_zones(self, zone: str, peer_zone: str, state: str) -> None:
@@ -108,7 +108,7 @@
         self._refresh_all()
 
     def clear_zones(self, zone: str, peer_zone: str) -> None:
-        """End `set_zones`."""
+        """Set the links between two zones back to up."""
         self.set_zones(zone, peer_zone, UP)
 
     def isolate_zone(self, zone: str, state: str, inside: bool = False, spared: Collection[str] = ()) -> None:
@@ -130,7 +130,7 @@
         self._refresh_all()
 
     def clear_zone(self, zone: str) -> None:
-        """End `isolate_zone`."""
+        """End the isolation of a zone."""
         self.isolate_zone(zone, UP)
 
     def add_delay(self, zone: str, peer_zone: str, added_ms: float) -> None:
@@ -139,7 +139,7 @@
         self._refresh_all()
 
     def clear_delay(self, zone: str, peer_zone: str) -> None:
-        """End `add_delay`."""
+        """Remove the additional delay between two zones."""
         self.add_delay(zone, peer_zone, 0.0)
 
     def set_fault(self, source: str, target: str, fault: LinkFault = NO_FAULT) -> None:
--- a/flintridge/lab/world/origin_model.py
+++ b/flintridge/lab/world/origin_model.py
@@ -84,7 +84,7 @@
     def down(self, mode: str) -> None:
         """Set the mode and call `down_changed`; an unknown mode raises ValueError."""
         if mode not in DOWN_MODES:
-            raise ValueError(f"the origin cannot be {mode!r}")
+            raise ValueError(f"unknown down mode of the origin: {mode!r}")
         self._down = mode
         if self._down_changed is not None:
             self._down_changed()
--- a/flintridge/lab/world/warm_up.py
+++ b/flintridge/lab/world/warm_up.py
@@ -15,13 +15,13 @@
         """Start the curve.
 
         Args:
-            started_at: Time of the run in milliseconds.
+            started_at: When the server started (ms of the run).
             duration_ms: Time until the full capacity is reached (ms).
             initial_fraction: Fraction of the capacity at the start.
         """
         self._started_at = started_at
         self._warm_at = -inf
-        self._slope = 0.0  # of the fraction, per millisecond
+        self._slope = 0.0  # growth of the fraction per millisecond
         if duration_ms:
             self._warm_at = started_at + duration_ms
             self._slope = (1.0 - initial_fraction) / duration_ms
--- a/tests/lab/world/test_assumed_notifications.py
+++ b/tests/lab/world/test_assumed_notifications.py
@@ -1,4 +1,4 @@
-"""Who counts as notified of the endpoint list, by a clock that is set by hand."""
+"""Assumed notifications of the endpoint list, at times that the tests pass in."""
 
 import pytest
 from support.lab_discovery import endpoint, endpoint_list
@@ -8,7 +8,7 @@
 
 
 class Subscriber:
-    """One node and a change that is listed at 1000."""
+    """One node, and a change that is listed at 1000 ms."""
 
     def __init__(self) -> None:
         self.cut = False
@@ -21,7 +21,7 @@
         self.endpoints.advance(1000.0)
 
     def notified_at(self, until=100_000) -> float | None:
-        """When it counts as notified, checked each 100 ms from 1000 on; once at the most."""
+        """Return when the node counts as notified, at most once; checked every 100 ms from 1000 ms on."""
         found = [t for t in range(1000, until, 100) if self.notifications.check(float(t))]
         assert len(found) <= 1
         return found[0] if found else None
@@ -31,14 +31,14 @@
     node = Subscriber()
     node.change()
     assert node.notified_at() == 11_000
-    late = Subscriber()
-    late.notifications.called(5000.0, "n0", 1, 0.0)
-    late.notifications.responded(
-        5010.0, "n0", 1, late.endpoints.revision, watches=False, delivered=True
-    )  # before it was listed
-    late.endpoints.observe(6000.0, endpoint(phase=Phase.TERMINATING))
-    late.endpoints.advance(6000.0)
-    assert late.notified_at() == 16_000
+    polling_node = Subscriber()
+    polling_node.notifications.called(5000.0, "n0", 1, 0.0)
+    polling_node.notifications.responded(
+        5010.0, "n0", 1, polling_node.endpoints.revision, watches=False, delivered=True
+    )  # before the change was listed
+    polling_node.endpoints.observe(6000.0, endpoint(phase=Phase.TERMINATING))
+    polling_node.endpoints.advance(6000.0)
+    assert polling_node.notified_at() == 16_000
 
 
 def test_a_node_when_its_call_failed_has_four_times_as_long():
@@ -61,17 +61,18 @@
     node.change()
     node.notifications.called(1000.0, "n0", 1, 61_000.0)
     assert node.notified_at(61_000) is None
-    node.notifications.disconnected(61_000.0, "n0", 1, broken=False)  # its time was not over by much
+    node.notifications.disconnected(61_000.0, "n0", 1, broken=False)  # at the end of its wait: failed
     assert node.notifications.check(71_000.0) == [] and node.notifications.check(101_000.0) != []
-    left = Subscriber()
-    left.notifications.called(900.0, "n0", 1, 5000.0)
-    left.notifications.disconnected(950.0, "n0", 1, broken=False)  # it ended its watch, and calls no more
-    left.change()
-    assert left.notified_at() == 11_000
+    abandoned_watch = Subscriber()
+    abandoned_watch.notifications.called(900.0, "n0", 1, 5000.0)
+    # The node ends its watch early and makes no further call.
+    abandoned_watch.notifications.disconnected(950.0, "n0", 1, broken=False)
+    abandoned_watch.change()
+    assert abandoned_watch.notified_at() == 11_000
 
 
 @pytest.mark.parametrize(("wait", "at"), [(0.0, 7000), (9000.0, 12_000), (500.0, 3500)])
-def test_a_response_when_it_does_not_arrive_counts_after_a_while(wait, at):
+def test_a_response_when_it_does_not_arrive_counts_as_received_after_a_delay(wait, at):
     node = Subscriber()
     node.notifications.called(1000.0, "n0", 1, 1000.0 + wait)
     node.change()
--- a/tests/lab/world/test_cache_connection.py
+++ b/tests/lab/world/test_cache_connection.py
@@ -1,4 +1,4 @@
-"""Connections to cache servers in virtual time, byte for byte."""
+"""Connections to cache servers in virtual time; the exact bytes are checked."""
 
 import asyncio
 import random
@@ -39,7 +39,7 @@
         )
 
     stage = run_with_servers(body)
-    attempts, made = stage.records_of(AttemptReceived), stage.records_of(AttemptServed)
+    attempts, served = stage.records_of(AttemptReceived), stage.records_of(AttemptServed)
     assert [(a.server, a.request_id, a.time_left_ms) for a in attempts] == [
         ("s0", "u1", 1000),
         ("origin", "u1", 1000),
@@ -48,8 +48,8 @@
     assert attempts[0].at_ms - attempts[0].started_ms == pytest.approx(501) and attempts[2].at_ms - attempts[
         2
     ].started_ms == pytest.approx(1)
-    assert [(x.outcome, x.executed) for x in made] == [("miss", False), ("value", True), ("value", True)]
-    assert made[2].body_digest == body_digest(stage.objects.body("a", 1, "s0", "u3")) and made[
+    assert [(x.outcome, x.executed) for x in served] == [("miss", False), ("value", True), ("value", True)]
+    assert served[2].body_digest == body_digest(stage.objects.body("a", 1, "s0", "u3")) and served[
         2
     ].at_ms == pytest.approx(attempts[2].at_ms + 10)
     assert [r.attempt_id for r in stage.records_of(AttemptExecuted)] == [2, 3] and not stage.records_of(
@@ -64,16 +64,17 @@
         lines += [stage.memcache_request(work=0.1)[1] for _ in range(300)] + [b"mn\r\n" * 3000]
         peer.transport.write(b"".join(lines))
         await asyncio.sleep(0.02)
-        assert peer.received == b""  # the second has run by now
+        # The second request has been executed by now, but its response has to wait for the first one.
+        assert peer.received == b""
         await asyncio.sleep(1)
         assert peer.received.startswith(b"EN Ou1\r\nEN Ou2\r\nMN\r\nEN Ou3\r\n") and peer.received.endswith(
             b"MN\r\n" * 3000
         )
 
     stage = run_with_servers(body, cores=2, queue_per_core=500)
-    attempts, made = stage.records_of(AttemptReceived), stage.records_of(AttemptServed)
-    assert [x.attempt_id for x in made] == list(range(1, 303)) and len({a.at_ms for a in attempts}) == 1
-    assert made[0].at_ms == made[1].at_ms == pytest.approx(attempts[0].at_ms + 30)
+    attempts, served = stage.records_of(AttemptReceived), stage.records_of(AttemptServed)
+    assert [x.attempt_id for x in served] == list(range(1, 303)) and len({a.at_ms for a in attempts}) == 1
+    assert served[0].at_ms == served[1].at_ms == pytest.approx(attempts[0].at_ms + 30)
 
 
 @pytest.mark.parametrize("end", ["close", "write_eof", "reset"])
@@ -90,11 +91,12 @@
 
     stage = run_with_servers(body)
     assert [d.request_id for d in stage.records_of(AttemptDropped)] == ["u1", "u2"]
-    assert [r.request_id for r in stage.records_of(AttemptExecuted)] == ["u1"]  # it ran, and nobody heard
+    # u1 was executed, although nobody received its response.
+    assert [r.request_id for r in stage.records_of(AttemptExecuted)] == ["u1"]
     assert stage.outcomes() == {"u3": "miss"}
 
 
-def test_faults_when_a_server_crashes_and_restarts_outlast_it():
+def test_faults_when_a_server_crashes_and_restarts_persist():
     async def body(stage):
         old, new = stage.servers
         old.model.store.put(0, "a")
@@ -114,7 +116,7 @@
         peer.transport.write(stage.memcache_request()[1])
         await asyncio.sleep(0.3)
         assert peer.received == b"EN Ou2\r\n" and new.started_at == pytest.approx(107, abs=2)
-        with pytest.raises(OSError, match="attempting to bind"):  # the address is taken
+        with pytest.raises(OSError, match="attempting to bind"):  # the address is in use
             await old.start(cold=True)
         assert not old.up
         new.stop()
@@ -122,12 +124,12 @@
         assert old.model.faults.slowdown == 2.0 and old.model.store.has(0, "a") is False
 
     stage = run_with_servers(body)
-    said = [
+    states = [
         (s.server, s.state, s.warm_up_ms)
         for s in stage.records_of(ServerStateChanged)
         if s.server != "origin"
     ]
-    assert said[2:5] == [("s0", "stopped", 0), ("s1", "gone", 0), ("s1", "started", 9000)]
+    assert states[2:5] == [("s0", "stopped", 0), ("s1", "gone", 0), ("s1", "started", 9000)]
     assert [d.request_id for d in stage.records_of(AttemptDropped)] == ["u1"] and not stage.records_of(
         AttemptExecuted
     )
@@ -143,7 +145,7 @@
         await asyncio.sleep(1)
         assert peer.ended == "ConnectionResetError" and not server.up
 
-    stage = run_with_servers(body)  # 3 x 0.32 x 2 cores x 1500 ms: 2880
+    stage = run_with_servers(body)  # the limit is 3 x 0.32 x 2 cores x 1500 ms = 2880 work-ms
     assert (
         len(stage.records_of(AttemptReceived)) == 3
         and stage.records_of(ServerStateChanged)[-1].state == "fallen"
@@ -208,10 +210,10 @@
 
     stage = run_with_servers(body)
     assert stage.outcomes().get("u1") == outcome and len(stage.records_of(AttemptExecuted)) == 1
-    assert [made.lost for made in stage.records_of(AttemptServed)] == [True] * (kind == "lost")
+    assert [served.lost for served in stage.records_of(AttemptServed)] == [True] * (kind == "lost")
 
 
-def test_a_request_when_not_as_the_client_sent_it_is_recorded_and_rejected():
+def test_a_request_when_it_differs_from_the_clients_is_recorded_and_rejected():
     async def body(stage):
         peer = await stage.connect("s0")
         good = stage.memcache_request(write=True, idempotency_key="i")[1]
@@ -238,7 +240,7 @@
     assert len(stage.records_of(MalformedMessage)) == 9 and not stage.records_of(AttemptReceived)
 
 
-def test_the_log_when_played_by_one_seed_is_the_same():
+def test_the_log_when_run_twice_with_one_seed_is_the_same():
     async def body(stage):
         rng = random.Random(5)
         for server in stage.servers:
@@ -251,12 +253,12 @@
             )
             await asyncio.sleep(0.02)
 
-    spoils = {
+    random_kind = {
         "speed_cv": 0.5,
         "error_rate": 0.1,
         "pause_every_s": 0.2,
         "pause_ms": (1.0, 30.0),
         "speed": (1.0, 2.0),
     }
-    digests = [run_with_servers(body, seed=seed, **spoils).log.digest() for seed in (1, 1, 2)]
+    digests = [run_with_servers(body, seed=seed, **random_kind).log.digest() for seed in (1, 1, 2)]
     assert digests[0] == digests[1] != digests[2]
--- a/tests/lab/world/test_call_queue.py
+++ b/tests/lab/world/test_call_queue.py
@@ -1,4 +1,4 @@
-"""Calls to discovery, by a clock that is set by hand."""
+"""Calls to discovery, at times that the tests pass in."""
 
 import pytest
 from support.lab_discovery import endpoint, endpoint_list
@@ -8,25 +8,25 @@
 
 
 def run_queue(queue: CallQueue, until: float) -> list[tuple[float, int, int, int]]:
-    """All answers by calls at `due` alone: instant, key, status, entries."""
-    found, calls = [], 0
+    """Return all responses as time, key, status and number of endpoints; advances the queue only at `due`."""
+    responses, calls = [], 0
     while (due := queue.due()) is not None and due <= until:
-        found += [(due, r.call.key, r.status, len(r.changes)) for r in queue.advance(due)]
+        responses += [(due, r.call.key, r.status, len(r.changes)) for r in queue.advance(due)]
         calls += 1
-        assert calls < 1000, "it is due without end"
-    return found
+        assert calls < 1000, "the queue stays due without end"
+    return responses
 
 
-def test_calls_when_they_waited_too_long_fail_and_take_turns_before():
+def test_calls_when_queued_are_served_in_turn_and_fail_after_the_timeout():
     queue = CallQueue(endpoint_list(0.0, 0.0, "a", "b"), call_ms=100.0, endpoint_ms=10.0, timeout_ms=250.0)
     for key in range(5):
         queue.arrive(0.0, key, "n0", 0, 0.0)
-    queue.remove(1)  # whoever hung up takes no turn
-    ends = [(120.0, 0, 200, 2), (240.0, 2, 200, 2), (250.0, 4, 503, 0), (360.0, 3, 200, 2)]
-    assert run_queue(queue, 1e6) == ends
+    queue.remove(1)  # a call whose caller has gone is not served
+    expected = [(120.0, 0, 200, 2), (240.0, 2, 200, 2), (250.0, 4, 503, 0), (360.0, 3, 200, 2)]
+    assert run_queue(queue, 1e6) == expected
 
 
-def test_a_watch_when_something_changes_wakes_and_else_ends_empty():
+def test_a_watch_when_the_list_changes_is_answered_and_otherwise_ends_empty():
     model = endpoint_list(0.0, 0.0, "a")
     queue = CallQueue(model, call_ms=100.0, endpoint_ms=10.0, timeout_ms=3000.0)
     queue.arrive(0.0, 1, "n0", model.revision, 5000.0)
@@ -36,7 +36,7 @@
     model.observe(1000.0, endpoint(phase=Phase.TERMINATING))
     model.advance(1000.0)
     assert queue.advance(1000.0) == [] and run_queue(queue, 1e6) == [(1010.0, 1, 200, 1)]
-    # News that comes while a call has its turn is not missed, and a long wait is cut to a minute.
+    # A change that is listed while a call is served is not missed, and a long wait is limited to a minute.
     queue.arrive(2000.0, 4, "n0", model.revision, 1e9)
     queue.advance(2000.0)
     model.observe(2050.0, endpoint())
--- a/tests/lab/world/test_lab_endpoint_list.py
+++ b/tests/lab/world/test_lab_endpoint_list.py
@@ -1,4 +1,4 @@
-"""The endpoint list, by a clock that is set by hand."""
+"""The endpoint list, at times that the tests pass in."""
 
 import random
 
@@ -16,18 +16,19 @@
     return [(c.endpoint.id, c.endpoint.phase, c.endpoint.started_at) for c in changes]
 
 
-def test_changes_when_listed_are_late_and_in_each_endpoints_order():
+def test_changes_when_listed_are_delayed_and_keep_the_order_of_each_endpoint():
     delays = iter([1000.0, 100.0])
     model = EndpointList(10, lambda: next(delays), lambda: 500.0)
     model.add(0.0, endpoint())
     model.observe(0.0, endpoint(phase=Phase.TERMINATED))
-    model.observe(50.0, endpoint(started_at=50.0))  # noticed sooner, but not before its own death
+    # The restart has a shorter delay, but must not be listed before the termination.
+    model.observe(50.0, endpoint(started_at=50.0))
     assert not model.advance(999.0) and listed(model, 11) == []
     assert model.advance(1000.0)
     assert listed(model, 11) == [("a", Phase.IN_SERVICE, 50.0)] and model.revision == 13
 
 
-def test_a_silence_when_it_lasts_is_listed_and_so_is_a_return():
+def test_a_machine_when_silent_for_long_is_listed_as_terminated_until_it_returns():
     model = endpoint_list(100.0, 500.0, "a")
     model.observe(0.0, endpoint(), silent=True)
     model.observe(0.0, endpoint(), silent=True)
@@ -39,14 +40,14 @@
     model.observe(1e5 + 600, endpoint())
     model.advance(1e5 + 700)
     assert listed(model, 12) == [("a", Phase.IN_SERVICE, 0.0)]
-    # It died while nobody heard of it: known once it would be heard of again.
+    # The machine terminated while it was silent: that is listed once the silence ends.
     model.observe(2e5, endpoint(), silent=True)
     model.observe(2e5 + 100, endpoint(phase=Phase.TERMINATED), silent=True)
     model.observe(2e5 + 200, endpoint(phase=Phase.TERMINATED))
     assert not model.advance(2e5 + 299) and model.advance(2e5 + 300)
 
 
-def test_the_list_when_stale_defers_what_came_about_since_and_only_that():
+def test_the_list_when_stale_defers_only_the_changes_since_then():
     model = endpoint_list(100.0, 500.0, "a", "b")
     model.observe(0.0, endpoint("a", Phase.TERMINATING))
     model.stale_since = 50.0
@@ -77,29 +78,31 @@
 
 @FIXED
 @given(st.lists(st.tuples(st.integers(0, 3), STATES, st.floats(0, 400)), max_size=40), st.integers(1, 50))
-def test_changes_when_applied_to_any_revision_give_the_complete_list(events, back):
+def test_changes_when_applied_to_any_revision_give_the_complete_list(events, call_interval):
     rng = random.Random(1)
     model = EndpointList(10, lambda: rng.uniform(0, 300), lambda: rng.uniform(100, 600))
-    now, held, revision = 0.0, {}, 0
-    truth = {name: endpoint(name) for name in "abcd"}
-    for which, state, pause in [*events, (0, "fresh", 0.0), (0, "fresh", 5000.0)]:
+    now, known, revision = 0.0, {}, 0
+    actual = {name: endpoint(name) for name in "abcd"}
+    for index, state, pause in [*events, (0, "fresh", 0.0), (0, "fresh", 5000.0)]:
         now += pause
-        name = "abcd"[which]
+        name = "abcd"[index]
         if state in ("stale", "fresh"):
             model.stale_since = now if state == "stale" else None
         else:
-            phase = truth[name].phase if state == "silent" else state
-            truth[name] = endpoint(name, phase, now if phase == Phase.IN_SERVICE else truth[name].started_at)
-            model.observe(now, truth[name], silent=state == "silent")
+            phase = actual[name].phase if state == "silent" else state
+            actual[name] = endpoint(
+                name, phase, now if phase == Phase.IN_SERVICE else actual[name].started_at
+            )
+            model.observe(now, actual[name], silent=state == "silent")
         model.advance(now)
-        if int(now) % back == 0:  # a node that asks now and then
+        if int(now) % call_interval == 0:  # a node that calls from time to time
             changes, revision = model.changes_since(revision), model.revision
-            held = held if changes is not None else {}
+            known = known if changes is not None else {}
             for change in model.snapshot() if changes is None else changes:
-                held[change.endpoint.id] = change.endpoint
+                known[change.endpoint.id] = change.endpoint
     model.advance(now)
     for change in model.changes_since(revision) or ([] if revision else model.snapshot()):
-        held[change.endpoint.id] = change.endpoint
-    alive = {name: one for name, one in held.items() if one.phase != Phase.TERMINATED}
+        known[change.endpoint.id] = change.endpoint
+    alive = {name: one for name, one in known.items() if one.phase != Phase.TERMINATED}
     assert alive == {change.endpoint.id: change.endpoint for change in model.snapshot()}
     assert [c.revision for c in model._changes] == list(range(11, model.revision + 1))
--- a/tests/lab/world/test_lab_memcache.py
+++ b/tests/lab/world/test_lab_memcache.py
@@ -1,4 +1,4 @@
-"""The lab's own reading of memcache commands."""
+"""The lab's parser of memcache commands."""
 
 from itertools import pairwise
 
@@ -9,18 +9,18 @@
 
 from flintridge.lab.world.memcache import CommandKind, CommandReader
 
-ASKED = b"mg k O1 v\r\nmg k v Ou1 Pc=read,d=480\r\nms k 6 Ou2 Pc=put,d=9,k=i\r\na\r\nb\r\n\r\nmn\r\n"
-ASKED += b"stats load\r\n"
+STREAM = b"mg k O1 v\r\nmg k v Ou1 Pc=read,d=480\r\nms k 6 Ou2 Pc=put,d=9,k=i\r\na\r\nb\r\n\r\nmn\r\n"
+STREAM += b"stats load\r\n"
 
 
 @FIXED
-@given(st.lists(st.integers(0, len(ASKED)), max_size=8))
+@given(st.lists(st.integers(0, len(STREAM)), max_size=8))
 def test_commands_when_cut_anywhere_are_the_same(cuts):
-    reader, found, began = CommandReader(), [], {}
-    for a, b in pairwise([0, *sorted(cuts), len(ASKED)]):
-        for command in reader.feed(ASKED[a:b], float(a)):
+    reader, found, started = CommandReader(), [], {}
+    for a, b in pairwise([0, *sorted(cuts), len(STREAM)]):
+        for command in reader.feed(STREAM[a:b], float(a)):
             found.append((command.kind.value, command.request_id, command.time_left_ms, command.value))
-            began[command.kind.value] = command.started_at
+            started[command.kind.value] = command.started_at
     read, write = ("mg", "u1", 480.0, None), ("ms", "u2", 9.0, b"a\r\nb\r\n")
     assert found == [
         ("bad", "", 0.0, None),
@@ -29,9 +29,9 @@
         ("mn", "", 0.0, None),
         ("stats load", "", 0.0, None),
     ]
-    starts = {kind: ASKED.index(text) for kind, text in (("mg", b"mg k v"), ("ms", b"ms"), ("mn", b"mn"))}
+    starts = {kind: STREAM.index(text) for kind, text in (("mg", b"mg k v"), ("ms", b"ms"), ("mn", b"mn"))}
     for kind, start in starts.items():
-        assert began[kind] == max(cut for cut in (0, *cuts) if cut <= start)
+        assert started[kind] == max(cut for cut in (0, *cuts) if cut <= start)
 
 
 @pytest.mark.parametrize(
@@ -55,6 +55,6 @@
         (b"x" * 5000, True),
     ],
 )
-def test_a_command_when_no_client_sends_it_is_malformed(line, fatal):
+def test_a_command_when_no_client_may_send_it_is_malformed(line, fatal):
     [bad, *rest] = CommandReader().feed(line + b"\r\nmn\r\n", 0.0)
     assert (bad.kind, bad.fatal, len(rest)) == (CommandKind.MALFORMED, fatal, 0 if fatal else 1)
--- a/tests/lab/world/test_link_table.py
+++ b/tests/lab/world/test_link_table.py
@@ -1,4 +1,4 @@
-"""Links between machines."""
+"""The links between machines."""
 
 import pytest
 from hypothesis import given
@@ -10,7 +10,7 @@
 from flintridge.lab.world.link_table import LinkTable
 
 
-def test_a_link_when_several_states_apply_has_the_worst_both_ways():
+def test_a_link_when_several_states_apply_has_the_worst_in_both_directions():
     links = LinkTable(m.Links(), Seeds(1))
     for party, zone in {"n0": "a", "s0": "a", "s1": "b", "s2": "c"}.items():
         links.place(party, zone)
@@ -43,14 +43,14 @@
 
 @FIXED
 @given(st.integers(0, 200), st.integers(0, 99))
-def test_fragments_when_drawn_add_up_and_move_no_other_link(size, seed):
+def test_segments_when_drawn_add_up_and_change_no_other_links_delays(size, seed):
     spec = m.Links(cut=0.7, same_ms=(1.0, 2.0), jitter=0.5)
     tables = [LinkTable(spec, Seeds(seed)) for _ in range(2)]
     for table in tables:
         table.place("n0", "a")
         table.place("s0", "a")
     for _ in range(5):
-        pieces = tables[0].link("n0", "s1").segment_sizes(size)
-        assert sum(pieces) == size and (min(pieces) > 0 or size == 0) and len(pieces) <= 4
+        sizes = tables[0].link("n0", "s1").segment_sizes(size)
+        assert sum(sizes) == size and (min(sizes) > 0 or size == 0) and len(sizes) <= 4
     delays = [[table.link("n0", "s0").delay(0, 9) for _ in range(50)] for table in tables]
     assert delays[0] == delays[1] and 0.5 <= min(delays[0]) < max(delays[0]) <= 3
--- a/tests/lab/world/test_node_settings.py
+++ b/tests/lab/world/test_node_settings.py
@@ -1,4 +1,4 @@
-"""The settings that the lab gives to nodes."""
+"""The settings that the lab passes to nodes."""
 
 from support.lab_fleet import SCENARIO
 
--- a/tests/lab/world/test_objects.py
+++ b/tests/lab/world/test_objects.py
@@ -1,4 +1,4 @@
-"""The values behind the keys."""
+"""The values of the keys."""
 
 import pytest
 from support.lab_world import SCENARIO
@@ -8,7 +8,7 @@
 from flintridge.lab.world.objects import Objects
 
 
-def test_values_when_the_origin_answers_are_stored_by_those_that_missed():
+def test_values_when_the_origin_responds_are_stored_by_the_servers_that_missed():
     objects = Objects(SCENARIO, Seeds(3))
     sizes = [objects.size(f"k{i}") for i in range(4000)]
     assert (
@@ -20,12 +20,12 @@
     assert body.startswith(b"k7|1|s1|u1|") and len(body) == sizes[7]
     assert body[-200:] != objects.body("k7", 1, "s1", "u2")[-200:]
     stores = {name: CacheStore(objects, 1.0, 0.0) for name in ("s1", "s2", "s3")}
-    at_work = {"s1"}
+    up_servers = {"s1"}
     for name, store in stores.items():
-        objects.register(name, store, lambda name=name: name in at_work)
+        objects.register(name, store, lambda name=name: name in up_servers)
         objects.record_miss("u1", name)
     objects.fill_misses("u1", "k7")
-    objects.fill_misses("u1", "k8")  # it was answered already
+    objects.fill_misses("u1", "k8")  # the origin has already responded to this request
     assert [len(store) for store in stores.values()] == [1, 0, 0]
     for i in range(1000):
         stores["s1"].put(0, f"k{i}")
--- a/tests/lab/world/test_origin_connection.py
+++ b/tests/lab/world/test_origin_connection.py
@@ -22,12 +22,13 @@
         for peer, line in zip(peers, lines, strict=True):
             peer.transport.write(line)
         await asyncio.sleep(0.01)
-        peers[2].transport.close()  # the origin goes on with it
+        peers[2].transport.close()  # the origin still completes its request
         await asyncio.sleep(1)
         assert peers[0].received.endswith(b"w1.u1") and peers[1].received.endswith(b"w1.u1")
         assert b"503" in peers[4].received and b"Srv-Declined: 1" in peers[4].received
         assert not stage.servers[0].model.store.has(0, "a") and stage.objects.version("a") == 4
-        peers[0].transport.write(stage.http_request(key="-/load")[1])  # a key like any other
+        # With a request id, the path of the load report is an ordinary key.
+        peers[0].transport.write(stage.http_request(key="-/load")[1])
         await asyncio.sleep(0.2)
         assert peers[0].received.count(b"200") == 2
 
@@ -78,7 +79,7 @@
         await asyncio.sleep(0.5)
         assert [peer.ended for peer in peers] == ["ConnectionResetError"] * 4
         stage.origin.model.down = "refuses"
-        stage.origin.model.down = ""  # it is down all the same
+        stage.origin.model.down = ""  # still down because of the crash
         with pytest.raises(ConnectionRefusedError):
             await stage.connect("origin")
         await asyncio.sleep(0.6)
@@ -87,9 +88,10 @@
         await asyncio.sleep(0.2)
         assert peer.received.endswith(b"w1.u5")
 
-    falls = m.Origin(slots=1, sigma=0.0, read_ms=100.0, fall_multiple=1.0, fall_ms=500.0, down_s=1.0)
+    small_origin = m.Origin(slots=1, sigma=0.0, read_ms=100.0, fall_multiple=1.0, fall_ms=500.0, down_s=1.0)
     stage = run_with_servers(
-        body, m.Scenario(kinds=SCENARIO.kinds, classes=SCENARIO.classes, links=SCENARIO.links, origin=falls)
+        body,
+        m.Scenario(kinds=SCENARIO.kinds, classes=SCENARIO.classes, links=SCENARIO.links, origin=small_origin),
     )
     assert [s.state for s in stage.records_of(ServerStateChanged) if s.server == "origin"] == [
         "started",
