--- a/flintridge/cli/calls.py
+++ b/flintridge/cli/calls.py
@@ -29,7 +29,7 @@
 
 def consoles_option(command: F) -> F:
     """Add the option --console ADDR, passed to the command as the tuple `consoles`."""
-    help_text = "Address of a node's console; may be repeated."
+    help_text = "Address of a node's admin API; may be repeated."
     return click.option(
         "--console", "consoles", multiple=True, required=True, metavar="ADDR", help=help_text
     )(command)
--- a/flintridge/cli/ring.py
+++ b/flintridge/cli/ring.py
@@ -61,7 +61,7 @@
     from flintridge.cli.ring_report import share_report
 
     report = share_report(read(file, origin_kind), zone)
-    output.write_figures(report)
+    output.write_json(report)
     print_shares(output, report)
 
 
@@ -98,7 +98,7 @@
 
     before, after = read_all([old, new], origin_kind)
     report = move_report(before, after)
-    output.write_figures(report)
+    output.write_json(report)
     print_moves(output, report, before, after, pairs)
 
 
@@ -136,5 +136,5 @@
 
     fleet = read(file, origin_kind)
     report = walk_report(fleet, key, zone, count)
-    output.write_figures(report)
+    output.write_json(report)
     print_walk(output, report, len(fleet.caches))
--- a/flintridge/cli/ring_output.py
+++ b/flintridge/cli/ring_output.py
@@ -33,28 +33,28 @@
         Raises:
             CommandError: The file cannot be written, or exists and `force` is not given.
         """
-        self._figures_only = json_file == "-"
+        self._json_only = json_file == "-"
         self._file: Path | None = None
-        if json_file is not None and not self._figures_only:
+        if json_file is not None and not self._json_only:
             self._file = output_path(json_file, force)
 
-    def write_figures(self, report: "Report") -> None:
+    def write_json(self, report: "Report") -> None:
         """Write the report as JSON, if JSON is requested."""
-        text = json.dumps(report.figures(), indent=2, ensure_ascii=False) + "\n"
-        if self._figures_only:
+        text = json.dumps(report.json_object(), indent=2, ensure_ascii=False) + "\n"
+        if self._json_only:
             click.echo(text, nl=False)
         elif self._file is not None:
             self._file.write_text(text, encoding="utf-8")
 
-    def line(self, text: str) -> None:
+    def print_line(self, text: str) -> None:
         """Print a line, unless only JSON is requested."""
-        if not self._figures_only:
+        if not self._json_only:
             click.echo(text)
 
-    def table(self, columns: tuple[str, ...], rows: Iterable[tuple[str, ...]]) -> None:
+    def print_table(self, columns: tuple[str, ...], rows: Iterable[tuple[str, ...]]) -> None:
         """Print a table, with text aligned left and numbers right; prints nothing if there are no rows."""
         rows = list(rows)
-        if self._figures_only or not rows:
+        if self._json_only or not rows:
             return
         from rich.console import Console
         from rich.table import Table
@@ -74,11 +74,11 @@
 
 def print_shares(output: RingOutput, report: "ShareReport") -> None:
     """Print the report of `ring show`."""
-    output.line(
+    output.print_line(
         f"{report.file}: revision {report.revision}, {len(report.servers)} servers on the ring,"
         f" {len(report.off_ring)} off it"
     )
-    output.table(
+    output.print_table(
         ("server", "zone", "weight", "points", "ring", "keys"),
         [
             (server.id, server.zone, f"{server.weight:g}", str(server.points), *_percentages(server))
@@ -86,12 +86,12 @@
         ],
     )
     if len(report.zones) > 1:
-        output.table(
+        output.print_table(
             ("zone", "servers", "ring", "keys"),
             [(name, str(zone.servers), *_percentages(zone)) for name, zone in report.zones.items()],
         )
-    output.table(("off the ring", "why"), report.off_ring.items())
-    output.line(report.not_known)
+    output.print_table(("off the ring", "why"), report.off_ring.items())
+    output.print_line(report.not_known)
 
 
 def print_moves(
@@ -99,38 +99,38 @@
 ) -> None:
     """Print the report of `ring diff`, with at most `max_pairs` rows of moves."""
     for fleet in (before, after):
-        output.line(f"{fleet.file}: revision {fleet.revision}, {len(fleet.caches)} servers on the ring")
+        output.print_line(f"{fleet.file}: revision {fleet.revision}, {len(fleet.caches)} servers on the ring")
     changes = [(server.id, server.change, server.what) for server in report.servers]
-    output.table(("server", "change", "what"), changes)
+    output.print_table(("server", "change", "what"), changes)
     by_shares = f"at least {percentage(report.least)} for the actual shares"
     by_weight = f"{percentage(report.least_by_weight)} for shares by weight"
-    output.line(f"keys that move: {percentage(report.moved)}; {by_shares}, {by_weight}")
+    output.print_line(f"keys that move: {percentage(report.moved)}; {by_shares}, {by_weight}")
     rows = [
         (move.source or "no server", move.target or "no server", percentage(move.share))
         for move in report.moves
     ]
-    output.table(("from", "to", "keys"), rows[:max_pairs])
+    output.print_table(("from", "to", "keys"), rows[:max_pairs])
     if len(rows) > max_pairs:
-        output.line(f"and {len(rows) - max_pairs} more pairs: --pairs, or --json for all")
-    output.line(report.not_known)
+        output.print_line(f"and {len(rows) - max_pairs} more pairs: --pairs, or --json for all")
+    output.print_line(report.not_known)
 
 
 def print_walk(output: RingOutput, report: "WalkReport", servers: int) -> None:
     """Print the report of `ring explain`; `servers` is the number of servers on the ring."""
-    output.line(
+    output.print_line(
         f"{report.key!r} is at {report.place} of the ring's 00000000 to ffffffff; {servers} servers are on it"
     )
     rows = []
     for step in report.servers:
         note = "a nearer point is not counted because of its weight" if step.passed_for_weight else ""
         rows.append((str(step.step), step.id, step.zone, f"{step.weight:g}", percentage(step.away), note))
-    output.table(("step", "server", "zone", "weight", "away", "note"), rows)
+    output.print_table(("step", "server", "zone", "weight", "away", "note"), rows)
     if report.first_in_zone is not None:
         first = report.first_in_zone
-        output.line(f"first in zone {report.zone}: {first.id}, step {first.step}")
-    output.line("A node takes the first server that it has no reason to pass over:")
-    output.table(("reason", "means"), report.passed_over_when.items())
-    output.line(report.not_known)
+        output.print_line(f"first in zone {report.zone}: {first.id}, step {first.step}")
+    output.print_line("A node takes the first server that it has no reason to pass over:")
+    output.print_table(("reason", "means"), report.passed_over_when.items())
+    output.print_line(report.not_known)
 
 
 def percentage(fraction: float) -> str:
--- a/flintridge/cli/ring_report.py
+++ b/flintridge/cli/ring_report.py
@@ -38,8 +38,8 @@
 class Report:
     """The report of a command."""
 
-    def figures(self) -> dict[str, Any]:
-        """Return the fields by their names in the JSON."""
+    def json_object(self) -> dict[str, Any]:
+        """Return the fields of the report under their names in the JSON."""
         return asdict(self, dict_factory=_json_object)
 
 
@@ -270,7 +270,7 @@
 
 
 def _changes(old: Fleet, new: Fleet) -> Iterable[ServerChange]:
-    """Yield the differences of the servers on the ring, sorted by id."""
+    """Yield the differences between the servers on the ring, by id; only fields of `Cache` are compared."""
     before = {cache.id: cache for cache in old.caches}
     after = {cache.id: cache for cache in new.caches}
     for server in sorted(before.keys() | after.keys()):
--- a/flintridge/cli/state.py
+++ b/flintridge/cli/state.py
@@ -119,8 +119,8 @@
 
     Exits with 1 if there is any. A conflict ends with a write at a node that has both versions.
     """
-    has_conflicts = [_print_selected(address, {"conflicts": "1"}, as_json) for address in consoles]
-    if any(has_conflicts):
+    conflicts_found = [_print_selected(address, {"conflicts": "1"}, as_json) for address in consoles]
+    if any(conflicts_found):
         sys.exit(ExitCode.FINDING)
 
 
@@ -301,7 +301,7 @@
     if options.wait is not None and node_count < options.wait:
         click.echo(
             f"flintridge: {node_count} and not {options.wait} nodes have it after {options.timeout:g} s;"
-            " the write remains in effect",
+            " the write is kept",
             err=True,
         )
         sys.exit(ExitCode.FINDING)
--- a/flintridge/config/descriptions.py
+++ b/flintridge/config/descriptions.py
@@ -9,7 +9,7 @@
 EXACT_INTEGER_MAX = 1e15  # larger whole numbers are shown in scientific notation
 
 
-def shown(value: Any) -> str:
+def format_value(value: Any) -> str:
     """Format a value for an error message: on one line, truncated if it is long. Never raises."""
     if value is None:
         return "null"
@@ -18,7 +18,7 @@
     if isinstance(value, dict):
         return "a table"
     if isinstance(value, float) and value.is_integer():
-        return number(value)
+        return format_number(value)
     try:
         text = repr(value)
     except (ValueError, RecursionError):  # a number of thousands of digits, lists nested hundreds deep
@@ -28,23 +28,23 @@
     return f"{text[: SHOWN_CHARACTERS_MAX - 3]}..."
 
 
-def number(value: float) -> str:
+def format_number(value: float) -> str:
     """Format a number; a whole number is shown without `.0`."""
     if float(value).is_integer() and abs(value) < EXACT_INTEGER_MAX:
         return str(int(value))
     return f"{value:g}"
 
 
-def bounds(info: inspect.FloatType | inspect.IntType) -> str:
+def describe_bounds(info: inspect.FloatType | inspect.IntType) -> str:
     """Describe the range of a number, as in `>= 0 and <= 1`; empty if any number is allowed."""
     limits = ((">", info.gt), (">=", info.ge), ("<", info.lt), ("<=", info.le))
-    descriptions = [f"{sign} {number(limit)}" for sign, limit in limits if limit is not None]
+    descriptions = [f"{sign} {format_number(limit)}" for sign, limit in limits if limit is not None]
     if info.multiple_of is not None:
-        descriptions.append(f"a multiple of {number(info.multiple_of)}")
+        descriptions.append(f"a multiple of {format_number(info.multiple_of)}")
     return " and ".join(descriptions)
 
 
-def length(info: inspect.StrType | inspect.ListType | inspect.VarTupleType, unit: str) -> str:
+def describe_length(info: inspect.StrType | inspect.ListType | inspect.VarTupleType, unit: str) -> str:
     """Describe the allowed length, as in `1 to 64 characters`; empty if any length is allowed."""
     minimum = info.min_length
     maximum = info.max_length
@@ -59,62 +59,62 @@
     return f"at most {maximum} {unit}"
 
 
-def choice(values: Iterable[Any]) -> str:
+def describe_choice(values: Iterable[Any]) -> str:
     """Describe a choice between several values, as in `one of 'a', 'b'`."""
-    choices = [shown(value) for value in values]
+    choices = [format_value(value) for value in values]
     return choices[0] if len(choices) == 1 else f"one of {', '.join(choices)}"
 
 
-def allowed_by(info: inspect.Type) -> str:
+def describe_allowed(info: inspect.Type) -> str:
     """Describe the values that a type allows, as in `a number >= 0 and <= 1`."""
     match info:
         case inspect.Metadata():  # only adds a description for the JSON Schema
-            return allowed_by(info.type)
+            return describe_allowed(info.type)
         case inspect.FloatType():
-            return f"a number {bounds(info)}".strip()
+            return f"a number {describe_bounds(info)}".strip()
         case inspect.IntType():
-            return f"a whole number {bounds(info)}".strip()
+            return f"a whole number {describe_bounds(info)}".strip()
         case inspect.StrType():
-            return _allowed_text(info)
+            return _describe_text(info)
         case inspect.BoolType():
             return "true or false"
         case inspect.NoneType():
             return "null"
         case inspect.LiteralType():
-            return choice(info.values)
+            return describe_choice(info.values)
         case inspect.EnumType():
-            return choice(member.value for member in info.cls)
+            return describe_choice(member.value for member in info.cls)
         case _:
-            return _allowed_by_container(info)
+            return _describe_container(info)
 
 
-def _allowed_by_container(info: inspect.Type) -> str:
+def _describe_container(info: inspect.Type) -> str:
     match info:
         case inspect.ListType() | inspect.VarTupleType():
-            size = length(info, "values")
+            size = describe_length(info, "values")
             sized = f"a list of {size}" if size else "a list"
-            return f"{sized}, each {allowed_by(info.item_type)}"
+            return f"{sized}, each {describe_allowed(info.item_type)}"
         case inspect.TupleType():
             return f"a list of {len(info.item_types)} values"
         case inspect.UnionType():
-            return _allowed_by_union(info)
+            return _describe_union(info)
         case inspect.StructType() | inspect.DictType():
             return "a table"
         case _:
             return "another kind of value"
 
 
-def _allowed_by_union(info: inspect.UnionType) -> str:
+def _describe_union(info: inspect.UnionType) -> str:
     structs = [member for member in info.types if isinstance(member, inspect.StructType)]
-    descriptions = [allowed_by(member) for member in info.types if member not in structs]
+    descriptions = [describe_allowed(member) for member in info.types if member not in structs]
     if structs:
         descriptions.append("a table")
     return ", or ".join(descriptions)
 
 
-def _allowed_text(info: inspect.StrType) -> str:
+def _describe_text(info: inspect.StrType) -> str:
     description = "text"
-    if size := length(info, "characters"):
+    if size := describe_length(info, "characters"):
         description += f" of {size}"
     if info.pattern:
         description += f" matching {info.pattern}"
--- a/flintridge/config/faults.py
+++ b/flintridge/config/faults.py
@@ -5,7 +5,7 @@
 
 import msgspec
 
-from flintridge.config.descriptions import shown
+from flintridge.config.descriptions import format_value
 from flintridge.errors import FlintridgeError
 
 UNSET: Any = msgspec.UNSET  # stands in for a value that is missing or invalid
@@ -30,7 +30,7 @@
     allowed: str = ""
 
     def __str__(self) -> str:
-        value = "" if self.value is UNSET else shown(self.value)
+        value = "" if self.value is UNSET else format_value(self.value)
         return ": ".join(text for text in (self.file, self.path, value, self.reason) if text)
 
 
--- a/flintridge/config/type_validation.py
+++ b/flintridge/config/type_validation.py
@@ -9,7 +9,13 @@
 from msgspec import inspect
 
 from flintridge.config import units
-from flintridge.config.descriptions import allowed_by, bounds, choice, length, shown
+from flintridge.config.descriptions import (
+    describe_allowed,
+    describe_bounds,
+    describe_choice,
+    describe_length,
+    format_value,
+)
 from flintridge.config.faults import UNSET, ConfigFault, fault_at
 
 NumberInfo: TypeAlias = inspect.FloatType | inspect.IntType
@@ -70,12 +76,12 @@
             return self._validate_union(info, value, path)
         if isinstance(info, inspect.LiteralType):
             fits = any(value == literal and type(value) is type(literal) for literal in info.values)
-            return value if fits else self._report_wrong(info, value, path)
+            return value if fits else self._report_mismatch(info, value, path)
         if isinstance(info, inspect.EnumType):
             member = next((member for member in info.cls if value == member.value), None)
-            return self._report_wrong(info, value, path) if member is None else member
+            return self._report_mismatch(info, value, path) if member is None else member
         if isinstance(info, CHECKED_TYPES) and not _accepts(info, value):
-            return self._report_wrong(info, value, path)
+            return self._report_mismatch(info, value, path)
         return self._validate_content(info, value, path)
 
     def _validate_content(self, info: inspect.Type, value: Any, path: str) -> Any:
@@ -102,8 +108,8 @@
         self.faults.append(fault_at(path, value, reason, allowed))
         return UNSET
 
-    def _report_wrong(self, info: inspect.Type, value: Any, path: str) -> Any:
-        allowed = allowed_by(info)
+    def _report_mismatch(self, info: inspect.Type, value: Any, path: str) -> Any:
+        allowed = describe_allowed(info)
         reason = f"must be {allowed}"
         if isinstance(value, str):
             name = path.rsplit(".", 1)[-1]
@@ -113,30 +119,30 @@
 
     def _validate_number(self, info: NumberInfo, value: Any, path: str) -> Any:
         if isinstance(value, float) and not math.isfinite(value):
-            return self._report_wrong(info, value, path)
+            return self._report_mismatch(info, value, path)
         if not _within_bounds(info, value):
-            return self._report(path, value, f"must be {bounds(info)}", allowed_by(info))
+            return self._report(path, value, f"must be {describe_bounds(info)}", describe_allowed(info))
         if isinstance(info, inspect.IntType):
             return value
         try:
             return float(value)
         except OverflowError:
-            return self._report(path, value, "the number is too large", allowed_by(info))
+            return self._report(path, value, "the number is too large", describe_allowed(info))
 
     def _validate_text(self, info: inspect.StrType, value: str, path: str) -> Any:
         try:
             value.encode()
         except UnicodeEncodeError:  # an unpaired surrogate: JSON can contain it, but it cannot be printed
-            return self._report(path, value, "contains an unpaired surrogate", allowed_by(info))
+            return self._report(path, value, "contains an unpaired surrogate", describe_allowed(info))
         matches = info.pattern is None or re.search(info.pattern, value)
         if matches and _fits_length(info, value):
             return value
-        allowed = allowed_by(info)
+        allowed = describe_allowed(info)
         return self._report(path, value, f"must be {allowed}", allowed)
 
     def _validate_tuple(self, info: inspect.TupleType, value: list[Any], path: str) -> Any:
         if len(value) != len(info.item_types):
-            return self._report_wrong(info, value, path)
+            return self._report_mismatch(info, value, path)
         return tuple(
             self.validate(item_type, item, f"{path}[{i}]")
             for i, (item_type, item) in enumerate(zip(info.item_types, value, strict=True))
@@ -144,8 +150,8 @@
 
     def _validate_list(self, info: ListInfo, value: list[Any], path: str) -> Any:
         if not _fits_length(info, value):
-            reason = f"must be a list of {length(info, 'values')}, not {len(value)}"
-            return self._report(path, value, reason, allowed_by(info))
+            reason = f"must be a list of {describe_length(info, 'values')}, not {len(value)}"
+            return self._report(path, value, reason, describe_allowed(info))
         items = [self.validate(info.item_type, item, f"{path}[{i}]") for i, item in enumerate(value)]
         return items if isinstance(info, inspect.ListType) else tuple(items)
 
@@ -159,7 +165,7 @@
             if field.encode_name in value:
                 built[field.name] = self.validate(field.type, value[field.encode_name], field_path)
             elif field.required:
-                allowed = allowed_by(field.type)
+                allowed = describe_allowed(field.type)
                 reason = f"is missing: it must be {allowed}"
                 built[field.name] = self._report(field_path, UNSET, reason, allowed)
         return info.cls(**built)
@@ -172,7 +178,7 @@
             tag = value.get(info.tag_field, info.tag)
             if tag != info.tag:
                 tag_path = joined_path(path, info.tag_field)
-                self._report(tag_path, tag, f"must be {info.tag!r}", shown(info.tag))
+                self._report(tag_path, tag, f"must be {info.tag!r}", format_value(info.tag))
         if not info.forbid_unknown_fields:
             return
         for name, item in value.items():
@@ -190,7 +196,7 @@
         if tagged:
             return self._validate_tagged(tagged, value, path)
         if not accepting:
-            return self._report_wrong(info, value, path)
+            return self._report_mismatch(info, value, path)
         if len(accepting) == 1:  # such as an optional table: its valid values are kept
             return self.validate(accepting[0], value, path)
         return self._validate_alternatives(accepting, value, path)
@@ -214,7 +220,7 @@
         tag_field = str(structs[0].tag_field)
         tags = [struct.tag for struct in structs]
         tag_path = joined_path(path, tag_field)
-        allowed = choice(tags)
+        allowed = describe_choice(tags)
         if tag_field not in value:
             return self._report(tag_path, UNSET, f"is missing: it must be {allowed}", allowed)
         tag = value[tag_field]
