--- a/flintridge/cli/lab_shared.py
+++ b/flintridge/cli/lab_shared.py
@@ -1,4 +1,4 @@
-"""Options and output files that the lab's commands share."""
+"""What the lab's commands share: options for worker processes, seeds and outputs, and writing of outputs."""
 
 from collections.abc import Callable
 from pathlib import Path
--- a/flintridge/cli/main.py
+++ b/flintridge/cli/main.py
@@ -9,7 +9,9 @@
     "run": LazyCommand("flintridge.cli.run", "Start a node from its configuration file."),
     "check": LazyCommand("flintridge.cli.check", "Report every fault of configuration or scenario files."),
     "lab": LazyCommand("flintridge.cli.lab", "Run a whole fleet around the real node, and judge the result."),
-    "peers": LazyCommand("flintridge.cli.peers", "Show which other nodes a running node reaches."),
+    "peers": LazyCommand(
+        "flintridge.cli.peers", "Show which other nodes a running node reaches, and how well."
+    ),
     "state": LazyCommand(
         "flintridge.cli.state", "Read and write the holds, quotas, stops and notes of a fleet."
     ),
@@ -17,7 +19,8 @@
         "flintridge.cli.budgets", "Show a running node's parts of the fleet's budgets, and its loans."
     ),
     "ring": LazyCommand(
-        "flintridge.cli.ring", "Show the servers' shares of the keys, and what a change of the list moves."
+        "flintridge.cli.ring",
+        "Show the servers' shares of the keys, what a change moves, and a key's servers.",
     ),
     "completion": LazyCommand("flintridge.cli.completion", "Print the completion script for a shell."),
 }
--- a/flintridge/cli/ring.py
+++ b/flintridge/cli/ring.py
@@ -57,10 +57,10 @@
     from flintridge.cli.ring_output import RingOutput, print_shares
 
     output = RingOutput(json_file, force)
-    from flintridge.cli.ring_lists import read
+    from flintridge.cli.ring_lists import read_fleet
     from flintridge.cli.ring_report import share_report
 
-    report = share_report(read(file, origin_kind), zone)
+    report = share_report(read_fleet(file, origin_kind), zone)
     output.write_json(report)
     print_shares(output, report)
 
@@ -93,10 +93,10 @@
     from flintridge.cli.ring_output import RingOutput, print_moves
 
     output = RingOutput(json_file, force)
-    from flintridge.cli.ring_lists import read_all
+    from flintridge.cli.ring_lists import read_fleets
     from flintridge.cli.ring_report import move_report
 
-    before, after = read_all([old, new], origin_kind)
+    before, after = read_fleets([old, new], origin_kind)
     report = move_report(before, after)
     output.write_json(report)
     print_moves(output, report, before, after, pairs)
@@ -131,10 +131,10 @@
     from flintridge.cli.ring_output import RingOutput, print_walk
 
     output = RingOutput(json_file, force)
-    from flintridge.cli.ring_lists import read
+    from flintridge.cli.ring_lists import read_fleet
     from flintridge.cli.ring_report import walk_report
 
-    fleet = read(file, origin_kind)
+    fleet = read_fleet(file, origin_kind)
     report = walk_report(fleet, key, zone, count)
     output.write_json(report)
     print_walk(output, report, len(fleet.caches))
--- a/flintridge/cli/ring_lists.py
+++ b/flintridge/cli/ring_lists.py
@@ -42,7 +42,7 @@
         return sorted({cache.zone for cache in self.caches})
 
 
-def read(file: str, origin_kind: str | None = None) -> Fleet:
+def read_fleet(file: str, origin_kind: str | None = None) -> Fleet:
     """Read the fleet in a file.
 
     Args:
@@ -68,7 +68,7 @@
     return _fleet(file, listing.servers.revision, listing.servers.members, origin)
 
 
-def read_all(files: list[str], origin_kind: str | None = None) -> list[Fleet]:
+def read_fleets(files: list[str], origin_kind: str | None = None) -> list[Fleet]:
     """Read the fleets in several files.
 
     Raises:
@@ -78,7 +78,7 @@
     faults = FileFaults()
     for file in files:
         with faults.collected(file):
-            fleets.append(read(file, origin_kind))
+            fleets.append(read_fleet(file, origin_kind))
     faults.raise_collected()
     return fleets
 
--- a/flintridge/config/model.py
+++ b/flintridge/config/model.py
@@ -100,8 +100,8 @@
     # The minimum fraction of its capacity that a just started server has.
     slow_start_fraction: Annotated[float, Meta(gt=0, le=1)] = 1.0
     slow_start_s: Seconds = 0.0  # how long after its start a server reaches its full capacity
-    # A server that is warming up crashes if its load exceeds this multiple of its capacity for the whole of
-    # the window (0: no limit).
+    # A server that is warming up crashes if it gets more work within overload_window_ms than this multiple of
+    # its capacity (0: no limit).
     overload_multiple: Amount = 0.0
     overload_window_ms: Ms = 0.0
 
--- a/tests/cli/test_cli_ring.py
+++ b/tests/cli/test_cli_ring.py
@@ -10,7 +10,7 @@
 
 from flintridge import Balancer, api
 from flintridge.cli.main import main
-from flintridge.cli.ring_lists import read
+from flintridge.cli.ring_lists import read_fleet
 from flintridge.cli.ring_shares import (
     RING_POSITIONS,
     arc_lengths,
@@ -61,7 +61,7 @@
 def test_node_sends_each_key_to_the_first_server_of_explain(tmp_path):
     weights = [1, 0.1, 3, 0.5, 0, 1.7, 100 / 3]
     file = write_list(tmp_path / "l.json", *[member(f"s{i}", w) for i, w in enumerate(weights)])
-    fleet = read(file)
+    fleet = read_fleet(file)
     node = Balancer(api.Settings(), seed=1)
     caches = tuple(api.Endpoint(cache.id, weight=cache.weight) for cache in fleet.caches)
     node.handle(0, api.EndpointUpdate(api.UpdateKind.FULL, 1, caches))
@@ -80,7 +80,7 @@
 
 
 def test_shares_are_exact_add_up_to_one_and_are_sorted():
-    fleet = read(SERVERS)
+    fleet = read_fleet(SERVERS)
     numbers, top = server_numbers(fleet), max_weight(fleet)
     assert sum(arc_lengths(ring_entries(fleet.caches, numbers)).values()) == RING_POSITIONS
     assert [counted_points(w, top) for w in (2, 1, 0.0001, 0)] == [POINTS, POINTS // 2 + 1, 1, POINTS]
@@ -135,7 +135,7 @@
 
 def test_explain_lists_servers_clockwise_and_the_first_of_a_zone():
     report = read_report("explain", "menu:17", SERVERS, "--zone", "east", "--steps", "2")
-    fleet = read(SERVERS)
+    fleet = read_fleet(SERVERS)
     order = list(steps(fleet, "menu:17"))
     assert sorted(step.cache.id for step in order) == [cache.id for cache in fleet.caches]
     assert [row["id"] for row in report["servers"]] == [step.cache.id for step in order[:2]]
