--- a/flintridge/lab/__init__.py
+++ b/flintridge/lab/__init__.py
@@ -1,4 +1,4 @@
-"""The lab: a model of the whole fleet round the real node, in virtual time or on loopback.
+"""The lab: a simulation of the whole fleet around the real node, in virtual time or on loopback.
 
-A node never imports it.
+The code of a node never imports this package.
 """
--- a/flintridge/lab/announcing_runner.py
+++ b/flintridge/lab/announcing_runner.py
@@ -1,4 +1,4 @@
-"""Nodes whose starts and ends the clients' load balancer is notified of."""
+"""A node runner that notifies the clients' load balancer of starts and ends of nodes."""
 
 from typing import Any
 
@@ -9,24 +9,24 @@
 
 
 class AnnouncingRunner:
-    """A NodeRunner that notifies the load balancer of its nodes' starts and ends, as the platform does."""
+    """A NodeRunner that notifies the load balancer of starts and ends of its nodes, as the platform does."""
 
     def __init__(self, runner: NodeRunner, load: LoadDriver) -> None:
         self._runner = runner
         self._load = load
 
     async def start(self, node: str) -> None:
-        """Start the node, and let the load balancer know."""
+        """Start the node, then notify the load balancer."""
         await self._runner.start(node)
         self._load.load_balancer.node_started(node)
 
     def kill(self, node: str) -> None:
-        """Kill the node, and let the load balancer know."""
+        """Kill the node, then notify the load balancer."""
         self._runner.kill(node)
         self._load.load_balancer.node_killed(node)
 
     def term(self, node: str) -> None:
-        """Let the load balancer know, and send SIGTERM."""
+        """Notify the load balancer, then send SIGTERM to the node."""
         self._load.load_balancer.node_terminating(node)
         self._runner.term(node)
 
@@ -43,16 +43,16 @@
         self._runner.resume(node)
 
     def quiesce(self, node: str) -> None:
-        """Drain the node, and let the load balancer know."""
+        """Drain the node, then notify the load balancer."""
         self._runner.quiesce(node)
         self._load.load_balancer.node_draining(node)
 
     def unquiesce(self, node: str) -> None:
-        """End the drain."""
+        """End the drain of the node; the load balancer is not notified."""
         self._runner.unquiesce(node)
 
     def set_system(self, node: str, state: SystemState) -> None:
-        """As the runner that it announces for."""
+        """Set the faults of the node's operating system."""
         self._runner.set_system(node, state)
 
     def running(self, node: str) -> bool:
@@ -64,9 +64,9 @@
         await self._runner.ended(node)
 
     async def close(self) -> None:
-        """End all nodes."""
+        """End the processes of all nodes."""
         await self._runner.close()
 
     def usage(self) -> RunUsage:
-        """As the runner that it announces for."""
+        """Return the resource usage of the nodes."""
         return self._runner.usage()
--- a/flintridge/lab/fabric.py
+++ b/flintridge/lab/fabric.py
@@ -1,8 +1,8 @@
-"""What the lab's machines and clients need of the place they run in: virtual time, or loopback in real time.
+"""The interface of a backend: virtual time, or loopback in real time.
 
-Everything in `world/`, `load/` and `faults/` is written against these protocols and runs on both. A party is
-a machine by name: `n0`, `n1` ... the nodes; server ids; `origin`; `discovery` and `discovery2`; `c0`, `c1`
-... the clients' machines.
+`world/`, `load/` and `faults/` use only these protocols, so that they run on both backends. A party is the
+name of a machine: `n0`, `n1` ... for the nodes, the ids of the servers, `origin`, `discovery` and
+`discovery2`, and `c0`, `c1` ... for the clients' machines.
 """
 
 import asyncio
@@ -14,53 +14,53 @@
 
 
 class RunClock(Protocol):
-    """Float milliseconds since the run's first second began; negative during the warm-up."""
+    """The clock of a run: float milliseconds since the end of the warm-up, negative during it."""
 
     def now(self) -> float:
-        """This instant."""
+        """Return the current time of the run."""
 
     def unix_ms(self, at: float) -> float:
-        """An instant of the run as Unix time, as discovery reports it."""
+        """Convert a time of the run to Unix time in milliseconds, as discovery reports it."""
 
     def call_at(self, at: float, call: Callable[..., object], *args: object) -> asyncio.TimerHandle:
-        """Call at an instant."""
+        """Schedule a call at a time of the run."""
 
     def call_later(self, ms: float, call: Callable[..., object], *args: object) -> asyncio.TimerHandle:
-        """Call after so many milliseconds."""
+        """Schedule a call after a delay in milliseconds."""
 
     async def sleep_until(self, at: float) -> None:
-        """Wait for an instant."""
+        """Wait until a time of the run."""
 
 
 class Link(Protocol):
     """One direction between two machines.
 
     Attributes:
-        state: `up`; `silent`: what is sent is lost without notice; `reset`: connections are reset, new ones
-            too. It may change at any time.
+        state: `up`; `silent`: everything sent is lost without notice; `reset`: existing and new connections
+            are reset. The state may change at any time.
     """
 
     state: str
 
     def delay(self, now: float, size: int) -> float:
-        """Milliseconds that these bytes take."""
+        """Return the time (ms) until `size` bytes that are sent now arrive."""
 
     def segment_sizes(self, size: int) -> list[int]:
-        """Sizes of the segments in which a write arrives."""
+        """Return the sizes of the segments in which a write of `size` bytes arrives."""
 
 
 class Links(Protocol):
     """All links, by the names of two parties (`flintridge.lab.world.link_table.LinkTable`)."""
 
     def link(self, source: str, target: str) -> Link:
-        """The link in one direction."""
+        """Return the link from one party to another."""
 
 
 class Listener(Protocol):
     """A listening socket."""
 
     def close(self) -> None:
-        """Refuse new connections from now on; those that are open stay."""
+        """Refuse new connections from now on; open connections are not closed."""
 
 
 class Fabric(Protocol):
@@ -75,36 +75,39 @@
     links: Links
 
     def address(self, party: str, node: str) -> tuple[str, int]:
-        """Where `node` finds `party`: an address of this pair alone, so both ends are known by it."""
+        """Return the address at which `node` reaches `party`.
+
+        The address belongs to this pair alone, so that it identifies both ends of a connection.
+        """
 
     async def listen(self, party: str, node: str, factory: Callable[[], asyncio.Protocol]) -> Listener:
-        """Accept at `address(party, node)`.
+        """Listen for connections at `address(party, node)`.
 
         Raises:
-            OSError: The address cannot be had.
+            OSError: The address is not available.
         """
 
     async def connect(
         self, party: str, node: str, factory: Callable[[], asyncio.Protocol]
     ) -> asyncio.Transport:
-        """Open a client's connection to a node's listener; it hangs where the link is silent.
+        """Open a connection from a client's machine to a node's listener; hangs while the link is silent.
 
         Raises:
-            OSError: It is refused or reset.
+            OSError: The connection is refused or reset.
         """
 
     def sent_at(self, transport: asyncio.BaseTransport) -> float:
-        """When the other end sent the bytes that are being received now, as far as the link knows."""
+        """Return when the other end sent the bytes that are being received now, as far as the link knows."""
 
     def links_changed(self) -> None:
-        """Apply changed states of links: connections on those that are `reset` now are reset at once."""
+        """Apply changed states of links: connections on links that became `reset` are reset immediately."""
 
 
 class NodeRunner(Protocol):
-    """The nodes as processes; each call is recorded as a NodeStateChanged, and so is an unexpected end."""
+    """Runs the nodes' processes; records each call and each unexpected end as a NodeStateChanged."""
 
     async def start(self, node: str) -> None:
-        """Start a new process from the fleet's configuration of the node; returns before it is ready."""
+        """Start a new process with the fleet's configuration of the node; returns before it is ready."""
 
     def kill(self, node: str) -> None:
         """Send SIGKILL."""
@@ -113,7 +116,7 @@
         """Send SIGTERM."""
 
     def reload(self, node: str, config: dict[str, Any]) -> None:
-        """Replace its configuration file and send SIGHUP."""
+        """Replace the node's configuration file and send SIGHUP."""
 
     def pause(self, node: str) -> None:
         """Send SIGSTOP."""
@@ -122,26 +125,26 @@
         """Send SIGCONT."""
 
     def quiesce(self, node: str) -> None:
-        """Drain it by the admin API.
+        """Drain the node through its admin API.
 
         Raises:
-            NotImplementedError: There is no admin API.
+            NotImplementedError: The backend does not support the admin API.
         """
 
     def unquiesce(self, node: str) -> None:
-        """End the drain."""
+        """End the drain of the node."""
 
     def set_system(self, node: str, state: SystemState) -> None:
-        """Set what is wrong with a node's operating system, also for processes that start later."""
+        """Set the faults of a node's operating system, also for processes that start later."""
 
     def running(self, node: str) -> bool:
-        """Whether it has a process that was not killed and has not ended."""
+        """Whether the node has a process that was not killed and has not ended."""
 
     async def ended(self, node: str) -> None:
-        """Wait until its process has ended."""
+        """Wait until the node's process has ended."""
 
     async def close(self) -> None:
-        """End all; nothing is left running."""
+        """End all processes; none is left running."""
 
     def usage(self) -> RunUsage:
-        """What the nodes used, where known."""
+        """Return the resource usage of the nodes, as far as the backend knows it."""
--- a/flintridge/lab/faults/node_reconciler.py
+++ b/flintridge/lab/faults/node_reconciler.py
@@ -43,7 +43,7 @@
         self._paused: dict[str, None] = {}
         self._killed_while_paused: dict[str, None] = {}  # the new processes of these nodes are not paused
         self._stopped_by_faults: dict[str, None] = {}
-        self._system_states: dict[str, SystemState] = {}  # as last applied
+        self._system_states: dict[str, SystemState] = {}  # the states that were applied last
         self._termination_grace_ms = termination_grace_ms(fleet.scenario)
 
     async def apply(self, start: bool = True) -> None:
--- a/flintridge/lab/faults/server_replacement.py
+++ b/flintridge/lab/faults/server_replacement.py
@@ -53,7 +53,7 @@
         self._steps = steps
         self._apply = apply
         self._record_end = record_end
-        self._removed: dict[int, list[_RemovedServer]] = {}  # by the fault's number
+        self._removed: dict[int, list[_RemovedServer]] = {}  # removed servers by the number of their fault
 
     async def start_replacement(self, number: int, servers: Sequence[str], fault: m.Replace) -> None:
         """Remove servers immediately, and schedule the start of their replacements.
--- a/flintridge/lab/record_log.py
+++ b/flintridge/lab/record_log.py
@@ -1,4 +1,4 @@
-"""The ordered log of one run's records, and their JSON lines."""
+"""The ordered log of a run's records, and its encoding as JSON lines."""
 
 import hashlib
 from collections.abc import Callable, Iterable, Iterator
@@ -13,7 +13,7 @@
 
 
 def body_digest(body: bytes) -> str:
-    """The digest of a value or receipt in the log: 16 hex digits of BLAKE2b."""
+    """Return the digest of a value or receipt in the log: 16 hex digits of BLAKE2b."""
     return hashlib.blake2b(body, digest_size=8).hexdigest()
 
 
@@ -21,8 +21,8 @@
     """The ordered log of one run.
 
     Attributes:
-        records: All of them so far.
-        add: Append a record, and call the watchers with it.
+        records: All records so far.
+        add: Appends a record, and calls the watchers with it.
     """
 
     def __init__(self) -> None:
@@ -31,7 +31,7 @@
         self._watchers: list[Callable[[AnyRecord], None]] = []
 
     def watch(self, watcher: Callable[[AnyRecord], None]) -> None:
-        """Call `watcher` with each record from now on, once it is in the log."""
+        """Call `watcher` with each new record after it was appended to the log."""
         self._watchers.append(watcher)
         self.add = self._add_and_notify
 
@@ -47,7 +47,7 @@
         return len(self.records)
 
     def digest(self) -> str:
-        """A hash over the whole log in its order: equal runs have equal digests."""
+        """Return a hash of the whole log in its order; equal runs have equal digests."""
         digest = hashlib.blake2b(digest_size=16)
         for record in self.records:
             digest.update(_encoder.encode(record))
@@ -55,14 +55,14 @@
         return digest.hexdigest()
 
     def write(self, path: Path) -> None:
-        """One JSON line a record."""
+        """Write one JSON line for each record."""
         with path.open("wb") as file:
             for record in self.records:
                 file.write(_encoder.encode(record) + b"\n")
 
 
 def read_records(lines: Iterable[bytes]) -> Iterator[AnyRecord]:
-    """Records from their JSON lines.
+    """Decode records from their JSON lines.
 
     Raises:
         msgspec.DecodeError: A line is not a record.
--- a/flintridge/lab/records.py
+++ b/flintridge/lab/records.py
@@ -1,8 +1,8 @@
-"""Records: what was seen on both sides of the nodes, as bytes and times. The judge knows nothing else.
+"""Records of what was observed on both sides of the nodes, as bytes and times.
 
-Nothing here comes from inside a node. Times are float milliseconds since the start of the run; negative ones
-are of the warm-up. A record's place in the log is its order. Encoded names (`tag`, `name`) are read by others
-and stay; the Python names may change.
+The judge knows nothing else of a run. No record comes from inside a node. Times are float milliseconds since
+the start of the run; times of the warm-up are negative. Records are ordered by their position in the log.
+Encoded names (`tag`, `name`) are a file format and must not change; the Python names may.
 """
 
 import msgspec
@@ -10,7 +10,7 @@
 
 
 class Record(msgspec.Struct, tag_field="what", gc=False, kw_only=True):
-    """Something that was seen at `at_ms`."""
+    """An observation at `at_ms`."""
 
     at_ms: float = field(name="t")
 
@@ -22,17 +22,17 @@
     """A client wrote a request's last byte to a connection that the node's machine had accepted.
 
     Attributes:
-        connection: The client's connection, counted over the run.
-        request_id: New for each attempt of the client.
-        first_request_id: That of the client's first attempt: ties its attempts together.
-        attempt_number: 0 for the first attempt.
-        scheduled_ms: When the first attempt was scheduled; latency counts from here.
-        time_left_ms: The client's time as sent (`d`).
-        idempotency_key: As sent (`k`).
-        work_ms: What it costs on a core of speed 1.
-        value_digest: Of a write's value, by `record_log.body_digest`.
-        counted: Whether it counts in the figures: of the regular clients, within the run. The rest is judged
-            by the rules alone.
+        connection: The number of the client's connection, unique in the run.
+        request_id: The id of the attempt; each attempt of a client has a new one.
+        first_request_id: The id of the client's first attempt, which all attempts of the request share.
+        attempt_number: The number of the attempt; 0 for the first.
+        scheduled_ms: When the first attempt was scheduled; latency is measured from this time.
+        time_left_ms: The client's remaining time as sent (`d`).
+        idempotency_key: The idempotency key as sent (`k`).
+        work_ms: The request's work on a core of speed 1.
+        value_digest: The `record_log.body_digest` of a write's value.
+        counted: Whether the request counts in the figures, which cover regular clients within the run. Other
+            requests are only judged by the rules.
     """
 
     node: str
@@ -53,12 +53,12 @@
 
 
 class ResponseReceived(Record, tag="answered"):
-    """The last byte of a response came, or the connection ended without one.
+    """The last byte of a response arrived, or the connection ended without a response.
 
     Attributes:
         kind: served, refused, failed (SERVER_ERROR), error (CLIENT_ERROR), closed, reset or garbled.
-        body_digest: Of the value or receipt, by `record_log.body_digest`.
-        text: The line as it came, cut to 120 characters.
+        body_digest: The `record_log.body_digest` of the value or receipt.
+        text: The line as received, truncated to 120 characters.
     """
 
     node: str
@@ -70,12 +70,12 @@
 
 
 class RequestAbandoned(Record, tag="gave_up"):
-    """The client's time ran out, or it left early: it counts on no response any more.
+    """An attempt timed out or its client disconnected early; the client no longer waits for a response.
 
     Attributes:
-        left_early: It closed its connection at once.
-        lingers_ms: So much longer one whose time ran out keeps its connection, the slack of the rule on
-            responses: a response within it is seen, though too late for the client.
+        left_early: Whether the client closed its connection immediately.
+        lingers_ms: How long a client keeps its connection after a timeout. This covers the tolerance of the
+            rule on responses, so that a response within it is still observed, though too late for the client.
     """
 
     node: str
@@ -87,7 +87,7 @@
 class RequestNotAccepted(Record, tag="never_taken"):
     """An attempt that no node accepted: refused, not connected in time, or closed between requests.
 
-    Attributes are those of `RequestSent`, and the reason.
+    The attributes are those of `RequestSent`, and the reason.
     """
 
     node: str
@@ -105,14 +105,14 @@
 
 
 class MalformedClientEnded(Record, tag="bad_client"):
-    """What a client got that sends what cannot be parsed.
+    """The outcome for a client that sent a malformed request.
 
     Attributes:
-        kind: As the scenario's `bad_clients` names it.
-        outcome: error, closed, nothing, served (the one that breaks a rule) or anew (served, as its id was
-            free again).
-        elapsed_ms: Until the outcome.
-        limit_ms: Within which an error or a close is required.
+        kind: The kind of malformed request, as in the scenario's `bad_clients`.
+        outcome: error, closed, nothing, served (the only one that breaks a rule) or anew (served, because the
+            request's id was free again).
+        elapsed_ms: The time until the outcome.
+        limit_ms: The time within which an error or a close is required.
     """
 
     node: str
@@ -126,15 +126,15 @@
 
 
 class AttemptReceived(Record, tag="attempt"):
-    """The last byte of a command arrived whole at a cache server or the origin.
+    """A command arrived completely at a cache server or the origin.
 
     Attributes:
-        started_ms: When the node began to send it, as far as the link knows.
-        server: Its id.
-        connection: The server's connection, counted over the run.
-        attempt_id: Counted over the run; ties what becomes of the attempt to it.
-        time_left_ms: The client's time as the node sent it (`d`).
-        value_digest: Of a write's value, by `record_log.body_digest`; it must be the client's.
+        started_ms: When the node began to send the command, as far as the link knows.
+        server: The id of the server.
+        connection: The number of the server's connection, unique in the run.
+        attempt_id: The number of the attempt, unique in the run; later records of the attempt refer to it.
+        time_left_ms: The client's remaining time as the node sent it (`d`).
+        value_digest: The `record_log.body_digest` of a write's value; it must equal the client's.
     """
 
     started_ms: float = field(name="began")
@@ -157,9 +157,9 @@
 
     Attributes:
         outcome: value, receipt, miss, busy, error or spoilt (malformed).
-        executed: The request was executed; one responded to as busy never was.
-        body_digest: Of the value or receipt that was made for this request.
-        lost: The response never gets to the node.
+        executed: Whether the request was executed; a request with the outcome busy never was.
+        body_digest: The `record_log.body_digest` of the value or receipt created for this request.
+        lost: Whether the response never reaches the node.
     """
 
     server: str
@@ -172,10 +172,11 @@
 
 
 class AttemptExecuted(Record, tag="ran"):
-    """A request took effect at a server, whether or not a response left.
+    """A server executed a request, whether or not a response was sent.
 
     Attributes:
-        is_repeat: It did not take effect: the server had executed its idempotency key before and dropped it.
+        is_repeat: Whether the server dropped the request as a repeat, because it had executed the idempotency
+            key before; such a request takes no effect.
     """
 
     server: str
@@ -194,7 +195,7 @@
 
 
 class MalformedMessage(Record, tag="malformed"):
-    """A node sent a server or discovery what no client sent, or what cannot be parsed."""
+    """A node sent a server or discovery something malformed, or something that no client had sent."""
 
     node: str
     server: str
@@ -205,12 +206,12 @@
 
 
 class EndpointNotified(Record, tag="told"):
-    """Discovery's bytes left for a node, or the change counts as notified all the same.
+    """Discovery sent an update to a node, or the node counts as notified of the change without it.
 
     Attributes:
-        complete: The list is whole, not a change of it.
-        endpoints: Of each its id, its phase, and since when it is up (ms of the run; 0: long ago).
-        assumed: By the rules it counts as notified, though nothing was sent.
+        complete: Whether the update is a complete list rather than a change of it.
+        endpoints: The id, phase and start time of each endpoint (ms of the run; 0: long before the run).
+        assumed: Whether the node counts as notified by the rules although nothing was sent.
     """
 
     node: str
@@ -221,7 +222,10 @@
 
 
 class NodeStateChanged(Record, tag="node"):
-    """A node's process: started, ready, killed, term, hup, paused, resumed, exited or stuck."""
+    """The state of a node's process changed.
+
+    It is started, ready, killed, term, hup, paused, resumed, exited or stuck.
+    """
 
     node: str
     state: str
@@ -230,13 +234,13 @@
 
 
 class ConnectionCount(Record, tag="connections"):
-    """How many connections a node has open, sampled once a second.
+    """The number of connections that a node has open, sampled once a second.
 
-    One counts from its opening until the node's end of it is closed, also where the other side has closed its
+    A connection counts from its opening until the node's end is closed, even if the other side has closed its
     own end before.
 
     Attributes:
-        server_side: To cache servers and the origin.
+        server_side: Connections to cache servers and the origin.
     """
 
     node: str
@@ -245,12 +249,14 @@
 
 
 class ServerStateChanged(Record, tag="server"):
-    """A server: started, stopped, draining, gone, fallen (crashed by overload, rule 4), silent or back.
+    """The state of a server changed.
+
+    It is started, stopped, draining, gone, fallen (crashed by overload, rule 4), silent or back.
 
     Attributes:
-        capacity: Work-milliseconds a millisecond when warm: cores times speed.
-        initial_fraction: Of the capacity, that it has at its start.
-        warm_up_ms: After which it has all of it.
+        capacity: Milliseconds of work done per millisecond when warm: cores times speed.
+        initial_fraction: The fraction of the capacity that is available at the start.
+        warm_up_ms: The time after the start until the whole capacity is available.
     """
 
     server: str
@@ -263,7 +269,7 @@
 
 
 class FaultChanged(Record, tag="fault"):
-    """A fault began or ended, as the scenario's timeline has it."""
+    """A fault of the scenario began or ended."""
 
     name: str
     begins: bool
@@ -271,14 +277,14 @@
 
 
 class LinkFaultChanged(Record, tag="way"):
-    """What is wrong from now on in one direction between two nodes; all at their defaults: nothing.
+    """The impairment of one direction between two nodes changed; with all defaults there is none.
 
     Attributes:
-        cut: Datagrams are lost and streams pass nothing.
-        loss: Fraction of datagrams that are lost.
-        duplication: Fraction of datagrams that arrive twice.
-        jitter_ms: Up to so much is added to each, at random.
-        bytes_per_s: 0: no bound.
+        cut: Whether datagrams are lost and streams carry nothing.
+        loss: The fraction of datagrams that are lost.
+        duplication: The fraction of datagrams that arrive twice.
+        jitter_ms: The maximum random delay that is added to each datagram.
+        bytes_per_s: The bandwidth; 0: no limit.
     """
 
     source: str
@@ -292,15 +298,16 @@
 
 
 class MembershipReported(Record, tag="view"):
-    """What a node's admin API reports of its peers, as it was asked for.
+    """A node's admin API reported the node's peers on request.
 
     Attributes:
-        incarnation: Of the node that reports.
-        reachable: Count of names, its own included.
-        member_count: Of all names.
-        bytes_out: Sent to peers so far.
-        members: Of each its name, incarnation, state, and how long ago it was alive as far as known (ms; -1:
-            not known).
+        incarnation: The incarnation of the reporting node.
+        reachable: The number of reachable nodes, the reporting node included.
+        member_count: The number of all known nodes.
+        limit_ms: The age beyond which evidence that a node is alive does not count.
+        bytes_out: Bytes sent to peers so far.
+        members: The name, incarnation and state of each node, and the time (ms) since it was last known to be
+            alive (-1: unknown).
     """
 
     node: str
@@ -313,10 +320,10 @@
 
 
 class LeaseReported(Record, tag="held"):
-    """What a node's admin API reports of a fleet-wide limit; amounts are in even parts of the limit.
+    """A node's admin API reported a fleet-wide limit; amounts are in even parts of the limit.
 
     Attributes:
-        usable: `allocated`, less `lent`, and `borrowed`.
+        usable: The part that the node may use: `allocated` minus `lent` plus `borrowed`.
     """
 
     node: str
@@ -329,10 +336,10 @@
 
 
 class NodeLogLine(Record, tag="line"):
-    """A line of a node's log, where the nodes gossip or a fault waits for one.
+    """A line of a node's log; recorded if the nodes gossip or a fault has a trigger.
 
     Attributes:
-        fields: As JSON.
+        fields: The fields of the line, encoded as JSON.
     """
 
     node: str
@@ -341,13 +348,13 @@
 
 
 class DatagramRelayed(Record, tag="datagram"):
-    """A datagram between two nodes came to the relay between them.
+    """A datagram between two nodes reached the relay between them.
 
     Attributes:
-        size: In bytes.
+        size: The size in bytes.
         outcome: passed, doubled, lost or cut.
-        kind: A `flintridge.membership.messages.MessageKind`; -1: it cannot be parsed.
-        lease_messages: The kinds of lease messages in it: ask, grant or give.
+        kind: A `flintridge.membership.messages.MessageKind`; -1: the datagram cannot be parsed.
+        lease_messages: The kinds of the lease messages in the datagram: ask, grant or give.
     """
 
     source: str
--- a/flintridge/lab/result.py
+++ b/flintridge/lab/result.py
@@ -1,6 +1,6 @@
-"""The outcome of one run: what `--json` writes, and what experiments and reports read.
+"""The result of one run, which `--json` writes and which experiments and reports read.
 
-Encoded names (`name`) are read by others and stay; the Python names may change.
+Encoded names (`name`) are a file format and must not change; the Python names may.
 """
 
 from typing import Any
@@ -10,12 +10,12 @@
 
 
 class Violation(msgspec.Struct, kw_only=True):
-    """A broken rule with what proves it.
+    """A violation of a rule, with its evidence.
 
     Attributes:
-        at_ms: In milliseconds of the run.
-        text: One sentence with the figures.
-        records: Those that prove it, as JSON lines.
+        at_ms: The time of the run, in milliseconds.
+        text: A sentence that states the violation with its figures.
+        records: The records that prove the violation, as JSON lines.
     """
 
     rule: str
@@ -28,7 +28,7 @@
 
 
 class Latency(msgspec.Struct, kw_only=True):
-    """Milliseconds from a client's scheduled first attempt to the last byte of the serving response."""
+    """Latencies (ms) from a client's scheduled first attempt to the last byte of the serving response."""
 
     p50: float = 0.0
     p90: float = 0.0
@@ -39,12 +39,14 @@
 
 
 class Window(msgspec.Struct, kw_only=True):
-    """One second of the run: requests by when they were scheduled, attempts and depths by when seen.
+    """Figures of one second of the run.
+
+    Requests belong to the second in which they were scheduled, attempts to the one in which they arrived.
 
     Attributes:
-        offered_weight: Sum of the requests' priority weights.
-        achieved_weight: What of it was earned, late responses at their credit.
-        in_flight: Mean over the second, by server.
+        offered_weight: The sum of the requests' priority weights.
+        achieved_weight: The part of it that served requests earned; late responses earn a fraction.
+        in_flight: The mean number of attempts in flight during the second, by server.
     """
 
     t_s: float
@@ -66,27 +68,28 @@
     """The figures of a run and the rules that it broke.
 
     Attributes:
-        requests: First attempts of clients.
-        rejected: Of these, those whose last response was a rejection.
-        rules: Every rule by name, with its count of violations.
-        attempts_per_request: At cache servers and the origin.
-        goodput: Achieved weight, late responses at their credit, over offered weight.
-        goodput_within_objective: Achieved weight without late responses, over offered weight.
-        goal: The scenario's mix of goodput, its lowest window, class and tenant, less prices.
-        hit_fraction: Of reads at cache servers.
-        client_attempts_per_request: Of the clients themselves.
-        malformed_unanswered: Clients that sent what cannot be parsed and got nothing in time.
-        wasted_fraction: Of the work done, what no client got.
-        cross_zone_fraction: Of attempts.
-        peak_memory_mb: Of the lab's process.
-        violations: The first few of each rule.
-        faults: Name, from and to (seconds).
-        counters: By node, for reading only: the judge never sees them.
-        histograms: By node and name, of its last process.
-        end_reason: `whole`, or why the run was cut short: wall limit, stuck node, dead process.
-        lab_problems: Of the lab itself: why a run in real time cannot be judged by.
-        lateness_ms: Of the lab's own timers, in real time.
-        expectation: What the scenario expects and did not see.
+        requests: The number of requests, counted by their first attempts.
+        rejected: The number of requests whose last response was a rejection.
+        rules: The number of violations of each rule, by the rule's name.
+        attempts_per_request: Attempts at cache servers and the origin, per request.
+        goodput: Achieved weight divided by offered weight; late responses earn a fraction of their weight.
+        goodput_within_objective: Achieved weight without late responses, divided by offered weight.
+        goal: The scenario's weighted mean of the goodput and of the lowest goodput of a window, a class and a
+            tenant, minus the scenario's prices.
+        hit_fraction: The fraction of reads at cache servers that found the value.
+        client_attempts_per_request: Attempts of the clients, per request.
+        malformed_unanswered: The number of clients that sent a malformed request and got no response in time.
+        wasted_fraction: The fraction of the work done whose response no client got.
+        cross_zone_fraction: The fraction of attempts that crossed zones.
+        peak_memory_mb: The peak memory of the lab's process.
+        violations: The first few violations of each rule.
+        faults: The name, start and end (seconds of the run) of each fault.
+        counters: The nodes' counters by node; for information only, the judge does not use them.
+        histograms: The histograms of each node's last process, by node and name.
+        end_reason: `whole`, or why the run ended early: wall limit, stuck node or dead process.
+        lab_problems: Problems of the lab itself, because of which a run in real time must not be judged.
+        lateness_ms: The lateness of the lab's own timers, in real time.
+        expectation: The expectations of the scenario that the run did not meet.
     """
 
     scenario: str
@@ -131,11 +134,11 @@
 
     @property
     def violation_count(self) -> int:
-        """Over all rules."""
+        """The number of violations of all rules."""
         return sum(self.rules.values())
 
 
 def as_json(result: Result) -> dict[str, Any]:
-    """Plain values, ready for a JSON file."""
+    """Return the result as plain values that can be encoded as JSON."""
     built: dict[str, Any] = msgspec.to_builtins(result)
     return built
--- a/flintridge/lab/run.py
+++ b/flintridge/lab/run.py
@@ -1,4 +1,4 @@
-"""One run: a scenario, a seed and a backend in; the judged result out."""
+"""Runs a scenario with a seed on a backend, and judges the run."""
 
 import gc
 import resource
@@ -37,13 +37,13 @@
     """Run a scenario and judge it.
 
     Args:
-        scenario: What to run.
-        seed: Of all draws.
+        scenario: The scenario to run.
+        seed: The seed of all randomness in the run.
         backend: One of `BACKENDS`.
-        defect: One of `flintridge.lab.defects.DEFECTS`, to plant in every node (virtual only).
-        events: A file for the records, one JSON line each.
-        trace: A file for the requests, to be replayed by another scenario (`load.trace`).
-        allocation: What an oracle allocates by demand (virtual only).
+        defect: One of `flintridge.lab.defects.DEFECTS`, injected into every node (virtual only).
+        events: The file to which the records are written, one JSON line each.
+        trace: The file to which the requests are written, for replay by another scenario (`load.trace`).
+        allocation: The limits that an oracle allocates by demand (virtual only).
 
     Raises:
         ValueError: The backend, the defect or the combination does not exist.
@@ -80,21 +80,23 @@
 def _check(scenario: Scenario, backend: str, defect: str | None, allocation: AllocationMode | None) -> None:
     is_virtual = backend == "virtual"
     if backend not in BACKENDS:
-        raise ValueError(f"backend: {backend!r}: one of {', '.join(BACKENDS)}")
+        raise ValueError(f"backend: {backend!r}: must be one of {', '.join(BACKENDS)}")
     if defect is not None and (not is_virtual or defect not in DEFECTS):
-        raise ValueError(f"defect: {defect!r}: one of {', '.join(sorted(DEFECTS))}, on the virtual backend")
+        raise ValueError(
+            f"defect: {defect!r}: must be one of {', '.join(sorted(DEFECTS))}, on 'virtual' only"
+        )
     if not is_virtual and allocation is not None:
-        raise ValueError(f"allocation: on the virtual backend only, and this is {backend!r}")
+        raise ValueError(f"allocation: on the virtual backend only, not on {backend!r}")
     if not is_virtual and any(isinstance(fault, NodeDrain) for fault in scenario.faults):
-        raise ValueError(f"faults: node_drain: on the virtual backend only, and this is {backend!r}")
+        raise ValueError(f"faults: node_drain: on the virtual backend only, not on {backend!r}")
     if backend != "loopback" and any(isinstance(fault, FolderErrors) for fault in scenario.faults):
-        raise ValueError(f"faults: folder_errors: on the loopback backend only, and this is {backend!r}")
+        raise ValueError(f"faults: folder_errors: on the loopback backend only, not on {backend!r}")
 
 
 def _play_loopback(
     scenario: Scenario, seed: int, log: RecordLog, run: Callable[..., Any]
 ) -> tuple[str, RunUsage]:
-    from flintridge.lab.backend.loopback import play_loopback  # of use to few runs
+    from flintridge.lab.backend.loopback import play_loopback  # imported late: few runs use this backend
 
     return play_loopback(scenario, seed, log, run)
 
@@ -111,9 +113,10 @@
 
 @contextmanager
 def _no_garbage_collection() -> Iterator[None]:
-    """Suspend garbage collection while a long run is judged.
+    """Suspend garbage collection while a run is judged.
 
-    It makes objects by the hundred thousand and no garbage, and each collection would go through all of them.
+    Judging a long run creates hundreds of thousands of objects but no garbage, and each collection would
+    traverse all of them.
     """
     was_enabled = gc.isenabled()
     gc.disable()
@@ -129,5 +132,5 @@
     unmet = []
     if expect.goodput_at_least is not None and result.goodput < expect.goodput_at_least:
         unmet.append(f"goodput {result.goodput:.4f} is below {expect.goodput_at_least}")
-    unmet += [f"rule {rule} was kept" for rule in expect.breaks if not result.rules.get(rule)]
+    unmet += [f"rule {rule} was not broken" for rule in expect.breaks if not result.rules.get(rule)]
     return "; ".join(unmet)
--- a/flintridge/lab/scenario_run.py
+++ b/flintridge/lab/scenario_run.py
@@ -1,4 +1,4 @@
-"""A scenario on a fabric, from the start of the fleet to the last response."""
+"""Runs a scenario on a backend, from the start of the fleet to the last response."""
 
 import asyncio
 from collections.abc import Callable
@@ -14,8 +14,8 @@
 from flintridge.lab.truth import GroundTruth
 from flintridge.lab.world.fleet import SimulatedFleet
 
-READY_TIMEOUT_MS = 30_000.0  # of all nodes
-SETTLE_MS = 1_000.0  # after the last response, in which late bytes and late attempts would still show
+READY_TIMEOUT_MS = 30_000.0  # the time within which all nodes must be ready
+SETTLE_MS = 1_000.0  # time after the last response in which late bytes and late attempts are still observed
 
 
 async def run_scenario(
@@ -30,16 +30,16 @@
     """Run the whole scenario.
 
     Args:
-        scenario: What there is, what is offered to it, and what goes wrong.
-        seeds: For all draws.
-        log: Takes the records.
+        scenario: The scenario to run.
+        seeds: The seeds of all randomness in the run.
+        log: The log to which records are added.
         fabric: The network and the clock.
-        truth: What each request really is.
-        make_nodes: Makes the nodes' runner for a fleet.
-        on_request: Called with each request as it is sent first.
+        truth: The ground truth of each request.
+        make_nodes: Creates the runner of the nodes for a fleet.
+        on_request: Called with each request when its first attempt is sent.
 
     Returns:
-        The nodes, which still run, and the fleet, for whoever closes them.
+        The runner of the nodes, which are still running, and the fleet; the caller closes both.
     """
     fleet = SimulatedFleet(scenario, seeds, log, fabric, truth)
     await fleet.open()
--- a/flintridge/lab/truth.py
+++ b/flintridge/lab/truth.py
@@ -1,14 +1,14 @@
-"""Ground truth: what a request really is, by its id. Clients write it, servers work by it."""
+"""The ground truth of requests by their ids: clients write it, and servers simulate their work by it."""
 
 import msgspec
 
 
 class RequestFacts(msgspec.Struct, frozen=True, gc=False):
-    """What a request is and costs.
+    """The actual properties and cost of a request.
 
     Attributes:
-        work_ms: On a core of speed 1.
-        size: Bytes of the value: of a read by the key's size, of a write as sent.
+        work_ms: The work on a core of speed 1.
+        size: The size of the value in bytes: the size of the key's value for a read, as sent for a write.
     """
 
     class_name: str
@@ -21,7 +21,7 @@
 
 
 class GroundTruth:
-    """Facts by request id; `forget` keeps a long run from growing."""
+    """The facts of requests by their ids; `forget` bounds the memory that a long run uses."""
 
     def __init__(self) -> None:
         self._facts: dict[str, RequestFacts] = {}
@@ -31,9 +31,9 @@
         self._facts[request_id] = facts
 
     def get(self, request_id: str) -> RequestFacts | None:
-        """The facts of a request; None: unknown or forgotten."""
+        """Return the facts of a request; None if it is unknown or forgotten."""
         return self._facts.get(request_id)
 
     def forget(self, request_id: str) -> None:
-        """Drop the facts of a request, where there are any."""
+        """Remove the facts of a request, if there are any."""
         self._facts.pop(request_id, None)
--- a/flintridge/lab/virtual_run.py
+++ b/flintridge/lab/virtual_run.py
@@ -1,4 +1,4 @@
-"""A scenario in virtual time: its event loop, its network, and nodes with what is planted in them."""
+"""Runs a scenario in virtual time: event loop, network, and nodes with injected defects or an oracle."""
 
 from collections.abc import Callable
 from typing import Any
@@ -18,19 +18,19 @@
 from flintridge.lab.world.link_table import LinkTable
 from flintridge.node import Node
 
-LEAD_MS = 2_000.0  # before the warm-up, in which nodes start and get ready
-MAX_LIVELOCK_CHARACTERS = 300  # of its message in the log
+STARTUP_MS = 2_000.0  # time before the warm-up in which nodes start and become ready
+MAX_LIVELOCK_CHARACTERS = 300  # maximum length of the text in the record of a livelock
 
 
 class VirtualRun:
-    """One scenario in virtual time.
+    """One run of a scenario in virtual time.
 
     Args:
-        scenario: What to run.
-        seed: Of all draws.
-        log: Takes the records.
-        defect: The name of a defect to plant in every node; None: none.
-        allocation: What an oracle allocates by demand; None: nothing.
+        scenario: The scenario to run.
+        seed: The seed of all randomness in the run.
+        log: The log to which records are added.
+        defect: The name of a defect to inject into every node; None: no defect.
+        allocation: The limits that an oracle allocates by demand; None: no oracle.
     """
 
     def __init__(
@@ -48,7 +48,7 @@
         self._allocation = allocation
         links = LinkTable(scenario.links, self._seeds)
         self._loop = VirtualLoop(Network(links.link))
-        lead_s = (LEAD_MS + scenario.warmup_s * 1000) / 1000
+        lead_s = (STARTUP_MS + scenario.warmup_s * 1000) / 1000
         self._fabric = VirtualFabric(self._loop, links, self._loop.time() + lead_s)
         self._start_draws = self._seeds.of("nodes/start")
         self._nodes: VirtualNodes | None = None
@@ -57,7 +57,7 @@
         """Run a coroutine function with the arguments of `run_scenario`.
 
         Returns:
-            Why it ended (`whole`, or what cut it short), and what the nodes used.
+            Why the run ended (`whole`, or the reason of an early end), and the nodes' resource usage.
         """
         scenario = self._scenario
         end_reason = "whole"
@@ -105,7 +105,7 @@
         return nodes
 
     def _modifiers(self, fleet: SimulatedFleet) -> list[Callable[[Node], object]]:
-        """What is done to each node before it starts."""
+        """Return the functions that modify each node before it starts."""
         modifiers: list[Callable[[Node], object]] = []
         if self._defect is not None:
             modifiers.append(DEFECTS[self._defect].apply)
@@ -119,7 +119,7 @@
 
 
 def draw(span: Span, random: Any) -> float:
-    """One value of a span, drawn by a generator."""
+    """Draw one value of a span from a generator."""
     if isinstance(span, tuple):
         low, high = span
         return float(random.uniform(low, high))
--- a/tests/lab/test_lab_run.py
+++ b/tests/lab/test_lab_run.py
@@ -1,4 +1,4 @@
-"""Whole runs: the same seed is the same day, and a node or a day without end is bounded and told."""
+"""Whole runs: equal seeds give equal runs, and a node or run that never ends is cut short and reported."""
 
 import json
 import os
@@ -18,8 +18,8 @@
 from flintridge.lab.scenario.load import load, names
 from flintridge.lab.scenario.model import NodeDrain, Scenario
 
-# Some of everything whose order could depend on more than the seed, in a short day.
-HARD = [
+# A short run with some of everything whose order could depend on more than the seed.
+OVERRIDES = [
     "length_s=6",
     "warmup_s=2",
     "load.rate_per_s=120",
@@ -31,10 +31,10 @@
 ]
 
 
-def played_elsewhere(seed: int, hash_seed: str, tmp_path: Path) -> dict:
+def run_in_new_process(seed: int, hash_seed: str, tmp_path: Path) -> dict:
     out = tmp_path / f"{seed}-{hash_seed}.json"
-    words = [f"--set={one}" for one in HARD]
-    command = [sys.executable, "-m", "flintridge.cli", "lab", "run", "calm", f"--seed={seed}", *words]
+    options = [f"--set={override}" for override in OVERRIDES]
+    command = [sys.executable, "-m", "flintridge.cli", "lab", "run", "calm", f"--seed={seed}", *options]
     done = subprocess.run(
         [*command, f"--json={out}"],
         cwd=ROOT,
@@ -43,18 +43,18 @@
         text=True,
         timeout=120,
     )
-    assert done.returncode in (0, 1), done.stderr  # 1: less goodput than a calm day's
+    assert done.returncode in (0, 1), done.stderr  # 1: less goodput than the calm scenario expects
     return json.loads(out.read_text())
 
 
-def test_a_seed_is_one_day_in_every_process_and_another_seed_another_day(tmp_path):
+def test_a_seed_gives_the_same_run_in_every_process_and_another_seed_a_different_one(tmp_path):
     events = tmp_path / "events.jsonl"
-    here = play(load("calm", HARD), 4, events=events)
+    here = play(load("calm", OVERRIDES), 4, events=events)
     assert here.violation_count == 0 and here.end_reason == "whole", here.violations[:3]
-    there = [played_elsewhere(4, hash_seed, tmp_path) for hash_seed in ("1", "77")]
-    assert [run["digest"] for run in there] == [here.digest] * 2
-    assert there[0]["goodput"] == there[1]["goodput"] == here.goodput
-    assert played_elsewhere(5, "1", tmp_path)["digest"] != here.digest
+    others = [run_in_new_process(4, hash_seed, tmp_path) for hash_seed in ("1", "77")]
+    assert [run["digest"] for run in others] == [here.digest] * 2
+    assert others[0]["goodput"] == others[1]["goodput"] == here.goodput
+    assert run_in_new_process(5, "1", tmp_path)["digest"] != here.digest
     log = RecordLog()
     for record in read_records(events.read_bytes().splitlines()):
         log.add(record)
@@ -63,7 +63,7 @@
 
 
 def burn(node):
-    """Its first attempt never comes to an end, and nothing else does."""
+    """Make the node's first attempt loop forever, so that nothing else runs."""
 
     def start(attempt):
         while True:
@@ -73,7 +73,7 @@
 
 
 def spin(node):
-    """It sets a timer for now, for ever."""
+    """Make the node set timers for the current time forever, so that time never advances."""
 
     def again():
         node.clock.call_at(node.clock.now(), again)
@@ -82,33 +82,33 @@
 
 
 @pytest.mark.parametrize("plant", [burn, spin])
-def test_a_node_that_runs_without_end_is_cut_short_and_named(plant, monkeypatch):
+def test_a_node_that_never_stops_computing_is_cut_short_and_named(plant, monkeypatch):
     monkeypatch.setitem(defects.DEFECTS, plant.__name__, Defect(plant, frozenset({"stopped"})))
-    day = load("calm", ["length_s=3", "warmup_s=1", "load.rate_per_s=20", "wall_limit_s=4"])
-    result = play(day, 1, defect=plant.__name__)
+    scenario = load("calm", ["length_s=3", "warmup_s=1", "load.rate_per_s=20", "wall_limit_s=4"])
+    result = play(scenario, 1, defect=plant.__name__)
     assert result.end_reason.startswith("stuck: n") and result.rules["stopped"] == 1
     assert result.violations[0].node in result.end_reason
 
 
-def test_a_day_longer_than_its_limit_is_cut_short():
-    day = msgspec.structs.replace(load("calm"), length_s=3600.0, wall_limit_s=1.0)
-    result = play(day, 1)
+def test_a_run_longer_than_its_wall_limit_is_cut_short():
+    scenario = msgspec.structs.replace(load("calm"), length_s=3600.0, wall_limit_s=1.0)
+    result = play(scenario, 1)
     assert "stuck" in result.end_reason and result.wall_s < 60
 
 
 @pytest.mark.parametrize("name", sorted(names()))
-def test_every_shipped_day_is_sound_as_it_stands_and_says_what_it_is(name):
-    day = load(name)
-    assert day.name == name and day.about and day.expect.goodput_at_least is not None
+def test_every_shipped_scenario_is_valid_and_has_a_description_and_an_expected_goodput(name):
+    scenario = load(name)
+    assert scenario.name == name and scenario.about and scenario.expect.goodput_at_least is not None
 
 
 @pytest.mark.parametrize(("words", "said"), [({"backend": "moon"}, "virtual"), ({"defect": "none"}, "held")])
-def test_what_there_is_none_of_is_refused(words, said):
+def test_an_unknown_backend_or_defect_is_rejected(words, said):
     with pytest.raises(ValueError, match=said):
         play(load("calm"), 1, **words)
 
 
-def test_a_drain_by_operators_is_refused_where_there_is_no_console():
-    day = Scenario(faults=(NodeDrain(at_s=1.0, for_s=1.0),))
+def test_a_drain_by_operators_is_rejected_without_an_admin_api():
+    scenario = Scenario(faults=(NodeDrain(at_s=1.0, for_s=1.0),))
     with pytest.raises(ValueError, match="node_drain: on the virtual backend only"):
-        play(day, 1, backend="loopback")
+        play(scenario, 1, backend="loopback")
