--- a/flintridge/lab/faults/active_faults.py
+++ b/flintridge/lab/faults/active_faults.py
@@ -95,7 +95,7 @@
     """
 
     def __init__(self) -> None:
-        """Create it without active faults."""
+        """Create an instance without active faults."""
         self.by_number: dict[int, ActiveFault] = {}
 
     # Servers
--- a/flintridge/lab/faults/check.py
+++ b/flintridge/lab/faults/check.py
@@ -87,7 +87,7 @@
     yield from _check_budget_bytes(scenario, budgets)
     values = budgets.by_key()
     if not any(values[key] for key in BUDGET_SWITCHES):
-        yield f"budgets: no limit is enabled; one of {', '.join(BUDGET_SWITCHES)} must be"
+        yield f"budgets: no limit is enabled; one of {', '.join(BUDGET_SWITCHES)} must be set"
     if budgets.tenants and not any(tenant.quota_per_s for tenant in scenario.tenants):
         yield "budgets.tenants: no tenant has a quota_per_s above 0; false is allowed"
     if budgets.strict and not budgets.tenants:
--- a/flintridge/lab/faults/check_faults.py
+++ b/flintridge/lab/faults/check_faults.py
@@ -104,7 +104,7 @@
             if number >= count:
                 yield f"{name}[{i}]: there is no node {number}; allowed is 0 to {count - 1}"
     if not fault.to and len(set(fault.nodes)) >= count:
-        yield "to: all nodes are in nodes, so no target is left; set to, or fewer nodes"
+        yield "to: all nodes are in nodes, so no target is left; name targets in to, or fewer nodes"
     kinds = ("cut", "loss", "double", "add_ms", "jitter_ms", "bytes_per_s")
     if not any(getattr(fault, name) for name in kinds):
         yield f"cut: the link is not impaired; one of {', '.join(kinds)} must be set"
--- a/flintridge/lab/faults/server_replacement.py
+++ b/flintridge/lab/faults/server_replacement.py
@@ -39,7 +39,7 @@
         apply: Callable[[], Awaitable[None]],
         record_end: Callable[[int], None],
     ) -> None:
-        """Create it for a fleet.
+        """Prepare to replace servers of a fleet.
 
         Args:
             fleet: The fleet.
--- a/flintridge/lab/scenario/infrastructure.py
+++ b/flintridge/lab/scenario/infrastructure.py
@@ -54,7 +54,7 @@
     strict: bool = False  # whether requests beyond a quota are rejected even if capacity is free
     floor: Annotated[float, Meta(ge=0.01, le=1)] = 0.25  # fraction of a node's even part that is never leased
     lease_ms: Annotated[float, Meta(ge=1500, le=60_000)] = 4000.0
-    bytes_per_s: Annotated[float, Meta(ge=200, le=2.5e6)] = 2000.0  # part of `peers.bytes_per_s`
+    bytes_per_s: Annotated[float, Meta(ge=200, le=2.5e6)] = 2000.0  # for leases, out of `peers.bytes_per_s`
 
 
 class Kind(Table, kw_only=True, frozen=True):
@@ -65,10 +65,10 @@
     speed: Span = 1.0  # speed of a core: milliseconds of work done in a millisecond
     # Coefficient of variation of a single request's work, in addition to the error of the request's hint.
     speed_cv: Fraction = 0.0
-    slots_per_core: Annotated[int, Meta(ge=1, le=1024)] = 1  # requests served concurrently
+    slots_per_core: Annotated[int, Meta(ge=1, le=1024)] = 1  # requests served concurrently per core
     queue_per_core: Span = 3.0  # limit of waiting requests; requests beyond it are rejected
     crowd_at: Positive = 10.0  # requests per core above which each further request slows all of them
-    crowd: Fraction = 0.05  # slowdown per core for each request above `crowd_at`
+    crowd: Fraction = 0.05  # relative slowdown for each request per core above `crowd_at`
     cold_from: Annotated[float, Meta(gt=0, le=1)] = 0.32  # fraction of the capacity available after a start
     cold_s: Amount = 9.0  # duration of the warm-up, from a start until the whole capacity is available
     memory_mb: Positive = 64.0  # room for cached values; beyond it the least recently used are evicted
@@ -83,9 +83,9 @@
     miss_work: Fraction = 0.1  # cost of a miss, as a fraction of the request's work
 
 
-@schema_description("So many servers of a kind in a zone (every zone in turn where none is named).")
+@schema_description("Servers of one kind in a zone, or placed round-robin in all zones if none is named.")
 class Group(Table, kw_only=True, frozen=True):
-    """Servers of one kind in a zone (every zone in turn where none is named)."""
+    """Servers of one kind in a zone, or placed round-robin in all zones if none is named."""
 
     kind: Name
     count: Annotated[int, Meta(ge=0, le=20_000)] = 1
@@ -103,7 +103,7 @@
     sigma: Amount = 0.4  # standard deviation of the logarithm of the service time
     write_times: Positive = 1.5  # mean service time of a write, as a multiple of that of a read
     queue_s: Amount = 1.0  # requests that would wait longer are rejected
-    crowd: Fraction = 0.0  # slowdown for each waiting request per slot
+    crowd: Fraction = 0.0  # relative slowdown for each waiting request per slot
     connections: Annotated[int, Meta(ge=1, le=1_000_000)] = 4096
     # The origin crashes if more than this multiple of its capacity arrives over `fall_ms` (0: no such limit).
     fall_multiple: Amount = 0.0
--- a/flintridge/lab/virtual_run.py
+++ b/flintridge/lab/virtual_run.py
@@ -50,7 +50,7 @@
         self._loop = VirtualLoop(Network(links.link))
         lead_s = (STARTUP_MS + scenario.warmup_s * 1000) / 1000
         self._fabric = VirtualFabric(self._loop, links, self._loop.time() + lead_s)
-        self._start_draws = self._seeds.of("nodes/start")
+        self._start_delay_rng = self._seeds.of("nodes/start")
         self._nodes: VirtualNodes | None = None
 
     def play(self, run: Callable[..., Any]) -> tuple[str, RunUsage]:
@@ -94,7 +94,7 @@
         nodes = VirtualNodes(
             self._fabric,
             self._log,
-            lambda _node: draw(scenario.nodes.start_ms, self._start_draws),
+            lambda _node: draw(scenario.nodes.start_ms, self._start_delay_rng),
             fleet.node_config,
             modify,
             scenario.nodes.sockets,
