--- a/flintridge/lab/records.py
+++ b/flintridge/lab/records.py
@@ -126,7 +126,7 @@
 
 
 class AttemptReceived(Record, tag="attempt"):
-    """A command arrived completely at a cache server or the origin.
+    """The last byte of a complete command arrived at a cache server or the origin.
 
     Attributes:
         started_ms: When the node began to send the command, as far as the link knows.
--- a/flintridge/lab/result.py
+++ b/flintridge/lab/result.py
@@ -79,7 +79,7 @@
         hit_fraction: The fraction of reads at cache servers that found the value.
         client_attempts_per_request: Attempts of the clients, per request.
         malformed_unanswered: The number of clients that sent a malformed request and got no response in time.
-        wasted_fraction: The fraction of the work done whose response no client got.
+        wasted_fraction: The fraction of the work done for which no client got the response.
         cross_zone_fraction: The fraction of attempts that crossed zones.
         peak_memory_mb: The peak memory of the lab's process.
         violations: The first few violations of each rule.
--- a/flintridge/lab/scenario/load.py
+++ b/flintridge/lab/scenario/load.py
@@ -26,7 +26,7 @@
         ConfigFaultsError: The scenario is malformed or contradictory; the error has every fault found.
         OSError: The file cannot be read.
     """
-    changes = [Override.parse(one) for one in overrides]
+    changes = [Override.parse(override) for override in overrides]
     file, raw = sources.read(path_or_name)
     for change in changes:
         raw = apply(raw, change)
@@ -111,4 +111,4 @@
             if each is not None:
                 plain[key] = _with_defaults(each)
         return plain
-    return [_with_defaults(one) for one in value] if isinstance(value, list | tuple) else value
+    return [_with_defaults(item) for item in value] if isinstance(value, list | tuple) else value
--- a/flintridge/lab/scenario/overrides.py
+++ b/flintridge/lab/scenario/overrides.py
@@ -81,8 +81,8 @@
 def _ensure_member(table: dict[str, Any], info: inspect.Type | None, step: str) -> inspect.Type | None:
     """Add the default of `step` to the table if it is missing; return the member's type, if it is known."""
     field = None
-    for one in _matching_structs(info, table):
-        field = next((f for f in one.fields if f.encode_name == step), field)
+    for struct in _matching_structs(info, table):
+        field = next((f for f in struct.fields if f.encode_name == step), field)
     if step not in table:
         if field is not None and not field.required and field.default is not inspect.NODEFAULT:  # type: ignore[attr-defined]
             table[step] = _deep_copy(msgspec.to_builtins(field.default))
@@ -93,15 +93,17 @@
 
 def _matching_structs(info: inspect.Type | None, table: dict[str, Any]) -> Sequence[inspect.StructType]:
     """Return the structs that the table may be decoded as, according to its tag."""
-    several = info.types if isinstance(info, inspect.UnionType) else (info,)
-    structs = [one for one in several if isinstance(one, inspect.StructType)]
-    return [one for one in structs if one.tag_field is None or table.get(one.tag_field) == one.tag]
+    options = info.types if isinstance(info, inspect.UnionType) else (info,)
+    structs = [struct for struct in options if isinstance(struct, inspect.StructType)]
+    return [
+        struct for struct in structs if struct.tag_field is None or table.get(struct.tag_field) == struct.tag
+    ]
 
 
 def _deep_copy(value: Any) -> Any:
     if isinstance(value, dict):
-        return {name: _deep_copy(one) for name, one in value.items()}
-    return [_deep_copy(one) for one in value] if isinstance(value, list | tuple) else value
+        return {name: _deep_copy(item) for name, item in value.items()}
+    return [_deep_copy(item) for item in value] if isinstance(value, list | tuple) else value
 
 
 def _steps(text: str, path: str) -> tuple[str | int, ...]:
--- a/flintridge/lab/scenario/sources.py
+++ b/flintridge/lab/scenario/sources.py
@@ -82,7 +82,7 @@
 
 def _shipped() -> Iterator[tuple[str, bytes]]:
     if SHIPPED_FOLDER.is_dir():
-        for entry in sorted(SHIPPED_FOLDER.iterdir(), key=lambda one: one.name):
+        for entry in sorted(SHIPPED_FOLDER.iterdir(), key=lambda path: path.name):
             if entry.name.endswith(".toml"):
                 yield entry.name.removesuffix(".toml"), entry.read_bytes()
 
