--- a/flintridge/lab/scenario/infrastructure.py
+++ b/flintridge/lab/scenario/infrastructure.py
@@ -66,7 +66,7 @@
     # Coefficient of variation of a single request's work, in addition to the error of the request's hint.
     speed_cv: Fraction = 0.0
     slots_per_core: Annotated[int, Meta(ge=1, le=1024)] = 1  # requests served concurrently per core
-    queue_per_core: Span = 3.0  # limit of waiting requests; requests beyond it are rejected
+    queue_per_core: Span = 3.0  # limit of waiting requests per core; requests beyond it are rejected
     crowd_at: Positive = 10.0  # requests per core above which each further request slows all of them
     crowd: Fraction = 0.05  # relative slowdown for each request per core above `crowd_at`
     cold_from: Annotated[float, Meta(gt=0, le=1)] = 0.32  # fraction of the capacity available after a start
--- a/flintridge/lab/scenario/traffic.py
+++ b/flintridge/lab/scenario/traffic.py
@@ -47,7 +47,7 @@
     count: Annotated[int, Meta(ge=1, le=10_000_000)] = 5000
     zipf: Annotated[float, Meta(ge=0, le=5)] = 1.0
     offset: Amount = 3.0  # added to the ranks of the keys, which flattens the top of the distribution
-    drift_per_s: Amount = 0.0  # keys per second that swap their ranks of popularity
+    drift_per_s: Amount = 0.0  # exchanges of the popularity ranks of two keys, per second
     size_bytes: Span = 800.0  # mean size of a value
     size_sigma: Annotated[float, Meta(ge=0, le=5)] = 0.5  # standard deviation of the logarithm of the size
     change_per_s: Amount = 0.0  # values per second that change at the origin and are invalidated
@@ -85,6 +85,7 @@
     leave_early: Fraction = 0.0  # fraction of requests whose client disconnects before its timeout
     idle_s: Amount = 10.0  # connections of a client's pool are closed after being idle for this time
     pools: Annotated[int, Meta(ge=1, le=10_000)] = 8  # client machines, each with a connection pool per node
-    once: Fraction = 0.0  # fraction of requests on a connection of their own, which is kept open afterwards
+    # The fraction of requests on a connection of their own, which stays open but is not used again.
+    once: Fraction = 0.0
     pipeline: Annotated[int, Meta(ge=1, le=1024)] = 1  # maximum number of requests in flight on a connection
     notice_s: Span = 1.0  # delay until the load balancer notices that a node has crashed
