--- a/flintridge/lab/judge/fault_spans.py
+++ b/flintridge/lab/judge/fault_spans.py
@@ -7,7 +7,7 @@
 from flintridge.lab.records import AnyRecord, FaultChanged
 
 # Name prefixes of faults that affect no connection and no link to a server. During any other fault, a node
-# may be trying to reach a server or waiting on a dead connection without any record of it.
+# may be trying to reach a server or waiting on a broken connection without any record of it.
 HARMLESS_TO_LINKS = (
     "flush",
     "hot_key",
@@ -23,7 +23,7 @@
     "reload",
     "node_",
 )
-# For this long after a fault of links ends, a node may still be waiting on connections that it broke.
+# For this long after a fault that disturbs links, a node may still be waiting on its broken connections.
 LINK_FAULT_TAIL_MS = 1000.0
 
 
--- a/flintridge/lab/judge/findings.py
+++ b/flintridge/lab/judge/findings.py
@@ -35,7 +35,7 @@
         node: str = "",
         server: str = "",
     ) -> None:
-        """Count a violation, and keep it if it is among the first of its rule.
+        """Count a violation, and keep it if it is among the first `keep` of its rule.
 
         Args:
             rule: The rule's name.
--- a/flintridge/lab/judge/history.py
+++ b/flintridge/lab/judge/history.py
@@ -91,7 +91,7 @@
         )
 
     def is_excused(self, accepted: AcceptedRequest, until_ms: float) -> bool:
-        """Whether the request's node was dead or paused at any time from the request's sending to `until_ms`.
+        """Whether the request's node was down or paused at any time from the request's sending to `until_ms`.
 
         A request that is sent too late after SIGTERM is excused as well. A node that exited by itself after
         SIGTERM is not excused for requests that arrived in time, nor is one that was killed only after its
@@ -115,7 +115,7 @@
 
     @property
     def termination_time_ms(self) -> float:
-        """The shortest time from SIGTERM to SIGKILL."""
+        """The time from SIGTERM to the earliest SIGKILL."""
         max_deadline_ms = max(request_class.deadline_ms for request_class in self.scenario.classes)
         return min(max_deadline_ms, MAX_COUNTED_DEADLINE_MS) + TERMINATION_ACCEPT_MS
 
@@ -186,7 +186,7 @@
         _note_resent(attempt, record.at_ms)
         accepted = AcceptedRequest(record, self._last_on_connection.get(record.connection))
         if accepted.previous is not None and accepted.previous.ended_ms <= record.at_ms:
-            accepted.previous = None  # had ended before; dropped so that no long chain is kept in memory
+            accepted.previous = None  # it had ended before; dropped so that no long chain stays in memory
         self._last_on_connection[record.connection] = accepted
         attempt.accepted.append(accepted)
 
--- a/flintridge/lab/judge/rules/attempts.py
+++ b/flintridge/lab/judge/rules/attempts.py
@@ -15,7 +15,7 @@
 
 RULES = ("twice", "attempts", "after_answer")
 
-FORWARDING_MS = 1.0  # a node's last attempt may start this long after the response
+FORWARDING_TOLERANCE_MS = 1.0  # a node's last attempt may start this long after the response
 
 
 def check(history: History, findings: Findings) -> None:
@@ -114,7 +114,7 @@
     started_ms = outcome.record.started_ms
     if history.links_disturbed(earlier[0].record.started_ms, started_ms):
         return None
-    latest_ms = started_ms + history.tolerances.server_round_ms
+    latest_ms = started_ms + history.tolerances.server_round_trip_ms
     for other in earlier:
         finished_ms = other.finished_ms
         if finished_ms is not None and finished_ms > latest_ms:
@@ -169,10 +169,10 @@
         return
     for outcome in case.node_outcomes:
         record = outcome.record
-        tolerance_ms = FORWARDING_MS + history.tolerances.limit_ms
+        tolerance_ms = FORWARDING_TOLERANCE_MS + history.tolerances.limit_ms
         if history.first_attempt_on.get(record.connection) == record.attempt_id:
             connect_ms = history.scenario.limits.connect_timeout_ms
-            tolerance_ms += connect_ms + history.tolerances.server_round_ms
+            tolerance_ms += connect_ms + history.tolerances.server_round_trip_ms
         if record.started_ms > final.at_ms + tolerance_ms:
             late_ms = record.started_ms - final.at_ms
             text = (
--- a/flintridge/lab/judge/rules/contents.py
+++ b/flintridge/lab/judge/rules/contents.py
@@ -125,8 +125,8 @@
     A node counts a request's time from when it read the request. That is later than the sending, by the
     delay of the link or by the commands that the node read before it on the same connection. The `stall`
     fault may also delay the node before it writes. All this explains no more than MAX_EXTRA_TIME_MS. Only a
-    request that arrived while the process was paused may have been read any amount later, unnoticed by the
-    node.
+    request that arrived while the process was paused may have been read any amount of time later without the
+    node noticing.
     """
     request = accepted.request
     remaining_ms = request.at_ms + request.time_left_ms - record.started_ms
@@ -141,5 +141,5 @@
         or history.had_fault(STALL_FAULT, request.at_ms, record.started_ms)
     )
     if not is_explained:
-        limit_ms = min(limit_ms, history.tolerances.client_round_ms)
+        limit_ms = min(limit_ms, history.tolerances.client_round_trip_ms)
     return extra_ms if extra_ms > limit_ms else None
--- a/flintridge/lab/judge/rules/drains.py
+++ b/flintridge/lab/judge/rules/drains.py
@@ -19,7 +19,7 @@
     """The endpoint list as far as one process of a node was notified of it.
 
     Attributes:
-        unavailable: Servers that must get no new attempts, each with the first notification that said so.
+        unavailable: Servers that must get no new attempts, each with the first notification of that.
         listed: Servers that were in any list.
         first_complete: The first complete list; None if there was none.
     """
--- a/flintridge/lab/judge/rules/fleet_limits.py
+++ b/flintridge/lab/judge/rules/fleet_limits.py
@@ -12,13 +12,13 @@
 
 A node takes a token from its bucket when it admits a request, and the request may wait before it is sent to a
 server. So a request counts at the time when its client sent it. `D` is the maximum time from the sending to
-the admission: the delay of the client's link and, in real time, the lateness of a process. A paused process
-admits the requests that were sent meanwhile later, but its bucket holds no more tokens for that. The buckets
-are filled at rates whose sum is at most R at each instant, which gives R * (T + D). At the start of the
-window, a process's bucket holds at most the tokens of one second, or 8 if that is more: at most
+the admission: the delay of the client's link and, in real time, the lateness of a process. After a pause, a
+process admits the requests that were sent during the pause, but its bucket holds no more tokens for that. The
+buckets are filled at rates whose sum is at most R at each instant, which gives R * (T + D). At the start of
+the window, a process's bucket holds at most the tokens of one second, or 8 if that is more: at most
 R + 8 * processes over all processes. A bucket is full when its process first sees the tenant. By then the
-process has borrowed nothing, as it needed nothing, so it has at most an even part: R / nodes + 8 for each
-such new process.
+process has borrowed nothing, because it needed nothing, so it has at most an even part: R / nodes + 8 for
+each such new process.
 """
 
 from bisect import bisect_left, bisect_right
@@ -33,8 +33,7 @@
 
 RULES = ("budget_sum", "quota_sum")
 
-# Stated here as documented and not imported from the nodes' code, so that a mistake there can't change the
-# judge.
+# The documented values, not those of the nodes' code, so that a mistake in that code can't change the judge.
 QUOTA_FACTOR = 1.5  # all nodes together may admit this multiple of a tenant's quota
 MIN_BUCKET_SIZE = 8  # requests that a process may admit at once, whatever its rate
 WINDOWS_S = (1.0, 2.0, 5.0)
@@ -109,7 +108,7 @@
             first += 1
         count = last - first + 1
         limit = rate * (seconds + admission_delay_s + 1)
-        if count <= limit:  # the usual case, without the costly terms
+        if count <= limit:  # the usual case; skips the costly terms
             continue
         new_processes = bisect_right(requests.first_seen_ms, end_ms)
         new_processes -= bisect_left(requests.first_seen_ms, start_ms)
--- a/flintridge/lab/judge/rules/held_rejections.py
+++ b/flintridge/lab/judge/rules/held_rejections.py
@@ -108,9 +108,9 @@
     tolerances = history.tolerances
     waited_ms = final.at_ms - request.at_ms
     # With so little time, an attempt may have ended before its connection was open, which leaves no record.
-    if request.time_left_ms < tolerances.server_round_ms:
+    if request.time_left_ms < tolerances.server_round_trip_ms:
         return
-    if waited_ms > request.time_left_ms / 2 + tolerances.client_round_ms:
+    if waited_ms > request.time_left_ms / 2 + tolerances.client_round_trip_ms:
         text = (
             f"{request.node} {final.kind} {request.request_id}, without any attempt, after {waited_ms:.1f} "
             f"ms of its {request.time_left_ms:.0f} ms"
@@ -136,10 +136,10 @@
         return
     idle_ms = final.at_ms - since_ms
     objective_ms = history.request_class(request.class_name).latency_objective_ms
-    margin_ms = max(0.0, case.response_margin_ms - history.tolerances.client_round_ms)
+    margin_ms = max(0.0, case.response_margin_ms - history.tolerances.client_round_trip_ms)
     useful_ms = USEFUL_FRACTION * (min(minimum_ms, objective_ms / 2) + margin_ms)
     remaining_ms = request.time_left_ms - (final.at_ms - request.at_ms)
-    if idle_ms > minimum_ms + history.tolerances.server_round_ms and remaining_ms < useful_ms:
+    if idle_ms > minimum_ms + history.tolerances.server_round_trip_ms and remaining_ms < useful_ms:
         text = (
             f"{request.node} {final.kind} {request.request_id} with {remaining_ms:.1f} ms left and nothing "
             f"in flight for {idle_ms:.1f} ms, though every response took at least {minimum_ms:.1f} ms"
--- a/flintridge/lab/judge/rules/membership.py
+++ b/flintridge/lab/judge/rules/membership.py
@@ -21,7 +21,7 @@
 # Ages are reported in whole milliseconds, and a node reads its clock a little before or after the report.
 TOLERANCE_MS = 20.0
 REAL_TIME_TOLERANCE_MS = 150.0  # also covers how long processes take to start, stop and handle signals
-MAX_FRESH_PAUSE_MS = 1_500.0  # after a longer pause, a node must not use what it knew before
+MAX_HARMLESS_PAUSE_MS = 1_500.0  # after a longer pause, a node must not use what it knew before
 SETTLE_MS = 10_000.0  # added to a node's age limit: by then it must know all nodes that live
 REACHABLE_STATES = ("heard", "through", "suspect")
 ZONE_FAULTS = ("cut", "zone_loss", "slow_link")
@@ -67,7 +67,7 @@
 
 
 class _Isolation(NamedTuple):
-    """A span in which every link into a node was cut, and the last cut that completed it."""
+    """A span in which every link into a node was cut, and the cut with which it began."""
 
     start_ms: float
     end_ms: float
@@ -96,7 +96,7 @@
 
 
 def _check_stale(report: MembershipReported, ground_truth: _GroundTruth, findings: Findings) -> None:
-    """`peers_stale`: no node reports another as alive after its end or during its pause."""
+    """`peers_stale`: no node reports that another was alive at a time after its end or in its pause."""
     for name, incarnation, state, age_ms in report.members:
         processes = ground_truth.processes.get(name)
         if age_ms < 0 or not processes:
@@ -114,7 +114,7 @@
     """`peers_gap`: after a long pause, a node does not use what it knew before."""
     for process in ground_truth.processes.get(report.node, ()):
         for pause in process.pauses:
-            if pause.end_ms - pause.start_ms <= MAX_FRESH_PAUSE_MS + ground_truth.tolerance_ms:
+            if pause.end_ms - pause.start_ms <= MAX_HARMLESS_PAUSE_MS + ground_truth.tolerance_ms:
                 continue
             if pause.end_ms + ground_truth.tolerance_ms >= report.at_ms:
                 continue
@@ -132,7 +132,7 @@
             continue
         if report.at_ms - age_ms < pause_end_ms - ground_truth.tolerance_ms:
             text = (
-                f"{report.node} counts {name} ({incarnation}) by news that is {age_ms:.0f} ms old, from "
+                f"{report.node} counts {name} ({incarnation}) by information {age_ms:.0f} ms old, from "
                 f"before the end of its own pause {report.at_ms - pause_end_ms:.0f} ms ago"
             )
             findings.add("peers_gap", report.at_ms, text, [report], node=report.node)
--- a/flintridge/lab/judge/rules/process.py
+++ b/flintridge/lab/judge/rules/process.py
@@ -15,9 +15,9 @@
 
 RULES = ("stopped", "leak", "bad_clients", "unready", "quiesced")
 
-EXIT_MS = 250.0  # time to write the last responses and to exit
-DRAIN_MS = 2000.0  # a node may still accept requests this long after the call to drain
-DRAIN_END_MS = 2000.0  # a node must report that it is ready within this time after the end of a drain
+EXIT_LIMIT_MS = 250.0  # time to write the last responses and to exit
+DRAIN_START_LIMIT_MS = 2000.0  # a node may still accept requests this long after the call to drain
+READY_LIMIT_MS = 2000.0  # a node must report that it is ready within this time after the end of a drain
 DRAIN_ENDS = ("back", "term", "killed", "exited", "stuck", "started")  # states that end a drain
 
 
@@ -44,7 +44,7 @@
         if end is not None and end.state == "exited":
             _report_stopped(process, end.at_ms, f"exited without SIGTERM, with code {end.code}", findings)
     elif process.pauses or process.paused_since_ms is not None:
-        return  # unknown how much of its time it could use
+        return  # it is not known how much time the process had
     else:
         _check_termination(history, process, termination, findings)
 
@@ -54,7 +54,7 @@
 ) -> None:
     end = process.end
     term_ms = termination.at_ms
-    limit_ms = term_ms + history.termination_time_ms + EXIT_MS + history.tolerances.limit_ms
+    limit_ms = term_ms + history.termination_time_ms + EXIT_LIMIT_MS + history.tolerances.limit_ms
     end_ms = end.at_ms if end is not None else math.inf
     if end is not None and end.state == "exited" and end.code != 0:
         _report_stopped(process, end_ms, f"exited with code {end.code} after SIGTERM", findings)
@@ -86,8 +86,8 @@
 
 
 def _check_no_requests(history: History, call: NodeStateChanged, until_ms: float, findings: Findings) -> None:
-    """`quiesced`: a draining node accepts no requests once DRAIN_MS have passed since the call."""
-    since_ms = call.at_ms + DRAIN_MS + history.tolerances.limit_ms
+    """`quiesced`: a draining node accepts no requests later than DRAIN_START_LIMIT_MS after the call."""
+    since_ms = call.at_ms + DRAIN_START_LIMIT_MS + history.tolerances.limit_ms
     for record in history.records:
         if not isinstance(record, RequestSent) or record.node != call.node:
             continue
@@ -105,8 +105,8 @@
     later: list[NodeStateChanged],
     findings: Findings,
 ) -> None:
-    """`quiesced`: a node reports that it is ready within DRAIN_END_MS after the drain."""
-    limit_ms = end.at_ms + DRAIN_END_MS + history.tolerances.limit_ms
+    """`quiesced`: a node reports that it is ready within READY_LIMIT_MS after the drain."""
+    limit_ms = end.at_ms + READY_LIMIT_MS + history.tolerances.limit_ms
     if limit_ms >= history.end_ms:
         return
     for change in later:
--- a/flintridge/lab/judge/rules/request_case.py
+++ b/flintridge/lab/judge/rules/request_case.py
@@ -31,7 +31,7 @@
 
     @property
     def node_outcomes(self) -> list[AttemptOutcome]:
-        """The attempts that the node that accepted the request made for it."""
+        """The attempts made by the node that accepted this sending."""
         node = self.request.node
         return [outcome for outcome in self.attempt.outcomes if outcome.record.node == node]
 
--- a/flintridge/lab/judge/rules/responses.py
+++ b/flintridge/lab/judge/rules/responses.py
@@ -17,7 +17,7 @@
 
 RULES = ("lost", "late", "double", "garbled", "held")
 
-TIMER_MS = 1.0  # tolerance of the timer of a client that leaves at the end of its time
+TIMER_TOLERANCE_MS = 1.0  # tolerance of the timer of a client that leaves at the end of its time
 
 
 class _Loss(NamedTuple):
@@ -52,7 +52,7 @@
 
 
 def _check_garbled(history: History, case: RequestCase, findings: Findings) -> None:
-    """`garbled`: every response can be one to the request."""
+    """`garbled`: every response can be parsed and belongs to its request."""
     request = case.request
     for response in case.accepted.responses:
         if response.kind == "garbled" and not history.is_excused(case.accepted, response.at_ms):
@@ -157,7 +157,7 @@
     """
     if case.accepted.resent_ms is None or case.was_forwarded_by(at_ms):
         return False
-    return at_ms - case.request.at_ms <= history.tolerances.client_round_ms
+    return at_ms - case.request.at_ms <= history.tolerances.client_round_trip_ms
 
 
 def _loss_by_silence(history: History, case: RequestCase, limit_ms: float) -> _Loss | None:
@@ -166,7 +166,7 @@
     abandoned = case.accepted.abandoned
     assert abandoned is not None
     waited_ms = abandoned.at_ms - request.at_ms
-    if abandoned.left_early or waited_ms < request.time_left_ms - TIMER_MS:
+    if abandoned.left_early or waited_ms < request.time_left_ms - TIMER_TOLERANCE_MS:
         return None
     closed_ms = abandoned.at_ms + abandoned.lingers_ms
     if history.is_excused(case.accepted, closed_ms):
@@ -177,7 +177,7 @@
     if case.accepted.unblocked_ms > request.at_ms + request.time_left_ms - case.response_margin_ms:
         return None  # its response had to wait for that of the previous request on the connection
     closed_ms = min(closed_ms, history.client_closed_ms.get(connection, closed_ms), history.end_ms)
-    if closed_ms < limit_ms - TIMER_MS and not _is_surely_unresponsive(history, case, closed_ms):
+    if closed_ms < limit_ms - TIMER_TOLERANCE_MS and not _is_surely_unresponsive(history, case, closed_ms):
         return None
     description = (
         f"never responded: the client left after {waited_ms:.1f} ms of {request.time_left_ms:.0f} ms"
@@ -196,10 +196,10 @@
     margin_ms = case.response_margin_ms
     if not history.is_real_time and 2 * tolerances.client_ms - 2 < margin_ms / 2:
         return True
-    early_ms = closed_ms - margin_ms - tolerances.client_round_ms - tolerances.server_round_ms
+    early_ms = closed_ms - margin_ms - tolerances.client_round_trip_ms - tolerances.server_round_trip_ms
     outcomes = case.node_outcomes
     if not outcomes:  # a request without attempts must get a response within half of its time
-        return case.request.time_left_ms / 2 > margin_ms + tolerances.client_round_ms
+        return case.request.time_left_ms / 2 > margin_ms + tolerances.client_round_trip_ms
     for outcome in outcomes:
         served = outcome.served
         if served is not None and outcome.response_digest and served.at_ms < early_ms:
--- a/flintridge/lab/judge/tolerances.py
+++ b/flintridge/lab/judge/tolerances.py
@@ -4,10 +4,10 @@
 
 from flintridge.lab.scenario.model import Scenario, Span
 
-REAL_TIME_MS = 50.0  # added to every limit in real time
+REAL_TIME_TOLERANCE_MS = 50.0  # added to every limit in real time
 ROUNDING_MS = 0.01  # covers rounding errors of floating-point sums
 LINK_MARGIN_MS = 1.0
-ROUND_MARGIN_MS = 5.0
+ROUND_TRIP_MARGIN_MS = 5.0
 
 
 def maximum_of(span: Span) -> float:
@@ -38,15 +38,15 @@
         return cls(
             client_ms=maximum_of(links.client_ms) * factor + LINK_MARGIN_MS,
             server_ms=server_ms + LINK_MARGIN_MS,
-            limit_ms=REAL_TIME_MS if is_real_time else 0.0,
+            limit_ms=REAL_TIME_TOLERANCE_MS if is_real_time else 0.0,
         )
 
     @property
-    def client_round_ms(self) -> float:
+    def client_round_trip_ms(self) -> float:
         """Maximum round trip between a client and a node."""
-        return 2 * self.client_ms + ROUND_MARGIN_MS + self.limit_ms
+        return 2 * self.client_ms + ROUND_TRIP_MARGIN_MS + self.limit_ms
 
     @property
-    def server_round_ms(self) -> float:
+    def server_round_trip_ms(self) -> float:
         """Maximum round trip between a node and a server."""
-        return 2 * self.server_ms + ROUND_MARGIN_MS + self.limit_ms
+        return 2 * self.server_ms + ROUND_TRIP_MARGIN_MS + self.limit_ms
--- a/flintridge/lab/judge/verdict.py
+++ b/flintridge/lab/judge/verdict.py
@@ -31,8 +31,8 @@
         keep: How many violations of each rule are reported in full.
 
     Returns:
-        The result. `rules` holds the count of every rule, also of those without violations. `violations`
-        holds the first ones of each rule, ordered by time.
+        The result. `rules` holds the count of every rule, including those at 0. `violations` holds the first
+        violations of each rule, ordered by time.
     """
     history = History(log, scenario, backend)
     findings = Findings(RULES, keep)
--- a/flintridge/lab/load/commands.py
+++ b/flintridge/lab/load/commands.py
@@ -46,7 +46,7 @@
         """Return the client's estimate of the work, in microseconds; 0 if it sends none."""
         if self._hints == "none":
             return 0
-        # Also drawn for exact hints, so that runs with exact and rough hints differ in nothing else.
+        # Also drawn for exact hints, so that the two kinds of runs differ in nothing else.
         error = lognormal(rng, ROUGH_HINT_SIGMA)
         return max(1, round(request.work_ms * 1000 * (error if self._hints == "rough" else 1.0)))
 
--- a/flintridge/lab/load/driver.py
+++ b/flintridge/lab/load/driver.py
@@ -104,7 +104,7 @@
     # The run
 
     async def start(self) -> None:
-        """Start to close idle connections; nothing is sent yet."""
+        """Start the regular closing of idle connections; nothing is sent yet."""
         self._pools.close_idle()
 
     async def wait_until_ready(self, timeout_ms: float) -> bool:
@@ -145,7 +145,7 @@
         """The number of requests that have not ended."""
         return len(self._clients.open)
 
-    # LoadControls
+    # Controls for faults, see LoadControls
 
     def burst(self, factor: RateFactor) -> None:
         """Set the rate from now on.
--- a/tests/lab/load/test_client_connection.py
+++ b/tests/lab/load/test_client_connection.py
@@ -31,10 +31,7 @@
     assert before.connection != after.connection
     assert [c.request_id for c in trial.nodes["n0"].received[1:]] == [after.request_id]
     first = LoadTrial(lambda c: "close", one_class(retries=0), requests=[0.0])
-    assert first.events == [
-        "RequestSent",
-        "closed",
-    ]  # on a new connection, no close between requests can cross
+    assert first.events == ["RequestSent", "closed"]  # on a new connection, no close can cross
 
 
 def test_request_when_its_node_is_killed_then_is_not_sent_again():
