--- a/flintridge/lab/world/assumed_notifications.py
+++ b/flintridge/lab/world/assumed_notifications.py
@@ -10,15 +10,15 @@
 from flintridge.lab.world.endpoint_list import EndpointChange, EndpointList
 
 WATCH_GAP_MS = 200.0  # a watch counts as continued if the next call follows its response within this time
-RESPONSE_ASSUMED_MS = 6000.0  # from a call until its response counts as received, whether it arrives or not
-WATCH_RESPONSE_ASSUMED_MS = 2000.0  # the same for a watch, from the end of its wait
-RELOAD_ASSUMED_MS = 4000.0  # from a SIGHUP until the list at that time counts as received
-FAILED_CALL_FACTOR = 4.0  # extends the time in which a node has to call, after a failed call
+RESPONSE_ASSUMED_MS = 6000.0  # a response counts as received this long after its call, even if it is lost
+WATCH_RESPONSE_ASSUMED_MS = 2000.0  # the response to a watch counts as received this long after its wait
+RELOAD_ASSUMED_MS = 4000.0  # the list as of a SIGHUP counts as received this long after it
+FAILED_CALL_FACTOR = 4.0  # multiplies the time within which a node has to call, after a failed call
 
 
 @dataclass(slots=True, frozen=True)
 class UnconfirmedRevision:
-    """A revision that counts as received from a later time on, whether it arrives or not.
+    """A revision that counts as received from a later time on, even if the response was lost.
 
     Attributes:
         assumed_at: When it starts to count as received (ms of the run).
@@ -176,7 +176,7 @@
             subscriber.failed = True
 
     def reloaded(self, now: float, node: str) -> None:
-        """Note a SIGHUP with a new address of discovery, which a correct node calls at once."""
+        """Note a SIGHUP with a new address of discovery; a correct node calls that address immediately."""
         subscriber = self._subscribers.get(node)
         if subscriber is not None:
             unconfirmed = UnconfirmedRevision(now + RELOAD_ASSUMED_MS, self._endpoints.revision)
--- a/flintridge/lab/world/cache_connection.py
+++ b/flintridge/lab/world/cache_connection.py
@@ -115,7 +115,7 @@
             value_digest=body_digest(command.value) if command.value is not None else "",
         )
         if model.overloaded:
-            self._pending.append(request)  # so that the crash records it as dropped, like all others
+            self._pending.append(request)  # the crash then records it as dropped, like all others
             host.crash_by_overload()
             return
         if len(self._pending) >= MAX_PIPELINED:
@@ -217,7 +217,7 @@
             self._transport.resume_reading()
 
     def _finish_response(self, now: float, request: CacheRequest, response: bytes) -> bytes:
-        """Record a response that is sent; faults may corrupt it or lose it. Return the bytes to send."""
+        """Record a response and return its bytes; faults may corrupt the response or lose it."""
         assert request.outcome is not None
         host = self._host
         faults = host.model.faults
@@ -259,7 +259,7 @@
         return self._unresponsive
 
     def _drop_if_stale(self, now: float) -> bool:
-        """Apply the fault that a middlebox forgets idle connections; return whether this one is affected."""
+        """Apply the fault that a middlebox forgets idle connections; return whether it forgot this one."""
         faults = self._host.model.faults
         if self._is_busy() or now - self._used_at <= faults.stale_after_ms:
             return False
--- a/flintridge/lab/world/cache_model.py
+++ b/flintridge/lab/world/cache_model.py
@@ -167,7 +167,7 @@
             job: The request.
 
         Returns:
-            The outcome of a request that ends at once; None for all others.
+            The outcome of a request that ends immediately; None for all others.
         """
         self._run_to(now)
         if job.cost_ms < 0:
@@ -182,7 +182,7 @@
         self._cores.add_background(work_ms)
 
     def cancel(self, now: float, job: Job) -> bool:
-        """Cancel a request that nobody waits for any more.
+        """Cancel a request whose caller no longer waits.
 
         Returns:
             Whether its work stops, which the kind's `drops_cancelled` decides.
--- a/flintridge/lab/world/cache_request.py
+++ b/flintridge/lab/world/cache_request.py
@@ -16,7 +16,7 @@
     """An attempt, from the arrival of its last byte to its response.
 
     Attributes:
-        connection: The connection that sends the response; None once nobody waits for it.
+        connection: The connection that sends the response; None once the caller no longer waits.
         attempt_id: Number of the attempt in records.
         request_id: Id of the client's request.
         idempotency_key: Idempotency key of a keyed write; empty for other requests.
--- a/flintridge/lab/world/call_queue.py
+++ b/flintridge/lab/world/call_queue.py
@@ -23,7 +23,7 @@
         wait_until: Until when it may wait (ms of the run).
         queued_at: When it last entered the queue (ms of the run).
         served: Whether it has been served once; after that only endpoints in its response take time.
-        closed: Whether nobody waits for the response any more.
+        closed: Whether the caller left or discovery went down before the response.
     """
 
     key: int
@@ -127,7 +127,7 @@
         self._seen_revision = endpoints.revision
 
     def arrive(self, now: float, key: int, node: str, after: int, wait_ms: float) -> Arrival:
-        """Queue a call; while discovery is down, return the response that its mode gives at once.
+        """Queue a call. While discovery is down it is not queued, and modes that respond do so immediately.
 
         Args:
             now: Time of the run in milliseconds.
--- a/flintridge/lab/world/corruption.py
+++ b/flintridge/lab/world/corruption.py
@@ -5,7 +5,7 @@
 
 from flintridge.lab.world.memcache import value_response
 
-ENDLESS_BYTES = 64 * 1024  # that are sent of a line or a value that does not end
+ENDLESS_BYTES = 64 * 1024  # number of bytes sent of a line or a value that never ends
 
 INTACT_VARIANTS = ("twice", "noise_behind")
 """Variants that start with the correct response."""
--- a/flintridge/lab/world/discovery_host.py
+++ b/flintridge/lab/world/discovery_host.py
@@ -21,8 +21,8 @@
 
 PARTIES = ("discovery", "discovery2")
 CHECK_INTERVAL_MS = 100.0  # between two checks for nodes that count as notified by now
-OLD_ADDRESS_GRACE_MS = 1500.0  # from the move of a node to the close of its connections at the old address
-MAX_RECORDED_TEXT = 200  # characters of the reason that a malformed call is recorded with
+OLD_ADDRESS_GRACE_MS = 1500.0  # time until connections at the old address of a node are closed
+MAX_RECORDED_TEXT = 200  # characters; the reason of a malformed call is truncated to this length
 MALFORMED_BODIES = (
     b"<html><body>upstream error</body></html>",
     b'{"revision":',
@@ -54,7 +54,7 @@
 
 
 ConnectionFactory = Callable[["DiscoveryHost", str, str], asyncio.Protocol]
-"""Creates the protocol of a connection from the host, the name of the node and the party it connects to."""
+"""Creates a connection from the host, the name of the node and the party that the node connects to."""
 
 
 class DiscoveryHost:
@@ -116,7 +116,7 @@
         self.update()
 
     async def close(self) -> None:
-        """Close all listeners and abort all connections."""
+        """Close all listeners, cancel the timers and abort all connections."""
         self._closed = True
         for timer in (self._timer, self._check_timer):
             if timer is not None:
--- a/flintridge/lab/world/discovery_model.py
+++ b/flintridge/lab/world/discovery_model.py
@@ -79,7 +79,7 @@
             mode: One of the modes of `CallQueue.down`.
 
         Returns:
-            Responses to the calls that end by this.
+            Responses to the calls that end because discovery goes down.
         """
         closed = self.calls.set_down(mode)
         for call in closed.calls:
--- a/flintridge/lab/world/endpoint_list.py
+++ b/flintridge/lab/world/endpoint_list.py
@@ -96,7 +96,7 @@
         self.stale_since: float | None = None
         self._notice_ms = notice_ms
         self._silent_ms = silent_ms
-        self._listed: dict[str, EndpointChange] = {}  # by id, without terminated endpoints
+        self._listed: dict[str, EndpointChange] = {}  # latest by id, without terminated endpoints
         self._changes: deque[EndpointChange] = deque()
         self._pending: list[tuple[float, int, PendingChange]] = []  # heap: due time, sequence, change
         self._backlog: list[PendingChange] = []  # due changes that are held back while the list is stale
--- a/flintridge/lab/world/fleet.py
+++ b/flintridge/lab/world/fleet.py
@@ -26,7 +26,7 @@
 from flintridge.lab.world.value_changes import ValueChanges
 
 NO_ZONE = "(nowhere)"
-"""Zone of machines for which the scenario names none: outside all zones, and lost with none of them."""
+"""Placement of machines for which the scenario names no zone: outside all zones, lost with none."""
 
 CRASH_CHECK_INTERVAL_MS = 50.0  # between two checks for servers that crashed from overload
 EARLIEST_START_MS = 0.001  # listed for a start at 0 ms, because 0 means "started long ago"
@@ -192,7 +192,7 @@
         return server in self._silent
 
     def remove(self, server: str) -> ServerPlan:
-        """Stop a server for good and return its plan, which `replace` takes."""
+        """Stop a server permanently and return its plan, which `replace` takes."""
         if server in self._silent:
             self.set_silent(server, False)
         self.stop(server, StopReason.REMOVED)
--- a/flintridge/lab/world/job_executor.py
+++ b/flintridge/lab/world/job_executor.py
@@ -11,7 +11,7 @@
 from flintridge.lab.world.outcomes import Outcome
 from flintridge.lab.world.shared_cores import SharedCores
 
-EXECUTED_ERROR_FRACTION = 0.5  # of the errors from the kind's `error_rate`: the request still took effect
+EXECUTED_ERROR_FRACTION = 0.5  # fraction of the errors by `Kind.error_rate` whose request took effect
 
 
 class JobExecutor:
@@ -88,7 +88,7 @@
         return not (service.running or service.background or self._paused_arrivals)
 
     def offer(self, job: Job) -> Outcome | None:
-        """Start or queue a request; return its outcome if it ends at once."""
+        """Start or queue a request; return its outcome if it ends immediately."""
         if self._cores.pauses.active:
             job.state = JobState.WAITING
             self._paused_arrivals.append(job)
@@ -96,7 +96,7 @@
         return self._admit(job)
 
     def cancel(self, job: Job) -> bool:
-        """Cancel a request that nobody waits for any more; return whether its work stops."""
+        """Cancel a request whose caller no longer waits; return whether its work stops."""
         drops = self._kind.drops_cancelled
         if drops == "none" or job.state not in (JobState.WAITING, JobState.RUNNING):
             return False
--- a/flintridge/lab/world/memcache.py
+++ b/flintridge/lab/world/memcache.py
@@ -22,7 +22,7 @@
 
 
 class CommandKind(Enum):
-    """Kinds of commands; the values stand in records."""
+    """Kinds of commands; the values appear in records."""
 
     READ = "mg"
     WRITE = "ms"
--- a/flintridge/lab/world/objects.py
+++ b/flintridge/lab/world/objects.py
@@ -122,7 +122,7 @@
         self._stores[server] = _RegisteredStore(store, is_up)
 
     def unregister(self, server: str) -> None:
-        """Remove a server that never comes back."""
+        """Remove a server that will never be up again."""
         self._stores.pop(server, None)
 
     def record_miss(self, request_id: str, server: str) -> None:
@@ -137,7 +137,7 @@
             servers.append(server)
 
     def fill_misses(self, request_id: str, key: str, now: float = 0.0) -> None:
-        """Store the origin's response to a read at the servers that missed it; the node still waits for it.
+        """Let the servers that missed store the origin's response to a read; its node still waits for it.
 
         Args:
             request_id: Id of the read.
--- a/flintridge/lab/world/origin_model.py
+++ b/flintridge/lab/world/origin_model.py
@@ -16,13 +16,13 @@
 from flintridge.lab.world.outcomes import Outcome
 from flintridge.lab.world.sliding_window import SlidingWindowSum
 
-MAX_CRASHES = 2  # from overload, in one run
+MAX_CRASHES = 2  # maximum number of crashes from overload in one run
 MIN_READ_MS = 1e-3
 DOWN_MODES = ("", "declines", "errors", "silent", "refuses")
 
 
 class OriginModel:
-    """The only origin of a run. It also completes requests that nobody waits for any more.
+    """The only origin of a run. It also completes requests whose caller no longer waits.
 
     Attributes:
         spec: The scenario's settings of the origin.
@@ -75,8 +75,8 @@
     def down(self) -> str:
         """How the origin is down, one of `DOWN_MODES`; empty while it is up.
 
-        With "declines" and "errors" it responds at once with that outcome. With "silent" it accepts requests
-        and never starts them. With "refuses" its driver closes the listeners.
+        With "declines" and "errors" it responds to each request immediately with that outcome. With "silent"
+        it accepts requests and never starts them. With "refuses" its driver closes the listeners.
         """
         return self._down
 
@@ -152,7 +152,7 @@
             job: The request.
 
         Returns:
-            The outcome of a request that ends at once; None if it ends later or never.
+            The outcome of a request that ends immediately; None if it ends later or never.
         """
         self._run_to(now)
         if self._down == "silent":
--- a/flintridge/lab/world/origin_request.py
+++ b/flintridge/lab/world/origin_request.py
@@ -16,7 +16,7 @@
     """An attempt, from the arrival of its last byte to its response.
 
     Attributes:
-        connection: The connection that sends the response; None once nobody waits for it.
+        connection: The connection that sends the response; None once the caller no longer waits.
         attempt_id: Number of the attempt in records.
         request_id: Id of the client's request.
         receipt: Proof of the write; empty until it has taken effect.
--- a/flintridge/lab/world/origin_slots.py
+++ b/flintridge/lab/world/origin_slots.py
@@ -68,7 +68,7 @@
         """Start waiting requests in the slots that are free at `now` (ms).
 
         Returns:
-            The requests that are not started because nobody waits for them any more.
+            The requests that are not started because their callers no longer wait.
         """
         expired: list[OriginJob] = []
         waiting = self._waiting
--- a/flintridge/lab/world/server_host.py
+++ b/flintridge/lab/world/server_host.py
@@ -49,7 +49,7 @@
         self.idle_ms = idle_ms
         self.connections: dict[Connection, None] = {}
         self._listeners: list[Listener] = []
-        self._shutdowns = 0  # `_listen` stops if this changes while it runs
+        self._shutdowns = 0  # number of shutdowns; `_listen` stops if it changes meanwhile
         self._timer: asyncio.TimerHandle | None = None
         self._timer_at = 0.0
 
--- a/flintridge/lab/world/shared_cores.py
+++ b/flintridge/lab/world/shared_cores.py
@@ -65,7 +65,7 @@
         self._kind = kind
         self._speed = speed
         self._queued = 0
-        self._rate = 0.0  # of one job when warm, in work-ms per ms
+        self._rate = 0.0  # rate of one job when warm, in work-ms per ms
         self._rate_stale = True  # the rate and the due time have to be recomputed
         self._due = inf
 
--- a/tests/lab/world/test_assumed_notifications.py
+++ b/tests/lab/world/test_assumed_notifications.py
@@ -61,7 +61,8 @@
     node.change()
     node.notifications.called(1000.0, "n0", 1, 61_000.0)
     assert node.notified_at(61_000) is None
-    node.notifications.disconnected(61_000.0, "n0", 1, broken=False)  # at the end of its wait: failed
+    # The node disconnects at the end of its wait, so the call counts as failed.
+    node.notifications.disconnected(61_000.0, "n0", 1, broken=False)
     assert node.notifications.check(71_000.0) == [] and node.notifications.check(101_000.0) != []
     abandoned_watch = Subscriber()
     abandoned_watch.notifications.called(900.0, "n0", 1, 5000.0)
