--- a/tests/downstream/test_admin_api.py
+++ b/tests/downstream/test_admin_api.py
@@ -134,7 +134,9 @@
 def test_console_setting_when_no_address_or_a_taken_one_then_is_rejected(tmp_path):
     with pytest.raises(ConfigError, match=r"console: 'somewhere:1'|console: 'somewhere'"):
         node_config(config(tmp_path, console="somewhere:1"), {})
-    with pytest.raises(ConfigError, match=r"console: 127.0.0.1:7 is listen"):
+    with pytest.raises(
+        ConfigError, match=r"console: 127.0.0.1:7 is also the listen or discovery address; it must be"
+    ):
         node_config(config(tmp_path, console="127.0.0.1:7"), {})
     assert node_config(config(tmp_path), {}).console is None
     env = {"PROXY_CONSOLE": "127.0.0.1:9"}
@@ -289,7 +291,7 @@
                         f"127.0.0.1:{admin_port}: Address already in use",
                     ),
                     ({"console": "here"}, 2, "console: 'here'"),
-                    ({"console": f"127.0.0.1:{port}"}, 2, f"console: 127.0.0.1:{port} is listen"),
+                    ({"console": f"127.0.0.1:{port}"}, 2, f"console: 127.0.0.1:{port} is also the listen or"),
                 ):
                     path = tmp_path / "new.json"
                     path.write_text(json.dumps(config_fields | changes))
--- a/tests/leases/test_leases_config.py
+++ b/tests/leases/test_leases_config.py
@@ -38,7 +38,7 @@
 def test_example_when_its_tables_are_enabled_is_sound():
     lines = EXAMPLE.replace('name = "n1"', 'name = "n1"\nfleet_size = 3').splitlines()
     begin = lines.index(next(line for line in lines if line.startswith("# [peers]")))
-    end = lines.index(next(line for line in lines if line.startswith("# Each name has a part")))
+    end = lines.index(next(line for line in lines if line.startswith("# Each node has an even fraction")))
     enabled = [line.removeprefix("# ") if "key_file" not in line else "" for line in lines[begin:end]]
     assert read("\n".join(lines[:begin] + enabled + lines[end:])).budgets == BudgetsConfig(
         tenants=True, floors=True
--- a/tests/replication/test_state_config.py
+++ b/tests/replication/test_state_config.py
@@ -21,7 +21,7 @@
     [
         ("entries = 0", "state.entries: 0: must be"),
         ("entry_bytes = 5000", "state.entry_bytes: 5000: must be"),
-        ("entries = 90000", "state.entries: 90000: must be at most 16000, by state.entry_bytes"),
+        ("entries = 90000", "state.entries: 90000: must be at most 16000, given state.entry_bytes and peers"),
         ("bytes_per_s = 4001", "state.bytes_per_s: 4001: must be at most 4000, a quarter"),
         ("wait_ms = -1", "state.wait_ms: -1: must be"),
         ("holds = 1", "state.holds"),
