--- a/flintridge/lab/partial/__init__.py
+++ b/flintridge/lab/partial/__init__.py
@@ -1,7 +1,9 @@
-"""Several nodes that reach one another, and the partial failures between them.
+"""Test environments in which several nodes communicate and the network between them fails partially.
 
-In virtual time, hundreds of processes without the rest of the node: `virtual_fleet` (failure detectors),
-`replica_fleet` and `replica_run` (replicas), `lease_fleet` (leases), with the faults of `random_faults`.
-With real processes: `relay` (datagrams and streams between them, each direction by itself), `peer_network`
-(all relays, and what the admin APIs report), `rig` (the unmodified program, driven by a test).
+Virtual time, hundreds of processes that run only the part under test: `virtual_fleet` (failure detectors),
+`replica_fleet` and `replica_run` (replicas) and `lease_fleet` (leases). `random_faults` holds the faults of
+their random runs.
+
+Real processes of the unmodified program: `relay` forwards datagrams and streams, each direction separately.
+`peer_network` opens all relays and records what the admin APIs report. `rig` lets a test drive the processes.
 """
--- a/flintridge/lab/partial/admin_records.py
+++ b/flintridge/lab/partial/admin_records.py
@@ -1,4 +1,4 @@
-"""The lab's records of what a node's admin API reports on membership and leases, and of its datagrams."""
+"""Conversion of admin API responses on membership and leases, and of datagrams, to the lab's records."""
 
 from collections.abc import Mapping
 from typing import Any
@@ -10,22 +10,22 @@
 
 FLEET = "lab"
 KEY = b"the lab's own key, of 32 bytes.."
-MESSAGE_NAMES = {LeaseRequest: "ask", LeaseGrant: "grant", LeaseRelease: "give"}  # as scenarios name them
+MESSAGE_NAMES = {LeaseRequest: "ask", LeaseGrant: "grant", LeaseRelease: "give"}  # the names in scenarios
 REPORT_INTERVAL_MS = 500.0  # between two requests to a node's admin API
 
-AdminResponse = Mapping[str, Any]  # by the keys of the admin API's JSON
+AdminResponse = Mapping[str, Any]  # a decoded JSON object of the admin API
 
 
 def membership_record(at_ms: float, node: str, response: AdminResponse) -> MembershipReported:
     """Return the record of a response to GET /admin/peers.
 
     Args:
-        at_ms: When it was true.
-        node: Which responded.
-        response: Its body.
+        at_ms: The time of the report.
+        node: The node that responded.
+        response: The decoded body of the response.
 
     Raises:
-        KeyError: It is no such response.
+        KeyError: A field of such a response is missing.
     """
     members = []
     for member in response["lives"]:
@@ -48,12 +48,12 @@
     """Return the records of a response to GET /admin/budgets.
 
     Args:
-        at_ms: When it was true.
-        node: Which responded.
-        response: Its body.
+        at_ms: The time of the report.
+        node: The node that responded.
+        response: The decoded body of the response.
 
     Raises:
-        KeyError: It is no such response.
+        KeyError: A field of such a response is missing.
     """
     return [
         LeaseReported(
@@ -73,21 +73,21 @@
 def datagram_record(
     codec: MessageCodec, at_ms: float, source: str, target: str, data: bytes, outcome: str
 ) -> DatagramRelayed:
-    """Return the record of a datagram between nodes, decoded as far as the fleet's key goes.
+    """Return the record of a datagram between nodes; without kind and messages if it cannot be decoded.
 
     Args:
-        codec: With the fleet's key.
-        at_ms: When it was relayed.
+        codec: The codec with the fleet's key.
+        at_ms: The time at which the datagram was relayed.
         source: The node that sent it.
         target: The node to which it was sent.
         data: Its bytes.
-        outcome: What the relay did with it.
+        outcome: What the relay did with it: passed, doubled, lost or cut.
     """
     try:
         message = codec.decode(data)
     except MessageDroppedError:
         return DatagramRelayed(at_ms=at_ms, source=source, target=target, size=len(data), outcome=outcome)
-    facts = [decode(payload) for name, payload in message.payloads if name == LeaseManager.name]
+    lease_payloads = [decode(payload) for name, payload in message.payloads if name == LeaseManager.name]
     return DatagramRelayed(
         at_ms=at_ms,
         source=source,
@@ -97,8 +97,8 @@
         kind=message.kind,
         lease_messages=tuple(
             MESSAGE_NAMES[type(limit_message.message)]
-            for fact in facts
-            if fact
-            for limit_message in fact.messages
+            for lease_payload in lease_payloads
+            if lease_payload
+            for limit_message in lease_payload.messages
         ),
     )
--- a/flintridge/lab/partial/allocation_oracle.py
+++ b/flintridge/lab/partial/allocation_oracle.py
@@ -1,11 +1,12 @@
-"""What leasing limits between nodes is measured against: fractions allocated by one who sees all demand.
+"""A baseline for the leasing of limits between nodes: an allocator that sees the demand at all nodes.
 
-Once a second each running node is notified, by the event that carries allocations, of a fraction of each
-tenant's quota (and of the limiters' floors) in proportion to the first attempts that clients sent it of late.
-All fractions of a limit together are as many as there are nodes, never more. They are up to a second old.
+Once a second, each running node is notified by an `AllocationUpdate` of its fraction of each tenant's quota
+and of the floors of the concurrency limiters. A fraction is proportional to the first attempts that clients
+sent to the node in the last `DEMAND_WINDOW_MS`. The fractions of a limit always add up to the number of
+nodes. They are up to a second old.
 
-It is no bound on what could be chosen by knowing all demand: in proportion, a tenant that floods gets all of
-its quota as well, at the others' cost where that is more than servers can serve.
+This is not the best possible allocation with full knowledge of demand. In proportion, a tenant that floods
+the nodes gets all of its quota, too, at the cost of the others if that is more than the servers can serve.
 """
 
 from collections import Counter, deque
@@ -25,11 +26,11 @@
 
 @dataclass(slots=True, frozen=True)
 class AllocationMode:
-    """Which limits are allocated by demand; the others stay in even fractions.
+    """Selects the limits that are allocated by demand; nodes have even fractions of the others.
 
     Attributes:
-        tenants: The tenants' quotas.
-        floors: The floors of the concurrency limiters.
+        tenants: Whether the tenants' quotas are.
+        floors: Whether the floors of the concurrency limiters are.
     """
 
     tenants: bool = False
@@ -44,11 +45,11 @@
 
 @dataclass(slots=True)
 class RecentDemand:
-    """First attempts of clients of late, by node.
+    """Counts the clients' recent first attempts by node.
 
     Attributes:
-        total: Of all tenants.
-        by_tenant: Of each tenant.
+        total: The first attempts of all tenants.
+        by_tenant: The first attempts of each tenant.
     """
 
     total: Counter[str] = field(default_factory=Counter)
@@ -56,13 +57,13 @@
     _arrivals: deque[_Arrival] = field(default_factory=deque)
 
     def observe(self, record: AnyRecord) -> None:
-        """Count a record, if it is of a request's first attempt."""
+        """Count a record if it is of a request's first attempt."""
         if isinstance(record, RequestSent) and record.attempt_number == 0:
             self._arrivals.append(_Arrival(record.at_ms, record.node, record.tenant))
             self._count(record.node, record.tenant, 1)
 
     def forget(self, before_ms: float) -> None:
-        """Forget what arrived before that instant."""
+        """Remove attempts that were sent before `before_ms` from the counts."""
         while self._arrivals and self._arrivals[0].at_ms < before_ms:
             arrival = self._arrivals.popleft()
             self._count(arrival.node, arrival.tenant, -1)
@@ -73,9 +74,9 @@
 
 
 def proportional_fractions(demand: Counter[str], nodes: Sequence[str]) -> dict[str, float]:
-    """Return each node's allocation in even fractions, in proportion to its demand.
+    """Return each node's allocation in even fractions, proportional to its demand.
 
-    They add up to the number of nodes, and are even where there is no demand.
+    The allocations add up to the number of nodes. Without any demand, each node is allocated 1.
     """
     total = sum(demand[node] for node in nodes)
     if not total:
@@ -84,7 +85,7 @@
 
 
 class AllocationOracle:
-    """Allocates limits in a virtual run; `attach` is what `VirtualNodes` calls for each process."""
+    """Allocates limits in a virtual run; `VirtualNodes` calls `attach` for each process that starts."""
 
     def __init__(
         self,
@@ -94,14 +95,14 @@
         nodes: Sequence[str],
         tenants: Sequence[str],
     ) -> None:
-        """Begin to allocate.
+        """Create the oracle, and start to observe the demand and to allocate.
 
         Args:
-            mode: What is allocated.
-            log: Of the run, from which demand is read.
-            clock: Of the run.
-            nodes: All of them.
-            tenants: All of them, in the order of the settings.
+            mode: Selects the limits to allocate by demand.
+            log: The log of the run, which shows the demand.
+            clock: The clock of the run.
+            nodes: The names of all nodes.
+            tenants: The names of all tenants, in the order of the settings.
         """
         self._mode = mode
         self._clock = clock
@@ -113,13 +114,13 @@
         clock.call_later(ALLOCATION_INTERVAL_MS, self._allocate)
 
     def attach(self, node: Node) -> None:
-        """Notify a process that starts of its node's allocation, now and from now on."""
+        """Notify a process that starts of its node's allocation, now and at each later allocation."""
         name = node.config.name
         self._running[name] = node
         node.core.notify(self.allocations()[name])
 
     def allocations(self) -> dict[str, api.AllocationUpdate]:
-        """Return what each node may use from now on."""
+        """Return each node's allocation by the demand until now."""
         self._demand.forget(self._clock.now() - DEMAND_WINDOW_MS)
         quotas: dict[str, dict[int, float]] = {node: {} for node in self._nodes}
         if self._mode.tenants:
--- a/flintridge/lab/partial/lease_fleet.py
+++ b/flintridge/lab/partial/lease_fleet.py
@@ -1,8 +1,9 @@
-"""Processes that lease one another fractions of limits, in virtual time.
+"""Processes in virtual time that lease one another fractions of fleet-wide limits.
 
-The sum of what all may use is checked from outside. `random_run` draws a run from one seed: links that lose,
-delay, duplicate, reorder and are cut, one way or both, processes that are paused, killed, restarted
-and leave, clocks that drift apart, demands that change.
+The fleet checks, independently of the processes, that the sum of what all may use stays within each limit.
+`random_run` draws a run from one seed. Links lose, delay, duplicate and reorder datagrams and are cut in one
+or both directions. Processes are paused, killed, restarted, and leave in order. Clocks drift apart, and
+demands change.
 """
 
 import math
@@ -24,8 +25,8 @@
 from flintridge.membership.failure_detector import FailureDetector
 
 CHECK_INTERVAL_MS = 20.0
-SUM_TOLERANCE = 1e-9  # of even fractions, for rounding
-REQUESTS_PER_EVEN_FRACTION = 100.0  # a second
+SUM_TOLERANCE = 1e-9  # in even fractions; allows for rounding
+REQUESTS_PER_EVEN_FRACTION = 100.0  # requests per second
 QUOTA = "quota a"
 EVENT_INTERVAL_MS = 300.0  # on average
 FIRST_EVENT_MS = 1_000.0
@@ -44,12 +45,12 @@
 
 
 class LeaseProcess(FailureDetector):
-    """A process's failure detector with its lease manager, driven as `leases/driver.py` does it."""
+    """A failure detector with a lease manager, driven in the same way as in `leases/driver.py`."""
 
     manager: LeaseManager
 
     def tick(self, now: float) -> None:
-        """See `FailureDetector.tick`; the manager's messages go out, too."""
+        """See `FailureDetector.tick`; also sends the lease manager's messages."""
         super().tick(now)
         self.manager.tick(now)
         for receiver in self.manager.receivers():
@@ -61,7 +62,7 @@
 
 
 class LeaseProcesses(VirtualFleet[LeaseProcess]):
-    """Nodes with fleet-wide limits."""
+    """Nodes that lease one another fractions of fleet-wide limits."""
 
     def __init__(
         self,
@@ -76,13 +77,13 @@
         """Start all nodes with a demand of one even fraction each.
 
         Args:
-            count: How many nodes.
-            seed: Of all random draws.
-            terms: Of all leases.
-            build: The type of allocations, so that a defect may be planted in each.
-            topic_bytes_per_s: What a lease manager may send.
-            link: What each direction does.
-            drift: Fraction by which a clock's rate may differ from 1.
+            count: The number of nodes.
+            seed: The seed of all random draws.
+            terms: The terms of all leases.
+            build: The type of the allocations; a test passes a defective one here.
+            topic_bytes_per_s: The byte rate at which a lease manager may send.
+            link: The link of every direction; None for `Link()`.
+            drift: The largest fraction by which a clock's rate differs from 1.
         """
         self.terms = terms
         self._allocation_type = build
@@ -92,8 +93,10 @@
             for name in (QUOTA, FLOORS)
         )
         self.demands: dict[str, float] = {}
-        self.violations: list[str] = []  # each instant at which more than a limit was usable
-        self.max_usable: dict[str, float] = {}  # the greatest sum seen, by limit
+        # One text for each check at which the usable sum exceeded a limit.
+        self.violations: list[str] = []
+        # By name of the limit: the greatest usable sum so far, in even fractions.
+        self.max_usable: dict[str, float] = {}
         super().__init__(count, seed, link=link, drift=drift)
         self.at(0.0, self._check_sums)
 
@@ -112,7 +115,7 @@
         return process
 
     def set_demand(self, name: str, even_fractions: float) -> None:
-        """Set what a node needs of its quota, in even fractions; its request rate follows."""
+        """Set a node's demand for the quota, in even fractions, and its request rate accordingly."""
         self.demands[name] = even_fractions
         if self.living(name):
             _set_demand(self.manager(name), even_fractions)
@@ -122,11 +125,14 @@
         return self.detector(name).manager
 
     def usable(self, name: str, limit: str = QUOTA) -> float:
-        """Return what a node's newest process may use by its own clock, in even fractions, paused or not."""
+        """Return how much of a limit a node's newest process may use, in even fractions.
+
+        The process's own clock decides which leases have expired. A paused process counts as well.
+        """
         return self.manager(name).usable(limit, self.clock(name))
 
     def usable_sum(self, limit: str = QUOTA) -> float:
-        """Return what all nodes may use together, in even fractions."""
+        """Return the sum of what all living nodes may use of a limit, in even fractions."""
         return sum(self.usable(name, limit) for name in self.names if self.living(name))
 
     def _check_sums(self) -> None:
@@ -135,12 +141,13 @@
             self.max_usable[limit.name] = max(self.max_usable.get(limit.name, 0.0), usable)
             if usable > len(self.names) + SUM_TOLERANCE:
                 self.violations.append(
-                    f"at {self.now:.0f} ms {usable:g} of {len(self.names)} even fractions of {limit.name}"
+                    f"at {self.now:.0f} ms {usable:g} even fractions, more than {len(self.names)}, "
+                    f"are usable of {limit.name}"
                 )
         self.at(self.now + CHECK_INTERVAL_MS, self._check_sums)
 
     def leave(self, name: str) -> None:
-        """See `VirtualFleet.leave`; its leases are released before."""
+        """See `VirtualFleet.leave`; the node's leases are released first."""
         for process in self.living(name):
             now = process.clock(self.now)
             process.detector.manager.begin_shutdown(now)
@@ -156,13 +163,13 @@
 
 @dataclass(slots=True)
 class LeaseRun:
-    """What came of a random run.
+    """The result of a random run.
 
     Attributes:
-        seed: Of the run.
-        violations: Each instant at which more than a limit was usable.
+        seed: The seed of the run.
+        violations: One text for each check at which the usable sum exceeded a limit.
         granted_count: How many leases were granted.
-        max_usable: The greatest sum of one limit that was usable, in even fractions.
+        max_usable: The greatest usable sum of any limit, in even fractions.
         event_counts: How often each event was drawn.
     """
 
@@ -174,22 +181,22 @@
 
 
 class RandomEvents:
-    """Draws the events of a random run, and lets them happen."""
+    """Draws the events of a random run and applies them to the fleet."""
 
     def __init__(self, fleet: LeaseProcesses, rng: Random) -> None:
         """Schedule the first event.
 
         Args:
-            fleet: To which they happen.
-            rng: From which they are drawn.
+            fleet: The fleet that the events affect.
+            rng: Draws the events.
         """
         self._fleet = fleet
         self._rng = rng
         self.counts: Counter[str] = Counter()
-        self.granted_by_stopped = 0  # leases granted by processes that were killed or left
-        fleet.at(FIRST_EVENT_MS, self._happen)
+        self.granted_by_stopped = 0  # number of leases granted by processes that were killed or have left
+        fleet.at(FIRST_EVENT_MS, self._apply_next)
 
-    def _happen(self) -> None:
+    def _apply_next(self) -> None:
         fleet = self._fleet
         rng = self._rng
         name = rng.choice(fleet.names)
@@ -209,7 +216,7 @@
             self._slow_links(name)
         elif event is RunEvent.HEAL:
             fleet.heal()
-        fleet.at(fleet.now + rng.expovariate(1 / EVENT_INTERVAL_MS), self._happen)
+        fleet.at(fleet.now + rng.expovariate(1 / EVENT_INTERVAL_MS), self._apply_next)
 
     def _change_demands(self) -> None:
         for name in self._rng.sample(self._fleet.names, max(1, len(self._fleet.names) // 4)):
@@ -242,14 +249,14 @@
     build: type[Allocation] = Allocation,
     drift: float = 0.02,
 ) -> LeaseRun:
-    """Play a run with faults about every 300 ms, several at once, and demands that change with them.
+    """Play a run with an event about every 300 ms; faults overlap, and demands change during faults.
 
     Args:
-        seed: Of all random draws.
-        count: How many nodes.
-        length_ms: Of the run, in virtual time.
-        build: The type of allocations, so that a defect may be planted in each.
-        drift: Fraction by which a clock's rate may differ from 1.
+        seed: The seed of all random draws.
+        count: The number of nodes.
+        length_ms: The length of the run, in ms of virtual time.
+        build: The type of the allocations; a test passes a defective one here.
+        drift: The largest fraction by which a clock's rate differs from 1.
     """
     rng = Random(seed)
     link = Link(
--- a/flintridge/lab/partial/node_file_format.py
+++ b/flintridge/lab/partial/node_file_format.py
@@ -1,4 +1,4 @@
-"""A node's configuration as the JSON object of its configuration file, from what the lab gives it."""
+"""Conversion of a node's configuration in the lab to the JSON object of its configuration file."""
 
 from collections.abc import Mapping
 from typing import Any
@@ -10,13 +10,14 @@
 NS_PER_S = 1e9
 ENDPOINT_KEYS = ("id", "host_port", "phase", "locality", "flavor", "cell", "size", "up_since_ms")
 
-JsonObject = dict[str, Any]  # by the keys of node.toml
+JsonObject = dict[str, Any]  # with the keys of node.toml
 
 
 def to_node_file(config: NodeConfig) -> JsonObject:
-    """Return what `flintridge.config.node_file.parse_node_file` parses to the same `config`.
+    """Return the object that `flintridge.config.node_file.parse_node_file` parses to an equal `config`.
 
-    `peers` is left out: its addresses are those of relays, not of the configuration.
+    The `peers` table is left out, because the peers' addresses are those of the relays and not part of
+    `config`.
     """
     settings = config.settings
     zones = list(config.zones)
@@ -69,7 +70,7 @@
         "stream": request_class.stream,
         "aim_stretch": request_class.objective_work_factor,
     }
-    # A node's file allows these of keyed classes alone; the platform's settings name them for all.
+    # A node's file allows these keys for keyed classes only; the platform's settings have them for all.
     if request_class.effect is api.Effect.KEYED:
         table["group"] = request_class.deduplication_scope.value
         table["window_ms"] = request_class.deduplication_window_ns / NS_PER_MS
--- a/flintridge/lab/partial/peer_network.py
+++ b/flintridge/lab/partial/peer_network.py
@@ -1,4 +1,4 @@
-"""The network between the real processes of a run: relays, and records of what their admin APIs report."""
+"""The network between the real processes of a run: relays, and the polling of the nodes' admin APIs."""
 
 import asyncio
 import itertools
@@ -29,19 +29,19 @@
 MEMBERSHIP_PATH = "/admin/peers"
 LEASES_PATH = "/admin/budgets"
 
-Direction = tuple[str, str]  # from a node, to a node
+Direction = tuple[str, str]  # sending node, receiving node
 
 
 class PeerNetwork:
-    """Relays for each direction of each pair of nodes, and their admin APIs' reports in the log.
+    """Runs a relay for each direction between two nodes, and records what the nodes' admin APIs report.
 
     Attributes:
-        names: The nodes.
-        relays: By direction, once it is open.
-        address_overrides: Wrong addresses of peers to configure nodes with, by node and peer.
-        name_overrides: Wrong names to configure nodes with, by node.
-        tables: Further tables of every node's configuration.
-        node_tables: Further tables of one node's configuration, by node.
+        names: The names of the nodes.
+        relays: The relays by direction; empty until `open` is called.
+        address_overrides: Wrong peer addresses for the nodes' configuration, by node and peer.
+        name_overrides: Wrong node names for the nodes' configuration, by node.
+        tables: Additional tables for the configuration of every node.
+        node_tables: Additional tables for the configuration of single nodes, by node.
     """
 
     def __init__(
@@ -55,11 +55,11 @@
         """Prepare the network.
 
         Args:
-            fabric: Whose addresses, links and clock count.
-            log: Where reports and datagrams are recorded.
-            settings: The scenario's table of peers.
-            names: The nodes.
-            key_file: The path of the fleet's key, for the nodes to read.
+            fabric: Provides the addresses, the links and the clock.
+            log: The log for the records of reports and datagrams.
+            settings: The scenario's `peers` table.
+            names: The names of the nodes.
+            key_file: The path of the file with the fleet's key, for the nodes' configuration.
         """
         self._fabric = fabric
         self._log = log
@@ -75,10 +75,10 @@
         self._tasks: list[asyncio.Task[None]] = []
 
     async def open(self) -> None:
-        """Open all relays; later calls do nothing.
+        """Open all relays and start to poll the admin APIs; later calls do nothing.
 
         Raises:
-            OSError: An address cannot be bound.
+            OSError: A relay's address cannot be bound.
         """
         if self.relays:
             return
@@ -99,7 +99,7 @@
         self._tasks = [asyncio.ensure_future(self._poll_admin_api(name)) for name in self.names]
 
     def close(self) -> None:
-        """Close all relays."""
+        """Close all relays and stop polling the admin APIs."""
         for task in self._tasks:
             task.cancel()
         for relay in self.relays.values():
@@ -110,7 +110,12 @@
         return self._fabric.address("console", node)
 
     def node_file(self, node: str, config: Mapping[str, Any]) -> JsonObject:
-        """Return a node's configuration file, with its peers, from the platform's settings in `config`."""
+        """Return the content of a node's configuration file, with its peers.
+
+        Args:
+            node: The name of the node.
+            config: The platform's settings for the node.
+        """
         table = to_node_file(node_config(config, {}))
         table["name"] = self.name_overrides.get(node, node)
         table["console"] = str(Address(*self.admin_address(node)))
@@ -134,7 +139,7 @@
     async def request_admin(
         self, node: str, path: str = MEMBERSHIP_PATH, method: str = "GET", body: bytes = b""
     ) -> JsonObject | None:
-        """Return what a node's admin API responds; None where it does not within `ADMIN_TIMEOUT_S`."""
+        """Return the body of a response of a node's admin API; None if there is none in `ADMIN_TIMEOUT_S`."""
         try:
             return await asyncio.wait_for(self._request_admin(node, path, method, body), ADMIN_TIMEOUT_S)
         except (OSError, TimeoutError, ValueError):
@@ -152,7 +157,10 @@
         return response
 
     async def _poll_admin_api(self, node: str) -> None:
-        """Record the node's reports; each is dated by its request, as it was true then at the earliest."""
+        """Record the node's reports, each with the time of its request.
+
+        That is the earliest time at which the report can have been true.
+        """
         clock = self._fabric.clock
         while True:
             await asyncio.sleep(REPORT_INTERVAL_MS / 1000)
--- a/flintridge/lab/partial/relay.py
+++ b/flintridge/lab/partial/relay.py
@@ -1,7 +1,7 @@
-"""Relays between real processes, one for each direction of each pair, over the lab's links.
+"""Relays that put the lab's simulated links between real processes, one for each direction of each pair.
 
-Node `a` reaches its peer `b` by the address of the relay from a to b, which forwards what the link from a to
-b lets through, when and as often as that link does. On a stream the bytes back take the link from b to a.
+Node `a` sends to its peer `b` at the address of the relay from a to b. The relay loses, delays and duplicates
+datagrams as the link from a to b does. On a stream, bytes from b to a are subject to the link from b to a.
 """
 
 import asyncio
@@ -13,7 +13,7 @@
 from flintridge.lab.world.link import UP, SimulatedLink
 
 CHUNK_BYTES = 16 * 1024
-CUT_POLL_INTERVAL_MS = 20.0  # how often a stream over a cut link checks whether it is up again
+CUT_POLL_INTERVAL_MS = 20.0  # between two checks of a stream whether its cut link is up again
 
 SocketAddress = tuple[str, int]
 DatagramObserver = Callable[[str, str, bytes, str], None]  # source, target, data, outcome
@@ -21,15 +21,15 @@
 
 @dataclass(slots=True, frozen=True)
 class RelayRoute:
-    """From where to where a relay forwards.
+    """The nodes, addresses and links of a relay.
 
     Attributes:
-        source: The node whose datagrams and streams it forwards.
-        target: The node to which they go.
-        listen_address: Where it receives them.
-        target_address: Where that node receives them.
-        forward_link: From `source` to `target`.
-        return_link: Back.
+        source: The node whose datagrams and streams are forwarded.
+        target: The node that they are forwarded to.
+        listen_address: The address at which the relay receives them.
+        target_address: The address at which `target` receives them.
+        forward_link: The link from `source` to `target`.
+        return_link: The link from `target` to `source`.
     """
 
     source: str
@@ -47,8 +47,8 @@
         """Prepare a relay.
 
         Args:
-            route: From where to where.
-            clock: Of the run.
+            route: The nodes, addresses and links.
+            clock: The clock of the run.
             observe: Called with each datagram and its outcome: passed, doubled, lost or cut.
         """
         self.route = route
@@ -91,7 +91,7 @@
     # Datagrams
 
     def relay_datagram(self, data: bytes) -> None:
-        """Forward a datagram as the link does: lost, delayed, duplicated."""
+        """Lose, delay or duplicate a datagram as the forward link does."""
         link = self.route.forward_link
         if link.state != UP:
             self._report(data, "cut")
@@ -131,7 +131,7 @@
                 self._copy(target_reader, writer, route.return_link),
             )
         except OSError:
-            pass  # one side has closed: the abort below notifies the other
+            pass  # one side closed its connection; the aborts below close the other one
         except asyncio.CancelledError:
             if not self._is_closed:
                 raise
@@ -153,7 +153,10 @@
             writer.write_eof()
 
     async def _traverse(self, link: SimulatedLink, size: int) -> None:
-        """Wait as long as that many bytes take; a stream loses nothing: it waits while its link is cut."""
+        """Wait as long as `size` bytes take on the link, and as long as the link is cut.
+
+        A stream loses no bytes, so it waits for a cut link.
+        """
         is_up = link.state == UP
         while not is_up:
             await asyncio.sleep(CUT_POLL_INTERVAL_MS / 1000)
--- a/flintridge/lab/partial/replica_fleet.py
+++ b/flintridge/lab/partial/replica_fleet.py
@@ -1,7 +1,7 @@
 """Processes that replicate state, in virtual time: failure detectors, replicas and rumor spreading.
 
-Exchanges are sent one after the other at the byte rate that the answering process has for them, and fail
-where a link is cut or a process ends.
+A process sends the chunks of its snapshot exchanges one after another, at its byte rate for exchanges. An
+exchange fails if a link between the two processes is cut or one of them ends.
 """
 
 from __future__ import annotations
@@ -23,16 +23,16 @@
 from flintridge.replication.messages import decode_chunk, decode_request, encode_chunk, encode_request
 from flintridge.replication.replica import CHUNK_BYTES, Replica
 
-INITIAL_UNIX_MS = 1.7e12  # the time of day, since 1970, at the start of virtual time
+INITIAL_UNIX_MS = 1.7e12  # Unix time at the start of virtual time
 EXCHANGE_TIMEOUT_MS = 10_000.0
 CHUNK_INTERVAL_MS = 50.0
-BUCKETS_PER_TICK = 8  # as in flintridge/replication/driver.py
-RUMOR_LIFETIME_MS = 1e6  # after which a rumor is spread no more
+BUCKETS_PER_TICK = 8  # buckets checked for expired entries; the same as in flintridge/replication/driver.py
+RUMOR_LIFETIME_MS = 1e6  # a rumor is no longer spread after this time
 UNLIMITED_BYTES = 1 << 30
 
 
 class CountingRumorSpreader(RumorSpreader):
-    """Counts the bytes that it sends."""
+    """A rumor spreader that counts the bytes of its payloads."""
 
     bytes_sent = 0
 
@@ -44,17 +44,17 @@
 
 
 class ReplicaProcess(FailureDetector):
-    """A process's failure detector with its replica, driven as `flintridge/replication/driver.py` does it."""
+    """A failure detector with a replica, driven in the same way as in `flintridge/replication/driver.py`."""
 
     replica: Replica
     spreader: CountingRumorSpreader
     fleet: ReplicaProcesses
     is_synchronizing = False
-    upload_free_at = 0.0  # in ms of virtual time: when what it sends in exchanges is sent
-    exchange_bytes = 0
+    upload_free_at = 0.0  # in ms of virtual time: when the chunks sent so far will have been transmitted
+    exchange_bytes = 0  # sent in snapshot exchanges, requests included
 
     def tick(self, now: float) -> None:
-        """See `FailureDetector.tick`; rumors are sent, and a comparison is begun."""
+        """See `FailureDetector.tick`; also sends urgent rumors and starts a comparison if one is due."""
         super().tick(now)
         self.replica.expire(now, BUCKETS_PER_TICK)
         reachable = [
@@ -91,14 +91,14 @@
         """Start all nodes with empty replicas.
 
         Args:
-            count: How many nodes.
-            seed: Of all random draws.
-            limits: Of the replicas.
-            topic_bytes_per_s: What a rumor spreader may send.
-            build: Builds a replica, so that a defect may be planted in each.
-            bytes_per_s: What a process may send in datagrams, and again in exchanges.
-            link: What each direction does.
-            drift: Fraction by which a clock's rate may differ from 1.
+            count: The number of nodes.
+            seed: The seed of all random draws.
+            limits: The limits of the replicas.
+            topic_bytes_per_s: The byte rate at which a rumor spreader may send.
+            build: Builds each node's replica; a test passes a defective type here.
+            bytes_per_s: A process's byte rate for datagrams; exchanges have the same rate in addition.
+            link: The link of every direction; None for `Link()`.
+            drift: The largest fraction by which a clock's rate differs from 1.
         """
         self.limits = limits or ReplicaLimits()
         self._topic_bytes_per_s = topic_bytes_per_s
@@ -124,11 +124,11 @@
         return self.detector(name).replica
 
     def have_equal_roots(self) -> bool:
-        """Whether the replicas of all living nodes are the same."""
+        """Whether the replicas of all living nodes have the same root digest."""
         return len({self.replica(name).root() for name in self.names if self.living(name)}) == 1
 
     def have_equal_active_versions(self) -> bool:
-        """Whether the same versions are active at all living nodes, whatever else they hold."""
+        """Whether all living nodes hold the same active versions; tombstones and vectors may differ."""
         distinct = set()
         for name in self.names:
             if not self.living(name):
@@ -140,7 +140,12 @@
         return len(distinct) == 1
 
     def initialize(self, write: Callable[[Replica, float], None]) -> None:
-        """Let all nodes begin with what `write` writes to the first one's replica at its clock's time."""
+        """Give all replicas the same initial entries, and mark them as synchronized.
+
+        Args:
+            write: Writes the entries to the first node's replica; called with the replica and with the time
+                by that node's clock, in ms.
+        """
         first_name = self.names[0]
         first = self.replica(first_name)
         write(first, self.clock(first_name))
@@ -158,15 +163,15 @@
 
 
 class SnapshotExchange:
-    """The comparison of a process's replica with that of a source, chunk by chunk."""
+    """One exchange in which a process synchronizes its replica with that of a source, chunk by chunk."""
 
     def __init__(self, fleet: ReplicaProcesses, requester: ReplicaProcess, source: Writer) -> None:
         """Prepare an exchange.
 
         Args:
-            fleet: Of both processes.
-            requester: The process whose replica synchronizes.
-            source: The process with which it does.
+            fleet: The fleet of both processes.
+            requester: The process whose replica is synchronized.
+            source: The process whose replica it is compared with.
         """
         self._fleet = fleet
         self._requester = requester
@@ -189,7 +194,7 @@
         self._initial_root = requester.replica.root()
 
     def request(self) -> None:
-        """Request the next chunk."""
+        """Request the next chunk, and schedule its arrival or, without a connection, the timeout."""
         fleet = self._fleet
         requester = self._requester
         self._requested_at = fleet.now
@@ -227,9 +232,9 @@
         if source is None or not source.is_running or not self._requester_process.is_alive:
             return False
         names = (self._requester_process.name, source.name)
-        there = self._fleet.current_link(names[0], names[1])
-        back = self._fleet.current_link(names[1], names[0])
-        return not there.is_cut and not back.is_cut
+        request_link = self._fleet.current_link(names[0], names[1])
+        response_link = self._fleet.current_link(names[1], names[0])
+        return not request_link.is_cut and not response_link.is_cut
 
     def _finish(self) -> None:
         requester = self._requester
--- a/flintridge/lab/partial/replica_run.py
+++ b/flintridge/lab/partial/replica_run.py
@@ -1,4 +1,4 @@
-"""Random runs of processes that replicate state, with a checker of what is lost or returns."""
+"""Random runs of replicating processes, checked for acknowledged writes that are lost or undone."""
 
 from collections.abc import Callable
 from dataclasses import dataclass, field
@@ -19,10 +19,10 @@
 from flintridge.replication.value_types import encode_body
 
 BODY = encode_body("note", {"text": "x"})
-ACKNOWLEDGING_HOLDERS = 2  # a write that so many nodes hold is acknowledged
+ACKNOWLEDGING_HOLDERS = 2  # number of nodes that hold a write when it counts as acknowledged
 DELETION_PROBABILITY = 0.3
 STEP_MS = 300.0
-START_LIMIT_MS = 30_000.0  # until all have synchronized at first
+START_LIMIT_MS = 30_000.0  # for the first synchronization of all nodes
 CONVERGENCE_LIMIT_MS = 120_000.0
 AFTER_PAUSE_MS = 3_100.0  # longer than any pause
 EVENTS = (
@@ -37,15 +37,15 @@
 
 @dataclass(slots=True)
 class TrackedWrite:
-    """What the checker knows of a write: no more than operators do.
+    """What the checker knows of a write, which is no more than an operator can know.
 
     Attributes:
-        key: Of the entry.
-        node: Where it was written.
-        dot: Of the version.
+        key: The key of the entry.
+        node: The node at which it was written.
+        dot: The dot of the version.
         is_deletion: Whether it deleted the entry.
-        holders: The nodes of which that node was notified that they hold it.
-        failed_holders: Those of them that were killed since.
+        holders: The nodes known at `node` to hold the write, from their acknowledgements; `node` included.
+        failed_holders: The holders that were killed after the write.
     """
 
     key: Key
@@ -57,23 +57,24 @@
 
     @property
     def is_durable(self) -> bool:
-        """Whether it was acknowledged, and fewer nodes were killed than held it."""
+        """Whether the write was acknowledged and at least one of its holders was not killed."""
         is_acknowledged = len(self.holders) >= ACKNOWLEDGING_HOLDERS
         return is_acknowledged and len(self.failed_holders) < len(self.holders)
 
 
 @dataclass(slots=True)
 class ReplicaRun:
-    """What came of a random run.
+    """The result of a random run.
 
     Attributes:
-        seed: Of the run.
-        violations: What was lost, came back or differs; empty where all held.
-        write_count: How many writes there were.
-        acknowledged_count: How many of them were durable at the end.
+        seed: The seed of the run.
+        violations: Writes that were lost, deletions that were undone, or replicas that differ; empty if none.
+        write_count: The number of writes, deletions included.
+        acknowledged_count: How many of the writes were durable at the end.
         kill_count: How many processes were killed.
         partition_count: How many partitions there were.
-        convergence_ms: From the last fault until all had synchronized with the same active versions.
+        convergence_ms: Time from the end of all faults until all nodes had synchronized and held the same
+            active versions, in ms.
     """
 
     seed: int
@@ -88,11 +89,11 @@
 class WriteChecker:
     """Checks that an acknowledged write is lost only if all its holders were killed.
 
-    Every key is written once by one node, and deleted at most once by one that holds it.
+    Every key is written once by one node, and deleted at most once by a node that holds it.
     """
 
     def __init__(self, fleet: ReplicaProcesses) -> None:
-        """Check the writes to `fleet`."""
+        """Create a checker of the writes to `fleet`."""
         self._fleet = fleet
         self.writes: list[TrackedWrite] = []
 
@@ -117,27 +118,27 @@
         return {write.key for write in self.writes if write.is_deletion}
 
     def update_holders(self) -> None:
-        """Note which nodes hold each write, as far as its writer was notified."""
+        """Record which nodes hold each write, as far as the writing node knows from acknowledgements."""
         for write in self.writes:
             if self._fleet.living(write.node) and not write.failed_holders:
                 acknowledgements = self._fleet.detector(write.node).spreader.acknowledgements
                 write.holders |= acknowledgements.holders(write.dot)
 
     def record_kill(self, node: str) -> None:
-        """Note that the node is killed now; its notifications until now count."""
+        """Record that the node is killed now; acknowledgements that arrived before count."""
         self.update_holders()
         for write in self.writes:
             if node in write.holders:
                 write.failed_holders.add(node)
 
     def violations(self) -> list[str]:
-        """Return what was lost or came back, once all replicas are the same."""
+        """Return the lost writes and the undone deletions; called once all replicas are equal."""
         name = self._fleet.names[0]
         replica = self._fleet.replica(name)
         now = self._fleet.clock(name)
         deleted = self._deleted_keys()
         lost = [
-            f"{write.key[1]} by {write.node}, which {len(write.holders)} had, is lost"
+            f"{write.key[1]}, written by {write.node} and held by {len(write.holders)} nodes, is lost"
             for write in self.writes
             if not write.is_deletion
             and write.is_durable
@@ -145,7 +146,7 @@
             and replica.active_version(write.key, now) is None
         ]
         returned = [
-            f"{write.key[1]}, deleted by {write.node}, which {len(write.holders)} had, is back"
+            f"the deletion of {write.key[1]} by {write.node}, held by {len(write.holders)} nodes, is undone"
             for write in self.writes
             if write.is_deletion and write.is_durable and replica.active_version(write.key, now) is not None
         ]
@@ -153,34 +154,34 @@
 
 
 class RandomRun:
-    """Writes and deletions every `STEP_MS`, and faults about every second."""
+    """A run with a write or a deletion every `STEP_MS` and a fault about every second."""
 
     def __init__(self, fleet: ReplicaProcesses, rng: Random) -> None:
         """Prepare a run.
 
         Args:
-            fleet: What it is played on.
-            rng: From which writes and faults are drawn.
+            fleet: The nodes.
+            rng: Draws the writes and the faults.
         """
         self._fleet = fleet
         self._rng = rng
-        self._killed: str | None = None  # until it has synchronized again
+        self._killed: str | None = None  # the node that was killed last, until it has synchronized again
         self.checker = WriteChecker(fleet)
         self.kill_count = 0
         self.partition_count = 0
 
     def is_synchronized(self, name: str) -> bool:
-        """Whether the node runs and has synchronized."""
+        """Whether the node is alive and has synchronized."""
         if not self._fleet.living(name):
             return False
         return self._fleet.replica(name).sync_state is SyncState.SYNCHRONIZED
 
     def are_all_synchronized(self) -> bool:
-        """Whether all nodes run and have synchronized."""
+        """Whether all nodes are alive and have synchronized."""
         return all(map(self.is_synchronized, self._fleet.names))
 
     def play(self, length_ms: float) -> None:
-        """Let all synchronize at first, then write and let faults happen for `length_ms`."""
+        """Wait until all nodes have synchronized, then write and inject faults for `length_ms`."""
         fleet = self._fleet
         fleet.run(START_LIMIT_MS, self.are_all_synchronized)
         end = fleet.now + length_ms
@@ -222,10 +223,13 @@
             fleet.run(AFTER_PAUSE_MS)
 
     def converge(self) -> float:
-        """End all faults, and wait until the replicas are the same.
+        """End all faults, and run until the replicas are equal.
+
+        The wait for equal active versions and the wait for equal replicas each last at most
+        `CONVERGENCE_LIMIT_MS`.
 
         Returns:
-            How long it took until all had synchronized with the same active versions, in ms.
+            The time until all nodes had synchronized and held the same active versions, in ms.
         """
         fleet = self._fleet
         fleet.heal()
@@ -246,13 +250,13 @@
 def random_run(
     seed: int, count: int = 5, length_ms: float = 60_000.0, build: Callable[..., Replica] = Replica
 ) -> ReplicaRun:
-    """Play a random run; deletions are remembered for 5 s only.
+    """Play a random run in which tombstones are kept for only 5 s.
 
     Args:
-        seed: Of all random draws.
-        count: How many nodes.
-        length_ms: How long there are writes and faults, in virtual time.
-        build: Builds a replica, so that a defect may be planted in each.
+        seed: The seed of all random draws.
+        count: The number of nodes.
+        length_ms: The duration of the writes and faults, in ms of virtual time.
+        build: Builds each node's replica; a test passes a defective type here.
     """
     rng = Random(seed)
     loss = rng.choice((0.0, 0.05, 0.3))
@@ -267,7 +271,7 @@
     if fleet.have_equal_roots():
         violations = checker.violations()
     else:
-        violations = ["the copies differ long after all was well"]
+        violations = ["the replicas still differ at the end of the convergence period, without any fault"]
     return ReplicaRun(
         seed,
         violations,
--- a/flintridge/lab/partial/rig.py
+++ b/flintridge/lab/partial/rig.py
@@ -1,7 +1,7 @@
-"""A rig for tests: real processes of the unmodified program, with faults between them that the test sets.
+"""A test rig: real processes of the unmodified program, with link faults that the test sets between them.
 
-It is a run of the lab without its timeline, with the same simulated servers, relays, admin APIs and records.
-Tests wait for what they want to see, with a bound, and check the records at the end.
+It works like a run of the lab without a fault timeline: the simulated servers, relays, admin APIs and records
+are the same. Tests wait for a condition with a timeout, and check the records at the end.
 
     async with Rig(5, seed=3) as rig:
         await rig.wait_until(rig.all_reachable)
@@ -41,25 +41,27 @@
 from flintridge.lab.world.link import NO_FAULT, LinkFault
 from flintridge.lab.world.link_table import LinkTable
 
-WAIT_TIMEOUT_S = 30.0  # of whatever a test waits for; enough on a busy machine
+WAIT_TIMEOUT_S = 30.0  # for any single condition that a test waits for; long enough on a busy machine
 POLL_INTERVAL_S = 0.05
 REPORT_MAX_AGE_MS = 2_000
-CHECKED_LENGTH_S = 86_400.0  # longer than any test
+CHECKED_LENGTH_S = 86_400.0  # scenario length for the rules; longer than any test, so that they check it all
 
 
 class Rig:
-    """Nodes n0, n1 ... as processes, from the start of an `async with` block to its end.
+    """Runs the nodes n0, n1 ... as processes for the duration of an `async with` block.
+
+    The attributes from `links` on exist only within the block.
 
     Attributes:
-        scenario: Whose servers, links and load there are.
-        names: The nodes.
-        log: All records.
-        links: Between the nodes, within the block.
-        fabric: Of addresses and the clock, within the block.
-        fleet: The simulated servers, within the block.
-        nodes: The processes, within the block.
-        network: Between them, within the block.
-        runner: Starts and ends nodes with notice to the clients, within the block.
+        scenario: Defines the servers, the links and the load.
+        names: The names of the nodes.
+        log: All records of the run.
+        links: The links between the nodes.
+        fabric: Provides the addresses and the clock.
+        fleet: The simulated servers.
+        nodes: The processes of the nodes.
+        network: The relays between the processes.
+        runner: Starts and stops nodes, and notifies the clients of it.
     """
 
     def __init__(
@@ -74,12 +76,12 @@
         """Prepare a rig.
 
         Args:
-            count: How many nodes.
-            seed: Of all random draws.
-            scenario: Where a test needs another one than the lab's usual.
-            tables: Further tables of each node's configuration.
-            loaded: Whether clients send what the scenario says as long as the block lasts.
-            **scenario_changes: By the names of `Scenario` (`budgets`, `tenants`, `load` ...).
+            count: The number of nodes.
+            seed: The seed of all random draws.
+            scenario: The scenario; None for a default with one request class and peers.
+            tables: Additional tables for the configuration of every node.
+            loaded: Whether clients send the scenario's load during the block.
+            **scenario_changes: Fields of `Scenario` to replace (`budgets`, `tenants`, `load` ...).
         """
         self.scenario = scenario or Scenario(
             name="rig",
@@ -150,12 +152,12 @@
     # Faults
 
     def set_link_fault(self, source: str, target: str, **fault_fields: Any) -> None:
-        """Set the fault of one direction.
+        """Set the fault of the link from one node to another.
 
         Args:
-            source: The node from which it goes.
-            target: The node to which it goes.
-            **fault_fields: By the names of `LinkFault`; none for a link without fault.
+            source: The sending node.
+            target: The receiving node.
+            **fault_fields: Fields of `LinkFault`; none for a link without a fault.
         """
         fault = LinkFault(**fault_fields)
         self.links.set_fault(source, target, fault)
@@ -167,14 +169,17 @@
     def set_link_faults(
         self, sources: Sequence[int], targets: Sequence[int], both: bool = True, **fault_fields: Any
     ) -> None:
-        """Set the fault of all links from `sources` to `targets`, nodes by number, and back if `both`."""
+        """Set the fault of all links from `sources` to `targets`, and of those back if `both`.
+
+        Nodes are given by their numbers.
+        """
         for source, target in itertools.product(sources, targets):
             self.set_link_fault(self.names[source], self.names[target], **fault_fields)
             if both:
                 self.set_link_fault(self.names[target], self.names[source], **fault_fields)
 
     def cut(self, sources: Sequence[int], targets: Sequence[int], both: bool = True) -> None:
-        """Cut all links from `sources` to `targets`, nodes by number, and back if `both`."""
+        """Cut all links from `sources` to `targets`, and those back if `both`; nodes are given by number."""
         self.set_link_faults(sources, targets, both, cut=True)
 
     def heal(self) -> None:
@@ -191,7 +196,7 @@
     # Observation
 
     def last_report(self, node: str, since_ms: float = float("-inf")) -> MembershipReported | None:
-        """Return a node's newest report on membership; None where none is as new as `since_ms`."""
+        """Return a node's newest membership report; None if it has none at or after `since_ms`."""
         for record in reversed(self.log.records):
             if record.at_ms < since_ms:
                 break
@@ -200,27 +205,27 @@
         return None
 
     def reachable_count(self, node: str) -> int:
-        """Return how many nodes are reachable from one, itself included.
+        """Return how many nodes `node` reports as reachable, itself included.
 
-        It is 0 where the node has reported nothing in the last `REPORT_MAX_AGE_MS`.
+        Returns 0 if the node has reported nothing in the last `REPORT_MAX_AGE_MS`.
         """
         report = self.last_report(node, self.fabric.clock.now() - REPORT_MAX_AGE_MS)
         return 0 if report is None else report.reachable
 
     def all_reachable(self, nodes: Sequence[str] = (), count: int | None = None) -> bool:
-        """Whether `count` nodes, or all, are reachable from each of `nodes`, or of all."""
+        """Whether each of `nodes` (by default all) reports `count` nodes (by default all) as reachable."""
         required = len(self.names) if count is None else count
         return all(self.reachable_count(node) == required for node in nodes or self.names)
 
     def member_states(self, node: str, name: str) -> list[str]:
-        """Return the states of the incarnations of `name`, as `node` last reported them."""
+        """Return the states that `node` last reported for the incarnations of the node `name`, sorted."""
         report = self.last_report(node)
         if report is None:
             return []
         return sorted(state for member, _, state, _ in report.members if member == name)
 
     def log_lines(self, event: str, node: str | None = None) -> list[NodeLogLine]:
-        """Return the lines of that event in a node's log, or in all nodes' logs."""
+        """Return the log lines of an event from one node's log, or from all nodes' logs if `node` is None."""
         return [
             record
             for record in self.log.records
@@ -231,13 +236,15 @@
         """Wait until a condition holds.
 
         Raises:
-            TimeoutError: It did not within `timeout_s`; the message has the last reports.
+            TimeoutError: It did not hold within `timeout_s`; the message contains each node's last report.
         """
         end = time.monotonic() + timeout_s
         while not condition():
             if time.monotonic() > end:
                 reports = {node: self._describe_report(node) for node in self.names}
-                raise TimeoutError(f"it did not come to hold within {timeout_s:g} s; last views: {reports}")
+                raise TimeoutError(
+                    f"condition did not hold within {timeout_s:g} s; last membership reports: {reports}"
+                )
             await asyncio.sleep(POLL_INTERVAL_S)
 
     def _describe_report(self, node: str) -> str:
@@ -250,14 +257,14 @@
     async def request_admin(
         self, node: str, path: str = MEMBERSHIP_PATH, method: str = "GET", body: bytes = b""
     ) -> JsonObject | None:
-        """Return what a node's admin API responds; None where it does not in time."""
+        """Return the body of a response of a node's admin API; None if there is none in time."""
         return await self.network.request_admin(node, path, method, body)
 
     async def wait_for_counters(self, node: str, condition: Callable[[dict[str, int]], bool]) -> None:
-        """Wait until a condition holds of the counters of a node's admin API.
+        """Wait until the counters that a node's admin API reports satisfy `condition`.
 
         Raises:
-            TimeoutError: It did not within `WAIT_TIMEOUT_S`.
+            TimeoutError: They did not within `WAIT_TIMEOUT_S`.
         """
         async with asyncio.timeout(WAIT_TIMEOUT_S):
             while True:
@@ -267,7 +274,7 @@
                 await asyncio.sleep(POLL_INTERVAL_S)
 
     def violations(self) -> list[Violation]:
-        """Return the violations of the rules on peers and on budgets, by the records alone."""
+        """Return the violations of the rules on membership and on fleet-wide limits, found in the records."""
         scenario = msgspec.structs.replace(self.scenario, length_s=CHECKED_LENGTH_S)
         history = History(self.log, scenario, "loopback")
         findings = Findings((*membership.RULES, *fleet_limits.RULES))
--- a/flintridge/lab/partial/table_transfer.py
+++ b/flintridge/lab/partial/table_transfer.py
@@ -1,4 +1,4 @@
-"""The transfer of a whole member table between two processes, as the node's driver does it."""
+"""The transfer of a member table between two simulated processes, modeled on the node's membership driver."""
 
 from collections.abc import Callable
 from typing import Any
@@ -7,17 +7,17 @@
 from flintridge.lab.partial.virtual_process import VirtualProcess
 from flintridge.membership.messages import GossipEntry, encoded_size
 
-FRAME_BYTES = 26  # the length and the seal of a frame
-HANDSHAKE_BYTES = 240  # of both sides, before the first frame
+FRAME_BYTES = 26  # overhead of a frame: its length and its seal
+HANDSHAKE_BYTES = 240  # charged to each side, before the first frame
 ENTRIES_PER_FRAME = 32
 MAX_TRANSFERS_SERVED = 4
 TRANSFER_TIMEOUT_MS = 10_000.0
 BUDGET_RETRY_MS = 50.0
-RETRANSMISSION_MS = 200.0  # after which TCP sends a lost segment again; then it waits twice as long
+RETRANSMISSION_MS = 200.0  # TCP's first retransmission timeout; it doubles with each retransmission
 
 
 class TableTransfer:
-    """One transfer; it is merged as a whole within `TRANSFER_TIMEOUT_MS`, or not at all."""
+    """One transfer; the table is merged as a whole, or not at all after `TRANSFER_TIMEOUT_MS`."""
 
     def __init__(
         self,
@@ -29,10 +29,10 @@
         """Prepare a transfer.
 
         Args:
-            network: Of both processes.
-            target: The process that wants the table.
-            source_name: The node whose table it wants.
-            find_source: Returns that node's newest process, once the request is sent.
+            network: The network of both processes.
+            target: The process that requests the table.
+            source_name: The node whose table is requested.
+            find_source: Returns that node's newest process; called when the request is sent.
         """
         self._network = network
         self._target = target
@@ -41,7 +41,10 @@
         self._entries: list[GossipEntry] = []
 
     def request(self) -> None:
-        """Request the table, as soon as the target's byte budget allows; a busy source ignores it."""
+        """Request the table as soon as the target's byte budget allows.
+
+        The request is ignored by a source that is paused or already serves `MAX_TRANSFERS_SERVED` transfers.
+        """
         network = self._network
         target = self._target
         if not target.is_running:
@@ -60,7 +63,7 @@
         network.at(network.now + 3 * network.default_link.delay_ms, lambda: self._send_frame(0))
 
     def _try_spend(self, process: VirtualProcess[Any], size: int) -> bool:
-        """Whether the process may send that many bytes now; they are counted."""
+        """Spend `size` bytes of the process's budget and count them; return whether the budget allowed it."""
         now = self._network.now
         if not process.transfer_budget.try_spend(now, size):
             return False
@@ -80,7 +83,7 @@
         return True
 
     def _send_frame(self, first: int) -> None:
-        """Send the members from index `first` on, as soon as the source's byte budget allows."""
+        """Send the frame of members from index `first` on, as soon as the source's byte budget allows."""
         network = self._network
         if not self._is_connected() or network.now > self._deadline:
             self._source.transfers_served -= 1
@@ -102,7 +105,7 @@
             network.at(arrives_at, self._finish)
 
     def _draw_delay_ms(self) -> float:
-        """Draw how long a frame takes, with the retransmissions of what is lost."""
+        """Draw the delay of a frame in ms, retransmissions of lost segments included."""
         rng = self._network.rng
         link = self._network.current_link(self._source_name, self._target.name)
         delay_ms = link.delay_ms + rng.random() * link.jitter_ms
--- a/flintridge/lab/partial/virtual_fleet.py
+++ b/flintridge/lab/partial/virtual_fleet.py
@@ -1,7 +1,7 @@
-"""Failure detectors in virtual time: hundreds of nodes, on links that lose, delay, duplicate and are cut.
+"""Failure detectors of hundreds of nodes in virtual time.
 
-All random draws come from one seed. Times are float milliseconds; each process has a clock of its own, which
-may start anywhere and drift.
+Links lose, delay and duplicate datagrams, and can be cut. All random draws come from one seed. Times are
+float milliseconds. Each process has its own clock, which starts at a random offset and may drift.
 """
 
 from abc import abstractmethod
@@ -23,7 +23,7 @@
 
 @dataclass(slots=True, frozen=True)
 class DetectorArguments:
-    """What a process's failure detector is built from, in the order of `FailureDetector`'s parameters."""
+    """The arguments of a process's failure detector, in the order of `FailureDetector`'s parameters."""
 
     name: str
     incarnation: int
@@ -35,18 +35,18 @@
 
     @property
     def peer_names(self) -> tuple[str, ...]:
-        """The other nodes."""
+        """The names of the other nodes."""
         return tuple(name for name in self.names if name != self.name)
 
     def build(self, detector_type: type[DetectorT]) -> DetectorT:
-        """Build a detector of that type."""
+        """Build a detector of type `detector_type`."""
         return detector_type(
             self.name, self.incarnation, self.names, self.codec, self.bytes_per_s, self.now, self.rng
         )
 
 
 class VirtualFleet(VirtualNetwork, Generic[DetectorT]):
-    """Nodes of one fleet, each of which runs in one process at first."""
+    """The nodes of one fleet, each of which initially runs in one process."""
 
     def __init__(
         self,
@@ -60,12 +60,12 @@
         """Start all nodes.
 
         Args:
-            count: How many nodes; they are called n0, n1 ...
-            seed: Of all random draws.
-            bytes_per_s: What a process may send in datagrams, and again in table transfers.
-            link: What each direction does unless it has a link of its own.
-            drift: Fraction by which a clock's rate may differ from 1.
-            key: Of the fleet, where its datagrams are sealed.
+            count: The number of nodes; their names are n0, n1 ...
+            seed: The seed of all random draws.
+            bytes_per_s: A process's byte rate for datagrams; table transfers have the same rate in addition.
+            link: The link of each direction that has none of its own; None for `Link()`.
+            drift: The largest fraction by which a clock's rate differs from 1.
+            key: The fleet's key; None if datagrams are not sealed.
         """
         super().__init__(tuple(f"n{i}" for i in range(count)), seed, link or Link())
         self.processes: dict[str, list[VirtualProcess[DetectorT]]] = {name: [] for name in self.names}
@@ -79,12 +79,12 @@
 
     @abstractmethod
     def _build_detector(self, arguments: DetectorArguments) -> DetectorT:
-        """Build what a process runs. `arguments.rng` may be drawn from."""
+        """Build the failure detector that a process runs; may draw from `arguments.rng`."""
 
     # Processes
 
     def start(self, name: str) -> VirtualProcess[DetectorT]:
-        """Start a new incarnation of that node."""
+        """Start a new incarnation of the node `name`."""
         clock_offset = self.rng.uniform(0, MAX_CLOCK_OFFSET_MS)
         clock_rate = 1 + self._drift * self.rng.uniform(-1, 1)
         incarnation = self.rng.getrandbits(62) + 1
@@ -113,26 +113,26 @@
         return process
 
     def kill(self, name: str) -> None:
-        """End the node's processes without notice."""
+        """End the node's processes without notice to their peers."""
         for process in self.processes[name]:
             process.is_alive = False
 
     def leave(self, name: str) -> None:
-        """End the node's processes in order: they announce it."""
+        """End the node's processes in order; they announce it to their peers."""
         for process in self.living(name):
             process.detector.leave(process.clock(self.now))
             self.send_datagrams(process)
             process.is_alive = False
 
     def pause(self, name: str) -> None:
-        """Let the node's processes stand still."""
+        """Pause the node's processes, as SIGSTOP would."""
         for process in self.living(name):
             process.is_paused = True
 
     def resume(self, name: str) -> None:
-        """Let the node's processes go on.
+        """Resume the node's processes.
 
-        What arrived meanwhile is read before the first tick, as an event loop does it.
+        Datagrams that arrived during the pause are read before the first tick, as an event loop would do it.
         """
         for process in self.living(name):
             process.is_paused = False
@@ -144,20 +144,20 @@
             self._tick(process)
 
     def living(self, name: str) -> list[VirtualProcess[DetectorT]]:
-        """Return the node's processes that have not ended, the newest last."""
+        """Return the node's processes that have not ended, oldest first."""
         return [process for process in self.processes[name] if process.is_alive]
 
     def newest(self, name: str) -> VirtualProcess[DetectorT] | None:
-        """Return the node's newest process that has not ended; None where there is none."""
+        """Return the node's newest process that has not ended; None if all have."""
         living = self.living(name)
         return living[-1] if living else None
 
     def detector(self, name: str) -> DetectorT:
-        """Return the failure detector of the node's newest process."""
+        """Return the failure detector of the node's newest living process."""
         return self.living(name)[-1].detector
 
     def clock(self, name: str) -> float:
-        """Return what the clock of the node's newest process shows, in ms."""
+        """Return the time by the clock of the node's newest living process, in ms."""
         return self.living(name)[-1].clock(self.now)
 
     def _tick(self, process: VirtualProcess[DetectorT]) -> None:
@@ -173,7 +173,7 @@
     # Datagrams
 
     def send_datagrams(self, process: VirtualProcess[DetectorT]) -> None:
-        """Send what the process's detector has to send."""
+        """Send the datagrams that the process's detector has queued."""
         for datagram in process.detector.take_datagrams():
             self.datagrams_sent += 1
             second = int(self.now // 1000)
@@ -183,12 +183,12 @@
             self.forward(process.name, datagram.name, datagram.data)
 
     def forward(self, source: str, target: str, data: bytes) -> None:
-        """Forward a datagram as its link does now: lost, delayed, duplicated."""
+        """Lose, delay or duplicate a datagram as its link does now."""
         link = self.current_link(source, target)
         if link.is_cut or self.rng.random() < link.loss:
             return
-        arrivals = 2 if self.rng.random() < link.duplication else 1
-        for _ in range(arrivals):
+        copies = 2 if self.rng.random() < link.duplication else 1
+        for _ in range(copies):
             when = self.now + link.delay_ms + self.rng.random() * link.jitter_ms
             self.at(when, lambda: self._deliver(target, data))
 
@@ -202,7 +202,7 @@
 
 
 class MembershipFleet(VirtualFleet[FailureDetector]):
-    """Nodes with failure detectors and nothing else."""
+    """Nodes that run failure detectors only."""
 
     def _build_detector(self, arguments: DetectorArguments) -> FailureDetector:
         return arguments.build(FailureDetector)
--- a/flintridge/lab/partial/virtual_process.py
+++ b/flintridge/lab/partial/virtual_process.py
@@ -1,4 +1,4 @@
-"""A process in virtual time: its failure detector, its clock and what it has sent."""
+"""A process in virtual time: its failure detector, its clock and counts of the bytes that it has sent."""
 
 from dataclasses import dataclass, field
 from typing import Generic, TypeVar
@@ -14,18 +14,18 @@
     """One incarnation of a node.
 
     Attributes:
-        name: The node.
-        detector: Its failure detector.
-        clock_offset: What its clock showed at its start, in ms.
-        clock_rate: How much its clock advances in a millisecond.
-        started_at: When it started, in ms of virtual time.
-        is_alive: Whether it was neither killed nor left.
-        is_paused: Whether it stands still, as after SIGSTOP.
-        receive_queue: The datagrams that arrived while it was paused, as a socket holds them.
+        name: The name of the node.
+        detector: The failure detector of the process.
+        clock_offset: The time by the process's clock at its start, in ms.
+        clock_rate: How far the process's clock advances in a millisecond of virtual time, in ms.
+        started_at: The time of its start, in ms of virtual time.
+        is_alive: Whether the process has neither been killed nor left.
+        is_paused: Whether the process is paused, as after SIGSTOP.
+        receive_queue: Datagrams that arrived during a pause; stands for the receive buffer of a socket.
         datagram_bytes: Bytes of datagrams sent, by second of virtual time.
         transfer_bytes: Bytes of table transfers sent, by second of virtual time.
-        transfer_budget: Bounds the bytes of table transfers.
-        transfers_served: How many table transfers it is serving.
+        transfer_budget: Bounds the byte rate of table transfers.
+        transfers_served: The number of table transfers that the process is serving now.
     """
 
     name: str
@@ -43,9 +43,9 @@
 
     @property
     def is_running(self) -> bool:
-        """Whether it is alive and not paused."""
+        """Whether the process is alive and not paused."""
         return self.is_alive and not self.is_paused
 
     def clock(self, now: float) -> float:
-        """Return what its clock shows at `now`, in ms."""
+        """Return the time by the process's clock at `now` of virtual time, both in ms."""
         return self.clock_offset + (now - self.started_at) * self.clock_rate
--- a/tests/lab/partial/test_admin_records.py
+++ b/tests/lab/partial/test_admin_records.py
@@ -1,4 +1,4 @@
-"""Records of what admin APIs report."""
+"""Conversion of admin API responses to records."""
 
 from support.lease_reports import lease_report
 
--- a/tests/lab/partial/test_allocation_oracle.py
+++ b/tests/lab/partial/test_allocation_oracle.py
@@ -1,4 +1,4 @@
-"""Fractions allocated by one who sees all demand."""
+"""The allocation oracle: fractions of limits in proportion to the demand at all nodes."""
 
 from collections import Counter
 
@@ -79,7 +79,7 @@
 @pytest.mark.parametrize(
     "mode", [AllocationMode(tenants=True), AllocationMode(floors=True), AllocationMode(True, True)]
 )
-def test_oracle_notifies_each_node_of_its_fractions_by_mode_and_of_even_ones_of_the_rest(mode):
+def test_oracle_notifies_each_node_of_fractions_by_demand_for_selected_limits_and_even_ones_otherwise(mode):
     log = RecordLog()
     clock = ManualClock()
     typed: RunClock = clock
@@ -91,13 +91,13 @@
     for at_ms in range(8):
         log.add(request_sent(at_ms, "n0", "a"))
         log.add(request_sent(at_ms, "n1", "b"))
-    log.add(request_sent(9.0, "n2", "a", attempt_number=1))  # a retry is no new demand
+    log.add(request_sent(9.0, "n2", "a", attempt_number=1))  # a retry does not count as demand
     clock.advance_to(1000.0)
     first = nodes[0].events[-1]
     assert first.tenants == ({0: 4.0, 1: 0.0} if mode.tenants else {})
     assert first.concurrency_floors == (2.0 if mode.floors else 1.0)
     assert nodes[2].events[-1].concurrency_floors == (0.0 if mode.floors else 1.0)
-    clock.advance_to(3500.0)  # no request of late
+    clock.advance_to(3500.0)  # all requests are older than the demand window
     assert nodes[0].events[-1].concurrency_floors == 1.0
     assert len(nodes[0].events) == 3
 
--- a/tests/lab/partial/test_lease_rules.py
+++ b/tests/lab/partial/test_lease_rules.py
@@ -1,4 +1,4 @@
-"""The rules on leased limits: what all nodes may use together, and what reaches the servers."""
+"""The judge's rules on leased limits: the sum that all nodes may use, and the requests at the servers."""
 
 import itertools
 
@@ -31,7 +31,7 @@
 
 
 def request(at_ms, node="n0", tenant="a", is_admitted=True):
-    """The records of a request that reaches a server, or is rejected."""
+    """Return the records of a request that is admitted and reaches a server, or is rejected."""
     request_id = f"{tenant}{node}{at_ms}"
     records = [
         RequestSent(
@@ -88,18 +88,18 @@
     other = [
         lease_report(500.0, "n0", 4.0, "floors"),
         lease_report(1000.0, "n0", 4.0),
-    ]  # another limit, another instant
+    ]  # of another limit, and of another time
     assert violations([*starts(), *valid, *other], scenario_with_quota())[0]["budget_sum"] == 0
     over = [*valid, lease_report(500.0, "n3", 0.01)]
     counts, texts = violations([*starts(), *over], scenario_with_quota())
     assert counts["budget_sum"] == 1
     assert texts == ["5 processes may use 4.010 parts of quota a; there are 4"]
-    # Admin APIs that are requested one after another may show a lease at both ends.
+    # Admin APIs are requested one after another, so both grantor and lessee may report a lease's amount.
     assert violations([*starts(), *over], scenario_with_quota(), "loopback")[0]["budget_sum"] == 0
 
 
-# A quota of 20 admits 30 a second; 30 more and 8 for each of 4 processes at once, and 15.5 for each process
-# that first sees the tenant: 15.5 here, as only n0 does.
+# Requests that the rule allows beyond the rate of 30 a second for a quota of 20: 30, 8 for each of the 4
+# processes, and 15.5 for each process that first sees the tenant. Here that is one process, n0.
 BURST = 30 + 4 * 8 + 15
 
 
@@ -113,7 +113,7 @@
     assert counts["quota_sum"] == over
     assert len(texts) == over
     assert all(f"{count} requests of a asked within {seconds:g} s" in text for text in texts)
-    # The same of a tenant without a quota, what reached no server, and where quotas are not strict.
+    # No violation by a tenant without a quota, by requests that reach no server, or if quotas are not strict.
     free = [record for i in range(count) for record in request(1000.0 + i, tenant="free")]
     rejected = [record for i in range(count) for record in request(1000.0 + i, is_admitted=False)]
     assert violations([*starts(), *free, *rejected], scenario_with_quota())[0]["quota_sum"] == 0
@@ -121,7 +121,7 @@
 
 
 def test_each_process_that_starts_has_a_token_bucket_of_its_own():
-    first = [*request(500.0), *request(501.0, "n1")]  # the window below holds neither first request
+    first = [*request(500.0), *request(501.0, "n1")]  # both are sent before the window of the requests below
     many = [record for i in range(30 + BURST - 15) for record in request(3000.0 + i * 10)]
     assert violations([*starts(), *first, *many], scenario_with_quota())[0]["quota_sum"] == 0
     more = [record for i in range(30) for record in request(3000.0 + i * 10, "n1")]
--- a/tests/lab/partial/test_lease_scenarios.py
+++ b/tests/lab/partial/test_lease_scenarios.py
@@ -1,4 +1,4 @@
-"""Leases of limits in scenarios: what a scenario may say of them, and what comes of it in a run."""
+"""Leases of limits in scenarios: validation of the tables, and the leases in a run."""
 
 import pytest
 
@@ -15,7 +15,7 @@
 NODES = ("n0", "n1", "n2", "n3")
 
 
-def test_requests_of_a_tenant_in_a_zone_reach_the_nodes_of_that_zone_alone(tmp_path):
+def test_requests_of_a_tenant_with_a_zone_reach_only_nodes_of_that_zone(tmp_path):
     small = ["length_s=2", "warmup_s=1", "load.rate_per_s=100", "nodes.count=4"]
     scenario = load("uneven", [*small, "tenants[1].zone='west'"])
     events = tmp_path / "events.jsonl"
@@ -45,7 +45,7 @@
         ("floor=0", "budgets.floor: 0: must be"),
     ],
 )
-def test_budgets_that_no_node_could_share_are_rejected_in_a_scenario(table, message):
+def test_scenario_with_budgets_that_nodes_cannot_lease_is_rejected(table, message):
     changes = ["peers={}", f"budgets={{{table}}}"]
     if message is None:
         assert load("uneven", changes).budgets == Budgets(tenants=True)
@@ -58,7 +58,7 @@
         load("uneven", ["peers={}", "budgets={tenants=true}", "tenants=[]"])
 
 
-def test_budgets_of_a_scenario_are_the_nodes_with_the_same_defaults():
+def test_nodes_are_configured_with_the_budgets_of_the_scenario_and_the_same_defaults():
     budgets = Budgets(tenants=True, strict=True, lease_ms=2000.0)
     peers = VirtualPeers(Peers(), NODES, bytes, budgets)
     assert peers.shared() == BudgetsConfig(tenants=True, strict=True, lease_ms=2000.0)
@@ -66,7 +66,7 @@
     assert Rig(2, budgets=budgets).scenario.budgets == budgets
 
 
-def test_nodes_of_a_run_lease_one_another_the_limits_of_the_scenario(tmp_path):
+def test_nodes_in_a_run_lease_one_another_the_limits_of_the_scenario(tmp_path):
     small = ["length_s=3", "warmup_s=5", "load.rate_per_s=120", "nodes.count=4", "servers[0].count=1"]
     scenario = load("uneven", [*small, "peers={}", "budgets={tenants=true, floors=true}"])
     result = play(scenario, 1, events=tmp_path / "events.jsonl")
