--- a/flintridge/lab/defects/__init__.py
+++ b/flintridge/lab/defects/__init__.py
@@ -1,6 +1,6 @@
-"""Planted defects: mistakes that a node could have, each with the rules of the judge that must report it.
+"""Planted defects: errors that a node's code could have, each with the judge's rules that must report it.
 
-They prove that the judge detects such mistakes. The node's own code knows nothing of them.
+They test that the judge detects such errors. The node's own code does not refer to them.
 """
 
 from flintridge.lab.defects.catalog import DEFECTS, Defect
--- a/flintridge/lab/defects/attempts.py
+++ b/flintridge/lab/defects/attempts.py
@@ -1,4 +1,4 @@
-"""Planted defects in the attempts that a node makes at a request."""
+"""Planted defects in the attempts that a node makes for a request."""
 
 import math
 from collections.abc import Callable
@@ -20,16 +20,17 @@
 from flintridge.policy.open_request import OpenRequest
 from flintridge.runtime.clock import to_ns
 
-RETRY_TIMEOUT_MS = 100.0  # until an attempt is repeated, or beyond the deduplication window
-RETRY_AFTER_MS = 50.0  # what `refuses_what_may_have_run` tells the client
+# The attempt timeout of unsafe requests; for keyed requests it is added to the deduplication window.
+RETRY_TIMEOUT_MS = 100.0
+RETRY_AFTER_MS = 50.0  # in the rejections that `refuses_what_may_have_run` sends
 UNLIMITED_ATTEMPTS = 1000
-EXTRA_ATTEMPT_NUMBER = 1000  # beyond any that the node gives
+EXTRA_ATTEMPT_NUMBER = 1000  # higher than any attempt number that the node assigns
 EXTRA_ATTEMPT_DELAY_MS = 400.0
 EXTRA_ATTEMPT_TIMEOUT_MS = 500.0
 
 
 def keyed_write_twice_past_window(node: Node) -> None:
-    """A keyed write without a response is retried, but only after its deduplication window."""
+    """A keyed write that gets no response is retried after its deduplication window has ended."""
     _retry_regardless_of_effect(
         node,
         api.Effect.KEYED,
@@ -38,19 +39,19 @@
 
 
 def retry_of_what_may_have_run(node: Node) -> None:
-    """A request of an unsafe class that has no response after 100 ms is retried."""
+    """A request of an unsafe class is retried if it has no response after 100 ms."""
     _retry_regardless_of_effect(node, api.Effect.UNSAFE, lambda _: to_ns(RETRY_TIMEOUT_MS))
 
 
 def _retry_regardless_of_effect(
     node: Node, effect: api.Effect, first_timeout_ns: Callable[[OpenRequest], int]
 ) -> None:
-    """Retry requests of an effect that forbids it; deadline and attempt limit still hold.
+    """Retry requests whose effect forbids a retry, within their deadline and the limit of attempts.
 
     Args:
-        node: Where to plant it.
-        effect: The effect whose rule is ignored.
-        first_timeout_ns: How long the first attempt at such a request is awaited, in ns.
+        node: The node to plant the defect in.
+        effect: The effect whose retry rule is ignored.
+        first_timeout_ns: Returns the timeout of the first attempt for such a request, in ns.
     """
     balancer = balancer_of(node)
     retries = balancer.retries
@@ -71,13 +72,13 @@
     def repeat_at_any_time(request: OpenRequest) -> float:
         return math.inf if request.request_class.effect is effect else repeat_by(request)
 
-    replace_attribute(retries, "repeat_by", repeat_at_any_time)  # or the dispatcher would not send it
+    replace_attribute(retries, "repeat_by", repeat_at_any_time)  # otherwise the dispatcher would not send it
     replace_attribute(balancer.attempt_timeout, "timeout_ns", shortened_timeout_ns)
     replace_attribute(retries, "may_send", may_send_regardless)
 
 
 def refuses_what_may_have_run(node: Node) -> None:
-    """Where a request has to fail, as a retry may do harm, the client is told to retry."""
+    """A request that must fail, because a retry could do harm, is rejected, so that the client retries it."""
     driver = node.core.policy_driver
     carry_out = driver.carry_out
 
@@ -91,7 +92,7 @@
 
 
 def attempts_without_cap(node: Node) -> None:
-    """The limit of attempts is taken for a much larger one."""
+    """The node makes up to 1000 attempts for a request, whatever the configured limit is."""
     balancer = balancer_of(node)
     settings = balancer.settings
     limits = replace(settings.limits, max_attempts=UNLIMITED_ATTEMPTS)
@@ -100,7 +101,7 @@
 
 
 def asks_after_the_answer(node: Node) -> None:
-    """Each tenth read is sent to its server once more, 400 ms after its client has the response."""
+    """Every tenth read is sent to its server again 400 ms after the response to its client."""
     is_selected = every_multiple_of(SAMPLE_INTERVAL)
     start = node.dispatcher.start
     last_attempts: dict[str, UpstreamAttempt] = {}
@@ -119,12 +120,12 @@
             )
         )
 
-    def start_noted(attempt: UpstreamAttempt) -> None:
+    def start_recorded(attempt: UpstreamAttempt) -> None:
         last_attempts[attempt.id] = attempt
         start(attempt)
 
     class ExtraAttemptAfterResponse(ForwardingResponder):
-        """Sends a request once more after its response."""
+        """Sends a request to its server again after the response to its client."""
 
         def __init__(self, responder: Responder, request_id: str) -> None:
             super().__init__(responder)
@@ -142,35 +143,35 @@
             return responder
         return ExtraAttemptAfterResponse(responder, request.id.decode("ascii"))
 
-    replace_attribute(node.dispatcher, "start", start_noted)
+    replace_attribute(node.dispatcher, "start", start_recorded)
     intercept_responders(node, intercept)
 
 
 def key_altered(node: Node) -> None:
-    """Each tenth attempt requests another key than the client did."""
+    """Every tenth attempt requests a different key than the client did."""
     _alter_requests(node, lambda request: replace(request, key=request.key + b"x"), interval=SAMPLE_INTERVAL)
 
 
 def time_left_not_told(node: Node) -> None:
-    """Servers are told the client's initial timeout, however much of it has elapsed."""
+    """Attempts carry the client's initial timeout to the servers instead of the time that is left."""
     _alter_requests(node, lambda request: replace(request, timeout_span=None))
 
 
 def retries_told_whole_time(node: Node) -> None:
-    """Retries, at caches and at the origin, tell the client's initial timeout."""
+    """Retries, to cache servers and to the origin, carry the client's initial timeout, not the time left."""
     _alter_requests(node, lambda request: replace(request, timeout_span=None), first_number=1)
 
 
 def _alter_requests(
     node: Node, alter: Callable[[Request], Request], interval: int = 1, first_number: int = 0
 ) -> None:
-    """Alter what attempts request.
+    """Alter the requests that attempts send.
 
     Args:
-        node: Where to plant it.
-        alter: What becomes of the request.
-        interval: Each so many-th of these attempts is altered.
-        first_number: Attempts of lower numbers are not.
+        node: The node to plant the defect in.
+        alter: Returns the altered request.
+        interval: One of every `interval` attempts is altered.
+        first_number: Attempts with a lower number are neither altered nor counted.
     """
     is_selected = every_multiple_of(interval)
     start = node.dispatcher.start
--- a/flintridge/lab/defects/catalog.py
+++ b/flintridge/lab/defects/catalog.py
@@ -1,4 +1,4 @@
-"""The planted defects by name: what plants each, which rules must report it, and a scenario for it."""
+"""The planted defects by name, each with the function that plants it, its rules and its scenario."""
 
 from collections.abc import Callable, Mapping
 from dataclasses import dataclass, field
@@ -23,13 +23,13 @@
 
 @dataclass(frozen=True)
 class Defect:
-    """A mistake to plant in a node, and what must come of it.
+    """A defect to plant in a node, and the rules that must report it.
 
     Attributes:
-        apply: Plants it in a node that was just put together.
-        detecting_rules: At least one of these must be violated in the defect's scenario, and none in the same
-            scenario by a sound node.
-        hints: The tables of that scenario, laid over `scenarios.BASE` table by table.
+        apply: Plants the defect in a node that was just built.
+        detecting_rules: The names of rules. A node with the defect must violate at least one of them in the
+            defect's scenario. A node without a defect must violate none there.
+        hints: The tables of the scenario that differ from `scenarios.BASE`; merged with it table by table.
     """
 
     apply: Callable[[Node], None]
@@ -38,14 +38,17 @@
 
     @property
     def description(self) -> str:
-        """What the node does wrong."""
+        """What a node with the defect does wrong."""
         return (self.apply.__doc__ or "").strip()
 
     def scenario(self, name: str) -> Scenario:
-        """Build the scenario on which it shows.
+        """Build the scenario in which the judge must report the defect.
+
+        Args:
+            name: The name of the scenario.
 
         Raises:
-            msgspec.ValidationError: The hints are no valid scenario.
+            msgspec.ValidationError: `BASE` with the hints is not a valid scenario.
         """
         tables: dict[str, Any] = {"name": name}
         for overlay in (scenarios.BASE, self.hints):
@@ -62,7 +65,7 @@
     return Defect(apply, frozenset(rules), hints or {})
 
 
-# By the names that `lab run --defect` takes; each is the name of the function that plants it.
+# The keys are the values of `lab run --defect`; each is also the name of the function that plants the defect.
 DEFECTS: dict[str, Defect] = {
     "answer_after_deadline": _defect(responses.answer_after_deadline, "late", "lost"),
     "keyed_write_twice_past_window": _defect(
--- a/flintridge/lab/defects/connections.py
+++ b/flintridge/lab/defects/connections.py
@@ -1,4 +1,4 @@
-"""Planted defects in how client connections end."""
+"""Planted defects in how a node handles the end of client connections."""
 
 from collections.abc import Callable
 
@@ -14,16 +14,16 @@
 )
 from flintridge.node import Node
 
-ABORT_DELAY_MS = 100.0  # from the reading of a request to the close of its connection
+ABORT_DELAY_MS = 100.0  # between reading a request and closing its connection
 
 
 def client_gone_ignored(node: Node) -> None:
-    """The node ignores that clients disconnect: their open requests are tried on."""
+    """The node ignores that clients disconnect, and keeps sending attempts for their open requests."""
     replace_attribute(node.core, "client_disconnected", lambda request_id: None)
 
 
 def closes_first_requests(node: Node) -> None:
-    """Each tenth connection is closed at its first request, with no response."""
+    """Every tenth connection is closed at its first request, without a response."""
     is_selected = every_multiple_of(SAMPLE_INTERVAL)
 
     def intercept(_: Request, responder: Responder) -> Responder:
@@ -36,13 +36,13 @@
 
 
 def closes_what_it_read(node: Node) -> None:
-    """Each tenth later request on a connection is not processed, and 100 ms later the connection closed."""
+    """Every tenth request after a connection's first is ignored, and the connection closed after 100 ms."""
     is_selected = every_multiple_of(SAMPLE_INTERVAL)
     abort_unprocessed(node, lambda connection: connection.has_requested and is_selected())
 
 
 def abort_unprocessed(node: Node, applies_to: Callable[[ClientConnection], bool]) -> None:
-    """Process no request on the connections that `applies_to` selects, and close these after a delay."""
+    """Ignore the requests that `applies_to` selects by connection, and close the connection after a delay."""
     submit = node.core.submit
 
     def submit_or_abort(
--- a/flintridge/lab/defects/endpoints.py
+++ b/flintridge/lab/defects/endpoints.py
@@ -17,7 +17,7 @@
 
 
 def fresh_work_3s_after_drain(node: Node) -> None:
-    """Endpoint updates with servers that drain are taken in 4 s late."""
+    """Endpoint updates in which a server is not ready, as during a drain, are applied 4 s late."""
     notify = node.discovery_watcher._notify
 
     def notify_late(update: api.EndpointUpdate) -> None:
@@ -30,7 +30,7 @@
 
 
 def cold_budget_ignored(node: Node) -> None:
-    """A server that has just started is taken for a warm one, and preferred to all others."""
+    """A server in slow start is treated as warm, and preferred to all other servers."""
     balancer = balancer_of(node)
 
     def is_within_budget(endpoint: api.Endpoint, use: WarmUpUse, work: float, now: int) -> bool:
@@ -50,7 +50,7 @@
 
 
 def cold_budget_not_divided(node: Node) -> None:
-    """Each node sends a warming server all that the whole fleet may send it."""
+    """Each node sends a server in slow start as much work as the whole fleet may send it."""
     balancer = balancer_of(node)
     node_work = balancer.slow_start.node_work
     replace_attribute(balancer.slow_start, "node_work", lambda: balancer.settings.fleet_size * node_work())
@@ -58,7 +58,7 @@
 
 
 def _prefer_warming_servers(balancer: Balancer, is_within_budget: WarmUpBudgetCheck) -> None:
-    """Pick a server in slow start before all others, as long as its budget lasts."""
+    """Pick a server in slow start before all others while its warm-up budget is not used up."""
     pick = balancer.selection.pick
 
     def pick_warming(request: OpenRequest, now: int) -> str | None:
@@ -77,7 +77,7 @@
 
 
 def connection_leak(node: Node) -> None:
-    """Connections to servers are neither used again nor closed, and no longer counted."""
+    """Connections to servers are neither reused nor closed after a request, and no longer counted as open."""
     leaked: list[UpstreamConnection] = []
 
     def leak(server: str, connection: UpstreamConnection, names_request: bool = True) -> None:
--- a/flintridge/lab/defects/interception.py
+++ b/flintridge/lab/defects/interception.py
@@ -1,4 +1,4 @@
-"""Tools for planting: replacing what an object does, and standing between the core and its responders."""
+"""Tools for planting defects: replace an object's attributes and intercept the core's calls to responders."""
 
 from collections.abc import Callable
 
@@ -9,14 +9,14 @@
 from flintridge.node import Node
 from flintridge.policy.balancer import Balancer
 
-SAMPLE_INTERVAL = 10  # a defect that affects only some requests affects each tenth
+SAMPLE_INTERVAL = 10  # a defect that affects only some requests affects every tenth one
 
 
 def replace_attribute(owner: object, name: str, value: object) -> None:
     """Replace an attribute of one object.
 
     Raises:
-        AttributeError: it has none of this name, as after a renaming in the node.
+        AttributeError: The object has no attribute of this name, as after a renaming in the node's code.
     """
     getattr(owner, name)
     setattr(owner, name, value)
@@ -35,7 +35,7 @@
 
 
 class ForwardingResponder:
-    """A Responder that forwards every call to another one; subclasses change some of them."""
+    """A Responder that forwards every call to another one; subclasses override some of the calls."""
 
     def __init__(self, responder: Responder) -> None:
         self.responder = responder
@@ -62,7 +62,7 @@
 
 
 class RejectionsDropped(ForwardingResponder):
-    """Forwards what a server answered; rejections and failures are dropped."""
+    """Forwards served responses, and drops rejections and failures."""
 
     def reject(self, retry_after_ms: float) -> None:
         """Drop the rejection."""
@@ -72,7 +72,7 @@
 
 
 def intercept_responders(node: Node, intercept: Callable[[Request, Responder], Responder]) -> None:
-    """Replace each request's responder by what `intercept` returns for it."""
+    """Replace each request's responder by the one that `intercept` returns."""
     submit = node.core.submit
 
     def submit_intercepted(
@@ -84,7 +84,7 @@
 
 
 def connection_of(responder: Responder) -> ClientConnection | None:
-    """Return the client's connection; None where the responder is no client's."""
+    """Return the client connection of a responder; None if the responder belongs to no client connection."""
     if not isinstance(responder, PendingResponse):
         return None
     connection = responder.connection
@@ -92,12 +92,14 @@
 
 
 def balancer_of(node: Node) -> Balancer:
-    """Return the node's decision module.
+    """Return the node's balancer.
 
     Raises:
-        TypeError: another module was put in, for which these defects are not made.
+        TypeError: The node uses another policy, for which these defects are not made.
     """
-    module = node.core.policy_driver.policy
-    if not isinstance(module, Balancer):
-        raise TypeError(f"{type(module).__name__} is not the module that these defects are made for")
-    return module
+    policy = node.core.policy_driver.policy
+    if not isinstance(policy, Balancer):
+        raise TypeError(
+            f"the policy is {type(policy).__name__}; these defects can only be planted in a Balancer"
+        )
+    return policy
--- a/flintridge/lab/defects/leases.py
+++ b/flintridge/lab/defects/leases.py
@@ -1,4 +1,7 @@
-"""Defects that an allocation could have, one for each clause of its rule; the exploration must find each."""
+"""Defects that an `Allocation` could have, one for each clause of its rule.
+
+The exhaustive exploration in `flintridge.lab.explore.leases` must find each of them.
+"""
 
 from dataclasses import dataclass, replace
 
@@ -8,7 +11,7 @@
 
 @dataclass(slots=True)
 class CreditBeforeDebit(Allocation):
-    """It grants a lease without debiting it."""
+    """The grantor grants a lease without debiting its own allocation."""
 
     def _grant(self, now: float, lessee: ProcessId, request: LeaseRequest, demand: int) -> LeaseGrant | None:
         amount = min(request.amount, self.grantable(now, demand))
@@ -17,7 +20,7 @@
 
 @dataclass(slots=True)
 class LeaseFromArrival(Allocation):
-    """The lessee counts its lease from the arrival of the grant."""
+    """The lessee's lease begins at the arrival of the grant instead of at the request."""
 
     def _accept_grant(self, now: float, grantor: str, grant: LeaseGrant) -> None:
         Allocation._accept_grant(self, now, grantor, replace(grant, requested_at=now))
@@ -25,7 +28,7 @@
 
 @dataclass(slots=True)
 class NoMarginForDrift(Allocation):
-    """The grantor counts a lease as expired after `lease_ms`, with no margin for the lessee's clock."""
+    """The grantor's lease expires after `lease_ms`, without a margin for the drift of the lessee's clock."""
 
     def _grant(self, now: float, lessee: ProcessId, request: LeaseRequest, demand: int) -> LeaseGrant | None:
         grant = Allocation._grant(self, now, lessee, request, demand)
@@ -38,7 +41,7 @@
 
 @dataclass(slots=True)
 class LeasesForgotten(Allocation):
-    """A restarted process has its whole entitlement at once, whatever its previous incarnation granted."""
+    """A restarted process has its full entitlement immediately, whatever its previous incarnation granted."""
 
     def entitlement(self, now: float) -> int:
         """See `Allocation.entitlement`."""
@@ -47,7 +50,7 @@
 
 @dataclass(slots=True)
 class NoFloor(Allocation):
-    """It grants all that it has, and keeps no floor."""
+    """The grantor grants all that it has, without keeping its floor."""
 
     def grantable(self, now: float, demand: int = 0) -> int:
         """See `Allocation.grantable`."""
@@ -56,7 +59,7 @@
 
 @dataclass(slots=True)
 class UsedAfterRelease(Allocation):
-    """It goes on using what it released."""
+    """The lessee keeps using a lease that it has released."""
 
     def release(self, grantor: str, lease_id: int) -> LeaseRelease | None:
         """See `Allocation.release`."""
@@ -65,7 +68,7 @@
 
 @dataclass(slots=True)
 class DuplicateGrantCountsTwice(Allocation):
-    """A duplicate of a grant is added to the lease."""
+    """The amount of a duplicate grant is added to that of the lease."""
 
     def _accept_grant(self, now: float, grantor: str, grant: LeaseGrant) -> None:
         key = AcquiredLeaseKey(grantor, grant.lease_id)
@@ -77,7 +80,7 @@
 
 @dataclass(slots=True)
 class LateGrantAfterRelease(Allocation):
-    """A grant is accepted after its request was canceled or its lease released."""
+    """The lessee accepts a grant after it has canceled the request or released the lease."""
 
     def _accept_grant(self, now: float, grantor: str, grant: LeaseGrant) -> None:
         self.requested.setdefault(AcquiredLeaseKey(grantor, grant.lease_id), grant.amount)
@@ -86,7 +89,7 @@
 
 @dataclass(slots=True)
 class RenewedByRequest(Allocation):
-    """A lease is extended as soon as its renewal was requested."""
+    """The lessee extends its lease when it requests a renewal, without waiting for the grant."""
 
     def renewal(self, now: float, grantor: str, lease_id: int) -> LeaseRequest | None:
         """See `Allocation.renewal`."""
@@ -99,7 +102,7 @@
 
 @dataclass(slots=True)
 class RenewalNotCounted(Allocation):
-    """The grantor grants a renewal and keeps the old expiry."""
+    """The grantor grants a renewal, but keeps the expiry from before the renewal."""
 
     def _grant(self, now: float, lessee: ProcessId, request: LeaseRequest, demand: int) -> LeaseGrant | None:
         before = self.granted.get(GrantedLeaseKey(lessee, request.lease_id))
@@ -111,7 +114,7 @@
 
 @dataclass(slots=True)
 class ExpiryNotChecked(Allocation):
-    """Expired leases count until they are removed, also after a pause."""
+    """The lessee uses expired leases until they are removed, also after a pause."""
 
     def usable(self, now: float) -> int:
         """See `Allocation.usable`."""
@@ -121,7 +124,7 @@
 
 @dataclass(slots=True)
 class AnotherIncarnationsLeaseEnds(Allocation):
-    """A release ends the leases of that number of all lessees."""
+    """A release ends the leases with its lease ID of all lessees and incarnations, not only the sender's."""
 
     def receive(
         self, now: float, sender: ProcessId, message: LeaseMessage, demand: int = 0
--- a/flintridge/lab/defects/membership.py
+++ b/flintridge/lab/defects/membership.py
@@ -1,4 +1,4 @@
-"""Planted defects in what a node concludes from its peers' messages."""
+"""Planted defects in how a node derives the state of its peers from their messages."""
 
 import itertools
 
@@ -10,8 +10,8 @@
 from flintridge.membership.probe_rotation import TargetGroup
 from flintridge.node import Node
 
-UNREACHABLE_PROBED_MS = 5_000  # after which `silent_never_probed` ends it
-EXTRA_DATAGRAMS_PER_TICK = 10  # that `bound_of_bytes_ignored` sends beyond its own
+UNREACHABLE_PROBED_MS = 5_000  # time after which `silent_never_probed` stops probing unreachable processes
+EXTRA_DATAGRAMS_PER_TICK = 10  # sent by `bound_of_bytes_ignored` in addition to the regular ones
 EVIDENCE_MAX_AGE_MS = 3_600_000.0
 
 
@@ -21,17 +21,17 @@
 
 
 def gap_ignored(node: Node) -> None:
-    """After a pause of its own the node trusts what it knew before."""
+    """After its own process was paused, the node still trusts the evidence from before the pause."""
     replace_attribute(_failure_detector(node), "_check_clock_gap", lambda now: None)
 
 
 def receipt_taken_for_proof(node: Node) -> None:
-    """Whatever is received is taken to have been sent just now."""
+    """The node takes each message to have been sent at the time of its receipt."""
     replace_attribute(_failure_detector(node), "_proven_sent_at", lambda message, now: now)
 
 
 def hearsay_made_young(node: Node) -> None:
-    """The age of gossip entries is left out, so that nodes gossip of dead processes for ever."""
+    """The node ignores the age of gossip entries, so that dead processes are gossiped about forever."""
     table = _failure_detector(node).table
     merge_entry = table.merge_entry
 
@@ -45,7 +45,7 @@
 
 
 def lives_mixed_up(node: Node) -> None:
-    """A restarted process is taken for its previous incarnation."""
+    """The node takes a restarted process for its previous incarnation."""
     table = _failure_detector(node).table
     find_or_add = MemberTable.find_or_add
 
@@ -57,7 +57,7 @@
 
 
 def silent_never_probed(node: Node) -> None:
-    """Processes that became unreachable are not probed any more."""
+    """From 5 s after its start, the node no longer probes unreachable processes."""
     detector = _failure_detector(node)
     rotation = detector.rotation
     refill = rotation.refill
@@ -72,7 +72,7 @@
 
 
 def bound_of_bytes_ignored(node: Node) -> None:
-    """The node sends ten gossip datagrams a tick beyond its byte budget."""
+    """The node sends ten more gossip datagrams per tick and ignores its byte budget."""
     detector = _failure_detector(node)
     replace_attribute(detector.sender.budget, "try_spend", lambda now, amount: True)
     replace_attribute(detector.sender.budget, "available", lambda now: 1e9)
@@ -89,7 +89,7 @@
 
 
 def cut_is_not_felt(node: Node) -> None:
-    """Evidence of liveness counts for an hour, so that a partitioned node takes the fleet for reachable."""
+    """Evidence of liveness is valid for an hour, so a partitioned node reports the fleet as reachable."""
     detector = _failure_detector(node)
     replace_attribute(detector, "max_age_ms", EVIDENCE_MAX_AGE_MS)
     replace_attribute(detector, "_proven_sent_at", lambda message, now: now)
--- a/flintridge/lab/defects/replicas.py
+++ b/flintridge/lab/defects/replicas.py
@@ -1,21 +1,24 @@
-"""Defects that a replica could have; the exploration of all interleavings must find each."""
+"""Defects that a `Replica` could have.
+
+The exhaustive exploration in `flintridge.lab.explore.replicas` must find each of them.
+"""
 
 from flintridge.replication.comparison import SnapshotChunk
 from flintridge.replication.entry import Entry, Key, Writer, merge
 from flintridge.replication.replica import Replica
 
-ANY_WRITE = 1 << 62  # beyond the number of any write
+ANY_WRITE = 1 << 62  # greater than the number of any write
 
 
-class ArrivalDecides(Replica):
-    """The entry that arrives last wins, without a merge."""
+class LastArrivalWins(Replica):
+    """The entry that arrives last replaces the local one instead of being merged with it."""
 
     def _merged(self, local: Entry, remote: Entry) -> Entry:
         return remote
 
 
-class NewestStampDecides(Replica):
-    """Of two concurrent writes the one with the older stamp is dropped."""
+class LastWriteWins(Replica):
+    """Of two concurrent writes, the one with the older timestamp is dropped."""
 
     def _merged(self, local: Entry, remote: Entry) -> Entry:
         merged = merge(local, remote)
@@ -24,7 +27,7 @@
 
 
 class TombstoneEndsUnseenVersions(Replica):
-    """A tombstone deletes versions that its writer had not seen."""
+    """A tombstone also deletes concurrent versions that its writer had not seen."""
 
     def _merged(self, local: Entry, remote: Entry) -> Entry:
         merged = merge(local, remote)
@@ -33,7 +36,7 @@
 
 
 class ReplacedVersionsRetained(Replica):
-    """Versions that were replaced are kept."""
+    """A merge keeps versions that have been replaced."""
 
     def _merged(self, local: Entry, remote: Entry) -> Entry:
         versions = {version.dot: version for version in (*local.versions, *remote.versions)}
@@ -41,14 +44,14 @@
 
 
 class VersionVectorNotMerged(Replica):
-    """Version vectors are not merged."""
+    """A merge does not merge the version vectors, but keeps the local one."""
 
     def _merged(self, local: Entry, remote: Entry) -> Entry:
         return Entry(merge(local, remote).versions, local.version_vector)
 
 
 class EmptyReplicaWins(Replica):
-    """What a source lacks is dropped, even when that source is empty."""
+    """Entries that a source lacks are dropped, even if the source is an empty replica."""
 
     def _writers(self) -> set[Writer]:
         return {version.dot[0] for entry in self.entries.values() for version in entry.versions}
@@ -62,7 +65,7 @@
 
 
 class TombstoneExpiredEarly(Replica):
-    """Tombstones expire by time alone, whether or not all earlier writes were received."""
+    """Tombstones expire by time only, even if earlier writes have not been received yet."""
 
     def _unexpired(self, entry: Entry, until: float) -> Entry:
         is_inactive = all(version.inactive_since() < until for version in entry.versions)
@@ -73,7 +76,7 @@
 
 
 class DuplicateChunkMovesCursor(Replica):
-    """A duplicate chunk advances the cursor of the comparison."""
+    """A duplicate chunk advances the cursor of the comparison, so that buckets are skipped."""
 
     def apply_chunk(self, now: float, source: Writer, chunk: SnapshotChunk) -> bool:
         """See `Replica.apply_chunk`."""
@@ -85,7 +88,7 @@
 
 
 class DotReused(Replica):
-    """A new incarnation reuses the dots of the one before."""
+    """A new incarnation reuses the dots of the previous one."""
 
     def __init__(self, writer: Writer, *arguments: object, **options: object) -> None:
         node, _ = writer
@@ -93,7 +96,7 @@
 
 
 class DeletedVersionAccepted(Replica):
-    """A version that was deleted and forgotten is accepted again from a node that was partitioned."""
+    """A version whose tombstone has expired is accepted again from a node that was partitioned."""
 
     def receive(self, now: float, key: Key, entry: Entry) -> bool:
         """See `Replica.receive`."""
@@ -105,14 +108,14 @@
 
 
 class DeletedVersionsRetained(Replica):
-    """A node that was partitioned keeps what the others have deleted and forgotten."""
+    """After a partition, a node keeps versions that the others deleted and whose tombstones have expired."""
 
     def _drop_superseded(self, now: float, chunk: SnapshotChunk) -> None:
         pass
 
 
 class CompleteAfterFirstChunk(Replica):
-    """After the first chunk it counts as complete up to where its source is."""
+    """After the first chunk of a comparison, the replica takes itself to be as complete as its source."""
 
     def apply_chunk(self, now: float, source: Writer, chunk: SnapshotChunk) -> bool:
         """See `Replica.apply_chunk`."""
@@ -122,7 +125,7 @@
 
 
 class SynchronizedByAnySource(Replica):
-    """It counts as synchronized by a source that is not."""
+    """The replica becomes synchronized by a comparison with a source that is not synchronized."""
 
     def apply_chunk(self, now: float, source: Writer, chunk: SnapshotChunk) -> bool:
         """See `Replica.apply_chunk`."""
@@ -130,7 +133,7 @@
 
 
 class SynchronizedAfterFirstChunk(Replica):
-    """It counts as synchronized after one chunk."""
+    """The replica becomes synchronized after the first chunk of a comparison."""
 
     def apply_chunk(self, now: float, source: Writer, chunk: SnapshotChunk) -> bool:
         """See `Replica.apply_chunk`."""
@@ -141,8 +144,8 @@
 
 
 REPLICATION_DEFECTS = (
-    ArrivalDecides,
-    NewestStampDecides,
+    LastArrivalWins,
+    LastWriteWins,
     TombstoneEndsUnseenVersions,
     ReplacedVersionsRetained,
     VersionVectorNotMerged,
--- a/flintridge/lab/defects/responses.py
+++ b/flintridge/lab/defects/responses.py
@@ -1,4 +1,4 @@
-"""Planted defects in the responses that clients get."""
+"""Planted defects in the responses that a node sends to its clients."""
 
 from collections.abc import Callable
 from typing import Any
@@ -18,8 +18,8 @@
 )
 from flintridge.node import Node
 
-DEFAULT_TIMEOUT_MS = 1000.0  # of a client that names none
-LATE_BY_MS = 300.0
+DEFAULT_TIMEOUT_MS = 1000.0  # assumed for a request without a timeout
+LATE_BY_MS = 300.0  # after the client's timeout
 REJECTED_BEFORE_TIMEOUT_MS = 15.0
 
 
@@ -28,16 +28,16 @@
 
 
 class DelayedResponder(ForwardingResponder):
-    """Holds back rejections, failures and, if asked to, served responses until an instant."""
+    """Delays rejections, failures and optionally served responses until a given time."""
 
     def __init__(self, node: Node, responder: Responder, due_at: float, delays_served: bool) -> None:
         """Wrap `responder`.
 
         Args:
-            node: The node whose clock counts.
-            responder: What the responses are forwarded to.
-            due_at: The instant, in ms of that clock.
-            delays_served: Whether served responses are held back, too.
+            node: The node, whose clock is used.
+            responder: The responder that the responses are forwarded to.
+            due_at: The time until which responses are delayed, in ms of the node's clock.
+            delays_served: Whether served responses are delayed, too.
         """
         super().__init__(responder)
         self._node = node
@@ -51,7 +51,7 @@
             self._node.clock.call_at(self._due_at, call, *args)
 
     def respond(self, response: Response) -> None:
-        """Forward a served response, now or when it is due."""
+        """Forward a served response, immediately or when it is due."""
         if self._delays_served:
             self._call_when_due(self.responder.respond, response)
         else:
@@ -67,7 +67,7 @@
 
 
 def answer_after_deadline(node: Node) -> None:
-    """Each tenth final response is written 300 ms after the client's timeout."""
+    """Every tenth final response is sent 300 ms after the client's timeout."""
     is_selected = every_multiple_of(SAMPLE_INTERVAL)
 
     def intercept(request: Request, responder: Responder) -> Responder:
@@ -80,7 +80,7 @@
 
 
 def refusal_held_back(node: Node) -> None:
-    """Rejections and failures are held back until 15 ms before the client's timeout."""
+    """Rejections and failures are delayed until 15 ms before the client's timeout."""
 
     def intercept(request: Request, responder: Responder) -> Responder:
         due_at = node.clock.now() + _timeout_ms(request) - REJECTED_BEFORE_TIMEOUT_MS
@@ -90,14 +90,14 @@
 
 
 class ResponsesDropped(RejectionsDropped):
-    """Drops whatever the response is."""
+    """Drops served responses, rejections and failures."""
 
     def respond(self, response: Response) -> None:
         """Drop the served response."""
 
 
 def client_never_answered(node: Node) -> None:
-    """Each tenth request's final response is dropped."""
+    """The final response of every tenth request is dropped."""
     is_selected = every_multiple_of(SAMPLE_INTERVAL)
     intercept_responders(
         node, lambda _, responder: ResponsesDropped(responder) if is_selected() else responder
@@ -105,10 +105,10 @@
 
 
 class ResponsesRepeated(ForwardingResponder):
-    """Writes a served response to its client twice."""
+    """Sends a served response to its client twice."""
 
     def respond(self, response: Response) -> None:
-        """Forward the response, and write it once more."""
+        """Forward the response, and write it to the client's connection again."""
         self.responder.respond(response)
         pending = self.responder
         if not isinstance(pending, PendingResponse):
@@ -119,7 +119,7 @@
 
 
 def two_answers(node: Node) -> None:
-    """Each tenth served response is written twice."""
+    """Every tenth served response is sent twice."""
     is_selected = every_multiple_of(SAMPLE_INTERVAL)
     intercept_responders(
         node, lambda _, responder: ResponsesRepeated(responder) if is_selected() else responder
@@ -130,27 +130,27 @@
     """Changes the last byte of a served value."""
 
     def respond(self, response: Response) -> None:
-        """Forward the response with another last byte."""
+        """Forward the response with a different last byte."""
         last = b"%" if response.body.endswith(b"#") else b"#"
         self.responder.respond(Response(response.body[:-1] + last, response.receipt))
 
 
 def invented_value(node: Node) -> None:
-    """Each tenth value has its last byte changed."""
+    """The last byte of every tenth value is changed."""
     is_selected = every_multiple_of(SAMPLE_INTERVAL)
     intercept_responders(node, lambda _, responder: ValueAltered(responder) if is_selected() else responder)
 
 
 def value_mixed_up(node: Node) -> None:
-    """Each tenth read is given the value of the read that was served before it."""
+    """Every tenth read gets the value of the read that was served before it."""
     is_selected = every_multiple_of(SAMPLE_INTERVAL)
     previous: Response | None = None
 
     class PreviousValueServed(ForwardingResponder):
-        """Serves a read the previous value, at times."""
+        """Serves every tenth read the previously served value."""
 
         def respond(self, response: Response) -> None:
-            """Forward the response, or the one before it."""
+            """Forward the response or, for a selected read, the previous one."""
             nonlocal previous
             served = response
             if not response.receipt:
@@ -163,12 +163,12 @@
 
 
 def trouble_frees_requests(node: Node) -> None:
-    """A request that no server answers gets no rejection or failure from the node either."""
+    """A request that no server answers gets no response at all, as rejections and failures are dropped."""
     intercept_responders(node, lambda _, responder: RejectionsDropped(responder))
 
 
 def forgets_what_is_behind(node: Node) -> None:
-    """Requests read while another one is open on their connection get no rejection or failure."""
+    """Rejections and failures are dropped for requests read while another is open on their connection."""
 
     def intercept(_: Request, responder: Responder) -> Responder:
         connection = connection_of(responder)
--- a/flintridge/lab/defects/scenarios.py
+++ b/flintridge/lab/defects/scenarios.py
@@ -1,9 +1,9 @@
-"""The scenarios on which planted defects show, as tables of a scenario file that are laid over `BASE`."""
+"""The scenarios in which planted defects must be reported, as scenario tables that are merged with `BASE`."""
 
 from collections.abc import Mapping
 from typing import Any
 
-ScenarioTables = Mapping[str, Any]  # by the keys of a scenario file
+ScenarioTables = Mapping[str, Any]  # with the keys of a scenario file
 
 BASE: ScenarioTables = {
     "length_s": 12.0,
@@ -19,7 +19,7 @@
 
 
 READ_CLASS: ScenarioTables = _request_class("read")
-# Writes go to the origin, which takes longer for one than the shortened timeout of an attempt.
+# Writes go to the origin, where one takes longer than the shortened attempt timeout.
 SLOW_ORIGIN: ScenarioTables = {"read_ms": 250.0, "sigma": 0.1, "write_times": 1.5, "slots": 32}
 KEYED_WRITES: ScenarioTables = {
     "classes": [
@@ -55,7 +55,7 @@
     "faults": [{"what": "node_drain", "at_s": 2.0, "for_s": 5.0, "nodes": [0]}],
     "length_s": 12.0,
 }
-# The servers are busy, so that there are always open requests when SIGTERM comes.
+# The servers are busy, so that requests are always open at the time of SIGTERM.
 BUSY_NODE_RESTART: ScenarioTables = {
     **NODE_RESTART,
     "classes": [_request_class("read", work_ms=100.0)],
@@ -100,7 +100,7 @@
     "clients": {"leave_early": 0.0, "pipeline": 8, "pools": 2},
     "load": {"rate_per_s": 100.0},
 }
-# Connections are busy all the time, so that they stay open after SIGTERM, and clients send on.
+# Connections always have open requests, so they stay open after SIGTERM and clients keep sending on them.
 REQUESTS_AFTER_SIGTERM: ScenarioTables = {
     **BUSY_NODE_RESTART,
     "clients": {"leave_early": 0.0, "pipeline": 16, "pools": 1},
@@ -108,7 +108,7 @@
 }
 FEW_SOCKETS: ScenarioTables = {"nodes": {"sockets": 256}, "load": {"rate_per_s": 100.0}}
 
-# Few clients are needed for what the nodes conclude of one another.
+# A low load is enough, because only the messages between the nodes matter.
 PEERS: ScenarioTables = {"nodes": {"count": 4}, "peers": {}, "load": {"rate_per_s": 10.0}, "length_s": 30.0}
 PEER_KILL: ScenarioTables = {
     **PEERS,
@@ -116,7 +116,8 @@
 }
 PEER_PAUSE: ScenarioTables = {
     **PEERS,
-    # With so many nodes and so few bytes it takes longer than an observation to hear all anew.
+    # With 20 nodes and 4000 bytes/s, fresh evidence of all peers after the pause takes longer to arrive than
+    # the interval between two observations.
     "nodes": {"count": 20},
     "peers": {"bytes_per_s": 4000.0},
     "length_s": 12.0,
@@ -134,7 +135,7 @@
     ],
 }
 
-# All traffic comes to the nodes of one zone, and the tenant's far exceeds its quota.
+# All requests are sent to the nodes of one zone, and the tenant's rate far exceeds its quota.
 LEASED_QUOTA: ScenarioTables = {
     "zones": ["east", "west"],
     "nodes": {"count": 4},
--- a/flintridge/lab/defects/shutdown.py
+++ b/flintridge/lab/defects/shutdown.py
@@ -5,13 +5,13 @@
 from flintridge.node import Node
 from flintridge.runtime.clock import sleep
 
-SERVING_AFTER_SIGTERM_MS = 450.0  # how long `stops_too_soon_after_sigterm` goes on serving
-CLOSED_PAUSE_MS = 50.0  # from the close of all connections to the end of the process
-DEADLINE_OVERRUN_MS = 2000.0  # how much longer than any request may take the process stays
+SERVING_AFTER_SIGTERM_MS = 450.0  # how long `stops_too_soon_after_sigterm` still processes new requests
+CLOSED_PAUSE_MS = 50.0  # between closing all connections and the end of the process
+DEADLINE_OVERRUN_MS = 2000.0  # how much longer than the longest deadline `slow_to_leave` stays up
 
 
 def dropped_at_sigterm(node: Node) -> None:
-    """SIGTERM closes the listener and every connection at once, with the requests open on them."""
+    """On SIGTERM the listener and all connections are closed immediately, even those with open requests."""
 
     async def leave() -> None:
         node.downstream.close()
@@ -21,17 +21,17 @@
 
 
 def stops_too_soon_after_sigterm(node: Node) -> None:
-    """Requests read 0.45 s after SIGTERM or later are not processed, and their connections closed."""
+    """Requests read more than 0.45 s after SIGTERM are ignored, and their connections are closed."""
     leave = node.downstream.leave
     sigterm_at: float | None = None
 
-    async def leave_and_note() -> None:
+    async def leave_and_record_time() -> None:
         nonlocal sigterm_at
         if sigterm_at is None:
             sigterm_at = node.clock.now()
         await leave()
 
-    replace_attribute(node.downstream, "leave", leave_and_note)
+    replace_attribute(node.downstream, "leave", leave_and_record_time)
     abort_unprocessed(
         node,
         lambda _: sigterm_at is not None and node.clock.now() - sigterm_at > SERVING_AFTER_SIGTERM_MS,
@@ -39,7 +39,7 @@
 
 
 def slow_to_leave(node: Node) -> None:
-    """After SIGTERM all requests are answered, but the process outlives the longest deadline."""
+    """After SIGTERM all requests are answered, but the process ends 2 s later than the longest deadline."""
     leave = node.downstream.leave
 
     async def leave_late() -> None:
@@ -51,17 +51,17 @@
 
 
 def drain_ignored(node: Node) -> None:
-    """The call to drain is acknowledged, and nothing is done."""
+    """The call to drain the node is acknowledged, but has no effect."""
     replace_attribute(node, "quiesce", lambda: True)
 
 
 def stays_drained(node: Node) -> None:
-    """The call to end a drain is acknowledged, and the node stays drained."""
+    """The call to end a drain is acknowledged, but the node stays drained."""
     replace_attribute(node, "resume", lambda: True)
 
 
 def breaks_on_leaving(node: Node) -> None:
-    """After SIGTERM all requests are answered, but then the program ends by an error."""
+    """After SIGTERM all requests are answered, but then the process ends with an error."""
 
     async def leave_and_raise() -> None:
         await node.downstream.leave()
