--- a/flintridge/lab/partial/lease_fleet.py
+++ b/flintridge/lab/partial/lease_fleet.py
@@ -28,7 +28,7 @@
 SUM_TOLERANCE = 1e-9  # in even fractions; allows for rounding
 REQUESTS_PER_EVEN_FRACTION = 100.0  # requests per second
 QUOTA = "quota a"
-EVENT_INTERVAL_MS = 300.0  # on average
+EVENT_INTERVAL_MS = 300.0  # average time between two events
 FIRST_EVENT_MS = 1_000.0
 EVENTS = (
     *[RunEvent.DEMAND] * 6,
--- a/flintridge/lab/partial/peer_network.py
+++ b/flintridge/lab/partial/peer_network.py
@@ -139,7 +139,7 @@
     async def request_admin(
         self, node: str, path: str = MEMBERSHIP_PATH, method: str = "GET", body: bytes = b""
     ) -> JsonObject | None:
-        """Return the body of a response of a node's admin API; None if there is none in `ADMIN_TIMEOUT_S`."""
+        """Return the body of a response of a node's admin API; None after `ADMIN_TIMEOUT_S` without one."""
         try:
             return await asyncio.wait_for(self._request_admin(node, path, method, body), ADMIN_TIMEOUT_S)
         except (OSError, TimeoutError, ValueError):
--- a/flintridge/lab/partial/relay.py
+++ b/flintridge/lab/partial/relay.py
@@ -109,7 +109,7 @@
     def _deliver(self, data: bytes, outcome: str) -> None:
         if self._is_closed or self._transport is None:
             return
-        if self.route.forward_link.state != UP:  # cut while the datagram was on its way
+        if self.route.forward_link.state != UP:  # the link was cut while the datagram was in flight
             self._report(data, "cut")
             return
         self._report(data, outcome)
--- a/flintridge/lab/partial/replica_run.py
+++ b/flintridge/lab/partial/replica_run.py
@@ -98,7 +98,7 @@
         self.writes: list[TrackedWrite] = []
 
     def write(self, node: str, rng: Random) -> None:
-        """Write a new entry at that node, or delete one."""
+        """Write a new entry at `node`, or delete one that it holds."""
         process = self._fleet.detector(node)
         now = self._fleet.clock(node)
         replica = process.replica
