--- a/flintridge/lab/explore/__init__.py
+++ b/flintridge/lab/explore/__init__.py
@@ -1,7 +1,7 @@
-"""Exhaustive exploration of the replication and lease rules: all interleavings of a few processes.
+"""Exhaustive exploration of the replication and lease protocols: all interleavings of a few processes.
 
-`search` is the breadth-first search over states, so that a violation has the shortest path; `replicas` and
-`leases` are the states and transitions of the two rules.
+`search` is a breadth-first search over states, so that the path to a violation is as short as possible.
+`replicas` and `leases` define the states, transitions and invariants of the two protocols.
 """
 
 from flintridge.lab.explore.search import ExplorationResult, State, explore
--- a/flintridge/lab/explore/leases.py
+++ b/flintridge/lab/explore/leases.py
@@ -1,8 +1,8 @@
 """A few processes that lease one another fractions of a limit, over links that lose, duplicate and delay.
 
-Time advances in ticks of 5 true units; each process's clock advances by 4 or 6 of them, so that two drift
-apart by as much as the terms allow. A lease of 10 lasts two or three ticks for a lessee, three or four for
-its grantor.
+Time advances in ticks of 5 units. In a tick each process's clock advances by 4 or 6 units, so that two clocks
+drift apart as far as the lease terms allow. A lease of 10 units lasts two or three ticks for the lessee, and
+three or four for its grantor.
 """
 
 import itertools
@@ -19,7 +19,9 @@
 NODE_NAMES = "abcdef"
 TICK = 5.0
 TERMS = LeaseTerms(even_fraction=2, floor=1, lease_ms=10.0, clock_drift=0.2)
-LONG_AGO = 40.0  # before the start: no lease of a previous incarnation counts
+# The time of all clocks in the initial state. The allocations start at time 0, so that all leases that a
+# previous incarnation may have granted have expired by then.
+INITIAL_CLOCK = 40.0
 CLOCK_SPEEDS = tuple(itertools.combinations_with_replacement((0.8 * TICK, 1.2 * TICK), 3))
 
 AllocationBuilder = Callable[[LeaseTerms, float], Allocation]
@@ -30,12 +32,12 @@
     """A process with its allocation.
 
     Attributes:
-        name: Its node.
-        incarnation: How often it was started.
-        clock: What its clock shows.
-        speed: By how much its clock advances in a tick.
-        allocation: Of the limit.
-        is_paused: Whether it stands still.
+        name: The name of the node.
+        incarnation: The number of times the node was started.
+        clock: The time by the process's clock.
+        speed: How far the process's clock advances in a tick.
+        allocation: The process's allocation of the limit.
+        is_paused: Whether the process is paused.
     """
 
     name: str
@@ -47,12 +49,12 @@
 
     @property
     def id(self) -> ProcessId:
-        """What its peers know it by."""
+        """The ID by which peers identify the process."""
         return ProcessId(self.name, self.incarnation)
 
 
 class MessageInFlight(NamedTuple):
-    """A message on its way to a node."""
+    """A message that was sent to a node and has not arrived yet."""
 
     target: str
     source: ProcessId
@@ -61,7 +63,7 @@
 
 @dataclass(slots=True, frozen=True)
 class RemainingSteps:
-    """How often each may still happen.
+    """How often each kind of step may still occur, which keeps the number of states finite.
 
     Attributes:
         requests: A process requests a lease.
@@ -70,7 +72,7 @@
         duplicates: A message is duplicated.
         pauses: A process is paused.
         restarts: A process is killed and restarted.
-        cancellations: A request is canceled before it is answered.
+        cancellations: A process cancels a request before the grant arrives.
     """
 
     requests: int = 2
@@ -87,11 +89,11 @@
     """A state of the processes and of the messages between them.
 
     Attributes:
-        terms: Of all leases.
-        processes: All of them.
-        remaining: What may still happen.
-        messages: On their way, in a canonical order.
-        build: Builds an allocation, so that a defect may be planted in each.
+        terms: The terms of all leases.
+        processes: The processes.
+        remaining: How often each kind of step may still occur.
+        messages: The messages in flight, in a canonical order.
+        build: Builds each process's allocation; a test passes a defective type here.
     """
 
     terms: LeaseTerms
@@ -111,13 +113,13 @@
         """Build the initial state.
 
         Args:
-            speeds: Of the clock of each process, all of which started long ago.
-            remaining: What may happen.
-            terms: Of all leases.
-            build: Builds an allocation.
+            speeds: How far each process's clock advances in a tick; there is one process for each.
+            remaining: How often each kind of step may occur; None for the defaults.
+            terms: The terms of all leases.
+            build: Builds each process's allocation; a test passes a defective type here.
         """
         processes = tuple(
-            LeaseProcess(NODE_NAMES[index], 1, LONG_AGO, speed, build(terms, 0.0))
+            LeaseProcess(NODE_NAMES[index], 1, INITIAL_CLOCK, speed, build(terms, 0.0))
             for index, speed in enumerate(speeds)
         )
         return cls(terms, processes, remaining or RemainingSteps(), (), build)
@@ -126,7 +128,7 @@
 
     def transitions(self) -> Iterator[tuple[str, Self]]:
         """See `State.transitions`."""
-        yield "time goes on", self._tick()
+        yield "time advances", self._tick()
         for index, process in enumerate(self.processes):
             yield from self._lifecycle_transitions(index, process)
             if not process.is_paused:
@@ -139,10 +141,10 @@
     def _lifecycle_transitions(self, index: int, process: LeaseProcess) -> Iterator[tuple[str, Self]]:
         remaining = self.remaining
         if process.is_paused:
-            yield f"{process.name} goes on", self._with_process(index, replace(process, is_paused=False))
+            yield f"{process.name} resumes", self._with_process(index, replace(process, is_paused=False))
         elif remaining.pauses:
             paused = self._with_process(index, replace(process, is_paused=True))
-            yield f"{process.name} is stopped", paused._spending(pauses=1)
+            yield f"{process.name} is paused", paused._spending(pauses=1)
         if remaining.restarts:
             restarted = replace(
                 process,
@@ -151,7 +153,7 @@
                 is_paused=False,
             )
             after = self._with_process(index, restarted)._spending(restarts=1)
-            yield f"{process.name} is killed and starts anew", after
+            yield f"{process.name} is killed and restarted", after
 
     def _request_transitions(self, index: int, process: LeaseProcess) -> Iterator[tuple[str, Self]]:
         if not self.remaining.requests:
@@ -163,7 +165,10 @@
             allocation = process.allocation.copy()
             request = allocation.request(process.clock, peer.name, amount)
             after = self._with_process(index, replace(process, allocation=allocation))._spending(requests=1)
-            yield f"{process.name} asks {peer.name}", after._send(peer.name, process.id, request)
+            yield (
+                f"{process.name} requests a lease from {peer.name}",
+                after._send(peer.name, process.id, request),
+            )
 
     def _cancellation_transitions(self, index: int, process: LeaseProcess) -> Iterator[tuple[str, Self]]:
         if not self.remaining.cancellations:
@@ -181,7 +186,7 @@
             )
 
     def _lease_transitions(self, index: int, process: LeaseProcess) -> Iterator[tuple[str, Self]]:
-        """Yield renewals and releases of what the process has leased."""
+        """Yield renewals and releases of the leases that the process has acquired."""
         for key in process.allocation.acquired:
             if self.remaining.renewals:
                 allocation = process.allocation.copy()
@@ -198,7 +203,7 @@
             if release is not None:
                 after = self._with_process(index, replace(process, allocation=allocation))
                 yield (
-                    f"{process.name} releases a lease of {key.grantor}",
+                    f"{process.name} releases its lease from {key.grantor}",
                     after._send(key.grantor, process.id, release),
                 )
 
@@ -218,7 +223,7 @@
             yield f"{description} is lost", self._without(message)._spending(losses=1)
         if self.remaining.duplicates:
             duplicated = self._send(message.target, source, message.content)._spending(duplicates=1)
-            yield f"{description} is doubled", duplicated
+            yield f"{description} is duplicated", duplicated
 
     def _tick(self) -> Self:
         processes = []
@@ -232,7 +237,7 @@
         return replace(self, processes=tuple(processes))
 
     def _spending(self, **counts: int) -> Self:
-        """Return the state with so many fewer steps of each kind left."""
+        """Return the state with the remaining steps of each kind reduced by `counts`."""
         fewer = {name: getattr(self.remaining, name) - count for name, count in counts.items()}
         return replace(self, remaining=replace(self.remaining, **fewer))
 
@@ -254,16 +259,19 @@
         usable = {process.name: process.allocation.usable(process.clock) for process in self.processes}
         limit = self.terms.even_fraction * len(self.processes)
         if sum(usable.values()) > limit:
-            return f"{usable} may be used together, of a limit of {limit}"
+            return f"the usable amounts {usable} exceed the limit of {limit}"
         for name, amount in usable.items():
             if amount < self.terms.floor:
-                return f"{name} holds less than its floor: {usable}"
+                return f"the usable amount of {name} is less than its floor: {usable}"
         return ""
 
     # Symmetry
 
     def canonical_key(self) -> Hashable:
-        """See `State.canonical_key`: the least form over all numberings of processes of the same speeds."""
+        """See `State.canonical_key`.
+
+        The key is the smallest form over all numberings of the processes that keep the sequence of speeds.
+        """
         speeds = [process.speed for process in self.processes]
         forms = []
         for order in itertools.permutations(range(len(self.processes))):
@@ -275,7 +283,7 @@
         return min(forms), self.remaining
 
     def _process_form(self, process: LeaseProcess, numbers: Mapping[str, int]) -> object:
-        """Return a process's state by times to go, and with numbers for names."""
+        """Return a process's state with remaining times in place of times, and numbers in place of names."""
         incarnations = {peer.name: peer.incarnation for peer in self.processes}
         now = process.clock
         allocation = process.allocation
@@ -314,7 +322,8 @@
         for message in self.messages:
             source = by_name[message.source.name]
             content = message.content
-            # A time counts on the clock of the lessee; beyond two leases its age makes no difference.
+            # `requested_at` is a time by the lessee's clock. Ages above two lease durations do not differ in
+            # their effect, so they count as two.
             lessee = by_name[message.target] if isinstance(content, LeaseGrant) else source
             requested_at = getattr(content, "requested_at", None)
             age = None if requested_at is None else min(lessee.clock - requested_at, 2 * self.terms.lease_ms)
--- a/flintridge/lab/explore/replica_canonical.py
+++ b/flintridge/lab/explore/replica_canonical.py
@@ -1,4 +1,4 @@
-"""Canonical forms of states of replicating processes: ages for times, and numbers for names."""
+"""Canonical forms of states of replicating processes, with ages in place of times and numbers for names."""
 
 from collections.abc import Mapping, Sequence
 
@@ -12,19 +12,19 @@
 )
 from flintridge.replication.entry import Dot, Entry
 
-NumberedDot = tuple[int, ...]  # the node's number, the incarnation, the write
+NumberedDot = tuple[int, ...]  # number of the node, incarnation, number of the write
 
 
 class CanonicalForm:
-    """The form of a state for one numbering of its processes."""
+    """Builds the form of a state for one numbering of its processes."""
 
     def __init__(self, processes: Sequence[ReplicaNode], order: Sequence[int], now: float) -> None:
         """Number the processes.
 
         Args:
-            processes: All of them.
-            order: Their indices; the process at `order[0]` gets number 0.
-            now: The time, by all clocks.
+            processes: The processes of the state.
+            order: The indices of the processes; the process at index `order[0]` gets number 0.
+            now: The time by all clocks.
         """
         self._processes = processes
         self._order = order
@@ -39,9 +39,9 @@
         """Return the form of the whole state.
 
         Args:
-            messages: On their way.
-            writes: That there were.
-            isolated: The index of the process that is cut off.
+            messages: The messages in flight.
+            writes: All writes until now.
+            isolated: The index of the process that is cut off from the others; None if none is.
         """
         form = (
             [self._process(self._processes[index]) for index in self._order],
--- a/flintridge/lab/explore/replica_invariants.py
+++ b/flintridge/lab/explore/replica_invariants.py
@@ -1,4 +1,7 @@
-"""What has to hold of replicating processes, by who wrote what after having seen what, and who was told."""
+"""The invariants of replicating processes.
+
+They follow from the causal order of the writes, and from which process has received which writes.
+"""
 
 import itertools
 from collections.abc import Sequence
@@ -15,12 +18,12 @@
     def __init__(
         self, processes: Sequence[ReplicaNode], writes: Sequence[PastWrite], now: float, has_ticked: bool
     ) -> None:
-        """Take a state.
+        """Create the invariants of a state.
 
         Args:
-            processes: All of them.
-            writes: All that there were.
-            now: The time, by all clocks.
+            processes: The processes.
+            writes: All writes until now.
+            now: The time by all clocks.
             has_ticked: Whether time has advanced since the start, so that tombstones may have expired.
         """
         self._processes = processes
@@ -29,7 +32,10 @@
         self._has_ticked = has_ticked
 
     def violated(self) -> str:
-        """Return which invariant does not hold now, or once nothing fails any more; empty where all do."""
+        """Return a sentence on an invariant that does not hold; empty if all hold.
+
+        Some invariants have to hold now, others after all faults have ended and the replicas have converged.
+        """
         for process in self._processes:
             violation = self._violated_by(process)
             if violation:
@@ -37,7 +43,11 @@
         return self._violated_after_convergence()
 
     def _required(self, known: KnownWrites) -> set[Dot]:
-        """Return which of these writes apply: those that no writer of one of them had seen."""
+        """Return the writes in `known` that must be active.
+
+        These are the writes, other than deletions, that no write in `known` has replaced or deleted. A write
+        replaces all earlier ones that its writer knew of.
+        """
         seen: set[Dot] = set()
         for write in self._writes:
             if write.dot in known:
@@ -51,18 +61,18 @@
     def _violated_by(self, process: ReplicaNode) -> str:
         required = self._required(process.known)
         held = active_dots(process.replica, self._now)
-        # A process that was partitioned may hold a version beside one that was replaced and forgotten, until
-        # it has compared.
+        # After a partition, a process may hold a replaced version whose replacement is forgotten, in addition
+        # to the required ones, until it has completed a comparison.
         has_to_be_exact = not self._has_ticked or process.has_just_compared
         is_inexact = has_to_be_exact and held != required
         if is_inexact or not required <= held or held & process.dropped:
-            return f"{process.name} holds {sorted(held)}; by what it was told {sorted(required)}"
+            return f"{process.name} holds {sorted(held)}; the writes it knows of require {sorted(required)}"
         if process.replica.sync_state is SyncState.SYNCHRONIZED and not process.is_sound:
-            return f"{process.name} says that it has caught up, with one that had not"
+            return f"{process.name} is synchronized, but its source was not"
         return ""
 
     def _violated_after_convergence(self) -> str:
-        """Check what all hold once nothing fails any more and each has compared with each."""
+        """Check the replicas after all faults have ended and each has been compared with each other one."""
         replicas = [process.replica.clone() for process in self._processes]
         for replica in replicas:
             replica.comparisons.clear()
@@ -73,14 +83,12 @@
         known: KnownWrites = frozenset().union(*(process.known for process in self._processes))
         required = self._required(known)
         for replica in replicas:
-            replica.expire(self._now)  # one may remember a tombstone for longer than the others
+            replica.expire(self._now)  # otherwise one could keep a tombstone that the others have removed
             held = active_dots(replica, self._now)
             if held != required:
-                return (
-                    f"after all is well {replica.writer[0]} holds {sorted(held)} and not {sorted(required)}"
-                )
+                return f"after convergence {replica.writer[0]} holds {sorted(held)}, not {sorted(required)}"
         if len({tuple(replica.digests) for replica in replicas}) > 1:
-            return "the copies differ after all is well"
+            return "the replicas differ after convergence"
         return ""
 
     def _synchronize(self, replica: Replica, source: Replica) -> None:
--- a/flintridge/lab/explore/replica_model.py
+++ b/flintridge/lab/explore/replica_model.py
@@ -1,4 +1,4 @@
-"""The parts of a state of replicating processes."""
+"""The data types that make up a state of replicating processes."""
 
 from dataclasses import dataclass
 from typing import NamedTuple
@@ -13,18 +13,18 @@
 
 @dataclass(slots=True, frozen=True)
 class RemainingSteps:
-    """How often each may still happen.
+    """How often each kind of step may still occur, which keeps the number of states finite.
 
     Attributes:
-        writes: A process writes.
-        deletions: A process deletes.
+        writes: A process writes the entry.
+        deletions: A process deletes the entry.
         requests: A process requests the next chunk of a comparison.
         losses: A message is lost.
         duplicates: A message is duplicated.
-        restarts: A process is killed and starts empty.
+        restarts: A process is killed and restarted with an empty replica.
         partitions: A process is cut off from the others.
-        ticks: Time advances.
-        summaries: A process sends its digest, as it does with every datagram.
+        ticks: Time advances by one tick.
+        summaries: A process sends its root digest, as nodes do in every datagram.
     """
 
     writes: int = 2
@@ -39,7 +39,13 @@
 
 
 class StartedComparison(NamedTuple):
-    """What a comparison's source knew when it was started."""
+    """The knowledge of a comparison's source at the start of the comparison.
+
+    Attributes:
+        source: The source's writer.
+        known: The writes that the source knew of.
+        is_sound: The source's `ReplicaNode.is_sound`.
+    """
 
     source: Writer
     known: KnownWrites
@@ -47,7 +53,13 @@
 
 
 class PastWrite(NamedTuple):
-    """A write, what its writer knew before it, and whether it was a deletion."""
+    """A write that has been made.
+
+    Attributes:
+        dot: The dot of the write.
+        known: The earlier writes that the writing process knew of.
+        is_deletion: Whether it deleted the entry.
+    """
 
     dot: Dot
     known: KnownWrites
@@ -56,16 +68,18 @@
 
 @dataclass(slots=True, frozen=True)
 class ReplicaNode:
-    """A process with its replica, and what an omniscient observer knows of it.
+    """A process with its replica, and what an observer of the whole system knows of the process.
 
     Attributes:
-        replica: Its replica.
-        incarnation: How often it was restarted.
-        known: The writes of which it was told.
-        is_sound: Whether its state comes, over whatever others, from one that had synchronized.
-        dropped: The writes that it knew and did not hold, at any time.
-        has_just_compared: Whether it has just come to the end of a comparison.
-        comparisons: What its sources knew, for each comparison that it has started.
+        replica: The replica of the process.
+        incarnation: The number of times the node was restarted.
+        known: The writes that the process has received or made.
+        is_sound: Whether the replica was synchronized in the initial state, or has completed a comparison
+            with a source that was sound when the comparison was started.
+        dropped: The writes that the process knew of but did not hold as active at some time.
+        has_just_compared: Whether the process has neither written nor received anything since it completed a
+            comparison.
+        comparisons: The sources' knowledge, for the last comparison that was started with each source.
     """
 
     replica: Replica
@@ -78,12 +92,18 @@
 
     @property
     def name(self) -> str:
-        """Its node."""
+        """The name of the node."""
         return self.replica.writer[0]
 
 
 class RootSummary(NamedTuple):
-    """What a replica says of itself: its digest, whether it has synchronized, how much it has written."""
+    """The summary that a replica sends of itself.
+
+    Attributes:
+        root: The root digest of the replica.
+        is_synchronized: Whether the replica has synchronized.
+        write_count: The number of writes that its process has made.
+    """
 
     root: int
     is_synchronized: bool
@@ -92,13 +112,13 @@
 
 @dataclass(slots=True, frozen=True)
 class MessageInFlight:
-    """A message on its way.
+    """A message that has been sent and has not arrived yet.
 
     Attributes:
-        target: The index of the process to which it goes.
-        source: The process that sent it.
-        known: The writes of which it tells.
-        content: What it says.
+        target: The index of the process that it is sent to.
+        source: The writer of the process that sent it.
+        known: The writes that the message conveys to the recipient.
+        content: The content of the message.
     """
 
     target: int
@@ -108,6 +128,6 @@
 
 
 def active_dots(replica: Replica, now: float) -> set[Dot]:
-    """Return the writes that the replica holds at that time."""
+    """Return the dots of the versions that are active in the replica at `now`."""
     entry = replica.entries.get(KEY, Entry())
     return {version.dot for version in entry.versions if is_active(version, now)}
--- a/flintridge/lab/explore/replicas.py
+++ b/flintridge/lab/explore/replicas.py
@@ -1,8 +1,8 @@
 """A few processes with replicas of one key, over links that lose, duplicate and delay, and may be cut.
 
-The invariants follow from who wrote what after having seen what, and who was told of it: what each replica
-has to hold at every instant, and what all have to hold once nothing fails any more. All clocks advance by one
-unit a tick; tombstones are remembered for one and a half.
+The invariants follow from the causal order of the writes, and from which process has received which writes.
+They state what each replica has to hold at all times, and what all replicas have to hold after the faults
+have ended. All clocks advance by one unit in a tick; tombstones are kept for one and a half units.
 """
 
 import itertools
@@ -42,13 +42,13 @@
     """A state of the processes and of the messages between them.
 
     Attributes:
-        processes: All of them.
-        remaining: What may still happen.
-        now: The time, by all clocks.
-        messages: On their way.
-        writes: All that there were.
-        isolated: The index of the process that is cut off from the others, if one is.
-        build: Builds a replica, so that a defect may be planted in each.
+        processes: The processes.
+        remaining: How often each kind of step may still occur.
+        now: The time by all clocks.
+        messages: The messages in flight.
+        writes: All writes until now.
+        isolated: The index of the process that is cut off from the others; None if none is.
+        build: Builds each process's replica; a test passes a defective type here.
     """
 
     processes: tuple[ReplicaNode, ...]
@@ -70,9 +70,9 @@
         """Build the initial state.
 
         Args:
-            size: How many processes, all of which have synchronized.
-            remaining: What may happen.
-            build: Builds a replica.
+            size: The number of processes; all of them are synchronized.
+            remaining: How often each kind of step may occur.
+            build: Builds each process's replica; a test passes a defective type here.
             has_initial_entry: Whether all replicas hold an entry that the first process has written.
         """
         replicas = [build((NODE_NAMES[index], 0), LIMITS, STARTED_AT) for index in range(size)]
@@ -94,9 +94,9 @@
     def transitions(self) -> Iterator[tuple[str, Self]]:
         """See `State.transitions`."""
         if self.remaining.ticks:
-            yield "time goes on", self._tick()
+            yield "time advances", self._tick()
         if self.isolated is not None:
-            yield "the cut heals", replace(self, isolated=None)
+            yield "the partition heals", replace(self, isolated=None)
         for index in range(len(self.processes)):
             yield from self._process_transitions(index)
             yield from self._pair_transitions(index)
@@ -111,12 +111,12 @@
         if remaining.deletions and process.replica.active_version(KEY, self.now) is not None:
             yield f"{process.name} deletes", self._write(index, is_deletion=True)
         if remaining.restarts:
-            yield f"{process.name} is killed and starts empty", self._restart(index)
+            yield f"{process.name} is killed and restarted with an empty replica", self._restart(index)
         if remaining.partitions and self.isolated is None:
             partitioned = replace(
                 self, isolated=index, remaining=replace(remaining, partitions=remaining.partitions - 1)
             )
-            yield f"{process.name} is cut off", partitioned
+            yield f"{process.name} is cut off from the others", partitioned
 
     def _pair_transitions(self, index: int) -> Iterator[tuple[str, Self]]:
         name = self.processes[index].name
@@ -128,9 +128,9 @@
             if peer_index == index or not self._is_connected(index, peer_index):
                 continue
             if self.remaining.summaries:
-                yield f"{name} says what it is to {peer.name}", self._send_summary(index, peer_index)
+                yield f"{name} sends its root digest to {peer.name}", self._send_summary(index, peer_index)
             if self.remaining.requests and not is_busy:
-                yield f"{name} asks {peer.name}", self._request(index, peer_index)
+                yield f"{name} requests a chunk from {peer.name}", self._request(index, peer_index)
 
     def _message_transitions(self, message: MessageInFlight) -> Iterator[tuple[str, Self]]:
         remaining = self.remaining
@@ -149,7 +149,7 @@
                 messages=(*self.messages, message),
                 remaining=replace(remaining, duplicates=remaining.duplicates - 1),
             )
-            yield f"{description} is doubled", duplicated
+            yield f"{description} is duplicated", duplicated
 
     def _is_connected(self, index: int, peer_index: int) -> bool:
         return self.isolated not in (index, peer_index)
@@ -191,7 +191,7 @@
         return state._with_process(index, ReplicaNode(replica, incarnation, is_sound=False))
 
     def _request(self, index: int, source_index: int) -> Self:
-        """Request a chunk; the response is on its way at once."""
+        """Request a chunk; the response is in flight immediately, as requests are not modeled as messages."""
         process = self.processes[index]
         source = self.processes[source_index]
         writer = source.replica.writer
@@ -241,7 +241,7 @@
     def _receive_chunk(
         self, process: ReplicaNode, message: MessageInFlight, chunk: SnapshotChunk
     ) -> ReplicaNode:
-        """Apply a chunk to the replica of `process`, and return what it knows then."""
+        """Apply a chunk to the replica of `process`, and return the process with its updated knowledge."""
         replica = process.replica
         out_of_order = replica.counts["chunks_out_of_order"]
         is_complete = replica.apply_chunk(self.now, message.source, chunk)
@@ -284,7 +284,7 @@
         return ReplicaInvariants(self.processes, self.writes, self.now, has_ticked).violated()
 
     def canonical_key(self) -> Hashable:
-        """See `State.canonical_key`: the least form over all numberings of the processes."""
+        """See `State.canonical_key`; the key is the smallest form over all numberings of the processes."""
         orders = itertools.permutations(range(len(self.processes)))
         canonical = min(
             CanonicalForm(self.processes, order, self.now).text(self.messages, self.writes, self.isolated)
--- a/flintridge/lab/explore/search.py
+++ b/flintridge/lab/explore/search.py
@@ -7,28 +7,28 @@
 
 
 class State(Protocol):
-    """A state of the system. Nothing in it may change once it was handed out."""
+    """A state of the system; it must not change after the search has received it."""
 
     def transitions(self) -> Iterator[tuple[str, Self]]:
-        """Yield all that can happen next: a description in a few words, and the state after it."""
+        """Yield each possible transition: a short description and the state after it."""
 
     def canonical_key(self) -> Hashable:
-        """Return the same key for states that behave the same: symmetric ones, or at another time."""
+        """Return a key that is equal for equivalent states, such as symmetric or time-shifted ones."""
 
     def violated_invariant(self) -> str:
-        """Return which invariant does not hold, in a sentence; empty where all do."""
+        """Return a sentence on an invariant that does not hold; empty if all hold."""
 
 
 @dataclass(slots=True, frozen=True)
 class ExplorationResult:
-    """What an exploration found.
+    """The result of an exploration.
 
     Attributes:
-        states: How many distinct states were reached.
-        depth: How many transitions lead to the farthest.
-        is_complete: Whether all states were reached.
-        violation: The violated invariant; empty where all held.
-        path: The transitions that lead to the violation, as few as there are.
+        states: The number of distinct states reached.
+        depth: The number of transitions to the state that was examined last, which is the most distant.
+        is_complete: Whether all reachable states were examined.
+        violation: A sentence on the violated invariant; empty if none was violated.
+        path: The descriptions of the transitions on a shortest path to the violation.
     """
 
     states: int
@@ -39,7 +39,7 @@
 
 
 class _Arrival(NamedTuple):
-    """From which state, by what transition, a state was first reached."""
+    """The state from which a state was first reached, and the transition."""
 
     previous_key: Hashable | None
     transition: str
@@ -52,7 +52,7 @@
 
 
 def explore(start: State, max_states: int = 1_000_000) -> ExplorationResult:
-    """Search until an invariant is violated, all states were reached, or `max_states` of them."""
+    """Search until an invariant is violated, all states are examined, or `max_states` states are reached."""
     start_key = start.canonical_key()
     arrivals: dict[Hashable, _Arrival] = {start_key: _Arrival(None, "")}
     queue: deque[_QueuedState] = deque([_QueuedState(start, start_key, 0)])
@@ -74,7 +74,7 @@
 
 
 def _path(arrivals: dict[Hashable, _Arrival], key: Hashable) -> tuple[str, ...]:
-    """Return the transitions from the start to the state of that key."""
+    """Return the descriptions of the transitions from the start to the state with that key."""
     transitions: list[str] = []
     arrival = arrivals[key]
     while arrival.previous_key is not None:
