--- a/flintridge/lab/defects/membership.py
+++ b/flintridge/lab/defects/membership.py
@@ -11,7 +11,7 @@
 from flintridge.node import Node
 
 UNREACHABLE_PROBED_MS = 5_000  # time after which `silent_never_probed` stops probing unreachable processes
-EXTRA_DATAGRAMS_PER_TICK = 10  # sent by `bound_of_bytes_ignored` in addition to the regular ones
+EXTRA_DATAGRAMS_PER_TICK = 10  # sent by `bound_of_bytes_ignored` in addition to the regular datagrams
 EVIDENCE_MAX_AGE_MS = 3_600_000.0
 
 
--- a/flintridge/lab/partial/replica_fleet.py
+++ b/flintridge/lab/partial/replica_fleet.py
@@ -23,7 +23,7 @@
 from flintridge.replication.messages import decode_chunk, decode_request, encode_chunk, encode_request
 from flintridge.replication.replica import CHUNK_BYTES, Replica
 
-INITIAL_UNIX_MS = 1.7e12  # Unix time at the start of virtual time
+INITIAL_UNIX_MS = 1.7e12  # time of day at the start of virtual time, in ms since the start of 1970
 EXCHANGE_TIMEOUT_MS = 10_000.0
 CHUNK_INTERVAL_MS = 50.0
 BUCKETS_PER_TICK = 8  # buckets checked for expired entries; the same as in flintridge/replication/driver.py
