--- a/flintridge/lab/experiment/__init__.py
+++ b/flintridge/lab/experiment/__init__.py
@@ -1,4 +1,5 @@
-"""Many runs: compared, swept over a parameter, searched for failures, and shrunk to small ones.
+"""Experiments of many runs: comparisons, parameter sweeps, searches for failures, and scenario shrinking.
 
-Nothing is imported here: a worker that takes its node from another tree must do so before anything else.
+This package imports nothing, because a worker that loads the node from another source tree must redirect its
+imports before any other module is loaded.
 """
--- a/flintridge/lab/experiment/compare.py
+++ b/flintridge/lab/experiment/compare.py
@@ -1,4 +1,4 @@
-"""A against B, paired by seed: two scenarios, two settings, or two source trees."""
+"""Compares two variants (scenarios, settings or source trees) by paired runs with the same seeds."""
 
 from collections.abc import Sequence
 from typing import Any
@@ -16,9 +16,9 @@
     """One of the two variants that are compared.
 
     Attributes:
-        label: As tables and reports print it.
+        label: The name that tables and reports print.
         scenario: The scenario.
-        tree: The source tree whose node plays it; this one where empty.
+        tree: The source tree whose node plays the scenario; the current tree if empty.
     """
 
     label: str
@@ -27,12 +27,12 @@
 
 
 class RuleCount(msgspec.Struct, kw_only=True, frozen=True):
-    """Violations of a rule over all seeds.
+    """The violations of one rule, summed over all seeds.
 
     Attributes:
         name: The rule's name.
-        a: Violations in A.
-        b: Violations in B.
+        a: The number of violations in A.
+        b: The number of violations in B.
     """
 
     name: str
@@ -41,7 +41,7 @@
 
     @property
     def new(self) -> bool:
-        """Return whether the rule is broken in B and holds in A."""
+        """Return whether the rule is broken in B but not in A."""
         return self.b > 0 and self.a == 0
 
 
@@ -66,11 +66,11 @@
         a: The label of A.
         b: The label of B.
         backend: The backend of all runs.
-        seeds: The seeds that were asked for.
-        metrics: B against A, over the pairs.
-        rules: Violations over all results.
-        pairs: The seeds under which both runs completed.
-        failures: A line for each run that did not complete.
+        seeds: The requested seeds.
+        metrics: The difference of each metric between B and A, over all pairs.
+        rules: The violations of each rule over all results.
+        pairs: The metrics for each seed with which both runs completed.
+        failures: One line for each run that did not complete.
     """
 
     a: str
@@ -84,7 +84,7 @@
 
     @property
     def sound(self) -> bool:
-        """Return whether no rule that holds in A is broken in B, and every run completed."""
+        """Return whether every run completed and no rule is broken in B that is not broken in A."""
         return not self.failures and not any(rule.new for rule in self.rules)
 
 
@@ -98,19 +98,19 @@
     runner: str | Runner = PLAY,
     show: bool = False,
 ) -> Comparison:
-    """Play both variants under each seed; the requests and faults of a seed are the same for both.
+    """Play both variants with each seed. Both variants get the same requests and faults for a given seed.
 
     Args:
         a: The first variant.
-        b: The second one.
-        seeds: The seeds, each played once by either variant.
+        b: The second variant.
+        seeds: The seeds; each variant is played once with each of them.
         backend: `virtual` or `loopback`.
-        workers: Worker processes; one a core where absent.
+        workers: The number of worker processes; one per core if absent.
         runner: The function that plays a scenario.
         show: Whether to show progress on a terminal.
 
     Returns:
-        The paired differences, and the rules that were broken.
+        The paired differences of all metrics, and the violations of each rule.
     """
     play = runner_name(runner)
     jobs = [
@@ -126,36 +126,36 @@
         for seed in seeds
     ]
     outcomes = run_jobs(jobs, workers=workers, show=show, title="compare")
-    return _compared(a, b, seeds, backend, outcomes[: len(seeds)], outcomes[len(seeds) :])
+    return _paired_comparison(a, b, seeds, backend, outcomes[: len(seeds)], outcomes[len(seeds) :])
 
 
-def _compared(
+def _paired_comparison(
     a: Variant,
     b: Variant,
     seeds: Sequence[int],
     backend: str,
-    of_a: Sequence[Outcome | None],
-    of_b: Sequence[Outcome | None],
+    outcomes_a: Sequence[Outcome | None],
+    outcomes_b: Sequence[Outcome | None],
 ) -> Comparison:
-    """Pair the outcomes by seed; a pair counts when both of its runs completed."""
+    """Pair the outcomes by seed. A pair is used only if both of its runs completed."""
     paired_seeds: list[int] = []
     results_a: list[Result] = []
     results_b: list[Result] = []
     failures = []
-    for seed, outcome_a, outcome_b in zip(seeds, of_a, of_b, strict=True):
-        complete_a = _complete_result(outcome_a)
-        complete_b = _complete_result(outcome_b)
-        if complete_a is None:
+    for seed, outcome_a, outcome_b in zip(seeds, outcomes_a, outcomes_b, strict=True):
+        completed_a = _complete_result(outcome_a)
+        completed_b = _complete_result(outcome_b)
+        if completed_a is None:
             failures.append(f"A ({a.label}), seed {seed}: {_failure_reason(outcome_a)}")
-        if complete_b is None:
+        if completed_b is None:
             failures.append(f"B ({b.label}), seed {seed}: {_failure_reason(outcome_b)}")
-        if complete_a is not None and complete_b is not None:
+        if completed_a is not None and completed_b is not None:
             paired_seeds.append(seed)
-            results_a.append(complete_a)
-            results_b.append(complete_b)
-    # Rules are counted over all results there are: a run that was cut short may have broken one before.
-    violations_a = rule_totals([result for result in of_a if isinstance(result, Result)])
-    violations_b = rule_totals([result for result in of_b if isinstance(result, Result)])
+            results_a.append(completed_a)
+            results_b.append(completed_b)
+    # Violations are counted over all results, because a run may break a rule before it is cut short.
+    violations_a = rule_totals([result for result in outcomes_a if isinstance(result, Result)])
+    violations_b = rule_totals([result for result in outcomes_b if isinstance(result, Result)])
     names = sorted({*violations_a, *violations_b})
     return Comparison(
         a=a.label,
@@ -175,24 +175,24 @@
 
 
 def _failure_reason(outcome: Outcome | None) -> str:
-    """Return why a run did not complete, empty where it did."""
+    """Return why a run did not complete, or an empty string if it completed."""
     return "not played" if outcome is None else failure(outcome)
 
 
 def _complete_result(outcome: Outcome | None) -> Result | None:
-    """Return the result of a run that completed."""
+    """Return the result of a run, or None if the run did not complete."""
     if isinstance(outcome, Result) and not failure(outcome):
         return outcome
     return None
 
 
 def metric_values(result: Result) -> dict[str, float]:
-    """Return the compared metrics of one result, by name."""
+    """Return the values of all compared metrics of one result, by metric name."""
     return {metric.name: metric.of(result) for metric in METRICS}
 
 
 def as_json(comparison: Comparison) -> dict[str, Any]:
-    """Return the comparison as plain values, with the verdicts written out."""
+    """Return the comparison as built-in types, with the computed verdicts included."""
     built: dict[str, Any] = msgspec.to_builtins(comparison)
     for plain, metric in zip(built["figures"], comparison.metrics, strict=True):
         plain["verdict"] = metric.verdict
--- a/flintridge/lab/experiment/failure_predicates.py
+++ b/flintridge/lab/experiment/failure_predicates.py
@@ -1,4 +1,4 @@
-"""How a run fails: predicates that a smaller scenario has to satisfy as well."""
+"""Predicates that describe how a run fails. A shrunk scenario must satisfy the same predicate."""
 
 import msgspec
 
@@ -7,15 +7,15 @@
 from flintridge.lab.scenario import model
 from flintridge.lab.scenario.model import Scenario
 
-MAX_NAME_PREFIX_CHARACTERS = 57  # leaves room for the suffix within the format's limit of a name
+MAX_NAME_PREFIX_CHARACTERS = 57  # leaves room for the suffix within the length limit of scenario names
 
 
 class ScenarioDoesNotFailError(ValueError):
-    """The scenario does not fail in the way that was asked for."""
+    """The scenario does not satisfy the requested failure predicate."""
 
 
 class Breaks(msgspec.Struct, frozen=True, tag="breaks"):
-    """A rule is broken.
+    """The run breaks a rule.
 
     Attributes:
         rule: The rule's name.
@@ -33,20 +33,20 @@
 
 
 class GoodputBelow(msgspec.Struct, frozen=True, tag="under"):
-    """Goodput is below `goodput` on a run that ended by itself.
+    """The run plays to its end and its goodput is below `goodput`.
 
-    A smaller fleet under the same load would get there without any fault, so a candidate must be fair:
-    neither more loaded (`fluid.py`) nor harder hit by its faults (`fault_severity.py`) than the scenario that
-    was given.
+    A smaller fleet under the same load would fall below the bound without any fault. A candidate must
+    therefore be comparable with the given scenario: neither its load (`fluid.py`) nor the severity of its
+    faults (`fault_severity.py`) may be higher.
 
     Attributes:
-        goodput: The bound, a fraction from 0 to 1.
+        goodput: The upper bound, a fraction from 0 to 1.
     """
 
     goodput: float
 
     def __call__(self, outcome: Outcome) -> bool:
-        """Return whether the run ended by itself with less goodput than the bound."""
+        """Return whether the run played to its end with a goodput below the bound."""
         return (
             isinstance(outcome, Result) and outcome.end_reason == "whole" and outcome.goodput < self.goodput
         )
@@ -57,7 +57,7 @@
 
 
 class DidNotComplete(msgspec.Struct, frozen=True, tag="unfinished"):
-    """The run does not come to its end: it raises, dies, hangs or is cut short."""
+    """The run does not complete: it raises, its process dies, it hangs, or it is cut short."""
 
     def __call__(self, outcome: Outcome) -> bool:
         """Return whether the run did not complete."""
@@ -72,11 +72,11 @@
 
 
 def default_predicate(outcome: Outcome) -> Predicate:
-    """Return how a run fails where the caller named no predicate.
+    """Choose the predicate for a failing run if the caller gave none.
 
     Returns:
-        The rule that was broken most often, the first by name among equals; otherwise that the run did not
-        complete.
+        `Breaks` for the rule with the most violations (the first by name on a tie). If no rule was broken,
+        `DidNotComplete`.
 
     Raises:
         ScenarioDoesNotFailError: The run completed and broke no rule.
@@ -87,20 +87,23 @@
             return Breaks(min(broken)[1])
     if failure(outcome):
         return DidNotComplete()
-    raise ScenarioDoesNotFailError("the run is whole and breaks no rule; name a goodput it should fall under")
+    raise ScenarioDoesNotFailError("the whole run was played and broke no rule; specify a goodput bound")
 
 
 def with_expectation(scenario: Scenario, predicate: Predicate, original_name: str, seed: int) -> Scenario:
-    """Write into a scenario what a run of it shows: a broken rule as known, a goodput as not yet reached.
+    """Add the expectation that follows from a failure predicate to a shrunk scenario.
+
+    A broken rule becomes an expected violation. A goodput bound becomes the minimum goodput, which the
+    scenario does not reach yet.
 
     Args:
-        scenario: The scenario that still fails.
-        predicate: How it fails.
-        original_name: The name of the scenario that was shrunk to this one.
-        seed: The seed that it fails with.
+        scenario: The shrunk scenario, which still fails.
+        predicate: How the scenario fails.
+        original_name: The name of the scenario before shrinking.
+        seed: The seed with which the scenario fails.
 
     Returns:
-        The scenario with its expectation, a name and a description.
+        The scenario with its expectation, a new name and a description.
     """
     expect = model.Expect()
     if isinstance(predicate, Breaks):
--- a/flintridge/lab/experiment/fault_severity.py
+++ b/flintridge/lab/experiment/fault_severity.py
@@ -1,6 +1,6 @@
-"""How much of a scenario's service its faults take from a node that does everything right.
+"""Estimates the fraction of requests that even an ideal node loses to the faults of a scenario.
 
-Estimates of a few percent, to rank the runs of a search; no rule is checked by them.
+The estimates are accurate to a few percent. They rank the runs of a search; no rule depends on them.
 """
 
 from functools import singledispatch
@@ -10,14 +10,14 @@
 from flintridge.lab.scenario.model import Scenario
 
 MAX_SEVERITY = 0.95
-SLOW_START_LOSS_FRACTION = 0.4  # of the ramp: the capacity that a server lacks while it warms up
+SLOW_START_LOSS_FRACTION = 0.4  # mean fraction of the missing capacity over a server's warm-up
 
 
 def severity(scenario: Scenario) -> float:
-    """Return the fraction of a run's service that its faults take from a node that does everything right.
+    """Estimate the fraction of a run's requests that even an ideal node loses to the faults.
 
     Returns:
-        From 0 to 0.95; the effects of several faults are combined as if they were independent.
+        A fraction from 0 to 0.95. The effects of several faults are combined as if they were independent.
     """
     remaining = 1.0
     for fault in scenario.faults:
@@ -27,7 +27,7 @@
 
 @singledispatch
 def _service_loss(fault: model.Fault, scenario: Scenario) -> float:
-    """Return the fraction of the service that a fault takes; 0 for those that a node should not notice."""
+    """Return the fraction of requests lost to a fault; 0 for faults that should not affect a node."""
     return 0.0
 
 
@@ -38,9 +38,9 @@
 
     Args:
         fault: The fault.
-        scenario: Its scenario.
-        forever: Whether a length of 0 means until the end of the run.
-        tail_s: How long the effect lasts after the fault, in seconds.
+        scenario: The scenario of the fault.
+        forever: Whether a fault with a length of 0 lasts until the end of the run.
+        tail_s: How long the effect lasts after the end of the fault, in seconds.
     """
     remaining_s = max(0.0, scenario.length_s - fault.at_s)
     if forever and not fault.for_s:
@@ -48,30 +48,30 @@
     return min(remaining_s, fault.for_s + tail_s) / scenario.length_s
 
 
-def _struck_fraction(fault: model.ServerFault, scenario: Scenario) -> float:
-    """Return the fraction of all servers that a fault strikes."""
+def _affected_fraction(fault: model.ServerFault, scenario: Scenario) -> float:
+    """Return the fraction of all cache servers that a fault affects."""
     eligible = sum(
         g.count
         for g in scenario.servers
         if fault.kind in ("", g.kind) and (fault.zone in ("", g.zone) or g.zone is None)
     )
     total = sum(g.count for g in scenario.servers) or 1
-    chosen = len(fault.ids) or fault.count or fault.share * eligible
-    return min(eligible, chosen) / total
+    affected = len(fault.ids) or fault.count or fault.share * eligible
+    return min(eligible, affected) / total
 
 
 def _slow_start_s(scenario: Scenario) -> float:
-    """Return the time that servers lose by warming up, in seconds."""
+    """Return the longest service time that a server loses by warming up, in seconds."""
     return SLOW_START_LOSS_FRACTION * max(kind.cold_s * (1 - kind.cold_from) for kind in scenario.kinds)
 
 
 @_service_loss.register
 def _(fault: model.ServerFault, scenario: Scenario) -> float:
-    """Crash, Silence, Replace: the servers are unavailable, and warm up after that."""
+    """Handle Crash, Silence and Replace: the servers are unavailable and then warm up."""
     unavailable = _active_fraction(
         fault, scenario, forever=not isinstance(fault, model.Replace), tail_s=_slow_start_s(scenario)
     )
-    return _struck_fraction(fault, scenario) * unavailable
+    return _affected_fraction(fault, scenario) * unavailable
 
 
 @_service_loss.register(model.Resets)
@@ -81,28 +81,28 @@
 def _(
     fault: model.Resets | model.QuickErrors | model.Spoilt | model.LostAnswers, scenario: Scenario
 ) -> float:
-    return 0.5 * fault.part * _struck_fraction(fault, scenario) * _active_fraction(fault, scenario)
+    return 0.5 * fault.part * _affected_fraction(fault, scenario) * _active_fraction(fault, scenario)
 
 
 @_service_loss.register
 def _(fault: model.Slowness, scenario: Scenario) -> float:
-    return (1 - 1 / fault.factor) * _struck_fraction(fault, scenario) * _active_fraction(fault, scenario)
+    return (1 - 1 / fault.factor) * _affected_fraction(fault, scenario) * _active_fraction(fault, scenario)
 
 
 @_service_loss.register
 def _(fault: model.Stale, scenario: Scenario) -> float:
-    return 0.1 * _struck_fraction(fault, scenario) * _active_fraction(fault, scenario)
+    return 0.1 * _affected_fraction(fault, scenario) * _active_fraction(fault, scenario)
 
 
 @_service_loss.register
 def _(fault: model.Crowding, scenario: Scenario) -> float:
-    return fault.part * _struck_fraction(fault, scenario) * _active_fraction(fault, scenario)
+    return fault.part * _affected_fraction(fault, scenario) * _active_fraction(fault, scenario)
 
 
 @_service_loss.register
 def _(fault: model.Drain, scenario: Scenario) -> float:
     tail = _slow_start_s(scenario) if fault.back else scenario.length_s
-    return _struck_fraction(fault, scenario) * _active_fraction(fault, scenario, tail_s=tail)
+    return _affected_fraction(fault, scenario) * _active_fraction(fault, scenario, tail_s=tail)
 
 
 @_service_loss.register
@@ -120,8 +120,8 @@
         if g.zone in (None, fault.zone)
     )
     zones = scenario.nodes.zones or scenario.zones
-    with_nodes = zones.count(fault.zone) / len(zones) if fault.nodes else 0.0
-    return max(lost / servers, with_nodes) * _active_fraction(
+    lost_node_fraction = zones.count(fault.zone) / len(zones) if fault.nodes else 0.0
+    return max(lost / servers, lost_node_fraction) * _active_fraction(
         fault, scenario, tail_s=_slow_start_s(scenario) if fault.cold else 0.0
     )
 
@@ -170,7 +170,7 @@
 
 @_service_loss.register
 def _(fault: model.NodeKill, scenario: Scenario) -> float:
-    """Until clients use another node, if there is one."""
+    """Count the loss until clients switch to another node, or until the fault ends if no node is left."""
     fraction = min(1.0, (len(fault.nodes) or fault.count) / scenario.nodes.count)
     if fraction == 1:
         return _active_fraction(fault, scenario, forever=True)
--- a/flintridge/lab/experiment/jobs.py
+++ b/flintridge/lab/experiment/jobs.py
@@ -1,4 +1,4 @@
-"""What goes to a worker process and what comes back: jobs, outcomes, and their frames on a pipe."""
+"""Messages between the worker pool and its worker processes: jobs, replies and their framing on a pipe."""
 
 from collections.abc import Callable
 from typing import Any
@@ -14,19 +14,19 @@
 
 
 class Job(msgspec.Struct, kw_only=True, frozen=True):
-    """One run for a worker.
+    """A run that a worker process plays.
 
     Attributes:
         scenario: The scenario to play.
-        seed: Its seed.
-        label: For messages and failures.
+        seed: The seed of the run.
+        label: The label of the job in messages and failures.
         backend: `virtual` or `loopback`.
         defect: The seeded defect to play with, if any.
-        events: A file for the records, if any.
-        trace: A file for the trace, if any.
-        tree: Another source tree to take the node from; this one where empty.
-        limit_s: Real time in seconds; the scenario's own limit and some seconds where absent.
-        runner: `module:name` of the function that plays it.
+        events: The path of the file for the run's records, if any.
+        trace: The path of the file for the trace, if any.
+        tree: The source tree that the node is loaded from; the current tree if empty.
+        limit_s: The limit in seconds of real time. If absent, the scenario's own limit plus a margin.
+        runner: `module:name` of the function that plays the scenario.
     """
 
     scenario: Scenario
@@ -42,14 +42,14 @@
 
 
 class JobFailed(msgspec.Struct, kw_only=True, frozen=True):
-    """A run without a result.
+    """The outcome of a run that produced no result.
 
     Attributes:
         label: The job's label.
         seed: The job's seed.
-        mode: `raised`, `died` (the worker's process ended) or `hung` (killed at its limit).
-        reason: One line.
-        trace: The traceback, where there is one.
+        mode: `raised`, `died` (the worker process ended) or `hung` (it was killed at the job's limit).
+        reason: The reason in one line.
+        trace: The traceback, if there is one.
     """
 
     label: str
@@ -60,12 +60,12 @@
 
 
 class Reply(msgspec.Struct, kw_only=True):
-    """What a worker writes.
+    """The reply of a worker process to a job.
 
     Attributes:
-        result: The result, absent where the run raised.
+        result: The result; absent if the run raised an exception.
         error: The last line of the traceback.
-        trace: The whole traceback.
+        trace: The complete traceback.
     """
 
     result: Result | None = None
@@ -77,28 +77,28 @@
 
 
 def runner_name(runner: str | Runner) -> str:
-    """Return `module:name` of a function, for a worker to import.
+    """Return the `module:name` by which a worker can import a function.
 
     Raises:
-        ValueError: The function is not at the top level of a module that can be imported.
+        ValueError: The function is not at the top level of an importable module.
     """
     if isinstance(runner, str):
         return runner
     module = runner.__module__
     name = getattr(runner, "__qualname__", "<unnamed>")
     if module == "__main__" or "<" in name:
-        raise ValueError(f"{module}:{name}: a worker can import functions at a module's top level only")
+        raise ValueError(f"{module}:{name}: a worker can import only functions at the top level of a module")
     return f"{module}:{name}"
 
 
 def frame(message: Any) -> bytes:
-    """Encode a message behind its length."""
+    """Encode a message as JSON, preceded by its length in bytes."""
     body = msgspec.json.encode(message)
     return len(body).to_bytes(FRAME_LENGTH_BYTES, "big") + body
 
 
 def failure(outcome: Outcome) -> str:
-    """Return why this outcome's metrics must not be used; empty when they may be."""
+    """Return why the metrics of an outcome must not be used, or an empty string if the run completed."""
     if isinstance(outcome, JobFailed):
         return f"{outcome.mode}: {outcome.reason}"
     return "" if outcome.end_reason == "whole" else f"cut short: {outcome.end_reason}"
--- a/flintridge/lab/experiment/output.py
+++ b/flintridge/lab/experiment/output.py
@@ -1,4 +1,4 @@
-"""Files that commands write: whole or not at all, and never over what is there without being asked to."""
+"""Writes the output files of commands atomically, and does not overwrite existing files unless requested."""
 
 import os
 import tempfile
@@ -9,19 +9,19 @@
 
 
 def write(path: Path, content: str | bytes) -> None:
-    """Write a file in one step, with the permissions that the umask allows.
+    """Write a file atomically, with the permissions that the umask allows.
 
     Args:
-        path: The file, replaced where it exists.
-        content: Bytes, or text that is encoded as UTF-8.
+        path: The path of the file; an existing file is replaced.
+        content: The content; text is encoded as UTF-8.
 
     Raises:
-        OSError: It cannot be written; what was there is unchanged.
+        OSError: The file cannot be written; an existing file is unchanged.
     """
     data = content.encode() if isinstance(content, str) else content
-    handle, temporary = tempfile.mkstemp(dir=path.parent, prefix=f".{path.name}.")
+    descriptor, temporary = tempfile.mkstemp(dir=path.parent, prefix=f".{path.name}.")
     try:
-        with os.fdopen(handle, "wb") as file:
+        with os.fdopen(descriptor, "wb") as file:
             file.write(data)
         mask = os.umask(0)
         os.umask(mask)
@@ -33,7 +33,7 @@
 
 
 def write_new(path: Path, content: str | bytes) -> bool:
-    """Write a file as `write` does unless it exists; return whether it was written."""
+    """Write a file atomically unless it exists, and return whether it was written."""
     if path.exists():
         return False
     write(path, content)
@@ -41,5 +41,5 @@
 
 
 def json_text(value: Any) -> bytes:
-    """Return indented JSON with a line end."""
+    """Return a value as indented JSON with sorted keys and a final newline."""
     return orjson.dumps(value, option=orjson.OPT_INDENT_2 | orjson.OPT_SORT_KEYS) + b"\n"
--- a/flintridge/lab/experiment/search.py
+++ b/flintridge/lab/experiment/search.py
@@ -1,6 +1,6 @@
-"""Random scenarios, played and ranked: those that break a rule, and those that fall furthest behind.
+"""Plays random scenarios and ranks them: broken rules first, then by unexplained loss of goodput.
 
-`search_results.py` says what falling behind is, and `search_directory.py` which files a search writes.
+`search_results.py` defines the unexplained shortfall, `search_directory.py` the files that a search writes.
 """
 
 import random
@@ -18,23 +18,23 @@
 from flintridge.lab.scenario.model import Scenario
 from flintridge.lab.seeds import Seeds
 
-GOOD_GOODPUT = 0.98  # at which no fault-free run is needed: there is nothing to explain
-BATCH_RUNS_PER_WORKER = 4  # between two checks of the time and of what needs a fault-free run
+GOOD_GOODPUT = 0.98  # a run with at least this goodput needs no fault-free run: it has no loss to explain
+BATCH_RUNS_PER_WORKER = 4  # the time limit and the need for fault-free runs are checked between batches
 
 
 class DrawnScenario(NamedTuple):
-    """A scenario of a search, and the seed that it is played with."""
+    """A scenario of a search and the seed that it is played with."""
 
     scenario: Scenario
     seed: int
 
 
 def draw_scenario(seed: int, number: int) -> DrawnScenario:
-    """Draw the scenario of a run; it is the same whatever was drawn before.
+    """Draw the scenario of a run. It depends on the arguments alone, not on earlier draws.
 
     Args:
         seed: The seed of the search.
-        number: The number of the run.
+        number: The number of the run in the search.
     """
     generator: random.Random = Seeds(seed).of(f"search/{number}")
     run_seed = generator.randrange(1, 2**31)
@@ -60,25 +60,26 @@
     draw: DrawScenario = draw_scenario,
     show: bool = False,
 ) -> Search:
-    """Play the runs 0 to `runs` - 1 that are not done yet.
+    """Play those of the runs 0 to `runs` - 1 that are not done yet.
 
-    Runs go to their files as they end, so nothing is lost by Ctrl-C.
+    Each run is written to its file when it ends, so an interruption by Ctrl-C loses no completed run.
 
     Args:
-        directory: Where the search is kept.
-        runs: Runs of the search in all.
-        seed: The seed that all scenarios are drawn from.
-        minutes: Real time after which no further run is started.
-        keep: Scenarios kept at most for falling behind; all that broke a rule are kept.
-        workers: Worker processes; one a core where absent.
+        directory: The directory of the search.
+        runs: The total number of runs, including those that are already done.
+        seed: The seed from which all scenarios are drawn.
+        minutes: The time limit in minutes of real time, after which no further run is started.
+        keep: The maximum number of scenarios kept for their unexplained shortfall alone. Scenarios that
+            broke a rule or did not complete are always kept.
+        workers: The number of worker processes; one per core if absent.
         backend: `virtual` or `loopback`.
         runner: The function that plays a scenario.
-        dump: Writes a scenario in the format of its files.
-        draw: Draws a scenario, from the seed of the search and the number of the run.
+        dump: Returns a scenario in the format of scenario files.
+        draw: Draws a scenario from the seed of the search and the number of the run.
         show: Whether to show progress on a terminal.
 
     Raises:
-        SearchDirectoryError: The directory holds another search or other files; no run was started.
+        SearchDirectoryError: The directory holds another search or unrelated files; no run was started.
         OSError: The directory cannot be written.
     """
     files = SearchDirectory(directory)
@@ -94,7 +95,7 @@
         found.stop_reason = "interrupted"
         raise
     finally:
-        progress.settle()
+        progress.add_rule_breaking_runs()
         found.minutes += limit.elapsed_minutes()
         files.finish(found, keep, dump, lambda number: draw(seed, number)[0])
     return found
@@ -110,45 +111,48 @@
     total: int,
     show: bool,
 ) -> None:
-    """Play runs in batches until none remains or the time is over; `total` is that of the whole search."""
+    """Play runs in batches until all are played or the time limit is reached.
+
+    `total` is the number of runs of the whole search, for the progress display.
+    """
     size = BATCH_RUNS_PER_WORKER * pool.size
     completed = len(found.runs)
     found.stop_reason = ""
-    # Fault-free runs of one batch go with the runs of the next: no worker waits for them.
+    # The fault-free runs of one batch are played with the next batch, so that no worker is idle.
     for start in range(0, len(numbers) + size, size):
         jobs = progress.jobs(numbers[start : start + size])
-        title = f"days {min(completed + start, total)} of {total}"
+        title = f"runs {min(completed + start, total)} of {total}"
         pool.run(jobs, on_done=progress.on_done, stop=limit.is_over, show=show, title=title)
         if limit.is_over():
             found.stop_reason = limit.reason
-            pool.run(progress.jobs([]), on_done=progress.on_done, show=show, title="days without faults")
+            pool.run(progress.jobs([]), on_done=progress.on_done, show=show, title="runs without faults")
             break
 
 
 class TimeLimit:
-    """The real time of a search, from its start.
+    """The time limit of a search in real time, counted from its start.
 
     Attributes:
-        reason: What its summary says where the time was over, empty without a limit.
+        reason: The stop reason for the summary if the limit is reached; empty without a limit.
     """
 
     def __init__(self, minutes: float | None) -> None:
-        """Start the time, with a limit in minutes or none."""
+        """Start the clock, with a limit in minutes or without one."""
         self.reason = "" if minutes is None else f"the {minutes:g} minutes were over"
         self._minutes = minutes
         self._started_s = time.monotonic()
 
     def is_over(self) -> bool:
-        """Return whether no further run may be started."""
+        """Return whether the limit is reached and no further run may be started."""
         return self._minutes is not None and time.monotonic() - self._started_s > 60 * self._minutes
 
     def elapsed_minutes(self) -> float:
-        """Return the time since the start."""
+        """Return the minutes of real time since the start."""
         return (time.monotonic() - self._started_s) / 60
 
 
 class SearchProgress:
-    """The runs of a search: those done, and those whose fault-free run is awaited."""
+    """The completed runs of a search, and those that need a fault-free run before they can be evaluated."""
 
     def __init__(
         self, files: SearchDirectory, found: Search, draw: DrawScenario, *, backend: str, runner: str
@@ -156,9 +160,9 @@
         """Continue a search.
 
         Args:
-            files: Where runs are written as they are done.
-            found: The search, to which they are added.
-            draw: Draws the scenarios.
+            files: The directory in which each evaluated run is written.
+            found: The search, to which each evaluated run is added.
+            draw: Draws the scenario of a run.
             backend: The backend of all runs.
             runner: `module:name` of the function that plays a scenario.
         """
@@ -167,10 +171,10 @@
         self._draw = draw
         self._backend = backend
         self._runner = runner
-        self._awaiting: dict[int, Result] = {}  # by number: played, and in need of a fault-free run
+        self._awaiting: dict[int, Result] = {}  # results by run number that still need a fault-free run
 
     def jobs(self, numbers: Iterable[int]) -> list[Job]:
-        """Return jobs for the awaited fault-free runs and, after them, for these runs."""
+        """Return the jobs of all fault-free runs that are needed, followed by the jobs of the given runs."""
         fault_free = [self._job(number, "calm") for number in self._awaiting]
         return fault_free + [self._job(number, "day") for number in numbers]
 
@@ -182,7 +186,7 @@
         return Job(scenario=scenario, seed=seed, label=label, backend=self._backend, runner=self._runner)
 
     def on_done(self, _: int, job: Job, outcome: Outcome) -> None:
-        """Take in the outcome of a job; a run that lost goodput to faults awaits its fault-free run."""
+        """Process the outcome of a job. A run with faults and a low goodput first needs a fault-free run."""
         kind, _separator, number_text = job.label.partition(" ")
         number = int(number_text)
         if kind == "calm":
@@ -198,10 +202,10 @@
         else:
             self._add(number, outcome, None)
 
-    def settle(self) -> None:
-        """Add the awaited runs that broke a rule.
+    def add_rule_breaking_runs(self) -> None:
+        """Add those runs without their fault-free run that broke a rule.
 
-        The others are played again when the search is continued, with their fault-free run.
+        The others are played again, with their fault-free run, when the search is continued.
         """
         for number, result in sorted(self._awaiting.items()):
             if broken_rules(result):
--- a/flintridge/lab/experiment/search_directory.py
+++ b/flintridge/lab/experiment/search_directory.py
@@ -1,9 +1,9 @@
 """The directory of a search.
 
-It holds `search.json` (what was drawn, an entry for each run; the one file that is replaced),
-`days/NNNNNN.json` for each run, and under `kept/` the scenarios worth a look as ordinary files, with their
-results beside them. Nothing else there is ever overwritten: a second search with the same seed continues
-after the runs that are done.
+It holds `search.json` (a summary with an entry for each run; the only file that is replaced),
+`days/NNNNNN.json` for each run, and under `kept/` the scenarios that deserve a closer look, as ordinary
+scenario files with their results. No other file is ever overwritten: a second search with the same seed plays
+only the runs that are not done yet.
 """
 
 from collections.abc import Callable
@@ -16,15 +16,15 @@
 from flintridge.lab.result import Result, as_json
 from flintridge.lab.scenario.model import Scenario
 
-MIN_KEPT_SHORTFALL = 0.05  # unexplained shortfall below which a run is not kept
+MIN_KEPT_SHORTFALL = 0.05  # a run with a smaller unexplained shortfall is not kept
 
 
 class SearchDirectoryError(ValueError):
-    """A directory holds no search, or another one."""
+    """The directory holds a different search, unreadable files, or files that belong to no search."""
 
 
 def without_faults(scenario: Scenario) -> Scenario:
-    """Return the same scenario without its faults."""
+    """Return a copy of the scenario without faults."""
     return msgspec.structs.replace(scenario, faults=())
 
 
@@ -32,17 +32,19 @@
     """Reads and writes the files of one search."""
 
     def __init__(self, path: Path) -> None:
-        """Use the directory at this path, which `open` creates where it does not exist."""
+        """Use the directory at this path; `open` creates it if it does not exist."""
         self._path = path
 
     def open(self, seed: int) -> Search:
-        """Begin a search, or continue one: its runs are read from their files, as the summary may be older.
+        """Start a new search or continue the one in the directory.
+
+        The runs are read from their own files, because the summary may be older.
 
         Args:
             seed: The seed of the search.
 
         Raises:
-            SearchDirectoryError: There are other files, files that cannot be read, or another search.
+            SearchDirectoryError: The directory holds a different search, unreadable or unrelated files.
             OSError: The directory cannot be created or read.
         """
         index = self._path / "search.json"
@@ -53,7 +55,9 @@
             paths = sorted((self._path / "days").glob("[0-9]*.json"))
             found.runs = [_read(path).run for path in paths]
         except msgspec.MsgspecError as error:
-            raise SearchDirectoryError(f"{self._path}: its files cannot be read: {error}") from error
+            raise SearchDirectoryError(
+                f"{self._path}: the files of the search cannot be read: {error}"
+            ) from error
         if (found.seed, found.space_version) != (seed, space.VERSION):
             raise SearchDirectoryError(
                 f"{self._path}: holds the search with seed {found.seed} (space {found.space_version}), "
@@ -64,7 +68,9 @@
     def _create(self, seed: int) -> Search:
         """Create the directory of a new search."""
         if self._path.exists() and any(self._path.iterdir()):
-            raise SearchDirectoryError(f"{self._path}: not empty, and no search (it has no search.json)")
+            raise SearchDirectoryError(
+                f"{self._path}: not empty and not a search directory (search.json is missing)"
+            )
         (self._path / "days").mkdir(parents=True, exist_ok=True)
         (self._path / "kept").mkdir(exist_ok=True)
         found = Search(seed=seed, space_version=space.VERSION)
@@ -72,7 +78,7 @@
         return found
 
     def add(self, run: SearchRun, result: Result | None) -> None:
-        """Write the file of a run, unless it exists."""
+        """Write the file of a run unless it exists."""
         content = output.json_text(msgspec.to_builtins(SearchResult(run=run, result=result)))
         output.write_new(self._run_path(run.number), content)
 
@@ -86,10 +92,10 @@
         """Choose the scenarios to keep, and write them and the summary.
 
         Args:
-            found: The search; its runs are sorted and its kept names set.
-            keep: Scenarios kept at most for their unexplained shortfall alone.
-            dump: Writes a scenario in the format of its files.
-            scenario_of: Draws the scenario of a run again, by its number.
+            found: The search. Its runs are sorted, and the names of its kept scenarios are set.
+            keep: The maximum number of scenarios kept for their unexplained shortfall alone.
+            dump: Returns a scenario in the format of scenario files.
+            scenario_of: Returns the scenario of a run, drawn again from the run's number.
         """
         found.runs.sort(key=lambda run: run.number)
         unsound = [run for run in found.runs if run.violation_count or run.failure]
@@ -105,7 +111,7 @@
         self._write_summary(found)
 
     def _keep(self, run: SearchRun, scenario: Scenario, dump: Callable[[Scenario], str]) -> None:
-        """Write the scenario of a run and its result to the kept ones."""
+        """Write the scenario and the result of a run to the directory of kept scenarios."""
         kept = self._path / "kept"
         output.write_new(kept / f"{run.name}.toml", dump(scenario))
         if run.fault_free_violations:
--- a/flintridge/lab/experiment/search_results.py
+++ b/flintridge/lab/experiment/search_results.py
@@ -1,17 +1,17 @@
-"""What a search records of each run, and how its runs are ranked.
-
-How far a run falls behind is the goodput that it lost without an explanation:
-
-- the *fault-free goodput* is that of the same scenario and seed without its faults (a scenario without
-  faults, and a run that went well, needs no second run);
-- the *reference* is the fault-free goodput, or the fluid bound of `fluid.py` where that is higher, less 15
-  parts in 100 as it knows neither queues nor deadlines: a node that jams without any fault must not be
-  measured against itself;
-- the *shortfall* is the reference less the goodput of the run, at least 0;
-- the *unexplained shortfall* weighs its two components: what the run lost against the fault-free goodput
-  counts times (1 - severity), where `fault_severity.py` estimates the fraction of the service that its faults
-  take from any node (a fleet that lost half of its servers is asked for less); what the fault-free goodput
-  itself lacks to the reference counts in full.
+"""The records of a search, and the ranking of its runs.
+
+Runs are ranked by their unexplained shortfall, the loss of goodput that their faults do not explain:
+
+- The *fault-free goodput* is the goodput of the same scenario and seed without faults. A scenario without
+  faults and a run with a good goodput need no second run.
+- The *reference* is the higher one of the fault-free goodput and 85% of the bound from `fluid.py`. The bound
+  is reduced by 15% because the fluid model has neither queues nor deadlines. It is used because a node that
+  becomes overloaded without any fault must not be compared only with itself.
+- The *shortfall* is the reference minus the goodput of the run, at least 0.
+- The *unexplained shortfall* is the sum of two parts. The loss against the fault-free goodput is multiplied
+  by (1 - severity): `fault_severity.py` estimates the fraction of requests that any node loses to the faults,
+  so less is expected of a fleet that lost half of its servers. The difference between the reference and the
+  fault-free goodput counts in full.
 """
 
 from collections.abc import Iterable
@@ -24,41 +24,42 @@
 from flintridge.lab.result import Result
 from flintridge.lab.scenario.model import Scenario
 
-FLUID_BOUND_FRACTION = 0.85  # of the fluid bound, which knows neither queues nor deadlines
-NOT_KNOWN = -1.0
+FLUID_BOUND_FRACTION = 0.85  # below 1 because the fluid model has neither queues nor deadlines
+NOT_AVAILABLE = -1.0
 
 
 class SearchRun(msgspec.Struct, kw_only=True):
-    """One run of a search, a line of its summary.
+    """One run of a search, an entry of the summary.
 
     Attributes:
-        number: Its number in the search, from 0.
-        seed: The seed that it is played with.
-        name: The scenario's name.
+        number: The number of the run in the search, from 0.
+        seed: The seed that the scenario is played with.
+        name: The name of the scenario.
         goodput: The goodput with faults.
-        fault_free_goodput: The goodput without them, -1 where that was not played.
-        reference: The goodput that it is measured against.
-        severity: The fraction of the service that its faults take from any node.
-        load: The load on the bottleneck, 1 where that is fully used.
-        shortfall: The reference less the goodput, at least 0.
-        unexplained_shortfall: What of it the faults do not explain, -1 without a complete result.
-        requests: First attempts of all requests.
-        violations: Violations by broken rule.
-        fault_free_violations: The same in the run without faults.
+        fault_free_goodput: The goodput without faults; -1 if no fault-free run was played.
+        reference: The goodput that the run is compared with.
+        severity: The estimated fraction of requests that any node loses to the faults.
+        load: The load on the bottleneck; 1 means fully used.
+        shortfall: The reference minus the goodput, at least 0.
+        unexplained_shortfall: The part of the shortfall that the faults do not explain; -1 without a
+            complete result.
+        requests: The number of first attempts of all requests.
+        violations: The number of violations by name of the broken rule.
+        fault_free_violations: The number of violations in the fault-free run, by name of the broken rule.
         faults: The tags of the scenario's faults.
-        failure: Why there is no complete result, empty where there is one.
+        failure: Why there is no complete result; empty if there is one.
     """
 
     number: int
     seed: int
     name: str
     goodput: float = 0.0
-    fault_free_goodput: float = msgspec.field(default=NOT_KNOWN, name="calm")
+    fault_free_goodput: float = msgspec.field(default=NOT_AVAILABLE, name="calm")
     reference: float = 0.0
     severity: float = 0.0
     load: float = 0.0
     shortfall: float = 0.0
-    unexplained_shortfall: float = msgspec.field(default=NOT_KNOWN, name="behind")
+    unexplained_shortfall: float = msgspec.field(default=NOT_AVAILABLE, name="behind")
     requests: int = 0
     violations: dict[str, int] = msgspec.field(default_factory=dict, name="rules")
     fault_free_violations: dict[str, int] = msgspec.field(default_factory=dict, name="calm_rules")
@@ -67,7 +68,7 @@
 
     @property
     def violation_count(self) -> int:
-        """Return the violations with and without faults together."""
+        """Return the number of violations in the runs with and without faults together."""
         return sum(self.violations.values()) + sum(self.fault_free_violations.values())
 
 
@@ -75,8 +76,8 @@
     """The file of a run, `days/NNNNNN.json`.
 
     Attributes:
-        run: The run's line of the summary.
-        result: Its result, absent where the run failed.
+        run: The summary entry of the run.
+        result: The result; absent if the run failed.
     """
 
     run: SearchRun = msgspec.field(name="day")
@@ -87,12 +88,12 @@
     """The summary of a search, `search.json`.
 
     Attributes:
-        seed: The seed that all scenarios are drawn from.
-        space_version: The version of the space that they are drawn from.
-        runs: The runs by number.
+        seed: The seed from which all scenarios are drawn.
+        space_version: The version of the scenario space from which they are drawn.
+        runs: The runs in the order of their numbers.
         kept: The names of the kept scenarios, worst first.
-        minutes: Real time of the search, over all times it was continued.
-        stop_reason: Why it ended before all runs were played, empty where it did not.
+        minutes: The duration of the search in minutes of real time, including all continuations.
+        stop_reason: Why the search ended before all runs were played; empty if all were played.
     """
 
     seed: int
@@ -119,15 +120,15 @@
     """Evaluate a run against its reference.
 
     Args:
-        number: The run's number in the search.
-        seed: The seed that it was played with.
-        scenario: Its scenario.
-        result: Its result, absent where the run failed.
-        fault_free: The result without faults, absent where that was not played.
-        failure_reason: Why a result is absent, if it is.
+        number: The number of the run in the search.
+        seed: The seed that the scenario was played with.
+        scenario: The scenario of the run.
+        result: The result; absent if the run failed.
+        fault_free: The result without faults; absent if no fault-free run was played.
+        failure_reason: Why the result, or the fault-free result, is absent; empty if neither run failed.
 
     Returns:
-        The run's line of the summary.
+        The summary entry of the run.
     """
     flow = flows(scenario)
     run = SearchRun(
@@ -154,20 +155,22 @@
         run.fault_free_goodput = fault_free.goodput
     run.reference = max(run.fault_free_goodput, FLUID_BOUND_FRACTION * flow.bound)
     run.shortfall = max(0.0, run.reference - result.goodput)
-    by_faults = run.shortfall  # without a fault-free run all of it is put down to the faults
+    loss_to_faults = (
+        run.shortfall
+    )  # without a fault-free run, the whole shortfall is attributed to the faults
     if run.fault_free_goodput >= 0:
-        by_faults = min(run.shortfall, max(0.0, run.fault_free_goodput - result.goodput))
-    run.unexplained_shortfall = by_faults * (1 - run.severity) + (run.shortfall - by_faults)
+        loss_to_faults = min(run.shortfall, max(0.0, run.fault_free_goodput - result.goodput))
+    run.unexplained_shortfall = loss_to_faults * (1 - run.severity) + (run.shortfall - loss_to_faults)
     return run
 
 
 def broken_rules(result: Result) -> dict[str, int]:
-    """Return the violations of the rules that were broken, by name."""
+    """Return the number of violations of each broken rule, by name."""
     return {name: count for name, count in sorted(result.rules.items()) if count}
 
 
 def ranked(runs: Iterable[SearchRun]) -> list[SearchRun]:
-    """Return runs worst first: broken rules, failed runs, then by their unexplained shortfall."""
+    """Sort runs, worst first: broken rules, then failed runs, then by unexplained shortfall."""
 
     def rank(run: SearchRun) -> tuple[bool, bool, float, int]:
         return (not run.violation_count, not run.failure, -run.unexplained_shortfall, run.number)
@@ -176,7 +179,7 @@
 
 
 def summary(found: Search) -> dict[str, Any]:
-    """Return a search as plain values."""
+    """Return a search as built-in types, with the computed verdict included."""
     built: dict[str, Any] = msgspec.to_builtins(found)
     built["sound"] = found.sound
     return built
--- a/flintridge/lab/experiment/shrink.py
+++ b/flintridge/lab/experiment/shrink.py
@@ -1,12 +1,13 @@
-"""From a scenario that fails to the smallest one that still fails the same way, by delta debugging.
+"""Shrinks a failing scenario to the smallest one that still fails the same way, by delta debugging.
 
-A pass (`shrink_passes.py`) offers candidates, boldest first; the first *in that order* that still fails is
-taken, however many are played at once and whichever ends first, so the result depends on the scenario, the
-seed and the budget alone. Passes are gone through again until none of them makes progress. The budget counts
-candidates up to the one that was taken; those played beside it for speed are not counted.
+A pass (`shrink_passes.py`) yields candidates, the largest reductions first. The first candidate *in that
+order* that still fails is taken, no matter how many are played concurrently and which of them ends first, so
+the result depends only on the scenario, the seed and the budget. All passes are repeated until none of them
+makes progress. The budget counts candidates up to the one that was taken; later candidates of the same batch,
+which are played only for speed, are not counted.
 
-A failure that depends on a few milliseconds is gone as soon as anything else changes, under that seed. Each
-candidate is therefore played under some more seeds, and whichever fails first becomes the seed of the result.
+A failure that depends on a few milliseconds disappears with that seed as soon as anything else changes. Each
+candidate is therefore played with several seeds, and the first one that fails becomes the seed of the result.
 """
 
 from collections.abc import Callable, Iterator, Sequence
@@ -32,18 +33,18 @@
 NOTHING_SMALLER = "nothing smaller fails"
 BUDGET_USED_UP = "the budget is used up"
 LOAD_TOLERANCE_RATIO = 1.02
-MIN_LOAD_LIMIT = 0.05  # below this load no comparison says anything
+MIN_LOAD_LIMIT = 0.05  # comparing loads below this value is meaningless
 SEVERITY_TOLERANCE_RATIO = 1.02
 SEVERITY_TOLERANCE = 0.005
 
 
 class Step(msgspec.Struct, kw_only=True):
-    """A candidate that was played.
+    """A candidate that was played and counted against the budget.
 
     Attributes:
-        number: Runs used up to and including this one.
-        taken: Whether it still failed and replaced the scenario found so far.
-        text: The pass and the reduction, and the seed where it differs.
+        number: The number of runs counted so far, including this one.
+        taken: Whether the candidate still failed and replaced the smallest scenario so far.
+        text: The pass and the reduction, and the seed if it differs from that of the smallest scenario.
     """
 
     number: int
@@ -56,12 +57,12 @@
 
     Attributes:
         scenario: The smallest scenario found.
-        seed: The seed that it fails with, not always the one that was given.
-        fails: How it fails, as text.
-        runs: Candidates counted against the budget.
-        steps: Every counted candidate, in the order in which they were played.
-        before: The sizes of the scenario that was given, by name.
-        after: The sizes of the one found, by the same names.
+        seed: The seed with which the scenario fails; it may differ from the given one.
+        fails: A description of the failure.
+        runs: The number of runs counted against the budget.
+        steps: All counted candidates, in the order of the passes.
+        before: The sizes of the given scenario, by name.
+        after: The sizes of the smallest scenario, by the same names.
         end_reason: Why no further candidate was played.
     """
 
@@ -76,12 +77,12 @@
 
 
 class ShrinkCandidate(msgspec.Struct, frozen=True):
-    """A scenario to try.
+    """A reduced scenario that is played to see whether it still fails.
 
     Attributes:
-        text: The reduction that led to it.
+        text: A description of the reduction.
         scenario: The reduced scenario.
-        seed: The seed that it is played with.
+        seed: The seed that the scenario is played with.
     """
 
     text: str
@@ -90,12 +91,12 @@
 
 
 class ShrinkLimits(msgspec.Struct, frozen=True, kw_only=True):
-    """What one shrinking may use.
+    """The limits of one shrinking.
 
     Attributes:
-        width: Candidates played at once.
-        budget: Candidates counted at most.
-        seeds_per_candidate: Seeds that each candidate is played under.
+        width: The number of candidates that are played concurrently.
+        budget: The maximum number of counted runs.
+        seeds_per_candidate: The number of seeds with which each candidate is played.
     """
 
     width: int
@@ -107,7 +108,7 @@
 
 
 def scenario_sizes(scenario: Scenario) -> dict[str, float]:
-    """Return the sizes that shrinking reduces, by the names that `--json` prints."""
+    """Return the sizes of a scenario that shrinking reduces, by the names that `--json` prints."""
     return {
         "faults": len(scenario.faults),
         "nodes": scenario.nodes.count,
@@ -134,26 +135,27 @@
     on_step: Callable[[Step], None] = lambda step: None,
     limit_s: float | None = None,
 ) -> Shrunk:
-    """Reduce a scenario for as long as it fails the same way.
+    """Reduce a scenario as far as it still fails the same way.
 
     Args:
         scenario: The scenario that fails.
-        seed: The seed that it fails with.
-        predicate: How it fails; found from a first run where absent.
-        budget: Counted runs at most.
-        seeds_per_candidate: Seeds that each candidate is played under.
+        seed: The seed with which it fails.
+        predicate: How it fails; chosen from the outcome of a first run if absent.
+        budget: The maximum number of counted runs.
+        seeds_per_candidate: The number of seeds with which each candidate is played.
         backend: `virtual` or `loopback`.
         defect: The seeded defect to play with, if any.
-        workers: Worker processes; one a core where absent.
+        workers: The number of worker processes; one per core if absent.
         runner: The function that plays a scenario.
         on_step: Called with each counted candidate.
-        limit_s: Real time for each run, in seconds; the scenario's own limit where absent.
+        limit_s: The limit of each run in seconds of real time. If absent, the scenario's own limit plus a
+            margin.
 
     Returns:
         The smallest scenario found and the steps to it.
 
     Raises:
-        ScenarioDoesNotFailError: The scenario as given does not fail in this way.
+        ScenarioDoesNotFailError: The given scenario does not fail in this way.
     """
     play = runner_name(runner)
     template = Job(scenario=scenario, seed=seed, backend=backend, defect=defect, runner=play, limit_s=limit_s)
@@ -176,7 +178,7 @@
 
 
 def _shrunk(given: Scenario, predicate: Predicate, shrinker: "Shrinker", budget: int) -> Shrunk:
-    """Return the result of a shrinking that came to its end."""
+    """Return the result of a finished shrinking."""
     found = shrinker.smallest
     smallest = with_expectation(found.scenario, predicate, given.name, found.seed)
     return Shrunk(
@@ -198,17 +200,17 @@
     observed = failure(outcome)
     if not observed and isinstance(outcome, Result):
         observed = f"goodput {outcome.goodput:.4f}"
-    raise ScenarioDoesNotFailError(f"does not fail as asked ({predicate}): {observed}")
+    raise ScenarioDoesNotFailError(f"the scenario does not fail as requested ({predicate}): {observed}")
 
 
 class Shrinker:
-    """The state of one shrinking: the smallest scenario so far, and what its run gave.
+    """The state of one shrinking: the smallest scenario so far and the outcome of its run.
 
     Attributes:
-        smallest: The last candidate that was taken.
-        outcome: The outcome of its run.
-        runs: Runs counted against the budget, with that of the scenario as given.
-        steps: Every counted candidate.
+        smallest: The last candidate that was taken; at first the given scenario.
+        outcome: The outcome of the run of `smallest`.
+        runs: The number of runs counted against the budget, including the run of the given scenario.
+        steps: All counted candidates.
     """
 
     def __init__(
@@ -220,14 +222,14 @@
         limits: ShrinkLimits,
         on_step: Callable[[Step], None],
     ) -> None:
-        """Begin with the scenario as given.
+        """Begin with the given scenario.
 
         Args:
-            given: The scenario as given, with its seed.
-            predicate: What candidates have to satisfy.
-            outcome: The outcome of the given scenario's run.
-            run: Plays candidates at once; outcomes in the same order.
-            limits: The budget and how it is spent.
+            given: The given scenario with its seed.
+            predicate: The predicate that candidates must satisfy.
+            outcome: The outcome of the run of the given scenario.
+            run: Plays candidates concurrently and returns their outcomes in the same order.
+            limits: The budget, the batch size and the seeds per candidate.
             on_step: Called with each counted candidate.
         """
         self.smallest = given
@@ -240,21 +242,22 @@
         self._on_step = on_step
         self._given_load = flows(given.scenario).load
         self._given_severity = severity(given.scenario)
-        self._passed: set[tuple[Scenario, int]] = set()  # scenarios and seeds that did not fail
+        self._not_failing: set[tuple[Scenario, int]] = set()  # pairs of scenario and seed that did not fail
 
     def run_until_no_progress(self) -> None:
-        """Repeat all passes until a round of them takes no candidate or the budget is used up."""
+        """Repeat all passes until a round takes no candidate or the budget is used up."""
         progress = True
         while progress and self.runs < self._limits.budget:
             progress = False
             for name, generate in PASSES:
-                # By their texts: the same reduction of a smaller scenario is left for the next round.
+                # Texts of rejected candidates: within one pass of a round, a rejected reduction is not
+                # tried again on a scenario that has become smaller since.
                 rejected: set[str] = set()
                 while self.runs < self._limits.budget and self._take_first(name, generate, rejected):
                     progress = True
 
     def _take_first(self, name: str, generate: CandidateGenerator, rejected: set[str]) -> bool:
-        """Take the first candidate of a pass that still fails; whether there was one."""
+        """Take the first candidate of a pass that still fails; return whether there was one."""
         batch: list[ShrinkCandidate] = []
         for candidate in self._with_seeds(generate, frozenset(rejected)):
             batch.append(candidate)
@@ -269,21 +272,21 @@
     def _with_seeds(
         self, generate: CandidateGenerator, rejected: frozenset[str]
     ) -> Iterator[ShrinkCandidate]:
-        """Yield candidates to play, each under the seed that is known to fail and then under others."""
-        known = self.smallest.seed
+        """Yield the candidates of a pass, each with the seed that is known to fail and then with others."""
+        known_seed = self.smallest.seed
         count = self._limits.seeds_per_candidate
-        seeds = [known, *(seed for seed in range(1, count + 1) if seed != known)][:count]
+        seeds = [known_seed, *(seed for seed in range(1, count + 1) if seed != known_seed)][:count]
         seen: set[Scenario] = {self.smallest.scenario}
         for text, scenario in generate(self.smallest.scenario, self.outcome):
             if text in rejected or scenario in seen or not self._is_admissible(scenario):
                 continue
             seen.add(scenario)
             for seed in seeds:
-                if (scenario, seed) not in self._passed:
+                if (scenario, seed) not in self._not_failing:
                     yield ShrinkCandidate(text, scenario, seed)
 
     def _is_admissible(self, scenario: Scenario) -> bool:
-        """Return whether a scenario has no contradictions and, for a goodput, is a fair comparison."""
+        """Return whether a scenario is valid and, for a goodput bound, comparable with the given scenario."""
         if contradictions(scenario):
             return False
         if not isinstance(self._predicate, GoodputBelow):
@@ -293,7 +296,7 @@
         return severity(scenario) <= self._given_severity * SEVERITY_TOLERANCE_RATIO + SEVERITY_TOLERANCE
 
     def _take_from(self, name: str, batch: Sequence[ShrinkCandidate], rejected: set[str]) -> bool:
-        """Play a batch and take the first candidate in it that still fails; whether there was one."""
+        """Play a batch and take its first candidate that still fails; return whether there was one."""
         for candidate, outcome in zip(batch, self._run(batch), strict=True):
             self.runs += 1
             taken = outcome is not None and self._predicate(outcome)
@@ -306,6 +309,6 @@
                 self.outcome = outcome
                 rejected.discard(candidate.text)
                 return True
-            self._passed.add((candidate.scenario, candidate.seed))
+            self._not_failing.add((candidate.scenario, candidate.seed))
             rejected.add(candidate.text)
         return False
--- a/flintridge/lab/experiment/shrink_passes.py
+++ b/flintridge/lab/experiment/shrink_passes.py
@@ -1,4 +1,4 @@
-"""The passes of a shrinking: each yields smaller scenarios, the boldest reduction first."""
+"""The passes of a shrinking. Each yields smaller scenarios, the largest reductions first."""
 
 from collections.abc import Callable, Iterator, Sequence
 from typing import Any
@@ -12,7 +12,7 @@
 
 replace = msgspec.structs.replace
 
-AFTER_VIOLATION_S = 3.0  # kept after the first violation: the records that prove it may come later
+AFTER_VIOLATION_S = 3.0  # a violation may be proved by records of events that follow it
 MIN_TIME_SAVED_S = 0.4
 MIN_LENGTH_S = 1.0
 MIN_RATE_PER_S = 0.5
@@ -30,7 +30,7 @@
     "goal",
     "prices",
 )
-SIZE_FIELDS = {  # of the tables above: other passes reduce them
+SIZE_FIELDS = {  # fields of the tables above that are not reset because other passes reduce them
     "load": ("rate_per_s",),
     "keys": ("count",),
     "nodes": ("count",),
@@ -47,7 +47,7 @@
 
 
 def _complements(items: Sequence[Any]) -> Iterator[tuple[str, tuple[Any, ...]]]:
-    """Yield the complements of delta debugging: nothing, then all but each half, quarter ... single item."""
+    """Yield subsets for delta debugging: none, then all but each half, each quarter ... each single item."""
     count = len(items)
     if count:
         yield f"none of {count}", ()
@@ -60,19 +60,22 @@
 
 
 def _smaller_counts(current: int, minimum: int = 1) -> Iterator[int]:
-    """Yield smaller whole numbers: the minimum, a quarter, half, three quarters, one less."""
+    """Yield smaller integers: the minimum, a quarter, half and three quarters of `current`, and one less."""
     counts = dict.fromkeys([minimum, current // 4, current // 2, current * 3 // 4, current - 1])
     yield from (count for count in counts if minimum <= count < current)
 
 
 def _fewer_faults(scenario: Scenario, _: Outcome) -> Candidates:
-    """Yield scenarios with some of the faults."""
+    """Yield scenarios with subsets of the faults."""
     for text, faults in _complements(scenario.faults):
         yield text, replace(scenario, faults=faults)
 
 
 def _shorter_run(scenario: Scenario, outcome: Outcome) -> Candidates:
-    """Yield runs to shortly after the first violation, then to fractions of the length."""
+    """Yield runs that end shortly after the first violation, then at fractions of the length.
+
+    After these, yield runs with a shorter warm-up.
+    """
     ends = []
     if isinstance(outcome, Result) and outcome.violations:
         first_ms = min(violation.at_ms for violation in outcome.violations)
@@ -87,7 +90,7 @@
 
 
 def _truncated(scenario: Scenario, end_s: float) -> Scenario:
-    """End a run earlier; faults that have begun by then end before it."""
+    """End a run at `end_s`: drop faults that begin later, and end the others before it."""
     faults = []
     for fault in scenario.faults:
         if fault.at_s >= end_s:
@@ -99,7 +102,7 @@
 
 
 def _earlier_faults(scenario: Scenario, _: Outcome) -> Candidates:
-    """Yield runs whose faults all begin earlier by the same time, which shortens the run."""
+    """Yield shorter runs, in which all faults begin earlier by the same time."""
     if not scenario.faults:
         return
     first_s = min(fault.at_s for fault in scenario.faults)
@@ -113,7 +116,7 @@
 
 
 def _lower_rate(scenario: Scenario, _: Outcome) -> Candidates:
-    """Yield scenarios with fractions of the request rate."""
+    """Yield scenarios with lower request rates."""
     for fraction in RATE_FRACTIONS:
         rate = round(scenario.load.rate_per_s * fraction, 1)
         if rate >= MIN_RATE_PER_S:
@@ -129,7 +132,7 @@
 
 
 def _limited_to_nodes(fault: Any, count: int) -> Any:
-    """Limit a fault of nodes to the first `count` nodes."""
+    """Limit a fault that affects nodes to the first `count` nodes."""
     if not hasattr(fault, "nodes") or isinstance(fault, model.ZoneLoss):
         return fault
     nodes = tuple(number for number in fault.nodes if number < count)
@@ -137,7 +140,10 @@
 
 
 def _fewer_servers(scenario: Scenario, _: Outcome) -> Candidates:
-    """Yield smaller fleets: with load and origin in proportion, then with those unchanged; then by groups."""
+    """Yield scenarios with fewer servers, each with load and origin scaled in proportion and unchanged.
+
+    After these, yield scenarios with subsets of the server groups.
+    """
     total = server_count(scenario)
     for count in _smaller_counts(total):
         groups = _distributed(scenario.servers, count)
@@ -156,7 +162,7 @@
 
 
 def _distributed(groups: tuple[model.Group, ...], count: int) -> tuple[model.Group, ...]:
-    """Distribute `count` servers in proportion to the groups' sizes, the rest to the first groups."""
+    """Distribute `count` servers in proportion to the group sizes, the remainder to the first groups."""
     total = sum(group.count for group in groups)
     counts = [group.count * count // total for group in groups]
     for i in range(count - sum(counts)):
@@ -166,7 +172,7 @@
 
 
 def _without_unused_kinds(scenario: Scenario) -> Scenario:
-    """Remove the kinds that no server is of, and limit faults to servers that remain."""
+    """Remove unused kinds of servers with their faults, and limit other faults to the remaining servers."""
     used = {group.kind for group in scenario.servers}
     kinds = tuple(kind for kind in scenario.kinds if kind.name in used)
     total = server_count(scenario)
@@ -181,7 +187,7 @@
 
 
 def _fewer_zones(scenario: Scenario, _: Outcome) -> Candidates:
-    """Yield scenarios in which everything of one zone is in another one."""
+    """Yield scenarios in which one zone is merged_zone into another."""
     for removed in scenario.zones:
         remaining = tuple(zone for zone in scenario.zones if zone != removed)
         if remaining:
@@ -189,35 +195,35 @@
 
 
 def _zone_merged(scenario: Scenario, removed: str, remaining: tuple[str, ...]) -> Scenario:
-    """Move everything of the removed zone to the first remaining one."""
+    """Move servers, nodes, faults, origin and discovery from the removed zone to the first remaining one."""
 
-    def merged(zone: str | None) -> str | None:
+    def merged_zone(zone: str | None) -> str | None:
         return remaining[0] if zone == removed else zone
 
-    groups = tuple(replace(group, zone=merged(group.zone)) for group in scenario.servers)
+    groups = tuple(replace(group, zone=merged_zone(group.zone)) for group in scenario.servers)
     faults = []
     for fault in scenario.faults:
         if isinstance(fault, model.ServerFault | model.ZoneLoss) and fault.zone == removed:
             fault = replace(fault, zone=remaining[0])
         elif isinstance(fault, model.Cut | model.SlowLink):
-            fault = replace(fault, zone=merged(fault.zone), other=merged(fault.other))
+            fault = replace(fault, zone=merged_zone(fault.zone), other=merged_zone(fault.other))
             if fault.zone == fault.other:
                 continue
         faults.append(fault)
-    node_zones = tuple(str(merged(zone)) for zone in scenario.nodes.zones)
+    node_zones = tuple(str(merged_zone(zone)) for zone in scenario.nodes.zones)
     return replace(
         scenario,
         zones=remaining,
         servers=groups,
         faults=tuple(faults),
         nodes=replace(scenario.nodes, zones=node_zones),
-        origin=replace(scenario.origin, zone=merged(scenario.origin.zone)),
-        discovery=replace(scenario.discovery, zone=merged(scenario.discovery.zone)),
+        origin=replace(scenario.origin, zone=merged_zone(scenario.origin.zone)),
+        discovery=replace(scenario.discovery, zone=merged_zone(scenario.discovery.zone)),
     )
 
 
 def _fewer_classes(scenario: Scenario, _: Outcome) -> Candidates:
-    """Yield scenarios with some of the request classes, then with some of the tenants."""
+    """Yield scenarios with subsets of the request classes, then with subsets of the tenants."""
     for text, classes in _complements(scenario.classes):
         if classes:
             yield f"classes {text}", replace(scenario, classes=classes)
@@ -226,7 +232,7 @@
 
 
 def _simpler_kinds(scenario: Scenario, _: Outcome) -> Candidates:
-    """Yield fleets of one kind, then kinds with the format's default values."""
+    """Yield fleets with a single kind of server, then kinds with default values."""
     if len(scenario.kinds) > 1:
         for kind in scenario.kinds:
             groups = tuple(replace(group, kind=kind.name) for group in scenario.servers)
@@ -246,7 +252,7 @@
 
 
 def _smaller_faults(scenario: Scenario, _: Outcome) -> Candidates:
-    """Yield each fault for half of its time, and of one server."""
+    """Yield each fault with half of its length, and each fault of several servers limited to one server."""
     for i, fault in enumerate(scenario.faults):
         before = scenario.faults[:i]
         after = scenario.faults[i + 1 :]
@@ -259,18 +265,18 @@
 
 
 def _default_tables(scenario: Scenario, _: Outcome) -> Candidates:
-    """Yield tables with the format's default values, then single values of them, sizes unchanged."""
+    """Yield scenarios in which a table has default values, first for many fields and then for single ones."""
     for name in RESETTABLE_TABLES:
         for text, simpler in _with_defaults(getattr(scenario, name), keep=SIZE_FIELDS.get(name, ())):
             yield f"{name}: {text}", replace(scenario, **{name: simpler})
 
 
 def _with_defaults(table: Any, keep: tuple[str, ...]) -> Iterator[tuple[str, Any]]:
-    """Yield a table with its values at their defaults: all of them, then each half, then each one.
+    """Yield a table with fields reset to their defaults: all fields, then each half, then each field.
 
     Args:
         table: A struct of the scenario.
-        keep: Fields that stay as they are.
+        keep: The names of the fields that are not reset.
     """
     fields = {
         field.name: field
@@ -291,7 +297,7 @@
         yield f"default {fields[name].encode_name}", replace(table, **{name: value})
 
 
-# What makes runs cheapest comes first: the later passes then play smaller scenarios.
+# The passes that reduce the cost of a run most come first, so that later passes play cheaper scenarios.
 PASSES: tuple[tuple[str, CandidateGenerator], ...] = (
     ("faults", _fewer_faults),
     ("seconds", _shorter_run),
--- a/flintridge/lab/experiment/space.py
+++ b/flintridge/lab/experiment/space.py
@@ -1,9 +1,9 @@
-"""Random scenarios: `draw` makes one from a generator, always a valid one and of bounded cost.
+"""The space of random scenarios: `draw` returns a scenario that is always valid and of bounded cost.
 
-Work is scaled to the fleet, not the rate to the capacity: a run holds at most `MAX_REQUESTS` first attempts
-whatever the size of its fleet, so that a search knows what a run costs. The load on the cache servers and on
-the origin is drawn, from 0.2 to 1.1 of what they can do when warm, at least one of them being moderate (below
-0.85), so that a run is not lost from the start on both.
+The work of a request is scaled to the fleet instead of the request rate to the capacity. A run therefore has
+at most `MAX_REQUESTS` first attempts for any size of the fleet, and the cost of a search is predictable. The
+loads on the cache servers and on the origin are drawn from 0.2 to 1.1 of their capacity when warm. At least
+one of the two loads is moderate (below 0.85), so that a run does not begin with both of them overloaded.
 """
 
 from random import Random
@@ -31,7 +31,7 @@
 from flintridge.lab.scenario import model
 from flintridge.lab.scenario.model import Scenario
 
-VERSION = 2  # of the space: the same seed draws another scenario after any change here
+VERSION = 2  # incremented with any change after which the same seed draws a different scenario
 MAX_REQUESTS = 5_000
 ZONES = ("east", "west", "north")
 
@@ -40,21 +40,22 @@
     """Draw a scenario.
 
     Args:
-        generator: Where all draws come from; the same state gives the same scenario.
-        name: The scenario's name.
-        about: Its description.
+        generator: The generator for all draws; the same state gives the same scenario.
+        name: The name of the scenario.
+        about: The description of the scenario.
 
     Returns:
-        A valid scenario: every draw is within the format's ranges.
+        A valid scenario: all values are within the ranges of the scenario format.
     """
     length = round(generator.uniform(8, 25), 1)
     warmup = round(generator.uniform(4, 8), 1)
     zones = ZONES[: generator.choices((1, 2, 3), (3, 4, 2))[0]]
     fleet = draw_fleet(generator, zones)
     count = sum(group.count for group in fleet.groups)
-    # At least so many a server, or requests of a great fleet would take seconds of work each.
+    # The rate is drawn from at least 7 per second and server. Otherwise requests to a large fleet would be
+    # scaled to seconds of work each.
     rate = round(min(log_uniform(generator, max(40, 7 * count), 500), MAX_REQUESTS / (length + warmup)), 1)
-    rough = Scenario(
+    unscaled = Scenario(
         name=name,
         about=about,
         length_s=length,
@@ -75,12 +76,12 @@
         goal=model.Goal(whole=0.5, worst_window=0.3, worst_class=0.1, worst_tenant=0.1),
         wall_limit_s=300.0,
     )
-    scaled = _scaled(generator, _with_memory(generator, rough))
+    scaled = _scaled(generator, _with_memory(generator, unscaled))
     return _checked(msgspec.structs.replace(scaled, faults=draw_faults(generator, scaled)))
 
 
 def contradictions(scenario: Scenario) -> list[str]:
-    """Return what makes a scenario invalid: values out of the format's ranges, or faults that contradict."""
+    """Return the reasons why a scenario is invalid: values out of range, or contradictory faults."""
     try:
         msgspec.convert(msgspec.to_builtins(scenario), Scenario)
     except msgspec.ValidationError as error:
@@ -92,21 +93,21 @@
 
 
 def _checked(scenario: Scenario) -> Scenario:
-    """Return a scenario as it would be read from its file, so that it plays the same from there."""
+    """Return a scenario as decoded from its file, so that a run from the file plays the same."""
     return msgspec.convert(msgspec.to_builtins(scenario), Scenario)
 
 
 def _with_memory(generator: Random, scenario: Scenario) -> Scenario:
-    """Draw the memory, for a fraction of all keys counted as one cache."""
+    """Draw the memory of the servers: together they can hold from 0.4 to 3 times the size of all keys."""
     servers = sum(group.count for group in scenario.servers)
     required_mb = scenario.keys.count * span_mean(scenario.keys.size_bytes) / 1e6
-    each_mb = max(0.3, required_mb * log_uniform(generator, 0.4, 3) / servers)
-    kinds = tuple(msgspec.structs.replace(kind, memory_mb=round(each_mb, 3)) for kind in scenario.kinds)
+    memory_mb = max(0.3, required_mb * log_uniform(generator, 0.4, 3) / servers)
+    kinds = tuple(msgspec.structs.replace(kind, memory_mb=round(memory_mb, 3)) for kind in scenario.kinds)
     return msgspec.structs.replace(scenario, kinds=kinds)
 
 
 def _scaled(generator: Random, scenario: Scenario) -> Scenario:
-    """Scale work and origin to drawn loads; objectives and deadlines are in proportion to the work."""
+    """Scale request work and origin to random loads, and objectives and deadlines to the work."""
     moderate_load = generator.uniform(0.2, 0.85)
     any_load = generator.uniform(0.2, 1.1)
     cache_load = moderate_load
@@ -119,14 +120,18 @@
     scenario = msgspec.structs.replace(scenario, classes=classes)
     required_slots = flows(scenario).origin_load * scenario.origin.slots / origin_load
     slots = max(1, round(required_slots))
-    # Their speed makes up for the rounding to whole slots.
+    # The read time compensates for the rounding to whole slots.
     read_ms = min(400.0, round(span_mean(scenario.origin.read_ms) * slots / required_slots, 3))
     origin = msgspec.structs.replace(scenario.origin, slots=slots, read_ms=read_ms)
     return msgspec.structs.replace(scenario, origin=origin)
 
 
 def _with_times(cls: model.RequestClass, factor: float, origin_ms: float) -> model.RequestClass:
-    """Scale to milliseconds: the objective is a multiple of the work, the deadline one of the objective."""
+    """Convert relative times to milliseconds.
+
+    The work is multiplied by `factor`. The drawn objective is a multiple of the work, the drawn deadline a
+    multiple of the objective.
+    """
     work_ms = span_mean(cls.work_ms) * factor
     objective_ms = round(min(6000.0, max(250.0, work_ms * cls.latency_objective_ms, 8 * origin_ms)))
     deadline_ms = float(round(objective_ms * cls.deadline_ms))
--- a/flintridge/lab/experiment/space_faults.py
+++ b/flintridge/lab/experiment/space_faults.py
@@ -1,4 +1,4 @@
-"""Random faults of a scenario."""
+"""Draws the random faults of a scenario."""
 
 from collections.abc import Callable
 from random import Random
@@ -14,20 +14,20 @@
 
 
 def draw_faults(generator: Random, scenario: Scenario) -> tuple[Any, ...]:
-    """Draw up to five faults of a scenario that has none, in the order of their times."""
+    """Draw up to five faults for a scenario without faults, in the order of their start times."""
     count = generator.choices((0, 1, 2, 3, 4, 5), (1, 4, 4, 3, 2, 1))[0]
     faults = [maker(generator, scenario) for maker in generator.choices(_FAULT_MAKERS, k=count)]
     return tuple(sorted((fault for fault in faults if fault is not None), key=lambda fault: fault.at_s))
 
 
 def _fault_time(generator: Random, scenario: Scenario, low: float = 0.5, high: float = 0.5) -> dict[str, Any]:
-    """Draw the start and length of a fault that ends before the run.
+    """Draw the start and length of a fault that ends before the end of the run.
 
     Args:
-        generator: Where draws come from.
+        generator: The generator for all draws.
         scenario: The scenario without faults.
         low: The minimum length in seconds.
-        high: The maximum length, a fraction of the run.
+        high: The maximum length as a fraction of the run's length.
     """
     start_s = round(generator.uniform(0, 0.75) * scenario.length_s, 1)
     duration_s = min(
@@ -37,8 +37,8 @@
     return {"at_s": start_s, "for_s": round(max(0.2, duration_s), 1)}
 
 
-def _struck_servers(generator: Random, scenario: Scenario) -> dict[str, Any]:
-    """Draw the servers that a fault strikes: a few, a fraction, or a fraction of a zone or kind."""
+def _affected_servers(generator: Random, scenario: Scenario) -> dict[str, Any]:
+    """Draw the servers that a fault affects: a few, a fraction of all, or a fraction of one zone or kind."""
     selection = generator.choices(("one", "share", "zone", "kind"), (4, 4, 1, 1))[0]
     if selection == "one":
         return {"count": generator.randint(1, max(1, min(3, sum(g.count for g in scenario.servers) // 2)))}
@@ -54,17 +54,19 @@
 
 
 def _server_fault(make: Callable[..., Any], **values: ValueMaker) -> FaultMaker:
-    """Return what draws a fault of servers with these parameters of its own."""
+    """Return a function that draws a server fault, with additional parameters drawn by `values`."""
 
     def maker(generator: Random, scenario: Scenario) -> Any:
         parameters = {name: draw_value(generator) for name, draw_value in values.items()}
-        return make(**_fault_time(generator, scenario), **_struck_servers(generator, scenario), **parameters)
+        return make(
+            **_fault_time(generator, scenario), **_affected_servers(generator, scenario), **parameters
+        )
 
     return maker
 
 
 def _timed_fault(make: Callable[..., Any], **values: ValueMaker) -> FaultMaker:
-    """Return what draws a fault with a length and these parameters of its own."""
+    """Return a function that draws a timed fault, with additional parameters drawn by `values`."""
 
     def maker(generator: Random, scenario: Scenario) -> Any:
         return make(
@@ -76,7 +78,7 @@
 
 
 def _zone_link_fault(make: Callable[..., Any], **values: ValueMaker) -> FaultMaker:
-    """Return what draws a fault between two zones, none where there is one zone."""
+    """Return a function that draws a fault between two zones, or None if there is only one zone."""
 
     def maker(generator: Random, scenario: Scenario) -> Any:
         if len(scenario.zones) < 2:
@@ -89,13 +91,13 @@
 
 
 def _zone_loss(generator: Random, scenario: Scenario) -> Any:
-    """Draw the loss of a zone, none where there is one zone."""
+    """Draw the loss of a zone, or return None if there is only one zone."""
     if len(scenario.zones) < 2:
         return None
     mode: Literal["silent", "reset", "die"] = generator.choice(("silent", "reset", "die"))
     with_nodes = generator.random() < 0.3
     restarts_cold = generator.random() < 0.6
-    # With its nodes only where another zone has some.
+    # The nodes of the zone are included only if another zone has nodes.
     node_zones = {scenario.zones[i % len(scenario.zones)] for i in range(scenario.nodes.count)}
     zone = generator.choice(scenario.zones)
     return model.ZoneLoss(
@@ -108,7 +110,7 @@
 
 
 def _node_fault(make: Callable[..., Any], high: float) -> FaultMaker:
-    """Return what draws a fault of some nodes, at most the fraction `high` of the run long."""
+    """Return a function that draws a node fault that lasts at most the fraction `high` of the run."""
 
     def maker(generator: Random, scenario: Scenario) -> Any:
         return make(
@@ -120,7 +122,7 @@
 
 
 def _system_fault(make: Callable[..., Any], **values: ValueMaker) -> FaultMaker:
-    """Return what draws a fault of the nodes' operating systems: of all of them (0), or of some."""
+    """Return a function that draws a fault of the nodes' operating systems; a count of 0 means all nodes."""
 
     def maker(generator: Random, scenario: Scenario) -> Any:
         parameters = {name: draw_value(generator) for name, draw_value in values.items()}
@@ -132,7 +134,7 @@
 
 
 def _system_call_errors(generator: Random, scenario: Scenario) -> Any:
-    """Draw errors of a system call, from rare ones to half of all calls."""
+    """Draw errors of one system call, at a fraction of calls from 0.01 to 0.5 or, for most calls, 0.05."""
     call = generator.choice(tuple(ERRORS_OF_CALL))
     errors = tuple(generator.sample(ERRORS_OF_CALL[call], k=generator.randint(1, 3)))
     fraction = round(
@@ -145,7 +147,7 @@
 
 
 def _clock_step(generator: Random, scenario: Scenario) -> Any:
-    """Draw a clock step of seconds or an hour, forward or back."""
+    """Draw a clock step of 0.5 to 60 s or of one hour, forward or back."""
     seconds = generator.choice((round(log_uniform(generator, 0.5, 60), 1), 3600.0)) * generator.choice(
         (-1, 1)
     )
@@ -168,12 +170,12 @@
 
 
 def _log_range(low: float, high: float) -> Callable[[Random], float]:
-    """Return what draws a number uniformly over ratios."""
+    """Return a function that draws from the log-uniform distribution between `low` and `high`."""
     return lambda generator: round(log_uniform(generator, low, high), 3)
 
 
 def _one_of(*values: Any) -> ValueMaker:
-    """Return what draws one of these values."""
+    """Return a function that draws one of the given values."""
     return lambda generator: generator.choice(values)
 
 
--- a/flintridge/lab/experiment/space_fleet.py
+++ b/flintridge/lab/experiment/space_fleet.py
@@ -1,4 +1,4 @@
-"""Random fleets: servers, nodes, the origin, discovery and links."""
+"""Draws random cache servers, nodes, origins, discovery services and links."""
 
 from random import Random
 from typing import NamedTuple
@@ -8,20 +8,20 @@
 
 
 class Fleet(NamedTuple):
-    """The kinds of servers, and how many of each there are in each zone."""
+    """The kinds of servers, and the groups that give the number of servers by kind and zone."""
 
     kinds: tuple[model.Kind, ...]
     groups: tuple[model.Group, ...]
 
 
 def draw_fleet(generator: Random, zones: tuple[str, ...]) -> Fleet:
-    """Draw 3 to 40 servers of up to three kinds, in all zones if there are enough of them."""
+    """Draw 3 to 40 servers of up to three kinds, in all zones if there are enough servers."""
     count = round(log_uniform(generator, 3, 40))
     names = ("box", "big", "old")[: generator.choices((1, 2, 3), (5, 3, 1))[0]]
     kinds = tuple(_kind(generator, name, count) for name in names)
     counts: dict[tuple[str, str], int] = {}
     for i in range(count):
-        # The first servers take the zones in turn, so that no zone is without one unless there are too few.
+        # The first servers are assigned to one zone each, so that every zone has one if there are enough.
         zone = zones[i] if i < len(zones) else generator.choice(zones)
         group = (generator.choice(names), zone)
         counts[group] = counts.get(group, 0) + 1
@@ -34,7 +34,7 @@
 
 
 def _kind(generator: Random, name: str, servers: int) -> model.Kind:
-    """Draw a kind of server; larger fleets have smaller servers."""
+    """Draw a kind of server; the servers of larger fleets have fewer cores."""
     return model.Kind(
         name=name,
         cores=generator.choice((1, 2, 4) if servers < 10 else (1, 2) if servers < 20 else (1,)),
@@ -58,7 +58,7 @@
 
 
 def draw_nodes(generator: Random) -> model.Nodes:
-    """Draw the nodes."""
+    """Draw the number of nodes, their sockets and their start time."""
     return model.Nodes(
         count=generator.choices((1, 2, 3, 4, 5), (2, 4, 4, 2, 1))[0],
         sockets=generator.choice((256, 512, 1024)),
@@ -67,7 +67,7 @@
 
 
 def draw_origin(generator: Random) -> model.Origin:
-    """Draw the origin; its slots are scaled to the load later."""
+    """Draw the origin; its number of slots is later scaled to the load."""
     return model.Origin(
         read_ms=round(log_uniform(generator, 15, 150), 1),
         sigma=round(generator.uniform(0.1, 0.8), 2),
@@ -79,7 +79,7 @@
 
 
 def draw_discovery(generator: Random) -> model.Discovery:
-    """Draw the discovery service."""
+    """Draw the delays and timeouts of the discovery service."""
     return model.Discovery(
         notice_s=span_around(generator, generator.uniform(0.3, 2.5), 0.5),
         silent_s=span_around(generator, generator.uniform(3, 10), 0.3),
@@ -89,7 +89,7 @@
 
 
 def draw_links(generator: Random) -> model.Links:
-    """Draw the links within a zone, between zones and to clients."""
+    """Draw the latencies and jitter of all links, and the fraction of writes that are split."""
     return model.Links(
         same_ms=span_around(generator, log_uniform(generator, 0.05, 1), 0.4),
         cross_ms=span_around(generator, log_uniform(generator, 1, 25), 0.3),
--- a/flintridge/lab/experiment/space_load.py
+++ b/flintridge/lab/experiment/space_load.py
@@ -1,4 +1,4 @@
-"""Random load: classes, tenants, keys, arrivals, clients and limits."""
+"""Draws random request classes, tenants, keys, arrivals, clients and limits."""
 
 from random import Random
 from typing import Any
@@ -8,7 +8,10 @@
 
 
 def draw_classes(generator: Random) -> tuple[model.RequestClass, ...]:
-    """Draw reads, and mostly writes: work is relative to the mean, and `_scaled` makes it milliseconds."""
+    """Draw one or two read classes and up to two write classes.
+
+    Their work is relative; `_scaled` in `space.py` converts it to milliseconds.
+    """
     classes = [_class(generator, "read", 1.0, write=False)]
     if generator.random() < 0.3:
         classes.append(_class(generator, "page", generator.uniform(0.1, 0.6), write=False))
@@ -22,7 +25,7 @@
 def _class(
     generator: Random, name: str, share: float, *, write: bool, effect: Any = "safe"
 ) -> model.RequestClass:
-    """Draw a class; its objective and deadline are multiples until they are scaled."""
+    """Draw a class; until scaled, the objective is a multiple of the work, the deadline of the objective."""
     return model.RequestClass(
         name=name,
         share=round(share, 3),
@@ -39,7 +42,7 @@
 
 
 def draw_tenants(generator: Random, rate: float) -> tuple[model.Tenant, ...]:
-    """Draw no tenants, or a few, with or without quotas of the rate a second."""
+    """Draw no tenants, or two or three, with or without quotas in proportion to `rate` (per second)."""
     if generator.random() < 0.6:
         return ()
     names = ("acme", "birch", "cedar")[: generator.randint(2, 3)]
@@ -71,7 +74,7 @@
 
 
 def draw_load(generator: Random, rate: float, zones: int) -> model.Load:
-    """Draw how requests arrive at this rate a second."""
+    """Draw the arrival pattern of requests at a mean of `rate` requests per second."""
     return model.Load(
         rate_per_s=rate,
         shape=generator.choice(("flat", "flat", "wave", "bursty")),
@@ -84,7 +87,7 @@
 
 
 def draw_clients(generator: Random) -> model.Clients:
-    """Draw how clients retry, pool connections and leave."""
+    """Draw how clients retry, use connections, leave early and notice failed nodes."""
     return model.Clients(
         retries=generator.randint(0, 4),
         try_share=round(generator.uniform(0.4, 0.9), 2),
--- a/flintridge/lab/experiment/stats.py
+++ b/flintridge/lab/experiment/stats.py
@@ -1,4 +1,4 @@
-"""The metrics of results, and what can be said of a paired difference."""
+"""Metrics of results, and the statistics of paired differences."""
 
 import math
 from collections.abc import Callable, Sequence
@@ -11,19 +11,19 @@
 from flintridge.lab.scenario.model import Expect
 
 RESAMPLES = 10_000
-RESAMPLES_PER_BLOCK = 1_000  # resamples drawn at once: bounds the memory that many seeds would take
-MIN_PAIRS = 4  # of 3, all lie on one side by chance 1 time in 4: no interval says anything
-BOOTSTRAP_SEED = 20_061  # fixed: the same runs always give the same interval
+RESAMPLES_PER_BLOCK = 1_000  # drawn together; bounds the memory use with many seeds
+MIN_PAIRS = 4  # 3 differences all have the same sign by chance 1 time in 4, so their interval shows nothing
+BOOTSTRAP_SEED = 20_061  # fixed, so that the same runs always give the same interval
 
 
 class Metric(msgspec.Struct, frozen=True):
     """A metric of a result.
 
     Attributes:
-        name: As `--json` and tables print it.
-        unit: The unit, empty where it has none.
-        more_is_better: Whether a greater value is the better one.
-        of: Reads the metric from a result.
+        name: The name that `--json` and tables print.
+        unit: The unit; empty for a metric without a unit.
+        more_is_better: Whether a higher value is better.
+        of: Returns the value of the metric in a result.
     """
 
     name: str
@@ -44,19 +44,20 @@
 
 
 class Difference(msgspec.Struct, kw_only=True, frozen=True):
-    """B against A in one metric over the same seeds.
+    """The difference of one metric between B and A over the same seeds.
 
     Attributes:
-        name: The metric's name.
-        unit: Its unit, empty where it has none.
-        more_is_better: Whether a greater value is the better one.
+        name: The name of the metric.
+        unit: The unit; empty for a metric without a unit.
+        more_is_better: Whether a higher value is better.
         a: The mean of A.
         b: The mean of B.
         mean: The mean of the paired differences B - A.
-        low: The lower end of the 95% interval of `mean`.
-        high: The upper end of it.
+        low: The lower end of the 95% confidence interval of `mean`.
+        high: The upper end of the 95% confidence interval of `mean`.
         pairs: The number of pairs.
-        sign_p: p of the two-sided sign test: how often chance alone is at least as one-sided.
+        sign_p: The p-value of the two-sided sign test: the probability that chance alone gives signs that are
+            at least as one-sided.
     """
 
     name: str
@@ -72,7 +73,7 @@
 
     @property
     def verdict(self) -> str:
-        """Return `better`, `worse`, `even` where the interval holds 0, or `unsure` of too few pairs."""
+        """Return `even` if the interval contains 0, `unsure` with too few pairs, else `better` or `worse`."""
         if self.low <= 0 <= self.high:
             return "even"
         if self.pairs < MIN_PAIRS:
@@ -88,11 +89,11 @@
 
 
 def bootstrap(differences: Sequence[float], *, confidence: float = 0.95) -> Interval:
-    """Return the percentile interval of the mean over 10,000 resamples.
+    """Return the bootstrap percentile interval of the mean, from 10,000 resamples.
 
     Args:
-        differences: The values; the interval of none is (0, 0).
-        confidence: How often the interval holds the mean, a fraction.
+        differences: The values; without values the interval is (0, 0).
+        confidence: The confidence level, a fraction from 0 to 1.
     """
     if not differences:
         return Interval(0.0, 0.0)
@@ -109,26 +110,28 @@
 
 
 def sign_test(differences: Sequence[float]) -> float:
-    """Return the two-sided p of the sign test: ties are left out, and no difference gives 1."""
-    up = sum(d > 0 for d in differences)
-    counted = up + sum(d < 0 for d in differences)
-    tail = sum(math.comb(counted, k) for k in range(min(up, counted - up) + 1))
-    p_value: float = 2 * tail / 2**counted
+    """Return the two-sided p-value of the sign test. Ties are ignored; without any difference it is 1."""
+    positive_count = sum(d > 0 for d in differences)
+    nonzero_count = positive_count + sum(d < 0 for d in differences)
+    tail = sum(
+        math.comb(nonzero_count, k) for k in range(min(positive_count, nonzero_count - positive_count) + 1)
+    )
+    p_value: float = 2 * tail / 2**nonzero_count
     return min(1.0, p_value)
 
 
 def difference(metric: Metric, a: Sequence[Result], b: Sequence[Result]) -> Difference:
-    """Return B against A in one metric; the results at the same index are a pair."""
-    of_a = [metric.of(result) for result in a]
-    of_b = [metric.of(result) for result in b]
-    differences = [y - x for x, y in zip(of_a, of_b, strict=True)]
+    """Return the difference of one metric between B and A; results at the same index form a pair."""
+    values_a = [metric.of(result) for result in a]
+    values_b = [metric.of(result) for result in b]
+    differences = [value_b - value_a for value_a, value_b in zip(values_a, values_b, strict=True)]
     interval = bootstrap(differences)
     return Difference(
         name=metric.name,
         unit=metric.unit,
         more_is_better=metric.more_is_better,
-        a=mean(of_a),
-        b=mean(of_b),
+        a=mean(values_a),
+        b=mean(values_b),
         mean=mean(differences),
         low=interval.low,
         high=interval.high,
@@ -138,12 +141,12 @@
 
 
 def mean(values: Sequence[float]) -> float:
-    """Return the arithmetic mean, 0 of no values."""
+    """Return the arithmetic mean, or 0 without values."""
     return math.fsum(values) / len(values) if values else 0.0
 
 
 def rule_totals(results: Sequence[Result]) -> dict[str, int]:
-    """Return the violations over all results of every rule that any of them knows, by name."""
+    """Return the number of violations over all results, for every rule that any result lists."""
     names = sorted({name for result in results for name in result.rules})
     return {name: sum(result.rules.get(name, 0) for result in results) for name in names}
 
@@ -152,11 +155,12 @@
     """Return why a run is not sound, one line for each reason.
 
     Args:
-        result: The run's result.
-        expect: What its scenario expects of it.
+        result: The result of the run.
+        expect: The expectations of the scenario.
 
     Returns:
-        Rules that were broken unexpectedly, an early end, and expectations that were not met.
+        One line for each rule that was broken unexpectedly, for an early end, and for each expectation that
+        was not met.
     """
     lines = []
     for name, count in sorted(result.rules.items()):
@@ -167,7 +171,9 @@
     if expect.goodput_at_least is not None and result.goodput < expect.goodput_at_least:
         unmet.append(f"goodput {result.goodput:.4f} is below {expect.goodput_at_least:g}")
     unmet += [
-        f"rule {name} was expected to break and held" for name in expect.breaks if not result.rules.get(name)
+        f"rule {name} was expected to be broken but was not"
+        for name in expect.breaks
+        if not result.rules.get(name)
     ]
     if result.end_reason != "whole":
         lines.append(f"cut short: {result.end_reason}")
--- a/flintridge/lab/experiment/sweep.py
+++ b/flintridge/lab/experiment/sweep.py
@@ -1,4 +1,4 @@
-"""One or two parameters of a scenario over a range of values, some seeds each."""
+"""Sweeps one or two parameters of a scenario over lists of values, with several seeds per combination."""
 
 import csv
 import io
@@ -14,20 +14,20 @@
 from flintridge.lab.result import Result
 from flintridge.lab.scenario.model import Scenario
 
-MAX_VALUES = 1000  # of a parameter: more is a typing error
+MAX_VALUES = 1000  # the limit for one parameter; a larger number is taken for a typing error
 INTEGER_TOLERANCE = 1e-9
 
 
 class SweepParameterError(ValueError):
-    """A parameter that cannot be read."""
+    """The parameters of a sweep are invalid."""
 
 
 class Parameter(msgspec.Struct, kw_only=True, frozen=True):
-    """A parameter of the scenario that is varied.
+    """A scenario parameter that is varied.
 
     Attributes:
-        path: Its path in the scenario's format, as `load.rate_per_s`.
-        values: Its values as written in TOML.
+        path: The path of the parameter in the scenario format, such as `load.rate_per_s`.
+        values: The values of the parameter, written as in TOML.
     """
 
     path: str
@@ -35,12 +35,12 @@
 
 
 class MetricSummary(msgspec.Struct, kw_only=True, frozen=True):
-    """A metric over the seeds of a point.
+    """The summary of one metric over the seeds of a point.
 
     Attributes:
-        mean: The mean.
-        low: The lower end of a bootstrap 95% interval of the mean.
-        high: The upper end of it.
+        mean: The mean over the seeds.
+        low: The lower end of the bootstrap 95% interval of the mean.
+        high: The upper end of the bootstrap 95% interval of the mean.
     """
 
     mean: float
@@ -49,14 +49,14 @@
 
 
 class Point(msgspec.Struct, kw_only=True):
-    """The runs of one combination of values.
+    """The summary of all runs of one combination of parameter values.
 
     Attributes:
-        values: A value for each parameter.
-        complete_runs: The seeds whose run completed.
-        metrics: Over those runs, by name; empty where none completed.
-        violations: Violations over all results, by broken rule.
-        failures: A line for each run that did not complete.
+        values: The value of each parameter.
+        complete_runs: The number of seeds whose run completed.
+        metrics: The summary of each metric over the completed runs, by name; empty if none completed.
+        violations: The number of violations over all results, by name of the broken rule.
+        failures: One line for each run that did not complete.
     """
 
     values: list[str]
@@ -70,11 +70,11 @@
     """The result of a sweep, as `--json` prints it.
 
     Attributes:
-        scenario: The scenario's name.
+        scenario: The name of the scenario.
         backend: The backend of all runs.
         seeds: The seeds of each point.
-        parameters: What is varied.
-        points: All combinations, the last parameter varying fastest.
+        parameters: The varied parameters.
+        points: The points of all combinations of values, with the last parameter varying fastest.
     """
 
     scenario: str
@@ -90,30 +90,31 @@
 
 
 def parameter(text: str) -> Parameter:
-    """Parse `path=v1,v2,...` or `path=low:high:steps`, with `:log` behind it for equal ratios.
+    """Parse `path=v1,v2,...`, `path=low:high:steps` or, for equal ratios, `path=low:high:steps:log`.
 
-    Steps are values, both ends included; whole numbers stay whole where all of them are.
+    `steps` is the number of values, including both ends. The values are written as integers if all of them
+    are integers and both ends are written as such.
 
     Args:
-        text: The parameter as the command line has it.
+        text: The parameter as written on the command line.
 
     Raises:
-        SweepParameterError: It cannot be read, or has too many, equal or empty values.
+        SweepParameterError: The text cannot be parsed, or has too many, duplicate or empty values.
     """
     path, equals, values = text.partition("=")
     path = path.strip()
     if not equals or not path or not values.strip():
-        raise SweepParameterError(f"{text!r}: wants PATH=V1,V2,... or PATH=LOW:HIGH:STEPS")
+        raise SweepParameterError(f"{text!r}: expected PATH=V1,V2,... or PATH=LOW:HIGH:STEPS")
     listed = _range(text, values) if ":" in values and not set(values) & set('"[{,') else _split(values)
     if len(set(listed)) < len(listed):
-        raise SweepParameterError(f"{text!r}: names a value twice")
+        raise SweepParameterError(f"{text!r}: contains a value twice")
     if not listed or "" in listed:
-        raise SweepParameterError(f"{text!r}: has an empty value")
+        raise SweepParameterError(f"{text!r}: contains an empty value")
     return Parameter(path=path, values=tuple(listed))
 
 
 def _range(text: str, values: str) -> list[str]:
-    """Return the values of `low:high:steps` or `low:high:steps:log`; `text` is for messages."""
+    """Return the values of `low:high:steps` or `low:high:steps:log`; `text` is quoted in error messages."""
     low_text, *rest = (part.strip() for part in values.split(":"))
     log = len(rest) == 3 and rest[2] == "log"
     try:
@@ -122,14 +123,14 @@
         steps = int(rest[1])
     except (ValueError, IndexError):
         raise SweepParameterError(
-            f"{text!r}: a range is LOW:HIGH:STEPS, three numbers, or LOW:HIGH:STEPS:log"
+            f"{text!r}: a range must be LOW:HIGH:STEPS (three numbers) or LOW:HIGH:STEPS:log"
         ) from None
     if len(rest) > 2 and not log:
         raise SweepParameterError(f"{text!r}: only ':log' may follow LOW:HIGH:STEPS")
     if not 2 <= steps <= MAX_VALUES:
-        raise SweepParameterError(f"{text!r}: {steps} steps, may be 2 to {MAX_VALUES}")
+        raise SweepParameterError(f"{text!r}: the number of steps is {steps}, must be 2 to {MAX_VALUES}")
     if low == high or (log and min(low, high) <= 0) or not abs(high - low) < float("inf"):
-        raise SweepParameterError(f"{text!r}: the ends must be two numbers (above 0 for log)")
+        raise SweepParameterError(f"{text!r}: the ends must be different finite numbers (above 0 for log)")
     if log:
         numbers = [low * (high / low) ** (i / (steps - 1)) for i in range(steps)]
     else:
@@ -144,7 +145,7 @@
 
 
 def _split(values: str) -> list[str]:
-    """Split at commas outside of brackets, braces and quotes."""
+    """Split at commas that are not within brackets, braces or quotes."""
     items = [""]
     depth = 0
     quote = ""
@@ -176,26 +177,26 @@
     runner: str | Runner = PLAY,
     show: bool = False,
 ) -> Sweep:
-    """Play every combination of values under every seed.
+    """Play every combination of values with every seed.
 
-    All scenarios are built before the first run, so that a wrong value is reported at once.
+    All scenarios are built before the first run, so that an invalid value is reported immediately.
 
     Args:
-        name: The scenario's name.
+        name: The name of the scenario.
         parameters: One or two parameters.
-        build: Makes the scenario of a combination from its overrides (`path=value`); what it raises is not
-            caught.
+        build: Returns the scenario of a combination, given the overrides (`path=value`); its exceptions are
+            passed on.
         seeds: The seeds of each combination.
         backend: `virtual` or `loopback`.
-        workers: Worker processes; one a core where absent.
+        workers: The number of worker processes; one per core if absent.
         runner: The function that plays a scenario.
         show: Whether to show progress on a terminal.
 
     Raises:
-        SweepParameterError: There are no parameters, more than two, or one of them twice.
+        SweepParameterError: There are no parameters, more than two, or two with the same path.
     """
     if not 1 <= len(parameters) <= 2 or len({p.path for p in parameters}) < len(parameters):
-        raise SweepParameterError("a sweep is over one or two different parameters")
+        raise SweepParameterError("a sweep needs one or two different parameters")
     play = runner_name(runner)
     combinations = list(itertools.product(*(p.values for p in parameters)))
     scenarios = [
@@ -221,7 +222,7 @@
 
 
 def _batches(outcomes: Sequence[Outcome | None], size: int) -> list[Sequence[Outcome | None]]:
-    """Split into batches of one size, in order."""
+    """Split outcomes into consecutive batches of `size`."""
     return [outcomes[start : start + size] for start in range(0, len(outcomes), size)]
 
 
@@ -249,19 +250,23 @@
 
 
 def _summary(values: Sequence[float]) -> MetricSummary:
-    """Return the mean of a metric and the interval of it."""
+    """Return the mean of a metric and its bootstrap interval."""
     interval = bootstrap(values)
     return MetricSummary(mean=mean(values), low=interval.low, high=interval.high)
 
 
 def as_json(swept: Sweep) -> dict[str, Any]:
-    """Return the sweep as plain values."""
+    """Return the sweep as built-in types."""
     built: dict[str, Any] = msgspec.to_builtins(swept)
     return built
 
 
 def as_csv(swept: Sweep) -> str:
-    """Return a line for each point: its values, seeds, the mean and interval of each metric, violations."""
+    """Return a CSV row for each point.
+
+    It holds the parameter values, the number of completed runs, the mean and interval of each metric, the
+    violations and the failures.
+    """
     file = io.StringIO()
     writer = csv.writer(file, lineterminator="\n")
     names = [metric.name for metric in METRICS]
--- a/flintridge/lab/experiment/worker.py
+++ b/flintridge/lab/experiment/worker.py
@@ -1,7 +1,8 @@
-"""A worker process: takes jobs on its standard input, plays them one by one, writes the replies.
+"""A worker process that plays the jobs from its standard input and writes replies to its standard output.
 
-With `--tree DIR` the node's modules come from DIR while the lab stays this one. Only the standard library is
-imported at the top: whatever would import the node has to wait for `graft`.
+With `--tree DIR`, the modules of the node are imported from DIR and those of the lab from this tree. Only the
+standard library is imported at the top, because imports that load the node must follow
+`redirect_node_imports`.
 """
 
 import importlib
@@ -20,27 +21,30 @@
 
 
 class NodeTreeError(Exception):
-    """The directory holds no node that could be played."""
+    """The source tree does not contain a complete node."""
 
 
 def check_tree(tree: Path) -> None:
-    """Check that a source tree holds a whole node: modules of this tree would make a mixture of two nodes.
+    """Check that a source tree contains a complete node.
+
+    A missing module would be imported from this tree, and the node would be a mixture of two versions.
 
     Raises:
-        NodeTreeError: A module is missing; it is named.
+        NodeTreeError: A module is missing; the message names it.
     """
     missing = [name for name in ("__init__.py", *NODE_MODULES) if not (tree / "flintridge" / name).exists()]
     if missing:
-        raise NodeTreeError(f"{tree}: no node to play: flintridge/{missing[0]} is missing")
+        raise NodeTreeError(f"{tree}: the node is incomplete: flintridge/{missing[0]} is missing")
 
 
-def graft(tree: Path) -> None:
-    """Take `flintridge` and all its modules but the lab from `tree`, in this process and those it starts.
+def redirect_node_imports(tree: Path) -> None:
+    """Import `flintridge` and all its modules except the lab from `tree`.
 
-    Must come before anything of the lab that imports the node.
+    This applies to the current process and to the processes that it starts. It must be called before any
+    module of the lab that imports the node is loaded.
 
     Raises:
-        NodeTreeError: The tree holds no whole node.
+        NodeTreeError: The tree does not contain a complete node.
     """
     import flintridge
 
@@ -49,20 +53,20 @@
     for name in [name for name in sys.modules if name.startswith("flintridge.")]:
         if not name.startswith("flintridge.lab"):
             del sys.modules[name]
-            # And from the package: `from flintridge import api` would find ours there, and one node would
-            # be made of two sets of classes.
+            # The attribute of the package is removed as well: `from flintridge import api` would find this
+            # tree's module there, and one node would use two sets of classes.
             vars(flintridge).pop(name.split(".")[1], None)
-    # `flintridge.lab` is loaded and stays ours; every other module is looked for in the tree first.
+    # `flintridge.lab` is already loaded from this tree; every other module is looked up in `tree` first.
     flintridge.__path__ = [str(package), *flintridge.__path__]
     init = package / "__init__.py"
     exec(compile(init.read_bytes(), str(init), "exec"), vars(flintridge))
-    # Node processes that a loopback run starts: from the tree as well, and never from the current folder.
+    # Node processes of a loopback run also import from `tree`, and never from the current directory.
     os.environ["PYTHONPATH"] = os.pathsep.join([str(tree), os.environ.get("PYTHONPATH", "")])
     os.environ["PYTHONSAFEPATH"] = "1"
 
 
 def descendants(pid: int) -> list[int]:
-    """Return all processes below this one, nearest first; those in sessions of their own too."""
+    """Return all descendants of a process, children first, including those in other sessions."""
     found = [pid]
     for parent in found:
         try:
@@ -71,12 +75,12 @@
                 children = Path(f"/proc/{parent}/task/{thread}/children").read_text()
                 found += [int(child) for child in children.split()]
         except OSError:
-            continue  # it has just ended, or there is no /proc here
+            continue  # the process has just ended, or the system has no /proc
     return found[1:]
 
 
 def kill_tree(pid: int) -> None:
-    """Kill a worker, its process group, and whatever it started elsewhere."""
+    """Kill a worker, its process group, and its descendants in other process groups."""
     children = descendants(pid)
     with suppress(ProcessLookupError, PermissionError):
         os.killpg(pid, signal.SIGKILL)
@@ -85,10 +89,13 @@
             os.kill(child, signal.SIGKILL)
 
 
-def _watch(inbox: io.BufferedReader, jobs: "queue.SimpleQueue[bytes]") -> None:
-    """Read jobs; at the pipe's end whoever gave them is gone, and nothing of this group may stay."""
-    while len(head := inbox.read(8)) == 8:
-        jobs.put(inbox.read(int.from_bytes(head, "big")))
+def _read_jobs(job_pipe: io.BufferedReader, jobs: "queue.SimpleQueue[bytes]") -> None:
+    """Read jobs into the queue. At the end of the pipe, kill all descendants and this process group.
+
+    The end of the pipe means that the pool has ended, and no process of its workers may keep running.
+    """
+    while len(length_header := job_pipe.read(8)) == 8:
+        jobs.put(job_pipe.read(int.from_bytes(length_header, "big")))
     for child in descendants(os.getpid()):
         with suppress(ProcessLookupError, PermissionError):
             os.kill(child, signal.SIGKILL)
@@ -98,7 +105,7 @@
 
 
 def _play(body: bytes) -> Any:
-    """Play an encoded job and return the reply."""
+    """Play an encoded job and return the `Reply`."""
     import msgspec
 
     from flintridge.lab.experiment.jobs import Job, Reply
@@ -119,26 +126,27 @@
 
 
 def main(arguments: list[str]) -> int:
-    """Serve until the input ends; return 2 for a tree without a node."""
+    """Play jobs until the input ends; return 2 if the tree contains no complete node."""
     if arguments[:1] == ["--tree"]:
         try:
-            graft(Path(arguments[1]))
+            redirect_node_imports(Path(arguments[1]))
         except (NodeTreeError, SyntaxError) as error:
             print(error, file=sys.stderr)
             return 2
-    # The pipes move away from 0 and 1: what a run prints, or its child reads, must not get between frames.
-    inbox = os.fdopen(os.dup(0), "rb")
-    outbox = os.fdopen(os.dup(1), "wb")
+    # The pipes are moved from descriptors 0 and 1, so that the output of a run and the reads of its child
+    # processes do not interfere with the frames.
+    job_pipe = os.fdopen(os.dup(0), "rb")
+    reply_pipe = os.fdopen(os.dup(1), "wb")
     null_input = os.open(os.devnull, os.O_RDONLY)
     os.dup2(null_input, 0)
     os.dup2(2, 1)
     jobs: queue.SimpleQueue[bytes] = queue.SimpleQueue()
-    threading.Thread(target=_watch, args=(inbox, jobs), daemon=True).start()
+    threading.Thread(target=_read_jobs, args=(job_pipe, jobs), daemon=True).start()
     from flintridge.lab.experiment.jobs import frame
 
     while True:
-        outbox.write(frame(_play(jobs.get())))
-        outbox.flush()
+        reply_pipe.write(frame(_play(jobs.get())))
+        reply_pipe.flush()
 
 
 if __name__ == "__main__":
