--- a/flintridge/lab/report/__init__.py
+++ b/flintridge/lab/report/__init__.py
@@ -1,1 +1,1 @@
-"""What people read: tables in the terminal, and HTML files that need nothing beside them."""
+"""Reports of runs and experiments: tables for the terminal and self-contained HTML files."""
--- a/flintridge/lab/report/experiment_plots.py
+++ b/flintridge/lab/report/experiment_plots.py
@@ -1,4 +1,4 @@
-"""Plots of comparisons and sweeps."""
+"""Draws the plots of comparisons and sweeps."""
 
 from collections.abc import Sequence
 from typing import Any
@@ -24,14 +24,14 @@
 
 
 def compare_plots(comparison: Comparison) -> list[Plot]:
-    """Return the plots of each metric's difference with its interval, and of the pairs by seed."""
+    """Return the plot of all differences with their intervals, and the plot of the pairs by seed."""
     if not comparison.pairs:
         return []
-    return [_forest(comparison), *_pairs(comparison)]
+    return [_difference_plot(comparison), *_pair_plots(comparison)]
 
 
-def _forest(comparison: Comparison) -> Plot:
-    """Plot differences relative to A's mean: metrics of all units on one axis."""
+def _difference_plot(comparison: Comparison) -> Plot:
+    """Plot differences in percent of A's mean, which puts metrics of different units on one axis."""
     differences = [difference for difference in comparison.metrics if difference.a]
     colours = {"better": GREEN, "worse": RED, "even": GREY, "unsure": GREY}
     with new_figure(0.7 + 0.34 * len(differences)) as (figure, axes):
@@ -51,17 +51,17 @@
         axes.invert_yaxis()
         axes.set_xlabel("B - A, in % of A's mean")
         title = "Differences"
-        about = "Mean of the paired differences and its 95% interval; grey where it holds 0 or pairs are few."
+        about = "Mean paired differences and 95% intervals; grey if the interval contains 0 or pairs are few."
         return Plot(title, about, svg_element(figure, title))
 
 
-def _pairs(comparison: Comparison) -> list[Plot]:
-    """Plot both runs of each seed, their goodput and p99."""
+def _pair_plots(comparison: Comparison) -> list[Plot]:
+    """Plot the goodput and p99 of both runs of each seed."""
     seeds = [pair.seed for pair in comparison.pairs]
     with new_figure(2.4, columns=2) as (figure, both):
         for axes, name, unit in zip(both, ("goodput", "p99"), ("goodput", "p99, ms"), strict=True):
-            for seed_at, pair in enumerate(comparison.pairs):
-                axes.plot([seed_at, seed_at], [pair.a[name], pair.b[name]], color=GRID, linewidth=2, zorder=1)
+            for index, pair in enumerate(comparison.pairs):
+                axes.plot([index, index], [pair.a[name], pair.b[name]], color=GRID, linewidth=2, zorder=1)
             axes.plot([pair.a[name] for pair in comparison.pairs], "o", color=BLUE, label="A", markersize=5)
             axes.plot([pair.b[name] for pair in comparison.pairs], "o", color=ORANGE, label="B", markersize=5)
             axes.xaxis.set_major_locator(MaxNLocator(8, integer=True))
@@ -71,12 +71,14 @@
             axes.set_xlabel("seed")
             axes.set_ylabel(unit)
             add_legend(axes)
-        title = "Seed by seed"
-        return [Plot(title, "The same requests and faults on both sides.", svg_element(figure, title))]
+        title = "Results by seed"
+        return [
+            Plot(title, "Both runs of a seed have the same requests and faults.", svg_element(figure, title))
+        ]
 
 
 def sweep_plots(swept: Sweep) -> list[Plot]:
-    """Return the plots over one parameter, or maps over two."""
+    """Return line plots of a sweep over one parameter, or heat maps of a sweep over two."""
     if not any(point.metrics for point in swept.points):
         return []
     if len(swept.parameters) == 2:
@@ -86,7 +88,7 @@
 
 
 def _numbers(values: Sequence[str]) -> list[float] | None:
-    """Return values as numbers, None where one is no number."""
+    """Return the values as numbers, or None if any value is not a number."""
     try:
         return [float(value) for value in values]
     except ValueError:
@@ -94,7 +96,7 @@
 
 
 def _sweep_line(swept: Sweep, name: str, unit: str) -> Plot:
-    """Plot a metric over the one parameter, with its interval as a band."""
+    """Plot a metric over a single parameter, with its interval as a band."""
     values = [point.values[0] for point in swept.points]
     numbers = _numbers(values)
     positions = numbers if numbers is not None else [float(i) for i in range(len(values))]
@@ -113,7 +115,7 @@
         if broken:
             xs = [x for x, _ in broken]
             ys = [summary.mean for _, summary in broken]
-            axes.plot(xs, ys, "x", color=RED, markersize=9, markeredgewidth=2, label="a rule broken")
+            axes.plot(xs, ys, "x", color=RED, markersize=9, markeredgewidth=2, label="rule broken")
             add_legend(axes)
         if numbers is None:
             axes.set_xticks(positions, values)
@@ -139,12 +141,12 @@
         axes.set_ylabel(swept.parameters[0].path)
         if grid.size <= 200:
             _cell_texts(axes, grid, swept)
-        about = "Mean over the seeds; (!) where a rule broke."
+        about = "Mean over the seeds; (!) marks points with a broken rule."
         return Plot(name, about, svg_element(figure, f"sweep {name}"))
 
 
 def _cell_texts(axes: Any, grid: Any, swept: Sweep) -> None:
-    """Write the value into each cell of a heat map, in a colour that can be read on it."""
+    """Write the value into each cell of a heat map, in a colour that contrasts with the cell."""
     low = np.nanmin(grid)
     high = np.nanmax(grid)
     for i, point in enumerate(swept.points):
--- a/flintridge/lab/report/html.py
+++ b/flintridge/lab/report/html.py
@@ -1,4 +1,4 @@
-"""Reports as single HTML files: the template filled, plots inline, nothing loaded from anywhere."""
+"""Renders reports as self-contained HTML files with inline plots, which load no other resources."""
 
 from collections.abc import Sequence
 from typing import Any
@@ -25,8 +25,8 @@
     """A row of a table.
 
     Attributes:
-        cells: Their texts, one for each column.
-        tone: How it is coloured: `good`, `bad`, `warn`, or empty for not at all.
+        cells: The texts of the cells, one for each column.
+        tone: The colour class of the row: `good`, `bad`, `warn`, or empty for no colour.
     """
 
     cells: list[str]
@@ -37,36 +37,36 @@
     """A table of a report.
 
     Attributes:
-        title: Its heading.
-        head: The columns' headings.
-        rows: Its rows.
-        about: What it shows.
-        texts: The indexes of the columns that hold words, which are aligned to the left.
+        title: The heading of the table.
+        head: The headings of the columns.
+        rows: The rows of the table.
+        about: A description of the table.
+        text_columns: The indexes of the columns that contain text and are aligned to the left.
     """
 
     title: str
     head: list[str]
     rows: list[Row]
     about: str = ""
-    texts: tuple[int, ...] = (0,)
+    text_columns: tuple[int, ...] = (0,)
 
 
 class Page(msgspec.Struct, kw_only=True, frozen=True):
-    """What the template shows, in its order.
+    """The content of a report, in roughly the order in which the template shows it.
 
     Attributes:
-        title: The heading.
-        about: Lines below it.
-        verdict: The word shown where there are reasons in `unsound`.
-        unsound: Why the run or experiment is not sound.
-        cards: Metrics, name and value each.
-        rules: Rules with their violations.
-        tables: Tables above the plots.
-        violations: Violations with the records that prove them.
-        plots: Plots.
-        after: Small tables below the plots, side by side.
-        texts: Folded texts, title and text each.
-        footer: The last line.
+        title: The heading of the page.
+        about: The lines below the heading.
+        verdict: The word that is shown if there are reasons in `unsound`.
+        unsound: The reasons why the run or experiment is not sound.
+        cards: The name and the value of each metric.
+        rules: The rules and their numbers of violations.
+        tables: The tables above the plots.
+        violations: The violations with the records that prove them.
+        plots: The plots.
+        small_tables: The tables below the plots, side by side.
+        folded_texts: The title and the content of each collapsed text.
+        footer: The last line of the page.
     """
 
     title: str
@@ -78,8 +78,8 @@
     tables: list[Table] = []
     violations: list[Violation] = []
     plots: list[Plot] = []
-    after: list[Table] = []
-    texts: list[tuple[str, str]] = []
+    small_tables: list[Table] = []
+    folded_texts: list[tuple[str, str]] = []
     footer: str = ""
 
 
@@ -87,9 +87,9 @@
     """Return the report of a run.
 
     Args:
-        result: The run's result.
-        scenario: Its scenario, whose description and expectations are shown as well.
-        text: The scenario as TOML, shown where it is not empty.
+        result: The result of the run.
+        scenario: The scenario of the run, to show its description and evaluate its expectations.
+        text: The scenario as TOML, which is shown unless it is empty.
     """
     expect = Expect() if scenario is None else scenario.expect
     about = [f"Seed {result.seed}, {result.backend} backend, digest {result.digest or '-'}."]
@@ -104,8 +104,8 @@
             rules=_rules(result, expect),
             violations=result.violations,
             plots=run_plots(result),
-            after=[*_faults(result), *_goodput_tables(result), *_counters(result)],
-            texts=[("The scenario", text)] if text else [],
+            small_tables=[*_faults(result), *_goodput_tables(result), *_counters(result)],
+            folded_texts=[("Scenario as TOML", text)] if text else [],
             footer=_cost(result),
         )
     )
@@ -115,7 +115,7 @@
     """Return the report of a comparison."""
     differences = Table(
         "Figures",
-        ["", "A", "B", "B - A", "95% of it", "B is", "sign test p"],
+        ["", "A", "B", "B - A", "95% interval", "B is", "sign test p"],
         [
             Row(
                 [
@@ -132,7 +132,7 @@
             for difference in comparison.metrics
             if comparison.pairs
         ],
-        f"Means over {len(comparison.pairs)} pairs of runs, each pair under one seed.",
+        f"Means over {len(comparison.pairs)} pairs of runs. Both runs of a pair use the same seed.",
     )
     rules = [
         Row(
@@ -140,7 +140,7 @@
         )
         for rule in comparison.rules
     ]
-    worse = [f"rule {rule.name} breaks in B and holds in A" for rule in comparison.rules if rule.new]
+    newly_broken = [f"rule {rule.name} is broken in B but not in A" for rule in comparison.rules if rule.new]
     return _rendered(
         Page(
             title=f"{comparison.a} against {comparison.b}",
@@ -149,7 +149,7 @@
                 f"B: {comparison.b}",
                 f"{len(comparison.seeds)} seeds, {comparison.backend} backend.",
             ],
-            unsound=worse + comparison.failures,
+            unsound=newly_broken + comparison.failures,
             rules=rules,
             tables=[differences],
             plots=compare_plots(comparison),
@@ -164,7 +164,10 @@
     names = [metric.name for metric in METRICS]
     rows = []
     for point in swept.points:
-        cells = [number(point.metrics[f.name].mean, f.unit) if point.metrics else "-" for f in METRICS]
+        cells = [
+            number(point.metrics[column.name].mean, column.unit) if point.metrics else "-"
+            for column in METRICS
+        ]
         broken = ", ".join(f"{name}: {count}" for name, count in point.violations.items())
         tone = "bad" if point.violations or point.failures else ""
         rows.append(Row([*point.values, str(point.complete_runs), *cells, broken], tone))
@@ -177,7 +180,7 @@
     return _rendered(
         Page(
             title=f"{swept.scenario} over {' and '.join(paths)}",
-            about=[f"{len(swept.seeds)} seeds a point, {swept.backend} backend."],
+            about=[f"{len(swept.seeds)} seeds per point, {swept.backend} backend."],
             unsound=unsound,
             plots=sweep_plots(swept),
             tables=[Table("Points", [*paths, "seeds", *names, "broken"], rows, "Means over the seeds.")],
@@ -186,7 +189,7 @@
 
 
 def search_report(found: Search) -> str:
-    """Return the report of a search: its runs, the worst first."""
+    """Return the report of a search, with the worst runs first."""
     rows = [
         Row(
             [
@@ -212,15 +215,15 @@
     return _rendered(
         Page(
             title=f"Search with seed {found.seed}",
-            about=[f"{len(found.runs)} random days in {found.minutes:.1f} minutes, {len(found.kept)} kept."],
+            about=[f"{len(found.runs)} random runs in {found.minutes:.1f} minutes, {len(found.kept)} kept."],
             unsound=bad,
-            tables=[Table("Days", head, rows, "Worst first.", (0, 7, 8))],
+            tables=[Table("Days", head, rows, "Worst runs first.", (0, 7, 8))],
         )
     )
 
 
 def column_values(run: SearchRun) -> tuple[float, ...]:
-    """Return the metrics of a search's run, in the order of the columns."""
+    """Return the metrics of one run of a search, in the order of the columns."""
     return (
         run.goodput,
         run.fault_free_goodput,
@@ -232,64 +235,65 @@
 
 
 def _rendered(page: Page) -> str:
-    """Fill the template."""
+    """Render a page with the HTML template."""
     loader = jinja2.PackageLoader("flintridge.lab.report", "")
-    # Names and sentences come from files and from servers' bytes: all are escaped, but for our own SVG.
+    # Names and texts come from files and from bytes that servers sent, so everything is escaped except the
+    # SVG that this package generates.
     environment = jinja2.Environment(loader=loader, autoescape=True, undefined=jinja2.StrictUndefined)
     return environment.get_template("template.html.j2").render(page=page)
 
 
 def _cost(result: Result) -> str:
-    """Return what the run took, as a line."""
+    """Return the cost of a run (records, time, CPU and memory) as one line."""
     costs = (
         f"{result.records:,} records",
         f"{result.wall_s:.1f} s of real time",
         f"CPU: {result.lab_cpu_s:.1f} s for the lab, {result.node_cpu_s:.1f} s for the nodes",
-        f"memory: {result.peak_memory_mb:.0f} MB at most",
+        f"peak memory: {result.peak_memory_mb:.0f} MB",
     )
     return "; ".join(costs)
 
 
 def _cards(result: Result) -> list[tuple[str, str]]:
-    """Return the metrics of a run, name and value each."""
+    """Return the name and the value of each metric of a run."""
     latency = result.latency_ms
     return [
         ("goodput", number(result.goodput)),
         ("goal", number(result.goal)),
         ("worst window", number(result.min_window_goodput)),
         ("requests", f"{result.requests:,}"),
-        ("served in aim", f"{result.served_within_objective:,}"),
+        ("served within objective", f"{result.served_within_objective:,}"),
         ("served late", f"{result.served - result.served_within_objective:,}"),
         ("refused", f"{result.rejected:,}"),
         ("failed", f"{result.failed:,}"),
         ("p50", number(latency.p50, "ms")),
         ("p99", number(latency.p99, "ms")),
         ("p999", number(latency.p999, "ms")),
-        ("attempts a request", f"{result.attempts_per_request:.3f}"),
-        ("origin a request", f"{result.origin_per_request:.3f}"),
+        ("attempts per request", f"{result.attempts_per_request:.3f}"),
+        ("origin attempts per request", f"{result.origin_per_request:.3f}"),
         ("hits", number(result.hit_fraction)),
-        ("work wasted", number(result.wasted_fraction)),
+        ("wasted work", number(result.wasted_fraction)),
     ]
 
 
 def _rules(result: Result, expect: Expect) -> list[Row]:
-    """Return a row for each rule, broken ones first, then by name."""
+    """Return a row for each rule, broken rules first, then by name."""
     rows = []
     for name, count in sorted(result.rules.items(), key=lambda rule: (not rule[1], rule[0])):
         known = bool(count) and name in expect.breaks
-        rows.append(Row([name, f"{count} (known)" if known else str(count)], _tone(count, known)))
+        rows.append(Row([name, f"{count} (expected)" if known else str(count)], _tone(count, known)))
     return rows
 
 
 def _tone(count: int, known: bool) -> str:
-    """Return the tone of a rule with so many violations, which the scenario expects or not."""
+    """Return the tone of a rule with `count` violations; `known` if the scenario expects them."""
     if not count:
         return "good"
     return "warn" if known else "bad"
 
 
 def _goodput_tables(result: Result) -> list[Table]:
-    """Return goodput by class and by tenant, where there is more than one."""
+    """Return tables of the goodput by class and by tenant, each if there is more than one."""
     groups = (("class", result.goodput_by_class), ("tenant", result.goodput_by_tenant))
     return [
         Table(f"Goodput by {name}", [name, "goodput"], [Row([k, number(v)]) for k, v in sorted(of.items())])
@@ -299,15 +303,15 @@
 
 
 def _faults(result: Result) -> list[Table]:
-    """Return a table of the faults, if there are any."""
+    """Return a table of the faults, or no table without faults."""
     if not result.faults:
         return []
     rows = [Row([name, f"{begins:.1f} s", f"{ends:.1f} s"]) for name, begins, ends in result.faults]
-    return [Table("What went wrong", ["fault", "from", "to"], rows)]
+    return [Table("Faults of the run", ["fault", "from", "to"], rows)]
 
 
 def _counters(result: Result) -> list[Table]:
-    """Return the nodes' own counters, side by side, of the first eight nodes."""
+    """Return a table of the counters that the first eight nodes report, one column per node."""
     nodes = sorted(result.counters)
     names = sorted({name for counts in result.counters.values() for name in counts})
     if not names:
@@ -315,25 +319,25 @@
     shown: Sequence[str] = nodes[:MAX_COUNTER_COLUMNS]
     rows = [Row([name, *(f"{result.counters[node].get(name, 0):,}" for node in shown)]) for name in names]
     return [
-        Table("The nodes' own counters", ["", *shown], rows, "For reading only: no figure above uses them.")
+        Table("Counters of the nodes", ["", *shown], rows, "For information only: no metric above uses them.")
     ]
 
 
 def report_of_json(data: bytes, scenario: Scenario | None = None, text: str = "") -> str:
-    """Return the report of what any of the commands saved as JSON.
+    """Return the report of a result that a command saved as JSON.
 
     Args:
-        data: The file's content.
-        scenario: Of a run, its scenario if it is known.
-        text: Of a run, its scenario as TOML.
+        data: The content of the JSON file.
+        scenario: The scenario if the file holds a run and its scenario is known.
+        text: The scenario as TOML if the file holds a run.
 
     Raises:
-        ValueError: The content is no object, or of an unknown command.
-        msgspec.MsgspecError: It is no JSON, or lacks fields.
+        ValueError: The content is not an object, or `what` names an unknown command.
+        msgspec.MsgspecError: The content is not valid JSON, or fields are missing.
     """
     plain: Any = msgspec.json.decode(data)
     if not isinstance(plain, dict):
-        raise ValueError("holds no object")
+        raise ValueError("the content is not a JSON object")
     what = plain.get("what")
     if what is None:
         return run_report(msgspec.convert(plain, Result), scenario, text)
@@ -343,4 +347,4 @@
         return sweep_report(msgspec.convert(plain, Sweep))
     if what == "search":
         return search_report(msgspec.convert(plain, Search))
-    raise ValueError(f"what: {what!r}: one of compare, sweep, search, or none for a run")
+    raise ValueError(f"what: {what!r}: must be compare, sweep or search, or absent for a run")
--- a/flintridge/lab/report/run_plots.py
+++ b/flintridge/lab/report/run_plots.py
@@ -1,4 +1,4 @@
-"""Plots over the time of a run."""
+"""Draws the plots of a run over time."""
 
 import math
 from collections.abc import Callable, Sequence
@@ -22,49 +22,49 @@
 )
 from flintridge.lab.result import Result, Window
 
-MAX_POINTS = 600  # of a line over time: longer runs are plotted in wider windows
-MAX_LINES = 12  # servers that can be distinguished as lines; more of them become a heat map
+MAX_POINTS = 600  # the limit for a line over time; longer runs are plotted with wider windows
+MAX_LINES = 12  # more servers cannot be distinguished as lines and are shown as a heat map
 
 
 def run_plots(result: Result) -> list[Plot]:
-    """Return the plots over the time of a run, with the faults as bands; none where it has no windows."""
-    windows = merged(result.windows)
+    """Return the plots of a run over time, with faults as shaded bands; no plots without windows."""
+    windows = merge_windows(result.windows)
     if not windows:
         return []
     plots = [
-        _over_time(
+        _time_plot(
             "Goodput and offered load",
-            "Worth got over worth asked, and first tries a second; bands are faults.",
+            "Achieved over offered weight, and first attempts per second; shaded bands are faults.",
             result,
             windows,
             _goodput,
         ),
-        _over_time(
+        _time_plot(
             "Latency",
-            "From the intended sending to the last byte of the answer, by when it was due; log scale.",
+            "From the intended send time to the last byte of the response, by intended send time; log scale.",
             result,
             windows,
             _latency,
         ),
-        _over_time(
-            "Answers by kind", "First tries a second, by how they ended.", result, windows, _responses
+        _time_plot(
+            "Responses by outcome", "First attempts per second, by outcome.", result, windows, _responses
         ),
-        _over_time(
-            "Attempts a request", "At all servers, and at the origin alone.", result, windows, _attempts
+        _time_plot(
+            "Attempts per request", "At all servers, and at the origin alone.", result, windows, _attempts
         ),
     ]
     if any(window.in_flight for window in windows):
         draw = _in_flight_lines
-        about = "Requests held, mean over each second, a line a server."
+        about = "Mean number of requests in flight in each second, one line per server."
         if len(server_ids(windows)) > MAX_LINES:
             draw = _in_flight_map
-            about = "Requests held, mean over each second, a row a server."
-        plots.append(_over_time("In flight by server", about, result, windows, draw))
+            about = "Mean number of requests in flight in each second, one row per server."
+        plots.append(_time_plot("In flight by server", about, result, windows, draw))
     return plots
 
 
-def merged(windows: Sequence[Window], maximum: int = MAX_POINTS) -> list[Window]:
-    """Merge neighbouring windows until there are at most `maximum`; counts become means a window."""
+def merge_windows(windows: Sequence[Window], maximum: int = MAX_POINTS) -> list[Window]:
+    """Merge adjacent windows into at most `maximum` windows; a count becomes the mean count per window."""
     size = math.ceil(len(windows) / maximum) if windows else 1
     if size == 1:
         return list(windows)
@@ -72,7 +72,7 @@
 
 
 def _mean_window(group: Sequence[Window]) -> Window:
-    """Return the mean of each metric; of percentiles the worst, as they cannot be averaged."""
+    """Return the mean of each metric, but the worst of each percentile, which cannot be averaged."""
     count = len(group)
     plain: dict[str, Any] = {"t_s": group[0].t_s}
     counts = ("requests", "served", "within_objective", "rejected", "failed", "attempts", "origin_attempts")
@@ -94,36 +94,38 @@
     return sorted({server for window in windows for server in window.in_flight})
 
 
-def _over_time(
+def _time_plot(
     title: str,
     about: str,
     result: Result,
     windows: Sequence[Window],
     draw: Callable[[Any, Sequence[Window]], None],
 ) -> Plot:
-    """Plot something over the time of a run, with the faults as bands unless it is a map."""
+    """Create a plot over the time of a run, with faults as shaded bands unless it is a heat map."""
     height = 2.9 if draw is _in_flight_map else 2.4
     with new_figure(height) as (figure, axes):
-        end = windows[-1].t_s + _step(windows)
+        end = windows[-1].t_s + _window_length_s(windows)
         axes.set_xlim(windows[0].t_s, end)
         draw(axes, windows)
         if draw is not _in_flight_map:
-            _bands(axes, result.faults, windows[0].t_s, end)
-        axes.set_xlabel("seconds of the day")
+            _draw_fault_bands(axes, result.faults, windows[0].t_s, end)
+        axes.set_xlabel("seconds of the run")
         return Plot(title, about, svg_element(figure, title))
 
 
-def _step(windows: Sequence[Window]) -> float:
+def _window_length_s(windows: Sequence[Window]) -> float:
     """Return the length of a window in seconds."""
     return windows[1].t_s - windows[0].t_s if len(windows) > 1 else 1.0
 
 
-def _bands(axes: Any, faults: Sequence[tuple[str, float, float]], start: float, end: float) -> None:
-    """Plot faults behind the lines, names in rows at the top so that overlapping ones can be read."""
+def _draw_fault_bands(
+    axes: Any, faults: Sequence[tuple[str, float, float]], start: float, end: float
+) -> None:
+    """Plot faults as bands behind the lines, with their names in rows at the top to avoid overlaps."""
     if not faults:
         return
-    _headroom(axes)
-    row_ends: list[float] = []  # up to where each row is occupied
+    _add_headroom(axes)
+    row_ends: list[float] = []  # the time up to which each row is occupied
     for name, begins, ends in sorted(faults, key=lambda fault: fault[1:]):
         begins = max(begins, start)
         ends = min(max(ends, begins + (end - start) / 300), end)
@@ -145,27 +147,27 @@
         )
 
 
-def _headroom(axes: Any) -> None:
-    """Leave room above the lines for the names of faults."""
+def _add_headroom(axes: Any) -> None:
+    """Extend the y axis to leave room above the lines for the names of faults."""
     low, high = axes.get_ylim()
     top = high * (high / low) ** 0.18 if axes.get_yscale() == "log" else high + 0.18 * (high - low)
     axes.set_ylim(low, top)
 
 
-def _line(axes: Any, windows: Sequence[Window], values: Sequence[float], **look: Any) -> None:
-    """Plot a step for each window; none where the value is NaN."""
-    times = [window.t_s for window in windows] + [windows[-1].t_s + _step(windows)]
-    axes.stairs(values, times, baseline=None, linewidth=1.6, **look)
+def _draw_line(axes: Any, windows: Sequence[Window], values: Sequence[float], **style: Any) -> None:
+    """Plot one step for each window; windows with the value NaN have none."""
+    times = [window.t_s for window in windows] + [windows[-1].t_s + _window_length_s(windows)]
+    axes.stairs(values, times, baseline=None, linewidth=1.6, **style)
 
 
 def _fraction(count: float, total: float) -> float:
-    """Return the fraction, NaN of nothing."""
+    """Return `count` / `total`, or NaN if `total` is 0."""
     return count / total if total else float("nan")
 
 
 def _goodput(axes: Any, windows: Sequence[Window]) -> None:
     """Plot goodput, and the offered load on a second axis."""
-    _line(
+    _draw_line(
         axes,
         windows,
         [_fraction(w.achieved_weight, w.offered_weight) for w in windows],
@@ -176,11 +178,11 @@
     axes.set_yticks([0, 0.2, 0.4, 0.6, 0.8, 1])
     axes.set_ylabel("goodput")
     load = axes.twinx()
-    # Behind the goodput: the second axis is drawn over the first one unless told otherwise.
+    # Matplotlib draws the second axes over the first by default; the load belongs behind the goodput.
     axes.set_zorder(load.get_zorder() + 1)
     axes.patch.set_visible(False)
-    step = _step(windows)
-    _line(
+    step = _window_length_s(windows)
+    _draw_line(
         load,
         windows,
         [w.requests / min(step, 1.0) for w in windows],
@@ -198,7 +200,7 @@
     """Plot p50 and p99 on a log scale."""
     for name, colour in (("p50", BLUE), ("p99", RED)):
         values = [getattr(window, name) or float("nan") for window in windows]
-        _line(axes, windows, values, color=colour, label=name)
+        _draw_line(axes, windows, values, color=colour, label=name)
     axes.set_yscale("log")
     axes.yaxis.set_major_formatter(FuncFormatter(lambda value, _: f"{value:g}"))
     axes.set_ylabel("ms")
@@ -206,17 +208,17 @@
 
 
 def _responses(axes: Any, windows: Sequence[Window]) -> None:
-    """Plot responses by kind as a stack."""
+    """Plot the requests of each window as a stack by outcome."""
     late = [window.served - window.within_objective for window in windows]
     unanswered = [max(0, w.requests - w.served - w.rejected - w.failed) for w in windows]
     stacks = (
-        ("in aim", [w.within_objective for w in windows], GREEN),
+        ("within objective", [w.within_objective for w in windows], GREEN),
         ("late", late, "#e2b93b"),
         ("refused", [w.rejected for w in windows], ORANGE),
         ("failed", [w.failed for w in windows], RED),
         ("none", unanswered, GREY),
     )
-    times = [w.t_s for w in windows] + [windows[-1].t_s + _step(windows)]
+    times = [w.t_s for w in windows] + [windows[-1].t_s + _window_length_s(windows)]
     below = np.zeros(len(windows))
     for name, values, colour in stacks:
         if not any(values) and name == "none":
@@ -234,8 +236,8 @@
 def _attempts(axes: Any, windows: Sequence[Window]) -> None:
     """Plot attempts per request, at all servers and at the origin."""
     all_attempts = [_fraction(w.attempts, w.requests) for w in windows]
-    _line(axes, windows, all_attempts, color=BLUE, label="all attempts")
-    _line(
+    _draw_line(axes, windows, all_attempts, color=BLUE, label="all attempts")
+    _draw_line(
         axes,
         windows,
         [_fraction(w.origin_attempts, w.requests) for w in windows],
@@ -243,25 +245,25 @@
         label="origin",
     )
     axes.set_ylim(bottom=0)
-    axes.set_ylabel("a request")
+    axes.set_ylabel("per request")
     add_legend(axes)
 
 
 def _in_flight_lines(axes: Any, windows: Sequence[Window]) -> None:
-    """Plot a line for each server."""
+    """Plot the requests in flight, one line per server."""
     for server, colour in zip(server_ids(windows), LINE_COLOURS, strict=False):
         in_flight = [window.in_flight.get(server, float("nan")) for window in windows]
-        _line(axes, windows, in_flight, color=colour, label=server, alpha=0.85)
+        _draw_line(axes, windows, in_flight, color=colour, label=server, alpha=0.85)
     axes.set_ylim(bottom=0)
     axes.set_ylabel("requests")
     add_legend(axes, columns=6)
 
 
 def _in_flight_map(axes: Any, windows: Sequence[Window]) -> None:
-    """Plot a row of a heat map for each server."""
+    """Plot the requests in flight as a heat map, one row per server."""
     servers = server_ids(windows)
     in_flight = np.array([[window.in_flight.get(server, np.nan) for window in windows] for server in servers])
-    end = windows[-1].t_s + _step(windows)
+    end = windows[-1].t_s + _window_length_s(windows)
     top = max(1.0, float(np.nanpercentile(in_flight, 99.5)) if np.isfinite(in_flight).any() else 1.0)
     image = axes.imshow(
         in_flight,
--- a/flintridge/lab/report/svg_figures.py
+++ b/flintridge/lab/report/svg_figures.py
@@ -1,4 +1,7 @@
-"""Figures as inline SVG, in one style. Matplotlib is imported by plots only: only a report pays for it."""
+"""Creates figures as inline SVG in a common style.
+
+Only the modules of plots import Matplotlib, so that commands without a report do not pay for loading it.
+"""
 
 import io
 import re
@@ -34,11 +37,11 @@
     "#444444",
 )
 STYLE: Any = {
-    "svg.fonttype": "none",  # text stays text: it can be searched, and read by those who cannot see it
+    "svg.fonttype": "none",  # text is not converted to paths, so that search and screen readers can find it
     "font.family": "sans-serif",
     "font.sans-serif": ["Segoe UI", "Helvetica Neue", "Arial", "DejaVu Sans"],
     "font.size": 9.5,
-    "text.parse_math": False,  # names come from files: a dollar sign in one is no formula
+    "text.parse_math": False,  # names come from files, and a dollar sign in them does not begin a formula
     "axes.edgecolor": GRID,
     "axes.labelcolor": INK,
     "axes.grid": True,
@@ -60,9 +63,9 @@
     """A plot of a report.
 
     Attributes:
-        title: Its heading.
-        about: What it shows.
-        svg: The picture, an SVG element.
+        title: The heading of the plot.
+        about: A description of the plot.
+        svg: The plot as an SVG element.
     """
 
     title: str
@@ -72,7 +75,7 @@
 
 @contextmanager
 def new_figure(rows: float = 2.4, columns: int = 1, width: float = 9.6) -> Iterator[tuple[Figure, Any]]:
-    """Yield a figure and its axes in the report's style, without the state of pyplot."""
+    """Yield a figure and its axes in the style of reports, without the global state of pyplot."""
     with matplotlib.rc_context(STYLE):
         figure = Figure(figsize=(width, rows), layout="constrained")
         FigureCanvasSVG(figure)
@@ -80,8 +83,8 @@
 
 
 def svg_element(figure: Figure, name: str) -> str:
-    """Return a figure as an element for HTML: without prolog, scaled by the page, with ids of its own."""
-    # The salt makes ids depend on the plot alone: the same result gives the same file.
+    """Return a figure as an SVG element for HTML: without prolog, scalable, and with unique ids."""
+    # With this salt, ids depend only on the plot, so that the same result gives the same file.
     with matplotlib.rc_context({**STYLE, "svg.hashsalt": name}):
         text = io.StringIO()
         figure.savefig(text, format="svg", transparent=True, metadata={"Date": None, "Creator": None})
@@ -95,7 +98,7 @@
 
 
 def add_legend(axes: Any, *twins: Any, columns: int = 4) -> None:
-    """Add a legend above the axes, of what they and their twin axes show."""
+    """Add a legend above the axes for the lines of the axes and of their twin axes."""
     handles, labels = axes.get_legend_handles_labels()
     for twin in twins:
         twin_handles, twin_labels = twin.get_legend_handles_labels()
--- a/flintridge/lab/report/tables.py
+++ b/flintridge/lab/report/tables.py
@@ -1,4 +1,4 @@
-"""Tables for the terminal."""
+"""Prints the results of runs and experiments as tables in the terminal."""
 
 from collections.abc import Iterable, Sequence
 
@@ -19,7 +19,7 @@
 
 
 def console(*, error: bool = False) -> Console:
-    """Return a console for tables, wide enough for them where the output is a file or a pipe.
+    """Return a console for tables, which is wide enough for them if the output is a file or a pipe.
 
     Args:
         error: Whether to print on standard error.
@@ -31,7 +31,7 @@
 
 
 def number(value: float, unit: str = "") -> str:
-    """Format a value: milliseconds to a tenth, fractions to four places, great ones with separators.
+    """Format a value: milliseconds to a tenth, fractions to four places, large ones with separators.
 
     Args:
         value: The value.
@@ -43,7 +43,7 @@
 
 
 def _grid(*columns: str) -> Table:
-    """Return an empty table, the first column aligned to the left, the others to the right."""
+    """Return an empty table with the first column aligned to the left and the others to the right."""
     table = Table(header_style="bold")
     for i, column in enumerate(columns):
         table.add_column(column, justify="left" if i == 0 else "right")
@@ -56,7 +56,7 @@
 
 
 def run_table(result: Result) -> Table:
-    """Return the metrics of one run."""
+    """Return a table of the metrics of one run."""
     table = _grid("", "")
     table.show_header = False
     late = result.served - result.served_within_objective
@@ -66,17 +66,17 @@
         ("goal", number(result.goal)),
         ("worst window", number(result.min_window_goodput)),
         ("requests", f"{result.requests:,}"),
-        ("served, in aim + late", f"{result.served_within_objective:,} + {late:,}"),
+        ("served within objective + late", f"{result.served_within_objective:,} + {late:,}"),
         ("refused / failed", f"{result.rejected:,} / {result.failed:,}"),
         (
             "latency p50 / p99 / p999",
             " / ".join(number(v, "ms") for v in (latency.p50, latency.p99, latency.p999)),
         ),
         (
-            "attempts a request (origin)",
+            "attempts per request (origin)",
             f"{result.attempts_per_request:.3f} ({result.origin_per_request:.3f})",
         ),
-        ("hits at cache servers", number(result.hit_fraction)),
+        ("hit fraction of cache servers", number(result.hit_fraction)),
         ("wall / lab / nodes", f"{result.wall_s:.1f} / {result.lab_cpu_s:.1f} / {result.node_cpu_s:.1f} s"),
         ("digest", result.digest[:32]),
     ]
@@ -84,13 +84,13 @@
         table.add_row(name, value)
     if result.end_reason != "whole":
         table.add_row("[bold red]cut short", f"[bold red]{escape(result.end_reason)}")
-    for problem in result.lab_problems:  # of the lab itself, in real time
-        table.add_row("[yellow]trouble", f"[yellow]{escape(problem)}")
+    for problem in result.lab_problems:  # problems of the lab itself, which occur in real time
+        table.add_row("[yellow]lab problem", f"[yellow]{escape(problem)}")
     return table
 
 
 def rules_table(rules: dict[str, int], expected: Iterable[str] = ()) -> Table:
-    """Return the violations of each rule; those of expected rules are marked."""
+    """Return a table of the violations of each rule; expected violations are marked."""
     known = tuple(expected)
     table = _grid("rule", "breaches")
     for name, count in sorted(rules.items()):
@@ -106,7 +106,7 @@
 
 
 def violation_lines(violations: Sequence[Violation], maximum: int = 8) -> list[str]:
-    """Return a line for each of the first violations: when, which rule, the sentence."""
+    """Return a line for each of the first `maximum` violations: its time, its rule and its text."""
     lines = [
         f"{violation.at_ms / 1000:9.3f} s  {violation.rule}: {violation.text}"
         for violation in violations[:maximum]
@@ -120,8 +120,8 @@
     """Print a run on standard output.
 
     Args:
-        result: The run's result.
-        unsound: Why it is not sound, a line for each reason.
+        result: The result of the run.
+        unsound: The reasons why the run is not sound, one line for each.
         expected: The rules that the scenario expects to be broken.
     """
     out = console()
@@ -141,7 +141,7 @@
 
 
 def print_failure(failed: JobFailed) -> None:
-    """Print a run without a result on standard error: the traceback where there is one, and the reason."""
+    """Print the traceback, if there is one, and the reason of a failed run on standard error."""
     out = console(error=True)
     if failed.trace:
         out.print(failed.trace.rstrip(), markup=False, soft_wrap=True)
@@ -149,7 +149,7 @@
 
 
 def _difference_cells(difference: Difference) -> list[str]:
-    """Return the cells of one metric's row."""
+    """Return the cells of the row of one metric."""
     colour = COLOURS[difference.verdict]
     return [
         difference.name,
@@ -163,11 +163,11 @@
 
 
 def print_compare(comparison: Comparison) -> None:
-    """Print means, differences and rules of both variants on standard output."""
+    """Print the means, differences and violations of both variants on standard output."""
     out = console()
     _title(out, f"A: {comparison.a}   B: {comparison.b}")
-    out.print(f"{len(comparison.pairs)} of {len(comparison.seeds)} seeds on both sides")
-    table = _grid("", "A", "B", "B - A", "95% of it", "B is", "sign p")
+    out.print(f"both runs completed with {len(comparison.pairs)} of {len(comparison.seeds)} seeds")
+    table = _grid("", "A", "B", "B - A", "95% interval", "B is", "sign p")
     for difference in comparison.metrics if comparison.pairs else ():
         table.add_row(*_difference_cells(difference))
     out.print(table)
@@ -175,24 +175,26 @@
     for rule in comparison.rules:
         if rule.a or rule.b:
             rules.add_row(
-                rule.name, str(rule.a), str(rule.b), "[bold red]breaks in B alone" if rule.new else ""
+                rule.name, str(rule.a), str(rule.b), "[bold red]broken only in B" if rule.new else ""
             )
     if rules.row_count:
         out.print(rules)
     else:
-        out.print("no rule broken on either side")
+        out.print("no rule broken in A or B")
     _print_failures(out, comparison.failures)
 
 
 def print_sweep(swept: Sweep) -> None:
-    """Print a line for each point on standard output."""
+    """Print a table of all points on standard output."""
     out = console()
-    shown = [f for f in METRICS if f.name != "p50"]
+    shown = [metric for metric in METRICS if metric.name != "p50"]
     names = [parameter.path for parameter in swept.parameters]
     _title(out, swept.scenario)
-    table = _grid(*names, "seeds", *(f.name for f in shown), "broken")
+    table = _grid(*names, "seeds", *(metric.name for metric in shown), "broken")
     for point in swept.points:
-        cells = [number(point.metrics[f.name].mean, f.unit) if point.metrics else "-" for f in shown]
+        cells = [
+            number(point.metrics[metric.name].mean, metric.unit) if point.metrics else "-" for metric in shown
+        ]
         broken = " ".join(f"{name}:{count}" for name, count in point.violations.items())
         table.add_row(
             *map(escape, point.values), str(point.complete_runs), *cells, f"[bold red]{escape(broken)}"
@@ -207,12 +209,12 @@
 
     Args:
         found: The search.
-        directory: Where it is kept.
-        maximum: Runs printed at most.
+        directory: The directory of the search.
+        maximum: The maximum number of runs to print.
     """
     out = console()
     runs = ranked(found.runs)
-    _title(out, "worst days")
+    _title(out, "worst runs")
     table = _grid("day", "goodput", "calm", "reference", "severity", "load", "behind", "requests", "what")
     for run in runs[:maximum]:
         values = (
@@ -228,16 +230,14 @@
     out.print(table)
     broken = sum(1 for run in found.runs if run.violation_count)
     failed = sum(1 for run in found.runs if run.failure)
-    text = (
-        f"{len(found.runs)} days: {broken} broke a rule, {failed} did not finish; {len(found.kept)} kept in "
-    )
+    text = f"{len(found.runs)} runs: {broken} broke a rule, {failed} failed; {len(found.kept)} kept in "
     out.print(f"{text}{directory}/kept", markup=False, soft_wrap=True)
     if found.stop_reason:
-        out.print(f"not all were played: {found.stop_reason}", markup=False)
+        out.print(f"the search ended before all runs were played: {found.stop_reason}", markup=False)
 
 
 def _run_note(run: SearchRun) -> str:
-    """Return what is special about a run: broken rules, its failure, or its faults."""
+    """Return the note for a run: its broken rules, else its failure, else its faults."""
     rules = [f"{name}:{count}" for name, count in {**run.fault_free_violations, **run.violations}.items()]
     if rules or run.failure:
         return f"[bold red]{escape(' '.join(rules) or run.failure[:60])}"
@@ -245,7 +245,7 @@
 
 
 def print_shrunk(shrunk: Shrunk) -> None:
-    """Print the sizes before and after a shrinking on standard output."""
+    """Print the sizes of a scenario before and after shrinking on standard output."""
     out = console()
     _title(out, f"{shrunk.fails}, seed {shrunk.seed}")
     table = _grid("", "before", "after")
--- a/tests/lab/experiment/test_experiment_output.py
+++ b/tests/lab/experiment/test_experiment_output.py
@@ -1,11 +1,11 @@
-"""Files that commands write."""
+"""Tests of the output files of commands."""
 
 import pytest
 
 from flintridge.lab.experiment import output
 
 
-def test_a_file_is_written_whole_or_not_at_all(tmp_path):
+def test_a_file_is_written_completely_or_not_at_all(tmp_path):
     path = tmp_path / "x.json"
     output.write(path, b"one")
     assert not output.write_new(path, b"two") and path.read_bytes() == b"one"
--- a/tests/lab/experiment/test_experiment_worker.py
+++ b/tests/lab/experiment/test_experiment_worker.py
@@ -1,4 +1,4 @@
-"""A worker that takes its node from another source tree."""
+"""Tests of a worker that loads the node from another source tree."""
 
 import subprocess
 import sys
@@ -14,22 +14,30 @@
 ROOT = Path(__file__).parents[3]
 
 
-def whose_node(scenario, seed, **_):
-    """Tells whose decision module a worker runs."""
+def report_node_origin(scenario, seed, **_):
+    """A runner whose result shows from which source tree a worker loaded its modules."""
     from flintridge import api, node
     from flintridge.lab import result
-    from flintridge.policy import balancer as decide
-
-    ours = [str(Path(module.__file__).parent.parent) == str(ROOT) for module in (decide, node)]
-    lab_is_ours = Path(result.__file__).is_relative_to(ROOT)
-    assert decide.api is api is sys.modules["flintridge.api"]  # one node, not parts of two
-    there = float(getattr(decide, "CHANGED_IN_THE_COPY", 0))
+    from flintridge.policy import balancer
+
+    are_from_this_tree = [
+        str(Path(module.__file__).parent.parent) == str(ROOT) for module in (balancer, node)
+    ]
+    lab_is_from_this_tree = Path(result.__file__).is_relative_to(ROOT)
+    # All modules of the node come from one tree.
+    assert balancer.api is api is sys.modules["flintridge.api"]
+    marker_value = float(getattr(balancer, "CHANGED_IN_THE_COPY", 0))
     return Result(
-        scenario="", seed=seed, backend="", goodput=there, hit_fraction=sum(ours), goal=float(lab_is_ours)
+        scenario="",
+        seed=seed,
+        backend="",
+        goodput=marker_value,
+        hit_fraction=sum(are_from_this_tree),
+        goal=float(lab_is_from_this_tree),
     )
 
 
-def test_another_tree_plays_its_own_node_under_our_lab(tmp_path):
+def test_the_node_of_another_tree_is_played_by_the_lab_of_this_tree(tmp_path):
     copy = tmp_path / "flintridge"
     copy.mkdir()
     for part in ("__init__.py", *NODE_MODULES):
@@ -38,7 +46,7 @@
         file.write("\nCHANGED_IN_THE_COPY = 1\n")
     a = Variant(label="ours", scenario=Scenario())
     b = Variant(label="copy", scenario=Scenario(), tree=str(tmp_path))
-    found = compare(a, b, [1, 2], workers=1, runner=whose_node)
+    found = compare(a, b, [1, 2], workers=1, runner=report_node_origin)
     assert not found.failures and [pair.a["goodput"] for pair in found.pairs] == [0, 0]
     assert [pair.b["goodput"] for pair in found.pairs] == [1, 1]
     assert all(pair.a["goal"] == pair.b["goal"] == 1 for pair in found.pairs)
--- a/tests/lab/experiment/test_kept_scenarios.py
+++ b/tests/lab/experiment/test_kept_scenarios.py
@@ -1,8 +1,8 @@
-"""Scenarios that the search kept, shrunk to the least that still went wrong: what they found is mended.
+"""Regression tests with scenarios that a search found and that were then shrunk. Their defects are fixed.
 
-Each file of `tests/kept_days` is an ordinary scenario. Its name is RULE_WORDS-SEED.toml (`goodput` for one
-that fell behind, which then expects more), and its `about` says what was wrong. To play one by hand:
-`flintridge lab run tests/kept_days/FILE --seed SEED`.
+Each file of `tests/kept_days` is an ordinary scenario. Its name is RULE_WORDS-SEED.toml (with `goodput` as
+the rule for a scenario with too low a goodput, which then expects a higher one). Its `about` describes the
+defect. To play one manually: `flintridge lab run tests/kept_days/FILE --seed SEED`.
 """
 
 from pathlib import Path
@@ -15,8 +15,8 @@
 KEPT_SCENARIOS = sorted((Path(__file__).parents[2] / "kept_days").glob("*.toml"))
 
 
-def test_kept_scenarios_are_there():
-    """Guard against a folder missing in the checkout: with no scenario to play, no test would fail."""
+def test_kept_scenarios_exist():
+    """Guards against a checkout without the directory: without scenarios, no other test would fail."""
     assert len(KEPT_SCENARIOS) >= 4
 
 
@@ -24,7 +24,7 @@
 def test_a_kept_scenario_violates_no_rule(path):
     rule, _, seed = path.stem.rpartition("-")
     result = play(load(path), int(seed))
-    kind = rule.split("_")[0]
-    assert result.requests and (kind in result.rules or kind == "goodput")
+    rule_name = rule.split("_")[0]
+    assert result.requests and (rule_name in result.rules or rule_name == "goodput")
     assert result.violation_count == 0, result.violations[:3]
     assert result.expectation == ""
--- a/tests/lab/experiment/test_shrink.py
+++ b/tests/lab/experiment/test_shrink.py
@@ -1,4 +1,4 @@
-"""Shrinking a scenario that fails."""
+"""Tests of the shrinking of failing scenarios."""
 
 import msgspec
 import pytest
@@ -10,7 +10,7 @@
 from flintridge.lab.scenario.model import Scenario
 
 
-def big():
+def large_scenario():
     faults = (
         model.Reload(at_s=1),
         model.Crash(at_s=9, count=2),
@@ -35,39 +35,45 @@
     )
 
 
-def test_shrinks_to_the_least_that_still_breaks_the_rule_however_many_run_at_once():
-    found = [shrink.shrink(big(), 3, budget=400, workers=workers, runner=fake) for workers in (1, 5)]
+def test_the_smallest_scenario_that_breaks_the_rule_does_not_depend_on_the_number_of_workers():
+    found = [
+        shrink.shrink(large_scenario(), 3, budget=400, workers=workers, runner=fake) for workers in (1, 5)
+    ]
     assert found[0] == found[1] and found[0].fails == "rule drain broken"
-    least = found[0].scenario
-    assert [type(fault) for fault in least.faults] == [model.Crash]
-    assert least.nodes.count == 2 and sum(group.count for group in least.servers) == 1
-    assert least.length_s <= 2 and least.keys.count == 1 and least.load.rate_per_s < 1.5
-    assert len(least.zones) == len(least.classes) == len(least.kinds) == 1
-    assert least.links == model.Links() and least.kinds[0] == model.Kind(name=least.kinds[0].name)
-    assert least.expect.breaks == ("drain",) and space.contradictions(least) == []
+    smallest = found[0].scenario
+    assert [type(fault) for fault in smallest.faults] == [model.Crash]
+    assert smallest.nodes.count == 2 and sum(group.count for group in smallest.servers) == 1
+    assert smallest.length_s <= 2 and smallest.keys.count == 1 and smallest.load.rate_per_s < 1.5
+    assert len(smallest.zones) == len(smallest.classes) == len(smallest.kinds) == 1
+    assert smallest.links == model.Links() and smallest.kinds[0] == model.Kind(name=smallest.kinds[0].name)
+    assert smallest.expect.breaks == ("drain",) and space.contradictions(smallest) == []
     assert found[0].runs <= 400 and found[0].end_reason == "nothing smaller fails"
 
 
-def test_a_budget_is_kept_and_what_does_not_fail_is_refused():
-    found = shrink.shrink(big(), 3, failure_predicates.Breaks("drain"), budget=4, workers=8, runner=fake)
+def test_the_budget_limits_the_runs_and_a_scenario_that_does_not_fail_is_rejected():
+    found = shrink.shrink(
+        large_scenario(), 3, failure_predicates.Breaks("drain"), budget=4, workers=8, runner=fake
+    )
     assert found.runs == 4 and found.end_reason == "the budget is used up"
     with pytest.raises(failure_predicates.ScenarioDoesNotFailError, match="lost"):
-        shrink.shrink(big(), 3, failure_predicates.Breaks("lost"), runner=fake)
+        shrink.shrink(large_scenario(), 3, failure_predicates.Breaks("lost"), runner=fake)
     with pytest.raises(failure_predicates.ScenarioDoesNotFailError, match="whole"):
         shrink.shrink(Scenario(), 3, runner=fake)
-    unfinished = shrink.shrink(msgspec.structs.replace(big(), about="raise"), 3, budget=60, runner=fake)
-    assert unfinished.fails == "run not finished" and unfinished.scenario.faults == ()
+    incomplete = shrink.shrink(
+        msgspec.structs.replace(large_scenario(), about="raise"), 3, budget=60, runner=fake
+    )
+    assert incomplete.fails == "run not finished" and incomplete.scenario.faults == ()
 
 
-def test_a_failure_that_hangs_on_the_seed_is_found_again_under_another():
-    day = msgspec.structs.replace(big(), about="fickle")
-    assert len(shrink.shrink(day, 9, seeds_per_candidate=1, budget=30, runner=fake).scenario.faults) == 4
-    found = shrink.shrink(day, 9, seeds_per_candidate=3, budget=300, runner=fake)
+def test_a_failure_that_depends_on_the_seed_is_reproduced_with_another_seed():
+    scenario = msgspec.structs.replace(large_scenario(), about="fickle")
+    assert len(shrink.shrink(scenario, 9, seeds_per_candidate=1, budget=30, runner=fake).scenario.faults) == 4
+    found = shrink.shrink(scenario, 9, seeds_per_candidate=3, budget=300, runner=fake)
     assert found.seed == 2 and found.scenario.faults == () and "--seed 2" in found.scenario.about
 
 
-def test_under_a_goodput_no_candidate_is_more_loaded_than_what_was_given():
-    day = big()
-    found = shrink.shrink(day, 1, failure_predicates.GoodputBelow(0.5), budget=200, runner=fake)
-    assert flows(found.scenario).load <= flows(day).load * 1.03
+def test_with_a_goodput_bound_no_candidate_has_a_higher_load_than_the_given_scenario():
+    scenario = large_scenario()
+    found = shrink.shrink(scenario, 1, failure_predicates.GoodputBelow(0.5), budget=200, runner=fake)
+    assert flows(found.scenario).load <= flows(scenario).load * 1.03
     assert found.scenario.expect.goodput_at_least == 0.5
--- a/tests/lab/experiment/test_sweep.py
+++ b/tests/lab/experiment/test_sweep.py
@@ -1,4 +1,4 @@
-"""Parameters of a sweep, its points and its CSV."""
+"""Tests of the parameters of a sweep, its points and its CSV output."""
 
 import pytest
 from support.lab_fake_runs import fake
@@ -20,7 +20,7 @@
         ('a="x,y",[1,2], 3', ('"x,y"', "[1,2]", "3")),
     ],
 )
-def test_values_of_a_parameter(text, values):
+def test_a_parameter_is_parsed_to_its_values(text, values):
     assert parameter(text).values == values
 
 
@@ -31,7 +31,7 @@
         *("a=2:2:3", "a=1:inf:3", "a=nan:1:3", "a=1:2:1001"),
     ],
 )
-def test_parameters_that_are_refused(text):
+def test_invalid_parameters_are_rejected(text):
     with pytest.raises(SweepParameterError):
         parameter(text)
 
@@ -42,8 +42,8 @@
         faults = (model.Crash(count=1),) if rate > 100 else ()
         return Scenario(load=model.Load(rate_per_s=rate), nodes=model.Nodes(count=int(nodes)), faults=faults)
 
-    both = [parameter("load.rate_per_s=100,500"), parameter("nodes.count=1,2")]
-    found = sweep("x", both, build, [1, 2], workers=2, runner=fake)
+    parameters = [parameter("load.rate_per_s=100,500"), parameter("nodes.count=1,2")]
+    found = sweep("x", parameters, build, [1, 2], workers=2, runner=fake)
     assert [point.values for point in found.points] == [
         ["100", "1"],
         ["100", "2"],
--- a/tests/lab/experiment/test_worker_pool.py
+++ b/tests/lab/experiment/test_worker_pool.py
@@ -1,4 +1,4 @@
-"""Worker processes: failed jobs, order, and no process left behind."""
+"""Tests of the worker pool: failed jobs, the order of outcomes, and the end of all its processes."""
 
 import os
 import signal
@@ -18,7 +18,7 @@
 ROOT = Path(__file__).parents[3]
 
 
-def test_a_failed_job_is_told_and_the_others_go_on_in_order(tmp_path):
+def test_a_failed_job_is_reported_and_the_other_jobs_complete_in_order(tmp_path):
     pids = tmp_path / "pids"
     jobs = [job(seed=1), job("raise", 2), job("die", 3), job(f"hang {pids}", 4, limit_s=3), job(seed=5)]
     ended = []
@@ -29,11 +29,11 @@
     assert (raised.mode, raised.reason) == ("raised", "ValueError: seed 2") and "Traceback" in raised.trace
     assert died.mode == "died" and "7" in died.reason and "last words" in died.reason
     assert hung.mode == "hung" and "3 s" in hung.reason
-    # The worker, and its child elsewhere.
+    # The file holds the pids of the worker and of its child, which has its own session.
     assert all(process_ends(int(pid)) for pid in pids.read_text().split())
 
 
-def test_stop_begins_no_more_and_loopback_goes_alone(tmp_path):
+def test_stop_prevents_further_jobs_and_loopback_jobs_run_one_at_a_time(tmp_path):
     done = []
     found = run_jobs(
         [job(seed=n) for n in range(6)],
@@ -42,8 +42,8 @@
         stop=lambda: len(done) >= 2,
     )
     assert [outcome is None for outcome in found] == [False, False, True, True, True, True]
-    alone = [job(f"exclusive {tmp_path / 'one'}", n, backend="loopback") for n in range(3)]
-    assert all(isinstance(outcome, Result) for outcome in run_jobs(alone, workers=3))
+    exclusive_jobs = [job(f"exclusive {tmp_path / 'one'}", n, backend="loopback") for n in range(3)]
+    assert all(isinstance(outcome, Result) for outcome in run_jobs(exclusive_jobs, workers=3))
 
 
 @pytest.mark.parametrize("end", [signal.SIGINT, signal.SIGKILL])
@@ -61,8 +61,8 @@
         preexec_fn=restore_default_signals,
     )
     try:
-        until = time.monotonic() + 30
-        while time.monotonic() < until and not (pids.exists() and len(pids.read_text().split()) == 2):
+        deadline = time.monotonic() + 30
+        while time.monotonic() < deadline and not (pids.exists() and len(pids.read_text().split()) == 2):
             time.sleep(0.02)
         pool.send_signal(end)
         pool.wait(20)
--- a/tests/lab/report/test_html_reports.py
+++ b/tests/lab/report/test_html_reports.py
@@ -1,4 +1,4 @@
-"""Reports as HTML: whole files that load nothing."""
+"""Tests that HTML reports are complete files which load no other resources."""
 
 import msgspec
 import pytest
@@ -13,7 +13,7 @@
 
 
 @pytest.mark.parametrize("servers", [0, 3, 40])
-def test_a_run_report_stands_alone_and_escapes_what_it_quotes(servers):
+def test_a_run_report_is_self_contained_and_escapes_all_texts(servers):
     found = result(windows=windows(servers=servers))
     page = check_page(html.run_report(found, Scenario(about="a < b"), "name = '<x>'"))
     assert page.count("<svg") == 4 + (servers > 0)
@@ -22,23 +22,23 @@
     assert ("data:image/png" in page) == (servers > run_plots.MAX_LINES)
 
 
-def test_reports_of_nothing_of_one_window_and_of_a_long_day():
+def test_reports_of_runs_with_no_window_one_window_and_many_windows():
     check_page(html.run_report(Result(scenario="x", seed=1, backend="virtual")))
     check_page(html.run_report(result(windows=windows(1), faults=[])))
     empty = [Window(t_s=float(t)) for t in range(5)]
     check_page(html.run_report(result(windows=empty, faults=[("out", 50.0, 60.0)])))
-    long = run_plots.merged(windows(5000))
-    assert len(long) <= run_plots.MAX_POINTS and long[1].t_s == 9 and long[0].requests == 100
-    assert long[0].p99 == max(window.p99 for window in windows(9))
+    merged = run_plots.merge_windows(windows(5000))
+    assert len(merged) <= run_plots.MAX_POINTS and merged[1].t_s == 9 and merged[0].requests == 100
+    assert merged[0].p99 == max(window.p99 for window in windows(9))
 
 
-def test_reports_of_experiments_from_their_json():
-    sides = Variant(label="a", scenario=Scenario()), Variant(label="b", scenario=load_rate(600))
-    compared = compare(*sides, [1, 2], runner=fake)
+def test_reports_of_experiments_are_made_from_their_json():
+    variants = Variant(label="a", scenario=Scenario()), Variant(label="b", scenario=load_rate(600))
+    compared = compare(*variants, [1, 2], runner=fake)
     one = sweep("s", [parameter("x=1,2")], lambda values: load_rate(50), [1], runner=fake)
     values = iter([50, 50, 600, 600])
-    both = [parameter("x=1,2"), parameter('y="p","q"')]
-    two = sweep("s", both, lambda _: load_rate(next(values)), [1], runner=fake)
+    parameters = [parameter("x=1,2"), parameter('y="p","q"')]
+    two = sweep("s", parameters, lambda _: load_rate(next(values)), [1], runner=fake)
     words = sweep("s", [parameter('y="p","q"')], lambda _: Scenario(name="raises"), [1], runner=fake)
     run = SearchRun(number=0, seed=2, name=HOSTILE_TEXT, violations={"drain": 1}, unexplained_shortfall=0.1)
     found = Search(seed=1, space_version=1, runs=[run])
@@ -46,7 +46,7 @@
         data = msgspec.json.encode(value)
         page = check_page(html.report_of_json(data))
         assert page == html.report_of_json(data)
-    assert "breaks in B and holds in A" in html.compare_report(compared)
+    assert "is broken in B but not in A" in html.compare_report(compared)
     assert ">sound<" in html.sweep_report(one)
     for wrong in (b"[]", b"{", b'{"what":"x"}', b'{"goodput":1}', b'{"what":"sweep"}'):
         with pytest.raises((msgspec.MsgspecError, ValueError)):
--- a/tests/lab/report/test_lab_commands.py
+++ b/tests/lab/report/test_lab_commands.py
@@ -1,4 +1,4 @@
-"""Lab commands: exit codes, and outputs that are never overwritten unasked."""
+"""Tests of the lab commands: exit codes, and output files that are overwritten only on request."""
 
 import json
 
@@ -15,9 +15,9 @@
 
 @pytest.fixture
 def lab(monkeypatch, tmp_path):
-    """Calls `flintridge lab ...` in a folder of its own; the exit code and what it said."""
+    """A function that runs `flintridge lab ...` in a new directory and returns its exit code and output."""
     monkeypatch.chdir(tmp_path)
-    # Exchanged where jobs leave for the workers.
+    # The fake runner replaces the real one when a job is sent to a worker.
     encode_frame = pool.frame
     monkeypatch.setattr(
         pool, "frame", lambda job: encode_frame(msgspec.structs.replace(job, runner=FAKE_RUNNER))
@@ -33,17 +33,17 @@
     return call
 
 
-def test_run_writes_all_it_was_asked_for_and_nothing_over(lab, tmp_path):
+def test_run_writes_all_requested_files_and_overwrites_none(lab, tmp_path):
     outputs = ("--json", "a.json", "--report", "a.html", "--events", "a.jsonl")
-    code, said = lab("run", "day.toml", *outputs)
-    assert code == 0 and "sound" in said
+    code, output = lab("run", "day.toml", *outputs)
+    assert code == 0 and "sound" in output
     assert sorted(path.name for path in tmp_path.iterdir()) == ["a.html", "a.json", "a.jsonl", "day.toml"]
     assert json.loads((tmp_path / "a.json").read_text()) == json.loads(
         msgspec.json.encode(as_json(fake(load("day.toml"), 1)))
     )
     before = (tmp_path / "a.html").read_bytes()
-    code, said = lab("run", "day.toml", "--report", "a.html", "--seed", 9)
-    assert code == 2 and "--force" in said and (tmp_path / "a.html").read_bytes() == before
+    code, output = lab("run", "day.toml", "--report", "a.html", "--seed", 9)
+    assert code == 2 and "--force" in output and (tmp_path / "a.html").read_bytes() == before
     assert lab("run", "day.toml", "--report", "a.html", "--seed", 9, "--force")[0] == 0
     assert (tmp_path / "a.html").read_bytes() != before
     assert lab("report", "a.json", "--out", "b.html")[0] == 0
@@ -57,8 +57,8 @@
     known = ("--set", 'expect.breaks=["drain"]')
     assert lab("run", "day.toml", "--set", "load.rate_per_s=600", *known)[0] == 0
     assert lab("run", "day.toml", *known)[0] == 1
-    code, said = lab("run", "day.toml", "--set", "name=raises", "--json", "r.json", "--events", "e.jsonl")
-    assert code == 1 and "on purpose" in said
+    code, output = lab("run", "day.toml", "--set", "name=raises", "--json", "r.json", "--events", "e.jsonl")
+    assert code == 1 and "on purpose" in output
     assert [path.name for path in tmp_path.iterdir()] == ["day.toml"]
 
 
@@ -82,24 +82,24 @@
         ("report", "none.json"),
     ],
 )
-def test_wrong_input_is_told_in_a_line_and_writes_nothing(lab, tmp_path, arguments):
+def test_invalid_input_is_reported_in_one_line_and_writes_nothing(lab, tmp_path, arguments):
     before = (tmp_path / "day.toml").read_bytes()
-    code, said = lab(*arguments)
-    assert code == 2 and said.strip() and "Traceback" not in said
+    code, output = lab(*arguments)
+    assert code == 2 and output.strip() and "Traceback" not in output
     assert [path.name for path in tmp_path.iterdir()] == ["day.toml"]
     assert (tmp_path / "day.toml").read_bytes() == before
 
 
-def test_experiments_end_with_files_and_codes(lab, tmp_path):
+def test_experiments_write_their_files_and_return_exit_codes(lab, tmp_path):
     few = ("--seeds", 2, "--jobs", 2)
     assert lab("compare", "day.toml", "--b", "load.rate_per_s=200", *few, "--report", "c.html")[0] == 0
-    code, said = lab("compare", "day.toml", "--b", "load.rate_per_s=600", *few, "--json", "c.json")
-    assert code == 1 and "breaks in B alone" in said
+    code, output = lab("compare", "day.toml", "--b", "load.rate_per_s=600", *few, "--json", "c.json")
+    assert code == 1 and "broken only in B" in output
     swept = lab(
         "sweep", "day.toml", "load.rate_per_s=100:300:3", *few, "--csv", "s.csv", "--report", "s.html"
     )
     assert swept[0] == 0 and len((tmp_path / "s.csv").read_text().splitlines()) == 4
-    code, said = lab(
+    code, output = lab(
         "shrink", "day.toml", "--set", "load.rate_per_s=600", "--out", "least.toml", "--budget", 9
     )
     assert code == 0 and load("least.toml").expect.breaks == ("drain",)
--- a/tests/lab/report/test_report_tables.py
+++ b/tests/lab/report/test_report_tables.py
@@ -1,4 +1,4 @@
-"""Tables for the terminal, and what they import."""
+"""Tests of the tables for the terminal, and of the modules that they import."""
 
 import subprocess
 import sys
@@ -10,7 +10,7 @@
 from flintridge.lab.report import tables
 
 
-def test_tables_print_whatever_a_result_holds(capsys):
+def test_tables_print_any_text_of_a_result(capsys):
     tables.print_run(result(), ["rule drain broken 1 time"], ())
     tables.print_search(
         Search(
@@ -20,11 +20,11 @@
         ),
         HOSTILE_TEXT,
     )
-    said = capsys.readouterr().out
-    assert "unsound: rule drain" in said and "[bold] {{ 7*7 }}" in said
+    output = capsys.readouterr().out
+    assert "unsound: rule drain" in output and "[bold] {{ 7*7 }}" in output
 
 
-def test_matplotlib_is_loaded_for_a_report_alone():
+def test_matplotlib_is_loaded_only_for_reports():
     code = (
         "import sys, flintridge.lab.report.tables, flintridge.cli.lab_run, flintridge.lab.experiment.shrink\n"
         "assert 'matplotlib' not in sys.modules and 'jinja2' not in sys.modules"
