--- a/flintridge/lab/experiment/failure_predicates.py
+++ b/flintridge/lab/experiment/failure_predicates.py
@@ -57,7 +57,7 @@
 
 
 class DidNotComplete(msgspec.Struct, frozen=True, tag="unfinished"):
-    """The run does not complete: it raises, its process dies, it hangs, or it is cut short."""
+    """The run does not complete: it raises an exception, its process ends, it hangs, or it is cut short."""
 
     def __call__(self, outcome: Outcome) -> bool:
         """Return whether the run did not complete."""
--- a/flintridge/lab/experiment/pool.py
+++ b/flintridge/lab/experiment/pool.py
@@ -63,7 +63,7 @@
         self._error_reader = asyncio.ensure_future(self._collect_error_lines(self._process))
 
     async def _collect_error_lines(self, process: asyncio.subprocess.Process) -> None:
-        """Keep the last lines that the process writes to standard error; they show why it died."""
+        """Keep the last lines that the process writes to standard error; they show why it ended."""
         assert process.stderr is not None
         partial_line = b""
         while block := await process.stderr.read(65536):
@@ -75,7 +75,7 @@
         """Play a job and return the reply of the process.
 
         Raises:
-            EOFError: The process died or its reply cannot be decoded; the message gives the reason.
+            EOFError: The process ended or its reply cannot be decoded; the message gives the reason.
         """
         process = self._process
         assert process is not None
@@ -105,7 +105,7 @@
         if self._process is None:
             return
         self.kill()
-        # The process is dead, but `wait` may also wait for other processes that hold its pipes open.
+        # The process has ended, but `wait` may also wait for other processes that hold its pipes open.
         with suppress(TimeoutError):
             await asyncio.wait_for(self._process.wait(), 5.0)
         if self._error_reader is not None:
--- a/flintridge/lab/experiment/search.py
+++ b/flintridge/lab/experiment/search.py
@@ -203,9 +203,9 @@
             self._add(number, outcome, None)
 
     def add_rule_breaking_runs(self) -> None:
-        """Add those runs without their fault-free run that broke a rule.
+        """Add the runs that broke a rule but still lack their fault-free run.
 
-        The others are played again, with their fault-free run, when the search is continued.
+        The other runs without a fault-free run are played again when the search is continued.
         """
         for number, result in sorted(self._awaiting.items()):
             if broken_rules(result):
--- a/flintridge/lab/experiment/shrink_passes.py
+++ b/flintridge/lab/experiment/shrink_passes.py
@@ -187,7 +187,7 @@
 
 
 def _fewer_zones(scenario: Scenario, _: Outcome) -> Candidates:
-    """Yield scenarios in which one zone is merged_zone into another."""
+    """Yield scenarios in which one zone is merged into another."""
     for removed in scenario.zones:
         remaining = tuple(zone for zone in scenario.zones if zone != removed)
         if remaining:
@@ -265,7 +265,7 @@
 
 
 def _default_tables(scenario: Scenario, _: Outcome) -> Candidates:
-    """Yield scenarios in which a table has default values, first for many fields and then for single ones."""
+    """Yield scenarios with default values for all, half or single fields of a table, except its sizes."""
     for name in RESETTABLE_TABLES:
         for text, simpler in _with_defaults(getattr(scenario, name), keep=SIZE_FIELDS.get(name, ())):
             yield f"{name}: {text}", replace(scenario, **{name: simpler})
--- a/flintridge/lab/experiment/space_fleet.py
+++ b/flintridge/lab/experiment/space_fleet.py
@@ -21,7 +21,7 @@
     kinds = tuple(_kind(generator, name, count) for name in names)
     counts: dict[tuple[str, str], int] = {}
     for i in range(count):
-        # The first servers are assigned to one zone each, so that every zone has one if there are enough.
+        # The first servers are assigned to one zone each, so that every zone has a server if possible.
         zone = zones[i] if i < len(zones) else generator.choice(zones)
         group = (generator.choice(names), zone)
         counts[group] = counts.get(group, 0) + 1
--- a/flintridge/lab/experiment/space_load.py
+++ b/flintridge/lab/experiment/space_load.py
@@ -10,7 +10,7 @@
 def draw_classes(generator: Random) -> tuple[model.RequestClass, ...]:
     """Draw one or two read classes and up to two write classes.
 
-    Their work is relative; `_scaled` in `space.py` converts it to milliseconds.
+    Their work is relative to the mean; `_scaled` in `space.py` converts it to milliseconds.
     """
     classes = [_class(generator, "read", 1.0, write=False)]
     if generator.random() < 0.3:
--- a/tests/lab/experiment/test_space.py
+++ b/tests/lab/experiment/test_space.py
@@ -30,8 +30,8 @@
 def test_random_scenarios_include_every_fault_and_every_class_effect():
     scenarios = [space.draw(random.Random(seed), "day") for seed in range(400)]
     tags = {fault.__struct_config__.tag for scenario in scenarios for fault in scenario.faults}
-    # The nodes of random fleets have no peers yet, so there are no links between nodes that could fail. Runs
-    # in virtual time have no node directory, so there are no errors of it.
+    # The nodes of random fleets have no peers yet, so no link between nodes can fail. In virtual time, a node
+    # has no directory, so no directory errors can occur.
     excluded = {"peer_link", "folder_errors"}
     assert tags == {kind.__struct_config__.tag for kind in model.AnyFault.__args__} - excluded
     assert {cls.effect for scenario in scenarios for cls in scenario.classes} == {"safe", "keyed", "unsafe"}
