--- a/flintridge/lab/virtual/__init__.py
+++ b/flintridge/lab/virtual/__init__.py
@@ -1,7 +1,7 @@
-"""Many nodes and their world in one process: an event loop in virtual time over a modelled network.
+"""Runs many nodes and their environment in one process: an event loop in virtual time and a modelled network.
 
-Node code runs here unmodified: it sees an asyncio loop, streams and datagrams. Time jumps to the next timer,
-and the same program gives the same order of events each time.
+Node code runs unmodified: it uses an asyncio loop, streams and datagrams. Time jumps to the next timer, and
+the order of events is the same each time a program runs.
 """
 
 from flintridge.lab.virtual.errors import DeadlockError, LivelockError
--- a/flintridge/lab/virtual/address_table.py
+++ b/flintridge/lab/virtual/address_table.py
@@ -1,4 +1,4 @@
-"""Which host has which address, and which socket is bound to it."""
+"""Maps addresses to hosts and to the sockets that are bound to them."""
 
 import errno
 from collections.abc import Container
@@ -7,15 +7,19 @@
 from flintridge.lab.virtual.addresses import LOOPBACK, WILDCARDS, Address
 from flintridge.lab.virtual.machine import Machine
 
-FIRST_LISTENING_PORT = 20_000  # of listeners that ask for none
-FIRST_SOURCE_PORT = 32_768  # of connecting sockets
+FIRST_LISTENING_PORT = 20_000  # first port for sockets that are bound to port 0
+FIRST_SOURCE_PORT = 32_768  # first port for connecting sockets
 LAST_PORT = 65_535
 
 SocketT = TypeVar("SocketT")
 
 
 class AddressTable:
-    """Addresses are flat: an (ip, port) is of the host that is bound to it, or last was."""
+    """Maps each address to a machine.
+
+    The address space is flat, without routing: an (ip, port) pair belongs to the machine that is bound to it
+    or was bound to it last.
+    """
 
     def __init__(self) -> None:
         self._machines_by_ip: dict[str, Machine] = {}
@@ -24,27 +28,27 @@
         self._next_source_ports: dict[str, int] = {}
 
     def set_ip(self, ip: str, machine: Machine) -> None:
-        """Addresses of `ip` that nobody ever bound belong to `machine`."""
+        """Assign `ip` to `machine`: this decides for ports of `ip` that were never bound."""
         self._machines_by_ip[ip] = machine
 
     def machine_at(self, address: Address, source: Machine) -> Machine | None:
-        """The host that `source` reaches at `address`, if there is one."""
+        """Return the machine that `source` reaches at `address`, or None if there is none."""
         machine = self._machines.get(address)
         if machine is None and address[0] == LOOPBACK:
             machine = self._machines.get((source.ip, address[1]))
         return machine or self._machines_by_ip.get(address[0])
 
     def reserve(self, ip: str, port: int, machine: Machine, taken: Container[Address]) -> Address:
-        """Give an address to a host.
+        """Reserve an address for a machine.
 
         Args:
-            ip: A wildcard stands for the host's own address.
-            port: 0 for the next free one.
-            machine: The host.
-            taken: Addresses that are bound now.
+            ip: The IP address; a wildcard is replaced by the machine's own address.
+            port: The port; 0 selects the next free one.
+            machine: The machine that gets the address.
+            taken: The addresses that are currently bound.
 
         Raises:
-            OSError: If the address is taken (EADDRINUSE).
+            OSError: If the address is in use (EADDRINUSE).
         """
         if ip in WILDCARDS:
             ip = machine.ip
@@ -59,7 +63,7 @@
         return ip, port
 
     def next_source_port(self, ip: str) -> int:
-        """The port of the next connecting socket of `ip`."""
+        """Return the port for the next connecting socket of `ip`."""
         port = self._next_source_ports.get(ip, FIRST_SOURCE_PORT)
         self._next_source_ports[ip] = port + 1 if port < LAST_PORT else FIRST_SOURCE_PORT
         return port
@@ -73,20 +77,20 @@
         self._sockets: dict[Address, SocketT] = {}
 
     def reserve(self, ip: str, port: int, machine: Machine) -> Address:
-        """An address for a new socket of `machine`; see AddressTable.reserve."""
+        """Reserve an address for a new socket of `machine`; see AddressTable.reserve."""
         return self._addresses.reserve(ip, port, machine, self._sockets)
 
     def bind(self, address: Address, socket: SocketT) -> None:
-        """From now on `socket` is found at a reserved address."""
+        """Bind `socket` to a reserved address, so that `lookup` finds it there."""
         self._sockets[address] = socket
 
     def release(self, address: Address, socket: SocketT) -> None:
-        """Undo `bind`, unless another socket is bound there by now."""
+        """Unbind `socket`, unless another socket has been bound to the address since."""
         if self._sockets.get(address) is socket:
             del self._sockets[address]
 
     def lookup(self, address: Address, source: Machine) -> SocketT | None:
-        """The socket that `source` reaches at `address`."""
+        """Return the socket that `source` reaches at `address`, or None if there is none."""
         found = self._sockets.get(address)
         if found is None and address[0] == LOOPBACK:
             found = self._sockets.get((source.ip, address[1]))
--- a/flintridge/lab/virtual/addresses.py
+++ b/flintridge/lab/virtual/addresses.py
@@ -1,4 +1,4 @@
-"""Addresses as the network knows them."""
+"""Addresses in the modelled network."""
 
 Address = tuple[str, int]
 
@@ -8,5 +8,5 @@
 
 
 def canonical_ip(name: str) -> str:
-    """The address under which the network knows `name`."""
+    """Return the IP address for a host name: "localhost" is resolved, anything else must be an IP address."""
     return LOOPBACK if name == "localhost" else name
--- a/flintridge/lab/virtual/client_socket.py
+++ b/flintridge/lab/virtual/client_socket.py
@@ -1,4 +1,4 @@
-"""The end of a connection whose process connects."""
+"""The client's end of a connection."""
 
 import asyncio
 import errno
@@ -10,10 +10,10 @@
 
 
 class ClientSocket(TcpSocket):
-    """A socket that connects.
+    """A socket that opens a connection.
 
     Attributes:
-        connected: Done when that succeeded or failed.
+        connected: Completes when the connection is established or the attempt fails.
     """
 
     opened = True
@@ -30,7 +30,7 @@
         self.connected: asyncio.Future[None] = loop.create_future()
 
     def syn_ack_arrived(self) -> None:
-        """The other end accepted, in its kernel."""
+        """Handle the SYN-ACK that the server's kernel sent."""
         if not self.link_delivers():
             return
         if self.closed or self.process.dead:
@@ -40,7 +40,7 @@
             self.connected.set_result(None)
 
     def connect_refused(self) -> None:
-        """Nobody listens there."""
+        """Fail the connect because no socket listens at the address."""
         self._connect_failed(ConnectionRefusedError(errno.ECONNREFUSED, self._connect_failed_text()))
 
     def _reset_while_connecting(self) -> None:
@@ -54,7 +54,7 @@
         return f"Connect call failed {self.peer_address}"
 
     def abandon_connect(self) -> None:
-        """The code that connected wants it no more."""
+        """Close the socket because the caller was cancelled or failed; the connect may still be pending."""
         if self.closed or self.process.dead:
             return
         connected = self.connected
--- a/flintridge/lab/virtual/connect.py
+++ b/flintridge/lab/virtual/connect.py
@@ -10,14 +10,15 @@
 from flintridge.lab.virtual.system_call_faults import check_connect_calls, too_many_open_files
 from flintridge.lab.virtual.tcp_socket import TcpSocket
 
-UNKNOWN_ADDRESS_S = 50e-6  # one way to the own kernel, which says that nobody has such an address
+UNKNOWN_ADDRESS_S = 50e-6  # one-way delay to the host's own kernel, which refuses addresses that no host has
 
 
 def connect(network: Network, name: str, port: int) -> ClientSocket:
-    """Begin to connect, for the process whose code calls.
+    """Start to connect on behalf of the calling process.
 
     Returns:
-        A socket whose `connected` is done once that succeeded or failed; never where nobody answers.
+        A socket whose `connected` completes when the attempt succeeds or fails. It stays pending if the other
+        side never answers.
 
     Raises:
         OSError: If a system call fails.
@@ -39,7 +40,7 @@
 
 
 class _Handshake:
-    """Connects one socket to an address."""
+    """Performs the handshake that connects one socket to an address."""
 
     def __init__(self, network: Network, client: ClientSocket, address: Address) -> None:
         self._network = network
@@ -82,7 +83,7 @@
             if return_link.state == LINK_UP:
                 delay_s = return_link.delay(self._loop.now_s * 1000, 0) / 1000
                 self._loop.schedule_network_event(self._loop.now_s + delay_s, self._refusal_arrived, target)
-        elif not listening.queue_full:  # as Linux does: a full queue drops what comes
+        elif not listening.queue_full:  # like Linux, a full accept queue drops the SYN
             self._accept(listening, SendPath(self._loop, return_link))
 
     def _accept(self, listening: ListeningSocket, path: SendPath) -> None:
--- a/flintridge/lab/virtual/datagram_transport.py
+++ b/flintridge/lab/virtual/datagram_transport.py
@@ -1,4 +1,4 @@
-"""Datagrams over the links: each by itself, so that what is slower arrives later."""
+"""Datagrams over the links. Each has its own delay, so that they can arrive out of order."""
 
 import asyncio
 import errno
@@ -16,7 +16,11 @@
 
 
 class DatagramTransport(asyncio.DatagramTransport):
-    """As asyncio's. What the host's process does not read in time is dropped beyond the network's buffer."""
+    """A datagram transport with asyncio's interface.
+
+    Each socket buffers up to `Network.datagram_buffer` bytes that its process has not read yet; further
+    datagrams are dropped.
+    """
 
     def __init__(
         self,
@@ -25,16 +29,17 @@
         local_address: Address | None,
         remote_address: Address | None,
     ) -> None:
-        """A bound socket of the process whose code calls.
+        """Create a bound socket for the calling process.
 
         Args:
-            network: Where it is bound.
-            protocol: Who is called.
-            local_address: Port 0: the next free one; None: that of any address of the host.
-            remote_address: The only peer; None: any.
+            network: The network in which the socket is bound.
+            protocol: The protocol that receives the datagrams.
+            local_address: The address to bind; port 0 selects the next free one. None binds the wildcard
+                address with such a port.
+            remote_address: The only peer to send to and receive from; None means any.
 
         Raises:
-            OSError: If the address is taken (EADDRINUSE).
+            OSError: If the address is in use (EADDRINUSE).
         """
         super().__init__()
         self._loop = network.loop
@@ -58,7 +63,7 @@
     # Sending
 
     def sendto(self, data: Any, addr: Any = None) -> None:
-        """Send at once, or drop: no buffer fills. Errors go to the protocol's error_received."""
+        """Send a datagram immediately; there is no send buffer. Errors are passed to `error_received`."""
         if not isinstance(data, (bytes, bytearray, memoryview)):
             raise TypeError(f"data argument must be a bytes-like object, not {type(data).__name__!r}")
         if self._remote is not None:
@@ -92,7 +97,7 @@
                 self._loop.schedule_network_event(when_s, self._arrive, data, address, link)
 
     def _arrive(self, data: bytes, address: Address, link: Link) -> None:
-        """At the other end; the state of the link counts at this time too."""
+        """Deliver a datagram to the receiver, unless the link went down while it was in flight."""
         if link.state != LINK_UP:
             return
         receiver = self._network.datagram_sockets.lookup(address, self._process.host)
@@ -116,18 +121,18 @@
         self._loop.call_soon(self._report_refusal, context=self._context)
 
     def _report_refusal(self) -> None:
-        """Only a socket that is connected to one address learns of it."""
+        """Report ECONNREFUSED, which only a socket that is connected to one address receives."""
         if self._remote is not None and not self._closing:
             self._protocol.error_received(ConnectionRefusedError(errno.ECONNREFUSED, "Connection refused"))
 
     # Receiving
 
     def receives_from(self, source: Address) -> bool:
-        """Whether `source` is its only peer, or it has none."""
+        """Whether the socket accepts datagrams from `source`: it is the remote address, or none was set."""
         return self._remote is None or self._remote == source
 
     def receive(self, data: bytes, source: Address) -> None:
-        """A datagram arrives; it is dropped where the buffer is full."""
+        """Buffer a datagram that arrived; it is dropped if the buffer is full."""
         if self._received_bytes + len(data) > self._network.datagram_buffer:
             return
         self._received.append((data, source))
@@ -141,14 +146,14 @@
         self._received_bytes -= len(data)
         self._protocol.datagram_received(data, source)
 
-    # The end
+    # Closing
 
     def is_closing(self) -> bool:
-        """Whether it is closed."""
+        """Whether the transport is closed or its process is dead."""
         return self._closing or self._process.dead
 
     def close(self) -> None:
-        """Neither send nor receive any more."""
+        """Stop sending and receiving, and report connection_lost to the protocol."""
         if self._closing or self._process.dead:
             return
         self._closing = True
@@ -156,35 +161,35 @@
         self._loop.call_soon(self._protocol.connection_lost, None, context=self._context)
 
     def abort(self) -> None:
-        """As `close`: nothing waits to be sent."""
+        """Same as `close`, since no data is ever waiting to be sent."""
         self.close()
 
     def release(self) -> None:
-        """Free its address."""
+        """Unbind the socket, so that its address is free again."""
         self._network.datagram_sockets.release(self._address, self)
         self._process.datagram_sockets.pop(self, None)
 
     # The rest of asyncio's interface
 
     def set_protocol(self, protocol: asyncio.BaseProtocol) -> None:
-        """Who is called from now on."""
+        """Set the protocol that receives the datagrams."""
         self._protocol = protocol
 
     def get_protocol(self) -> asyncio.BaseProtocol:
-        """Who is called."""
+        """Return the protocol that receives the datagrams."""
         protocol: asyncio.BaseProtocol = self._protocol
         return protocol
 
     def get_write_buffer_size(self) -> int:
-        """Nothing waits: 0."""
+        """Return 0: there is no write buffer."""
         return 0
 
     def get_write_buffer_limits(self) -> tuple[int, int]:
-        """Nothing waits: 0 and 0."""
+        """Return (0, 0): there is no write buffer."""
         return 0, 0
 
     def get_extra_info(self, name: str, default: Any = None) -> Any:
-        """The addresses "sockname" and "peername", and a stand-in for "socket"."""
+        """Return "sockname", "peername", or a stand-in object for "socket"."""
         if name == "sockname":
             return self._sockname
         if name == "peername":
@@ -199,7 +204,7 @@
 
 
 def _datagram_outcomes(link: Link) -> tuple[DatagramOutcome, ...]:
-    """What becomes of one datagram, and of its duplicate where the link makes one."""
+    """Determine the outcome of one datagram, and of its duplicate if the link duplicates it."""
     if link.state != LINK_UP:
         return ("cut",)
     lost = getattr(link, "lost", None)
--- a/flintridge/lab/virtual/errors.py
+++ b/flintridge/lab/virtual/errors.py
@@ -1,19 +1,19 @@
-"""Errors by which a run in virtual time ends early."""
+"""Errors that end a run in virtual time early."""
 
 from flintridge.errors import FlintridgeError
 
 
 class DeadlockError(FlintridgeError, RuntimeError):
-    """Nothing can run and no timer is set, yet what is waited for is not done."""
+    """No callback is ready and no timer is set, but the awaited result is not done."""
 
 
 class LivelockError(BaseException):
-    """A host runs without end: handles without time advancing, or real time beyond the limit.
+    """Code runs without end: too many handles at one virtual time, or more real time than allowed.
 
-    Not an Exception, so that code which survives its own errors does not survive this one.
+    Derives from BaseException, so that code that catches Exception does not suppress it.
 
     Attributes:
-        host: The name of the host whose code ran.
+        host: The name of the host whose code was running.
     """
 
     def __init__(self, host: str, reason: str) -> None:
--- a/flintridge/lab/virtual/garbage_collection.py
+++ b/flintridge/lab/virtual/garbage_collection.py
@@ -1,7 +1,7 @@
-"""Garbage collection at times that the program alone decides.
+"""Garbage collection at deterministic points of a run.
 
-Finalizers have effects, as StreamWriter's closes its connection: a run is the same each time only if they run
-at the same points of it.
+Finalizers have side effects: for example, that of StreamWriter closes its connection. A run is reproducible
+only if finalizers run at the same points each time.
 """
 
 import gc
@@ -15,11 +15,11 @@
 
 
 class HandleCountCollector:
-    """Collects garbage after a number of handles, instead of the interpreter.
+    """Collects garbage after a fixed number of handles, in place of the interpreter's automatic collection.
 
     Attributes:
-        active: Whether it collects.
-        handles_until_next: Handles that run before the next collection; whoever runs them counts it down.
+        active: Whether this collector is in use.
+        handles_until_next: Handles to run before the next collection; the scheduler counts it down.
     """
 
     def __init__(self) -> None:
@@ -28,7 +28,7 @@
         self._collections = 0
 
     def collect(self) -> None:
-        """Collect garbage, all of it in one of several times."""
+        """Collect young objects, or all generations once every COLLECTIONS_PER_FULL_ONE collections."""
         self.handles_until_next = HANDLES_BETWEEN_COLLECTIONS
         self._collections += 1
         full = self._collections % COLLECTIONS_PER_FULL_ONE == 0
@@ -36,7 +36,7 @@
 
     @contextmanager
     def replacing_automatic_collection(self) -> Generator[None, None, None]:
-        """Turns the interpreter's own collections off for a while."""
+        """Use this collector in place of the interpreter's automatic collection for the `with` block."""
         enabled = gc.isenabled()
         gc.disable()
         self.active = True
--- a/flintridge/lab/virtual/handles.py
+++ b/flintridge/lab/virtual/handles.py
@@ -1,4 +1,4 @@
-"""Handles: callbacks that the loop runs now or at a time."""
+"""Handles: callbacks that the loop runs as soon as possible or at a given time."""
 
 import asyncio
 from collections.abc import Callable
@@ -7,14 +7,14 @@
 
 
 class TimerHeap(Protocol):
-    """The loop as its timers know it."""
+    """The interface of the loop that timers use."""
 
     def timer_cancelled(self) -> None:
-        """A timer that is still scheduled was cancelled."""
+        """Count a timer that was cancelled while still scheduled."""
 
 
 class VirtualHandle(asyncio.Handle):
-    """As asyncio's, without what its debug mode needs."""
+    """An asyncio handle without the data for asyncio's debug mode."""
 
     __slots__ = ()
     _callback: Any
@@ -31,7 +31,7 @@
         self._cancelled = False
 
     def cancel(self) -> None:
-        """The callback is not run."""
+        """Prevent the callback from running."""
         self._cancelled = True
         self._callback = None
         self._args = ()
@@ -41,7 +41,7 @@
 
 
 class VirtualTimer(asyncio.TimerHandle):
-    """As asyncio's, without what its debug mode needs."""
+    """An asyncio timer handle without the data for asyncio's debug mode."""
 
     __slots__ = ()
     _callback: Any
@@ -67,7 +67,7 @@
         self._scheduled = True
 
     def cancel(self) -> None:
-        """The callback is not run."""
+        """Prevent the callback from running."""
         if not self._cancelled:
             self._cancelled = True
             self._callback = None
@@ -80,7 +80,7 @@
 
 
 class NetworkEvent:
-    """Something of the network that falls due; it belongs to no host, and nobody can cancel it."""
+    """A scheduled event of the network. It belongs to no host and cannot be cancelled."""
 
     __slots__ = ("_args", "_callback", "_context")
     _cancelled = False
@@ -93,7 +93,7 @@
 
 
 def handle_name(handle: Any) -> str:
-    """What a handle runs, without addresses in memory: the same in each run."""
+    """Name a handle's callback, without memory addresses so that the name is the same in every run."""
     callback = handle._callback
     owner = getattr(callback, "__self__", None)
     if isinstance(owner, asyncio.Task):
@@ -102,6 +102,6 @@
 
 
 def task_name(task: "asyncio.Task[Any]") -> str:
-    """What a task runs, without addresses in memory: the same in each run."""
+    """Name a task's coroutine, without memory addresses so that the name is the same in every run."""
     coroutine = task.get_coro()
     return f"task {getattr(coroutine, '__qualname__', type(coroutine).__name__)}"
--- a/flintridge/lab/virtual/host.py
+++ b/flintridge/lab/virtual/host.py
@@ -1,4 +1,4 @@
-"""Hosts, whose processes run code, die, stand still and are started anew."""
+"""Hosts, whose processes run code and can be killed, paused, signalled and restarted."""
 
 import asyncio
 import signal
@@ -16,27 +16,27 @@
 
 
 class HostNetwork(Protocol):
-    """The network as its hosts know it."""
+    """The interface of the network that hosts use."""
 
     @property
     def loop(self) -> VirtualTimeLoop:
-        """Raises RuntimeError before a loop was made on this network."""
+        """The event loop; raises RuntimeError until one is attached to this network."""
 
     @property
     def addresses(self) -> AddressTable:
-        """Which host has which address."""
+        """The table of host addresses."""
 
     @property
     def dead_processes(self) -> list[Process]:
-        """Processes that died are added."""
+        """The dead processes whose tasks are not closed yet; hosts append to it."""
 
     @property
     def lab(self) -> "Host":
-        """The host of code that runs on no other."""
+        """The host for code that runs on no other host."""
 
 
 def current_host() -> "Host | None":
-    """The host whose code runs; None: the lab's own."""
+    """Return the host whose code is running, or None for the lab's own code."""
     process = CURRENT_PROCESS.get()
     if process is None:
         return None
@@ -45,11 +45,11 @@
 
 
 class Host(Machine):
-    """A machine with one process on it. It lives on when the process dies, and may be revived.
+    """A machine that runs one process. It outlives the process and can be revived with a new one.
 
     Attributes:
-        network: That it is in.
-        process: The last one.
+        network: The network that the host belongs to.
+        process: The current process, or the last one if it is dead.
     """
 
     def __init__(self, network: HostNetwork, name: str) -> None:
@@ -62,57 +62,57 @@
 
     @property
     def ip(self) -> str:
-        """The source of its connections, and where its wildcard listeners are reached."""
+        """The source address of its connections, and the address of its wildcard listeners."""
         return self._ip
 
     @ip.setter
     def ip(self, ip: str) -> None:
-        """Also where it is reached at ports that nobody ever bound."""
+        """Set the address, and assign its ports that were never bound to this host."""
         self._ip = ip
         self.network.addresses.set_ip(ip, self)
 
     @property
     def alive(self) -> bool:
-        """Whether its process runs or is paused."""
+        """Whether its process is running or paused, and not dead."""
         return not self.process.dead
 
     @property
     def paused(self) -> bool:
-        """Whether its process lives and was paused."""
+        """Whether its process is alive and paused."""
         return self.process.paused and not self.process.dead
 
     @property
     def earliest_arrival_s(self) -> float:
-        """What its process reads now did not arrive before (s of the loop)."""
+        """The earliest time (s of the loop) at which the data that its process reads now can have arrived."""
         return self.process.earliest_arrival_s(self.network.loop)
 
     @property
     def open_connections(self) -> int:
-        """Sockets: those that connect or wait to be accepted, too."""
+        """The number of connections, including those still connecting or waiting to be accepted."""
         return len(self.process.connections)
 
     @property
     def out_of_descriptors(self) -> bool:
-        """Whether none is left for another connection."""
+        """Whether the process has reached its limit of open connections."""
         return self.process.out_of_descriptors
 
     @property
     def tasks_alive(self) -> int:
-        """Tasks of its process that are not done."""
+        """The number of tasks of its process that are not done."""
         return len(self.process.pending())
 
     def peers(self) -> list[str]:
-        """The host at the other end of each connection that takes a descriptor, "" where nobody answers."""
+        """Return the peer host of each connection that has a descriptor; "" if no host answered."""
         connections = self.process.connections
         return [connection.peer_host or "" for connection in connections if connection.has_descriptor]
 
     # Running code
 
     def run(self, coro: Coroutine[Any, Any, T]) -> "asyncio.Task[T]":
-        """Start a task on it.
+        """Start a task on this host.
 
         Raises:
-            RuntimeError: If it is dead.
+            RuntimeError: If the host is dead.
         """
         if not self.alive:
             coro.close()
@@ -120,10 +120,10 @@
         return self.network.loop.create_task(coro, context=self.process.context.copy())
 
     def call(self, fn: Callable[P, T], *args: P.args, **kwargs: P.kwargs) -> T:
-        """The result of `fn`, run at once, paused or not.
+        """Call `fn` immediately on this host, even if it is paused, and return the result.
 
         Raises:
-            RuntimeError: If it is dead.
+            RuntimeError: If the host is dead.
         """
         if not self.alive:
             raise RuntimeError(f"host {self.name} is not alive")
@@ -135,10 +135,10 @@
             duration_s = perf_counter() - started
             self.busy_s += duration_s
             if caller is not None:
-                caller.host.busy_s -= duration_s  # else it would be counted twice
+                caller.host.busy_s -= duration_s  # otherwise the time would be counted for both hosts
 
     def signal(self, number: int) -> None:
-        """Call the handler that the host's code added for this signal; without one it dies of it."""
+        """Call the handler that the host's code registered for the signal, or kill the host without one."""
         process = self.process
         handler = process.signal_handlers.get(number)
         if process.dead:
@@ -148,14 +148,14 @@
         else:
             self.network.loop.call_soon(handler._callback, *handler._args, context=handler._context)
 
-    # Its end, and standing still
+    # Killing, pausing and reviving
 
     def kill(self) -> None:
-        """The process dies: none of its code runs any more, its connections are reset, its ports closed."""
+        """Kill the process: its code stops, its connections are reset, and its ports are closed."""
         self._die(vanished=False)
 
     def vanish(self) -> None:
-        """The machine is gone: what is sent to it is lost, and nothing comes from it."""
+        """Remove the machine without notice: data sent to it is lost, and it does not even send resets."""
         self._die(vanished=True)
 
     def _die(self, vanished: bool) -> None:
@@ -175,13 +175,13 @@
         process.connections.clear()
 
     def end_process(self) -> None:
-        """Nothing of the process runs any more; its sockets stay as they are."""
+        """Stop the process, but leave its sockets as they are."""
         if not self.process.dead:
             self.process.end()
             self.network.dead_processes.append(self.process)
 
     def pause(self) -> None:
-        """Stop the process: its kernel goes on taking connections and bytes, nothing answers."""
+        """Pause the process: its kernel still takes connections and data, but no code responds."""
         if self is self.network.lab:
             raise RuntimeError("the lab itself cannot be paused")
         if self.alive:
@@ -189,16 +189,19 @@
             self.process.paused = True
 
     def resume(self) -> None:
-        """Go on; what fell due meanwhile runs in its order."""
+        """Resume the process; handles that became due during the pause run in their original order."""
         if self.paused:
             self.process.paused = False
             self.process.resume_handles(self.network.loop)
 
     def revive(self) -> "Host":
-        """After kill or vanish: the same host, with nothing running.
+        """Start a new, empty process on a host that was killed or has vanished.
+
+        Returns:
+            The same host.
 
         Raises:
-            RuntimeError: If it is alive.
+            RuntimeError: If the host is alive.
         """
         if self.alive:
             raise RuntimeError(f"host {self.name} is alive")
--- a/flintridge/lab/virtual/listening_socket.py
+++ b/flintridge/lab/virtual/listening_socket.py
@@ -1,4 +1,4 @@
-"""A listening socket, and how a program accepts from it."""
+"""A listening socket and its accept loop."""
 
 from collections import deque
 from collections.abc import Callable
@@ -14,25 +14,25 @@
 from flintridge.lab.virtual.system_call_faults import FAILED_CALL_S, OUT_OF_RESOURCES, too_many_open_files
 from flintridge.lab.virtual.tcp_socket import TcpSocket
 
-MIN_QUEUE = 512  # connections that a listening socket lets wait
-MAX_DOUBLINGS = 32  # of a pause, so that the number stays small
+MIN_QUEUE = 512  # minimum length of the accept queue, in connections
+MAX_DOUBLINGS = 32  # limits the exponent of the accept backoff
 
 
 class AcceptingServer(ConnectionCounter, Protocol):
-    """The server that a listening socket belongs to."""
+    """The interface of the server that a listening socket belongs to."""
 
     def attach(self) -> None:
-        """A connection is about to be handed to its protocol."""
+        """Count a connection that is about to be attached to its protocol."""
 
 
 class ListeningSocket:
     """One listening socket.
 
     Attributes:
-        process: Whose it is.
-        requested_address: As the program asked for it.
-        address: Where the network finds it.
-        serving: Whether its program accepts.
+        process: The process that owns the socket.
+        requested_address: The address that the program asked for, which may be a wildcard.
+        address: The address under which the network finds the socket.
+        serving: Whether the program accepts connections.
     """
 
     def __init__(
@@ -59,24 +59,25 @@
         self.serving = False
         self._accept_queued = False
         self._pausing = False
-        self._failures = 0  # of accepting, in a row
+        self._failures = 0  # consecutive accept calls that failed for lack of resources
 
     @property
     def queue_full(self) -> bool:
         """Whether the kernel drops the next connection.
 
-        A program may deepen the kernel's queue past what asyncio is told, which cannot be seen here.
+        A program can make the kernel's queue longer than the backlog that it passes to asyncio. This is not
+        visible here, so that the queue has at least MIN_QUEUE entries.
         """
         return len(self._unaccepted) > max(self._backlog, MIN_QUEUE)
 
     def connection_arrived(self, socket: TcpSocket) -> None:
-        """A connection waits to be accepted."""
+        """Add a connection to the accept queue."""
         self._unaccepted.append(socket)
         self.process.unaccepted += 1
         self._queue_accept()
 
     def release(self) -> None:
-        """Close it; the kernel resets what nobody will accept."""
+        """Close the socket; connections that were not accepted are reset."""
         self.serving = False
         self._bindings.release(self.address, self)
         self.process.listening_sockets.pop(self, None)
@@ -90,7 +91,7 @@
             self._loop.call_soon(self._accept_ready, context=self.context)
 
     def _accept_ready(self) -> None:
-        """In one go as many as the backlog that asyncio was told, as its loops do."""
+        """Accept up to `backlog` connections in one pass, as asyncio's loops do."""
         self._accept_queued = False
         for _ in range(max(1, self._backlog)):
             if not self._unaccepted:
@@ -118,7 +119,7 @@
         return faults.error("accept")
 
     def _accept_failed(self, error: OSError) -> None:
-        """What waits is there still, and is tried again."""
+        """Retry after a failed accept call; the connection stays in the queue."""
         if error.errno in OUT_OF_RESOURCES:
             self._pause(error)
             return
--- a/flintridge/lab/virtual/loop.py
+++ b/flintridge/lab/virtual/loop.py
@@ -1,4 +1,4 @@
-"""The event loop of virtual time: asyncio's interface over the modelled network."""
+"""The event loop in virtual time: asyncio's interface over the modelled network."""
 
 import asyncio
 from collections.abc import Callable, Coroutine
@@ -21,15 +21,15 @@
 
 T = TypeVar("T")
 
-MAX_HANDLES_AT_ONCE = 1_000_000  # without time advancing
+MAX_HANDLES_AT_ONCE = 1_000_000  # handles that may run while virtual time stands still
 START_S = 1000.0
 
 
 class VirtualLoop(UnsupportedOperations, ProcessHandlers, VirtualTimeLoop):
-    """An event loop in virtual time; see the package.
+    """An event loop in virtual time; see the package documentation.
 
     Attributes:
-        network: The network that its connections go over.
+        network: The network over which its connections run.
     """
 
     def __init__(
@@ -39,19 +39,19 @@
         max_handles_at_once: int = MAX_HANDLES_AT_ONCE,
         start_s: float = START_S,
     ) -> None:
-        """A loop on `network`, or on a new one.
+        """Create a loop.
 
         Args:
-            network: It belongs to this loop from now on.
-            max_handles_at_once: More handles without time advancing raise LivelockError.
-            start_s: The first time, in s.
+            network: The network to attach to; it belongs to this loop from then on. None creates a new one.
+            max_handles_at_once: LivelockError is raised if more handles run while virtual time stands still.
+            start_s: The virtual time at the start, in s.
         """
         self.network = Network() if network is None else network
         super().__init__(self.network.lab.process, max_handles_at_once, start_s)
         self.network.attach(self)
 
     def waiting_tasks(self) -> list[str]:
-        """Of all hosts, in their order."""
+        """Return the pending tasks of all hosts, in the order of the hosts."""
         waiting: list[str] = []
         for host in self.network.hosts:
             state = " (paused)" if host.paused else ""
@@ -63,13 +63,13 @@
     async def create_connection(
         self, protocol_factory: Callable[[], Any], host: Any = None, port: Any = None, **ignored: Any
     ) -> tuple[Any, Any]:
-        """Connect; waits for ever where nobody answers.
+        """Open a connection; waits forever if the other side does not answer.
 
         Returns:
             The transport and the protocol.
 
         Raises:
-            OSError: If the connection is refused, reset, or a system call fails.
+            OSError: If the connection is refused or reset, or a system call fails.
         """
         reject_options(ignored, "ssl", "sock")
         if host is None or port is None:
@@ -96,10 +96,10 @@
         start_serving: bool = True,
         **ignored: Any,
     ) -> VirtualServer:
-        """Listen.
+        """Create a server with a listening socket for each address.
 
         Raises:
-            OSError: If somebody listens there already, on whichever host (EADDRINUSE).
+            OSError: If an address is in use on any host (EADDRINUSE).
         """
         reject_options(ignored, "ssl", "sock")
         names = [host] if host is None or isinstance(host, str) else list(host)
@@ -115,13 +115,13 @@
         remote_addr: tuple[str, int] | None = None,
         **ignored: Any,
     ) -> tuple[Any, Any]:
-        """Bind a datagram socket.
+        """Create a bound datagram socket.
 
         Returns:
             The transport and the protocol.
 
         Raises:
-            OSError: If the address is taken (EADDRINUSE).
+            OSError: If the address is in use (EADDRINUSE).
         """
         reject_options(ignored, "sock")
         protocol = protocol_factory()
@@ -129,10 +129,10 @@
         protocol.connection_made(transport)
         return transport, protocol
 
-    # The end
+    # Running and closing
 
     def close(self) -> None:
-        """Also ends the code of processes that died, which by now has no effect on anything."""
+        """Close the loop, and the abandoned tasks of dead processes, which can no longer affect anything."""
         if self.is_running():
             raise RuntimeError("Cannot close a running event loop")
         if self._closed:
@@ -140,7 +140,7 @@
         for host in self.network.hosts:
             host.end_process()
         outer_loop = asyncio._get_running_loop()
-        asyncio._set_running_loop(self)  # which the code asks for as it ends
+        asyncio._set_running_loop(self)  # coroutines that are closed may ask for the running loop
         try:
             for process in self.network.take_dead_processes():
                 self.running_process = process
@@ -151,15 +151,15 @@
         super().close()
 
     def run(self, main: Coroutine[Any, Any, T], *, wall_limit_s: float | None = None) -> T:
-        """The result of `main`; then the loop is closed, and hosts that still run just vanish.
+        """Run `main`, stop all hosts without a clean shutdown, close the loop, and return the result.
 
         Args:
-            main: Runs on no host.
-            wall_limit_s: Real time it may take.
+            main: The coroutine; it runs as the lab's own code, on no other host.
+            wall_limit_s: The limit of real time, in s; None means no limit.
 
         Raises:
-            DeadlockError: If nothing can run.
-            LivelockError: If time does not advance, or real time is over.
+            DeadlockError: If nothing can run and no timer is set.
+            LivelockError: If virtual time does not advance, or the limit of real time is exceeded.
         """
         with ExitStack() as cleanup:
             if wall_limit_s is not None:
@@ -178,7 +178,7 @@
                 self._shut_down(run_on=usable)
 
     def _shut_down(self, *, run_on: bool) -> None:
-        """Hosts vanish; with `run_on` the lab's own tasks are cancelled and end as they do in asyncio.run."""
+        """Stop all hosts; with `run_on`, cancel the lab's own tasks and await them, as asyncio.run does."""
         lab = self.network.lab
         for host in self.network.hosts:
             if host is not lab:
@@ -188,7 +188,7 @@
                 lab_tasks = lab.process.pending()
                 for task in lab_tasks:
                     task.cancel()
-                with suppress(DeadlockError):  # a task that waits on, though cancelled, for what cannot come
+                with suppress(DeadlockError):  # a task may suppress its cancellation and wait forever
                     if lab_tasks:
                         self.run_until_complete(asyncio.gather(*lab_tasks, return_exceptions=True))
                     self.run_until_complete(self.shutdown_asyncgens())
@@ -204,6 +204,6 @@
     max_handles_at_once: int = MAX_HANDLES_AT_ONCE,
     start_s: float = START_S,
 ) -> T:
-    """`VirtualLoop.run` on a new loop."""
+    """Call `VirtualLoop.run` on a new loop."""
     loop = VirtualLoop(network, max_handles_at_once=max_handles_at_once, start_s=start_s)
     return loop.run(main, wall_limit_s=wall_limit_s)
--- a/flintridge/lab/virtual/machine.py
+++ b/flintridge/lab/virtual/machine.py
@@ -1,4 +1,4 @@
-"""What of a host outlives its processes: name, address, limits, faults of its operating system."""
+"""The part of a host that outlives its processes: name, address, limits and operating system faults."""
 
 from dataclasses import dataclass
 
@@ -8,12 +8,12 @@
 
 @dataclass(slots=True, frozen=True)
 class AcceptPauses:
-    """How long a program accepts nothing after it ran out of descriptors or memory.
+    """How long a program stops accepting connections after it ran out of descriptors or memory.
 
     Attributes:
-        first_s: After the first failure; doubled with each further one in a row.
-        max_s: No pause is longer.
-        reports: Whether each failure goes to the event loop's exception handler.
+        first_s: The pause after the first failure, in s; it doubles with each consecutive failure.
+        max_s: The longest pause, in s.
+        reports: Whether each failure is reported to the event loop's exception handler.
     """
 
     first_s: float
@@ -28,13 +28,13 @@
     """A host's hardware and operating system.
 
     Attributes:
-        name: Unique in the network.
-        busy_s: Real seconds that its handles took.
-        vanished: What is sent to it is lost.
-        max_connections: Connections that its process may hold, as the limit of descriptors has it; None: any
-            number. Beyond it connecting fails, and accepting too, which then pauses.
-        accept_pauses: The pauses of the program on it.
-        system_call_faults: What fails in its operating system; None: nothing.
+        name: The name, which is unique in the network.
+        busy_s: The real time that its handles have taken, in s.
+        vanished: Whether the machine is gone, so that data sent to it is lost.
+        max_connections: The limit of connections that its process may hold, which models the limit of file
+            descriptors; None means no limit. At the limit connecting fails, and accepting fails and pauses.
+        accept_pauses: The pauses of its program after a failed accept call.
+        system_call_faults: The faults of its operating system; None means no faults.
     """
 
     def __init__(self, name: str) -> None:
@@ -48,5 +48,5 @@
 
     @property
     def ip(self) -> str:
-        """The source of its connections, and where its wildcard listeners are reached."""
+        """The source address of its connections, and the address of its wildcard listeners."""
         return self._ip
--- a/flintridge/lab/virtual/network.py
+++ b/flintridge/lab/virtual/network.py
@@ -1,4 +1,4 @@
-"""The network: hosts, the links between them, and who is bound where."""
+"""The network: hosts, the links between them, and the sockets that are bound to addresses."""
 
 from collections.abc import Callable
 from typing import Literal, Protocol
@@ -18,37 +18,37 @@
 
 
 class DatagramReceiver(Protocol):
-    """A datagram socket as others send to it."""
+    """The interface of a datagram socket that senders use."""
 
     def receives_from(self, source: Address) -> bool:
-        """Whether it takes datagrams of that address."""
+        """Whether it accepts datagrams from `source`."""
 
     def receive(self, data: bytes, source: Address) -> None:
-        """A datagram arrives."""
+        """Buffer a datagram that arrived."""
 
 
 def ignore_datagram(source: str, target: str, data: bytes, outcome: DatagramOutcome) -> None:
-    """Observe no datagrams."""
+    """Default for `Network.on_datagram`: ignore the datagram."""
 
 
 def default_link(source: str, target: str) -> Link:
-    """A FixedLink for every pair of hosts."""
+    """Return a FixedLink, whatever the two hosts."""
     return FixedLink()
 
 
 class Network:
-    """Hosts and links.
+    """A network of hosts and links.
 
     Attributes:
-        connect_s: What setting up a connection takes beyond its links.
-        window: Bytes that one direction of a connection holds in the kernels.
-        datagram_buffer: Bytes that a datagram socket holds unread.
-        on_datagram: Called with each datagram: the two hosts, its bytes and its outcome.
-        addresses: Which host has which address.
-        listening_sockets: Who listens where.
-        datagram_sockets: Which datagram socket is bound where.
-        dead_processes: Those whose tasks are not closed yet.
-        lab: The host of code that runs on no other.
+        connect_s: The time to set up a connection, in s, in addition to the delays of its links.
+        window: The number of bytes that the kernels buffer for one direction of a connection.
+        datagram_buffer: The number of unread bytes that a datagram socket buffers.
+        on_datagram: Called for each datagram with the names of source and target, its bytes and its outcome.
+        addresses: The table of host addresses.
+        listening_sockets: The listening sockets by address.
+        datagram_sockets: The datagram sockets by address.
+        dead_processes: The dead processes whose tasks are not closed yet.
+        lab: The host for code that runs on no other host.
     """
 
     def __init__(
@@ -59,14 +59,14 @@
         window: int = WINDOW_BYTES,
         datagram_buffer: int = DATAGRAM_BUFFER_BYTES,
     ) -> None:
-        """A network without hosts but the lab's.
+        """Create a network whose only host is the lab.
 
         Args:
-            link: Asked for the link from one host to another (by name; a host may also connect to itself),
-                once a pair.
-            connect_ms: What setting up a connection takes beyond its links.
-            window: Bytes that one direction of a connection holds in the kernels.
-            datagram_buffer: Bytes that a datagram socket holds unread.
+            link: Called once for each ordered pair of host names; returns the link from the first to the
+                second. Both names are equal if a host connects to itself.
+            connect_ms: The time to set up a connection, in ms, in addition to the delays of its links.
+            window: The number of bytes that the kernels buffer for one direction of a connection.
+            datagram_buffer: The number of unread bytes that a datagram socket buffers.
         """
         self._make_link = default_link if link is None else link
         self.connect_s = connect_ms / 1000
@@ -75,7 +75,7 @@
         self.on_datagram: Callable[[str, str, bytes, DatagramOutcome], None] = ignore_datagram
         self._loop: VirtualTimeLoop | None = None
         self._links: dict[tuple[str, str], Link] = {}
-        self._link_states: dict[tuple[str, str], str] = {}  # as `links_changed` last saw them
+        self._link_states: dict[tuple[str, str], str] = {}  # as of the last call of `links_changed`
         self._hosts: dict[str, Host] = {}
         self.addresses = AddressTable()
         self.listening_sockets: Bindings[ListeningSocket] = Bindings(self.addresses)
@@ -85,42 +85,42 @@
 
     @property
     def loop(self) -> VirtualTimeLoop:
-        """The loop that was made on this network.
+        """The loop that is attached to this network.
 
         Raises:
-            RuntimeError: If there is none yet.
+            RuntimeError: If no loop is attached yet.
         """
         if self._loop is None:
             raise RuntimeError("no VirtualLoop was made on this network yet")
         return self._loop
 
     def attach(self, loop: VirtualTimeLoop) -> None:
-        """A loop was made on this network.
+        """Attach the loop that runs this network.
 
         Raises:
-            RuntimeError: If there was one before.
+            RuntimeError: If a loop was attached before.
         """
         if self._loop is not None:
             raise RuntimeError("a network belongs to one loop")
         self._loop = loop
 
     def current_process(self) -> Process:
-        """The process whose code runs; else the lab's."""
+        """Return the process whose code is running, or that of the lab if there is none."""
         return CURRENT_PROCESS.get() or self.lab.process
 
     @property
     def hosts(self) -> list[Host]:
-        """All hosts, the lab's first."""
+        """All hosts, with the lab first."""
         return list(self._hosts.values())
 
     def host(self, name: str) -> Host:
-        """Create or get."""
+        """Return the host with this name; it is created on the first call."""
         if name not in self._hosts:
             self._hosts[name] = Host(self, name)
         return self._hosts[name]
 
     def take_dead_processes(self) -> list[Process]:
-        """Those that died since the last call, in that order."""
+        """Return the processes that died since the last call, in the order of their deaths."""
         processes = self.dead_processes
         self.dead_processes = []
         return processes
@@ -128,7 +128,7 @@
     # Links
 
     def link(self, source: str, target: str) -> Link:
-        """The link from one host to another, the same each time."""
+        """Return the link from one host to another; it is created on the first call."""
         found = self._links.get((source, target))
         if found is None:
             found = self._make_link(source, target)
@@ -137,22 +137,22 @@
         return found
 
     def forget_links(self) -> None:
-        """Ask for links anew. Open connections keep theirs."""
+        """Discard all links, so that they are created again on demand. Open connections keep their links."""
         self._links.clear()
         self._link_states.clear()
 
     def links_changed(self) -> None:
-        """States of any links changed: `link_changed` for each that did."""
+        """Call `link_changed` for each link whose state has changed."""
         for (source, target), link in list(self._links.items()):
             if link.state != self._link_states[source, target]:
                 self.link_changed(source, target)
 
     def link_changed(self, source: str, target: str) -> None:
-        """The state of a link is another one now.
+        """Apply a changed link state to the open connections between the two hosts.
 
-        "reset" breaks all connections between the two hosts at once, on both sides, but a side to which the
-        link is silent does not learn of it. "up" again lets sides that could not send go on, which breaks
-        what lost bytes.
+        "reset" resets all of them immediately on both sides, except that a side to which the link is silent
+        is not notified. "up" lets sides with unsent data send again, which resets connections that lost
+        bytes.
         """
         state = self.link(source, target).state
         self._link_states[source, target] = state
--- a/flintridge/lab/virtual/process_handlers.py
+++ b/flintridge/lab/virtual/process_handlers.py
@@ -1,4 +1,4 @@
-"""Exception and signal handlers of an event loop, of which each process has its own."""
+"""The exception and signal handlers of an event loop, kept separately for each process."""
 
 import asyncio
 from collections.abc import Callable
@@ -13,10 +13,10 @@
 
 
 class ProcessHandlers(asyncio.BaseEventLoop):
-    """The part of an event loop that keeps handlers for the process whose code calls."""
+    """The part of an event loop that keeps the handlers of the calling process."""
 
     def set_exception_handler(self, handler: ExceptionHandler | None) -> None:
-        """For this process; outside of one, for all that have none."""
+        """Set the handler of the calling process; outside a process, the default handler."""
         process = CURRENT_PROCESS.get()
         if process is None:
             super().set_exception_handler(handler)
@@ -26,12 +26,12 @@
             process.exception_handler = handler
 
     def get_exception_handler(self) -> ExceptionHandler | None:
-        """Of this process; outside of one, of all that have none."""
+        """Return the handler of the calling process; outside a process, the default."""
         process = CURRENT_PROCESS.get()
         return super().get_exception_handler() if process is None else process.exception_handler
 
     def call_exception_handler(self, context: dict[str, Any]) -> None:
-        """Report to the handler of this process; a dead one reports nothing."""
+        """Report to the handler of the calling process; a dead process reports nothing."""
         if isinstance(context.get("exception"), LivelockError):
             return  # reported by the loop itself
         process = CURRENT_PROCESS.get()
@@ -51,10 +51,10 @@
     def add_signal_handler(  # type: ignore[override]
         self, sig: int, callback: Callable[..., Any], *args: Any
     ) -> None:
-        """Called by `Host.signal`; no real signal comes here.
+        """Register a handler for `Host.signal`; real signals are not delivered.
 
         Raises:
-            NotImplementedError: Outside of a host.
+            NotImplementedError: If no host's code is calling.
         """
         process = CURRENT_PROCESS.get()
         if process is None:
@@ -62,6 +62,6 @@
         process.signal_handlers[sig] = VirtualHandle(callback, args, self, copy_context())
 
     def remove_signal_handler(self, sig: int) -> bool:
-        """Whether there was one."""
+        """Remove the handler of a signal, and return whether there was one."""
         process = CURRENT_PROCESS.get()
         return process is not None and process.signal_handlers.pop(sig, None) is not None
--- a/flintridge/lab/virtual/read_side.py
+++ b/flintridge/lab/virtual/read_side.py
@@ -1,4 +1,4 @@
-"""The reading side of a stream transport."""
+"""The read side of a stream transport."""
 
 from contextvars import Context
 from typing import Any
@@ -8,13 +8,13 @@
 from flintridge.lab.virtual.system_call_faults import FAILED_CALL_S
 from flintridge.lab.virtual.tcp_socket import TcpSocket
 
-MAX_READ_BYTES = 256 * 1024  # of one call, as in asyncio
+MAX_READ_BYTES = 256 * 1024  # per read call, as in asyncio
 
 READ_ERROR = "Fatal read error on socket transport"
 
 
 class ReadSide(SocketTransport):
-    """Reads a socket when it is readable, and hands the data to the protocol."""
+    """Reads a socket when it is readable, and passes the data to the protocol."""
 
     def __init__(
         self,
@@ -31,7 +31,7 @@
         self._read_handle: Any = None
 
     def attach(self, protocol: Any) -> None:
-        """Hand the connection to a protocol."""
+        """Attach the connection to a protocol and start reading."""
         self.set_protocol(protocol)
         try:
             protocol.connection_made(self)
@@ -40,7 +40,7 @@
             self._update_reading()
 
     def readable(self) -> None:
-        """The socket has data, the end or an error."""
+        """Schedule a read: the socket has data, the end of the stream or an error."""
         if self._reading and not self._read_queued:
             self._queue_read()
 
@@ -57,7 +57,7 @@
         if self._read_handle is None:
             self._read_handle = self._loop.call_soon(self._read_ready, context=self._context)
         else:
-            self._loop.requeue_one(self._read_handle)  # the same each time: there is one at most
+            self._loop.requeue_one(self._read_handle)  # the handle is reused: at most one read is queued
 
     def _read_ready(self) -> None:
         self._read_queued = False
@@ -115,22 +115,22 @@
             self.close()
 
     def pause_reading(self) -> None:
-        """Leave what arrives in the kernel."""
+        """Stop reading; data that arrives stays in the kernel."""
         if not self._closing and not self._paused:
             self._paused = True
             self._reading = False
 
     def resume_reading(self) -> None:
-        """Undo `pause_reading`."""
+        """Continue reading after `pause_reading`."""
         if not self._closing and self._paused:
             self._paused = False
             self._update_reading()
 
     def is_reading(self) -> bool:
-        """Whether it is neither paused nor closing."""
+        """Whether the transport is neither paused nor closing."""
         return not self._closing and not self._paused
 
     def _retry_read(self) -> None:
-        """Once a failed call's time has passed."""
+        """Retry an interrupted read after the time that a failed call takes."""
         self._read_queued = True
         self._loop.call_later(FAILED_CALL_S, self._read_ready, context=self._context)
--- a/flintridge/lab/virtual/receive_queue.py
+++ b/flintridge/lab/virtual/receive_queue.py
@@ -2,15 +2,15 @@
 
 from collections import deque
 
-Segment = tuple[bytes, float]  # bytes that arrived together, and when (s) they were sent
+Segment = tuple[bytes, float]  # data that arrived together, and the time (s) at which it was sent
 
 
 class ReceiveQueue:
-    """Segments that arrived and were not read.
+    """Segments that arrived and have not been read.
 
     Attributes:
-        segments: In order of arrival, none of them empty.
-        size: Their bytes.
+        segments: The segments in order of arrival, none of them empty.
+        size: The total size of the segments, in bytes.
     """
 
     __slots__ = ("segments", "size")
@@ -20,15 +20,17 @@
         self.size = 0
 
     def append(self, data: bytes, sent_at_s: float) -> None:
-        """Bytes arrive that were sent at `sent_at_s`."""
+        """Add a segment that was sent at `sent_at_s`."""
         self.segments.append((data, sent_at_s))
         self.size += len(data)
 
     def take(self, limit: int) -> Segment:
-        """Read up to `limit` bytes, of several segments where they fit whole; the queue is not empty.
+        """Read up to `limit` bytes; the queue must not be empty.
+
+        Following segments are included only if they fit as a whole.
 
         Returns:
-            The bytes, and when the first of them were sent.
+            The data, and the time (s) at which its first byte was sent.
         """
         segments = self.segments
         data, sent_at_s = segments.popleft()
@@ -51,6 +53,6 @@
         return b"".join(joined)
 
     def clear(self) -> None:
-        """Drop what was not read."""
+        """Drop all unread data."""
         self.segments.clear()
         self.size = 0
--- a/flintridge/lab/virtual/scheduler.py
+++ b/flintridge/lab/virtual/scheduler.py
@@ -1,4 +1,4 @@
-"""The scheduler of virtual time: time stands still while anything can run, then jumps to the next timer."""
+"""The scheduler of virtual time: time stands still while handles are ready, then jumps to the next timer."""
 
 import asyncio
 import heapq
@@ -17,19 +17,20 @@
 from flintridge.lab.virtual.livelock import LivelockDetector
 from flintridge.lab.virtual.process import CURRENT_PROCESS, Process
 
-TICK_S = 1e-9  # duration of a pass in which a timer ran that was due when it was set
-MIN_CANCELLED_TO_PURGE = 64  # cancelled timers that the heap may hold
-MAX_WAITING_LISTED = 20  # tasks named by a DeadlockError
+TICK_S = 1e-9  # how far time advances in a pass that runs timers already due
+MIN_CANCELLED_TO_PURGE = 64  # cancelled timers that stay in the heap before it is purged
+MAX_WAITING_LISTED = 20  # number of tasks that a DeadlockError names
 
 
 class VirtualTimeLoop(asyncio.BaseEventLoop):
     """An event loop in virtual time that runs the handles of many processes.
 
     Attributes:
-        now_s: The time of the network.
-        lead_s: How far the process whose handle runs is ahead of `now_s`: it was stalled in this handle.
-        running_process: Whose handle runs, if any.
-        requeue_one: Runs a handle behind those that are ready; it may have run before.
+        now_s: The virtual time of the network, in s.
+        lead_s: How far the running process is ahead of `now_s`, in s, because it was stalled in the handle
+            that is running.
+        running_process: The process whose handle is running, if any.
+        requeue_one: Runs a handle after those that are ready; the handle may have run before.
     """
 
     _ready: deque[Any]
@@ -38,12 +39,12 @@
     _closed: bool
 
     def __init__(self, lab_process: Process, max_handles_at_once: int, start_s: float) -> None:
-        """A loop whose time begins at `start_s`.
+        """Create a loop whose time begins at `start_s`.
 
         Args:
-            lab_process: Of code that runs on no host.
-            max_handles_at_once: More handles without time advancing are a livelock.
-            start_s: The first time, in s.
+            lab_process: The process for code that runs on no host.
+            max_handles_at_once: More handles than this while virtual time stands still are a livelock.
+            start_s: The virtual time at the start, in s.
         """
         super().__init__()
         self.now_s = start_s
@@ -59,14 +60,14 @@
         self._collector = HandleCountCollector()
 
     def time(self) -> float:
-        """Virtual seconds."""
+        """Return the virtual time of the running process, in s."""
         return self.now_s + self.lead_s
 
     def stall_running_process(self, seconds: float) -> None:
-        """Time advances for the process whose handle runs.
+        """Advance the time of the process whose handle is running, as a blocking call does.
 
-        What it still does in it is later by so much, and nothing else of it runs before then. To the rest of
-        the world time stands still meanwhile.
+        The rest of the handle runs `seconds` later, and no other handle of the process runs before that. Time
+        does not advance for other processes.
         """
         process = CURRENT_PROCESS.get()
         if process is None or process.dead or seconds <= 0:
@@ -75,7 +76,7 @@
         process.stall(self, self.now_s + self.lead_s)
 
     def waiting_tasks(self) -> list[str]:
-        """What never ends when nothing can run, for a DeadlockError."""
+        """Return the names of the pending tasks, for the message of a DeadlockError."""
         return []
 
     # Scheduling
@@ -83,7 +84,7 @@
     def call_soon(  # type: ignore[override]
         self, callback: Callable[..., Any], *args: Any, context: Context | None = None
     ) -> VirtualHandle:
-        """Run behind what is ready."""
+        """Run a callback after the handles that are ready."""
         if self._closed:
             raise RuntimeError("Event loop is closed")
         handle = VirtualHandle(callback, args, self, copy_context() if context is None else context)
@@ -93,42 +94,49 @@
     def call_soon_threadsafe(  # type: ignore[override]
         self, callback: Callable[..., Any], *args: Any, context: Context | None = None
     ) -> VirtualHandle:
-        """From another thread the time is not determined, and an idle loop is not woken: DeadlockError."""
+        """Same as `call_soon`.
+
+        A call from another thread runs at no determined time and does not wake an idle loop, which raises
+        DeadlockError.
+        """
         return self.call_soon(callback, *args, context=context)
 
     def call_later(  # type: ignore[override]
         self, delay: float, callback: Callable[..., Any], *args: Any, context: Context | None = None
     ) -> VirtualTimer:
-        """Run in `delay` seconds of the process whose handle runs."""
+        """Run a callback after `delay` seconds, from the time of the running process."""
         return self.call_at(self.now_s + self.lead_s + delay, callback, *args, context=context)
 
     def call_at(  # type: ignore[override]
         self, when: float, callback: Callable[..., Any], *args: Any, context: Context | None = None
     ) -> VirtualTimer:
-        """Run at a time (s).
+        """Run a callback at the virtual time `when`, in s.
 
         Raises:
-            ValueError: If it is NaN, which would spoil the order of the heap unseen.
+            ValueError: If the time is NaN, which would silently corrupt the order of the heap.
         """
         if self._closed:
             raise RuntimeError("Event loop is closed")
         if when != when:
-            raise ValueError("a timer at NaN")
+            raise ValueError("the time of a timer is NaN")
         timer = VirtualTimer(when, callback, args, self, copy_context() if context is None else context)
         heapq.heappush(self._scheduled, (when, next(self._sequence), timer))
         return timer
 
     def schedule_network_event(self, when_s: float, callback: Callable[..., Any], *args: Any) -> None:
-        """Run at a time, on behalf of no process; an error there ends the run."""
+        """Run a callback at `when_s`, on behalf of no process; an exception in it ends the run."""
         event = NetworkEvent(callback, args, self._network_context)
         heapq.heappush(self._scheduled, (when_s, next(self._sequence), event))
 
     def requeue(self, handles: Iterable[Any]) -> None:
-        """Run handles behind those that are ready."""
+        """Run handles after those that are ready."""
         self._ready.extend(handles)
 
     def timer_cancelled(self) -> None:
-        """Guards the heap against timers that are set for long and nearly always cancelled."""
+        """Remove cancelled timers from the heap once they are more than half of it.
+
+        Long timeouts that are nearly always cancelled would otherwise fill the heap.
+        """
         self._cancelled_timers += 1
         if self._cancelled_timers <= MIN_CANCELLED_TO_PURGE:
             return
@@ -140,7 +148,7 @@
     def create_task(  # type: ignore[override]
         self, coro: Any, *, name: str | None = None, context: Context | None = None
     ) -> "asyncio.Task[Any]":
-        """A task of the process in whose context it runs."""
+        """Create a task that belongs to the process of its context."""
         if self._closed:
             raise RuntimeError("Event loop is closed")
         task: asyncio.Task[Any] = asyncio.Task(coro, loop=self, name=name, context=context)
@@ -151,7 +159,7 @@
     # Running
 
     def _run_once(self) -> None:
-        """Passes over what is ready until the loop is stopped: this is the body of run_forever."""
+        """Run ready handles in passes until the loop is stopped: this is the whole body of run_forever."""
         ready = self._ready
         timers = self._scheduled
         collector = self._collector
@@ -172,14 +180,14 @@
             self._running_handle = None
 
     def _move_due_timers(self) -> None:
-        """Timers that are due become ready; with nothing else ready time jumps to the first."""
+        """Make timers ready that are due; if nothing else is ready, first advance time to the next timer."""
         ready = self._ready
         timers = self._scheduled
         if not ready:
-            self._jump()
+            self._advance_to_next_timer()
         else:
-            # Guards what waits for a time that rounding puts just ahead of now: it would set its timer
-            # again and again, and time would never get there.
+            # Code may wait for a time that rounding puts just ahead of now: without this step it would set
+            # its timer again and again, and time would never reach it.
             self.now_s += TICK_S
         now_s = self.now_s
         pop = heapq.heappop
@@ -192,8 +200,8 @@
                     handle._scheduled = False
                 ready.append(handle)
 
-    def _jump(self) -> None:
-        """To the next timer that was not cancelled."""
+    def _advance_to_next_timer(self) -> None:
+        """Advance time to the next timer that was not cancelled."""
         timers = self._scheduled
         while timers and timers[0][2]._cancelled:
             heapq.heappop(timers)
@@ -208,18 +216,18 @@
         self._livelock.time_advanced(when_s)
 
     def _run_handles(self, count: int) -> None:
-        """Run the first `count` handles that are ready, those of halted processes excepted."""
+        """Run `count` ready handles; those of halted processes are suspended, those of dead ones dropped."""
         take = self._ready.popleft
         detector = self._livelock
         detector.handles += count
-        near_livelock = detector.handles > detector.noted_from
+        near_livelock = detector.handles > detector.note_threshold
         network_context = self._network_context
         for _ in range(count):
             handle = take()
             if handle._cancelled:
                 continue
             context = handle._context
-            if context is network_context:  # an error there is the lab's own, and ends the run
+            if context is network_context:  # an exception there is a bug of the lab, and ends the run
                 handle._callback(*handle._args)
                 continue
             process = context.get(CURRENT_PROCESS) or self._lab_process
@@ -243,7 +251,7 @@
             process.host.busy_s += finished - started
             if finished > detector.wall_deadline_s:
                 self._wall_limit_exceeded(None)
-            if detector.error is not None:  # a task keeps what was raised in it to itself
+            if detector.error is not None:  # a task stores exceptions raised in it, so raise it here
                 raise detector.error
 
     def _report_callback_error(self, handle: Any, error: BaseException) -> None:
--- a/flintridge/lab/virtual/send_path.py
+++ b/flintridge/lab/virtual/send_path.py
@@ -1,19 +1,19 @@
-"""One direction of a connection over a link: what is sent arrives in order."""
+"""One direction of a connection over a link; data arrives in the order in which it was sent."""
 
 from collections.abc import Callable
 
 from flintridge.lab.virtual.link import Link
 from flintridge.lab.virtual.scheduler import VirtualTimeLoop
 
-SEGMENT_GAP_S = 1e-6  # between the segments of one write, so that each is read by itself
+SEGMENT_GAP_S = 1e-6  # between the segments of one write, so that each is read separately
 
 
 class SendPath:
-    """Schedules the arrival of what one end of a connection sends.
+    """Schedules the arrival of data that one end of a connection sends.
 
     Attributes:
-        link: The link it goes over. Whether that is up is for the caller to check.
-        last_arrival_s: What is sent arrives no earlier.
+        link: The link of this direction. The caller checks whether it is up.
+        last_arrival_s: The arrival time of the latest data; later data arrives no earlier.
     """
 
     __slots__ = ("_loop", "last_arrival_s", "link")
@@ -27,8 +27,8 @@
         """Send bytes.
 
         Args:
-            data: The bytes; the link cuts them into segments.
-            arrive: Called with each segment, and when (s) it was sent.
+            data: The bytes; the link splits them into segments.
+            arrive: Called with each segment and the time (s) at which it was sent.
         """
         loop = self._loop
         size = len(data)
@@ -45,7 +45,7 @@
 
     def _send_segments(self, data: bytes, sizes: list[int], arrive: Callable[[bytes, float], None]) -> None:
         if sum(sizes) != len(data) or min(sizes) <= 0:
-            raise RuntimeError(f"a link cut {len(data)} bytes into {sizes}")
+            raise RuntimeError(f"a link split {len(data)} bytes into segments of {sizes} bytes")
         now_s = self._loop.now_s + self._loop.lead_s
         offset = 0
         for size in sizes:
@@ -56,7 +56,7 @@
             offset += size
 
     def send_signal(self, arrive: Callable[[], None]) -> None:
-        """Send what has no bytes: FIN, RST, SYN-ACK. It keeps its place behind the data."""
+        """Send a signal without data (FIN, RST, SYN-ACK), which arrives after the data sent before it."""
         now_s = self._loop.now_s + self._loop.lead_s
         when_s = now_s + self.link.delay(now_s * 1000, 0) / 1000
         when_s = max(when_s, self.last_arrival_s)
--- a/flintridge/lab/virtual/server.py
+++ b/flintridge/lab/virtual/server.py
@@ -1,4 +1,4 @@
-"""asyncio's server over listening sockets."""
+"""asyncio's server interface over listening sockets of the virtual network."""
 
 import asyncio
 import sys
@@ -11,14 +11,14 @@
 from flintridge.lab.virtual.scheduler import VirtualTimeLoop
 from flintridge.lab.virtual.socket_stand_in import SocketStandIn
 
-WAITS_FOR_CONNECTIONS = sys.version_info >= (3, 12)  # `wait_closed` of asyncio
+WAITS_FOR_CONNECTIONS = sys.version_info >= (3, 12)  # whether asyncio's `wait_closed` waits for them
 
 
 class VirtualServer(asyncio.AbstractServer):
-    """As asyncio.Server.
+    """A server with the interface of asyncio.Server.
 
     Attributes:
-        listening_sockets: One for each address.
+        listening_sockets: One listening socket for each address.
     """
 
     def __init__(self, loop: VirtualTimeLoop) -> None:
@@ -31,33 +31,33 @@
 
     @property
     def sockets(self) -> tuple[SocketStandIn, ...]:
-        """Stand-ins for the listening sockets; none once it is closed."""
+        """Stand-in objects for the listening sockets; empty once the server is closed."""
         if self._closed:
             return ()
         return tuple(SocketStandIn(listening.requested_address) for listening in self.listening_sockets)
 
     def get_loop(self) -> asyncio.AbstractEventLoop:
-        """The loop it was made on."""
+        """Return the loop of the server."""
         return self._loop
 
     def is_serving(self) -> bool:
-        """Whether it accepts connections."""
+        """Whether the server accepts connections."""
         return any(listening.serving for listening in self.listening_sockets)
 
     async def start_serving(self) -> None:
-        """Accept connections, unless it is closed."""
+        """Start to accept connections, unless the server is closed."""
         for listening in self.listening_sockets:
             listening.serving = not self._closed
         await asyncio.sleep(0)
 
     async def serve_forever(self) -> None:
-        """Accept connections until it is cancelled or closed.
+        """Accept connections until the call is cancelled or the server is closed.
 
         Raises:
-            RuntimeError: If it is closed, or this was called before.
+            RuntimeError: If the server is closed, or another call is in progress.
         """
         if self._closed or self._serving_forever is not None:
-            raise RuntimeError("server is closed, or served for ever already")
+            raise RuntimeError("server is closed, or serve_forever() is running already")
         await self.start_serving()
         self._serving_forever = self._loop.create_future()
         try:
@@ -67,7 +67,7 @@
             self.close()
 
     def close(self) -> None:
-        """Accept nothing any more; open connections go on."""
+        """Stop accepting connections; open connections continue."""
         if self._closed:
             return
         self._closed = True
@@ -78,11 +78,11 @@
         self._wake_waiters()
 
     def attach(self) -> None:
-        """A connection is about to be handed to its protocol."""
+        """Count a connection that is about to be attached to its protocol."""
         self._open_connections += 1
 
     def detach(self) -> None:
-        """A connection ended."""
+        """Count off a connection that ended."""
         self._open_connections -= 1
         self._wake_waiters()
 
@@ -95,7 +95,10 @@
                     waiter.set_result(None)
 
     async def wait_closed(self) -> None:
-        """Until it is closed and its connections ended; on Python 3.11 a closed one is not waited for."""
+        """Wait until the server is closed and its connections have ended.
+
+        On Python 3.11 this returns immediately if the server is closed already, as in asyncio.
+        """
         if self._closed and (not self._open_connections or not WAITS_FOR_CONNECTIONS):
             return
         waiter = self._loop.create_future()
@@ -106,17 +109,17 @@
 def listen(
     network: Network, names: Iterable[str | None], port: int, factory: Callable[[], Any], backlog: int
 ) -> VirtualServer:
-    """A server of the process whose code calls; it does not accept yet.
+    """Create a server of the calling process; it does not accept connections yet.
 
     Args:
-        network: Where it listens.
-        names: Addresses; None: any of the host.
-        port: 0 for the next free one.
-        factory: Makes a protocol for each connection.
-        backlog: Connections accepted in one go.
+        network: The network in which it listens.
+        names: The addresses to listen at; None means the wildcard address.
+        port: The port; 0 selects the next free one.
+        factory: Creates a protocol for each connection.
+        backlog: The maximum number of connections to accept in one pass of the loop.
 
     Raises:
-        OSError: If an address is taken (EADDRINUSE).
+        OSError: If an address is in use (EADDRINUSE).
     """
     process = network.current_process()
     server = VirtualServer(network.loop)
--- a/flintridge/lab/virtual/socket_stand_in.py
+++ b/flintridge/lab/virtual/socket_stand_in.py
@@ -1,4 +1,4 @@
-"""What stands for a socket object where code asks a transport or server for one."""
+"""A stand-in for the socket object that code gets from a transport or server."""
 
 import errno
 import socket
@@ -6,7 +6,7 @@
 
 
 class SocketStandIn:
-    """What code may ask of `transport.get_extra_info("socket")` or of `server.sockets`."""
+    """The stand-in in `transport.get_extra_info("socket")` and `server.sockets`."""
 
     family = socket.AF_INET
     proto = 0
@@ -17,26 +17,26 @@
         self.type = kind
 
     def getsockname(self) -> Any:
-        """The local address."""
+        """Return the local address."""
         return self._sockname
 
     def getpeername(self) -> Any:
-        """The address of the other end.
+        """Return the address of the peer.
 
         Raises:
-            OSError: If it is not connected (ENOTCONN).
+            OSError: If the socket is not connected (ENOTCONN).
         """
         if self._peername is None:
             raise OSError(errno.ENOTCONN, "Transport endpoint is not connected")
         return self._peername
 
     def fileno(self) -> int:
-        """None: -1."""
+        """Return -1: there is no descriptor."""
         return -1
 
     def setsockopt(self, *args: Any) -> None:
-        """Options change nothing here."""
+        """Ignore the option: it has no effect in virtual time."""
 
     def getsockopt(self, *args: Any) -> int:
-        """No option is set: 0."""
+        """Return 0: no option is set."""
         return 0
--- a/flintridge/lab/virtual/socket_transport.py
+++ b/flintridge/lab/virtual/socket_transport.py
@@ -1,4 +1,4 @@
-"""The life of a stream transport: protocol, errors, closing."""
+"""The part of a stream transport that is neither reading nor writing: protocol, errors and closing."""
 
 import asyncio
 from collections.abc import Callable
@@ -12,16 +12,16 @@
 
 
 class ConnectionCounter(Protocol):
-    """What counts the open connections of a server."""
+    """The interface of a server that counts its open connections."""
 
     def detach(self) -> None:
-        """One of them ended."""
+        """Count off a connection that ended."""
 
 
 class SocketTransport(asyncio.Transport):
-    """What asyncio's transports over sockets have in common, whether they read or write.
+    """The base of stream transports, for what reading and writing have in common.
 
-    Beyond asyncio's interface it has `reset()`, and "sent_at" of get_extra_info.
+    In addition to asyncio's interface it has `reset()` and the name "sent_at" in get_extra_info.
     """
 
     def __init__(
@@ -31,13 +31,13 @@
         context: Context,
         server: ConnectionCounter | None = None,
     ) -> None:
-        """A transport without a protocol yet.
+        """Create a transport without a protocol.
 
         Args:
-            loop: The loop.
+            loop: The event loop.
             socket: Its end of the connection.
-            context: In which the protocol is called.
-            server: That accepted the connection.
+            context: The context in which the protocol is called.
+            server: The server that accepted the connection, if any.
         """
         super().__init__()
         self._loop = loop
@@ -46,13 +46,13 @@
         self._context = context
         self._server = server
         self._protocol: Any = None
-        self._buffered = False  # the protocol brings its own read buffer
+        self._buffered = False  # whether the protocol provides the read buffer
         self._sent_at_s = 0.0
         self._closing = False
-        self._calls_since_loss = 0  # connection_lost is under way; counts it, and writes from then on
-        self._reading = (
-            False  # the protocol is told of data: accepted, not paused, not closing, not at the end
-        )
+        # Nonzero once connection_lost is scheduled; counts that call and the writes after it.
+        self._calls_since_loss = 0
+        # Whether data is passed to the protocol: accepted, not paused, not closing, not at the end.
+        self._reading = False
 
     def __repr__(self) -> str:
         socket = self._socket
@@ -63,17 +63,17 @@
     # asyncio's interface
 
     def set_protocol(self, protocol: asyncio.BaseProtocol) -> None:
-        """Who is called from now on."""
+        """Set the protocol of the transport."""
         self._protocol = protocol
         self._buffered = isinstance(protocol, asyncio.BufferedProtocol)
 
     def get_protocol(self) -> asyncio.BaseProtocol:
-        """Who is called."""
+        """Return the protocol of the transport."""
         protocol: asyncio.BaseProtocol = self._protocol
         return protocol
 
     def get_extra_info(self, name: str, default: Any = None) -> Any:
-        """Also "sent_at": the loop's time (s) at which the first of the bytes received last was sent."""
+        """Support asyncio's names and "sent_at": when (s) the first byte of the last read was sent."""
         if name == "sent_at":
             return self._sent_at_s
         if name == "peername":
@@ -85,11 +85,11 @@
         return default
 
     def is_closing(self) -> bool:
-        """Whether it is closed, or will be."""
+        """Whether the transport is closed or closing, or its process is dead."""
         return self._closing or self._process.dead
 
     def close(self) -> None:
-        """Write what is left, then end; with input unread the peer gets an RST, as on Linux."""
+        """Close after writing the buffered data; if input is unread the peer gets an RST, as on Linux."""
         if self._closing or self._process.dead:
             return
         self._closing = True
@@ -99,18 +99,18 @@
             self._loop.call_soon(self._connection_lost, None, context=self._context)
 
     def abort(self) -> None:
-        """End without writing what is left. The peer gets an EOF, as from asyncio; see `reset`."""
+        """Close without writing the buffered data. The peer gets an EOF, as from asyncio; see `reset`."""
         self._force_close(None)
 
     def reset(self) -> None:
-        """End with an RST, as a socket with a linger time of 0 does."""
+        """Close with an RST, as a socket with a linger time of 0 does."""
         self._socket.reset_on_close = True
         self._force_close(None)
 
     # Errors
 
     def _call_fails(self, call: SystemCall) -> bool:
-        """Whether a call fails: it was interrupted, or the connection is broken by it."""
+        """Whether a system call fails: it is interrupted, or its error breaks the connection."""
         faults = self._process.host.system_call_faults
         if faults is None:
             return False
@@ -130,13 +130,13 @@
         )
 
     def _notify(self, callback: Callable[[], object]) -> None:
-        """Call the protocol, whose errors end nothing."""
+        """Call a method of the protocol; an exception is reported but does not close the connection."""
         try:
             callback()
         except Exception as error:
             self._report(error, f"protocol.{getattr(callback, '__name__', '')}() failed")
 
-    # The end
+    # Closing
 
     def _force_close(self, error: BaseException | None) -> None:
         if self._calls_since_loss or self._process.dead:
--- a/flintridge/lab/virtual/stream_transport.py
+++ b/flintridge/lab/virtual/stream_transport.py
@@ -1,4 +1,4 @@
-"""asyncio's selector transport over a modelled socket; here its writing side."""
+"""The equivalent of asyncio's selector transport over a modelled socket; this module has the write side."""
 
 from contextvars import Context
 from typing import Any
@@ -9,7 +9,7 @@
 from flintridge.lab.virtual.system_call_faults import FAILED_CALL_S
 from flintridge.lab.virtual.tcp_socket import TcpSocket
 
-HIGH_WATER_BYTES = 64 * 1024  # of what is unsent, as in asyncio
+HIGH_WATER_BYTES = 64 * 1024  # of unsent data, as in asyncio
 HIGH_TO_LOW_WATER = 4
 
 WRITE_ERROR = "Fatal write error on socket transport"
@@ -27,16 +27,16 @@
     ) -> None:
         """See SocketTransport."""
         super().__init__(loop, socket, context, server)
-        self._write_end = False  # write_eof was called
+        self._write_end = False  # whether write_eof was called
         self._high = HIGH_WATER_BYTES
         self._low = HIGH_WATER_BYTES // HIGH_TO_LOW_WATER
-        self._protocol_paused = False  # pause_writing was called
+        self._protocol_paused = False  # whether pause_writing was called
         self._write_queued = False
         self._write_handle: Any = None
         socket.user = self
 
     def write(self, data: Any) -> None:
-        """Send at once what the window has room for; the rest follows."""
+        """Send the data that fits into the window immediately, and buffer the rest."""
         if not isinstance(data, (bytes, bytearray, memoryview)):
             raise TypeError(f"data argument must be a bytes-like object, not {type(data).__name__!r}")
         if self._write_end:
@@ -68,11 +68,11 @@
         self._pause_protocol_above_high_water()
 
     def writelines(self, list_of_data: Any) -> None:
-        """As one write."""
+        """Write the joined data."""
         self.write(b"".join(list_of_data))
 
     def writable(self) -> None:
-        """The window has room, or the connection is broken."""
+        """Schedule a write: the window has room, or the connection is broken."""
         if self._socket.unsent and not self._write_queued:
             self._queue_write()
 
@@ -110,7 +110,7 @@
                 socket.send_fin()
 
     def _bytes_accepted(self, size: int) -> int:
-        """What one faulty write call takes of `size` bytes; the rest is written a little later."""
+        """Return how many of `size` bytes a faulty write accepts; the rest is retried after FAILED_CALL_S."""
         faults = self._process.host.system_call_faults
         if faults is None or size <= 0:
             return size
@@ -133,7 +133,7 @@
             self._notify(self._protocol.pause_writing)
 
     def set_write_buffer_limits(self, high: int | None = None, low: int | None = None) -> None:
-        """Where the protocol is paused and resumed, in bytes that are unsent."""
+        """Set the limits of unsent bytes at which the protocol is paused and resumed."""
         if high is None:
             high = HIGH_WATER_BYTES if low is None else HIGH_TO_LOW_WATER * low
         if low is None:
@@ -146,19 +146,19 @@
             self._pause_protocol_above_high_water()
 
     def get_write_buffer_limits(self) -> tuple[int, int]:
-        """Low and high, in bytes."""
+        """Return the low and the high limit, in bytes."""
         return self._low, self._high
 
     def get_write_buffer_size(self) -> int:
-        """Bytes that are unsent."""
+        """Return the number of unsent bytes."""
         return len(self._socket.unsent)
 
     def can_write_eof(self) -> bool:
-        """It can."""
+        """Return True: the sending half can be closed separately."""
         return True
 
     def write_eof(self) -> None:
-        """Close the sending half once all is sent."""
+        """Close the sending half once all data is sent."""
         if self._closing or self._write_end:
             return
         self._write_end = True
--- a/flintridge/lab/virtual/tcp_socket.py
+++ b/flintridge/lab/virtual/tcp_socket.py
@@ -1,7 +1,8 @@
-"""A connection's end as the kernel has it, modelled on Linux TCP.
+"""One end of a connection in the kernel, modelled on Linux TCP.
 
-There is a window of bytes that were sent and that the receiver has not read; order in each direction; FIN
-after all data; RST where data comes to what is closed. Data that arrived before an RST can still be read.
+A window limits the bytes that are sent but not yet read by the receiver. Data arrives in order in each
+direction, and the FIN after all data. Data that arrives at a closed socket is answered with an RST. Data that
+arrived before an RST can still be read.
 """
 
 import errno
@@ -17,37 +18,37 @@
 
 
 class SocketUser(Protocol):
-    """What reads and writes a socket."""
+    """The interface of the transport that reads and writes a socket."""
 
     def readable(self) -> None:
-        """A read would return data, the end or an error."""
+        """Handle that a read would return data, the end of the stream or an error."""
 
     def writable(self) -> None:
-        """A write would take some of what is unsent, or fail."""
+        """Handle that a write would accept some of the unsent data, or fail."""
 
 
 class TcpSocket:
     """One end of a connection; see ClientSocket for the side that connects.
 
     Attributes:
-        opened: Its process connected, instead of accepting.
-        process: Whose it is.
-        window: Bytes that one direction holds in the kernels.
-        local_address: Its own address.
+        opened: Whether its process opened the connection, instead of accepting it.
+        process: The process that owns the socket.
+        window: The number of bytes that the kernels buffer for one direction.
+        local_address: The address of this end.
         peer_address: The address of the other end.
-        peer: The other end, once it exists.
-        peer_host: The name of its host; None where nobody answers.
-        path: To the peer; None where nobody answers.
+        peer: The socket at the other end, once it exists.
+        peer_host: The name of the peer's host; None if no host answered.
+        path: The path to the peer; None if no host answered.
         user: The transport, once there is one.
-        accepted: A protocol took the connection.
-        received: What arrived and was not read.
-        unsent: What the transport could not write yet.
-        in_flight: Bytes that the kernels hold for the peer's protocol.
-        fin_arrived: The peer sends no more.
-        reset_error: The error of calls from now on: an RST came.
-        lossy: Bytes were lost between the two, so the connection can never go on.
-        closed: The socket is closed.
-        reset_on_close: Closing it sends an RST.
+        accepted: Whether a protocol is attached to the connection.
+        received: Data that arrived and has not been read.
+        unsent: Data that the transport could not write yet.
+        in_flight: The number of bytes that were sent and that the peer's protocol has not read.
+        fin_arrived: Whether the peer closed its sending half.
+        reset_error: The error of all further calls, once an RST arrived.
+        lossy: Whether bytes were lost in either direction, so that the connection can never continue.
+        closed: Whether the socket is closed.
+        reset_on_close: Whether closing the socket sends an RST.
     """
 
     opened = False
@@ -82,13 +83,13 @@
 
     @property
     def has_descriptor(self) -> bool:
-        """Whether the process has it: not while it waits to be accepted."""
+        """Whether the socket uses a file descriptor: not while it waits to be accepted."""
         return self.accepted or self.opened
 
     # Sending
 
     def send(self, data: bytes) -> None:
-        """Send bytes, for which the window has room."""
+        """Send data; the caller checks that the window has room for it."""
         path = self.path
         peer = self.peer
         assert path is not None
@@ -100,7 +101,7 @@
         path.send_data(data, peer._data_arrived)
 
     def send_signal(self, arrive: Callable[[], None]) -> None:
-        """Have `arrive` called at the other end, behind the data."""
+        """Call `arrive` at the other end, after the data sent before."""
         path = self.path
         assert path is not None
         if path.link.state != LINK_UP:
@@ -109,25 +110,25 @@
         path.send_signal(arrive)
 
     def send_fin(self) -> None:
-        """Say once that no more data follows."""
+        """Send a FIN, unless one was sent before."""
         if not self._fin_sent and self.peer is not None:
             self._fin_sent = True
             self.send_signal(self.peer._fin_arrived)
 
     def send_reset(self) -> None:
-        """Break the connection for a peer that has it still."""
+        """Send an RST, unless the peer is closed."""
         if self.peer is not None and not self.peer.closed:
             self.send_signal(self.peer._reset_arrived)
 
     def probe(self) -> None:
-        """Send again what could not be sent: it shows whether the connection is broken."""
+        """Probe the peer, which answers with an RST if it is closed, is dead or has lost bytes."""
         if self.peer is not None:
             self.send_signal(self.peer._probe_arrived)
 
     def _send_failed(self, state: str) -> None:
-        """The link is not up."""
+        """Handle a send over a link that is not up: reset the connection, or mark it as lossy."""
         if state == LINK_RESET:
-            # From the loop, not from here: the caller is in the middle of a write.
+            # Deferred to the loop, because the caller is in the middle of a write.
             self._loop.schedule_network_event(self._loop.now_s, self.cut_off)
             if self.peer is not None:
                 self._loop.schedule_network_event(self._loop.now_s, self.peer.cut_off)
@@ -142,7 +143,7 @@
     # Arrivals
 
     def link_delivers(self) -> bool:
-        """Whether the link is up for what is due at this end; else the loss is accounted for."""
+        """Whether the link to this end is up for something that arrives; if not, handle the loss."""
         peer = self.peer
         assert peer is not None
         assert peer.path is not None
@@ -180,23 +181,23 @@
 
     def _reset_arrived(self) -> None:
         if self.link_delivers():
-            self._take_reset()
+            self._apply_reset()
 
     def _reply_with_reset(self) -> None:
-        """To what comes to an end that is gone, or that lacks what came before."""
+        """Answer data that arrives at an end that is closed or has lost earlier data."""
         if self.process.dead and self.process.host.vanished:
             self._set_lossy()
             return
-        self._take_reset()
+        self._apply_reset()
         self.send_reset()
 
     def cut_off(self) -> None:
-        """The link broke the connection; a side to which it is silent does not learn of it."""
+        """Reset this end because a link broke, unless the link to this end is silent and delivers nothing."""
         peer = self.peer
         if peer is None or peer.path is None or peer.path.link.state != LINK_SILENT:
-            self._take_reset()
+            self._apply_reset()
 
-    def _take_reset(self) -> None:
+    def _apply_reset(self) -> None:
         if self.closed or self.process.dead or self.reset_error is not None:
             return
         if not self.accepted:
@@ -210,12 +211,12 @@
             self.user.writable()
 
     def _reset_while_connecting(self) -> None:
-        """Nobody waits for the connection on the side that accepts it."""
+        """Do nothing: on the accepting side no caller waits for the connection."""
 
     # Reading
 
     def receive(self, limit: int) -> Segment:
-        """Read up to `limit` bytes; something arrived."""
+        """Read up to `limit` bytes; the receive queue must not be empty."""
         segment = self.received.take(limit)
         assert self.peer is not None
         self.peer._read_by_peer(len(segment[0]))
@@ -223,7 +224,8 @@
 
     def _read_by_peer(self, size: int) -> None:
         if not self.unsent:
-            self.in_flight -= size  # at once: it matters only to a sender that waits
+            # Without the delay of a window update, which matters only to a sender that waits for the window.
+            self.in_flight -= size
             return
         peer = self.peer
         assert peer is not None
@@ -243,7 +245,7 @@
     # Closing
 
     def close(self) -> None:
-        """Close it: a FIN, or an RST where input is unread, as on Linux."""
+        """Close the socket with a FIN, or with an RST if input is unread, as on Linux."""
         if self.closed or self.process.dead:
             return
         self.closed = True
@@ -257,12 +259,12 @@
                 self.send_fin()
 
     def reset(self) -> None:
-        """Close it with an RST."""
+        """Close the socket with an RST."""
         self.reset_on_close = True
         self.close()
 
     def process_died(self, vanished: bool) -> None:
-        """Its process is gone; `vanished`: and the machine too, which sends nothing."""
+        """Handle the end of its process; if `vanished`, the machine is gone too and does not send an RST."""
         self.received.clear()
         self.unsent.clear()
         if not vanished:
--- a/flintridge/lab/virtual/unsupported.py
+++ b/flintridge/lab/virtual/unsupported.py
@@ -5,30 +5,30 @@
 
 
 def reject_options(options: dict[str, Any], *names: str) -> None:
-    """Raises NotImplementedError if one of the named options is set."""
+    """Raise NotImplementedError if one of the named options is set."""
     for name in names:
         if options.get(name):
-            raise NotImplementedError(f"a virtual network does not know {name}")
+            raise NotImplementedError(f"a virtual network does not support {name}")
 
 
 class UnsupportedOperations(asyncio.BaseEventLoop):
-    """The part of an event loop that raises NotImplementedError."""
+    """The operations of an event loop that raise NotImplementedError."""
 
     def run_in_executor(self, executor: Any, func: Any, *args: Any) -> NoReturn:  # type: ignore[override]
-        """Not supported: threads know no virtual time."""
-        raise NotImplementedError("a virtual loop has no executors: threads know no virtual time")
+        """Not supported: threads do not run in virtual time."""
+        raise NotImplementedError("a virtual loop has no executors: threads do not run in virtual time")
 
     async def getaddrinfo(self, host: Any, port: Any, **ignored: Any) -> NoReturn:
-        """Not supported: connect by the address as it is."""
-        raise NotImplementedError("a virtual network has no names: connect by the address as it is")
+        """Not supported: connect by IP address."""
+        raise NotImplementedError("a virtual network has no name resolution: connect by IP address")
 
     async def getnameinfo(self, sockaddr: Any, flags: int = 0) -> NoReturn:
-        """Not supported: there are no names."""
-        raise NotImplementedError("a virtual network has no names")
+        """Not supported: there is no name resolution."""
+        raise NotImplementedError("a virtual network has no name resolution")
 
     async def subprocess_exec(self, *args: Any, **kwargs: Any) -> NoReturn:
         """Not supported: run code on a Host."""
-        raise NotImplementedError("a virtual loop starts no programs: run code on a Host")
+        raise NotImplementedError("a virtual loop cannot start programs: run code on a Host")
 
     subprocess_shell = subprocess_exec
 
@@ -38,16 +38,16 @@
 
     async def connect_accepted_socket(self, *args: Any, **kwargs: Any) -> NoReturn:
         """Not supported: there are no real sockets."""
-        raise NotImplementedError("a virtual loop takes no real sockets")
+        raise NotImplementedError("a virtual loop does not support real sockets")
 
     async def connect_read_pipe(self, *args: Any, **kwargs: Any) -> NoReturn:
         """Not supported: there are no pipes."""
-        raise NotImplementedError("a virtual loop takes no real pipes")
+        raise NotImplementedError("a virtual loop does not support real pipes")
 
     async def connect_write_pipe(self, *args: Any, **kwargs: Any) -> NoReturn:
         """Not supported: there are no pipes."""
-        raise NotImplementedError("a virtual loop takes no real pipes")
+        raise NotImplementedError("a virtual loop does not support real pipes")
 
     async def sendfile(self, *args: Any, **kwargs: Any) -> NoReturn:
         """Not supported: there are no files."""
-        raise NotImplementedError("a virtual loop sends no real files")
+        raise NotImplementedError("a virtual loop cannot send real files")
--- a/tests/lab/virtual/test_address_table.py
+++ b/tests/lab/virtual/test_address_table.py
@@ -1,4 +1,4 @@
-"""Which host has which address."""
+"""The table of host addresses and the sockets bound to them."""
 
 import errno
 
@@ -18,13 +18,13 @@
     return Bindings(table)
 
 
-def test_reserve_when_no_port_is_asked_for_then_gives_the_next_free_one(table):
+def test_reserve_when_port_is_0_then_returns_the_next_free_one(table):
     machine = Machine("a")
     assert table.reserve("0.0.0.0", 0, machine, {("127.0.0.1", 20_000)}) == ("127.0.0.1", 20_001)
     assert table.reserve("::", 0, machine, {}) == ("127.0.0.1", 20_002)
 
 
-def test_reserve_when_a_port_was_another_hosts_then_passes_it_over(table):
+def test_reserve_when_a_port_belongs_to_another_host_then_skips_it(table):
     table.reserve("10.0.0.1", 20_000, Machine("a"), {})
     assert table.reserve("10.0.0.1", 0, Machine("b"), {}) == ("10.0.0.1", 20_001)
 
@@ -37,7 +37,7 @@
     assert caught.value.errno == errno.EADDRINUSE
 
 
-def test_machine_at_when_nobody_is_bound_any_more_then_is_still_the_last_one(table):
+def test_machine_at_when_no_socket_is_bound_any_more_then_returns_the_last_machine(table):
     machine = Machine("a")
     table.reserve("10.0.0.1", 80, machine, {})
     assert table.machine_at(("10.0.0.1", 80), Machine("b")) is machine
@@ -46,7 +46,7 @@
     assert table.machine_at(("10.0.0.1", 81), Machine("b")) is machine
 
 
-def test_release_when_another_socket_is_bound_by_now_then_that_one_stays(bindings):
+def test_release_when_another_socket_was_bound_since_then_that_one_stays(bindings):
     address = bindings.reserve("10.0.0.1", 80, Machine("a"))
     bindings.bind(address, "first")
     bindings.release(address, "first")
@@ -56,7 +56,7 @@
     assert bindings.lookup(address, Machine("b")) == "second"
 
 
-def test_next_source_port_when_the_last_was_given_then_begins_anew(table):
+def test_next_source_port_when_the_last_one_was_used_then_wraps_around(table):
     ports = [table.next_source_port("10.0.0.1") for _ in range(32_769)]
     assert ports[0] == 32_768
     assert ports[-2:] == [65_535, 32_768]
--- a/tests/lab/virtual/test_datagram_transport.py
+++ b/tests/lab/virtual/test_datagram_transport.py
@@ -1,11 +1,11 @@
-"""Datagrams: lost, duplicated, overtaken, dropped and refused."""
+"""Datagrams: lost, duplicated, reordered, dropped and refused."""
 
 import asyncio
 
 from flintridge.lab.virtual import FixedLink, Network, run
 
 
-class Mailbox(asyncio.DatagramProtocol):
+class Receiver(asyncio.DatagramProtocol):
     def __init__(self) -> None:
         self.received: list = []
         self.errors: list = []
@@ -25,7 +25,7 @@
 
 
 class ScriptedLink(FixedLink):
-    """Its first datagrams are delayed (ms), lost and duplicated as listed."""
+    """A link that delays (ms), loses and duplicates its first datagrams as listed."""
 
     def __init__(self, delays: list[float], lost: list[bool], duplicated: list[bool]) -> None:
         super().__init__()
@@ -43,7 +43,7 @@
         return bool(self.duplicated_next) and self.duplicated_next.pop(0)
 
 
-def test_datagrams_when_sent_then_fare_as_the_link_has_it():
+def test_datagrams_when_sent_then_have_the_outcomes_that_the_link_determines():
     link = ScriptedLink(
         delays=[3.0, 1.0, 2.0, 2.0], lost=[False, False, True, False], duplicated=[False, False, True]
     )
@@ -55,8 +55,8 @@
         a = loop.network.host("a")
         b = loop.network.host("b")
         b.ip = "10.0.0.2"
-        _, server = await b.run(loop.create_datagram_endpoint(Mailbox, local_addr=("0.0.0.0", 53)))
-        _, client = await a.run(loop.create_datagram_endpoint(Mailbox, remote_addr=("10.0.0.2", 53)))
+        _, server = await b.run(loop.create_datagram_endpoint(Receiver, local_addr=("0.0.0.0", 53)))
+        _, client = await a.run(loop.create_datagram_endpoint(Receiver, remote_addr=("10.0.0.2", 53)))
         for text in (b"slow", b"fast", b"lost", b"twice"):
             client.transport.sendto(text)
         await asyncio.sleep(1)
@@ -79,7 +79,7 @@
         await asyncio.sleep(1)
         b.resume()
         await asyncio.sleep(1)
-        assert len(server.received) == 4 + 3  # a socket that is not read holds only so much
+        assert len(server.received) == 4 + 3  # the buffer of the paused host holds 3 of the 10 datagrams
         server.transport.close()
         client.transport.sendto(b"nobody")
         await asyncio.sleep(1)
--- a/tests/lab/virtual/test_host.py
+++ b/tests/lab/virtual/test_host.py
@@ -1,4 +1,4 @@
-"""Hosts: killed, vanished, paused, out of descriptors, signalled."""
+"""Hosts that are killed, vanish, are paused, run out of descriptors or get a signal."""
 
 import asyncio
 import errno
@@ -10,7 +10,7 @@
 from flintridge.lab.virtual import current_host
 
 
-def test_host_when_killed_then_runs_nothing_more_and_is_reset_and_refused(recwarn):
+def test_host_when_killed_then_its_code_stops_and_connections_are_reset_or_refused(recwarn):
     world = EchoNetwork()
 
     async def test(streams):
@@ -38,7 +38,7 @@
     assert not [w for w in recwarn if "destroyed" in str(w.message) or "never awaited" in str(w.message)]
 
 
-def test_host_when_it_kills_itself_then_has_no_effect_from_then_on():
+def test_host_when_it_kills_itself_then_its_code_has_no_further_effect():
     world = EchoNetwork()
 
     async def test(streams):
@@ -63,7 +63,7 @@
     world.play(test)
 
 
-def test_host_when_vanished_then_is_silent_until_another_is_in_its_place():
+def test_host_when_vanished_then_is_silent_until_it_is_revived():
     world = EchoNetwork()
 
     async def test(streams):
@@ -81,7 +81,7 @@
     world.play(test)
 
 
-def test_host_when_out_of_descriptors_then_connects_nowhere_and_accepts_nothing_for_a_second():
+def test_host_when_out_of_descriptors_then_connect_fails_and_accept_pauses_for_a_second():
     world = EchoNetwork()
     errors = []
 
@@ -96,7 +96,7 @@
             loop.set_exception_handler, lambda _, report: errors.append(report["exception"].errno)
         )
         await world.server.run(asyncio.start_server(echo, "10.0.0.1", 81))
-        world.server.max_connections = 3  # one is open
+        world.server.max_connections = 3  # one of them is open already
         opened = [await world.client.run(asyncio.open_connection("10.0.0.1", 81)) for _ in range(4)]
         asking = [world.client.run(world.ask(pair)) for pair in opened]
         assert [await outcome_of(each) for each in asking[:2]] == [b"ask"] * 2
@@ -114,7 +114,7 @@
     world.play(test)
 
 
-def test_host_when_paused_then_takes_connections_and_bytes_and_replies_once_it_goes_on():
+def test_host_when_paused_then_takes_connections_and_data_and_replies_after_resume():
     world = EchoNetwork(window=1000)
 
     async def test(streams):
@@ -137,13 +137,13 @@
         assert seen == [0, 1, 2]
         world.server.pause()
         world.server.kill()
-        world.server.resume()  # a dead one does not come back by it
+        world.server.resume()  # must not revive a dead host
         assert await outcome_of(world.client.run(streams[0].read())) is ConnectionResetError
 
     world.play(test)
 
 
-def test_host_when_signalled_then_its_own_handler_runs_and_without_one_it_dies():
+def test_host_when_signalled_then_its_handler_runs_or_without_one_it_dies():
     world = EchoNetwork()
 
     async def test(streams):
@@ -161,7 +161,7 @@
     world.play(test)
 
 
-def test_host_when_its_code_fails_or_runs_then_its_own_handler_and_busy_time_have_it():
+def test_host_when_its_code_fails_or_runs_then_its_own_handler_and_busy_time_record_it():
     world = EchoNetwork()
 
     async def test(streams):
--- a/tests/lab/virtual/test_livelock.py
+++ b/tests/lab/virtual/test_livelock.py
@@ -1,4 +1,4 @@
-"""Code that never rests is ended: without time advancing, or beyond a limit of real time."""
+"""Code that runs without end is stopped: at one virtual time, or beyond a limit of real time."""
 
 import asyncio
 import signal
@@ -11,7 +11,7 @@
 from flintridge.lab.virtual.livelock import LivelockDetector
 
 
-async def spins_by_callbacks():
+async def loops_by_callbacks():
     loop = asyncio.get_running_loop()
 
     def again():
@@ -21,18 +21,18 @@
     await asyncio.sleep(1)
 
 
-async def spins_by_sleeps_of_no_time():
+async def loops_by_sleeps_of_0_s():
     while True:
         await asyncio.sleep(0)
 
 
-async def spins_by_timers_of_no_time():
+async def loops_by_timers_of_1e_13_s():
     while True:
         await asyncio.wait([asyncio.ensure_future(asyncio.sleep(1e-13))])
 
 
-@pytest.mark.parametrize("code", [spins_by_callbacks, spins_by_sleeps_of_no_time, spins_by_timers_of_no_time])
-def test_loop_when_handles_run_on_while_time_stands_still_then_names_the_host(code):
+@pytest.mark.parametrize("code", [loops_by_callbacks, loops_by_sleeps_of_0_s, loops_by_timers_of_1e_13_s])
+def test_loop_when_handles_run_without_end_at_one_time_then_names_the_host(code):
     async def main():
         await asyncio.get_running_loop().network.host("bad").run(code())
 
@@ -41,15 +41,15 @@
     assert caught.value.host == "bad"
 
 
-async def burns():
+async def blocks():
     while True:
         pass
 
 
-async def burns_and_survives_what_is_raised():
+async def blocks_and_suppresses_errors():
     while True:
         try:
-            await burns()
+            await blocks()
         except Exception:
             continue
         except BaseException:
@@ -57,13 +57,13 @@
                 pass
 
 
-async def spins_in_time():
+async def loops_in_virtual_time():
     while True:
         await asyncio.sleep(0.001)
 
 
-@pytest.mark.parametrize("code", [burns, burns_and_survives_what_is_raised, spins_in_time])
-def test_loop_when_real_time_is_over_then_no_code_outlives_it(code):
+@pytest.mark.parametrize("code", [blocks, blocks_and_suppresses_errors, loops_in_virtual_time])
+def test_loop_when_the_wall_limit_is_exceeded_then_stops_any_code(code):
     async def main():
         await asyncio.get_running_loop().network.host("bad").run(code())
 
@@ -74,12 +74,12 @@
     assert signal.getitimer(signal.ITIMER_REAL)[0] == 0
 
 
-def test_loop_when_real_time_is_over_in_another_thread_then_ends_between_handles():
+def test_loop_when_the_wall_limit_is_exceeded_in_another_thread_then_stops_between_handles():
     hosts = []
 
     def play():
         try:
-            run(spins_in_time(), wall_limit_s=0.05)
+            run(loops_in_virtual_time(), wall_limit_s=0.05)
         except LivelockError as error:
             hosts.append(error.host)
 
@@ -89,18 +89,18 @@
     assert hosts == ["lab"]
 
 
-def test_detector_when_time_advances_by_less_than_a_step_then_still_counts():
+def test_detector_when_time_advances_by_less_than_a_step_then_keeps_counting():
     detector = LivelockDetector(max_handles=20, start_s=1.0)
     detector.handles += 12
-    assert detector.handles == detector.noted_from
+    assert detector.handles == detector.note_threshold
     detector.time_advanced(1.0 + 1e-9)
     detector.handles += 1
-    assert detector.handles > detector.noted_from
+    assert detector.handles > detector.note_threshold
     detector.time_advanced(1.1)
     assert detector.handles == 0
 
 
-def test_detector_when_a_handle_is_one_too_many_then_raises_and_keeps_the_error():
+def test_detector_when_a_handle_exceeds_the_limit_then_raises_and_stores_the_error():
     detector = LivelockDetector(max_handles=1, start_s=1.0)
     handle = NetworkEvent(print, (), None)
     detector.handles += 1
@@ -111,7 +111,7 @@
     assert detector.error is not None
 
 
-def test_detector_when_real_time_is_over_between_handles_then_only_keeps_the_error():
+def test_detector_when_the_wall_limit_is_exceeded_between_handles_then_only_stores_the_error():
     detector = LivelockDetector(max_handles=1, start_s=1.0)
     detector.wall_limit_exceeded(None, None, None)
-    assert str(detector.error) == "lab: the limit of real time is over: between handles"
+    assert str(detector.error) == "lab: the limit of real time is exceeded: between handles"
--- a/tests/lab/virtual/test_loop.py
+++ b/tests/lab/virtual/test_loop.py
@@ -1,4 +1,4 @@
-"""The loop as a whole: under asyncio's runner, with a node on it, the same in each run."""
+"""The loop as a whole: with asyncio's runner, with a node, and with the same trace in each run."""
 
 import asyncio
 import os
@@ -76,7 +76,7 @@
 """
 
 
-def test_program_when_run_under_another_hash_seed_then_gives_the_same_trace():
+def test_program_when_run_with_another_hash_seed_then_produces_the_same_trace():
     traces = []
     for seed in ("1", "2"):
         paths = os.pathsep.join(str(path) for path in (ROOT / "tests", ROOT))
@@ -95,7 +95,7 @@
     assert int(traces[0].split()[0]) > 500
 
 
-def test_loop_when_run_by_asyncios_own_runner_then_ends_in_order():
+def test_loop_when_run_by_asyncio_runner_then_ends_cleanly():
     async def main():
         network = asyncio.get_running_loop().network
         network.host("dead").run(asyncio.sleep(1e6))
@@ -107,7 +107,7 @@
         assert runner.run(main()) == "done"
 
 
-def test_node_when_run_on_a_host_then_leaves_upon_its_signal():
+def test_node_when_run_on_a_host_then_shuts_down_on_sigterm():
     config = load_config({"PROXY_CONFIG": str(ROOT / "examples" / "config.json")})
 
     async def main():
@@ -119,7 +119,7 @@
         assert await reader.readline() in (b"MN\r\n", b"SERVER_ERROR starting\r\n")
         host.signal(signal.SIGTERM)
         assert not node.done()
-        assert await reader.read() == b""  # within the time that leaving takes
+        assert await reader.read() == b""  # the connection is closed during the shutdown
         await node
         assert host.open_connections == 0
         assert host.tasks_alive == 0
--- a/tests/lab/virtual/test_network.py
+++ b/tests/lab/virtual/test_network.py
@@ -1,4 +1,4 @@
-"""Links that fall silent, reset and come back under open connections."""
+"""Links that become silent, reset connections and recover while connections are open."""
 
 import asyncio
 
@@ -21,7 +21,7 @@
         assert await outcome_of(asking) == "pending"
         assert await outcome_of(connecting) == "pending"
         assert not world.effects
-        assert await world.client.run(world.ask(idle_streams)) == b"ask"  # it had lost nothing
+        assert await world.client.run(world.ask(idle_streams)) == b"ask"  # this connection lost no bytes
         streams[1].write(b"again")
         assert await outcome_of(asking) is ConnectionResetError
         assert world.effects == [("server", ConnectionResetError), "finally"]
@@ -30,7 +30,7 @@
     world.play(test)
 
 
-def test_connection_when_its_link_falls_silent_with_bytes_in_flight_then_has_no_gap():
+def test_connection_when_its_link_becomes_silent_with_bytes_in_flight_then_delivers_no_gap():
     world = EchoNetwork()
 
     async def test(streams):
@@ -45,7 +45,7 @@
     world.play(test)
 
 
-def test_connection_when_its_sender_waits_for_the_window_then_it_learns_of_the_break():
+def test_connection_when_its_sender_waits_for_the_window_then_a_lost_byte_resets_it():
     world = EchoNetwork(window=1000)
 
     async def test(streams):
@@ -60,7 +60,7 @@
 
 
 @pytest.mark.parametrize("silent_to_client", [False, True])
-def test_link_when_reset_then_breaks_both_sides_but_one_to_which_it_is_silent(silent_to_client):
+def test_link_when_reset_then_resets_both_sides_except_one_to_which_it_is_silent(silent_to_client):
     world = EchoNetwork()
 
     async def test(streams):
@@ -78,20 +78,20 @@
     world.play(test)
 
 
-def test_link_when_forgotten_then_is_asked_for_anew():
-    asked_for = []
+def test_link_when_forgotten_then_is_created_again():
+    created_for = []
 
     def make_link(source, target):
-        asked_for.append((source, target))
+        created_for.append((source, target))
         return FixedLink()
 
     network = Network(make_link)
     assert network.link("a", "b") is network.link("a", "b")
     network.forget_links()
     network.link("a", "b")
-    assert asked_for == [("a", "b")] * 2
+    assert created_for == [("a", "b")] * 2
 
 
-def test_network_when_no_loop_was_made_on_it_then_has_none():
+def test_network_when_no_loop_is_attached_then_raises():
     with pytest.raises(RuntimeError, match="no VirtualLoop"):
         Network().loop  # noqa: B018
--- a/tests/lab/virtual/test_process.py
+++ b/tests/lab/virtual/test_process.py
@@ -1,4 +1,4 @@
-"""Processes by themselves: what is suspended while they are halted, and in which order it runs on."""
+"""Processes: which handles are suspended while they are halted, and the order in which they resume."""
 
 import asyncio
 from contextvars import Context
@@ -11,7 +11,7 @@
 
 
 class ManualScheduler:
-    """Time set by hand; keeps what it is given."""
+    """A scheduler whose time is set by the test and that records events and handles."""
 
     def __init__(self, now_s: float = 1000.0) -> None:
         self.now_s = now_s
@@ -38,11 +38,11 @@
     return Process(Machine("a"))
 
 
-def test_process_when_made_then_its_context_names_it(process):
+def test_process_when_created_then_its_context_refers_to_it(process):
     assert process.context[CURRENT_PROCESS] is process
 
 
-def test_process_when_a_stall_ends_then_timers_run_behind_what_arrived(process):
+def test_process_when_a_stall_ends_then_timers_run_after_arrivals(process):
     scheduler = ManualScheduler()
     process.stall(scheduler, 1000.5)
     assert process.halted
@@ -66,7 +66,7 @@
     assert scheduler.requeued == ["handle"]
 
 
-def test_process_when_a_stall_was_prolonged_then_its_first_end_resumes_nothing(process):
+def test_process_when_a_stall_was_extended_then_its_first_end_resumes_nothing(process):
     scheduler = ManualScheduler()
     process.stall(scheduler, 1000.5)
     scheduler.now_s = 1000.1
@@ -77,7 +77,7 @@
     assert process.halted
 
 
-def test_process_when_just_stalled_then_what_it_reads_may_have_arrived_since_the_beginning(process):
+def test_process_when_just_stalled_then_data_may_have_arrived_since_the_start_of_the_stall(process):
     scheduler = ManualScheduler()
     process.stall(scheduler, 1000.5)
     scheduler.now_s = 1000.5
@@ -87,7 +87,7 @@
 
 
 @pytest.mark.parametrize(("unaccepted", "full"), [(0, True), (1, False)])
-def test_process_when_connections_wait_to_be_accepted_then_they_take_no_descriptor(process, unaccepted, full):
+def test_process_when_connections_wait_to_be_accepted_then_they_use_no_descriptor(process, unaccepted, full):
     process.host.max_connections = 2
     process.connections.update({"first": None, "second": None})
     process.unaccepted = unaccepted
--- a/tests/lab/virtual/test_receive_queue.py
+++ b/tests/lab/virtual/test_receive_queue.py
@@ -1,4 +1,4 @@
-"""The receive queue: bytes leave it in order, however they arrived and are read."""
+"""The receive queue: bytes are read in order, whatever the sizes of segments and reads."""
 
 from hypothesis import given
 from hypothesis import strategies as st
@@ -9,7 +9,7 @@
 
 @FIXED
 @given(st.lists(st.binary(min_size=1, max_size=30), max_size=12), st.integers(1, 40))
-def test_take_when_called_until_empty_then_gives_all_bytes_in_order_within_the_limit(segments, limit):
+def test_take_when_called_until_empty_then_returns_all_bytes_in_order_within_the_limit(segments, limit):
     queue = ReceiveQueue()
     for number, data in enumerate(segments):
         queue.append(data, float(number))
@@ -23,7 +23,7 @@
     assert not queue.segments
 
 
-def test_take_when_a_segment_does_not_fit_whole_then_its_rest_keeps_when_it_was_sent():
+def test_take_when_a_segment_exceeds_the_limit_then_the_rest_keeps_its_send_time():
     queue = ReceiveQueue()
     queue.append(b"abcdef", 1.0)
     queue.append(b"gh", 2.0)
@@ -31,7 +31,7 @@
     assert queue.take(4) == (b"efgh", 1.0)
 
 
-def test_clear_when_something_is_unread_then_drops_it():
+def test_clear_when_data_is_unread_then_drops_it():
     queue = ReceiveQueue()
     queue.append(b"a", 1.0)
     queue.clear()
--- a/tests/lab/virtual/test_scheduler.py
+++ b/tests/lab/virtual/test_scheduler.py
@@ -1,4 +1,4 @@
-"""Virtual time: order of timers, and what a process that is stalled sees of it."""
+"""Virtual time: the order of timers, times that are rounded or invalid, and deadlocks."""
 
 import asyncio
 
@@ -19,9 +19,9 @@
         timers = [loop.call_later(900, seen.append, None) for _ in range(10_000)]
         for timer in timers[1:]:
             timer.cancel()
-        assert len(loop._scheduled) < 200  # cancelled ones do not pile up
+        assert len(loop._scheduled) < 200  # cancelled timers do not accumulate
         late = loop.call_later(-1, seen.append, "due")
-        while "due" not in seen:  # passes of zero time do not keep a due timer waiting
+        while "due" not in seen:  # passes without a step of time do not delay a due timer
             await asyncio.sleep(0)
         late.cancel()
         return loop.time(), seen
@@ -31,8 +31,8 @@
     assert seen == ["early", 0, 1, 2, 3, 4, "due"]
 
 
-def test_time_when_rounding_puts_a_timer_just_ahead_of_it_then_gets_there():
-    """Guards code that waits in milliseconds until a time has come, as nodes do."""
+def test_time_when_rounding_puts_a_timer_just_ahead_of_now_then_reaches_it():
+    """Guards against a livelock in code that waits until a time in milliseconds, as nodes do."""
 
     async def main():
         loop = asyncio.get_running_loop()
@@ -46,7 +46,7 @@
     run(main(), max_handles_at_once=1000)
 
 
-def test_timer_when_set_at_nan_then_is_refused():
+def test_timer_when_its_time_is_nan_then_raises():
     async def main():
         with pytest.raises(ValueError, match="NaN"):
             asyncio.get_running_loop().call_at(float("nan"), print)
@@ -54,7 +54,7 @@
     run(main())
 
 
-def test_loop_when_nothing_is_left_to_run_then_names_the_waiting_tasks():
+def test_loop_when_nothing_can_run_then_the_error_names_the_waiting_tasks():
     async def waits():
         await asyncio.get_running_loop().create_future()
 
--- a/tests/lab/virtual/test_stream_transport.py
+++ b/tests/lab/virtual/test_stream_transport.py
@@ -1,4 +1,4 @@
-"""Streams: held against asyncio on real sockets, and over links that cut and delay."""
+"""Streams: compared with asyncio on real sockets, and over links that split and delay data."""
 
 import asyncio
 
@@ -10,7 +10,7 @@
 
 from flintridge.lab.virtual import FixedLink, Network, run
 
-MORE_THAN_KERNELS_TAKE = 8 << 20
+MORE_THAN_KERNELS_BUFFER = 8 << 20
 
 
 class RecordingProtocol(asyncio.Protocol):
@@ -50,7 +50,7 @@
 
 
 async def connected_pair(keep_open: bool = False) -> tuple[RecordingProtocol, RecordingProtocol]:
-    """A client and the server it reached."""
+    """Return the protocols of a client and of the server's end of its connection."""
     loop = asyncio.get_running_loop()
     accepted = []
 
@@ -65,7 +65,7 @@
     return client, accepted[0]
 
 
-# Behaviours, each of which must be the same on sockets and in virtual time
+# Behaviours that must be the same on real sockets and in virtual time
 
 
 async def half_close():
@@ -83,21 +83,21 @@
     return client.calls, client.size, server.calls, server.size
 
 
-async def an_end_of_the_peer_closes():
+async def eof_of_the_peer_closes():
     client, server = await connected_pair()
     server.transport.close()
     await until(lambda: client.ended and server.ended)
     return client.calls, server.calls, client.transport.is_closing(), client.transport.get_protocol()
 
 
-async def abort_drops_what_is_unsent_and_sends_eof():
+async def abort_drops_unsent_data_and_sends_eof():
     client, server = await connected_pair()
-    server.transport.write(b"x" * MORE_THAN_KERNELS_TAKE)
+    server.transport.write(b"x" * MORE_THAN_KERNELS_BUFFER)
     unwritten = server.transport.get_write_buffer_size() > 0
     server.transport.abort()
     server.transport.write(b"late")
     await until(lambda: client.ended and server.ended)
-    return unwritten, client.calls, 0 < client.size < MORE_THAN_KERNELS_TAKE, server.calls
+    return unwritten, client.calls, 0 < client.size < MORE_THAN_KERNELS_BUFFER, server.calls
 
 
 async def close_with_unread_input(action: str = "close"):
@@ -131,7 +131,7 @@
     return before, client.calls, client.size
 
 
-async def writing_to_what_is_closed():
+async def writing_to_a_closed_peer():
     client, server = await connected_pair(keep_open=True)
     server.transport.close()
     await until(lambda: client.calls[-1] == "eof")
@@ -144,9 +144,9 @@
     return still_open, client.calls
 
 
-async def close_writes_what_is_unsent():
+async def close_writes_unsent_data():
     client, server = await connected_pair()
-    client.transport.write(b"x" * MORE_THAN_KERNELS_TAKE)
+    client.transport.write(b"x" * MORE_THAN_KERNELS_BUFFER)
     client.transport.close()
     client.transport.close()
     await until(lambda: client.ended and server.ended)
@@ -157,11 +157,11 @@
     client, server = await connected_pair()
     server.transport.pause_reading()
     server.transport.pause_reading()
-    client.transport.writelines([b"x" * (MORE_THAN_KERNELS_TAKE // 2)] * 2)
+    client.transport.writelines([b"x" * (MORE_THAN_KERNELS_BUFFER // 2)] * 2)
     await asyncio.sleep(0.005)
     while_paused = client.transport.get_write_buffer_size() > 0, server.size, client.calls[-1]
     server.transport.resume_reading()
-    await until(lambda: server.size == MORE_THAN_KERNELS_TAKE)
+    await until(lambda: server.size == MORE_THAN_KERNELS_BUFFER)
     await until(lambda: client.calls[-1] == "resume")
     return while_paused, client.calls, client.transport.get_write_buffer_size(), server.calls
 
@@ -178,7 +178,7 @@
     server = await asyncio.start_server(serve, "127.0.0.1", 0, limit=1024)
     reader, writer = await asyncio.open_connection(*server.sockets[0].getsockname())
     writer.transport.set_write_buffer_limits(high=0)
-    writer.write(b"x" * MORE_THAN_KERNELS_TAKE)
+    writer.write(b"x" * MORE_THAN_KERNELS_BUFFER)
     draining = asyncio.ensure_future(writer.drain())
     await asyncio.sleep(0.005)
     drained_early = draining.done()
@@ -207,7 +207,7 @@
 
 
 async def cancelled_connect_and_read():
-    """A connect and a read that are cancelled leave nothing behind."""
+    """A cancelled connect and a cancelled read leave no connection and no reader behind."""
     ended = []
 
     async def serve(reader, writer):
@@ -258,13 +258,13 @@
     "behaviour",
     [
         half_close,
-        an_end_of_the_peer_closes,
-        abort_drops_what_is_unsent_and_sends_eof,
+        eof_of_the_peer_closes,
+        abort_drops_unsent_data_and_sends_eof,
         close_with_unread_input,
         abort_with_unread_input,
         a_reset_is_seen_by_a_paused_side_when_it_writes,
-        writing_to_what_is_closed,
-        close_writes_what_is_unsent,
+        writing_to_a_closed_peer,
+        close_writes_unsent_data,
         back_pressure,
         drain_without_a_buffer,
         write_buffer_limits,
@@ -272,16 +272,16 @@
         listening,
     ],
 )
-def test_stream_when_played_in_virtual_time_then_behaves_as_on_sockets(behaviour):
+def test_stream_when_run_in_virtual_time_then_behaves_as_on_sockets(behaviour):
     on_sockets = asyncio.run(behaviour())
     network = Network()
     assert run(behaviour(), network) == on_sockets
-    assert network.lab.open_connections <= 2  # those that a behaviour leaves open itself
+    assert network.lab.open_connections <= 2  # some behaviours leave their own connections open
 
 
 @FIXED
 @given(st.integers(0, 999), st.lists(st.binary(min_size=1, max_size=3000), max_size=8), st.integers(1, 4000))
-def test_stream_when_its_link_cuts_and_delays_at_random_then_bytes_keep_their_order(seed, writes, window):
+def test_stream_when_its_link_splits_and_delays_data_at_random_then_bytes_stay_in_order(seed, writes, window):
     received: list[bytes] = []
 
     async def main():
@@ -303,7 +303,7 @@
     assert received == [b"".join(writes)] * 2
 
 
-def test_write_when_the_link_cuts_it_then_each_segment_is_read_by_itself():
+def test_write_when_the_link_splits_it_then_each_segment_is_read_separately():
     sizes = []
 
     async def main():
--- a/tests/lab/virtual/test_system_call_faults.py
+++ b/tests/lab/virtual/test_system_call_faults.py
@@ -23,7 +23,7 @@
 
 
 async def echoed(data, server_faults=None, client_faults=None):
-    """What comes back of `data`, in the pieces in which it is read."""
+    """Send `data` to an echo server and return the response, as a list of the pieces read."""
     loop = asyncio.get_running_loop()
     network = loop.network
     network.host("box").ip = "10.0.0.1"
@@ -58,7 +58,7 @@
         (failing("connect", "EINTR"), 1),
     ],
 )
-def test_stream_when_calls_are_short_or_interrupted_then_every_byte_still_comes_in_order(state, least_pieces):
+def test_stream_when_calls_are_short_or_interrupted_then_all_bytes_arrive_in_order(state, least_pieces):
     data = bytes(range(100))
     faults = [Injector("a", state), Injector("b", state)]
     received = in_virtual_time(echoed(data, *faults))
@@ -68,7 +68,7 @@
 
 
 @pytest.mark.parametrize("call", ["connect", "socket"])
-def test_connecting_when_a_call_fails_then_raises_its_error(call):
+def test_connect_when_a_system_call_fails_then_raises_its_error(call):
     async def main():
         with pytest.raises(OSError, match="buffer space") as caught:
             await echoed(b"x", None, Injector("x", failing(call, "ENOBUFS")))
@@ -78,17 +78,17 @@
 
 
 @pytest.mark.parametrize("call", ["read", "write"])
-def test_stream_when_its_connection_breaks_late_then_ends_with_that_error(call):
+def test_stream_when_a_read_or_write_fails_then_ends_with_that_error(call):
     async def main():
         with pytest.raises(OSError, match=r"timed out|reset") as caught:
-            # The first call of each kind fails: a write breaks at once, of which the reader learns.
+            # The first call of each kind fails: a failed write closes the connection, which fails the read.
             await echoed(b"x", None, Injector("x", failing(call, "ETIMEDOUT")))
         assert caught.value.errno == errno.ETIMEDOUT
 
     in_virtual_time(main())
 
 
-def test_accepting_when_out_of_descriptors_then_pauses_and_goes_on():
+def test_accept_when_out_of_descriptors_then_pauses_and_continues():
     faults = Injector("q", failing("accept", "ENFILE", 0.5))
     reports = []
 
@@ -101,7 +101,7 @@
     assert reports == [errno.ENFILE] * faults.counts["injected_accept"]
 
 
-def test_stall_when_drawn_then_time_advances_for_that_host_alone_before_its_bytes_leave():
+def test_stall_when_drawn_then_delays_only_that_host_and_the_data_it_sends():
     faults = Injector("x", SystemState(stall_fraction=1.0, max_stall_ms=100.0))
 
     async def main():
