--- a/flintridge/lab/backend/__init__.py
+++ b/flintridge/lab/backend/__init__.py
@@ -1,1 +1,1 @@
-"""Backends of the lab: virtual time, or real processes on loopback."""
+"""The backends of the lab: virtual time, and real processes on loopback."""
--- a/flintridge/lab/backend/child.py
+++ b/flintridge/lab/backend/child.py
@@ -1,9 +1,9 @@
-"""Start a program that dies with the process that asked for it.
+"""Start a program that is killed when its parent process ends.
 
     child.py PARENT DESCRIPTORS PROGRAM ARGUMENT...
 
-Run as a file, with nothing but the standard library: it becomes the program at once. Whatever way the lab
-ends, SIGKILL included, the kernel then ends the program too.
+Run as a script that uses only the standard library; it replaces itself with the program. However the lab
+ends, even by SIGKILL, the kernel then kills the program too.
 """
 
 import ctypes
@@ -18,13 +18,13 @@
 
 
 def main(arguments: list[str]) -> int:
-    """Become the program.
+    """Replace this process with the program.
 
     Args:
-        arguments: Number of the parent process, maximum of open descriptors, and the command.
+        arguments: The process ID of the parent, the maximum number of open descriptors, and the command.
 
     Returns:
-        The exit code where the program cannot be started.
+        The exit code if the program cannot be started.
     """
     parent, descriptors, *command = arguments
     code = _prepare(int(parent), int(descriptors))
@@ -34,16 +34,16 @@
 
 
 def _prepare(parent: int, descriptors: int) -> int:
-    """Have the kernel end this process with its parent, and limit its descriptors.
+    """Have the kernel kill this process when its parent ends, and limit its descriptors.
 
     Returns:
-        0, or the exit code where that is not possible.
+        0, or the exit code if that is not possible.
     """
     libc = ctypes.CDLL(None, use_errno=True)
     if libc.prctl(PR_SET_PDEATHSIG, int(signal.SIGKILL), 0, 0, 0) != 0:
         print(f"prctl: {os.strerror(ctypes.get_errno())}", file=sys.stderr)
         return EXIT_NO_PRCTL
-    if os.getppid() != parent:  # it died before prctl(): nothing would end this process
+    if os.getppid() != parent:  # the parent died before prctl(): nothing would end this process
         return EXIT_NO_PARENT
     _, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
     limit = descriptors if hard == resource.RLIM_INFINITY else min(descriptors, hard)
--- a/flintridge/lab/backend/fault_channel.py
+++ b/flintridge/lab/backend/fault_channel.py
@@ -1,7 +1,8 @@
-"""A shared file by which the lab sets the faults of a node's operating system, and the node counts them.
+"""A shared file through which the lab sets a node's operating system faults and reads their counts.
 
-The process needs no thread, signal or event of its loop: it compares a number in memory before each call. The
-file outlives the process: the next one starts with the current state, and the counts go on.
+The node's process needs no thread, signal or event loop for this: it compares a version number in shared
+memory before each system call. The file outlives the process: the next process starts with the current state
+and adds to the same counts.
 """
 
 import mmap
@@ -13,7 +14,7 @@
 from flintridge.lab.faults.injection import SystemState
 
 FILE_BYTES = 64 * 1024
-VERSION = struct.Struct("<Q")  # odd while the lab writes
+VERSION = struct.Struct("<Q")  # odd while the lab is writing the state
 LENGTH = struct.Struct("<Q")
 COUNTER_NAMES = (
     "injected_accept",
@@ -36,16 +37,16 @@
 
 
 class FaultChannel:
-    """One side of a node's channel."""
+    """One end of the channel between the lab and a node's process."""
 
     def __init__(self, path: Path) -> None:
-        """Open the channel, and make its file where there is none.
+        """Open the channel, and create its file if it does not exist.
 
         Args:
-            path: The file.
+            path: The shared file.
 
         Raises:
-            OSError: If it cannot be made or opened.
+            OSError: If the file cannot be created or opened.
         """
         if not path.exists():
             path.write_bytes(bytes(FILE_BYTES))
@@ -54,23 +55,23 @@
         self._version = 0
 
     def close(self) -> None:
-        """Close this side; the file stays."""
+        """Close this end; the file remains."""
         self._memory.close()
 
-    # The lab's side
+    # Used by the lab
 
     def set_state(self, state: SystemState) -> None:
-        """Set what is wrong with the node's operating system.
+        """Set the faults of the node's operating system.
 
         Args:
-            state: All that is wrong.
+            state: All current faults; they replace the previous ones.
 
         Raises:
-            ValueError: If it is too large for the file.
+            ValueError: If the encoded state is too large for the file.
         """
         data = _encoder.encode(state)
         if len(data) > FILE_BYTES - STATE_OFFSET:
-            raise ValueError(f"{len(data)} bytes of faults at once are too many for one node")
+            raise ValueError(f"the faults of one node take {len(data)} bytes, too many for the channel")
         (version,) = VERSION.unpack_from(self._memory, 0)
         VERSION.pack_into(self._memory, 0, version + 1)
         LENGTH.pack_into(self._memory, VERSION.size, len(data))
@@ -78,7 +79,7 @@
         VERSION.pack_into(self._memory, 0, version + 2)
 
     def counts(self) -> dict[str, int]:
-        """Return the faults injected so far by their counters' names, without those that are 0."""
+        """Return the number of injected faults by counter name, without counters that are 0."""
         counts: dict[str, int] = {}
         for index, name in enumerate(COUNTER_NAMES):
             (count,) = COUNT.unpack_from(self._memory, _count_offset(index))
@@ -86,26 +87,26 @@
                 counts[name] = count
         return counts
 
-    # The process's side
+    # Used by the node's process
 
     def changed_state(self) -> SystemState | None:
-        """Return the state where it changed since the last call."""
+        """Return the state if it changed since the last call, else None."""
         (version,) = VERSION.unpack_from(self._memory, 0)
         if version == self._version or version % 2:
             return None
         (length,) = LENGTH.unpack_from(self._memory, VERSION.size)
         data = self._memory[STATE_OFFSET : STATE_OFFSET + length]
         if VERSION.unpack_from(self._memory, 0)[0] != version:
-            return None  # the lab is writing: the next call will see it
+            return None  # the lab is writing: a later call returns the new state
         self._version = version
         return _decoder.decode(data)
 
     def add(self, name: str, increment: int) -> None:
-        """Count faults that were injected.
+        """Add to the counter of an injected fault.
 
         Args:
             name: The counter's name.
-            increment: How many there were.
+            increment: The number of faults to add.
         """
         offset = _count_offset(COUNTER_NAMES.index(name))
         (count,) = COUNT.unpack_from(self._memory, offset)
--- a/flintridge/lab/backend/faulty_node.py
+++ b/flintridge/lab/backend/faulty_node.py
@@ -1,9 +1,9 @@
-"""The node's program on a faulty operating system.
+"""Runs the node's program with simulated faults of its operating system.
 
     python -m flintridge.lab.backend.faulty_node CHANNEL SEED
 
-It replaces functions of `socket`, `os` and `time` by its own, which fail, transfer less, take longer or have
-another time as the lab sets it on the channel, and runs `python -m flintridge` unchanged.
+Replaces functions of `socket`, `os` and `time` and then runs `python -m flintridge` unchanged. The replaced
+functions fail, transfer fewer bytes, take longer or return another time, as the lab sets it on the channel.
 """
 
 import os
@@ -19,7 +19,7 @@
 from flintridge.lab.faults.injection import NO_FAULTS, Injector, SystemState
 
 PROGRAM = "flintridge"
-FOLDER_PREFIX = "flintridge-"  # of the folder in TMPDIR that the processes of a node share
+FOLDER_PREFIX = "flintridge-"  # prefix of the folder in TMPDIR that the processes of a node share
 HALF_WRITTEN = b'{"pid": '
 INTERNET_FAMILIES = (socket.AF_INET, socket.AF_INET6)
 
@@ -30,14 +30,14 @@
 
 
 class FaultySystem:
-    """What is wrong with this process's operating system, as the channel has it."""
+    """The faults of this process's operating system, as set on the channel."""
 
     def __init__(self, channel: FaultChannel, seed: str) -> None:
-        """Begin with the state on the channel.
+        """Start with the current state of the channel.
 
         Args:
-            channel: To the lab.
-            seed: Of the draws.
+            channel: The channel to the lab.
+            seed: The seed for drawing faults at random.
         """
         self._channel = channel
         self._injector = Injector(f"{seed}/{os.getpid()}")
@@ -45,13 +45,13 @@
         self._load_state()
 
     def current(self) -> Injector:
-        """Return the injector with the lab's current state, for one call."""
+        """Return the injector with the lab's current state; to be called before each system call."""
         if (state := self._channel.changed_state()) is not None:
             self._change_state(state)
         return self._injector
 
     def report(self) -> None:
-        """Report the faults injected since the last time to the lab."""
+        """Report the faults injected since the last report to the lab."""
         for name, count in self._injector.counts.items():
             if increment := count - self._reported.get(name, 0):
                 self._reported[name] = count
@@ -73,7 +73,7 @@
         self.report()
 
     def _leave_half_written(self, files: int) -> None:
-        """Leave files as a process does that was killed while it wrote."""
+        """Leave incomplete files, as a process does that is killed while it writes."""
         for folder in Path(os.environ["TMPDIR"]).glob(f"{FOLDER_PREFIX}*"):
             for index in range(files):
                 (folder / f"{os.getpid()}-half-{index}").write_bytes(HALF_WRITTEN)
@@ -81,10 +81,10 @@
 
 
 class FaultySocket(socket.socket):
-    """A socket whose calls fail, transfer less or take longer where it is a TCP socket.
+    """A socket whose calls, for TCP, may fail, transfer fewer bytes or take longer.
 
     Attributes:
-        system: What is wrong with this process's operating system.
+        system: The faults of this process's operating system.
     """
 
     __slots__ = ("_opened",)
@@ -97,20 +97,20 @@
         proto: int = -1,
         fileno: int | None = None,
     ) -> None:
-        """As a socket does, or fail where a new one is to be made."""
+        """Create a socket as usual, or fail if a new TCP socket is requested."""
         if fileno is None and family in INTERNET_FAMILIES and type & socket.SOCK_STREAM:
             _fail(self.system, "socket")
         super().__init__(family, type, proto, fileno)
-        self._opened = False  # by this process, not accepted
+        self._opened = False  # whether this process opened the connection, instead of accepting it
 
     def accept(self) -> tuple[socket.socket, Any]:
-        """As a socket does, or fail before anything is accepted."""
+        """Accept a connection as usual, or fail without accepting one."""
         if _is_tcp(self):
             _fail(self.system, "accept")
         return super().accept()
 
     def connect(self, address: Any) -> None:
-        """As a socket does; one that is interrupted goes on by itself."""
+        """Connect as usual, or fail; an interrupted connect completes by itself."""
         if _is_tcp(self):
             self._opened = True
             try:
@@ -121,29 +121,29 @@
         super().connect(address)
 
     def recv(self, size: int, flags: int = 0) -> bytes:
-        """As a socket does, of fewer bytes."""
+        """Receive data as usual, or fail, or receive fewer bytes."""
         return super().recv(self._before_read(size), flags)
 
     def recv_into(self, buffer: Any, nbytes: int = 0, flags: int = 0) -> int:
-        """As a socket does, of fewer bytes."""
+        """Receive into a buffer as usual, or fail, or receive fewer bytes."""
         return super().recv_into(buffer, self._before_read(nbytes or len(memoryview(buffer))), flags)
 
     def send(self, data: Any, flags: int = 0) -> int:
-        """As a socket does, later and of fewer bytes."""
+        """Send data as usual, or fail, or send fewer bytes, possibly after a stall."""
         size = len(data)
         taken = self._before_write(size)
         if taken == size:
             return super().send(data, flags)
-        with memoryview(data) as view, view[:taken] as part:  # released: the caller shrinks its buffer
+        with memoryview(data) as view, view[:taken] as part:  # released, as the caller shrinks its buffer
             return super().send(part, flags)
 
     def sendmsg(self, buffers: Iterable[Any], *rest: Any) -> int:
-        """As a socket does, later and of fewer bytes."""
+        """Send buffers as usual, or fail, or send fewer bytes, possibly after a stall."""
         whole = b"".join(buffers)
         return super().sendmsg([whole[: self._before_write(len(whole))]], *rest)
 
     def sendto(self, data: Any, *rest: Any) -> int:
-        """As a socket does, later."""
+        """Send a datagram as usual, possibly after a stall."""
         if self.family in INTERNET_FAMILIES:
             _stall(self.system)
         return super().sendto(data, *rest)
@@ -167,14 +167,14 @@
 
 
 def _fail(system: FaultySystem, call: Any, opened: bool = True) -> None:
-    """Raise OSError where the call is to fail."""
+    """Raise OSError if the call is drawn to fail."""
     error = system.current().error(call, opened)
     if error is not None:
         system.report()
         try:
             raise error
         finally:
-            del error  # else it would hold its own traceback, with the caller's buffers in it
+            del error  # breaks the reference cycle with its traceback, which holds the caller's buffers
 
 
 def _short(system: FaultySystem, size: int) -> int:
@@ -192,13 +192,13 @@
 
 
 def replace_clock(system: FaultySystem) -> None:
-    """Have the wall clock be ahead as the lab sets it; the monotonic one stays as it is."""
+    """Shift the wall clock by the offset that the lab sets; the monotonic clock is unchanged."""
     time.time = lambda: _real_time() + system.current().state.clock_offset_ms / 1000
     time.time_ns = lambda: _real_time_ns() + round(system.current().state.clock_offset_ms * 1e6)
 
 
 def replace_folder_calls(system: FaultySystem) -> None:
-    """Have calls on the node's own folder fail, and its new files have the time of the stepped clock."""
+    """Make calls on the node's own folder fail, and give its new files the time of the shifted clock."""
     own_prefix = os.path.join(os.environ["TMPDIR"], FOLDER_PREFIX)
 
     def guard(call: Callable[..., Any], allocates: Callable[..., bool]) -> Callable[..., Any]:
@@ -225,10 +225,10 @@
 
 
 def main(arguments: list[str]) -> None:
-    """Run the node's program; it ends the process.
+    """Run the node's program, which ends the process.
 
     Args:
-        arguments: The channel's file, and the seed of the draws.
+        arguments: The path of the channel's file, and the seed for drawing faults.
     """
     channel_path, seed = arguments
     system = FaultySystem(FaultChannel(Path(channel_path)), seed)
--- a/flintridge/lab/backend/flow_control.py
+++ b/flintridge/lab/backend/flow_control.py
@@ -1,13 +1,13 @@
-"""Flow control of a connection on loopback, by the bytes that are on their way."""
+"""Flow control of a connection on loopback, by the number of bytes in flight."""
 
 from enum import Enum
 
-WINDOW_BYTES = 256 * 1024  # on the way in one direction; beyond it a sender waits, as for a TCP window
+WINDOW_BYTES = 256 * 1024  # in flight in one direction before the sender waits, like a TCP window
 HIGH_WATER_BYTES = 64 * 1024  # as in asyncio
 
 
 class FlowChange(Enum):
-    """What a sender is to do now."""
+    """Whether a sender pauses or resumes."""
 
     NONE = "none"
     PAUSE = "pause"
@@ -18,14 +18,14 @@
     """Decides when the lab's protocol pauses writing.
 
     Attributes:
-        in_flight_bytes: Written, and not yet taken by the node's socket.
-        high_bytes: Beyond the window: from here on writing pauses.
-        low_bytes: Beyond the window: from here on it goes on.
-        socket_paused: Whether the node's socket takes no more.
+        in_flight_bytes: The number of bytes written by the lab and not yet delivered to the node's socket.
+        high_bytes: Writing pauses above this number of bytes beyond the window.
+        low_bytes: Writing resumes at or below this number of bytes beyond the window.
+        socket_paused: Whether the write buffer of the node's socket is full.
     """
 
     def __init__(self) -> None:
-        """Begin with nothing on the way."""
+        """Start with no bytes in flight."""
         self.in_flight_bytes = 0
         self.high_bytes = HIGH_WATER_BYTES
         self.low_bytes = HIGH_WATER_BYTES // 4
@@ -33,14 +33,14 @@
         self._paused = False
 
     def set_limits(self, high: int | None, low: int | None) -> None:
-        """Set the limits, as asyncio's transports do.
+        """Set the limits, with the same defaults as asyncio's transports.
 
         Args:
-            high: Bytes beyond the window from which on writing pauses.
-            low: Bytes beyond the window from which on it goes on.
+            high: The number of bytes beyond the window above which writing pauses.
+            low: The number of bytes beyond the window at which writing resumes.
 
         Raises:
-            ValueError: If they are not in order.
+            ValueError: If `low` is negative or above `high`.
         """
         if high is None:
             high = HIGH_WATER_BYTES if low is None else 4 * low
@@ -52,11 +52,11 @@
         self.low_bytes = low
 
     def beyond_window_bytes(self) -> int:
-        """How many bytes wait before the window; negative while there is room."""
+        """Return the number of bytes that exceed the window; negative while it has room."""
         return self.in_flight_bytes - WINDOW_BYTES
 
     def next_change(self) -> FlowChange:
-        """Decide anew, and take it that the protocol follows."""
+        """Decide whether to pause or resume; the caller must apply the returned change."""
         beyond = self.beyond_window_bytes()
         if not self._paused and (beyond > self.high_bytes or self.socket_paused):
             self._paused = True
@@ -68,18 +68,18 @@
 
 
 class ReceiveWindow:
-    """Decides when the node's socket is read no further."""
+    """Decides when reading from the node's socket pauses."""
 
     def __init__(self) -> None:
-        """Begin with nothing on the way."""
+        """Start with no bytes in flight."""
         self._in_flight_bytes = 0
         self._full = False
 
     def add(self, size: int) -> FlowChange:
-        """Bytes were read from the node's socket.
+        """Account for bytes that were read from the node's socket.
 
         Args:
-            size: How many.
+            size: The number of bytes.
         """
         self._in_flight_bytes += size
         if self._in_flight_bytes > WINDOW_BYTES and not self._full:
@@ -88,10 +88,10 @@
         return FlowChange.NONE
 
     def remove(self, size: int) -> FlowChange:
-        """Bytes arrived at the lab.
+        """Account for bytes that arrived at the lab.
 
         Args:
-            size: How many.
+            size: The number of bytes.
         """
         self._in_flight_bytes -= size
         if self._full and self._in_flight_bytes <= WINDOW_BYTES // 2:
--- a/flintridge/lab/backend/linked_transport.py
+++ b/flintridge/lab/backend/linked_transport.py
@@ -1,9 +1,9 @@
-"""A connection between the lab and a real node, with the modelled links put between protocol and socket.
+"""A connection between the lab and a real node, with modelled links between the protocol and the socket.
 
-The lab's protocol sees a transport that behaves as a socket at the far end of the links would: what it
-writes gets to the real socket after the link's delay, in the link's pieces and in order; what the node sent
-is handed up after the way back. While a link is silent, all on it is lost and nothing is said; once it is up
-again, a connection that lost something is reset as soon as either side sends.
+The lab's protocol gets a transport that behaves like a socket at the far end of the links. Data that it
+writes reaches the real socket in order, in the link's segments and after the link's delay. Data from the node
+reaches the protocol after the delay of the return link. While a link is silent, everything on it is lost
+without notice; once it is up again, a connection that lost data is reset as soon as either side sends.
 """
 
 import asyncio
@@ -26,18 +26,18 @@
 
 
 class TransportOwner(Protocol):
-    """What a connection needs of the fabric that it is part of."""
+    """The interface of the fabric that its connections use."""
 
     loop: asyncio.AbstractEventLoop
     clock: RunClock
     lateness: TimerLateness
 
     def forget_transport(self, transport: "LinkedTransport") -> None:
-        """The connection is wholly over."""
+        """Remove a connection that has ended on both sides."""
 
 
 class _LinkedConnection:
-    """The state that both sides share, and how messages pass the links."""
+    """The state that both sides share, and the passage of messages over the links."""
 
     def __init__(
         self,
@@ -47,13 +47,13 @@
         back: Link,
         accepted: bool,
     ) -> None:
-        """Prepare a connection; `node_socket` is the protocol of its real socket.
+        """Create a connection whose real socket is not attached yet.
 
         Args:
             owner: The fabric.
-            factory: Returns the lab's protocol.
-            out: Leads to the node.
-            back: Leads from the node.
+            factory: Creates the lab's protocol.
+            out: The link to the node.
+            back: The link from the node.
             accepted: Whether the node opened the connection.
         """
         super().__init__()
@@ -71,36 +71,36 @@
         self._owner = owner
         self._factory = factory
         self._protocol: Any = None
-        self._lossy = False  # bytes were lost: it can never be whole again
+        self._lossy = False  # whether data was lost, so that the connection cannot continue
         self._closing = False
         self._eof_written = False
 
     # The lab's side, for the node's socket
 
     def passes(self, link: Link) -> bool:
-        """Whether the link lets something pass now; where it does not, the connection loses it."""
+        """Whether the link lets a message pass now; if not, the connection is reset or becomes lossy."""
         if link.state == "up":
             return True
         if link.state == "reset":
-            # From the loop: the caller may be in the middle of a write.
+            # Deferred to the loop, because the caller may be in the middle of a write.
             self._owner.loop.call_soon(self.cut)
         else:
             self._lossy = True
         return False
 
     def is_done(self) -> bool:
-        """Whether the lab's side has ended, or will never begin: its beginning was lost on a silent link."""
+        """Whether the lab's side has ended, or can never start because its handshake was lost."""
         return self.ended or (self._protocol is None and self._lossy)
 
     def finish(self) -> None:
-        """Both sides have ended."""
+        """Clean up after both sides have ended."""
         self.ended = True
         self.incoming.clear()
         self.outgoing.clear()
-        self._forget()
+        self._remove_from_owner()
 
     def check_writing(self) -> None:
-        """Pause or resume the lab's protocol by the send flow."""
+        """Pause or resume writing by the lab's protocol, as the send flow requires."""
         if self._protocol is None or self._closing:
             return
         match self.send_flow.next_change():
@@ -139,7 +139,7 @@
         if not self.passes(self.back):
             return
         if self.ended or self._closing:
-            if self._lossy:  # the node sends to what is gone and could not say so
+            if self._lossy:  # the node sends to a closed end, and lost the message about its close
                 self.node_socket.reset()
         elif isinstance(message, Lost):
             self._end(message.error)
@@ -148,9 +148,9 @@
             self._send(Abort(reset=True))
         else:
             self.sent_ms = sent_ms
-            self._hand_up(message)
+            self._deliver_to_protocol(message)
 
-    def _hand_up(self, message: Message) -> None:
+    def _deliver_to_protocol(self, message: Message) -> None:
         try:
             match message:
                 case Data():
@@ -163,20 +163,20 @@
                     self._protocol.connection_made(self)
                     if not self.ready.done():
                         self.ready.set_result(None)
-        except Exception as error:  # a mistake in the lab's code ends this connection, as in asyncio
+        except Exception as error:  # a bug in the lab's code ends this connection, as in asyncio
             self._report(error, "a protocol's method failed")
             self._end(error)
             self._send(Abort(reset=True))
 
-    # Ends
+    # Closing
 
     def cut(self) -> None:
-        """Reset both sides at once: a link broke the connection."""
+        """Reset both sides immediately, because a link broke the connection."""
         self.node_socket.reset()
         self._end(connection_reset())
 
     def drop(self) -> None:
-        """End without telling the lab's protocol: the run is over, or nobody wants the connection."""
+        """End without notifying the lab's protocol, because the run is over or the connect was abandoned."""
         self.ended = True
         self._closing = True
         self._protocol = None
@@ -185,23 +185,23 @@
         self.incoming.clear()
         self.node_socket.reset()
         if self.node_socket.transport is None or self.node_socket.lost:
-            self._forget()
+            self._remove_from_owner()
 
     def _close(self) -> None:
-        """End behind what was written; with input unread the node gets a RST, as on Linux."""
+        """Close after the data already written; if input is unread the node gets an RST, as on Linux."""
         unread = self.incoming.held and self.incoming.has_overdue()
-        self._leave(Abort(reset=True) if unread else Close())
+        self._close_with(Abort(reset=True) if unread else Close())
 
-    def _leave(self, message: Message) -> None:
+    def _close_with(self, message: Message) -> None:
         if self._closing:
             return
         self._closing = True
-        self.incoming.release()  # from now on what comes is dropped
+        self.incoming.release()  # messages that arrive from now on are dropped
         self._send(message)
         self._owner.loop.call_soon(self._end, None)
 
     def _end(self, error: Exception | None) -> None:
-        """Tell the protocol, once."""
+        """Report connection_lost to the protocol, once."""
         if self.ended:
             return
         self.ended = True
@@ -212,17 +212,17 @@
         if protocol is not None:
             try:
                 protocol.connection_lost(error)
-            except Exception as mistake:
-                self._report(mistake, "protocol.connection_lost() failed")
+            except Exception as protocol_error:
+                self._report(protocol_error, "protocol.connection_lost() failed")
         if self.node_socket.lost:
             self.finish()
 
     def _fail_ready(self, error: Exception) -> None:
         if not self.ready.done():
             self.ready.set_exception(error)
-            self.ready.exception()  # perhaps nobody waits for it
+            self.ready.exception()  # marks the exception as retrieved, since nobody may await it
 
-    def _forget(self) -> None:
+    def _remove_from_owner(self) -> None:
         raise NotImplementedError
 
     def _report(self, error: Exception, message: str) -> None:
@@ -231,13 +231,13 @@
 
 
 class LinkedTransport(_LinkedConnection, asyncio.Transport):
-    """The lab's transport. Beyond asyncio's interface it has `reset`.
+    """The lab's transport. In addition to asyncio's interface it has `reset`.
 
     Attributes:
         node_socket: The protocol of the real socket.
-        ready: Done once the protocol's `connection_made` was called.
-        sent_ms: When (ms of the run) was sent what is being received.
-        client_of: The node that a client reached by it; empty for other connections.
+        ready: Completes when the protocol's `connection_made` was called, or the connection failed.
+        sent_ms: The time (ms of the run) at which the data that is being received was sent.
+        client_of: The node to which a client opened the connection; empty for other connections.
     """
 
     # Writing
@@ -261,27 +261,27 @@
         self.write(b"".join(list_of_data))
 
     def can_write_eof(self) -> bool:
-        """Whether the stream can end alone: it can."""
+        """Return True: the lab's stream can be closed separately."""
         return True
 
     def write_eof(self) -> None:
-        """End the lab's stream; the node's goes on."""
+        """Close the lab's sending half; the node's half stays open."""
         if not self._closing and not self._eof_written:
             self._eof_written = True
             self._send(EndOfStream())
 
     def get_write_buffer_size(self) -> int:
-        """Bytes that are not on their way yet, or that the node's kernel does not take."""
+        """Return the bytes that exceed the window, plus those that the node's kernel does not accept yet."""
         transport = self.node_socket.transport
         in_socket = 0 if transport is None else transport.get_write_buffer_size()
         return max(0, self.send_flow.beyond_window_bytes()) + in_socket
 
     def get_write_buffer_limits(self) -> tuple[int, int]:
-        """The low and the high limit (bytes)."""
+        """Return the low and the high limit, in bytes."""
         return self.send_flow.low_bytes, self.send_flow.high_bytes
 
     def set_write_buffer_limits(self, high: int | None = None, low: int | None = None) -> None:
-        """Set the limits (bytes) at which the protocol's writing pauses and goes on."""
+        """Set the limits (bytes) at which the protocol is paused and resumed."""
         self.send_flow.set_limits(high, low)
         transport = self.node_socket.transport
         if transport is not None:
@@ -291,54 +291,54 @@
     # Reading
 
     def pause_reading(self) -> None:
-        """Hand nothing up for now."""
+        """Stop passing data to the protocol."""
         if self.is_reading():
             self.incoming.hold()
 
     def resume_reading(self) -> None:
-        """Hand up what came meanwhile, and go on."""
+        """Pass the data that arrived meanwhile to the protocol, and continue."""
         if not self._closing and self.incoming.held:
             self.incoming.release()
 
     def is_reading(self) -> bool:
-        """Whether what comes is handed up."""
+        """Whether data that arrives is passed to the protocol."""
         return not self._closing and not self.incoming.held
 
-    # Ends
+    # Closing
 
     def is_closing(self) -> bool:
-        """Whether the connection ends or has ended."""
+        """Whether the connection is closing or closed."""
         return self._closing
 
     def close(self) -> None:
-        """End behind what was written; with input unread the node gets a RST, as on Linux."""
+        """Close after the data already written; if input is unread the node gets an RST, as on Linux."""
         self._close()
 
     def abort(self) -> None:
-        """End now: the node gets an EOF as from asyncio's own transports; see `reset`."""
-        self._leave(Abort(reset=False))
+        """Close immediately: the node gets an EOF, as from asyncio's own transports; see `reset`."""
+        self._close_with(Abort(reset=False))
 
     def reset(self) -> None:
-        """End now with a RST, behind what is on its way."""
-        self._leave(Abort(reset=True))
+        """Close with an RST, after the data in flight."""
+        self._close_with(Abort(reset=True))
 
     # The rest of asyncio's interface
 
     def set_protocol(self, protocol: asyncio.BaseProtocol) -> None:
-        """Have another protocol from now on."""
+        """Set the lab's protocol."""
         self._protocol = protocol
 
     def get_protocol(self) -> asyncio.BaseProtocol:
-        """The lab's protocol."""
+        """Return the lab's protocol."""
         protocol: asyncio.BaseProtocol = self._protocol
         return protocol
 
     def get_extra_info(self, name: str, default: Any = None) -> Any:
-        """Also `sent_at`: when what is being received was sent, on the loop's clock (s)."""
+        """Support the socket's names and `sent_at`: when (s of the loop) the received data was sent."""
         if name == "sent_at":
             return self._owner.loop.time() + (self.sent_ms - self.clock.now()) / 1000
         transport = self.node_socket.transport
         return default if transport is None else transport.get_extra_info(name, default)
 
-    def _forget(self) -> None:
+    def _remove_from_owner(self) -> None:
         self._owner.forget_transport(self)
--- a/flintridge/lab/backend/loopback.py
+++ b/flintridge/lab/backend/loopback.py
@@ -21,38 +21,38 @@
 from flintridge.lab.seeds import Seeds
 from flintridge.lab.truth import GroundTruth
 
-# Before the warm-up: what the lab's listeners and the starts of the nodes take on a slow machine
+# Time before the warm-up, enough to open the lab's listeners and start the nodes on a slow machine.
 LEAD_S = 2.0
 LEAD_PER_NODE_S = 0.25
 LEAD_PER_LISTENER_S = 0.0005
-OTHER_LISTENERS = (
-    3  # of each node's, beside those of the cache servers: origin, discovery and its second address
-)
-OLD_GENERATION_THRESHOLD = 1000  # collections of young objects before one of all, which takes 0.05 s and more
-SETTLE_MS = 500.0  # before the warm-up, when all should be ready
-MAX_LATENESS_P99_MS = 10.0  # beyond which rules may seem violated by the lab itself
+# Listeners for each node in addition to the cache servers: the origin and two addresses of discovery.
+OTHER_LISTENERS = 3
+# Garbage collections of younger objects before one of all objects, which takes 0.05 s and more.
+OLD_GENERATION_THRESHOLD = 1000
+SETTLE_MS = 500.0  # how long before the warm-up everything should be ready
+MAX_LATENESS_P99_MS = 10.0  # above this, delays of the lab itself may look like violations of rules
 MAX_LATENESS_MS = 50.0
-CANCEL_TIMEOUT_S = 5.0  # for a run that is cut short
+CANCEL_TIMEOUT_S = 5.0  # how long a cancelled run may take to clean up
 
 Outcome = tuple[str, RunUsage]
 Run = Callable[[Scenario, Seeds, RecordLog, Fabric, GroundTruth, Callable[[Any], NodeRunner]], Awaitable[Any]]
 
 
 def play_loopback(scenario: Scenario, seed: int, log: RecordLog, run: Run) -> Outcome:
-    """Play a scenario, in the main thread.
+    """Play a scenario; must be called in the main thread.
 
     Args:
         scenario: The scenario.
-        seed: Of all draws.
-        log: Takes the records.
+        seed: The seed of all random draws.
+        log: The log that receives the records.
         run: Plays the scenario on a fabric.
 
     Returns:
-        Why the run ended ("whole", or what cut it short or died), and what the nodes used.
+        Why the run ended ("whole", or the reason for a premature end), and the resources that the nodes used.
 
     Raises:
-        ValueError: If the system is not Linux.
-        OSError: If there are no ports or descriptors.
+        ValueError: If the operating system is not Linux.
+        OSError: If no ports or descriptors are available.
     """
     if sys.platform != "linux":
         raise ValueError("backend: 'loopback' needs Linux; 'virtual' runs everywhere")
@@ -69,7 +69,7 @@
 
 
 async def _cancelled_by_sigterm(playing: Awaitable[Outcome], received_signals: list[int]) -> Outcome:
-    """End the run at SIGTERM as at Ctrl-C, with all that has to be undone."""
+    """Cancel the run on SIGTERM, with the same cleanup as on Ctrl-C."""
     loop = asyncio.get_running_loop()
     task = asyncio.current_task()
     assert task is not None
@@ -105,12 +105,12 @@
 
     try:
         running = run(scenario, seeds, log, fabric, GroundTruth(), make_nodes)
-        completed = await _within(running, scenario.wall_limit_s)
+        completed = await _completes_within(running, scenario.wall_limit_s)
     finally:
-        # The nodes may take until after these instants to end, and nothing is sampled any more.
+        # The nodes may end only after these times, when nothing is sampled any more.
         for timer in timers:
             timer.cancel()
-        # First the connections, unrecorded: what the nodes do from now on is no part of the run.
+        # Close the connections first and record nothing: the shutdown of the nodes is not part of the run.
         fabric.stop()
         for nodes in created:
             await nodes.close()
@@ -122,13 +122,13 @@
 
 
 def process_nodes(fabric: LoopbackFabric, log: RecordLog, scenario: Scenario, world: Any) -> ProcessNodes:
-    """Return the nodes of a run, with the relays between them where they know one another.
+    """Create the nodes of a run, and the relays between them if the scenario has peers.
 
     Args:
         fabric: The network.
-        log: The run's records.
+        log: The log of the run's records.
         scenario: The scenario.
-        world: The fleet, which has the nodes' names and configurations.
+        world: The simulated fleet, which has the nodes' names and configurations.
     """
     nodes = ProcessNodes(fabric, log, fabric.clock, world.node_config, scenario, clients_of=fabric.clients_of)
     if scenario.peers is not None:
@@ -141,18 +141,18 @@
 
 
 def _freeze_objects() -> None:
-    """Have the garbage collector skip all objects that exist now.
+    """Exclude all existing objects from garbage collection.
 
-    Guards against pauses: listeners and requests drawn ahead, hundreds of thousands of objects, stay to the
-    end; a collection that visits them in the middle of the run would delay all timers by 0.2 s.
+    Listeners and requests drawn in advance, hundreds of thousands of objects, live until the end of the run.
+    A collection that visits them during the run would delay all timers by 0.2 s.
     """
     gc.collect()
     gc.freeze()
     gc.set_threshold(*gc.get_threshold()[:2], OLD_GENERATION_THRESHOLD)
 
 
-async def _within(running: Awaitable[Any], limit_s: float) -> bool:
-    """Whether the run ended in time; one that did not is given a little while to undo its effects."""
+async def _completes_within(running: Awaitable[Any], limit_s: float) -> bool:
+    """Return whether the run ended in time; otherwise cancel it and wait up to CANCEL_TIMEOUT_S."""
     task = asyncio.ensure_future(running)
     try:
         await asyncio.wait([task], timeout=limit_s)
@@ -172,17 +172,17 @@
     problems = list(fabric.problems)
     if lateness["p99_ms"] > MAX_LATENESS_P99_MS or lateness["max_ms"] > MAX_LATENESS_MS:
         problems.append(
-            f"the machine was too busy to judge by: timers were {lateness['p99_ms']:.1f} ms late (p99), "
+            f"the machine was too busy to judge the run: timers were {lateness['p99_ms']:.1f} ms late (p99), "
             f"{lateness['max_ms']:.1f} ms at most"
         )
     return end_reason, replace(usage, lateness_ms=lateness, lab_problems=problems)
 
 
 def lead_s(scenario: Scenario) -> float:
-    """Return the time (s) between the start of the run and that of its warm-up.
+    """Return the time (s) from the start of the run to the start of its warm-up.
 
     Args:
-        scenario: The scenario, which has the numbers of nodes and servers.
+        scenario: The scenario, which determines the numbers of nodes and servers.
     """
     listeners = sum(group.count for group in scenario.servers) + OTHER_LISTENERS
     return LEAD_S + scenario.nodes.count * (LEAD_PER_NODE_S + listeners * LEAD_PER_LISTENER_S)
--- a/flintridge/lab/backend/loopback_channel.py
+++ b/flintridge/lab/backend/loopback_channel.py
@@ -1,4 +1,4 @@
-"""One direction of a connection on loopback: what is sent comes out in order, each part when it is due."""
+"""One direction of a connection on loopback: messages are delivered in order, each when it is due."""
 
 import asyncio
 import math
@@ -9,7 +9,7 @@
 from flintridge.lab.backend.lateness import TimerLateness
 from flintridge.lab.fabric import Link, RunClock
 
-PIECE_GAP_MS = 0.1  # between the pieces of one write, so that the node can read them one by one
+PIECE_GAP_MS = 0.1  # minimum gap between the segments of one write, so that the node reads them separately
 TIMER_TOLERANCE_MS = 1e-3
 
 
@@ -27,24 +27,24 @@
 
 @dataclass(slots=True, frozen=True)
 class EndOfStream:
-    """The sender writes no more."""
+    """The sender closed its sending half."""
 
 
 @dataclass(slots=True, frozen=True)
 class Lost:
-    """The connection ended by an error."""
+    """The connection ended with an error."""
 
     error: Exception
 
 
 @dataclass(slots=True, frozen=True)
 class Close:
-    """The sender closes the connection in order."""
+    """The sender closes the connection cleanly."""
 
 
 @dataclass(slots=True, frozen=True)
 class Abort:
-    """The sender ends the connection at once, with a RST or as asyncio's transports do."""
+    """The sender aborts the connection, with an RST or as asyncio's transports do."""
 
     reset: bool
 
@@ -53,18 +53,18 @@
 
 
 @dataclass(slots=True, frozen=True)
-class _Queued:
+class _QueuedMessage:
     due_ms: float
     message: Message
     sent_ms: float
 
 
 class Channel:
-    """A queue of messages with their times. It has one timer, as equal timers have no order.
+    """A queue of messages with due times. It uses one timer, because timers of equal time have no order.
 
     Attributes:
         last_due_ms: When the latest message is due (ms of the run).
-        held: Whether nothing is delivered for now.
+        held: Whether delivery is suspended.
     """
 
     __slots__ = ("_clock", "_deliver", "_lateness", "_queue", "_timer", "held", "last_due_ms")
@@ -72,17 +72,17 @@
     def __init__(
         self, clock: RunClock, lateness: TimerLateness, deliver: Callable[[Message, float], None]
     ) -> None:
-        """Begin empty.
+        """Create an empty channel.
 
         Args:
             clock: The run's clock.
-            lateness: Notes how late messages are delivered.
-            deliver: Called with each message and when it was sent (ms of the run).
+            lateness: Records how late messages are delivered.
+            deliver: Called with each message and the time (ms of the run) at which it was sent.
         """
         self._clock = clock
         self._lateness = lateness
         self._deliver = deliver
-        self._queue: deque[_Queued] = deque()
+        self._queue: deque[_QueuedMessage] = deque()
         self._timer: asyncio.TimerHandle | None = None
         self.last_due_ms = -math.inf
         self.held = False
@@ -91,24 +91,24 @@
         """Add a message.
 
         Args:
-            message: What is sent.
-            due_ms: When it is delivered; not before the message that was put before it.
-            sent_ms: When it is sent.
+            message: The message.
+            due_ms: When to deliver it (ms of the run), but not before the message added before it.
+            sent_ms: When it is sent (ms of the run).
         """
         due_ms = max(due_ms, self.last_due_ms)
         self.last_due_ms = due_ms
-        self._queue.append(_Queued(due_ms, message, sent_ms))
+        self._queue.append(_QueuedMessage(due_ms, message, sent_ms))
         if self._timer is None and not self.held:
             self._timer = self._clock.call_at(due_ms, self._deliver_due)
 
     def put_data(self, data: bytes, link: Link, depart_ms: float, sent_ms: float) -> None:
-        """Add bytes in the pieces and with the delays of a link.
+        """Add data, with the segments and delays of a link.
 
         Args:
             data: The bytes of one write.
-            link: The way that they take.
-            depart_ms: When they depart, as far as their delay goes.
-            sent_ms: When they are sent.
+            link: The link that the data passes.
+            depart_ms: The time (ms of the run) from which the link's delay counts.
+            sent_ms: When the data is sent (ms of the run).
         """
         offset = 0
         gap_ms = 0.0
@@ -120,26 +120,26 @@
             gap_ms = PIECE_GAP_MS
 
     def is_empty(self) -> bool:
-        """Whether nothing is on its way."""
+        """Whether no message is in flight."""
         return not self._queue
 
     def has_overdue(self) -> bool:
-        """Whether something has arrived that is held."""
+        """Whether a message is due that has not been delivered."""
         return bool(self._queue) and self._queue[0].due_ms <= self._clock.now()
 
     def hold(self) -> None:
-        """Deliver nothing until `release`."""
+        """Suspend delivery until `release`."""
         self.held = True
         self._cancel_timer()
 
     def release(self) -> None:
-        """Deliver what is due, and go on."""
+        """Deliver the messages that are due, and continue."""
         self.held = False
         if self._timer is None and self._queue:
             self._timer = self._clock.call_at(self._queue[0].due_ms, self._deliver_due)
 
     def clear(self) -> None:
-        """Drop all that is on its way."""
+        """Drop all messages in flight."""
         self._queue.clear()
         self._cancel_timer()
 
@@ -153,7 +153,7 @@
         now = self._clock.now()
         if queue:
             self._lateness.note(now - queue[0].due_ms)
-        # The timer stands until the end: what is put meanwhile must not start a second one.
+        # `_timer` stays set during the loop, so that `put` does not start a second timer.
         try:
             while queue and not self.held and queue[0].due_ms <= now + TIMER_TOLERANCE_MS:
                 queued = queue.popleft()
--- a/flintridge/lab/backend/loopback_clock.py
+++ b/flintridge/lab/backend/loopback_clock.py
@@ -1,4 +1,4 @@
-"""The run's clock in real time."""
+"""The clock of a run in real time."""
 
 import asyncio
 import time
@@ -6,25 +6,25 @@
 
 
 class LoopbackClock:
-    """Time of a run on a real event loop."""
+    """The clock of a run on a real event loop."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop, start_s: float) -> None:
-        """Measure the time of a run.
+        """Create the clock of a run.
 
         Args:
-            loop: The loop.
-            start_s: Its time at which the run starts.
+            loop: The event loop.
+            start_s: The time of the loop at which the run starts, in s.
         """
         self._loop = loop
         self._start_s = start_s
         self._unix_start_ms = (time.time() - loop.time() + start_s) * 1000
 
     def now(self) -> float:
-        """Time of the run (ms); negative during the warm-up."""
+        """Return the time of the run (ms); negative during the warm-up."""
         return (self._loop.time() - self._start_s) * 1000
 
     def unix_ms(self, at: float) -> float:
-        """Return a time of the run (ms) as Unix time (ms)."""
+        """Convert a time of the run (ms) to Unix time (ms)."""
         return self._unix_start_ms + at
 
     def call_at(self, at: float, call: Callable[..., object], *args: object) -> asyncio.TimerHandle:
--- a/flintridge/lab/backend/loopback_fabric.py
+++ b/flintridge/lab/backend/loopback_fabric.py
@@ -1,4 +1,4 @@
-"""The fabric on loopback: a real event loop, real sockets in 127.0.0.0/8, the run's clock in real time."""
+"""The fabric on loopback: a real event loop, real sockets in 127.0.0.0/8, and a clock in real time."""
 
 import asyncio
 import socket
@@ -15,29 +15,29 @@
 from flintridge.lab.backend.precise_loop import raise_descriptor_limit as raise_descriptor_limit
 from flintridge.lab.fabric import Link, Links, Listener, RunClock
 
-FIRST_OCTET = 16  # the second one of addresses
-NODES_PER_PORT = 200  # the second octet counts them
+FIRST_OCTET = 16  # the lowest second octet of addresses
+NODES_PER_PORT = 200  # nodes on one port, distinguished by the second octet
 PARTIES_PER_OCTET = 250
-MAX_PROBLEMS = 100  # that are kept
+MAX_PROBLEMS = 100  # number of problems to keep
 
 
 class LoopbackFabric:
-    """A Fabric on loopback. Make it in a running loop; `close` ends all of it.
+    """A Fabric on loopback. Create it in a running loop; `close` shuts it down.
 
     Attributes:
         loop: The event loop.
         clock: The run's clock.
-        links: States and delays of all links.
-        lateness: How late the loop's timers are.
-        problems: Of the lab itself, the first few.
+        links: The states and delays of all links.
+        lateness: The lateness of the loop's timers.
+        problems: The first MAX_PROBLEMS problems of the lab itself.
     """
 
     def __init__(self, links: Links, lead_s: float = 0.0) -> None:
-        """Reserve ports, and begin to measure the lateness of timers.
+        """Reserve ports, and start to measure the lateness of timers.
 
         Args:
-            links: States and delays of all links.
-            lead_s: Time until the run starts.
+            links: The states and delays of all links.
+            lead_s: The time until the run starts, in s.
 
         Raises:
             OSError: If no range of ports is free.
@@ -48,7 +48,7 @@
         self.problems: list[str] = []
         self._ports = reserve_ports()
         self._party_numbers: dict[str, int] = {}
-        # Dicts that serve as sets: their order is that of arrival.
+        # Dicts serve as sets in order of insertion.
         self._transports: dict[LinkedTransport, None] = {}
         self._listeners: dict[LoopbackListener, None] = {}
         self._attaching: dict[asyncio.Task[Any], None] = {}
@@ -57,13 +57,13 @@
     # Fabric
 
     def address(self, party: str, node: str) -> Address:
-        """Return where `node` finds `party`: an address of this pair alone.
+        """Return the address at which `node` reaches `party`; each pair has its own.
 
         Raises:
-            ValueError: If the node's name is not `n` and a number.
+            ValueError: If the node's name is not `n` followed by a number.
         """
         if node[:1] != "n" or not node[1:].isdecimal():
-            raise ValueError(f"node {node!r}: n0, n1 ... are the nodes' names")
+            raise ValueError(f"node {node!r}: names of nodes are n0, n1 ...")
         node_number = int(node[1:])
         party_number = self._party_numbers.setdefault(party, len(self._party_numbers))
         octets = (
@@ -75,7 +75,7 @@
         return ".".join(map(str, octets)), self._ports.first + node_number // NODES_PER_PORT
 
     async def listen(self, party: str, node: str, factory: Callable[[], asyncio.Protocol]) -> Listener:
-        """Accept connections at `address(party, node)`, by a protocol of the factory for each.
+        """Accept connections at `address(party, node)`, each with a protocol that the factory creates.
 
         Raises:
             OSError: If the address is in use.
@@ -91,10 +91,10 @@
     ) -> asyncio.Transport:
         """Open a client's connection to a node's listener.
 
-        It hangs where a link is silent, or becomes so on the way.
+        The call never completes if a link is silent or becomes silent during the handshake.
 
         Raises:
-            OSError: If it is refused or reset.
+            OSError: If the connection is refused or reset.
         """
         out = self.links.link(party, node)
         back = self.links.link(node, party)
@@ -106,37 +106,37 @@
         try:
             await self.loop.create_connection(lambda: transport.node_socket, sock=sock)
             await transport.ready
-        except BaseException:  # also where the caller waits no longer
+        except BaseException:  # also if the caller is cancelled
             transport.drop()
             raise
         return transport
 
     def sent_at(self, transport: asyncio.BaseTransport) -> float:
-        """When (ms of the run) the peer sent the bytes that are being received now."""
+        """Return when (ms of the run) the peer sent the bytes that are being received."""
         assert isinstance(transport, LinkedTransport)
         return transport.sent_ms
 
     def links_changed(self) -> None:
-        """Have listeners follow the links, and reset connections on those that are reset now."""
+        """Update listeners to the states of the links, and reset connections on links in state `reset`."""
         for listener in list(self._listeners):
             listener.refresh()
         for transport in list(self._transports):
             if state_of(transport.out, transport.back) == "reset":
                 transport.cut()
 
-    # For the run
+    # Used by the run
 
     @property
     def connections(self) -> int:
-        """Connections that are not wholly over."""
+        """The number of connections that have not ended on both sides."""
         return len(self._transports)
 
     def clients_of(self, node: str) -> int:
-        """Count the connections of clients to a node that are not wholly over."""
+        """Return the number of client connections to a node that have not ended on both sides."""
         return sum(1 for transport in self._transports if transport.client_of == node)
 
     def stop(self) -> None:
-        """End all listeners and connections; no protocol learns of it, so that nothing is recorded."""
+        """Close all listeners and connections; protocols are not notified, so that nothing is recorded."""
         self.lateness.close()
         for listener in list(self._listeners):
             listener.close()
@@ -146,30 +146,30 @@
             task.cancel()
 
     def close(self) -> None:
-        """Stop, and release the ports: after the nodes have ended, which have some of them."""
+        """Stop, and release the ports; call it after the nodes have ended, because they use the ports."""
         self.stop()
         self._ports.release()
 
-    # For listeners and connections
+    # Used by listeners and connections
 
     def forget_transport(self, transport: LinkedTransport) -> None:
-        """A connection is wholly over."""
+        """Remove a connection that has ended on both sides."""
         self._transports.pop(transport, None)
 
     def forget_listener(self, listener: LoopbackListener) -> None:
-        """A listener is closed."""
+        """Remove a listener that is closed."""
         self._listeners.pop(listener, None)
 
     def accepted(
         self, sock: socket.socket, factory: Callable[[], asyncio.Protocol], out: Link, back: Link
     ) -> None:
-        """Put the links between the protocol of an accepted connection and its socket.
+        """Insert the links between the protocol of an accepted connection and its socket.
 
         Args:
-            sock: The socket.
-            factory: Returns the lab's protocol.
-            out: Leads to the node.
-            back: Leads from the node.
+            sock: The accepted socket.
+            factory: Creates the lab's protocol.
+            out: The link to the node.
+            back: The link from the node.
         """
         transport = LinkedTransport(self, factory, out, back, accepted=True)
         self._transports[transport] = None
@@ -178,32 +178,32 @@
         task.add_done_callback(lambda done: self._attaching.pop(done, None))
 
     def report_problem(self, error: Exception, message: str) -> None:
-        """Note that something went wrong in the lab itself.
+        """Record a problem of the lab itself.
 
         Args:
-            error: What was raised.
-            message: What could not be done.
+            error: The exception.
+            message: The operation that failed.
         """
         if len(self.problems) < MAX_PROBLEMS:
             self.problems.append(f"{message}: {error}")
 
-    # Inner
+    # Internal
 
     async def _attach(self, transport: LinkedTransport, sock: socket.socket) -> None:
         try:
             await self.loop.connect_accepted_socket(lambda: transport.node_socket, sock)
-        except OSError:  # it was gone before it could be attached
+        except OSError:  # the connection ended before it was attached
             sock.close()
             transport.drop()
 
     async def _pass_handshake(self, link: Link) -> None:
-        """Take a handshake's step over a link, which may be silent or reset before it or after it."""
+        """Pass one step of a handshake over a link, whose state may change during the delay."""
         _raise_if_reset(link)
         if link.state == "up":
             await asyncio.sleep(link.delay(self.clock.now(), 0) / 1000)
             _raise_if_reset(link)
         if link.state == "silent":
-            await self.loop.create_future()  # until the caller gives up
+            await self.loop.create_future()  # never completes; the caller may cancel
 
     async def _dial(self, address: Address, back: Link) -> socket.socket:
         sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
--- a/flintridge/lab/backend/loopback_listener.py
+++ b/flintridge/lab/backend/loopback_listener.py
@@ -10,40 +10,41 @@
 from flintridge.lab.fabric import Link
 
 Address = tuple[str, int]
-BACKLOG = 1024  # connections that wait to be accepted, a listener
-ACCEPTS_PER_TURN = 64  # that one turn of the loop takes from a listener
-ACCEPT_PAUSE_S = 0.1  # until a listener that got no descriptor tries again
+BACKLOG = 1024  # connections that may wait to be accepted, per listener
+ACCEPTS_PER_TURN = 64  # connections accepted per listener in one iteration of the loop
+ACCEPT_PAUSE_S = 0.1  # until a listener retries after accept() failed, for example for lack of descriptors
 
-# Of Linux, which Python has no names for
+# Constants of Linux that Python does not define.
 SO_ATTACH_FILTER = 26
 SO_DETACH_FILTER = 27
 BPF_RET = 0x06
-DROP_ALL = ctypes.create_string_buffer(struct.pack("HBBI", BPF_RET, 0, 0, 0))  # "return 0": no byte passes
+# The filter program "return 0", which drops every packet.
+DROP_ALL = ctypes.create_string_buffer(struct.pack("HBBI", BPF_RET, 0, 0, 0))
 
 
 class ListenerOwner(Protocol):
-    """What a listener needs of the fabric that it is part of."""
+    """The interface of the fabric that listeners use."""
 
     loop: asyncio.AbstractEventLoop
 
     def forget_listener(self, listener: "LoopbackListener") -> None:
-        """The listener is closed."""
+        """Remove a listener that is closed."""
 
     def accepted(
         self, sock: socket.socket, factory: Callable[[], asyncio.Protocol], out: Link, back: Link
     ) -> None:
-        """A connection was accepted."""
+        """Handle an accepted connection."""
 
     def report_problem(self, error: Exception, message: str) -> None:
-        """Something went wrong in the lab itself."""
+        """Record a problem of the lab itself."""
 
 
 class LoopbackListener:
-    """A listening socket that does what the links say.
+    """A listening socket that follows the states of the links.
 
-    `up`: it accepts. `silent`: a filter on the socket drops all that comes, so that a connect hangs, and
-    nothing is refused at the change. `reset`: it is closed, so that the kernel refuses, and opened again
-    afterwards.
+    `up`: it accepts connections. `silent`: a filter on the socket drops all packets, so that a connect hangs
+    and none is refused when the state changes. `reset`: the socket is closed, so that the kernel refuses
+    connections; it is opened again afterwards.
     """
 
     def __init__(
@@ -54,14 +55,14 @@
         back: Link,
         factory: Callable[[], asyncio.Protocol],
     ) -> None:
-        """Listen as the links are now.
+        """Start to listen, according to the current states of the links.
 
         Args:
             owner: The fabric.
-            address: Where to listen.
-            out: Leads to the node.
-            back: Leads from the node.
-            factory: Returns the lab's protocol of each connection.
+            address: The address to listen at.
+            out: The link to the node.
+            back: The link from the node.
+            factory: Creates the lab's protocol for each connection.
 
         Raises:
             OSError: If the address is in use.
@@ -79,7 +80,7 @@
         self.refresh()
 
     def refresh(self) -> None:
-        """Follow the links, whose states may have changed."""
+        """Apply the current states of the links."""
         state = state_of(self._out, self._back)
         if self._closed:
             return
@@ -98,7 +99,7 @@
             self._set_filter(silent)
 
     def close(self) -> None:
-        """Refuse new connections from now on; those that are open stay."""
+        """Refuse new connections from now on; open connections stay."""
         self._closed = True
         self._close_socket()
         self._owner.forget_listener(self)
@@ -146,7 +147,10 @@
             self._owner.accepted(sock, self._factory, self._out, self._back)
 
     def _pause_accepting(self, error: OSError) -> None:
-        """Guards against a busy loop: with no descriptor to be had, the listener stays ready."""
+        """Stop accepting for a while.
+
+        Without a free descriptor the listener stays readable, and the loop would retry without end.
+        """
         assert self._socket is not None
         self._owner.report_problem(error, f"cannot accept at {self._address}")
         self._owner.loop.remove_reader(self._socket.fileno())
@@ -158,7 +162,7 @@
 
 
 def state_of(out: Link, back: Link) -> str:
-    """Return the state of both directions together: silent beats reset beats up."""
+    """Return the combined state of both directions, in the order of precedence silent, reset, up."""
     states = (out.state, back.state)
     if "silent" in states:
         return "silent"
--- a/flintridge/lab/backend/loopback_ports.py
+++ b/flintridge/lab/backend/loopback_ports.py
@@ -1,13 +1,13 @@
-"""Ranges of ports, of which each run on the machine has one of its own."""
+"""Ranges of ports; each run on a machine reserves its own range."""
 
 import errno
 import socket
 from dataclasses import dataclass
 
 FIRST_PORT = 20_000
-LAST_PORT = 32_000  # below the ports that kernels hand out
+LAST_PORT = 32_000  # below the ephemeral ports of the kernel
 PORTS_PER_RUN = 8
-RESERVATION_HOST = "127.15.255.1"  # a port held here keeps other runs off it
+RESERVATION_HOST = "127.15.255.1"  # a port bound at this address is reserved for one run
 
 
 @dataclass(slots=True, frozen=True)
@@ -15,24 +15,24 @@
     """The ports of one run.
 
     Attributes:
-        first: The first of `PORTS_PER_RUN`.
-        reservations: The sockets that hold them.
+        first: The first of `PORTS_PER_RUN` ports.
+        reservations: The sockets that reserve the ports.
     """
 
     first: int
     reservations: list[socket.socket]
 
     def release(self) -> None:
-        """Leave the ports to others."""
+        """Release the ports, so that other runs can reserve them."""
         for sock in self.reservations:
             sock.close()
 
 
 def reserve_ports() -> PortRange:
-    """Reserve a range that no other run has.
+    """Reserve a range of ports that no other run uses.
 
     Raises:
-        OSError: If none is free.
+        OSError: If no range is free.
     """
     for first in range(FIRST_PORT, LAST_PORT, PORTS_PER_RUN):
         reservations: list[socket.socket] = []
--- a/flintridge/lab/backend/node_faults.py
+++ b/flintridge/lab/backend/node_faults.py
@@ -1,4 +1,4 @@
-"""Faults of the operating systems of real node processes: which nodes may have them, and how these start."""
+"""Operating system faults of real node processes: which nodes they may affect, and how those are started."""
 
 import sys
 from pathlib import Path
@@ -12,13 +12,13 @@
 
 
 class NodeFaults:
-    """The channels to the processes of a run's nodes."""
+    """The fault channels to the processes of a run's nodes."""
 
     def __init__(self, folder: Path, scenario: Scenario) -> None:
-        """Open no channel yet.
+        """Create without open channels.
 
         Args:
-            folder: The run's own, for the channels and the nodes' temporary folders.
+            folder: The run's folder, for the channel files and the nodes' temporary folders.
             scenario: The scenario.
         """
         self._folder = folder
@@ -26,44 +26,44 @@
         self._channels: dict[str, FaultChannel] = {}
 
     def may_affect(self, node: str) -> bool:
-        """Whether the scenario has a fault that may affect this node's operating system."""
+        """Whether the scenario has an operating system fault that may affect this node."""
         number = int(node[1:]) if node[1:].isdigit() else -1
         return any(not fault.nodes or number in fault.nodes for fault in self._faults)
 
     def command(self, node: str, seed: str) -> tuple[str, ...]:
-        """Return the command that starts a node with such faults.
+        """Return the command that starts a node with operating system faults.
 
         Args:
             node: The node's name.
-            seed: Of the draws.
+            seed: The seed for drawing faults.
 
         Raises:
-            OSError: If its channel cannot be made.
+            OSError: If the node's channel cannot be created.
         """
         self._channel(node)
         return (*FAULTY_NODE, str(self._path(node)), seed)
 
     def environment(self, node: str) -> dict[str, str]:
-        """Return further environment variables of such a node: a temporary folder of its own.
+        """Return the additional environment variables of such a node, which set its own temporary folder.
 
         Raises:
-            OSError: If the folder cannot be made.
+            OSError: If the folder cannot be created.
         """
         folder = self._folder / f"{node}.tmp"
         folder.mkdir(exist_ok=True)
         return {"TMPDIR": str(folder)}
 
     def set_state(self, node: str, state: SystemState) -> None:
-        """Set what is wrong with a node's operating system.
+        """Set the faults of a node's operating system.
 
         Raises:
-            OSError: If its channel cannot be made.
+            OSError: If the node's channel cannot be created.
             ValueError: If the state is too large.
         """
         self._channel(node).set_state(state)
 
     def counts(self, node: str) -> dict[str, int]:
-        """Return the faults injected at a node so far, by their counters' names."""
+        """Return the number of faults injected at a node so far, by counter name."""
         return self._channels[node].counts() if node in self._channels else {}
 
     def _path(self, node: str) -> Path:
--- a/flintridge/lab/backend/node_launcher.py
+++ b/flintridge/lab/backend/node_launcher.py
@@ -17,24 +17,24 @@
 
 ROOT = Path(flintridge.__file__).resolve().parent.parent
 CHILD = Path(__file__).with_name("child.py")
-SETTINGS_PREFIX = "PROXY_"  # of the environment variables that a node reads
+SETTINGS_PREFIX = "PROXY_"  # prefix of the environment variables that a node reads
 
 
 class NodeLauncher:
-    """Starts nodes from a folder that has the files of one run.
+    """Starts nodes, with their files in a folder for one run.
 
     Attributes:
-        folder: The run's own folder.
-        faults: Faults of the nodes' operating systems.
+        folder: The folder for the files of this run.
+        faults: The faults of the nodes' operating systems.
     """
 
     def __init__(self, fabric: Fabric, scenario: Scenario, command: Sequence[str]) -> None:
-        """Make the folder.
+        """Create the folder.
 
         Args:
-            fabric: It has the nodes' addresses.
+            fabric: The fabric, which has the nodes' addresses.
             scenario: The scenario.
-            command: Starts a node that no fault of an operating system may affect.
+            command: The command for nodes that no operating system fault may affect.
         """
         self.folder = Path(tempfile.mkdtemp(prefix="flintridge-lab-"))
         self.faults = NodeFaults(self.folder, scenario)
@@ -43,7 +43,7 @@
         self._command = tuple(command)
 
     def config_path(self, name: str) -> Path:
-        """Return where a node's configuration file lies.
+        """Return the path of a node's configuration file.
 
         Args:
             name: The node's name.
@@ -51,23 +51,23 @@
         return self.folder / f"{name}.json"
 
     def write_config(self, name: str, config: dict[str, Any]) -> None:
-        """Write a configuration file, whole or not at all: a node may read it at any time.
+        """Replace a configuration file atomically, because a node may read it at any time.
 
         Args:
             name: The node's name.
-            config: What the file contains.
+            config: The content of the file.
         """
         new = self.config_path(name).with_suffix(".new")
         new.write_text(json.dumps(config))
         new.replace(self.config_path(name))
 
     def write_variant(self, node: str, name: str, **changes: object) -> None:
-        """Write a configuration file that differs from a node's in some values.
+        """Write a copy of a node's configuration file with some values changed.
 
         Args:
-            node: The node.
+            node: The node's name.
             name: The name of the variant.
-            **changes: The values that differ.
+            **changes: The values to change.
         """
         config = json.loads(self.config_path(node).read_text())
         self.config_path(name).write_text(json.dumps({**config, **changes}))
@@ -77,14 +77,14 @@
 
         Args:
             node: The node's name.
-            config: Its configuration file.
-            seed: Of the draws of its operating system's faults.
+            config: The path of its configuration file.
+            seed: The seed for drawing its operating system faults.
 
         Returns:
-            The process, which ends with this one, with all its output in a pipe.
+            The process. It is killed when this process ends, and all its output goes to a pipe.
 
         Raises:
-            OSError: If it cannot be started.
+            OSError: If the process cannot be started.
         """
         environment = self._environment(node, config)
         command = self._command
@@ -99,7 +99,7 @@
             stdin=subprocess.DEVNULL,
             stdout=subprocess.PIPE,
             stderr=subprocess.STDOUT,
-            start_new_session=True,  # a Ctrl-C at the terminal is the lab's to deal with
+            start_new_session=True,  # Ctrl-C at the terminal must reach only the lab
         )
 
     def remove_folder(self) -> None:
--- a/flintridge/lab/backend/node_output.py
+++ b/flintridge/lab/backend/node_output.py
@@ -1,4 +1,4 @@
-"""The output of a node's process: its log events, its counters, and its last words."""
+"""The output of a node's process: its log events, its counters, and its final error output."""
 
 import os
 from collections import Counter, deque
@@ -7,13 +7,13 @@
 import msgspec
 
 MAX_KEPT_LINES = 2000
-MAX_LINE_BYTES = 64 * 1024  # what is longer is cut
+MAX_LINE_BYTES = 64 * 1024  # longer lines are truncated
 READ_BYTES = 64 * 1024
-MAX_TEXT_CHARACTERS = 300  # of output in a record
+MAX_TEXT_CHARACTERS = 300  # limit of a text in a record
 
 
 class _Event(msgspec.Struct):
-    """A line of a node's log, as far as it is read here."""
+    """The fields of a node's log line that are read here."""
 
     event: str
 
@@ -22,21 +22,21 @@
 
 
 class NodeOutput:
-    """What a node's process writes, read without waiting.
+    """The output of a node's process, read without blocking.
 
     Attributes:
-        descriptor: The pipe that it comes from.
-        lines: The last lines.
-        events: How many events there were of each name.
-        counters: The process's counters, as it last logged them.
-        on_event: Called with the name and the line of each event.
+        descriptor: The read end of the output pipe.
+        lines: The last MAX_KEPT_LINES lines.
+        events: The number of log events by name.
+        counters: The process's counters as it logged them last.
+        on_event: Called with the name and the line of each log event.
     """
 
     def __init__(self, descriptor: int) -> None:
         """Read from a pipe.
 
         Args:
-            descriptor: Its end, which does not wait from now on.
+            descriptor: The read end of the pipe; it is set to non-blocking.
         """
         self.descriptor = descriptor
         os.set_blocking(descriptor, False)
@@ -47,7 +47,7 @@
         self._incomplete = b""
 
     def read(self) -> bool:
-        """Read what there is.
+        """Read all available output.
 
         Returns:
             False at the end of the output.
@@ -67,8 +67,8 @@
                 self._add_line(line)
             self._incomplete = incomplete[:MAX_LINE_BYTES]
 
-    def last_words(self) -> str:
-        """The end of the output that is no event: a traceback or an error message."""
+    def final_output(self) -> str:
+        """Return the last lines that are not log events, such as a traceback or an error message."""
         others = [line.strip() for line in self.lines if line.strip() and not line.startswith("{")]
         return " | ".join(others[-3:])[-MAX_TEXT_CHARACTERS:]
 
@@ -76,7 +76,7 @@
         self.lines.append(line[:MAX_LINE_BYTES].decode(errors="replace"))
         try:
             event = _events.decode(line).event
-        except msgspec.MsgspecError:  # a traceback, or a line that was cut
+        except msgspec.MsgspecError:  # a traceback, or a truncated line
             return
         self.events[event] += 1
         self.on_event(event, line)
--- a/flintridge/lab/backend/node_process.py
+++ b/flintridge/lab/backend/node_process.py
@@ -10,14 +10,14 @@
 from flintridge.lab.backend.node_output import NodeOutput
 from flintridge.lab.backend.process_resources import ProcessResources
 
-KILL_TIMEOUT_S = 5.0  # that the kernel may take over SIGKILL
+KILL_TIMEOUT_S = 5.0  # how long the end of a process may take after SIGKILL
 
 
 class EndRequest(Enum):
-    """Who asked a process to end."""
+    """How and by whom a process was asked to end."""
 
     NONE = "none"
-    TERM = "term"  # a fault, by SIGTERM
+    TERM = "term"  # a fault of the scenario, by SIGTERM
     KILL = "kill"
     CLOSE = "close"  # the end of the run
 
@@ -27,16 +27,16 @@
 
     Attributes:
         node: The node's name.
-        popen: The process.
+        popen: The subprocess.
         pidfd: A descriptor that is readable once the process has ended.
-        output: What it writes.
-        resources: What it uses.
+        output: The output of the process.
+        resources: The resources that the process uses.
         end_request: Whether and how it was asked to end.
-        ended: Set once it has ended and was reaped.
+        ended: Set once the process has ended and was reaped.
     """
 
     def __init__(self, node: str, popen: subprocess.Popen[bytes]) -> None:
-        """Take over a process that was started.
+        """Take over a process that was just started.
 
         Args:
             node: The node's name.
@@ -52,10 +52,10 @@
         self.ended = asyncio.Event()
 
     def send_signal(self, number: int) -> None:
-        """Send a signal through the pidfd: it cannot reach another process that got the same number.
+        """Send a signal through the pidfd, so that it cannot reach a process that reuses the process ID.
 
         Args:
-            number: Of the signal.
+            number: The signal number.
         """
         with contextlib.suppress(ProcessLookupError):
             signal.pidfd_send_signal(self.pidfd, number)
@@ -64,7 +64,7 @@
         """Reap the process once it has ended.
 
         Returns:
-            Its exit code (negative: the signal); None while it runs.
+            The exit code (the negative signal number if killed by a signal), or None while the process runs.
         """
         pid, status, usage = os.wait4(self.popen.pid, os.WNOHANG)
         if not pid:
@@ -74,14 +74,14 @@
         return self.popen.returncode
 
     def kill_now(self) -> None:
-        """Kill the process with its group and wait for its end, without an event loop."""
+        """Kill the process and its process group, and wait for its end without an event loop."""
         with contextlib.suppress(ProcessLookupError, PermissionError):
             os.killpg(self.popen.pid, signal.SIGKILL)
         with contextlib.suppress(ChildProcessError, subprocess.TimeoutExpired):
             self.popen.wait(KILL_TIMEOUT_S)
 
     def close(self) -> None:
-        """Close its descriptors after its end."""
+        """Close the descriptors of a process that has ended."""
         os.close(self.pidfd)
         assert self.popen.stdout is not None
         self.popen.stdout.close()
--- a/flintridge/lab/backend/node_recorder.py
+++ b/flintridge/lab/backend/node_recorder.py
@@ -1,4 +1,4 @@
-"""Records of what is observed of real nodes."""
+"""Records observations of real nodes."""
 
 from flintridge.lab.backend.node_output import MAX_TEXT_CHARACTERS
 from flintridge.lab.fabric import RunClock
@@ -7,13 +7,13 @@
 
 
 class NodeRecorder:
-    """Adds records of nodes at the present time."""
+    """Adds records about nodes, with the current time."""
 
     def __init__(self, log: RecordLog, clock: RunClock, with_log_lines: bool) -> None:
-        """Record into a log.
+        """Create a recorder.
 
         Args:
-            log: The run's records.
+            log: The log of the run's records.
             clock: The run's clock.
             with_log_lines: Whether the nodes' log lines are recorded.
         """
@@ -26,23 +26,23 @@
 
         Args:
             node: The node's name.
-            state: What happened.
-            code: The exit code, at an end.
-            text: More about it.
+            state: The new state, such as "started" or "exited".
+            code: The exit code if the process ended.
+            text: Further details.
         """
         text = text[:MAX_TEXT_CHARACTERS]
         now = self._clock.now()
         self._log.add(NodeStateChanged(at_ms=now, node=node, state=state, code=code, text=text))
 
     def connections(self, node: str, with_servers: int, with_clients: int) -> None:
-        """Record how many connections a node has."""
+        """Record the numbers of a node's connections with servers and with clients."""
         now = self._clock.now()
         self._log.add(
             ConnectionCount(at_ms=now, node=node, server_side=with_servers, client_side=with_clients)
         )
 
     def log_line(self, node: str, event: str, line: bytes) -> None:
-        """Record a line of a node's log, where these are recorded."""
+        """Record a line of a node's log if log lines are recorded."""
         if self._with_log_lines:
             text = line.decode(errors="replace")
             self._log.add(NodeLogLine(at_ms=self._clock.now(), node=node, event=event, fields=text))
--- a/flintridge/lab/backend/node_socket.py
+++ b/flintridge/lab/backend/node_socket.py
@@ -1,4 +1,4 @@
-"""The real socket of a connection with a node, as the protocol that asyncio drives."""
+"""The asyncio protocol for the real socket of a connection with a node."""
 
 import asyncio
 import contextlib
@@ -21,11 +21,11 @@
 )
 from flintridge.lab.fabric import Link, RunClock
 
-LINGER_ZERO = struct.pack("ii", 1, 0)  # closing sends a RST
+LINGER_ZERO = struct.pack("ii", 1, 0)  # with this option, closing sends an RST
 
 
 class LabSide(Protocol):
-    """The lab's side of a connection, as its socket knows it."""
+    """The interface of the lab's side of a connection that its socket uses."""
 
     clock: RunClock
     out: Link
@@ -36,28 +36,28 @@
     ended: bool
 
     def passes(self, link: Link) -> bool:
-        """Whether the link lets something pass now."""
+        """Whether the link lets a message pass now."""
 
     def is_done(self) -> bool:
-        """Whether the lab's side has ended, or will never begin."""
+        """Whether the lab's side has ended, or can never start."""
 
     def finish(self) -> None:
-        """Both sides have ended."""
+        """Clean up after both sides have ended."""
 
     def check_writing(self) -> None:
-        """Pause or resume the lab's protocol by the send flow."""
+        """Pause or resume writing by the lab's protocol, as the send flow requires."""
 
 
 class NodeSocket(asyncio.Protocol):
-    """A node's real socket.
+    """The real socket of a connection with a node.
 
     Attributes:
-        transport: Of asyncio; None before the connection is made.
-        lost: Whether the connection is gone.
+        transport: asyncio's transport; None before the connection is made.
+        lost: Whether the connection has ended.
     """
 
     def __init__(self, lab: LabSide, accepted: bool) -> None:
-        """Wait for asyncio's transport.
+        """Create the protocol; asyncio provides the transport later.
 
         Args:
             lab: The lab's side.
@@ -67,13 +67,13 @@
         self.lost = False
         self._lab = lab
         self._accepted = accepted
-        self._handshake_done_ms = -math.inf  # for the node, by the links
+        self._handshake_done_ms = -math.inf  # when the modelled handshake is complete for the node
         self._window = ReceiveWindow()
 
     # asyncio.Protocol
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Begin: the lab's protocol learns of it after the way back."""
+        """Start the connection; the lab's protocol is notified after the delay of the return link."""
         assert isinstance(transport, asyncio.Transport)
         lab = self._lab
         self.transport = transport
@@ -84,13 +84,13 @@
         now = lab.clock.now()
         made_ms = now + lab.back.delay(now, 0)
         if self._accepted:
-            # The kernel took no time over the handshake; what the node sends waits for the one of the model.
+            # The kernel completes the handshake without delay. Data from the node waits for the modelled one.
             self._handshake_done_ms = made_ms + lab.out.delay(made_ms, 0)
         if lab.passes(lab.back) and lab.passes(lab.out):
             lab.incoming.put(Established(), made_ms, now)
 
     def data_received(self, data: bytes) -> None:
-        """Send what the node wrote over the way back."""
+        """Send the data that the node wrote over the return link."""
         lab = self._lab
         if not lab.passes(lab.back):
             return
@@ -102,9 +102,9 @@
             self.transport.pause_reading()
 
     def eof_received(self) -> bool:
-        """Send the end of the node's stream over the way back; the socket stays open for writing."""
+        """Send the end of the node's stream over the return link; the socket stays open for writing."""
         lab = self._lab
-        if lab.is_done():  # both sides are done, once what is on its way out has left
+        if lab.is_done():  # both sides have ended once the messages to the node are delivered
             return not lab.outgoing.is_empty()
         if lab.passes(lab.back):
             now = lab.clock.now()
@@ -113,7 +113,7 @@
         return True
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Send the connection's end over the way back."""
+        """Send the end of the connection over the return link."""
         lab = self._lab
         self.lost = True
         if lab.is_done():
@@ -123,36 +123,36 @@
             lab.incoming.put(Lost(exc or connection_reset()), now + lab.back.delay(now, 0), now)
 
     def pause_writing(self) -> None:
-        """Note that the node's kernel takes no more."""
+        """Record that the node's kernel accepts no more data."""
         self._lab.send_flow.socket_paused = True
         self._lab.check_writing()
 
     def resume_writing(self) -> None:
-        """Note that the node's kernel takes more."""
+        """Record that the node's kernel accepts data again."""
         self._lab.send_flow.socket_paused = False
         self._lab.check_writing()
 
-    # For the lab's side
+    # Used by the lab's side
 
     def arrived(self, size: int) -> None:
-        """Read on where enough has arrived at the lab.
+        """Account for data that arrived at the lab, and resume reading if the window has room.
 
         Args:
-            size: Bytes that arrived.
+            size: The number of bytes that arrived.
         """
         if self._window.remove(size) is FlowChange.RESUME and self.transport is not None:
             self.transport.resume_reading()
 
     def deliver(self, message: Message) -> None:
-        """Do what a message from the lab says.
+        """Apply a message from the lab to the socket.
 
         Args:
-            message: It has passed the way out.
+            message: The message, which has passed the link to the node.
         """
         transport = self.transport
         assert transport is not None
         if transport.is_closing():
-            return  # the socket broke in this turn of the loop, which `connection_lost` is about to tell
+            return  # the socket failed in this iteration of the loop; `connection_lost` follows
         match message:
             case Data():
                 transport.write(message.data)
@@ -166,7 +166,7 @@
                 transport.abort()
 
     def reset(self) -> None:
-        """End the connection now, with a RST."""
+        """End the connection immediately, with an RST."""
         if self.transport is None or self.lost:
             return
         sock = self.transport.get_extra_info("socket")
--- a/flintridge/lab/backend/precise_loop.py
+++ b/flintridge/lab/backend/precise_loop.py
@@ -1,21 +1,21 @@
-"""An event loop whose timers are late by microseconds, and this process's limit of descriptors."""
+"""An event loop with timers precise to microseconds, and the limit of descriptors of this process."""
 
 import asyncio
 import resource
 import select
 import selectors
 
-FD_SETSIZE = 1024  # select() takes smaller descriptors only
+FD_SETSIZE = 1024  # select() accepts only descriptors below this number
 
 
 class PreciseSelector(selectors.EpollSelector):
-    """Waits by select(), in microseconds: epoll waits in whole milliseconds, longer than short delays."""
+    """Waits with select(), in microseconds; epoll waits whole milliseconds, longer than short link delays."""
 
     def select(self, timeout: float | None = None) -> list[tuple[selectors.SelectorKey, int]]:
         """Wait for descriptors that are ready.
 
         Args:
-            timeout: At most so long (s); None: as long as it takes.
+            timeout: The maximum time to wait, in s; None means no limit.
         """
         own = self.fileno()
         if timeout is not None and timeout > 0 and own < FD_SETSIZE:
@@ -30,7 +30,7 @@
 
 
 def raise_descriptor_limit() -> int:
-    """Allow this process all the descriptors that it may have, and return their number."""
+    """Raise the limit of descriptors of this process to the hard limit, and return it."""
     _, hard_limit = resource.getrlimit(resource.RLIMIT_NOFILE)
     resource.setrlimit(resource.RLIMIT_NOFILE, (hard_limit, hard_limit))
     return hard_limit
--- a/flintridge/lab/backend/process_resources.py
+++ b/flintridge/lab/backend/process_resources.py
@@ -5,27 +5,27 @@
 import time
 from pathlib import Path
 
-SAMPLE_S = 1.0  # between two samples
-SATURATED_CORES = 0.95  # from which on a core counts as used wholly
+SAMPLE_S = 1.0  # interval between two samples
+SATURATED_CORES = 0.95  # CPU use, in cores, from which on a core counts as saturated
 TICKS_PER_S = os.sysconf("SC_CLK_TCK")
 KIB_PER_MIB = 1024
 
 
 class ProcessResources:
-    """What one process uses.
+    """The resources that one process uses.
 
     Attributes:
-        cpu_s: CPU time so far.
-        memory_mb: The most memory that it held.
-        peak_cores: The most CPU used between two samples, in cores.
-        max_saturated_s: The longest time in which it used a core wholly.
+        cpu_s: The CPU time so far, in s.
+        memory_mb: The peak resident memory, in MiB.
+        peak_cores: The highest CPU use between two samples, in cores.
+        max_saturated_s: The longest period in which it saturated a core, in s.
     """
 
     def __init__(self, pid: int) -> None:
-        """Begin with a process that starts now.
+        """Create for a process that has just started.
 
         Args:
-            pid: Its number.
+            pid: The process ID.
         """
         self.cpu_s = 0.0
         self.memory_mb = 0.0
@@ -37,7 +37,7 @@
         self._sampled_cpu_s = 0.0
 
     def sample(self) -> None:
-        """Take a sample of CPU time and memory; what cannot be read any more is left out."""
+        """Sample CPU time and memory; does nothing if the process has ended."""
         try:
             stat = (self._folder / "stat").read_text()
             status = (self._folder / "status").read_text()
@@ -53,7 +53,7 @@
                 self.memory_mb = max(self.memory_mb, int(line.split()[1]) / KIB_PER_MIB)
 
     def open_sockets(self) -> int | None:
-        """How many sockets the process has open; None where that cannot be read any more."""
+        """Return the number of open sockets, or None if the process has ended."""
         count = 0
         try:
             for entry in os.scandir(self._folder / "fd"):
@@ -68,7 +68,7 @@
         elapsed_s = now_s - self._sampled_at_s
         used_s = cpu_s - self._sampled_cpu_s
         self.cpu_s = cpu_s
-        if elapsed_s < SAMPLE_S / 2:  # too short for the kernel's ticks to tell a rate
+        if elapsed_s < SAMPLE_S / 2:  # too short for a rate, given the resolution of the kernel's ticks
             return
         self._sampled_at_s = now_s
         self._sampled_cpu_s = cpu_s
--- a/flintridge/lab/backend/process_table.py
+++ b/flintridge/lab/backend/process_table.py
@@ -1,4 +1,4 @@
-"""The processes of all nodes of a run, watched to their ends."""
+"""The processes of all nodes of a run, watched until they end."""
 
 import asyncio
 import signal
@@ -12,18 +12,18 @@
 
 
 class ProcessTable:
-    """Reads the output of processes, reaps them, and tells ends that nobody asked for.
+    """Reads the output of processes, reaps them, and reports unexpected ends.
 
     Attributes:
         by_node: All processes of each node, in the order of their starts.
-        unexpected_ends: Processes that ended without being asked to, or that did not end when asked.
+        unexpected_ends: Describes processes that ended without being asked to, or did not end when asked.
     """
 
     def __init__(self, recorder: NodeRecorder) -> None:
-        """Begin without processes, in a running loop.
+        """Create an empty table, in a running loop.
 
         Args:
-            recorder: Records the ends and the log lines.
+            recorder: Records ends of processes and log lines.
         """
         self.by_node: dict[str, list[NodeProcess]] = {}
         self.unexpected_ends: list[str] = []
@@ -34,7 +34,7 @@
         """Watch a process that has started.
 
         Args:
-            process: The latest of its node from now on.
+            process: The process; it is the latest of its node from now on.
         """
         process.output.on_event = partial(self._recorder.log_line, process.node)
         self.by_node.setdefault(process.node, []).append(process)
@@ -42,26 +42,26 @@
         self._loop.add_reader(process.output.descriptor, self._on_output, process)
 
     def not_ended(self) -> list[NodeProcess]:
-        """The latest processes of all nodes, without those that have ended."""
+        """Return the latest process of each node that has not ended."""
         latest = [processes[-1] for processes in self.by_node.values()]
         return [process for process in latest if not process.ended.is_set()]
 
     def add_unexpected_end(self, node: str, code: int, text: str) -> None:
-        """Note an end that nobody asked for.
+        """Record an unexpected end of a process.
 
         Args:
             node: The node's name.
             code: The exit code.
-            text: The end of what the process wrote.
+            text: The last output of the process.
         """
         self.unexpected_ends.append(f"{node} exited with {code}" + (f": {text}" if text else ""))
 
     def kill_stuck(self, process: NodeProcess, grace_s: float) -> None:
-        """Kill a process that does not end.
+        """Kill a process that did not end after SIGTERM.
 
         Args:
             process: The process.
-            grace_s: How long it was given.
+            grace_s: How long it had to end, in s.
         """
         if process.end_request is not EndRequest.KILL:
             text = f"did not end within {grace_s:g} s of SIGTERM"
@@ -71,16 +71,16 @@
         process.send_signal(signal.SIGKILL)
 
     def kill_all_now(self) -> None:
-        """End all without the loop: for an end in the middle of things."""
+        """Kill all processes without the event loop, for an interrupted run or at interpreter exit."""
         for process in self.not_ended():
             process.kill_now()
             self._release(process)
 
     def usage(self, fault_counts: Callable[[str], dict[str, int]]) -> RunUsage:
-        """What all processes used so far.
+        """Return the resources that all processes used so far.
 
         Args:
-            fault_counts: Returns the faults injected at a node, by their counters' names.
+            fault_counts: Returns the number of faults injected at a node, by counter name.
         """
         for process in self.not_ended():
             process.resources.sample()
@@ -106,14 +106,14 @@
             return
         process.output.read()
         self._release(process)
-        # By SIGTERM itself: the process had not come so far as to handle signals.
+        # -SIGTERM: the process ended by the signal itself, because it had not installed its handlers yet.
         in_order = code in (0, -signal.SIGTERM)
         request = process.end_request
         unexpected = request is EndRequest.NONE or (request is not EndRequest.KILL and not in_order)
         if unexpected or request is EndRequest.TERM:
-            self._recorder.state(process.node, "exited", code, process.output.last_words())
+            self._recorder.state(process.node, "exited", code, process.output.final_output())
         if unexpected:
-            self.add_unexpected_end(process.node, code, process.output.last_words())
+            self.add_unexpected_end(process.node, code, process.output.final_output())
 
     def _release(self, process: NodeProcess) -> None:
         if not self._loop.is_closed():
@@ -123,7 +123,7 @@
 
 
 def _sum_counters(processes: list[NodeProcess]) -> dict[str, int]:
-    """The counters and log events of a node's processes, in the order of their names."""
+    """Return the sums of the counters and log events of a node's processes, sorted by name."""
     total: Counter[str] = Counter()
     for process in processes:
         total.update(process.output.counters)
--- a/flintridge/lab/backend/processes.py
+++ b/flintridge/lab/backend/processes.py
@@ -1,4 +1,4 @@
-"""The nodes of a run as real processes: started, signalled, watched, and never left behind."""
+"""Runs the nodes of a run as real processes: starts, signals and watches them, and leaves none behind."""
 
 import asyncio
 import atexit
@@ -21,18 +21,19 @@
 from flintridge.lab.scenario.model import Scenario, records_node_logs
 
 NODE_COMMAND = (sys.executable, "-m", "flintridge")
-INTERNAL_SOCKETS = 4  # of a node: its listener, its loop's own pair, its watch of discovery
-CLOSE_GRACE_S = 3.0  # beyond the longest deadline: how long nodes may take to end after SIGTERM
+# Sockets of a node that are not counted: its listener, the socket pair of its loop, its watch of discovery.
+INTERNAL_SOCKETS = 4
+CLOSE_GRACE_S = 3.0  # how long nodes may take to end after SIGTERM, beyond the longest deadline
 CANNOT_START = 127  # exit code of a process that could not be started
 
 
 class ProcessNodes:
-    """A NodeRunner on real processes. Make it in a running loop; `close` leaves nothing behind.
+    """A NodeRunner on real processes. Create it in a running loop; `close` ends all processes.
 
-    Nodes die with the thread that started them, so that is to be the lab's main thread.
+    Nodes are killed when the thread that started them ends, so it must be the lab's main thread.
 
     Attributes:
-        peers: Relays between nodes that know one another; set before the first start.
+        peers: The relays between nodes that are peers; to be set before the first start.
     """
 
     def __init__(
@@ -47,17 +48,18 @@
         close_grace_s: float | None = None,
         clients_of: Callable[[str], int] = lambda _: 0,
     ) -> None:
-        """Run no node yet; connections and resources are sampled from now on.
+        """Create without nodes; connections and resources are sampled from now on.
 
         Args:
-            fabric: It has the nodes' addresses.
-            log: The run's records.
+            fabric: The fabric, which has the nodes' addresses.
+            log: The log of the run's records.
             clock: The run's clock.
-            config_of: Returns a node's configuration file.
+            config_of: Returns the content of a node's configuration file.
             scenario: The scenario.
-            command: Starts a node.
-            close_grace_s: What nodes are given at the end before they are killed; None: by the deadlines.
-            clients_of: Counts the connections that clients hold to a node.
+            command: The command that starts a node.
+            close_grace_s: How long nodes may take to end in `close` before they are killed, in s; None means
+                CLOSE_GRACE_S beyond the longest deadline.
+            clients_of: Returns the number of client connections to a node.
         """
         self.peers: PeerNetwork | None = None
         self._recorder = NodeRecorder(log, clock, with_log_lines=records_node_logs(scenario))
@@ -81,8 +83,8 @@
         """Start a node's process from its configuration; returns before it is ready.
 
         Raises:
-            RuntimeError: If it runs already or all is closed.
-            ValueError: If its name is not of letters and digits.
+            RuntimeError: If the node is running already, or after `close`.
+            ValueError: If the name has other characters than letters and digits.
         """
         if self._closed:
             raise RuntimeError("the nodes are closed")
@@ -90,7 +92,7 @@
             raise RuntimeError(f"node {node!r} is running already")
         if not node.isalnum():
             raise ValueError(f"node {node!r}: letters and digits only")
-        await self.ended(node)  # the one before must be gone from its port
+        await self.ended(node)  # the previous process must have released the port
         if self.peers is not None:
             await self.peers.open()
         config = self._config_of(node)
@@ -108,18 +110,18 @@
         self._table.watch(process)
 
     async def start_beside(self, node: str, console: str) -> str:
-        """Start a second process of a node that runs, as in an upgrade.
+        """Start a second process of a running node, as in an upgrade.
 
         Args:
             node: The node's name.
             console: The address of the second process's console; the rest of its configuration is the same.
 
         Returns:
-            The name by which the second process is called here.
+            The name of the second process for the other methods.
 
         Raises:
-            RuntimeError: If that runs already.
-            OSError: If it cannot be started.
+            RuntimeError: If the second process is running already, or after `close`.
+            OSError: If the process cannot be started.
         """
         second = f"{node}+"
         if self._closed or self.running(second):
@@ -131,7 +133,7 @@
         return second
 
     def kill(self, node: str) -> None:
-        """Kill a node's process where it runs."""
+        """Kill a node's process if it is running."""
         if self.running(node):
             process = self._table.by_node[node][-1]
             process.end_request = EndRequest.KILL
@@ -140,7 +142,7 @@
             self._recorder.state(node, "killed", -signal.SIGKILL)
 
     def term(self, node: str) -> None:
-        """Send a node SIGTERM where it runs."""
+        """Send SIGTERM to a node if it is running."""
         if self.running(node):
             self._recorder.state(node, "term")
             process = self._table.by_node[node][-1]
@@ -148,35 +150,35 @@
             process.send_signal(signal.SIGTERM)
 
     def reload(self, node: str, config: dict[str, Any]) -> None:
-        """Replace a node's configuration file and send it SIGHUP, where it runs."""
+        """Replace a node's configuration file and send SIGHUP, if it is running."""
         if self.running(node):
             self._write_config(node, config)
             self._signal(node, "hup", signal.SIGHUP)
 
     def pause(self, node: str) -> None:
-        """Pause a node's process where it runs."""
+        """Pause a node's process with SIGSTOP if it is running."""
         if self.running(node):
             self._signal(node, "paused", signal.SIGSTOP)
 
     def resume(self, node: str) -> None:
-        """Have a node's process go on where it runs."""
+        """Resume a node's process with SIGCONT if it is running."""
         if self.running(node):
             self._signal(node, "resumed", signal.SIGCONT)
 
     def quiesce(self, node: str) -> None:
-        """Raise NotImplementedError: no console is open."""
-        raise NotImplementedError("node_drain is played in virtual time only: no console is opened here")
+        """Raise NotImplementedError: this backend opens no operator console."""
+        raise NotImplementedError("node_drain needs virtual time: this backend opens no operator console")
 
     def unquiesce(self, node: str) -> None:
-        """Raise NotImplementedError: no console is open."""
-        raise NotImplementedError("node_drain is played in virtual time only: no console is opened here")
+        """Raise NotImplementedError: this backend opens no operator console."""
+        raise NotImplementedError("node_drain needs virtual time: this backend opens no operator console")
 
     def set_system(self, node: str, state: SystemState) -> None:
-        """Set what is wrong with a node's operating system, also for processes started later."""
+        """Set the faults of a node's operating system, also for processes started later."""
         self._launcher.faults.set_state(node, state)
 
     def running(self, node: str) -> bool:
-        """Whether a node runs: also while it ends after SIGTERM, not once it was killed."""
+        """Whether a node is running, including while it shuts down after SIGTERM, but not after SIGKILL."""
         if node not in self._table.by_node:
             return False
         process = self._table.by_node[node][-1]
@@ -188,8 +190,8 @@
             await self._table.by_node[node][-1].ended.wait()
 
     async def close(self) -> None:
-        """Send SIGTERM to all and SIGKILL to those that do not end in time; nothing of them is left."""
-        self._closed = True  # a fault's end may still want to start one
+        """Send SIGTERM to all nodes, and SIGKILL to those that do not end in time; no process is left."""
+        self._closed = True  # the end of a fault may still try to start a node
         if self.peers is not None:
             self.peers.close()
         running = self._table.not_ended()
@@ -199,25 +201,25 @@
                 if process.end_request is EndRequest.NONE:
                     process.end_request = EndRequest.CLOSE
                 process.send_signal(signal.SIGTERM)
-                process.send_signal(signal.SIGCONT)  # one that is paused could not end
+                process.send_signal(signal.SIGCONT)  # a paused process cannot handle SIGTERM
             await _wait_for_ends(running, self._close_grace_s)
             for process in self._table.not_ended():
                 self._table.kill_stuck(process, self._close_grace_s)
             await _wait_for_ends(self._table.not_ended(), KILL_TIMEOUT_S)
-        finally:  # also where the wait was interrupted
+        finally:  # also if the wait was interrupted
             if self._sample_timer is not None:
                 self._sample_timer.cancel()
             self._kill_all_now()
             atexit.unregister(self._kill_all_now)
 
     def usage(self) -> RunUsage:
-        """What the nodes used so far."""
+        """Return the resources that the nodes used so far."""
         return self._table.usage(self._launcher.faults.counts)
 
-    # For tests and reports
+    # Used by tests and reports
 
     def pid(self, node: str) -> int:
-        """Return the number of a node's latest process.
+        """Return the process ID of a node's latest process.
 
         Raises:
             KeyError: If the node was never started.
@@ -238,7 +240,7 @@
 
     @property
     def unexpected_ends(self) -> list[str]:
-        """Processes that ended without being asked to, or that did not end when asked."""
+        """Descriptions of processes that ended without being asked to, or did not end when asked."""
         return self._table.unexpected_ends
 
     @property
@@ -248,7 +250,7 @@
 
     @property
     def folder(self) -> Path:
-        """The run's own folder, until `close`."""
+        """The folder for the files of this run; `close` removes it."""
         return self._launcher.folder
 
     # Configuration and signals
@@ -262,7 +264,7 @@
         self._recorder.state(node, state)
         self._table.by_node[node][-1].send_signal(number)
 
-    # Inner
+    # Internal
 
     def _sample(self) -> None:
         for process in self._table.not_ended():
--- a/flintridge/lab/backend/usage.py
+++ b/flintridge/lab/backend/usage.py
@@ -1,18 +1,18 @@
-"""What the nodes of a run used, and how well the machine kept up."""
+"""The resources that the nodes of a run used, and how well the machine kept up."""
 
 from dataclasses import dataclass, field
 
 
 @dataclass(slots=True)
 class ProcessUsage:
-    """What the processes of one node used.
+    """The resources that the processes of one node used.
 
     Attributes:
-        cpu_s: CPU time of all of them.
-        memory_mb: The most memory that one of them held.
-        peak_cores: The most CPU used in a second, in cores.
-        max_saturated_s: The longest time in which a core was used wholly.
-        processes: How many there were.
+        cpu_s: The CPU time of all processes, in s.
+        memory_mb: The peak memory of the largest process, in MiB.
+        peak_cores: The highest CPU use in a second, in cores.
+        max_saturated_s: The longest period in which a process saturated a core, in s.
+        processes: The number of processes.
     """
 
     cpu_s: float
@@ -24,17 +24,17 @@
 
 @dataclass(slots=True)
 class RunUsage:
-    """What the nodes of a run used, where the backend knows it.
+    """The resources that the nodes of a run used, as far as the backend knows them.
 
     Attributes:
-        node_cpu_s: CPU time of all nodes.
-        node_memory_mb: The most memory that one process held.
+        node_cpu_s: The CPU time of all nodes, in s.
+        node_memory_mb: The peak memory of the largest process, in MiB.
         counters: The nodes' counters by node and name.
         histograms: The nodes' histograms by node and name.
-        nodes: What each node used.
-        unexpected_ends: Processes that ended without being asked to, or that did not end when asked.
-        lateness_ms: How late the lab's own timers were.
-        lab_problems: What went wrong in the lab itself.
+        nodes: The resources that each node used.
+        unexpected_ends: Describes processes that ended without being asked to, or did not end when asked.
+        lateness_ms: The lateness of the lab's own timers; see `TimerLateness.summary`.
+        lab_problems: Problems of the lab itself.
     """
 
     node_cpu_s: float = 0.0
--- a/flintridge/lab/backend/virtual/__init__.py
+++ b/flintridge/lab/backend/virtual/__init__.py
@@ -1,4 +1,4 @@
-"""The backend in virtual time: the in-memory network as a fabric, and the nodes as hosts on it."""
+"""The backend in virtual time: the modelled network as a fabric, and the nodes as hosts on it."""
 
 from flintridge.lab.backend.virtual.fabric import VirtualFabric as VirtualFabric
 from flintridge.lab.backend.virtual.nodes import VirtualNodes as VirtualNodes
--- a/flintridge/lab/backend/virtual/fabric.py
+++ b/flintridge/lab/backend/virtual/fabric.py
@@ -1,4 +1,4 @@
-"""The in-memory network as a fabric of the lab."""
+"""The fabric of the lab on the modelled network."""
 
 import asyncio
 from collections.abc import Callable
@@ -14,24 +14,24 @@
 
 
 class VirtualClock:
-    """The run's clock on a virtual loop."""
+    """The clock of a run on a virtual loop."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop, start_s: float) -> None:
-        """Measure the time of a run.
+        """Create the clock of a run.
 
         Args:
-            loop: The loop.
-            start_s: Its time at which the run starts.
+            loop: The event loop.
+            start_s: The time of the loop at which the run starts, in s.
         """
         self._loop = loop
         self._start_s = start_s
 
     def now(self) -> float:
-        """Time of the run (ms); negative during the warm-up."""
+        """Return the time of the run (ms); negative during the warm-up."""
         return (self._loop.time() - self._start_s) * 1000
 
     def unix_ms(self, at: float) -> float:
-        """Return a time of the run (ms) as Unix time (ms)."""
+        """Convert a time of the run (ms) to Unix time (ms)."""
         return UNIX_START_MS + at
 
     def call_at(self, at: float, call: Callable[..., object], *args: object) -> asyncio.TimerHandle:
@@ -49,11 +49,12 @@
 
 @dataclass(slots=True, frozen=True)
 class OpenConnections:
-    """Connections whose ends on a node's machine are open.
+    """The numbers of open connections of a node's machine.
 
     Attributes:
-        with_clients: Those with clients.
-        with_servers: Those with servers and the origin.
+        with_clients: The number of connections with clients.
+        with_servers: The number of connections with all other parties except discovery: the cache servers and
+            the origin.
     """
 
     with_clients: int
@@ -61,15 +62,15 @@
 
 
 class VirtualFabric:
-    """A Fabric on a network whose hosts are the parties, by their names."""
+    """A Fabric on a network that has a host for each party, with the same name."""
 
     def __init__(self, loop: VirtualLoop, links: Links, start_s: float) -> None:
-        """Connect the parties of a run.
+        """Create the fabric of a run.
 
         Args:
-            loop: The loop with the network.
-            links: States and delays of all links.
-            start_s: The loop's time at which the run starts.
+            loop: The event loop with the network.
+            links: The states and delays of all links.
+            start_s: The time of the loop at which the run starts, in s.
         """
         self.loop = loop
         self.network = loop.network
@@ -79,7 +80,7 @@
         self._party_numbers: dict[str, int] = {}
 
     def address(self, party: str, node: str) -> tuple[str, int]:
-        """Return where `node` finds `party`: an address of this pair alone."""
+        """Return the address at which `node` reaches `party`; each pair has its own."""
         party_number = self._party_numbers.setdefault(party, len(self._party_numbers))
         node_number = int(node[1:])
         octets = (
@@ -91,7 +92,7 @@
         return ".".join(map(str, octets)), LISTENING_PORT + party_number // PARTIES_PER_PORT
 
     async def listen(self, party: str, node: str, factory: Callable[[], asyncio.Protocol]) -> Listener:
-        """Accept connections at `address(party, node)`, by a protocol of the factory for each.
+        """Accept connections at `address(party, node)`, each with a protocol that the factory creates.
 
         Raises:
             OSError: If the address is in use.
@@ -105,7 +106,7 @@
         """Open a client's connection to a node's listener.
 
         Raises:
-            OSError: If it is refused or reset.
+            OSError: If the connection is refused or reset.
         """
         host, port = self.address("listen", node)
         connecting = self.loop.create_connection(factory, host, port)
@@ -114,16 +115,16 @@
         return transport
 
     def sent_at(self, transport: asyncio.BaseTransport) -> float:
-        """When (ms of the run) the peer sent the bytes that are being received now."""
+        """Return when (ms of the run) the peer sent the bytes that are being received."""
         sent_at_s: float = transport.get_extra_info("sent_at")
         return (sent_at_s - self._start_s) * 1000
 
     def links_changed(self) -> None:
-        """Reset connections on links that are reset now."""
+        """Apply changed states of links to the open connections."""
         self.network.links_changed()
 
     def open_connections(self, node: str) -> OpenConnections:
-        """Count the connections of a node's machine."""
+        """Count the open connections of a node's machine."""
         peers = self.network.host(node).peers()
         clients = sum(1 for peer in peers if peer[:1] == "c" and peer[1:].isdigit())
         all_but_discovery = sum(1 for peer in peers if not peer.startswith("discovery"))
--- a/flintridge/lab/backend/virtual/node_counters.py
+++ b/flintridge/lab/backend/virtual/node_counters.py
@@ -1,4 +1,4 @@
-"""Counters and histograms of nodes over the lives of their processes."""
+"""Counters and histograms of nodes, across restarts of their processes."""
 
 from collections import Counter
 
@@ -7,19 +7,19 @@
 
 
 class NodeCounters:
-    """Adds up what the processes of each node counted.
+    """Adds up the counters of all processes of each node.
 
     Attributes:
-        histograms: By node, of its last process.
+        histograms: The histograms of the last collected process, by node.
     """
 
     def __init__(self) -> None:
-        """Begin with nothing counted."""
+        """Start with empty sums."""
         self.histograms: dict[str, dict[str, dict[str, float]]] = {}
         self._totals: dict[str, Counter[str]] = {}
 
     def collect(self, process: VirtualProcess) -> None:
-        """Add what a process counted since it was last collected."""
+        """Add the counters of a process since the last collection, and reset them."""
         total = self._totals.setdefault(process.name, Counter())
         total.update(process.counters.snapshot())
         total.update({f"log_{event}": count for event, count in process.log.counts.items()})
@@ -28,5 +28,5 @@
         process.log.counts.clear()
 
     def totals(self) -> dict[str, dict[str, int]]:
-        """The sums by node, in the order of the counters' names."""
+        """Return the sums by node, sorted by counter name."""
         return {node: dict(sorted(total.items())) for node, total in self._totals.items()}
--- a/flintridge/lab/backend/virtual/nodes.py
+++ b/flintridge/lab/backend/virtual/nodes.py
@@ -1,4 +1,4 @@
-"""The nodes of a run in virtual time: each node's real code on a host of its own."""
+"""The nodes of a run in virtual time; each runs its real code on a separate host."""
 
 import signal
 from collections.abc import Callable, Iterator
@@ -21,11 +21,12 @@
 from flintridge.node import Node
 from flintridge.runtime.acceptor import FIRST_PAUSE_MS, MAX_PAUSE_MS
 
-# The node accepts by a reader of its own where there are descriptors, which a virtual loop has none of: what
-# it does when accept() fails is modelled on that.
+# With real descriptors the node accepts connections through its own reader. A virtual loop has no
+# descriptors, so the pauses of that reader after a failed accept() are modelled here.
 NODE_ACCEPT_PAUSES = AcceptPauses(FIRST_PAUSE_MS / 1000, MAX_PAUSE_MS / 1000, reports=False)
-RESERVED_DESCRIPTORS = 8  # of a node that are no connections: listener, event loop, standard streams
-MAX_TEXT_CHARACTERS = 300  # of a message in a record
+# Descriptors of a node that are not connections: its listener, event loop and standard streams.
+RESERVED_DESCRIPTORS = 8
+MAX_TEXT_CHARACTERS = 300  # limit of a message in a record
 
 
 class VirtualNodes:
@@ -33,8 +34,8 @@
 
     Attributes:
         records_log_lines: Whether the nodes' log lines are recorded.
-        fabric: The network.
-        peers: How the nodes reach one another; None: they do not.
+        fabric: The fabric of the run.
+        peers: The peer configuration of the nodes; None if they are not peers.
         on_node_created: Called with each node before it starts.
     """
 
@@ -48,16 +49,16 @@
         max_descriptors: int | None = None,
         peers: VirtualPeers | None = None,
     ) -> None:
-        """Run no node yet; what is recorded at intervals is recorded from now on.
+        """Create without nodes; periodic records are made from now on.
 
         Args:
-            fabric: The network.
-            log: The run's records.
-            start_delay_ms: Returns how long a node's program takes until it is loaded.
-            config_of: Returns a node's configuration file.
-            on_node_created: Called with each node before it starts: to inject a defect.
-            max_descriptors: How many descriptors a node's process may hold; None: any number.
-            peers: How the nodes reach one another; None: they do not.
+            fabric: The fabric of the run.
+            log: The log of the run's records.
+            start_delay_ms: Returns how long a node's program takes to load, in ms.
+            config_of: Returns the content of a node's configuration file.
+            on_node_created: Called with each node before it starts, for example to inject a defect.
+            max_descriptors: The limit of descriptors of a node's process; None means no limit.
+            peers: The peer configuration of the nodes; None if they are not peers.
         """
         self.fabric = fabric
         self.peers = peers
@@ -67,8 +68,8 @@
         self._start_delay_ms = start_delay_ms
         self._config_of = config_of
         self._max_connections = None if max_descriptors is None else max_descriptors - RESERVED_DESCRIPTORS
-        self._processes: dict[str, VirtualProcess] = {}  # the last of each node
-        self._injectors: dict[str, Injector] = {}  # of nodes whose systems are, or were, faulty
+        self._processes: dict[str, VirtualProcess] = {}  # the latest process of each node
+        self._injectors: dict[str, Injector] = {}  # for nodes that have or had operating system faults
         self._counters = NodeCounters()
         self._samplers: list[ConnectionSampler | FleetStateSampler] = [
             ConnectionSampler(fabric, log, self._running_processes)
@@ -93,38 +94,38 @@
         host.run(process.run(self))
 
     def kill(self, node: str) -> None:
-        """Kill a node's process where it runs."""
+        """Kill a node's process if it is running."""
         if self.running(node):
             self.fabric.network.host(node).kill()
             self._end(node, "killed", -signal.SIGKILL)
 
     def term(self, node: str) -> None:
-        """Send a node SIGTERM where it runs."""
+        """Send SIGTERM to a node if it is running."""
         if self.running(node):
             self._record_state(node, "term")
             self._signal(node, signal.SIGTERM)
 
     def reload(self, node: str, config: dict[str, Any]) -> None:
-        """Replace a node's configuration file and send it SIGHUP, where it runs."""
+        """Replace a node's configuration file and send SIGHUP, if it is running."""
         if self.running(node):
             self._processes[node].config = config
             self._record_state(node, "hup")
             self._signal(node, signal.SIGHUP)
 
     def pause(self, node: str) -> None:
-        """Pause a node's process where it runs."""
+        """Pause a node's process if it is running."""
         if self.running(node):
             self._record_state(node, "paused")
             self.fabric.network.host(node).pause()
 
     def resume(self, node: str) -> None:
-        """Have a node's process go on where it runs."""
+        """Resume a node's process if it is running."""
         if self.running(node):
             self._record_state(node, "resumed")
             self.fabric.network.host(node).resume()
 
     def quiesce(self, node: str) -> None:
-        """Have a node drain, as its operators' console does."""
+        """Start a node's drain, as a command on its console does."""
         self._call_console(node, "quiesced", lambda served: served.quiesce())
 
     def unquiesce(self, node: str) -> None:
@@ -132,7 +133,7 @@
         self._call_console(node, "back", lambda served: served.resume())
 
     def set_system(self, node: str, state: SystemState) -> None:
-        """Set what is wrong with a node's operating system, also for processes started later."""
+        """Set the faults of a node's operating system, also for processes started later."""
         if node not in self._injectors:
             seed = self._processes[node].config.get("seed") if node in self._processes else ""
             self._injectors[node] = Injector(f"{node}/{seed}")
@@ -140,11 +141,11 @@
         if state.clock_offset_ms != injector.state.clock_offset_ms:
             injector.counts["injected_clock_step"] += 1
         injector.state = state
-        calls_sound = msgspec.structs.replace(state, clock_offset_ms=0.0) == NO_FAULTS
-        self.fabric.network.host(node).system_call_faults = None if calls_sound else injector
+        calls_unaffected = msgspec.structs.replace(state, clock_offset_ms=0.0) == NO_FAULTS
+        self.fabric.network.host(node).system_call_faults = None if calls_unaffected else injector
 
     def running(self, node: str) -> bool:
-        """Whether a node's process runs."""
+        """Whether a node's process is running."""
         return node in self._processes and not self._processes[node].ended.is_set()
 
     async def ended(self, node: str) -> None:
@@ -153,7 +154,7 @@
             await self._processes[node].ended.wait()
 
     async def close(self) -> None:
-        """End all nodes and what is recorded at intervals."""
+        """Kill all nodes and stop the periodic records."""
         for sampler in self._samplers:
             sampler.close()
         for process in list(self._running_processes()):
@@ -162,7 +163,7 @@
             self.fabric.network.host(process.name).kill()
 
     def usage(self) -> RunUsage:
-        """What the nodes used so far."""
+        """Return the resources that the nodes used so far."""
         for process in self._running_processes():
             self._counters.collect(process)
         counters = self._counters.totals()
@@ -177,26 +178,26 @@
     # ProcessEnvironment
 
     def start_delay_ms(self, node: str) -> float:
-        """How long a node's program takes until it is loaded."""
+        """Return how long a node's program takes to load, in ms."""
         return self._start_delay_ms(node)
 
     def wall_clock_ms(self, node: str) -> float:
-        """Unix time as a node's machine has it."""
+        """Return the Unix time (ms) of a node's wall clock."""
         injector = self._injectors.get(node)
         offset_ms = 0.0 if injector is None else injector.state.clock_offset_ms
         return self.fabric.clock.unix_ms(self.fabric.clock.now()) + offset_ms
 
     def process_exited(self, node: str, code: int, text: str) -> None:
-        """Record that a node's process ends by itself.
+        """Record that a node's process exited by itself.
 
         Args:
             node: The node's name.
-            code: Its exit code.
-            text: What it said of an error.
+            code: The exit code.
+            text: The error message, if any.
         """
         self._end(node, "exited", code, text)
 
-    # Inner
+    # Internal
 
     def _running_processes(self) -> Iterator[VirtualProcess]:
         return (process for process in self._processes.values() if not process.ended.is_set())
@@ -204,13 +205,13 @@
     def _signal(self, node: str, number: signal.Signals) -> None:
         host = self.fabric.network.host(node)
         host.signal(number)
-        if not host.alive:  # it had no handler yet
+        if not host.alive:  # the signal killed the process, because no handler was installed yet
             self._end(node, "exited", -number)
 
     def _call_console(self, node: str, state: str, call: Callable[[Node], object]) -> None:
-        """Do in the node's own process what a call at its console does."""
+        """Run a console command in the node's own process."""
         served = self._processes[node].node if self.running(node) else None
-        if served is None:  # not created yet: nobody would answer the call
+        if served is None:  # the node is not created yet, so its console does not respond
             return
 
         async def carry_out() -> None:
--- a/flintridge/lab/backend/virtual/observation.py
+++ b/flintridge/lab/backend/virtual/observation.py
@@ -1,4 +1,4 @@
-"""What is recorded of nodes in virtual time at regular intervals."""
+"""Periodic records about nodes in virtual time."""
 
 import asyncio
 from collections.abc import Callable, Iterable
@@ -13,17 +13,17 @@
 
 
 class ConnectionSampler:
-    """Records how many connections each node has."""
+    """Records the number of connections of each node, every CONNECTION_INTERVAL_MS."""
 
     def __init__(
         self, fabric: VirtualFabric, log: RecordLog, running: Callable[[], Iterable[VirtualProcess]]
     ) -> None:
-        """Record from now on, until `close`.
+        """Start to record, until `close` is called.
 
         Args:
-            fabric: The network.
-            log: The run's records.
-            running: Returns the processes that run.
+            fabric: The fabric of the run.
+            log: The log of the run's records.
+            running: Returns the running processes.
         """
         self._fabric = fabric
         self._log = log
@@ -31,7 +31,7 @@
         self._timer = fabric.clock.call_later(CONNECTION_INTERVAL_MS, self._sample)
 
     def close(self) -> None:
-        """End the sampling."""
+        """Stop recording."""
         self._timer.cancel()
 
     def _sample(self) -> None:
@@ -49,17 +49,17 @@
 
 
 class FleetStateSampler:
-    """Records each node's view of the membership, and the leases that it holds."""
+    """Records each node's view of the membership and the leases that it holds."""
 
     def __init__(
         self, fabric: VirtualFabric, log: RecordLog, running: Callable[[], Iterable[VirtualProcess]]
     ) -> None:
-        """Record now and from now on, until `close`.
+        """Record now and then periodically, until `close` is called.
 
         Args:
-            fabric: The network.
-            log: The run's records.
-            running: Returns the processes that run.
+            fabric: The fabric of the run.
+            log: The log of the run's records.
+            running: Returns the running processes.
         """
         self._fabric = fabric
         self._log = log
@@ -68,7 +68,7 @@
         self._sample()
 
     def close(self) -> None:
-        """End the sampling."""
+        """Stop recording."""
         self._timer.cancel()
 
     def _sample(self) -> None:
@@ -80,6 +80,6 @@
                 continue
             if node.membership is not None and not self._fabric.network.host(process.name).paused:
                 self._log.add(membership_record(now, process.name, node.membership.admin_view().fields))
-            if node.leases is not None:  # also of one that is paused: it may use them once it goes on
+            if node.leases is not None:  # also for a paused node, which may use its leases after it resumes
                 for lease in lease_records(now, process.name, node.leases.admin_status().fields):
                     self._log.add(lease)
--- a/flintridge/lab/backend/virtual/peers.py
+++ b/flintridge/lab/backend/virtual/peers.py
@@ -1,4 +1,4 @@
-"""Configuration of nodes in virtual time that know one another."""
+"""The configuration of nodes in virtual time that are peers."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -18,13 +18,13 @@
 
 @dataclass(slots=True, frozen=True)
 class VirtualPeers:
-    """How the nodes of a run reach one another, and the limits that they share.
+    """The peer configuration of the nodes of a run, and the limits that the nodes share.
 
     Attributes:
         settings: The scenario's table of peers.
         names: The names of all nodes.
-        entropy: Returns so many random bytes, for the nodes' own draws.
-        budgets: The scenario's table of shared limits; None: they share none.
+        entropy: Returns the given number of random bytes, for the nodes' own random draws.
+        budgets: The scenario's table of shared limits; None if the nodes share no limits.
     """
 
     settings: Peers
@@ -33,16 +33,16 @@
     budgets: Budgets | None = None
 
     def shared(self) -> BudgetsConfig | None:
-        """The shared limits for `NodeConfig.budgets`."""
+        """Return the shared limits for `NodeConfig.budgets`."""
         if self.budgets is None:
             return None
         return budgets_config(msgspec.convert(msgspec.to_builtins(self.budgets), NodeBudgets))
 
     def config(self, fabric: VirtualFabric, node: str) -> PeersConfig:
-        """Return a node's configuration of its peers.
+        """Return the peer configuration of a node.
 
         Args:
-            fabric: It has the addresses.
+            fabric: The fabric, which has the addresses.
             node: The node's name.
         """
         known = tuple((name, Address(*fabric.address("peers", name))) for name in self.names)
@@ -50,11 +50,11 @@
         return PeersConfig(listen, known, FLEET, self._key(), self.settings.bytes_per_s)
 
     def recorder(self, fabric: VirtualFabric, log: RecordLog) -> Callable[[str, str, bytes, str], None]:
-        """Return what records each datagram: called with source, target, content and outcome.
+        """Return a function that records a datagram, given its source, target, content and outcome.
 
         Args:
-            fabric: It has the clock.
-            log: The run's records.
+            fabric: The fabric, which has the clock.
+            log: The log of the run's records.
         """
         codec = MessageCodec(FLEET, self._key())
 
--- a/flintridge/lab/backend/virtual/process.py
+++ b/flintridge/lab/backend/virtual/process.py
@@ -1,4 +1,4 @@
-"""One process of a node in virtual time: what the node's program does, on a host of its own."""
+"""One process of a node in virtual time: it runs the equivalent of the node's program on a separate host."""
 
 import asyncio
 import os
@@ -25,14 +25,14 @@
     """The log of a virtual node.
 
     Attributes:
-        counts: How many events there were of each name.
+        counts: The number of events by name.
     """
 
     def __init__(self, on_event: Callable[[str, dict[str, object]], None]) -> None:
-        """Begin without events.
+        """Create an empty log.
 
         Args:
-            on_event: Called with the name and the fields of each.
+            on_event: Called with the name and the fields of each event.
         """
         self.counts: Counter[str] = Counter()
         self._on_event = on_event
@@ -48,46 +48,46 @@
 
 
 class InputArrival:
-    """Tells a virtual node what its selector would tell it of the arrival of what it reads."""
+    """Provides the arrival time of input, which a real node gets from its selector."""
 
     def __init__(self, host: Host) -> None:
-        """Follow the input of a host."""
+        """Provide the arrival time of the input of a host."""
         self._host = host
 
     @property
     def earliest_arrival_s(self) -> float:
-        """As `ArrivalTrackingSelector` has it."""
+        """See `ArrivalTrackingSelector`."""
         return self._host.earliest_arrival_s
 
 
 class ProcessEnvironment(Protocol):
-    """What a process needs of those that run it."""
+    """The interface of the node runner that processes use."""
 
     @property
     def fabric(self) -> VirtualFabric:
-        """The network."""
+        """The fabric of the run."""
 
     @property
     def peers(self) -> VirtualPeers | None:
-        """How the nodes reach one another; None: they do not."""
+        """The peer configuration of the nodes; None if they are not peers."""
 
     @property
     def on_node_created(self) -> Callable[[Node], object] | None:
         """Called with each node before it starts."""
 
     def start_delay_ms(self, node: str) -> float:
-        """How long the program takes until it is loaded."""
+        """Return how long the program takes to load, in ms."""
 
     def wall_clock_ms(self, node: str) -> float:
-        """Unix time as a node's machine has it."""
+        """Return the Unix time (ms) of a node's wall clock."""
 
     def process_exited(self, node: str, code: int, text: str) -> None:
-        """The process ends by itself.
+        """Record that the process exited by itself.
 
         Args:
             node: The node's name.
-            code: Its exit code.
-            text: What it said of an error.
+            code: The exit code.
+            text: The error message, if any.
         """
 
 
@@ -96,20 +96,20 @@
 
     Attributes:
         name: The node's name.
-        config: Its configuration file as it is now.
-        log: Its log.
-        counters: Its counters, since they were last collected.
+        config: The current content of its configuration file.
+        log: The log of the process.
+        counters: The counters since the last collection.
         node: The node, once it was created.
         ended: Set once the process has ended.
     """
 
     def __init__(self, name: str, config: dict[str, Any], log: NodeEventLog) -> None:
-        """Prepare a process; `run` is what it does.
+        """Create a process; `run` executes it.
 
         Args:
             name: The node's name.
-            config: Its configuration file.
-            log: Its log.
+            config: The content of its configuration file.
+            log: The log of the process.
         """
         self.name = name
         self.config = config
@@ -119,10 +119,10 @@
         self.ended = asyncio.Event()
 
     async def run(self, environment: ProcessEnvironment) -> None:
-        """Do what the node's program does; to be run on the node's host.
+        """Run the equivalent of the node's program; must be called on the node's host.
 
         Args:
-            environment: What the process needs of those that run it.
+            environment: The node runner.
         """
         loop = asyncio.get_running_loop()
         terminated = asyncio.Event()
@@ -148,10 +148,11 @@
         except ConfigError as error:
             code = EXIT_BAD_CONFIG
             text = str(error)
-        except Exception as error:  # the process ends by it, as the program would
+        except Exception as error:  # ends the process, as it ends the real program
             text = repr(error)
         environment.process_exited(self.name, code, text)
-        # The process is gone: the kernel closes what it left open. From the lab, not from the process itself.
+        # The process has ended, and the kernel closes its open sockets. The call is scheduled, so that it
+        # does not run inside this task.
         loop.call_soon(host.kill)
 
     def _create(self, environment: ProcessEnvironment, host: Host) -> Node:
--- a/flintridge/lab/virtual/host.py
+++ b/flintridge/lab/virtual/host.py
@@ -67,7 +67,7 @@
 
     @ip.setter
     def ip(self, ip: str) -> None:
-        """Set the address, and assign its ports that were never bound to this host."""
+        """Set the address, which also reaches this host at ports that were never bound."""
         self._ip = ip
         self.network.addresses.set_ip(ip, self)
 
--- a/flintridge/lab/virtual/livelock.py
+++ b/flintridge/lab/virtual/livelock.py
@@ -25,8 +25,8 @@
         error: The error that was raised, or that the loop has yet to raise.
         handles: The number of handles since virtual time advanced; the scheduler adds each batch before it
             runs it.
-        note_threshold: Above this number of handles the limit is near, and the scheduler calls `note` for each
-            handle.
+        note_threshold: Above this number of handles the limit is near, so that the scheduler calls `note` for
+            each handle.
     """
 
     def __init__(self, max_handles: int, start_s: float) -> None:
--- a/flintridge/lab/virtual/stream_transport.py
+++ b/flintridge/lab/virtual/stream_transport.py
@@ -102,7 +102,7 @@
         socket.send(data)
         if self._protocol_paused and len(unsent) <= self._low:
             self._protocol_paused = False
-            self._notify(self._protocol.resume_writing)  # may write more
+            self._notify(self._protocol.resume_writing)  # the protocol may write more data
         if not unsent:
             if self._closing:
                 self._connection_lost(None)
--- a/tests/lab/backend/test_faulty_node.py
+++ b/tests/lab/backend/test_faulty_node.py
@@ -1,4 +1,4 @@
-"""System calls of a node's process that fail, transfer less or take longer."""
+"""System calls of a node's process that fail, transfer fewer bytes or take longer."""
 
 import errno
 import os
@@ -25,7 +25,7 @@
 
 
 def pair():
-    """Two ends of a TCP connection, both of sockets that may go wrong: the one that connected comes first."""
+    """Return the connecting and the accepting end of a TCP connection, both with simulated faults."""
     listening = FaultySocket(socket.AF_INET, socket.SOCK_STREAM)
     listening.bind(("127.0.0.1", 0))
     listening.listen()
@@ -37,7 +37,7 @@
 
 
 @pytest.mark.parametrize("call", ["accept", "connect", "socket", "read", "write"])
-def test_socket_when_the_lab_says_so_then_its_call_fails_and_is_counted(lab_side, call):
+def test_socket_when_the_lab_sets_a_call_error_then_the_call_fails_and_is_counted(lab_side, call):
     opened, accepted = pair()
     calls = {
         "accept": lambda: opened.accept(),
@@ -53,13 +53,13 @@
     assert lab_side.counts() == {f"injected_{call}": 1}
 
 
-def test_socket_when_io_is_short_then_takes_a_part_and_holds_no_buffer(lab_side):
+def test_socket_when_io_is_short_then_transfers_a_part_and_releases_the_buffer(lab_side):
     lab_side.set_state(SystemState(short_io_fraction=1.0, short_io_bytes=2))
     opened, accepted = pair()
     with opened, accepted:
         data = bytearray(b"abcdef")
         assert opened.send(data) == 2
-        del data[:2]  # as the event loop does with what was sent
+        del data[:2]  # as the event loop removes the data that was sent
         assert opened.sendmsg([b"cd", b"ef"]) == 2
         room = bytearray(6)
         assert accepted.recv(6) == b"ab"
@@ -67,7 +67,7 @@
     assert lab_side.counts()["injected_short_io"] == 4
 
 
-def test_socket_when_connecting_is_interrupted_then_the_connection_still_comes_up(lab_side):
+def test_socket_when_connect_is_interrupted_then_the_connection_is_still_established(lab_side):
     lab_side.set_state(failing("connect", "EINTR"))
     with pytest.raises(InterruptedError):
         pair()
@@ -83,7 +83,7 @@
     assert len(slept) == 1 and 0 < slept[0] <= 0.15
 
 
-def test_clock_when_stepped_then_the_wall_clock_alone_moves_and_a_later_process_starts_with_it(
+def test_clock_when_stepped_then_only_the_wall_clock_moves_and_a_later_process_starts_with_it(
     lab_side, tmp_path, monkeypatch
 ):
     monkeypatch.setattr(faulty_node.time, "time", time.time)  # undone after the test
@@ -98,7 +98,7 @@
     assert lab_side.counts()["injected_clock_step"] == 2
 
 
-def test_folder_when_it_fails_then_own_calls_fail_and_half_written_files_lie_there(
+def test_folder_when_it_has_faults_then_calls_on_it_fail_and_half_written_files_appear(
     lab_side, tmp_path, monkeypatch
 ):
     for name in ("open", "makedirs", "listdir", "stat", "unlink"):
@@ -111,7 +111,7 @@
         os.listdir(own)
     with pytest.raises(OSError, match="Input/output error"):
         os.open(f"{own}/1-0", os.O_RDWR | os.O_CREAT)
-    assert os.listdir(tmp_path)  # another folder
+    assert os.listdir(tmp_path)  # calls on other folders succeed
     lab_side.set_state(NO_FAULTS)
     assert len(os.listdir(own)) == 3
     assert lab_side.counts() == {"injected_folder": 2, "injected_half_written": 3}
--- a/tests/lab/backend/test_linked_transport.py
+++ b/tests/lab/backend/test_linked_transport.py
@@ -22,12 +22,12 @@
     st.lists(st.binary(min_size=1, max_size=300), max_size=12),
     st.integers(1, 10**6),
 )
-def test_bytes_keep_their_order_both_ways_in_any_pieces_and_ends_come_behind_them(up, down, seed):
+def test_bytes_stay_in_order_in_both_directions_in_any_segments_and_precede_the_end(up, down, seed):
     async def test(fabric):
         end, reader, writer = await connected_pair(fabric, keep=True)
         for piece in up:
             writer.write(piece)
-        writer.write_eof()  # the answers still come, as on a half-closed socket
+        writer.write_eof()  # the other direction stays open, as on a half-closed socket
         for piece in down:
             end.transport.write(piece)
         await until(lambda: sum(map(len, end.received)) == sum(map(len, up)))
@@ -40,14 +40,15 @@
     run_on_fabric(test, LinkPair(seed=seed))
 
 
-def test_bytes_are_handed_up_with_the_time_of_their_sending_after_the_handshake_of_the_model():
+def test_data_is_delivered_with_its_send_time_after_the_modelled_handshake():
     async def test(fabric):
         loop = asyncio.get_running_loop()
         before = loop.time()
         end, _, writer = await connected_pair(fabric)
         writer.write(b"x")
         await until(lambda: end.received)
-        # The node's kernel needed no time for the handshake; the links take theirs: there, back and there.
+        # The node's kernel completes the handshake without delay. The modelled one takes the delay of three
+        # passes over the links.
         assert loop.time() >= before + 0.060
         assert before <= end.sent_at[0] <= loop.time() - 0.020
         assert fabric.lateness.summary()["samples"] > 0
@@ -55,7 +56,7 @@
     run_on_fabric(test, LinkPair(delay_ms=20.0))
 
 
-def test_a_reset_link_ends_its_connections_at_once_on_both_sides_and_refuses_new_ones():
+def test_a_reset_link_resets_its_connections_on_both_sides_and_refuses_new_ones():
     async def test(fabric):
         listener = await fabric.listen("late", "n0", RecordingProtocol)
         end, reader, _ = await connected_pair(fabric)
@@ -81,9 +82,9 @@
 
 
 @pytest.mark.parametrize("side", ["node", "lab"])
-def test_what_a_silent_link_lost_is_reset_when_either_side_sends_after_it_is_back(side):
+def test_a_connection_that_lost_data_on_a_silent_link_is_reset_when_either_side_sends_after_it_is_up(side):
     async def test(fabric):
-        sound, sound_reader, _ = await connected_pair(fabric)
+        intact, intact_reader, _ = await connected_pair(fabric)
         end, reader, writer = await connected_pair(fabric)
         end.transport.write(b"before")
         assert await reader.readexactly(6) == b"before"
@@ -101,14 +102,14 @@
         with pytest.raises(ConnectionResetError):
             await reader.read()
         assert isinstance(await end.ended, ConnectionResetError) and end.received == []
-        sound.transport.write(b"nothing lost here")
-        sound.transport.close()
-        assert await sound_reader.read() == b"nothing lost here"
+        intact.transport.write(b"nothing lost here")
+        intact.transport.close()
+        assert await intact_reader.read() == b"nothing lost here"
 
     run_on_fabric(test)
 
 
-def test_the_end_of_a_connection_is_lost_on_a_silent_link_too():
+def test_the_close_of_a_connection_is_also_lost_on_a_silent_link():
     async def test(fabric):
         end, reader, writer = await connected_pair(fabric)
         gone, _, gone_writer = await connected_pair(fabric)
@@ -130,7 +131,7 @@
     run_on_fabric(test)
 
 
-def test_both_sides_hold_the_other_up_until_they_read():
+def test_a_side_that_does_not_read_pauses_the_writer_on_the_other_side():
     async def test(fabric):
         end, reader, writer = await connected_pair(fabric, keep=True)
         end.transport.pause_reading()
--- a/tests/lab/backend/test_loopback.py
+++ b/tests/lab/backend/test_loopback.py
@@ -1,4 +1,4 @@
-"""Runs against real nodes: how they end, and that nothing outlives them."""
+"""Runs against real nodes: how they end, and that no process is left behind."""
 
 import asyncio
 import os
@@ -43,7 +43,7 @@
 
 
 @pytest.mark.parametrize("number", [signal.SIGKILL, signal.SIGTERM, signal.SIGINT])
-def test_no_node_outlives_the_lab_whatever_ends_it(number, tmp_path):
+def test_no_node_outlives_the_lab_whichever_signal_ends_it(number, tmp_path):
     env = {**os.environ, "TMPDIR": str(tmp_path)}
     lab = subprocess.Popen(
         [*PYTHON, textwrap.dedent(LAB)],
@@ -57,7 +57,7 @@
         assert select.select([lab.stdout], [], [], 30)[0]
         pidfd = os.pidfd_open(int(lab.stdout.readline()))
         lab.send_signal(number)
-        assert select.select([pidfd], [], [], 20)[0]  # it has ended
+        assert select.select([pidfd], [], [], 20)[0]  # the node has ended
         os.close(pidfd)
         lab.wait(20)
         assert number == signal.SIGKILL or list(tmp_path.iterdir()) == []
@@ -66,7 +66,7 @@
         lab.communicate(timeout=20)
 
 
-def test_a_day_beyond_its_wall_limit_is_ended_and_says_so_and_a_raise_leaves_nothing():
+def test_a_run_beyond_its_wall_limit_is_ended_and_reported_and_an_error_leaves_no_process():
     log, seen = RecordLog(), {}
 
     class World:
@@ -91,12 +91,12 @@
         os.kill(seen["nodes"].pid("n0"), 0)
 
 
-def test_lateness_when_the_nodes_end_only_after_the_warm_up_would_have_begun_is_still_reported(monkeypatch):
+def test_lateness_when_the_nodes_end_only_after_the_start_of_the_warm_up_is_still_reported(monkeypatch):
     fabrics = []
 
     class SlowToEnd(ProcessNodes):
         async def close(self):
-            await fabrics[0].clock.sleep_until(1.0)  # past the instant at which sampling would start anew
+            await fabrics[0].clock.sleep_until(1.0)  # past the time at which the samples would be reset
             await super().close()
 
     class World:
--- a/tests/lab/backend/test_loopback_fabric.py
+++ b/tests/lab/backend/test_loopback_fabric.py
@@ -1,4 +1,4 @@
-"""Listeners, clients' connections and ports on loopback."""
+"""Listeners, client connections and ports on loopback."""
 
 import asyncio
 
@@ -8,7 +8,7 @@
 from flintridge.lab.backend.loopback_fabric import LoopbackFabric
 
 
-def test_new_connections_never_come_up_while_the_link_is_silent_and_nothing_is_refused_around_it():
+def test_connects_hang_while_the_link_is_silent_and_none_is_refused_when_its_state_changes():
     async def test(fabric):
         made = []
 
@@ -21,7 +21,7 @@
         for _ in range(2):
             set_link_state(fabric, "silent")
             for dial in (asyncio.open_connection(*address), fabric.connect("c0", "n0", RecordingProtocol)):
-                with pytest.raises(TimeoutError):  # the kernel says nothing at all
+                with pytest.raises(TimeoutError):  # the kernel neither accepts nor refuses
                     await asyncio.wait_for(dial, SHORT_S)
             assert made == []
             set_link_state(fabric, "up")
@@ -32,7 +32,7 @@
     run_on_fabric(test)
 
 
-def test_a_client_connects_to_a_node_and_is_refused_where_none_listens():
+def test_a_client_connects_to_a_node_and_is_refused_if_no_node_listens():
     async def test(fabric):
         with pytest.raises(ConnectionRefusedError):
             await fabric.connect("c0", "n0", RecordingProtocol)
@@ -53,7 +53,7 @@
     run_on_fabric(test, LinkPair(delay_ms=1.0))
 
 
-def test_two_runs_at_once_have_ports_of_their_own():
+def test_two_concurrent_runs_use_different_ports():
     async def test(fabric):
         other = LoopbackFabric(LinkPair())
         try:
--- a/tests/lab/backend/test_processes.py
+++ b/tests/lab/backend/test_processes.py
@@ -1,4 +1,4 @@
-"""Nodes as real processes, which are never left behind."""
+"""Nodes as real processes, none of which is left behind."""
 
 import asyncio
 import json
@@ -19,7 +19,7 @@
 
 
 class Discovery(asyncio.Protocol):
-    """Lists one server that nobody ever asks; a watch waits for good."""
+    """Returns a list of one server that gets no requests; a watch never gets a response."""
 
     def connection_made(self, transport):
         self.transport = transport
@@ -55,7 +55,7 @@
 
 
 async def ready(fabric, node):
-    """Until the node can serve."""
+    """Wait until the node serves requests."""
     answers = []
     while answers != [b"MN\r\n"]:
         try:
@@ -70,8 +70,8 @@
         transport.close()
 
 
-def test_a_node_is_started_paused_reloaded_and_ends_well_and_is_started_anew_after_a_kill():
-    async def test(fabric, nodes, said):
+def test_a_node_can_be_started_paused_reloaded_terminated_and_restarted_after_a_kill():
+    async def test(fabric, nodes, states):
         await nodes.start("n0")
         with pytest.raises(RuntimeError):
             await nodes.start("n0")
@@ -92,8 +92,8 @@
         nodes.term("n0")
         assert nodes.running("n0")
         await nodes.ended("n0")
-        states = [(state, code) for _, state, code in said()]
-        assert states == [
+        n0_states = [(state, code) for _, state, code in states()]
+        assert n0_states == [
             *((state, 0) for state in ("started", "paused", "resumed", "hup")),
             *(("killed", -9), ("started", 0), ("term", 0), ("exited", 0)),
         ]
@@ -105,34 +105,34 @@
     on_nodes(test)
 
 
-def test_an_end_that_nobody_asked_for_is_recorded_and_told():
-    async def test(fabric, nodes, said):
-        await nodes.start("n7")  # its configuration is bad
+def test_an_unexpected_end_is_recorded_and_reported():
+    async def test(fabric, nodes, states):
+        await nodes.start("n7")  # its configuration is invalid
         await nodes.start("n1")
         await ready(fabric, "n1")
         os.kill(nodes.pid("n1"), signal.SIGKILL)
         await nodes.ended("n7")
         await nodes.ended("n1")
-        ends = [one for one in said() if one[1] == "exited"]
+        ends = [one for one in states() if one[1] == "exited"]
         assert sorted(ends) == [("n1", "exited", -9), ("n7", "exited", 2)]
-        told = sorted(nodes.usage().unexpected_ends)
-        assert told[0].startswith("n1 exited with -9") and "latency_objective_ns" in told[1]
+        reported = sorted(nodes.usage().unexpected_ends)
+        assert reported[0].startswith("n1 exited with -9") and "latency_objective_ns" in reported[1]
         assert not nodes.running("n1")
 
     on_nodes(test)
 
 
-def test_a_node_that_burns_a_core_and_minds_no_sigterm_shows_and_is_killed_at_the_end():
+def test_a_node_that_saturates_a_core_and_ignores_sigterm_is_reported_and_killed_on_close():
     stubborn = "import signal; signal.signal(15, signal.SIG_IGN); print('on', flush=True)\nwhile True: pass"
 
-    async def test(fabric, nodes, said):
+    async def test(fabric, nodes, states):
         await nodes.start("n0")
         nodes.pause("n0")
         nodes.resume("n0")
         await until(lambda: nodes.lines("n0") and nodes.usage().nodes["n0"].peak_cores > 0.1)
         pid = nodes.pid("n0")
         await nodes.close()
-        assert said()[-1][1] == "stuck" and "did not end" in nodes.usage().unexpected_ends[0]
+        assert states()[-1][1] == "stuck" and "did not end" in nodes.usage().unexpected_ends[0]
         with pytest.raises(ProcessLookupError):
             os.kill(pid, 0)
 
--- a/tests/lab/backend/test_system_fault_runs.py
+++ b/tests/lab/backend/test_system_fault_runs.py
@@ -1,4 +1,4 @@
-"""Faults of the nodes' operating systems in whole runs: each is injected and counted on both backends."""
+"""Operating system faults of nodes in whole runs: each is injected and counted on both backends."""
 
 import pytest
 from support.system_faults import day_of
@@ -28,27 +28,27 @@
     )
 
 
-def test_each_fault_when_played_in_virtual_time_then_is_counted_and_the_day_is_the_same_again():
+def test_each_fault_when_run_in_virtual_time_then_is_counted_and_the_run_is_reproducible():
     first, again = (play(day_of(*EVERY_CALL), 3) for _ in range(2))
     assert caused(first) == CAUSED and first.end_reason == "whole"
     assert first.digest == again.digest
 
 
-def test_each_fault_when_played_on_loopback_then_is_counted_and_no_process_dies():
+def test_each_fault_when_run_on_loopback_then_is_counted_and_no_process_dies():
     folder = m.FolderErrors(at_s=0.5, for_s=2.0, half_written=2)
     result = play(day_of(*EVERY_CALL, folder), 3, backend="loopback")
     assert caused(result) == CAUSED | {"injected_folder", "injected_half_written"}
     assert result.end_reason == "whole"
 
 
-def test_folder_errors_when_played_in_virtual_time_then_are_refused():
+def test_folder_errors_when_run_in_virtual_time_then_raise():
     with pytest.raises(ValueError, match="folder_errors: on the loopback backend only"):
         play(day_of(m.FolderErrors()), 1)
 
 
-def test_a_fault_when_it_waits_for_a_sign_then_begins_at_that_sign():
+def test_a_fault_when_triggered_by_a_log_line_then_begins_at_that_line():
     once = m.Seen(line="serving", node=1)
-    # The nodes serve before the day begins: the sign is another start of node 1.
+    # The nodes serve before the run begins, so that the log line is that of the restart of node 1.
     restart = m.NodeRestart(at_s=0.5, for_s=0.2, nodes=(1,))
     result = play(day_of(restart, m.ShortIo(at_s=0.0, once=once, nodes=(1,), part=1.0)), 1)
     assert result.counters["n1"]["injected_short_io"] and "injected_short_io" not in result.counters["n0"]
