--- a/flintridge/lab/virtual/addresses.py
+++ b/flintridge/lab/virtual/addresses.py
@@ -8,5 +8,5 @@
 
 
 def canonical_ip(name: str) -> str:
-    """Return the IP address for a host name: "localhost" is resolved, anything else must be an IP address."""
+    """Replace "localhost" with its IP address; return any other address unchanged."""
     return LOOPBACK if name == "localhost" else name
--- a/flintridge/lab/virtual/datagram_transport.py
+++ b/flintridge/lab/virtual/datagram_transport.py
@@ -34,8 +34,8 @@
         Args:
             network: The network in which the socket is bound.
             protocol: The protocol that receives the datagrams.
-            local_address: The address to bind; port 0 selects the next free one. None binds the wildcard
-                address with such a port.
+            local_address: The address to bind; port 0 selects the next free one. None binds the next free
+                port of the wildcard address.
             remote_address: The only peer to send to and receive from; None means any.
 
         Raises:
--- a/flintridge/lab/virtual/host.py
+++ b/flintridge/lab/virtual/host.py
@@ -102,7 +102,7 @@
         return len(self.process.pending())
 
     def peers(self) -> list[str]:
-        """Return the peer host of each connection that has a descriptor; "" if no host answered."""
+        """Return the peer host of each connection that has a descriptor; "" if no host has the address."""
         connections = self.process.connections
         return [connection.peer_host or "" for connection in connections if connection.has_descriptor]
 
--- a/flintridge/lab/virtual/loop.py
+++ b/flintridge/lab/virtual/loop.py
@@ -166,25 +166,25 @@
                 self._livelock.wall_deadline_s = perf_counter() + wall_limit_s
                 cleanup.enter_context(alarm_after(wall_limit_s, self._wall_limit_exceeded))
             cleanup.enter_context(self._collector.replacing_automatic_collection())
-            usable = False
+            can_run_tasks = False
             try:
                 result = self.run_until_complete(main)
-                usable = True
+                can_run_tasks = True
                 return result
             except Exception:
-                usable = True
+                can_run_tasks = True
                 raise
             finally:
-                self._shut_down(run_on=usable)
+                self._shut_down(await_lab_tasks=can_run_tasks)
 
-    def _shut_down(self, *, run_on: bool) -> None:
-        """Stop all hosts; with `run_on`, cancel the lab's own tasks and await them, as asyncio.run does."""
+    def _shut_down(self, *, await_lab_tasks: bool) -> None:
+        """Stop all hosts; optionally cancel the lab's own tasks and await them, as asyncio.run does."""
         lab = self.network.lab
         for host in self.network.hosts:
             if host is not lab:
                 host.end_process()
         try:
-            if run_on:
+            if await_lab_tasks:
                 lab_tasks = lab.process.pending()
                 for task in lab_tasks:
                     task.cancel()
--- a/flintridge/lab/virtual/process.py
+++ b/flintridge/lab/virtual/process.py
@@ -34,7 +34,7 @@
 
     @property
     def peer_host(self) -> str | None:
-        """The name of the host at the other end; None if no host answered."""
+        """The name of the host at the other end; None if no host has the address."""
 
     @property
     def lossy(self) -> bool:
--- a/flintridge/lab/virtual/tcp_socket.py
+++ b/flintridge/lab/virtual/tcp_socket.py
@@ -37,8 +37,8 @@
         local_address: The address of this end.
         peer_address: The address of the other end.
         peer: The socket at the other end, once it exists.
-        peer_host: The name of the peer's host; None if no host answered.
-        path: The path to the peer; None if no host answered.
+        peer_host: The name of the peer's host; None if no host has the peer address.
+        path: The path to the peer; None if no host has the peer address.
         user: The transport, once there is one.
         accepted: Whether a protocol is attached to the connection.
         received: Data that arrived and has not been read.
--- a/tests/lab/backend/test_loopback.py
+++ b/tests/lab/backend/test_loopback.py
@@ -32,13 +32,13 @@
         def node_config(self, node):
             return {"settings": {}, "discovery": "127.0.0.1:1"}
 
-    async def day(scenario, seeds, log, fabric, truth, make_nodes):
+    async def run_nodes(scenario, seeds, log, fabric, truth, make_nodes):
         nodes = make_nodes(World())
         await nodes.start("n0")
         print(nodes.pid("n0"), flush=True)
         await asyncio.sleep(3600)
 
-    play_loopback(Scenario(), 1, RecordLog(), day)
+    play_loopback(Scenario(), 1, RecordLog(), run_nodes)
 """
 
 
@@ -73,20 +73,20 @@
         def node_config(self, _node):
             return {"settings": {}, "discovery": "127.0.0.1:1"}
 
-    async def day(scenario, seeds, log, fabric, truth, make_nodes):
+    async def run_nodes(scenario, seeds, log, fabric, truth, make_nodes):
         seen["nodes"] = nodes = make_nodes(World())
         await nodes.start("n0")
         if seeds.seed == 2:
             raise RuntimeError("a mistake")
         await asyncio.sleep(3600)
 
-    ended, usage = play_loopback(Scenario(wall_limit_s=1.5), 1, log, day)
-    assert ended == "wall limit: 1.5 s" and usage.unexpected_ends == [] and usage.lateness_ms["samples"] > 0
+    reason, usage = play_loopback(Scenario(wall_limit_s=1.5), 1, log, run_nodes)
+    assert reason == "wall limit: 1.5 s" and usage.unexpected_ends == [] and usage.lateness_ms["samples"] > 0
     assert msgspec.json.encode(usage) and [r.state for r in log if isinstance(r, NodeStateChanged)] == [
         "started"
     ]
     with pytest.raises(RuntimeError, match="a mistake"):
-        play_loopback(Scenario(), 2, log, day)
+        play_loopback(Scenario(), 2, log, run_nodes)
     with pytest.raises(ProcessLookupError):
         os.kill(seen["nodes"].pid("n0"), 0)
 
@@ -103,12 +103,12 @@
         def node_config(self, _node):
             return {"settings": {}, "discovery": "127.0.0.1:1"}
 
-    async def day(scenario, seeds, log, fabric, truth, make_nodes):
+    async def run_nodes(scenario, seeds, log, fabric, truth, make_nodes):
         fabrics.append(fabric)
         await make_nodes(World()).start("n0")
         await asyncio.sleep(3600)
 
     monkeypatch.setattr("flintridge.lab.backend.loopback.ProcessNodes", SlowToEnd)
     monkeypatch.setattr("flintridge.lab.backend.loopback.LEAD_S", 0.0)
-    ended, usage = play_loopback(Scenario(warmup_s=0.0, wall_limit_s=0.05), 1, RecordLog(), day)
-    assert ended == "wall limit: 0.05 s" and usage.lateness_ms["samples"] > 0
+    reason, usage = play_loopback(Scenario(warmup_s=0.0, wall_limit_s=0.05), 1, RecordLog(), run_nodes)
+    assert reason == "wall limit: 0.05 s" and usage.lateness_ms["samples"] > 0
--- a/tests/lab/backend/test_processes.py
+++ b/tests/lab/backend/test_processes.py
@@ -31,14 +31,14 @@
             self.transport.write(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%b" % (len(body), body))
 
 
-def on_nodes(test, **how):
+def run_on_nodes(test, **options):
     async def run(fabric):
         def config(node):
             discovery = "{}:{}".format(*fabric.address("discovery", node))
             return {"discovery": discovery, "seed": "5", "settings": settings_of.get(node, SETTINGS)}
 
         settings_of, log = {"n7": {"services": [{"sloNs": -4}]}}, RecordLog()
-        nodes = ProcessNodes(fabric, log, fabric.clock, config, Scenario(), **how)
+        nodes = ProcessNodes(fabric, log, fabric.clock, config, Scenario(), **options)
         try:
             for node in ("n0", "n1"):
                 await fabric.listen("discovery", node, Discovery)
@@ -54,18 +54,18 @@
     run_on_fabric(run)
 
 
-async def ready(fabric, node):
+async def wait_until_ready(fabric, node):
     """Wait until the node serves requests."""
-    answers = []
-    while answers != [b"MN\r\n"]:
+    replies = []
+    while replies != [b"MN\r\n"]:
         try:
             transport = await fabric.connect("c0", node, RecordingProtocol)
         except ConnectionError:
             await asyncio.sleep(0.01)
             continue
-        answers = transport.get_protocol().received
+        replies = transport.get_protocol().received
         transport.write(b"mn\r\n")
-        while not answers:
+        while not replies:
             await asyncio.sleep(0.001)
         transport.close()
 
@@ -75,20 +75,20 @@
         await nodes.start("n0")
         with pytest.raises(RuntimeError):
             await nodes.start("n0")
-        await ready(fabric, "n0")
+        await wait_until_ready(fabric, "n0")
         nodes.pause("n0")
-        question = asyncio.ensure_future(ready(fabric, "n0"))
-        await asyncio.wait([question], timeout=SHORT_S)
-        assert not question.done()
+        connecting = asyncio.ensure_future(wait_until_ready(fabric, "n0"))
+        await asyncio.wait([connecting], timeout=SHORT_S)
+        assert not connecting.done()
         nodes.resume("n0")
-        await question
+        await connecting
         discovery = "{}:{}".format(*fabric.address("discovery2", "n0"))
         nodes.reload("n0", {"discovery": discovery, "seed": "5", "settings": SETTINGS})
         await until(lambda: any('"reloaded"' in line for line in nodes.lines("n0")))
         nodes.kill("n0")
         assert not nodes.running("n0")
         await nodes.start("n0")
-        await ready(fabric, "n0")
+        await wait_until_ready(fabric, "n0")
         nodes.term("n0")
         assert nodes.running("n0")
         await nodes.ended("n0")
@@ -102,14 +102,14 @@
         assert usage.node_memory_mb < 200 and usage.nodes["n0"].processes == 2
         assert usage.counters["n0"]["log_serving"] == 2
 
-    on_nodes(test)
+    run_on_nodes(test)
 
 
 def test_an_unexpected_end_is_recorded_and_reported():
     async def test(fabric, nodes, states):
         await nodes.start("n7")  # its configuration is invalid
         await nodes.start("n1")
-        await ready(fabric, "n1")
+        await wait_until_ready(fabric, "n1")
         os.kill(nodes.pid("n1"), signal.SIGKILL)
         await nodes.ended("n7")
         await nodes.ended("n1")
@@ -119,11 +119,11 @@
         assert reported[0].startswith("n1 exited with -9") and "latency_objective_ns" in reported[1]
         assert not nodes.running("n1")
 
-    on_nodes(test)
+    run_on_nodes(test)
 
 
 def test_a_node_that_saturates_a_core_and_ignores_sigterm_is_reported_and_killed_on_close():
-    stubborn = "import signal; signal.signal(15, signal.SIG_IGN); print('on', flush=True)\nwhile True: pass"
+    program = "import signal; signal.signal(15, signal.SIG_IGN); print('on', flush=True)\nwhile True: pass"
 
     async def test(fabric, nodes, states):
         await nodes.start("n0")
@@ -136,4 +136,4 @@
         with pytest.raises(ProcessLookupError):
             os.kill(pid, 0)
 
-    on_nodes(test, command=(*PYTHON, stubborn), close_grace_s=SHORT_S)
+    run_on_nodes(test, command=(*PYTHON, program), close_grace_s=SHORT_S)
--- a/tests/lab/backend/test_system_fault_runs.py
+++ b/tests/lab/backend/test_system_fault_runs.py
@@ -29,9 +29,9 @@
 
 
 def test_each_fault_when_run_in_virtual_time_then_is_counted_and_the_run_is_reproducible():
-    first, again = (play(day_of(*EVERY_CALL), 3) for _ in range(2))
+    first, second = (play(day_of(*EVERY_CALL), 3) for _ in range(2))
     assert caused(first) == CAUSED and first.end_reason == "whole"
-    assert first.digest == again.digest
+    assert first.digest == second.digest
 
 
 def test_each_fault_when_run_on_loopback_then_is_counted_and_no_process_dies():
