--- a/flintridge/lab/virtual/network.py
+++ b/flintridge/lab/virtual/network.py
@@ -75,7 +75,7 @@
         self.on_datagram: Callable[[str, str, bytes, DatagramOutcome], None] = ignore_datagram
         self._loop: VirtualTimeLoop | None = None
         self._links: dict[tuple[str, str], Link] = {}
-        self._link_states: dict[tuple[str, str], str] = {}  # as of the last call of `links_changed`
+        self._link_states: dict[tuple[str, str], str] = {}  # as last handled by `link_changed`
         self._hosts: dict[str, Host] = {}
         self.addresses = AddressTable()
         self.listening_sockets: Bindings[ListeningSocket] = Bindings(self.addresses)
