--- a/flintridge/lab/virtual/addresses.py
+++ b/flintridge/lab/virtual/addresses.py
@@ -1,4 +1,4 @@
-"""Addresses as the network knows them."""
+"""Addresses in the modelled network."""
 
 Address = tuple[str, int]
 
@@ -8,5 +8,5 @@
 
 
 def canonical_ip(name: str) -> str:
-    """The address under which the network knows `name`."""
+    """Replace "localhost" with its IP address; return any other address unchanged."""
     return LOOPBACK if name == "localhost" else name
